--- a/benches/store.rs
+++ b/benches/store.rs
@@ -1,7 +1,9 @@
-//! The store at size: `cargo bench --bench store`. Everything is measured in one run, side by side: with cleaning and
-//! without copying, and against the form before it, which wrote all that is open anew in one step.
+//! The store at size: `cargo bench --bench store`. Everything is measured in one run, side by side:
+//! with cleaning and without copying, and against the form before it, which wrote all that is open
+//! anew in one step.
 //!
-//! Messages end in random order, so that cleaning has to copy what lives on. `OPEN=50000 BODY=1200 STEPS=200000 RECOVER_MB=16,64,256,1024` are its defaults.
+//! Messages end in random order, so that cleaning has to copy what lives on. `OPEN=50000 BODY=1200
+//! STEPS=200000 RECOVER_MB=16,64,256,1024` are its defaults.
 
 use hdrhistogram::Histogram;
 use raildeal::core::journal::{Durability, Journal, Record, Setup};
@@ -16,7 +18,10 @@
 const LEFT: Duration = Duration::from_secs(16);
 
 fn told(name: &str, absent: usize) -> usize {
-    std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(absent)
+    std::env::var(name)
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(absent)
 }
 
 fn envelope(n: usize, body: usize) -> Envelope {
@@ -46,7 +51,11 @@
 impl Seen {
     fn new() -> Self {
         let empty = || Histogram::new(3).expect("a histogram");
-        Seen { take_on: empty(), tend: empty(), all: empty() }
+        Seen {
+            take_on: empty(),
+            tend: empty(),
+            all: empty(),
+        }
     }
 }
 
@@ -54,7 +63,8 @@
     let begun = Instant::now();
     let made = work();
     let took = begun.elapsed().as_nanos() as u64;
-    into.iter_mut().for_each(|h| h.record(took).expect("recorded"));
+    into.iter_mut()
+        .for_each(|h| h.record(took).expect("recorded"));
     made
 }
 
@@ -70,23 +80,34 @@
     );
 }
 
-/// A steady load with so many messages open: each step takes one on, calls for one, and ends the oldest, which leaves
-/// nothing to copy, or any of them, so that some live on for long.
-fn steady(name: &str, setup: Setup, (open, body, steps): (usize, usize, usize), mixed: bool) -> (Seen, f64) {
+/// A steady load with so many messages open: each step takes one on, calls for one, and ends the
+/// oldest, which leaves nothing to copy, or any of them, so that some live on for long.
+fn steady(
+    name: &str,
+    setup: Setup,
+    (open, body, steps): (usize, usize, usize),
+    mixed: bool,
+) -> (Seen, f64) {
     let folder = folder();
     let (journal, _) = Journal::open(folder.path(), setup).expect("opened");
     let mut seen = Seen::new();
     let mut held: VecDeque<Record> = VecDeque::new();
     let (mut n, mut rng) = (0, fastrand::Rng::with_seed(1));
     while held.len() < open {
-        held.push_back(journal.take_on(envelope(n, body), LEFT, 0, 0).expect("room"));
+        held.push_back(
+            journal
+                .take_on(envelope(n, body), LEFT, 0, 0)
+                .expect("room"),
+        );
         n += 1;
     }
     let (before, begun) = (journal.done(), Instant::now());
     for step in 0..steps {
         let Seen { take_on, tend, all } = &mut seen;
-        let record =
-            time(&mut [take_on, all], || journal.take_on(envelope(n, body), LEFT, 0, 0)).expect("room");
+        let record = time(&mut [take_on, all], || {
+            journal.take_on(envelope(n, body), LEFT, 0, 0)
+        })
+        .expect("room");
         n += 1;
         held.push_back(record);
         let middle = &held[open / 2];
@@ -114,15 +135,27 @@
     (seen, amplified)
 }
 
-/// What the form before did at a compaction: all that is open, encoded and written to a file that takes the old one's
-/// place.
+/// What the form before did at a compaction: all that is open, encoded and written to a file that
+/// takes the old one's place.
 fn old_compaction(open: usize, body: usize) -> Duration {
     let folder = folder();
     let (journal, _) = Journal::open(folder.path(), Setup::new(4_000_000_000)).expect("opened");
-    let held: Vec<Record> =
-        (0..open).map(|n| journal.take_on(envelope(n, body), LEFT, 0, 0).expect("room")).collect();
-    let accounts: Vec<_> = held.iter().enumerate().map(|(n, r)| (n as u64, r.account())).collect();
-    let (new, path) = (folder.path().join("journal.new"), folder.path().join("journal"));
+    let held: Vec<Record> = (0..open)
+        .map(|n| {
+            journal
+                .take_on(envelope(n, body), LEFT, 0, 0)
+                .expect("room")
+        })
+        .collect();
+    let accounts: Vec<_> = held
+        .iter()
+        .enumerate()
+        .map(|(n, r)| (n as u64, r.account()))
+        .collect();
+    let (new, path) = (
+        folder.path().join("journal.new"),
+        folder.path().join("journal"),
+    );
     let begun = Instant::now();
     fs::write(&new, v1::file(&accounts)).expect("written");
     fs::rename(&new, &path).expect("renamed");
@@ -154,7 +187,11 @@
 fn fill(journal: &Rc<Journal>, all: usize, body: usize) {
     let (mut held, mut rng) = (VecDeque::new(), fastrand::Rng::with_seed(2));
     for n in 0..all * 2 {
-        held.push_back(journal.take_on(envelope(n, body), LEFT, 0, 0).expect("room"));
+        held.push_back(
+            journal
+                .take_on(envelope(n, body), LEFT, 0, 0)
+                .expect("room"),
+        );
         if held.len() > all * 2 / 5 {
             held.swap(0, rng.usize(..held.len()));
             let first: Record = held.pop_front().expect("held");
@@ -171,13 +208,25 @@
 }
 
 fn main() {
-    let (open, body, steps) = (told("OPEN", 50_000), told("BODY", 1200), told("STEPS", 200_000));
+    let (open, body, steps) = (
+        told("OPEN", 50_000),
+        told("BODY", 1200),
+        told("STEPS", 200_000),
+    );
     let live = (open * (body + 300)) as u64;
     println!("{open} messages open with bodies of {body} bytes, {steps} steps");
     let (setup, size) = (Setup::new(live * 2 + 30_000_000), (open, body, steps));
     let (without, _) = steady("nothing to copy", setup, size, false);
     let (with, _) = steady("cleaning", setup, size, true);
-    let (away, _) = steady("cleaning, bodies on disk", Setup { bodies: live / 20, ..setup }, size, true);
+    let (away, _) = steady(
+        "cleaning, bodies on disk",
+        Setup {
+            bodies: live / 20,
+            ..setup
+        },
+        size,
+        true,
+    );
     line("hand-in, nothing to copy", &without.take_on);
     line("hand-in, cleaning", &with.take_on);
     line("hand-in, cleaning, bodies on disk", &away.take_on);
@@ -189,8 +238,17 @@
         "the form before: one compaction of the same takes {:.1} ms",
         old_compaction(open, body).as_secs_f64() * 1e3
     );
-    for mb in std::env::var("RECOVER_MB").unwrap_or("16,64,256,1024".into()).split(',') {
+    for mb in std::env::var("RECOVER_MB")
+        .unwrap_or("16,64,256,1024".into())
+        .split(',')
+    {
         let mb: usize = mb.trim().parse().expect("megabytes");
-        recovery(mb, Setup { durability: Durability::Process, ..Setup::new(mb as u64 * 1_000_000) });
+        recovery(
+            mb,
+            Setup {
+                durability: Durability::Process,
+                ..Setup::new(mb as u64 * 1_000_000)
+            },
+        );
     }
 }
--- a/lab/src/check.rs
+++ b/lab/src/check.rs
@@ -9,7 +9,8 @@
 
 /// Nothing new goes to an endpoint for longer than this after its sender heard that it drains.
 const DRAIN: Time = SECOND / 4;
-/// A partner is toppled by the senders if this part of what pushed it came from those that had seen it fail.
+/// A partner is toppled by the senders if this part of what pushed it came from those that had seen
+/// it fail.
 const WARNED: f64 = 2.0 / 3.0;
 /// Breaches that are kept word for word.
 const KEPT: usize = 20;
@@ -80,8 +81,8 @@
     gone: FxHashMap<(u16, u32), Time>,
     /// Senders that run.
     up: BTreeSet<u16>,
-    /// Partners that came back and senders that did not call them since: when, and when such a sender first took a
-    /// message on for them after that.
+    /// Partners that came back and senders that did not call them since: when, and when such a
+    /// sender first took a message on for them after that.
     back: BTreeMap<(DestId, u16), (Time, Option<Time>)>,
     counts: BTreeMap<Rule, u64>,
     told: Vec<String>,
@@ -91,7 +92,13 @@
     /// By the settings that the senders have.
     pub fn new(settings: &Settings) -> Self {
         // As long as the longest message may be held, a partner that returns may be left alone.
-        let patience = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0) + settings.warm_after;
+        let patience = settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0)
+            + settings.warm_after;
         Checker {
             classes: settings.classes.clone(),
             most: settings.max_attempts,
@@ -122,12 +129,20 @@
         let mut left: Vec<(u32, u16)> = self.held.iter().map(|(m, h)| (*m, h.sender)).collect();
         left.sort();
         for (message, sender) in left {
-            self.breach(now, Rule::OneAnswer, format!("message {message} at sender {sender} has none"));
+            self.breach(
+                now,
+                Rule::OneAnswer,
+                format!("message {message} at sender {sender} has none"),
+            );
         }
         let mut lost: Vec<u32> = self.abroad.drain().map(|(message, _)| message).collect();
         lost.sort();
         for message in lost {
-            self.breach(now, Rule::Accounted, format!("message {message} was due and is nowhere"));
+            self.breach(
+                now,
+                Rule::Accounted,
+                format!("message {message} was due and is nowhere"),
+            );
         }
         let late: Vec<(DestId, u16)> = self.back.keys().copied().collect();
         late.into_iter().for_each(|at| self.fail_back(now, at));
@@ -136,21 +151,35 @@
     fn breach(&mut self, now: Time, rule: Rule, what: String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.told.len() < KEPT {
-            self.told.push(format!("{:.3} s: {rule}: {what}", in_seconds(now)));
+            self.told
+                .push(format!("{:.3} s: {rule}: {what}", in_seconds(now)));
         }
     }
 
     /// A message that is held has its final answer.
     fn over(&mut self, now: Time, message: u32) {
-        let Some(held) = self.held.remove(&message) else { return };
+        let Some(held) = self.held.remove(&message) else {
+            return;
+        };
         if now > held.by {
             let late = in_seconds(now - held.by);
-            let what = format!("message {message} at sender {} is answered {late:.3} s late", held.sender);
+            let what = format!(
+                "message {message} at sender {} is answered {late:.3} s late",
+                held.sender
+            );
             self.breach(now, Rule::InTime, what);
         }
     }
 
-    fn call(&mut self, now: Time, message: u32, sender: u16, endpoint: u32, dest: DestId, zone: u16) {
+    fn call(
+        &mut self,
+        now: Time,
+        message: u32,
+        sender: u16,
+        endpoint: u32,
+        dest: DestId,
+        zone: u16,
+    ) {
         let mut breaches = Vec::new();
         match self.held.get_mut(&message) {
             None => breaches.push((Rule::OneAnswer, "a call after the final answer".to_string())),
@@ -169,7 +198,9 @@
                 let allowed = match (class.effect, held.ran) {
                     (_, None) | (Effect::Pure, _) => true,
                     (Effect::SideEffect, Some(_)) => false,
-                    (Effect::Token, Some((at, in_zone))) => near(in_zone) && now < at + class.window,
+                    (Effect::Token, Some((at, in_zone))) => {
+                        near(in_zone) && now < at + class.window
+                    }
                 };
                 if !allowed {
                     breaches.push((Rule::Repeats, format!("it may have run: {:?}", held.ran)));
@@ -178,24 +209,35 @@
                 held.out = Some((now, zone));
             }
         }
-        if self.gone.get(&(sender, endpoint)).is_some_and(|since| now > since + DRAIN) {
+        if self
+            .gone
+            .get(&(sender, endpoint))
+            .is_some_and(|since| now > since + DRAIN)
+        {
             breaches.push((Rule::Drains, "it drains".to_string()));
         }
         for gate in [None, Some(endpoint)] {
-            if self.waits.get(&(sender, dest, gate)).is_some_and(|until| now < *until) {
+            if self
+                .waits
+                .get(&(sender, dest, gate))
+                .is_some_and(|until| now < *until)
+            {
                 breaches.push((Rule::Waits, "its wait runs".to_string()));
             }
         }
         for (rule, what) in breaches {
-            let what =
-                format!("sender {sender} calls endpoint {endpoint} of {dest} for message {message}: {what}");
+            let what = format!(
+                "sender {sender} calls endpoint {endpoint} of {dest} for message {message}: {what}"
+            );
             self.breach(now, rule, what);
         }
         self.back.remove(&(dest, sender));
     }
 
     fn fail_back(&mut self, now: Time, (dest, sender): (DestId, u16)) {
-        let Some((at, Some(due))) = self.back.get(&(dest, sender)).copied() else { return };
+        let Some((at, Some(due))) = self.back.get(&(dest, sender)).copied() else {
+            return;
+        };
         if now > due + self.patience {
             self.back.remove(&(dest, sender));
             let (at, due) = (in_seconds(at), in_seconds(due));
@@ -210,7 +252,12 @@
 impl See for Checker {
     fn see(&mut self, now: Time, fact: &Fact) {
         match *fact {
-            Fact::TakenOn { message, sender, class, by } => {
+            Fact::TakenOn {
+                message,
+                sender,
+                class,
+                by,
+            } => {
                 let Some(dest) = self.abroad.remove(&message) else {
                     let what = format!("message {message} is taken on, and nobody had it");
                     return self.breach(now, Rule::Accounted, what);
@@ -219,14 +266,31 @@
                     due.get_or_insert(now);
                     self.fail_back(now, (dest, sender));
                 }
-                let held = Held { sender, dest, class, by, out: None, calls: 0, ran: None };
+                let held = Held {
+                    sender,
+                    dest,
+                    class,
+                    by,
+                    out: None,
+                    calls: 0,
+                    ran: None,
+                };
                 if self.held.insert(message, held).is_some() {
-                    self.breach(now, Rule::OneAnswer, format!("message {message} is taken on twice"));
+                    self.breach(
+                        now,
+                        Rule::OneAnswer,
+                        format!("message {message} is taken on twice"),
+                    );
                 }
             }
-            Fact::Ended { message, sender, verdict } => match self.held.get(&message).map(|h| h.dest) {
+            Fact::Ended {
+                message,
+                sender,
+                verdict,
+            } => match self.held.get(&message).map(|h| h.dest) {
                 None => {
-                    let what = format!("sender {sender} answers message {message}, which is not held");
+                    let what =
+                        format!("sender {sender} answers message {message}, which is not held");
                     self.breach(now, Rule::OneAnswer, what);
                 }
                 Some(dest) => {
@@ -239,14 +303,23 @@
             },
             Fact::GaveUp { message } => {
                 if self.abroad.remove(&message).is_none() {
-                    let what = format!("message {message} is given up, and its client did not have it");
+                    let what =
+                        format!("message {message} is given up, and its client did not have it");
                     self.breach(now, Rule::Accounted, what);
                 }
             }
-            Fact::Call { message, sender, endpoint, dest, zone } => {
+            Fact::Call {
+                message,
+                sender,
+                endpoint,
+                dest,
+                zone,
+            } => {
                 self.call(now, message, sender, endpoint, dest, zone);
             }
-            Fact::Answer { message, outcome, .. } => {
+            Fact::Answer {
+                message, outcome, ..
+            } => {
                 if let Some(held) = self.held.get_mut(&message) {
                     let out = held.out.take();
                     let never = matches!(
@@ -258,11 +331,20 @@
                     }
                 }
             }
-            Fact::Wait { sender, dest, endpoint, until } => {
+            Fact::Wait {
+                sender,
+                dest,
+                endpoint,
+                until,
+            } => {
                 let wait = self.waits.entry((sender, dest, endpoint)).or_insert(0);
                 *wait = until.max(*wait);
             }
-            Fact::Listed { sender, endpoint, ready } => {
+            Fact::Listed {
+                sender,
+                endpoint,
+                ready,
+            } => {
                 if ready {
                     self.gone.remove(&(sender, endpoint));
                 } else {
@@ -283,17 +365,22 @@
             }
             Fact::Began { sender } => {
                 self.up.insert(sender);
-                // What ran out of time while nobody was there to answer is owed its answer from now on.
+                // What ran out of time while nobody was there to answer is owed its answer from now
+                // on.
                 for held in self.held.values_mut().filter(|h| h.sender == sender) {
                     held.by = held.by.max(now);
                 }
             }
             Fact::Back { dest } => {
-                self.back.extend(self.up.iter().map(|sender| ((dest, *sender), (now, None))));
+                self.back
+                    .extend(self.up.iter().map(|sender| ((dest, *sender), (now, None))));
             }
             Fact::Due { dest, message, .. } => drop(self.abroad.insert(message, dest)),
             Fact::Toppled { dest, warned } if warned >= WARNED => {
-                let what = format!("partner {dest}, by senders of which {:.0}% knew", warned * 100.0);
+                let what = format!(
+                    "partner {dest}, by senders of which {:.0}% knew",
+                    warned * 100.0
+                );
                 self.breach(now, Rule::Toppled, what);
             }
             Fact::Toppled { .. } | Fact::TurnedAway { .. } | Fact::Trouble { .. } => {}
--- a/lab/src/day.rs
+++ b/lab/src/day.rs
@@ -1,4 +1,5 @@
-//! What a day is made of, as a file says it. Where a value is a pair, each day draws its own from between.
+//! What a day is made of, as a file says it. Where a value is a pair, each day draws its own from
+//! between.
 
 use crate::policies::Policy;
 use crate::range::Range;
@@ -48,8 +49,8 @@
     /// The core's time for a hand-in and for a call, in microseconds.
     #[serde(default)]
     pub cpu_us: f64,
-    /// The door for messages: part of the room that one client may take, and how long the quickest may stay in
-    /// milliseconds before less is held.
+    /// The door for messages: part of the room that one client may take, and how long the quickest
+    /// may stay in milliseconds before less is held.
     pub client_share: Option<f64>,
     /// See above.
     pub target_ms: Option<u64>,
@@ -109,7 +110,10 @@
 }
 
 fn clump() -> Range {
-    Range { low: 1.6, high: 3.0 }
+    Range {
+        low: 1.6,
+        high: 3.0,
+    }
 }
 
 fn again() -> u32 {
@@ -117,11 +121,17 @@
 }
 
 fn pause() -> Range {
-    Range { low: 0.33, high: 1.3 }
+    Range {
+        low: 0.33,
+        high: 1.3,
+    }
 }
 
 fn body() -> Range {
-    Range { low: 200.0, high: 2000.0 }
+    Range {
+        low: 200.0,
+        high: 2000.0,
+    }
 }
 
 fn skew() -> f64 {
@@ -129,7 +139,10 @@
 }
 
 fn blind() -> Range {
-    Range { low: 1.2, high: 3.2 }
+    Range {
+        low: 1.2,
+        high: 3.2,
+    }
 }
 
 /// Some partners of one sort.
@@ -218,7 +231,10 @@
 }
 
 fn queue() -> Range {
-    Range { low: 0.2, high: 0.6 }
+    Range {
+        low: 0.2,
+        high: 0.6,
+    }
 }
 
 /// What lies between senders and partners. All buildings are as far from one another.
@@ -235,8 +251,21 @@
 
 impl Default for Network {
     fn default() -> Self {
-        let (within_ms, across_ms) = (Range { low: 0.2, high: 0.6 }, Range { low: 5.0, high: 15.0 });
-        Network { within_ms, across_ms, breaks: 0.0 }
+        let (within_ms, across_ms) = (
+            Range {
+                low: 0.2,
+                high: 0.6,
+            },
+            Range {
+                low: 5.0,
+                high: 15.0,
+            },
+        );
+        Network {
+            within_ms,
+            across_ms,
+            breaks: 0.0,
+        }
     }
 }
 
@@ -252,7 +281,13 @@
 
 impl Default for Directory {
     fn default() -> Self {
-        Directory { late_s: Range { low: 0.5, high: 2.0 }, rough: 1.5 }
+        Directory {
+            late_s: Range {
+                low: 0.5,
+                high: 2.0,
+            },
+            rough: 1.5,
+        }
     }
 }
 
@@ -348,7 +383,10 @@
 }
 
 fn bad(setting: &str, what: impl Into<String>) -> Bad {
-    Bad::Setting { setting: setting.into(), what: what.into() }
+    Bad::Setting {
+        setting: setting.into(),
+        what: what.into(),
+    }
 }
 
 impl Day {
@@ -375,16 +413,28 @@
     pub fn check(&self) -> Result<(), Bad> {
         let deployment = self.deployment()?;
         if deployment.zones.is_empty() {
-            return Err(bad("settings.localities", "names no building; one at least"));
+            return Err(bad(
+                "settings.localities",
+                "names no building; one at least",
+            ));
         }
         if !(self.seconds > 0.0 && self.seconds <= 86_400.0) {
-            return Err(bad("seconds", format!("{} is not over 0 and up to 86400", self.seconds)));
+            return Err(bad(
+                "seconds",
+                format!("{} is not over 0 and up to 86400", self.seconds),
+            ));
         }
         if !(1..=10_000).contains(&self.senders.count) {
-            return Err(bad("senders.count", format!("{} is not from 1 to 10000", self.senders.count)));
+            return Err(bad(
+                "senders.count",
+                format!("{} is not from 1 to 10000", self.senders.count),
+            ));
         }
         if !(self.clients.full > 0.0 && self.clients.full <= 1e6) {
-            return Err(bad("clients.full", format!("{} is not over 0 and up to 1e6", self.clients.full)));
+            return Err(bad(
+                "clients.full",
+                format!("{} is not over 0 and up to 1e6", self.clients.full),
+            ));
         }
         if self.clients.services == 0 {
             return Err(bad("clients.services", "0 hand nothing in; 1 at least"));
@@ -406,7 +456,10 @@
         }
         for p in &self.partners {
             if !deployment.kinds.contains(&p.kind) {
-                return Err(bad("partners.kind", format!("settings.kinds has no '{}'", p.kind)));
+                return Err(bad(
+                    "partners.kind",
+                    format!("settings.kinds has no '{}'", p.kind),
+                ));
             }
             ranges.extend([
                 ("partners.count", p.count, 1.0, 65_535.0),
@@ -430,10 +483,13 @@
                 | What::PartnersShut { share }
                 | What::PartnersHang { share }
                 | What::Replaced { share } => ranges.push(("troubles.share", share, 0.0, 1.0)),
-                What::PartnersFail { share, calls } => {
-                    ranges.extend([("troubles.share", share, 0.0, 1.0), ("troubles.calls", calls, 0.0, 1.0)])
+                What::PartnersFail { share, calls } => ranges.extend([
+                    ("troubles.share", share, 0.0, 1.0),
+                    ("troubles.calls", calls, 0.0, 1.0),
+                ]),
+                What::SendersRestart { down_s } => {
+                    ranges.push(("troubles.down_s", down_s, 0.0, 1e4))
                 }
-                What::SendersRestart { down_s } => ranges.push(("troubles.down_s", down_s, 0.0, 1e4)),
                 What::DirectoryBehind { by_s } => ranges.push(("troubles.by_s", by_s, 0.0, 1e4)),
                 What::Surge { more, .. } => ranges.push(("troubles.more", more, 0.0, 10.0)),
                 What::DirectoryDown | What::BuildingOut | What::Flood { .. } => {}
@@ -442,7 +498,10 @@
         for (setting, range, least, most) in ranges {
             if !range.holds(least, most) {
                 let Range { low, high } = range;
-                return Err(bad(setting, format!("[{low}, {high}] is not a range from {least} to {most}")));
+                return Err(bad(
+                    setting,
+                    format!("[{low}, {high}] is not a range from {least} to {most}"),
+                ));
             }
         }
         Ok(())
--- a/lab/src/dice.rs
+++ b/lab/src/dice.rs
@@ -1,4 +1,5 @@
-//! Random numbers of a day: one stream for each concern, so that a change in one part does not move the others.
+//! Random numbers of a day: one stream for each concern, so that a change in one part does not move
+//! the others.
 
 use crate::range::Range;
 use rand::{Rng, SeedableRng};
@@ -56,7 +57,10 @@
 
     /// A whole number from a range.
     pub fn count(&mut self, range: Range) -> usize {
-        self.from(Range { low: range.low, high: range.high + 0.999 }) as usize
+        self.from(Range {
+            low: range.low,
+            high: range.high + 0.999,
+        }) as usize
     }
 
     /// One of so many.
--- a/lab/src/done.rs
+++ b/lab/src/done.rs
@@ -1,7 +1,9 @@
-//! The days of an experiment that were played, kept in a file as they end, so that one that was interrupted goes on.
+//! The days of an experiment that were played, kept in a file as they end, so that one that was
+//! interrupted goes on.
 //!
-//! The first line says which experiment it is, each further one holds a day. At the end the lines are put in order, so
-//! that the file is the same whatever number of cores played it and however often it was interrupted.
+//! The first line says which experiment it is, each further one holds a day. At the end the lines
+//! are put in order, so that the file is the same whatever number of cores played it and however
+//! often it was interrupted.
 
 use crate::plan::{Cell, Experiment};
 use crate::run::Played;
@@ -61,13 +63,22 @@
 }
 
 impl Done {
-    /// Opens the file of an experiment in a folder, or makes it. What is there counts only if this is to resume.
-    pub fn open(folder: &Path, plan: &Experiment, base: &Value, resume: bool) -> Result<Done, NotKept> {
+    /// Opens the file of an experiment in a folder, or makes it. What is there counts only if this
+    /// is to resume.
+    pub fn open(
+        folder: &Path,
+        plan: &Experiment,
+        base: &Value,
+        resume: bool,
+    ) -> Result<Done, NotKept> {
         let path = folder.join(NAME);
         let failed = |e| NotKept::File(path.clone(), e);
         fs::create_dir_all(folder).map_err(failed)?;
         let day = serde_json::to_value(base).expect("a day's values have a form");
-        let head = Head { experiment: plan.clone(), day };
+        let head = Head {
+            experiment: plan.clone(),
+            day,
+        };
         let mut days = BTreeMap::new();
         if path.exists() {
             if !resume {
@@ -82,7 +93,12 @@
                 days = read;
             }
         }
-        let mut done = Done { file: File::open(folder).map_err(failed)?, path, head, days };
+        let mut done = Done {
+            file: File::open(folder).map_err(failed)?,
+            path,
+            head,
+            days,
+        };
         // What an interruption left of a line goes.
         done.rewrite()?;
         let file = OpenOptions::new().append(true).open(&done.path);
@@ -110,9 +126,16 @@
     }
 
     /// A day has ended.
-    pub fn keep(&mut self, at: (usize, u64), values: &[String], played: Played) -> Result<(), NotKept> {
+    pub fn keep(
+        &mut self,
+        at: (usize, u64),
+        values: &[String],
+        played: Played,
+    ) -> Result<(), NotKept> {
         let text = line(at, values, &played) + "\n";
-        self.file.write_all(text.as_bytes()).map_err(|e| NotKept::File(self.path.clone(), e))?;
+        self.file
+            .write_all(text.as_bytes())
+            .map_err(|e| NotKept::File(self.path.clone(), e))?;
         self.days.insert(at, (values.to_vec(), played));
         Ok(())
     }
@@ -132,13 +155,20 @@
         }
         let aside = self.path.with_extension("new");
         let mut file = File::create(&aside).map_err(failed)?;
-        file.write_all(text.as_bytes()).and_then(|()| file.sync_all()).map_err(failed)?;
+        file.write_all(text.as_bytes())
+            .and_then(|()| file.sync_all())
+            .map_err(failed)?;
         fs::rename(&aside, &self.path).map_err(failed)
     }
 }
 
 fn line((cell, seed): (usize, u64), values: &[String], played: &Played) -> String {
-    let line = Line { cell, seed, values: values.to_vec(), day: played.clone() };
+    let line = Line {
+        cell,
+        seed,
+        values: values.to_vec(),
+        day: played.clone(),
+    };
     serde_json::to_string(&line).expect("a day has a form")
 }
 
@@ -150,11 +180,18 @@
     let whole = text.rfind('\n').map_or("", |end| &text[..end]);
     let mut lines = whole.lines().enumerate();
     let bad = |n: usize, e| NotKept::Line(path.to_path_buf(), n + 1, e);
-    let Some((n, first)) = lines.next() else { return Ok((None, Days::new())) };
+    let Some((n, first)) = lines.next() else {
+        return Ok((None, Days::new()));
+    };
     let head: Head = serde_json::from_str(first).map_err(|e| bad(n, e))?;
     let mut days = Days::new();
     for (n, text) in lines {
-        let Line { cell, seed, values, day } = serde_json::from_str(text).map_err(|e| bad(n, e))?;
+        let Line {
+            cell,
+            seed,
+            values,
+            day,
+        } = serde_json::from_str(text).map_err(|e| bad(n, e))?;
         days.insert((cell, seed), (values, day));
     }
     Ok((Some(head), days))
@@ -169,7 +206,10 @@
     let mut cells: Vec<Cell> = Vec::new();
     for ((cell, _), (values, played)) in days {
         if cells.len() <= cell {
-            cells.push(Cell { values, played: Vec::new() });
+            cells.push(Cell {
+                values,
+                played: Vec::new(),
+            });
         }
         cells[cell].played.push(played);
     }
--- a/lab/src/due.rs
+++ b/lab/src/due.rs
@@ -1,4 +1,5 @@
-//! What is to happen at a time, in the order of times; of one time, in the order in which it was put in.
+//! What is to happen at a time, in the order of times; of one time, in the order in which it was
+//! put in.
 
 use raildeal::Time;
 use std::cmp::Ordering;
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -39,7 +39,8 @@
         std::thread::scope(|scope| {
             for _ in 0..cores.clamp(1, missing.len().max(1)) {
                 scope.spawn(|| loop {
-                    let Some((cell, seed)) = missing.get(next.fetch_add(1, Ordering::Relaxed)).copied()
+                    let Some((cell, seed)) =
+                        missing.get(next.fetch_add(1, Ordering::Relaxed)).copied()
                     else {
                         return;
                     };
@@ -47,7 +48,9 @@
                     let played = play(day, seed, None, None);
                     let mut done = done.lock().unwrap_or_else(|e| e.into_inner());
                     let kept = played.map_err(NoExperiment::from).and_then(|played| {
-                        done.0.keep((cell, seed), values, played).map_err(NoExperiment::from)
+                        done.0
+                            .keep((cell, seed), values, played)
+                            .map_err(NoExperiment::from)
                     });
                     if let Err(e) = kept {
                         // The others need not begin another day.
--- a/lab/src/journal.rs
+++ b/lab/src/journal.rs
@@ -1,5 +1,5 @@
-//! Reads the records that the operators' benches leave in `journal/`, and lists the runs of the standing test: one row a run,
-//! one column a day. The short days have a table of their own.
+//! Reads the records that the operators' benches leave in `journal/`, and lists the runs of the
+//! standing test: one row a run, one column a day. The short days have a table of their own.
 
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -88,7 +88,8 @@
     fn of(days: &[Played], panel: Option<&str>) -> Option<Kind> {
         let all = |ours: fn(&Played) -> bool| !days.is_empty() && days.iter().all(ours);
         // A soak alone may be of any fleet.
-        let fleet = all(|d| d.name.ends_with(DAYS) || d.name == SOAK) && days.iter().any(|d| d.name != SOAK);
+        let fleet = all(|d| d.name.ends_with(DAYS) || d.name == SOAK)
+            && days.iter().any(|d| d.name != SOAK);
         match (fleet, panel.is_some_and(|p| p.ends_with(":quick"))) {
             (true, true) => Some(Kind::Quick),
             (true, false) => Some(Kind::Full),
@@ -107,7 +108,8 @@
     }
 }
 
-/// A short day as tables name it, with its number; nothing for another day. One kind of day comes more than once.
+/// A short day as tables name it, with its number; nothing for another day. One kind of day comes
+/// more than once.
 fn short(name: &str) -> Option<(u32, String)> {
     let (kind, number) = name.split_once(SHORT)?;
     let number = number.parse().ok()?;
@@ -148,10 +150,16 @@
         let record: Record = serde_json::from_value(whole).map_err(unreadable)?;
         let kind = Kind::of(&record.days, record.panel.as_deref()).ok_or(Skipped::Foreign)?;
         let figures = record.figures.unwrap_or_default();
-        let name = |d: &Played| short(&d.name).map_or(d.name.trim_end_matches(DAYS).to_string(), |(_, n)| n);
+        let name = |d: &Played| {
+            short(&d.name).map_or(d.name.trim_end_matches(DAYS).to_string(), |(_, n)| n)
+        };
         let days = record.days.iter().map(|d| (name(d), d.score));
         Ok(Run {
-            at: record.at.into_iter().next().ok_or(Skipped::Unreadable("no time".into()))?,
+            at: record
+                .at
+                .into_iter()
+                .next()
+                .ok_or(Skipped::Unreadable("no time".into()))?,
             commit: record.head.unwrap_or_default().chars().take(7).collect(),
             why: record.why.unwrap_or_default(),
             kind,
@@ -179,30 +187,44 @@
     pub skipped: BTreeMap<Skipped, Vec<String>>,
 }
 
-/// Reads the records of a folder; files that end in anything but `.json`, and folders in it, are no records.
+/// Reads the records of a folder; files that end in anything but `.json`, and folders in it, are no
+/// records.
 ///
 /// # Errors
 /// The folder cannot be read, or has no run of the standing test.
 pub fn read(folder: &Path) -> Result<Journal, NoRuns> {
     let failed = |e| NoRuns::Folder(folder.to_path_buf(), e);
-    let mut journal = Journal { runs: Vec::new(), skipped: BTreeMap::new() };
+    let mut journal = Journal {
+        runs: Vec::new(),
+        skipped: BTreeMap::new(),
+    };
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).map_err(failed)? {
         files.push(entry.map_err(failed)?.path());
     }
     files.sort();
-    for file in files.iter().filter(|f| f.extension().is_some_and(|e| e == "json")) {
+    for file in files
+        .iter()
+        .filter(|f| f.extension().is_some_and(|e| e == "json"))
+    {
         let text = fs::read_to_string(file).map_err(|e| Skipped::Unreadable(e.to_string()));
         match text.and_then(|text| Run::of(&text)) {
             Ok(run) => journal.runs.push(run),
             Err(why) => {
-                let name = file.file_name().unwrap_or_default().to_string_lossy().into_owned();
+                let name = file
+                    .file_name()
+                    .unwrap_or_default()
+                    .to_string_lossy()
+                    .into_owned();
                 journal.skipped.entry(why).or_default().push(name);
             }
         }
     }
     if journal.runs.is_empty() {
-        return Err(NoRuns::Empty(folder.to_path_buf(), journal.skipped.values().map(Vec::len).sum()));
+        return Err(NoRuns::Empty(
+            folder.to_path_buf(),
+            journal.skipped.values().map(Vec::len).sum(),
+        ));
     }
     // Times of one form and zone: their order as text is the order in time.
     journal.runs.sort_by(|a, b| a.at.cmp(&b.at));
@@ -212,7 +234,10 @@
 impl Journal {
     /// Columns of these runs: the full fleet's days by name, its soak, the short days by number.
     fn days<'a>(runs: &[&'a Run]) -> Vec<&'a str> {
-        let named: BTreeSet<&str> = runs.iter().flat_map(|r| r.days.keys().map(String::as_str)).collect();
+        let named: BTreeSet<&str> = runs
+            .iter()
+            .flat_map(|r| r.days.keys().map(String::as_str))
+            .collect();
         let mut days: Vec<&str> = named.into_iter().collect();
         let number = |d: &str| d.rsplit_once('-').and_then(|(_, n)| n.parse::<u32>().ok());
         days.sort_by_key(|d| (number(d), *d == SOAK, *d));
@@ -221,33 +246,52 @@
 
     fn rows(runs: &[&Run]) -> Vec<Vec<String>> {
         let days = Self::days(runs);
-        let head =
-            ["begun", "commit", "change", "run", "gate", "score"].into_iter().chain(days.iter().copied());
+        let head = ["begun", "commit", "change", "run", "gate", "score"]
+            .into_iter()
+            .chain(days.iter().copied());
         let mut rows = vec![head.map(String::from).collect::<Vec<_>>()];
         let figure = |f: Option<f64>, digits| f.map_or("-".into(), |f| format!("{f:.digits$}"));
         for run in runs {
             let mut row = vec![run.at.clone(), run.commit.clone(), run.why.clone()];
-            row.extend([run.kind.to_string(), run.gate().into(), figure(run.score, 3)]);
-            row.extend(days.iter().map(|d| figure(run.days.get(*d).copied().flatten(), 2)));
+            row.extend([
+                run.kind.to_string(),
+                run.gate().into(),
+                figure(run.score, 3),
+            ]);
+            row.extend(
+                days.iter()
+                    .map(|d| figure(run.days.get(*d).copied().flatten(), 2)),
+            );
             rows.push(row);
         }
         rows
     }
 
-    /// Tables in Markdown: the full fleet's runs, then those of the short days; without a table where there is no run.
+    /// Tables in Markdown: the full fleet's runs, then those of the short days; without a table
+    /// where there is no run.
     pub fn markdown(&self) -> String {
         let line = |cells: &[String]| {
-            let cells: Vec<String> = cells.iter().map(|c| c.replace('|', "\\|").replace('\n', " ")).collect();
+            let cells: Vec<String> = cells
+                .iter()
+                .map(|c| c.replace('|', "\\|").replace('\n', " "))
+                .collect();
             format!("| {} |\n", cells.join(" | "))
         };
         let table = |runs: Vec<&Run>| {
             let rows = Self::rows(&runs);
             let rule = format!("|{}\n", " --- |".repeat(rows[0].len()));
-            let lines = rows.iter().enumerate().map(|(n, r)| line(r) + if n == 0 { &rule } else { "" });
+            let lines = rows
+                .iter()
+                .enumerate()
+                .map(|(n, r)| line(r) + if n == 0 { &rule } else { "" });
             (!runs.is_empty()).then(|| lines.collect::<String>())
         };
         let (short, fleet) = self.runs.iter().partition(|r| r.kind == Kind::Short);
-        [fleet, short].into_iter().filter_map(table).collect::<Vec<_>>().join("\n")
+        [fleet, short]
+            .into_iter()
+            .filter_map(table)
+            .collect::<Vec<_>>()
+            .join("\n")
     }
 
     /// All runs in one table, as CSV.
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,7 +1,8 @@
-//! A model of what raildeal balances: clients, senders, a directory, partners and what lies between, in virtual time.
+//! A model of what raildeal balances: clients, senders, a directory, partners and what lies
+//! between, in virtual time.
 //!
-//! The senders' decisions are the program's own: [`raildeal::policy`], [`raildeal::door`] and [`raildeal::store::plan`].
-//! A day comes from one file and one seed and replays exactly.
+//! The senders' decisions are the program's own: [`raildeal::policy`], [`raildeal::door`] and
+//! [`raildeal::store::plan`]. A day comes from one file and one seed and replays exactly.
 #![forbid(unsafe_code)]
 
 pub mod check;
--- a/lab/src/load/clients.rs
+++ b/lab/src/load/clients.rs
@@ -1,5 +1,5 @@
-//! Plays a day's arrivals against real programs: each message goes at the time that the day has it due, whatever was
-//! answered before, and its latency counts from then.
+//! Plays a day's arrivals against real programs: each message goes at the time that the day has it
+//! due, whatever was answered before, and its latency counts from then.
 
 use super::directory::Notices;
 use super::partners::{Order, Seen};
@@ -16,7 +16,9 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use hdrhistogram::Histogram;
-use mqtt_proto::v5::{Connect, Packet, Puback, PubackReasonCode, Publish, Subscribe, SubscriptionOptions};
+use mqtt_proto::v5::{
+    Connect, Packet, Puback, PubackReasonCode, Publish, Subscribe, SubscriptionOptions,
+};
 use mqtt_proto::{Pid, QoS, QosPid, TopicFilter, TopicName};
 use raildeal::core::wheel::Wheel;
 use raildeal::net::mqtt::packets::{self, encode, property, user};
@@ -68,8 +70,8 @@
     pub turned_away: u64,
     /// Hand-ins without an answer.
     pub unheard: u64,
-    /// From when a message was due to the answer that it is taken on, in milliseconds: half, 90, 99, 99.9 and 99.99 in a
-    /// hundred.
+    /// From when a message was due to the answer that it is taken on, in milliseconds: half, 90,
+    /// 99, 99.9 and 99.99 in a hundred.
     pub hand_in_ms: [f64; 5],
     /// How late hand-ins were begun: what the tool itself adds.
     pub behind_ms: [f64; 5],
@@ -140,12 +142,23 @@
         let mut line = String::new();
         said.read_line(&mut line)?;
         let addresses = serde_json::from_str(&line).map_err(io::Error::other)?;
-        Ok(Partners { child, orders, said, addresses })
+        Ok(Partners {
+            child,
+            orders,
+            said,
+            addresses,
+        })
     }
 
     fn order(&mut self, order: &Order) -> io::Result<()> {
-        let Some(to) = &mut self.orders else { return Ok(()) };
-        writeln!(to, "{}", serde_json::to_string(order).map_err(io::Error::other)?)?;
+        let Some(to) = &mut self.orders else {
+            return Ok(());
+        };
+        writeln!(
+            to,
+            "{}",
+            serde_json::to_string(order).map_err(io::Error::other)?
+        )?;
         to.flush()
     }
 
@@ -227,12 +240,20 @@
             }
         };
         stream.buf.drain(..len);
-        let wait = answer.headers.get("retry-after").and_then(|w| w.parse::<f64>().ok()).unwrap_or(0.0);
+        let wait = answer
+            .headers
+            .get("retry-after")
+            .and_then(|w| w.parse::<f64>().ok())
+            .unwrap_or(0.0);
         let heard = match answer.status {
             202 => Heard::TakenOn,
             _ => Heard::TurnedAway(Duration::from_secs_f64(wait.clamp(0.0, 3600.0))),
         };
-        if answer.headers.get("connection").is_none_or(|c| !c.eq_ignore_ascii_case("close")) {
+        if answer
+            .headers
+            .get("connection")
+            .is_none_or(|c| !c.eq_ignore_ascii_case("close"))
+        {
             self.resting.borrow_mut().push(stream);
         }
         Ok(heard)
@@ -266,28 +287,46 @@
         let n = self.made.get();
         self.made.set(n + 1);
         let name = format!("{}-{n}", self.name);
-        stream.send(&encode(&Packet::Connect(Connect::new(name.as_str().into(), 60)))?).await?;
+        stream
+            .send(&encode(&Packet::Connect(Connect::new(
+                name.as_str().into(),
+                60,
+            )))?)
+            .await?;
         let Some(Packet::Connack(_)) = packets::read(&mut stream).await? else {
             return Err(io::ErrorKind::ConnectionRefused.into());
         };
         let filter = TopicFilter::try_from(REPLIES).map_err(io::Error::other)?;
         let topics = vec![(filter, SubscriptionOptions::new(QoS::Level1))];
         let pid = Pid::try_from(u16::MAX).map_err(io::Error::other)?;
-        stream.send(&encode(&Packet::Subscribe(Subscribe::new(pid, topics)))?).await?;
+        stream
+            .send(&encode(&Packet::Subscribe(Subscribe::new(pid, topics)))?)
+            .await?;
         let writer = stream.writer(self.wheel.clone(), PATIENCE);
         let (waiting, next) = (RefCell::default(), Cell::new(0));
-        let session = Rc::new(Session { writer, waiting, next, closed: Cell::new(false) });
+        let session = Rc::new(Session {
+            writer,
+            waiting,
+            next,
+            closed: Cell::new(false),
+        });
         let (read, tally) = (session.clone(), self.tally.clone());
         let reading = async move {
             while let Ok(Some(packet)) = packets::read(&mut stream).await {
                 match packet {
                     Packet::Puback(ack) => read.acknowledged(&ack),
                     Packet::Publish(answer) => {
-                        let told = |name| property(&answer.properties.user_properties, name).unwrap_or("?");
+                        let told = |name| {
+                            property(&answer.properties.user_properties, name).unwrap_or("?")
+                        };
                         let (id, status) = (told("id").to_string(), told("status").to_string());
                         tally.borrow_mut().told.entry(id).or_insert((status, 0)).1 += 1;
-                        let Some(pid) = answer.qos_pid.pid() else { continue };
-                        let Ok(ack) = encode(&Packet::Puback(Puback::new_success(pid))) else { continue };
+                        let Some(pid) = answer.qos_pid.pid() else {
+                            continue;
+                        };
+                        let Ok(ack) = encode(&Packet::Puback(Puback::new_success(pid))) else {
+                            continue;
+                        };
                         if read.writer.send(&ack).await.is_err() {
                             break;
                         }
@@ -307,10 +346,16 @@
     /// The connection that has fewest unanswered, or a new one.
     async fn session(&self) -> io::Result<Rc<Session>> {
         self.sessions.borrow_mut().retain(|s| !s.closed.get());
-        let least = self.sessions.borrow().iter().min_by_key(|s| s.waiting.borrow().len()).cloned();
+        let least = self
+            .sessions
+            .borrow()
+            .iter()
+            .min_by_key(|s| s.waiting.borrow().len())
+            .cloned();
         match least {
             Some(session)
-                if session.waiting.borrow().is_empty() || self.sessions.borrow().len() >= self.most =>
+                if session.waiting.borrow().is_empty()
+                    || self.sessions.borrow().len() >= self.most =>
             {
                 Ok(session)
             }
@@ -326,14 +371,18 @@
         let session = self.session().await?;
         let (heard, hears) = async_channel::bounded(1);
         let pid = session.claim(heard);
-        let topic =
-            TopicName::try_from(format!("{}/{}", m.class, m.dest).as_str()).map_err(io::Error::other)?;
+        let topic = TopicName::try_from(format!("{}/{}", m.class, m.dest).as_str())
+            .map_err(io::Error::other)?;
         let number = QosPid::Level1(Pid::try_from(pid).map_err(io::Error::other)?);
         let mut publish = Publish::new(number, topic, m.body.clone().into());
         publish.properties.message_expiry_interval = Some(m.left.as_secs().max(1) as u32);
         publish.properties.response_topic = TopicName::try_from(REPLIES).ok();
-        publish.properties.user_properties = vec![user("id", &m.id), user("key", format!("key-{}", m.id))];
-        session.writer.send(&encode(&Packet::Publish(publish))?).await?;
+        publish.properties.user_properties =
+            vec![user("id", &m.id), user("key", format!("key-{}", m.id))];
+        session
+            .writer
+            .send(&encode(&Packet::Publish(publish))?)
+            .await?;
         Ok(hears.recv().await.unwrap_or(Heard::Nothing))
     }
 }
@@ -352,8 +401,11 @@
     }
 
     fn acknowledged(&self, ack: &Puback) {
-        let Some(heard) = self.waiting.borrow_mut().remove(&ack.pid.value()) else { return };
-        let wait = property(&ack.properties.user_properties, "wait-ms").and_then(|w| w.parse().ok());
+        let Some(heard) = self.waiting.borrow_mut().remove(&ack.pid.value()) else {
+            return;
+        };
+        let wait =
+            property(&ack.properties.user_properties, "wait-ms").and_then(|w| w.parse().ok());
         let _ = heard.try_send(match ack.reason_code {
             PubackReasonCode::Success => Heard::TakenOn,
             _ => Heard::TurnedAway(Duration::from_millis(wait.unwrap_or(0))),
@@ -404,7 +456,10 @@
 
 impl Client {
     async fn hands_in(self, mut message: Message, due: Instant) {
-        self.tally.borrow_mut().behind.saturating_record(due.elapsed().as_nanos() as u64);
+        self.tally
+            .borrow_mut()
+            .behind
+            .saturating_record(due.elapsed().as_nanos() as u64);
         let by = due + message.left;
         let mut tries = 0;
         loop {
@@ -419,7 +474,9 @@
                 Heard::TakenOn => {
                     let mut tally = self.tally.borrow_mut();
                     tally.taken_on += 1;
-                    tally.hand_in.saturating_record(due.elapsed().as_nanos() as u64);
+                    tally
+                        .hand_in
+                        .saturating_record(due.elapsed().as_nanos() as u64);
                     return;
                 }
                 Heard::TurnedAway(wait) => {
@@ -527,7 +584,14 @@
     let folder = tempfile::tempdir()?;
     let start = |n: usize| {
         let name = format!("sender-{n}");
-        Program::start(&plan.program, day, folder.path(), &name, directory, plan.front)
+        Program::start(
+            &plan.program,
+            day,
+            folder.path(),
+            &name,
+            directory,
+            plan.front,
+        )
     };
     let mut programs: Vec<Option<Program>> = Vec::new();
     for n in 0..day.senders.count {
@@ -537,7 +601,8 @@
     let wheel = Wheel::new();
     let turning = wheel.clone();
     run.spawn(async move { turning.turn().await }).detach();
-    let histogram = || Histogram::new_with_bounds(1, 3_600_000_000_000, 3).expect("an hour in nanoseconds");
+    let histogram =
+        || Histogram::new_with_bounds(1, 3_600_000_000_000, 3).expect("an hour in nanoseconds");
     let tally: Shared = Rc::new(RefCell::new(Tally {
         hand_in: histogram(),
         behind: histogram(),
@@ -549,7 +614,10 @@
     let door = |(n, program): (usize, &Option<Program>)| {
         let address = RefCell::new(program.as_ref().expect("it was started").address);
         match plan.front {
-            Front::Http => Door::Http(Http { address, resting: RefCell::default() }),
+            Front::Http => Door::Http(Http {
+                address,
+                resting: RefCell::default(),
+            }),
             Front::Mqtt => Door::Mqtt(Mqtt {
                 address,
                 sessions: RefCell::default(),
@@ -575,7 +643,13 @@
     let mut gone = Used::default();
     let (mut memory, mut descriptors) = (0, 0);
     let mut failed: Option<NoLoad> = None;
-    let longest = deployment.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+    let longest = deployment
+        .settings
+        .classes
+        .iter()
+        .map(|c| c.deadline)
+        .max()
+        .unwrap_or(0);
     async_io::block_on(run.run(async {
         let begun = Instant::now();
         let mut handed: Vec<async_executor::Task<()>> = Vec::new();
@@ -584,14 +658,18 @@
         loop {
             let next = due.peek().map(|(_, a)| begun + Duration::from_nanos(a.0));
             let trouble = troubles.peek().map(|t| begun + t.0);
-            let Some(at) = [next, trouble].into_iter().flatten().min() else { break };
+            let Some(at) = [next, trouble].into_iter().flatten().min() else {
+                break;
+            };
             if at > Instant::now() {
                 Timer::at(at).await;
             }
             if trouble == Some(at) {
                 match troubles.next().map(|t| t.1) {
                     Some(Trouble::Order(order)) => {
-                        failed = failed.take().or(partners.order(&order).err().map(Into::into))
+                        failed = failed
+                            .take()
+                            .or(partners.order(&order).err().map(Into::into))
                     }
                     Some(Trouble::Kill(n)) => {
                         if let Some(mut program) = programs[n].take() {
@@ -610,7 +688,9 @@
                 }
                 continue;
             }
-            let Some((n, (_, dest, class))) = due.next() else { break };
+            let Some((n, (_, dest, class))) = due.next() else {
+                break;
+            };
             let size = bodies.from(day.clients.body) as usize;
             // Its first twenty bytes say when it was due.
             let since = at.elapsed().as_nanos() as u64;
@@ -629,7 +709,10 @@
                 look = Instant::now();
                 for program in programs.iter().flatten() {
                     let used = program.used();
-                    (memory, descriptors) = (used.memory_kib.max(memory), used.descriptors.max(descriptors));
+                    (memory, descriptors) = (
+                        used.memory_kib.max(memory),
+                        used.descriptors.max(descriptors),
+                    );
                 }
                 handed.retain(|t| !t.is_finished());
             }
@@ -660,7 +743,14 @@
         program.end()?;
     }
     let seen = partners.end()?;
-    let loaded = sum(plan, &arrivals.0, &tally.borrow(), &notices, seen, (gone.cpu_ms, memory, descriptors));
+    let loaded = sum(
+        plan,
+        &arrivals.0,
+        &tally.borrow(),
+        &notices,
+        seen,
+        (gone.cpu_ms, memory, descriptors),
+    );
     Ok(loaded)
 }
 
@@ -676,7 +766,11 @@
     let mut told: BTreeMap<String, u64> = BTreeMap::new();
     let all = || tally.told.values().chain(notices.values());
     all().for_each(|(status, _)| *told.entry(status.clone()).or_default() += 1);
-    let undelivered: u64 = told.iter().filter(|(s, _)| *s != "delivered").map(|(_, n)| n).sum();
+    let undelivered: u64 = told
+        .iter()
+        .filter(|(s, _)| *s != "delivered")
+        .map(|(_, n)| n)
+        .sum();
     let messages = arrivals.len() as u64;
     Loaded {
         front: plan.front,
--- a/lab/src/load/directory.rs
+++ b/lab/src/load/directory.rs
@@ -1,4 +1,5 @@
-//! A stand-in for discovery and for the address that takes notices: one list that does not change, told to all who ask.
+//! A stand-in for discovery and for the address that takes notices: one list that does not change,
+//! told to all who ask.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -50,7 +51,9 @@
         if first.starts_with("POST ") {
             let mut all = notices.lock().unwrap_or_else(|e| e.into_inner());
             for line in String::from_utf8_lossy(&body).lines() {
-                let Ok(notice) = serde_json::from_str::<Value>(line) else { continue };
+                let Ok(notice) = serde_json::from_str::<Value>(line) else {
+                    continue;
+                };
                 let text = |field: &str| notice[field].as_str().unwrap_or_default().to_string();
                 let told = all.entry(text("id")).or_insert_with(|| (text("status"), 0));
                 told.1 += 1;
--- a/lab/src/load/mod.rs
+++ b/lab/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! The same day over sockets: real programs, stand-ins for partners and the directory, clients that do not wait for
-//! answers before they hand the next message in.
+//! The same day over sockets: real programs, stand-ins for partners and the directory, clients that
+//! do not wait for answers before they hand the next message in.
 
 pub mod clients;
 pub mod directory;
@@ -21,7 +21,9 @@
 
 /// Nanoseconds since 1970, the same in all processes of a machine.
 pub fn unix() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_nanos() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |t| t.as_nanos() as u64)
 }
 
 /// Half, 90, 99, 99.9 and 99.99 in a hundred are no longer than these, in milliseconds.
--- a/lab/src/load/partners.rs
+++ b/lab/src/load/partners.rs
@@ -1,5 +1,5 @@
-//! A process that stands in for all partners of a day: each endpoint on a port of its own, with the limits, times and
-//! faults that the day draws for it.
+//! A process that stands in for all partners of a day: each endpoint on a port of its own, with the
+//! limits, times and faults that the day draws for it.
 
 use super::{quantiles, unix, Front};
 use crate::day::{Bad, Day};
@@ -109,8 +109,9 @@
             return;
         }
         self.seen.delivered += 1;
-        let due =
-            std::str::from_utf8(body.get(..20).unwrap_or_default()).ok().and_then(|t| t.trim().parse().ok());
+        let due = std::str::from_utf8(body.get(..20).unwrap_or_default())
+            .ok()
+            .and_then(|t| t.trim().parse().ok());
         if let Some(due) = due {
             self.ages.saturating_record(unix().saturating_sub(due));
         }
@@ -179,7 +180,11 @@
                 return Ok(());
             }
         }
-        let body: Vec<u8> = stream.buf.drain(..head + request.length).skip(head).collect();
+        let body: Vec<u8> = stream
+            .buf
+            .drain(..head + request.length)
+            .skip(head)
+            .collect();
         let id = request.headers.get("x-txn").unwrap_or_default().to_string();
         let Some(answer) = answer(&state, route, &id, &body).await else {
             return std::future::pending().await;
@@ -187,18 +192,28 @@
         let (status, more) = match answer {
             Said::Ok => ("200 OK", String::new()),
             Said::Full(0) => ("503 Service Unavailable", String::new()),
-            Said::Full(wait) => {
-                ("429 Too Many Requests", format!("X-RateLimit-Wait-Ms: {}\r\n", in_ms(wait)))
-            }
+            Said::Full(wait) => (
+                "429 Too Many Requests",
+                format!("X-RateLimit-Wait-Ms: {}\r\n", in_ms(wait)),
+            ),
             Said::Error => ("500 Internal Server Error", String::new()),
         };
-        stream.send(format!("HTTP/1.1 {status}\r\n{more}Content-Length: 0\r\n\r\n").as_bytes()).await?;
+        stream
+            .send(format!("HTTP/1.1 {status}\r\n{more}Content-Length: 0\r\n\r\n").as_bytes())
+            .await?;
     }
 }
 
 async fn mqtt(state: Shared, route: u32, mut stream: Stream) -> io::Result<()> {
-    let Some(Packet::Connect(_)) = packets::read(&mut stream).await? else { return Ok(()) };
-    stream.send(&encode(&Packet::Connack(Connack::new(false, ConnectReasonCode::Success)))?).await?;
+    let Some(Packet::Connect(_)) = packets::read(&mut stream).await? else {
+        return Ok(());
+    };
+    stream
+        .send(&encode(&Packet::Connack(Connack::new(
+            false,
+            ConnectReasonCode::Success,
+        )))?)
+        .await?;
     loop {
         let publish = match packets::read(&mut stream).await? {
             Some(Packet::Publish(publish)) => publish,
@@ -208,8 +223,12 @@
             }
             _ => return Ok(()),
         };
-        let Some(pid) = publish.qos_pid.pid() else { return Ok(()) };
-        let id = property(&publish.properties.user_properties, "id").unwrap_or_default().to_string();
+        let Some(pid) = publish.qos_pid.pid() else {
+            return Ok(());
+        };
+        let id = property(&publish.properties.user_properties, "id")
+            .unwrap_or_default()
+            .to_string();
         let Some(answer) = answer(&state, route, &id, &publish.payload).await else {
             return std::future::pending().await;
         };
@@ -219,7 +238,9 @@
             Said::Error => (PubackReasonCode::UnspecifiedError, 0),
         };
         let mut ack = Puback::new(pid, code);
-        ack.properties.user_properties.extend((wait > 0).then(|| user("wait-ms", wait.to_string())));
+        ack.properties
+            .user_properties
+            .extend((wait > 0).then(|| user("wait-ms", wait.to_string())));
         stream.send(&encode(&Packet::Puback(ack))?).await?;
     }
 }
@@ -235,8 +256,9 @@
     Io(#[from] io::Error),
 }
 
-/// Stands in for a day's partners until the standard input ends. The first line of the standard output is the list of
-/// their addresses, the last what they saw; orders come as lines of the standard input.
+/// Stands in for a day's partners until the standard input ends. The first line of the standard
+/// output is the list of their addresses, the last what they saw; orders come as lines of the
+/// standard input.
 pub fn serve(day: &Day, seed: u64, front: Front) -> Result<(), NoPartners> {
     let world = World::draw(day, &day.deployment()?, seed)?;
     let routes = world.routes.len() as u32;
@@ -261,7 +283,9 @@
                     Timer::after(Duration::from_millis(50)).await;
                     continue;
                 };
-                let Ok(stream) = Stream::new(socket) else { continue };
+                let Ok(stream) = Stream::new(socket) else {
+                    continue;
+                };
                 // An error ends the connection, and that is all there is to say of it.
                 match front {
                     Front::Http => run.spawn(http(state.clone(), route, stream)).detach(),
@@ -272,7 +296,11 @@
         executor.spawn(accepts).detach();
     }
     let mut out = io::stdout().lock();
-    writeln!(out, "{}", serde_json::to_string(&addresses).map_err(io::Error::other)?)?;
+    writeln!(
+        out,
+        "{}",
+        serde_json::to_string(&addresses).map_err(io::Error::other)?
+    )?;
     out.flush()?;
     let (orders, ordered) = async_channel::unbounded();
     std::thread::spawn(move || {
@@ -290,7 +318,11 @@
     }));
     let mut s = state.borrow_mut();
     s.seen.ages_ms = quantiles(&s.ages);
-    writeln!(out, "{}", serde_json::to_string(&s.seen).map_err(io::Error::other)?)?;
+    writeln!(
+        out,
+        "{}",
+        serde_json::to_string(&s.seen).map_err(io::Error::other)?
+    )?;
     out.flush()?;
     Ok(())
 }
--- a/lab/src/load/program.rs
+++ b/lab/src/load/program.rs
@@ -72,7 +72,8 @@
             }
         };
         let disk_mb = day.senders.folder as f64 / 1e6;
-        let settings = toml::to_string(&serde_json::json!({ "settings": settings })).unwrap_or_default();
+        let settings =
+            toml::to_string(&serde_json::json!({ "settings": settings })).unwrap_or_default();
         let text = format!(
             "name = \"{name}\"\nstate = {state:?}\n[limits]\nsockets = {}\ndisk_mb = {disk_mb}\n[platform]\n\
              listen = \"127.0.0.1:0\"\ndiscovery = \"{directory}\"\n{more}{settings}",
@@ -93,7 +94,9 @@
         let lines = lines(child.stderr.take());
         let mut seen = Vec::new();
         while let Ok(line) = lines.recv_timeout(PATIENCE) {
-            let address = line.split_once(who).and_then(|(_, at)| at.trim().parse().ok());
+            let address = line
+                .split_once(who)
+                .and_then(|(_, at)| at.trim().parse().ok());
             if let Some(address) = address {
                 // What it logs from here on is read and dropped, or it would wait for a reader.
                 thread::spawn(move || lines.iter().for_each(drop));
@@ -103,21 +106,40 @@
         }
         let _ = child.kill();
         let _ = child.wait();
-        Err(NoProgram::Silent(program.to_path_buf(), PATIENCE, seen.join("; ")))
+        Err(NoProgram::Silent(
+            program.to_path_buf(),
+            PATIENCE,
+            seen.join("; "),
+        ))
     }
 
     /// What it used so far.
     pub fn used(&self) -> Used {
         let of = |what: &str| std::fs::read_to_string(format!("/proc/{}/{what}", self.child.id()));
         let stat = of("stat").unwrap_or_default();
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
+        let ticks = |n: usize| {
+            fields
+                .get(n)
+                .and_then(|f| f.parse::<f64>().ok())
+                .unwrap_or(0.0)
+        };
         let status = of("status").unwrap_or_default();
         let most = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
         let most = most.and_then(|l| l.trim().trim_end_matches(" kB").parse().ok());
-        let open = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count);
+        let open =
+            std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count);
         // Ticks are hundredths of a second on every Linux that this runs on.
-        Used { cpu_ms: (ticks(11) + ticks(12)) * 10.0, memory_kib: most.unwrap_or(0), descriptors: open }
+        Used {
+            cpu_ms: (ticks(11) + ticks(12)) * 10.0,
+            memory_kib: most.unwrap_or(0),
+            descriptors: open,
+        }
     }
 
     /// Kills it.
@@ -128,7 +150,8 @@
 
     /// Tells it to end, and waits until it has.
     pub fn end(&mut self) -> io::Result<()> {
-        let pid = rustix::process::Pid::from_raw(self.child.id() as i32).ok_or(io::ErrorKind::NotFound)?;
+        let pid = rustix::process::Pid::from_raw(self.child.id() as i32)
+            .ok_or(io::ErrorKind::NotFound)?;
         rustix::process::kill_process(pid, rustix::process::Signal::TERM)?;
         self.child.wait().map(drop)
     }
@@ -144,7 +167,10 @@
     let (sender, lines) = channel();
     if let Some(from) = from {
         thread::spawn(move || {
-            BufReader::new(from).lines().map_while(Result::ok).try_for_each(|l| sender.send(l))
+            BufReader::new(from)
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|l| sender.send(l))
         });
     }
     lines
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -78,7 +78,8 @@
         #[arg(long)]
         png: bool,
     },
-    /// Play a day over sockets against the real program, with stand-ins for partners and the directory.
+    /// Play a day over sockets against the real program, with stand-ins for partners and the
+    /// directory.
     Load {
         /// The day's file.
         file: PathBuf,
@@ -94,20 +95,23 @@
         /// MQTT connections to each sender.
         #[arg(long, default_value_t = 8)]
         connections: usize,
-        /// Find the highest rate, as a multiple of the day's, at which hand-ins keep this p99 in milliseconds and 99 in
-        /// 100 messages are taken on.
+        /// Find the highest rate, as a multiple of the day's, at which hand-ins keep this p99 in
+        /// milliseconds and 99 in 100 messages are taken on.
         #[arg(long)]
         find_p99_ms: Option<f64>,
     },
-    /// Start many processes of the real program with faults between them, and check the rules by what the stand-ins saw. The last
-    /// line is one JSON object.
+    /// Start many processes of the real program with faults between them, and check the rules by
+    /// what the stand-ins saw. The last line is one JSON object.
     Fleet {
-        /// `cold-start`: all start in the same moment, a third of their kept lists gone; seven in ten are killed and come back.
-        /// `roll`: the same start; then all are restarted a share at a time, every second one killed. `drawn`: some of everything that
-        /// can happen, by the seed. `calm`: a fixed sum of messages and no fault. `zone`: a zone dies under a fleet with keepers and
-        /// comes back cold. `policy`: rules are rolled out zone by zone, then others, and those go back. `table`: several sites agree on a routing table and then
-        /// on another one; one is refused, and one ended. `steps`: a zone dies, and people
-        /// order, once for each step that senders and keepers log and each participant that is lost at it. Else a file with a schedule.
+        /// `cold-start`: all start in the same moment, a third of their kept lists gone; seven in
+        /// ten are killed and come back. `roll`: the same start; then all are restarted a share at
+        /// a time, every second one killed. `drawn`: some of everything that can happen, by the
+        /// seed. `calm`: a fixed sum of messages and no fault. `zone`: a zone dies under a fleet
+        /// with keepers and comes back cold. `policy`: rules are rolled out zone by zone, then
+        /// others, and those go back. `table`: several sites agree on a routing table and then on
+        /// another one; one is refused, and one ended. `steps`: a zone dies, and people order, once
+        /// for each step that senders and keepers log and each participant that is lost at it. Else
+        /// a file with a schedule.
         scenario: String,
         /// Processes; what the file says, where one is played.
         #[arg(long)]
@@ -136,10 +140,12 @@
         /// `zone`: there are no keepers; the same senders, each alone.
         #[arg(long)]
         without_record: bool,
-        /// `zone`: it does not die, the directory tells that it drains, and no keepers: what is lost for lack of the zone alone.
+        /// `zone`: it does not die, the directory tells that it drains, and no keepers: what is
+        /// lost for lack of the zone alone.
         #[arg(long)]
         drains: bool,
-        /// `zone`: the keeper that leads is killed while the zone is left. `policy`: it is killed in each rollout.
+        /// `zone`: the keeper that leads is killed while the zone is left. `policy`: it is killed
+        /// in each rollout.
         #[arg(long)]
         kill_leader: bool,
         /// `steps`: two things go wrong in each run, drawn by the seed.
@@ -157,7 +163,8 @@
         /// `steps`: this run and no other, as a run that failed tells it.
         #[arg(long)]
         only: Option<steps::Run>,
-        /// `policy`: the rules are worse than those before, for all, for a class with a twentieth of the traffic, or after a while.
+        /// `policy`: the rules are worse than those before, for all, for a class with a twentieth
+        /// of the traffic, or after a while.
         #[arg(long, value_enum)]
         worse: Option<policy::Worse>,
         /// `table`: sites, of three keepers each.
@@ -166,7 +173,8 @@
         /// `table`: what a word from one site to another needs, in milliseconds.
         #[arg(long, default_value_t = 30)]
         delay_ms: u64,
-        /// `policy`: senders are killed, stopped and cut off from keepers meanwhile. `table`: also keepers, and sites from each other.
+        /// `policy`: senders are killed, stopped and cut off from keepers meanwhile. `table`: also
+        /// keepers, and sites from each other.
         #[arg(long)]
         faults: bool,
         /// `calm`: what endpoints take, beside what is listed.
@@ -176,7 +184,8 @@
         #[arg(long)]
         uneven: bool,
     },
-    /// Play a zone that dies and comes back with the keepers' machines in virtual time. The last line is one JSON object.
+    /// Play a zone that dies and comes back with the keepers' machines in virtual time. The last
+    /// line is one JSON object.
     Zones {
         /// Senders.
         #[arg(long, default_value_t = 300)]
@@ -188,8 +197,8 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Roll policies out with the keepers' machines in virtual time: equal ones, and some that are worse. The last line is one JSON
-    /// object.
+    /// Roll policies out with the keepers' machines in virtual time: equal ones, and some that are
+    /// worse. The last line is one JSON object.
     Policy {
         /// Senders.
         #[arg(long, default_value_t = 300)]
@@ -204,8 +213,8 @@
         #[arg(long, default_value_t = 2)]
         equal: u64,
     },
-    /// Agree on routing tables between sites with the keepers' machines in virtual time, lines of 30 ms: calm, with sites cut off, with leaders
-    /// that die. The last line is one JSON object.
+    /// Agree on routing tables between sites with the keepers' machines in virtual time, lines of
+    /// 30 ms: calm, with sites cut off, with leaders that die. The last line is one JSON object.
     Tables {
         /// Senders, of all sites together.
         #[arg(long, default_value_t = 300)]
@@ -275,7 +284,11 @@
         played.took,
         played.speed
     );
-    let counts: Vec<String> = sum.counts.iter().map(|(what, n)| format!("{what} {n}")).collect();
+    let counts: Vec<String> = sum
+        .counts
+        .iter()
+        .map(|(what, n)| format!("{what} {n}"))
+        .collect();
     println!("  {}", counts.join(", "));
     for (rule, n) in &played.broken {
         println!("  BROKEN {n} times: {rule}");
@@ -283,7 +296,12 @@
     played.told.iter().for_each(|t| println!("  {t}"));
 }
 
-fn days(file: &Path, seeds: std::ops::Range<u64>, json: bool, log: Option<&Path>) -> Result<bool, String> {
+fn days(
+    file: &Path,
+    seeds: std::ops::Range<u64>,
+    json: bool,
+    log: Option<&Path>,
+) -> Result<bool, String> {
     let day = Day::read(file).map_err(|e| e.to_string())?;
     let mut lines = match log {
         Some(path) => {
@@ -312,16 +330,26 @@
     Ok(kept)
 }
 
-fn sweep(file: &Path, to: &Path, cores: Option<usize>, png: bool, resume: bool) -> Result<bool, String> {
+fn sweep(
+    file: &Path,
+    to: &Path,
+    cores: Option<usize>,
+    png: bool,
+    resume: bool,
+) -> Result<bool, String> {
     let (plan, base) = Experiment::read(file).map_err(|e| e.to_string())?;
     let cells: u64 = plan.factors.iter().map(|f| f.values.len() as u64).product();
     let done = Done::open(to, &plan, &base, resume).map_err(|e| e.to_string())?;
     let bar = ProgressBar::new(cells * plan.seeds);
-    bar.set_style(ProgressStyle::with_template("{bar:40} {pos}/{len} days, {eta} left").expect("a template"));
+    bar.set_style(
+        ProgressStyle::with_template("{bar:40} {pos}/{len} days, {eta} left").expect("a template"),
+    );
     bar.inc(done.count() as u64);
     bar.reset_eta();
     let all = std::thread::available_parallelism().map_or(1, usize::from);
-    let cells = plan.run(&base, cores.unwrap_or(all), done, &|| bar.inc(1)).map_err(|e| e.to_string())?;
+    let cells = plan
+        .run(&base, cores.unwrap_or(all), done, &|| bar.inc(1))
+        .map_err(|e| e.to_string())?;
     bar.finish_and_clear();
     write_report(to, &plan, &cells, png)
 }
@@ -331,12 +359,20 @@
     report::write(to, plan, cells, png).map_err(|e| format!("{}: {e}", to.display()))?;
     for (n, cell) in cells.iter().enumerate() {
         let score = |p: &Played| p.sum.score;
-        let against =
-            report::against(cells, n, score).map_or(String::new(), |d| format!(", {d} to the first"));
-        println!("{}: score {}{against}", cell.values.join(", "), cell.mean(score));
+        let against = report::against(cells, n, score)
+            .map_or(String::new(), |d| format!(", {d} to the first"));
+        println!(
+            "{}: score {}{against}",
+            cell.values.join(", "),
+            cell.mean(score)
+        );
     }
     let own = |p: &&Played| p.policy == Policy::Module;
-    Ok(cells.iter().flat_map(|c| &c.played).filter(own).all(|p| p.broken.is_empty()))
+    Ok(cells
+        .iter()
+        .flat_map(|c| &c.played)
+        .filter(own)
+        .all(|p| p.broken.is_empty()))
 }
 
 /// Tells the runs in a folder of records; false if there are none.
@@ -351,7 +387,11 @@
     for (why, files) in &journal.skipped {
         eprintln!("skipped, {why}: {}", files.join(" "));
     }
-    let table = if csv { journal.csv().map_err(|e| e.to_string())? } else { journal.markdown() };
+    let table = if csv {
+        journal.csv().map_err(|e| e.to_string())?
+    } else {
+        journal.markdown()
+    };
     print!("{table}");
     Ok(true)
 }
@@ -410,7 +450,10 @@
         "drawn" => Scenario::drawn(senders.unwrap_or(DRAWN), seed),
         file => {
             let read = Scenario::read(Path::new(file)).map_err(|e| e.to_string())?;
-            Scenario { senders: senders.unwrap_or(read.senders), ..read }
+            Scenario {
+                senders: senders.unwrap_or(read.senders),
+                ..read
+            }
         }
     };
     let played = scenario::play(&scenario, program, seed).map_err(|e| e.to_string())?;
@@ -419,7 +462,16 @@
 }
 
 fn last<P: serde::Serialize>(scenario: &str, senders: usize, seed: u64, played: &P) {
-    println!("{}", serde_json::to_string(&Last { scenario, senders, seed, played }).expect("figures"));
+    println!(
+        "{}",
+        serde_json::to_string(&Last {
+            scenario,
+            senders,
+            seed,
+            played
+        })
+        .expect("figures")
+    );
 }
 
 /// Steps of a search between a rate that is kept and one that is not.
@@ -460,7 +512,11 @@
         } else {
             lost = times;
         }
-        times = if lost.is_infinite() { times * 2.0 } else { (kept + lost) / 2.0 };
+        times = if lost.is_infinite() {
+            times * 2.0
+        } else {
+            (kept + lost) / 2.0
+        };
         steps += u32::from(lost.is_finite());
     }
     println!("{{\"highest\":{kept},\"p99_ms\":{most}}}");
@@ -471,16 +527,43 @@
     // RUST_LOG=debug tells what the modules of a day's senders say.
     env_logger::init();
     let done = match Cli::parse().command {
-        Command::Run { file, seed, days: count, json, log } => {
-            days(&file, seed..seed + count, json, log.as_deref())
-        }
-        Command::Load { file, seed, program, front, connections, find_p99_ms } => {
+        Command::Run {
+            file,
+            seed,
+            days: count,
+            json,
+            log,
+        } => days(&file, seed..seed + count, json, log.as_deref()),
+        Command::Load {
+            file,
+            seed,
+            program,
+            front,
+            connections,
+            find_p99_ms,
+        } => {
             let day = Day::read(&file).map_err(|e| e.to_string());
-            day.and_then(|day| loads(Plan { program, front, day, seed, connections }, &file, find_p99_ms))
+            day.and_then(|day| {
+                loads(
+                    Plan {
+                        program,
+                        front,
+                        day,
+                        seed,
+                        connections,
+                    },
+                    &file,
+                    find_p99_ms,
+                )
+            })
         }
         Command::StandIn { file, seed, front } => {
             let day = Day::read(&file).map_err(|e| e.to_string());
-            day.and_then(|day| partners::serve(&day, seed, front).map(|()| true).map_err(|e| e.to_string()))
+            day.and_then(|day| {
+                partners::serve(&day, seed, front)
+                    .map(|()| true)
+                    .map_err(|e| e.to_string())
+            })
         }
         Command::Fleet {
             scenario,
@@ -509,31 +592,65 @@
         } => {
             let (of_ten, batches, usual) = match scenario.as_str() {
                 "cold-start" => (7, 1, Ends::Killed),
-                "roll" => (10, (1.0 / together.clamp(0.01, 1.0)).round() as usize, Ends::Both),
+                "roll" => (
+                    10,
+                    (1.0 / together.clamp(0.01, 1.0)).round() as usize,
+                    Ends::Both,
+                ),
                 "zone" => {
                     let plan = zone::plan(&program, senders.unwrap_or(SENDERS), seed);
                     let record = !without_record && !drains;
-                    return exit(zones(&zone::Plan { record, drains, kill_leader, ..plan }));
+                    return exit(zones(&zone::Plan {
+                        record,
+                        drains,
+                        kill_leader,
+                        ..plan
+                    }));
                 }
                 "steps" => {
-                    let (senders, within) =
-                        (senders.unwrap_or(STEP_SENDERS), within_s.map(Duration::from_secs));
-                    let plan = steps::Plan { program, senders, seed, runs, jobs, pairs, only, within };
+                    let (senders, within) = (
+                        senders.unwrap_or(STEP_SENDERS),
+                        within_s.map(Duration::from_secs),
+                    );
+                    let plan = steps::Plan {
+                        program,
+                        senders,
+                        seed,
+                        runs,
+                        jobs,
+                        pairs,
+                        only,
+                        within,
+                    };
                     return exit(each_step(&plan));
                 }
                 "policy" => {
                     let plan = policy::plan(&program, senders.unwrap_or(SENDERS), seed);
-                    return exit(policies(&policy::Plan { worse, kill_leader, faults, ..plan }));
+                    return exit(policies(&policy::Plan {
+                        worse,
+                        kill_leader,
+                        faults,
+                        ..plan
+                    }));
                 }
                 "table" => {
                     // Each site has a sender.
                     let senders = senders.unwrap_or(SENDERS).max(2 * usize::from(sites));
                     let plan = federated::plan(&program, senders, seed);
-                    return exit(tables(&federated::Plan { sites: sites.into(), delay_ms, faults, ..plan }));
+                    return exit(tables(&federated::Plan {
+                        sites: sites.into(),
+                        delay_ms,
+                        faults,
+                        ..plan
+                    }));
                 }
                 "calm" => {
                     let plan = calm::plan(&program, senders.unwrap_or(SENDERS), seed);
-                    return exit(calms(&calm::Plan { limits, uneven, ..plan }));
+                    return exit(calms(&calm::Plan {
+                        limits,
+                        uneven,
+                        ..plan
+                    }));
                 }
                 file => return exit(schedule(file, senders, seed, &program)),
             };
@@ -549,24 +666,43 @@
             };
             fleet(&scenario, &plan)
         }
-        Command::Zones { senders, zones, seed } => {
+        Command::Zones {
+            senders,
+            zones,
+            seed,
+        } => {
             let played = raildeal_lab::zones::outage(senders, zones, seed);
             last("zones", senders, seed, &played);
             Ok(played.broken == 0)
         }
-        Command::Policy { senders, zones, seed, equal } => {
+        Command::Policy {
+            senders,
+            zones,
+            seed,
+            equal,
+        } => {
             let played = raildeal_lab::policy::figures(senders.max(2), zones.into(), seed, equal);
             last("policy", senders, seed, &played);
             Ok(played.broken == 0)
         }
-        Command::Tables { senders, sites, seed } => {
+        Command::Tables {
+            senders,
+            sites,
+            seed,
+        } => {
             let sites = usize::from(sites);
             let played = raildeal_lab::tables::figures(senders.max(sites), sites, seed);
             last("tables", senders.max(sites), seed, &played);
             Ok(played.broken == 0)
         }
         Command::Journal { folder, csv } => journal(&folder, csv),
-        Command::Sweep { file, to, resume, cores, png } => sweep(&file, &to, cores, png, resume),
+        Command::Sweep {
+            file,
+            to,
+            resume,
+            cores,
+            png,
+        } => sweep(&file, &to, cores, png, resume),
         Command::Report { folder, png } => {
             let read = Done::cells(&folder).map_err(|e| e.to_string());
             read.and_then(|(plan, cells)| write_report(&folder, &plan, &cells, png))
--- a/lab/src/partner.rs
+++ b/lab/src/partner.rs
@@ -1,4 +1,5 @@
-//! What a partner's endpoints do with calls: one place that the model asks, and the stand-in on sockets, too.
+//! What a partner's endpoints do with calls: one place that the model asks, and the stand-in on
+//! sockets, too.
 
 use crate::dice::Dice;
 use crate::range::Range;
@@ -34,8 +35,9 @@
 
 /// One that falls over stays down for so long.
 const DOWN: Time = 30 * SECOND;
-/// What one that is cold bears beyond its budget: so many standard deviations of chance. And what any bears in a window,
-/// in calls; with less the module topples small partners here and not on the operators' simulator.
+/// What one that is cold bears beyond its budget: so many standard deviations of chance. And what
+/// any bears in a window, in calls; with less the module topples small partners here and not on the
+/// operators' simulator.
 const SLACK: f64 = 3.0;
 const LEAST: f64 = 10.0;
 /// Steps in which it is seen how much comes.
@@ -44,7 +46,8 @@
 /// How a limit counts.
 #[derive(Clone, Debug)]
 pub enum Counts {
-    /// Calls begin at even distances (the generic cell rate algorithm); the next could at this time.
+    /// Calls begin at even distances (the generic cell rate algorithm); the next could at this
+    /// time.
     Paced(Time),
     /// So many in each window of this length: which window it is, and how many came.
     Window(Time, u64, u64),
@@ -71,7 +74,8 @@
     shut: Time,
     /// Was refusing, failing or silent until then, and comes back cold from there.
     back: Option<Time>,
-    /// What has come in each of the last steps, and how much of it from senders that had seen it fail.
+    /// What has come in each of the last steps, and how much of it from senders that had seen it
+    /// fail.
     came: [(u32, u32); STEPS],
     step: u64,
 }
@@ -90,7 +94,15 @@
 impl Limit {
     /// Nothing has come yet.
     pub fn new(rate: f64, queue: Time, counts: Counts) -> Self {
-        Limit { rate, queue, counts, shut: 0, back: None, came: Default::default(), step: 0 }
+        Limit {
+            rate,
+            queue,
+            counts,
+            shut: 0,
+            back: None,
+            came: Default::default(),
+            step: 0,
+        }
     }
 
     /// Refuses all until then, and comes back cold.
@@ -127,12 +139,19 @@
 
     /// Whether it comes back from an outage, and is not warm yet.
     pub fn is_cold(&self, now: Time, rules: &Rules) -> bool {
-        self.back.is_some_and(|back| now >= back && now < back + rules.warm_after)
+        self.back
+            .is_some_and(|back| now >= back && now < back + rules.warm_after)
     }
 
-    /// Takes a call in that will take so long. Also whether it falls over by it, and which part of what pushed it came
-    /// from senders that had seen it fail.
-    pub fn come(&mut self, now: Time, rules: &Rules, warned: bool, took: Time) -> (Comes, Option<f64>) {
+    /// Takes a call in that will take so long. Also whether it falls over by it, and which part of
+    /// what pushed it came from senders that had seen it fail.
+    pub fn come(
+        &mut self,
+        now: Time,
+        rules: &Rules,
+        warned: bool,
+        took: Time,
+    ) -> (Comes, Option<f64>) {
         let fell = self.count(now, rules, warned);
         if fell.is_some() {
             self.shut(now + DOWN);
@@ -179,7 +198,8 @@
         (comes, fell)
     }
 
-    /// Counts what comes. One that is cold, and gets more than its multiple for long enough, falls over.
+    /// Counts what comes. One that is cold, and gets more than its multiple for long enough, falls
+    /// over.
     fn count(&mut self, now: Time, rules: &Rules, warned: bool) -> Option<f64> {
         if !self.is_cold(now, rules) {
             return None;
@@ -193,8 +213,10 @@
         let slot = &mut self.came[step as usize % STEPS];
         *slot = (slot.0 + 1, slot.1 + u32::from(warned));
         // A budget over the window, with some slack for chance where calls are few.
-        let budget =
-            self.rate * self.warmth(now, rules) * rules.overload_factor * in_seconds(rules.overload_for);
+        let budget = self.rate
+            * self.warmth(now, rules)
+            * rules.overload_factor
+            * in_seconds(rules.overload_for);
         let all: u32 = self.came.iter().map(|c| c.0).sum();
         if f64::from(all) <= (budget + SLACK * budget.sqrt()).max(LEAST) {
             return None;
@@ -250,7 +272,8 @@
     Full(Time),
 }
 
-/// Answers a call that comes now: what, when, and whether the partner falls over by it (see [`Limit::come`]).
+/// Answers a call that comes now: what, when, and whether the partner falls over by it (see
+/// [`Limit::come`]).
 pub fn answer(
     limit: &mut Limit,
     manners: &Manners,
@@ -272,15 +295,23 @@
     let told = dice.is(manners.tells);
     let least = seconds(dice.from(manners.wait));
     // The wait ends with room, as the sender hears it later.
-    (Said::Full(if told { (room - now).max(least) } else { 0 }), now, fell)
+    (
+        Said::Full(if told { (room - now).max(least) } else { 0 }),
+        now,
+        fell,
+    )
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    const RULES: Rules =
-        Rules { cold_share: 0.25, warm_after: 10 * SECOND, overload_factor: 2.0, overload_for: 3 * SECOND };
+    const RULES: Rules = Rules {
+        cold_share: 0.25,
+        warm_after: 10 * SECOND,
+        overload_factor: 2.0,
+        overload_for: 3 * SECOND,
+    };
 
     /// Calls at this rate for so long from a time on: those that began, and whether it fell over.
     fn calls(limit: &mut Limit, from: Time, rate: f64, for_s: f64) -> (usize, bool) {
@@ -333,8 +364,14 @@
         let mut limit = Limit::new(10.0, 0, Counts::Window(2 * SECOND, 0, 0));
         let (began, _) = calls(&mut limit, 0, 100.0, 1.0);
         assert_eq!(began, 20, "all of a window's at once");
-        assert_eq!(limit.come(SECOND, &RULES, false, 0).0, Comes::Full(2 * SECOND));
-        assert!(matches!(limit.come(2 * SECOND, &RULES, false, 0).0, Comes::Begins(_)));
+        assert_eq!(
+            limit.come(SECOND, &RULES, false, 0).0,
+            Comes::Full(2 * SECOND)
+        );
+        assert!(matches!(
+            limit.come(2 * SECOND, &RULES, false, 0).0,
+            Comes::Begins(_)
+        ));
     }
 
     #[test]
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -1,4 +1,5 @@
-//! What an experiment is, as its file says it, and what came of it: one day's file, some factors, so many seeds.
+//! What an experiment is, as its file says it, and what came of it: one day's file, some factors,
+//! so many seeds.
 
 use crate::day::{Bad, Day};
 use crate::run::Played;
@@ -24,7 +25,8 @@
     pub factors: Vec<Factor>,
 }
 
-/// Something that is changed, and what it is set to; the first is what the others are compared with.
+/// Something that is changed, and what it is set to; the first is what the others are compared
+/// with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Factor {
@@ -76,13 +78,19 @@
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n.max(1.0);
         if values.len() < 2 {
-            return Mean { mean, half: f64::INFINITY };
+            return Mean {
+                mean,
+                half: f64::INFINITY,
+            };
         }
         let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / (n - 1.0);
         let t = statrs::distribution::StudentsT::new(0.0, 1.0, n - 1.0)
             .map(|d| statrs::distribution::ContinuousCDF::inverse_cdf(&d, 0.975))
             .unwrap_or(f64::INFINITY);
-        Mean { mean, half: t * (variance / n).sqrt() }
+        Mean {
+            mean,
+            half: t * (variance / n).sqrt(),
+        }
     }
 }
 
@@ -103,7 +111,9 @@
     ("calls_each", |p| p.sum.calls_each),
     ("age_p50_s", |p| p.sum.ages[0]),
     ("age_p99_s", |p| p.sum.ages[2]),
-    ("toppled", |p| p.sum.counts.get("toppled").copied().unwrap_or(0) as f64),
+    ("toppled", |p| {
+        p.sum.counts.get("toppled").copied().unwrap_or(0) as f64
+    }),
 ];
 
 impl Cell {
@@ -115,7 +125,11 @@
     /// The difference of a figure to another cell's, seed by seed.
     pub fn against(&self, other: &Cell, figure: fn(&Played) -> f64) -> Mean {
         let pairs = self.played.iter().zip(&other.played);
-        Mean::of(&pairs.map(|(a, b)| figure(a) - figure(b)).collect::<Vec<_>>())
+        Mean::of(
+            &pairs
+                .map(|(a, b)| figure(a) - figure(b))
+                .collect::<Vec<_>>(),
+        )
     }
 }
 
@@ -126,14 +140,20 @@
         let text = std::fs::read_to_string(file).map_err(|e| Bad::File(name.clone(), e))?;
         let mut plan: Experiment = toml::from_str(&text).map_err(|e| Bad::Form(name, e))?;
         plan.day = file.parent().unwrap_or(Path::new(".")).join(&plan.day);
-        let bad = |setting: &str, what: &str| Bad::Setting { setting: setting.into(), what: what.into() };
+        let bad = |setting: &str, what: &str| Bad::Setting {
+            setting: setting.into(),
+            what: what.into(),
+        };
         if plan.seeds == 0 {
             return Err(bad("seeds", "0 play nothing; 1 at least"));
         }
         if let Some(empty) = plan.factors.iter().find(|f| f.values.is_empty()) {
             return Err(bad(&empty.set, "it has no values"));
         }
-        let odd = plan.factors.iter().find(|f| !f.names.is_empty() && f.names.len() != f.values.len());
+        let odd = plan
+            .factors
+            .iter()
+            .find(|f| !f.names.is_empty() && f.names.len() != f.values.len());
         if let Some(odd) = odd {
             return Err(bad(&odd.set, "it has not as many names as values"));
         }
@@ -151,7 +171,10 @@
             for (values, day) in &cells {
                 for (value, called) in factor.values.iter().zip(factor.called()) {
                     let mut day = day.clone();
-                    let bad = |what: String| Bad::Setting { setting: factor.set.clone(), what };
+                    let bad = |what: String| Bad::Setting {
+                        setting: factor.set.clone(),
+                        what,
+                    };
                     set(&mut day, &factor.set, value).map_err(bad)?;
                     let mut values = values.clone();
                     values.push(called);
@@ -171,7 +194,8 @@
     }
 }
 
-/// Sets a value at a path; numbers in it count the items of a list. Fails where there is no such path.
+/// Sets a value at a path; numbers in it count the items of a list. Fails where there is no such
+/// path.
 pub fn set(day: &mut Value, path: &str, value: &Value) -> Result<(), String> {
     let (before, last) = path.rsplit_once('.').unwrap_or(("", path));
     let mut at = day;
@@ -205,12 +229,16 @@
         assert_eq!(mean.mean, 3.0);
         // t of 4 degrees is 2.776; the standard error is sqrt(2.5 / 5).
         assert!((mean.half - 2.776 * 0.5f64.sqrt()).abs() < 1e-3, "{mean:?}");
-        assert!(Mean::of(&[1.0]).half.is_infinite(), "one run says nothing of its spread");
+        assert!(
+            Mean::of(&[1.0]).half.is_infinite(),
+            "one run says nothing of its spread"
+        );
     }
 
     #[test]
     fn a_path_reaches_into_tables_and_lists() {
-        let mut day: Value = toml::from_str("a = 1\n[[b]]\nc = 2\n[[b]]\nc = 3\n").expect("a table");
+        let mut day: Value =
+            toml::from_str("a = 1\n[[b]]\nc = 2\n[[b]]\nc = 3\n").expect("a table");
         set(&mut day, "b.1.c", &Value::Integer(9)).expect("set");
         set(&mut day, "a", &Value::String("unset".into())).expect("left out");
         assert_eq!(day.to_string().replace(' ', ""), "{b=[{c=2},{c=9}]}");
--- a/lab/src/policies.rs
+++ b/lab/src/policies.rs
@@ -1,14 +1,16 @@
-//! Who decides in a sender: the program's module, or a policy as textbooks and libraries have it, to compare it with.
+//! Who decides in a sender: the program's module, or a policy as textbooks and libraries have it,
+//! to compare it with.
 //!
-//! All of them keep what any caller must: the deadline, the number of attempts, repeats as the class allows, drains,
-//! room and slots, and a told wait for the message that it was told to. They differ in when and where a message goes
-//! next. What they know of a partner is what the policy's own description says.
+//! All of them keep what any caller must: the deadline, the number of attempts, repeats as the
+//! class allows, drains, room and slots, and a told wait for the message that it was told to. They
+//! differ in when and where a message goes next. What they know of a partner is what the policy's
+//! own description says.
 
 use crate::dice::{Dice, For};
 use crate::partner::{in_seconds, seconds, SECOND};
 use raildeal::{
-    Action, Condition, DedupScope, DestId, Effect, Endpoint, Event, Listing, Message, MessageId, Outcome,
-    Past, Relay, Settings, Time,
+    Action, Condition, DedupScope, DestId, Effect, Endpoint, Event, Listing, Message, MessageId,
+    Outcome, Past, Relay, Settings, Time,
 };
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -37,13 +39,16 @@
     OneTry,
     /// Tried again after a fixed pause.
     FixedBackoff,
-    /// Tried again after a random time up to a bound that doubles (exponential backoff with full jitter).
+    /// Tried again after a random time up to a bound that doubles (exponential backoff with full
+    /// jitter).
     FullJitter,
-    /// The same behind a token bucket for each destination, at this sender's part of the listed rate.
+    /// The same behind a token bucket for each destination, at this sender's part of the listed
+    /// rate.
     TokenBucket,
     /// The same behind a circuit breaker for each endpoint.
     CircuitBreaker,
-    /// The same to the endpoint with the least outstanding calls; retries come from a budget in proportion to messages.
+    /// The same to the endpoint with the least outstanding calls; retries come from a budget in
+    /// proportion to messages.
     LeastOutstanding,
 }
 
@@ -63,7 +68,8 @@
     pub fn begin(self, settings: &Settings, seed: u64) -> Box<dyn Decides> {
         match self {
             Policy::Module => Box::new(
-                Relay::new(settings.clone(), seed).expect("settings were checked before a day begins"),
+                Relay::new(settings.clone(), seed)
+                    .expect("settings were checked before a day begins"),
             ),
             policy => Box::new(Textbook::new(policy, settings.clone(), seed)),
         }
@@ -82,7 +88,8 @@
 const LOOK: Time = SECOND / 10;
 /// Failures in a row that open a circuit, and how long it stays open before one call tries it.
 const CIRCUIT: (u32, Time) = (5, 5 * SECOND);
-/// Retries that a message earns, the least of them a second, and what may be saved up; a tenth of that is there at first.
+/// Retries that a message earns, the least of them a second, and what may be saved up; a tenth of
+/// that is there at first.
 const BUDGET: (f64, f64, f64) = (0.2, 1.0, 100.0);
 /// Advice to a client whose message was not taken on.
 const COME_BACK: Time = SECOND;
@@ -146,12 +153,21 @@
     fn list(&mut self, lines: Vec<Listing>, whole: bool) {
         if whole {
             let named: BTreeSet<Endpoint> = lines.iter().map(|l| l.endpoint).collect();
-            for peer in self.peers.values_mut().filter(|p| !named.contains(&p.listing.endpoint)) {
+            for peer in self
+                .peers
+                .values_mut()
+                .filter(|p| !named.contains(&p.listing.endpoint))
+            {
                 peer.listing.condition = Condition::Gone;
             }
         }
         for listing in lines {
-            let new = Peer { listing, out: 0, failures: (0, 0), trial: false };
+            let new = Peer {
+                listing,
+                out: 0,
+                failures: (0, 0),
+                trial: false,
+            };
             self.peers.entry(listing.endpoint).or_insert(new).listing = listing;
             let all = self.by_dest.entry(listing.dest).or_default();
             if !all.contains(&listing.endpoint) {
@@ -164,7 +180,14 @@
         let ran = past.ran.map(|(ago, zone)| (now.saturating_sub(ago), zone));
         let by = now + message.ttl;
         let calls = u32::from(past.attempts);
-        let held = Held { message, by, calls, out: None, ran, due: now };
+        let held = Held {
+            message,
+            by,
+            calls,
+            out: None,
+            ran,
+            due: now,
+        };
         let id = message.id;
         self.held.insert(id, held);
         self.put(id, now);
@@ -189,7 +212,9 @@
 
     fn end(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         self.take(id);
-        let Some(held) = self.held.remove(&id) else { return };
+        let Some(held) = self.held.remove(&id) else {
+            return;
+        };
         actions.push(match held.ran {
             None => Action::Refuse { id, retry_after: 0 },
             Some(_) => Action::Fail { id },
@@ -208,12 +233,20 @@
 
     /// Tokens that are there now, of a bucket that fills at a rate up to a size.
     fn fill((tokens, at): (f64, Time), now: Time, rate: f64, size: f64) -> (f64, Time) {
-        ((tokens + rate * in_seconds(now.saturating_sub(at))).min(size), now)
+        (
+            (tokens + rate * in_seconds(now.saturating_sub(at))).min(size),
+            now,
+        )
     }
 
     /// Takes a token of a destination; says how long to wait if there is none.
     fn token(&mut self, now: Time, dest: DestId) -> Result<(), Time> {
-        let ready = self.by_dest.get(&dest).into_iter().flatten().filter_map(|e| self.peers.get(e));
+        let ready = self
+            .by_dest
+            .get(&dest)
+            .into_iter()
+            .flatten()
+            .filter_map(|e| self.peers.get(e));
         let ready = ready.filter(|p| p.listing.condition == Condition::Ready);
         let (mut rate, mut apart) = (0.0f64, 0.0);
         for peer in ready {
@@ -260,15 +293,20 @@
             (_, None) | (Effect::Pure, _) => true,
             (Effect::SideEffect, Some(_)) => false,
             (Effect::Token, Some((at, zone))) => {
-                (class.scope == DedupScope::All || zone == p.listing.zone) && now < at + class.window
+                (class.scope == DedupScope::All || zone == p.listing.zone)
+                    && now < at + class.window
             }
         };
         // One that is open lets a call try it after a while.
-        let open = |p: &Peer| p.failures.0 >= CIRCUIT.0 && (p.trial || now < p.failures.1 + CIRCUIT.1);
+        let open =
+            |p: &Peer| p.failures.0 >= CIRCUIT.0 && (p.trial || now < p.failures.1 + CIRCUIT.1);
         let closed = |p: &Peer| self.policy != Policy::CircuitBreaker || !open(p);
         let all = self.by_dest.get(&held.message.dest)?;
-        let may: Vec<&Peer> =
-            all.iter().filter_map(|e| self.peers.get(e)).filter(|p| may(p) && closed(p)).collect();
+        let may: Vec<&Peer> = all
+            .iter()
+            .filter_map(|e| self.peers.get(e))
+            .filter(|p| may(p) && closed(p))
+            .collect();
         let least = may.iter().map(|p| p.out).min()?;
         let may: Vec<Endpoint> = may
             .into_iter()
@@ -298,18 +336,35 @@
             return self.end(id, actions);
         }
         self.take(id);
-        let Some((held, peer)) = self.held.get_mut(&id).zip(self.peers.get_mut(&endpoint)) else { return };
+        let Some((held, peer)) = self.held.get_mut(&id).zip(self.peers.get_mut(&endpoint)) else {
+            return;
+        };
         (held.out, held.calls) = (Some(endpoint), held.calls + 1);
         peer.trial = peer.failures.0 >= CIRCUIT.0;
         peer.out += 1;
         self.out += 1;
         let timeout = TIMEOUT.min(held.by - now - LAST_CALL / 2);
-        actions.push(Action::Send { id, endpoint, timeout });
+        actions.push(Action::Send {
+            id,
+            endpoint,
+            timeout,
+        });
     }
 
-    fn ended(&mut self, now: Time, id: MessageId, outcome: Outcome, took: Time, actions: &mut Vec<Action>) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let Some(endpoint) = held.out.take() else { return };
+    fn ended(
+        &mut self,
+        now: Time,
+        id: MessageId,
+        outcome: Outcome,
+        took: Time,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
+        let Some(endpoint) = held.out.take() else {
+            return;
+        };
         self.out -= 1;
         let mut zone = 0;
         if let Some(peer) = self.peers.get_mut(&endpoint) {
@@ -355,7 +410,10 @@
             Event::ListChanges(lines) | Event::Ordered(lines) => self.list(lines, false),
             Event::Arrived(message) => {
                 if self.held.len() >= self.settings.room as usize {
-                    actions.push(Action::Refuse { id: message.id, retry_after: COME_BACK });
+                    actions.push(Action::Refuse {
+                        id: message.id,
+                        retry_after: COME_BACK,
+                    });
                 } else {
                     let left = self.budget(now);
                     *left = (*left + BUDGET.0).min(BUDGET.2);
@@ -363,26 +421,42 @@
                 }
             }
             Event::Resumed { message, past } => self.hold(now, message, past),
-            Event::Ended { id, outcome, took, .. } => self.ended(now, id, outcome, took, actions),
+            Event::Ended {
+                id, outcome, took, ..
+            } => self.ended(now, id, outcome, took, actions),
             Event::Withdrawn(id) => {
                 self.take(id);
                 self.held.remove(&id);
             }
             Event::Changed(terms) => self.settings.change(&terms),
-            Event::Routed(_) | Event::ListFailed | Event::ListMoved | Event::Probed { .. } | Event::Woken => {
-            }
+            Event::Routed(_)
+            | Event::ListFailed
+            | Event::ListMoved
+            | Event::Probed { .. }
+            | Event::Woken => {}
         }
         // Whose time is up needs no slot to be ended.
-        while let Some((_, id)) = self.ends.first().copied().filter(|(by, _)| *by <= now + LAST_CALL) {
+        while let Some((_, id)) = self
+            .ends
+            .first()
+            .copied()
+            .filter(|(by, _)| *by <= now + LAST_CALL)
+        {
             self.end(id, actions);
         }
         while self.out < self.settings.slots {
-            let Some((due, id)) = self.due.first().copied().filter(|(due, _)| *due <= now) else { break };
+            let Some((due, id)) = self.due.first().copied().filter(|(due, _)| *due <= now) else {
+                break;
+            };
             self.due.remove(&(due, id));
             self.look(now, id, actions);
         }
         // Without a slot nothing begins before a call ends, and that is an event of its own.
-        let next = self.due.first().filter(|_| self.out < self.settings.slots).map(|(due, _)| *due);
+        let next = self
+            .due
+            .first()
+            .filter(|_| self.out < self.settings.slots)
+            .map(|(due, _)| *due);
         let ends = self.ends.first().map(|(by, _)| by - LAST_CALL);
         if let Some(at) = next.into_iter().chain(ends).min() {
             actions.push(Action::WakeAfter(at.saturating_sub(now).max(1)));
@@ -408,7 +482,10 @@
         };
         Settings {
             classes: vec![class],
-            kinds: vec![Kind { apart: true, batch: 1 }],
+            kinds: vec![Kind {
+                apart: true,
+                batch: 1,
+            }],
             relays: 1,
             slots: 4,
             room: 8,
@@ -419,8 +496,18 @@
     }
 
     fn peer(n: u8, zone: u16) -> Listing {
-        let endpoint = Endpoint { addr: [0, 0, 0, n], port: 443 };
-        Listing { endpoint, zone, kind: 0, dest: 1, condition: Condition::Ready, rate: 2.0 }
+        let endpoint = Endpoint {
+            addr: [0, 0, 0, n],
+            port: 443,
+        };
+        Listing {
+            endpoint,
+            zone,
+            kind: 0,
+            dest: 1,
+            condition: Condition::Ready,
+            rate: 2.0,
+        }
     }
 
     /// A policy that knows two endpoints, and what it does about messages and outcomes.
@@ -440,12 +527,36 @@
         }
 
         fn arrives(&mut self, now: Time, id: MessageId) -> Vec<Action> {
-            self.turn(now, Event::Arrived(Message { id, dest: 1, ttl: 16 * SECOND, ..Message::default() }))
+            self.turn(
+                now,
+                Event::Arrived(Message {
+                    id,
+                    dest: 1,
+                    ttl: 16 * SECOND,
+                    ..Message::default()
+                }),
+            )
         }
 
-        fn ends(&mut self, now: Time, id: MessageId, attempt: u16, outcome: Outcome) -> Vec<Action> {
+        fn ends(
+            &mut self,
+            now: Time,
+            id: MessageId,
+            attempt: u16,
+            outcome: Outcome,
+        ) -> Vec<Action> {
             let finished = outcome == Outcome::Ok;
-            self.turn(now, Event::Ended { id, attempt, outcome, took: 1, finished, report: Vec::new() })
+            self.turn(
+                now,
+                Event::Ended {
+                    id,
+                    attempt,
+                    outcome,
+                    took: 1,
+                    finished,
+                    report: Vec::new(),
+                },
+            )
         }
     }
 
@@ -458,7 +569,16 @@
     }
 
     fn wake(actions: &[Action]) -> Time {
-        actions.iter().find_map(|a| if let Action::WakeAfter(t) = a { Some(*t) } else { None }).unwrap_or(0)
+        actions
+            .iter()
+            .find_map(|a| {
+                if let Action::WakeAfter(t) = a {
+                    Some(*t)
+                } else {
+                    None
+                }
+            })
+            .unwrap_or(0)
     }
 
     #[test]
@@ -468,17 +588,30 @@
             assert_eq!(sends(&desk.arrives(0, 1)).len(), 1, "{policy:?}");
             let after = desk.ends(SECOND, 1, 0, Outcome::Full { wait: 0 });
             if policy == Policy::OneTry {
-                assert_eq!(after, [Action::Refuse { id: 1, retry_after: 0 }]);
+                assert_eq!(
+                    after,
+                    [Action::Refuse {
+                        id: 1,
+                        retry_after: 0
+                    }]
+                );
                 continue;
             }
             let mut now = SECOND + wake(&after);
             for attempt in 1..3 {
-                assert_eq!(sends(&desk.turn(now, Event::Woken)).len(), 1, "{policy:?} {attempt}");
+                assert_eq!(
+                    sends(&desk.turn(now, Event::Woken)).len(),
+                    1,
+                    "{policy:?} {attempt}"
+                );
                 now += wake(&desk.ends(now, 1, attempt, Outcome::Full { wait: SECOND })).max(1);
             }
             assert_eq!(
                 desk.turn(now, Event::Woken),
-                [Action::Refuse { id: 1, retry_after: 0 }],
+                [Action::Refuse {
+                    id: 1,
+                    retry_after: 0
+                }],
                 "{policy:?}"
             );
         }
@@ -497,7 +630,11 @@
                 after = desk.ends(now, 1, attempt, Outcome::Reset);
             }
             now += wake(&after);
-            assert_eq!(desk.turn(now, Event::Woken), [Action::Fail { id: 1 }], "{policy:?}");
+            assert_eq!(
+                desk.turn(now, Event::Woken),
+                [Action::Fail { id: 1 }],
+                "{policy:?}"
+            );
         }
     }
 
@@ -507,16 +644,26 @@
         desk.arrives(0, 1);
         assert!(wake(&desk.ends(1, 1, 0, Outcome::Full { wait: 9 * SECOND })) >= 9 * SECOND);
         let mut desk = Desk::new(Policy::TokenBucket);
-        // Two endpoints of two a second, apart: four at once, and then one each quarter of a second.
+        // Two endpoints of two a second, apart: four at once, and then one each quarter of a
+        // second.
         let sent: usize = (1..=4).map(|id| sends(&desk.arrives(0, id)).len()).sum();
         (1..=4).for_each(|id| drop(desk.ends(0, id, 0, Outcome::Ok)));
         let held_back = desk.arrives(0, 5);
-        assert_eq!((sent, sends(&held_back).len(), wake(&held_back)), (4, 0, SECOND / 4));
+        assert_eq!(
+            (sent, sends(&held_back).len(), wake(&held_back)),
+            (4, 0, SECOND / 4)
+        );
     }
 
     #[test]
     fn a_circuit_opens_after_failures_in_a_row_and_lets_one_call_try_it() {
-        let mut desk = Desk(Policy::CircuitBreaker.begin(&Settings { max_attempts: 99, ..settings() }, 1));
+        let mut desk = Desk(Policy::CircuitBreaker.begin(
+            &Settings {
+                max_attempts: 99,
+                ..settings()
+            },
+            1,
+        ));
         desk.turn(0, Event::List(vec![peer(1, 0)]));
         let (mut now, mut attempt) = (0, 0);
         let mut after = desk.arrives(0, 1);
@@ -537,7 +684,11 @@
         assert_ne!(one, two);
         (1..=2).for_each(|id| drop(desk.ends(0, id, 0, Outcome::Ok)));
         // Ten retries are there at first, and 51 messages earn ten, and a second one more.
-        let more = Settings { room: 99, slots: 99, ..settings() };
+        let more = Settings {
+            room: 99,
+            slots: 99,
+            ..settings()
+        };
         let mut desk = Desk(Policy::LeastOutstanding.begin(&more, 1));
         desk.turn(0, Event::List(vec![peer(1, 0)]));
         for id in 1..=51 {
@@ -553,7 +704,13 @@
             let mut desk = Desk::new(policy);
             (1..=6).for_each(|id| drop(desk.arrives(0, id)));
             let ended = desk.turn(16 * SECOND - LAST_CALL, Event::Woken);
-            assert!(ended.contains(&Action::Refuse { id: 6, retry_after: 0 }), "{policy:?}: {ended:?}");
+            assert!(
+                ended.contains(&Action::Refuse {
+                    id: 6,
+                    retry_after: 0
+                }),
+                "{policy:?}: {ended:?}"
+            );
         }
     }
 }
--- a/lab/src/policy.rs
+++ b/lab/src/policy.rs
@@ -1,5 +1,6 @@
-//! A policy rolled out to a fleet, in virtual time: the keepers' own machines ([`raildeal::keeper`]) with senders round them that are
-//! simpler than the program's. Messages are drawn: each has a class, and a fate that comes as much later as it does in a sender. All is
+//! A policy rolled out to a fleet, in virtual time: the keepers' own machines
+//! ([`raildeal::keeper`]) with senders round them that are simpler than the program's. Messages are
+//! drawn: each has a class, and a fate that comes as much later as it does in a sender. All is
 //! drawn from one seed.
 
 use crate::due::At;
@@ -18,7 +19,8 @@
 pub const MS: Time = 1_000_000;
 /// A second of it.
 pub const SECOND: Time = 1_000 * MS;
-/// Agents report this often; where there are a thousand or more, less often, for the play's own sake.
+/// Agents report this often; where there are a thousand or more, less often, for the play's own
+/// sake.
 const REPORT: [Time; 2] = [200 * MS, SECOND];
 /// One way between agents and keepers.
 const WAY: Time = 3 * MS;
@@ -36,7 +38,8 @@
 const CLASSES: [(&str, f64); 3] = [("quick", 0.65), ("bulk", 0.30), ("rare", 0.05)];
 /// How long messages are under way until they are delivered, late, and given up.
 const TAKES: [Time; 3] = [400 * MS, 5 * SECOND, 12 * SECOND];
-/// In each zone for itself: a second of this many in which what is refused comes in heaps, and how many times as much.
+/// In each zone for itself: a second of this many in which what is refused comes in heaps, and how
+/// many times as much.
 const HEAPS: (f64, f64) = (20.0, 8.0);
 
 /// What a policy does to messages.
@@ -56,8 +59,12 @@
 
 impl Does {
     /// Those that a rollout has to halt at.
-    pub const WORSE: [Does; 4] =
-        [Does::WorseForAll, Does::WorseForOne, Does::WorseLater, Does::WorseInOutage];
+    pub const WORSE: [Does; 4] = [
+        Does::WorseForAll,
+        Does::WorseForOne,
+        Does::WorseLater,
+        Does::WorseInOutage,
+    ];
 }
 
 /// Something that happens.
@@ -89,7 +96,8 @@
 pub struct Play {
     /// Senders: one in twenty stands in the first zone, the others evenly in the rest.
     pub senders: usize,
-    /// Zones, two or more: the first is the first stage, the second the second, the others the last.
+    /// Zones, two or more: the first is the first stage, the second the second, the others the
+    /// last.
     pub zones: usize,
     /// For all that is drawn.
     pub seed: u64,
@@ -114,12 +122,28 @@
     pub fn new(senders: usize, zones: usize, seed: u64, does: Does) -> Play {
         let outage = vec![
             (When::At(PROPOSED + 5 * SECOND), Trouble::Outage(true)),
-            (When::Step(0, Step::Soaking, 50 * SECOND), Trouble::Outage(false)),
+            (
+                When::Step(0, Step::Soaking, 50 * SECOND),
+                Trouble::Outage(false),
+            ),
         ];
-        let troubles = if does == Does::WorseInOutage { outage } else { Vec::new() };
+        let troubles = if does == Does::WorseInOutage {
+            outage
+        } else {
+            Vec::new()
+        };
         // Ten messages a second of one sender say little in a minute: its plan gives them time.
         let plan = "watch_s = 20\nsoak_s = 60\nleast = 300\nmost_soak_s = 900\n".to_string();
-        Play { senders, zones, seed, does, refuses: Vec::new(), troubles, plan, lasts: 3_000 * SECOND }
+        Play {
+            senders,
+            zones,
+            seed,
+            does,
+            refuses: Vec::new(),
+            troubles,
+            plan,
+            lasts: 3_000 * SECOND,
+        }
     }
 }
 
@@ -136,7 +160,8 @@
     pub done: Option<Time>,
     /// How it ended, where it did.
     pub end: Option<String>,
-    /// Longest time that a sender took nothing on, of pauses that became changes, and the one in the middle.
+    /// Longest time that a sender took nothing on, of pauses that became changes, and the one in
+    /// the middle.
     pub gaps: Vec<Time>,
     /// Moments at which two senders of a zone took messages on under two policies.
     pub two: u32,
@@ -168,7 +193,8 @@
     since: Time,
     stored: BTreeMap<u64, Print>,
     report: u64,
-    /// What ends at a later report: by report, policy and class, as late, refused and failed, and delivered.
+    /// What ends at a later report: by report, policy and class, as late, refused and failed, and
+    /// delivered.
     coming: BTreeMap<(u64, u64, usize), [u32; 4]>,
     /// It counts on its lease so long, as agents do: 98 in 100 from when it spoke last.
     lease_until: Time,
@@ -219,11 +245,15 @@
         ..Sender::default()
     });
     let senders: Vec<Sender> = senders.collect();
-    let zones = (0..play.zones).map(|_| (rng.random_range(0.6..1.5), 0)).collect();
+    let zones = (0..play.zones)
+        .map(|_| (rng.random_range(0.6..1.5), 0))
+        .collect();
     let record = Record::default();
     let mut world = World {
         duties: Some(LeaderDuties::new(Rules::default(), 1, 0, &record)),
-        of_line: (0..play.senders).map(|n| (n as ConnectionId + 1, n)).collect(),
+        of_line: (0..play.senders)
+            .map(|n| (n as ConnectionId + 1, n))
+            .collect(),
         next_line: play.senders as ConnectionId + 1,
         play: play.clone(),
         rng,
@@ -247,10 +277,17 @@
 
 /// The plan's text.
 pub fn plan(play: &Play) -> String {
-    let list =
-        |from: usize, to: usize| (from..to).map(|z| format!("\"z{z}\"")).collect::<Vec<_>>().join(", ");
+    let list = |from: usize, to: usize| {
+        (from..to)
+            .map(|z| format!("\"z{z}\""))
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     let mut text = play.plan.clone();
-    for (from, to) in [(0, 1), (1, 2), (2, play.zones)].into_iter().filter(|(from, to)| from < to) {
+    for (from, to) in [(0, 1), (1, 2), (2, play.zones)]
+        .into_iter()
+        .filter(|(from, to)| from < to)
+    {
         text.push_str(&format!("[[stage]]\nzones = [{}]\n", list(from, to)));
     }
     text
@@ -268,7 +305,10 @@
             self.at(first, Event::Report(n, 1));
         }
         self.at(0, Event::Tick);
-        let propose = FromPerson::Propose { text: "limits.max_attempts = 9".into(), plan: plan(&self.play) };
+        let propose = FromPerson::Propose {
+            text: "limits.max_attempts = 9".into(),
+            plan: plan(&self.play),
+        };
         self.at(PROPOSED, Event::Happens(Trouble::Person(propose)));
         for (when, trouble) in self.play.troubles.clone() {
             if let When::At(at) = when {
@@ -276,9 +316,14 @@
             }
         }
         while let Some(Reverse(At(at, _, event))) = self.events.pop() {
-            let over = self.played.done.or(self.played.halted.as_ref().map(|h| h.0));
+            let over = self
+                .played
+                .done
+                .or(self.played.halted.as_ref().map(|h| h.0));
             // What is ordered after a halt still has its time.
-            let over = over.filter(|_| self.play.troubles.is_empty()).map(|at| at + SECOND);
+            let over = over
+                .filter(|_| self.play.troubles.is_empty())
+                .map(|at| at + SECOND);
             if at > over.unwrap_or(self.play.lasts) {
                 return;
             }
@@ -309,7 +354,14 @@
                 let s = &mut self.senders[n];
                 let stored = std::mem::take(&mut s.stored);
                 let (name, zone, boot) = (s.name.clone(), s.zone, s.boot + 1);
-                *s = Sender { name, zone, boot, alive: true, stored, ..Sender::default() };
+                *s = Sender {
+                    name,
+                    zone,
+                    boot,
+                    alive: true,
+                    stored,
+                    ..Sender::default()
+                };
                 self.new_line(n);
                 self.at(now, Event::Report(n, boot));
             }
@@ -327,13 +379,17 @@
     }
 
     fn duties(&mut self, word: impl FnOnce(&mut LeaderDuties, &Record, &mut Vec<Out>)) {
-        let Some(duties) = &mut self.duties else { return };
+        let Some(duties) = &mut self.duties else {
+            return;
+        };
         let (mut out, real) = (Vec::new(), std::time::Instant::now());
         word(duties, &self.record, &mut out);
         self.played.longest = self.played.longest.max(real.elapsed());
         for o in out {
             match o {
-                Out::Propose(command) => self.at(self.now + COMMIT, Event::Apply(self.term, command)),
+                Out::Propose(command) => {
+                    self.at(self.now + COMMIT, Event::Apply(self.term, command))
+                }
                 Out::Say(line, word) => self.at(self.now + WAY, Event::ToAgent(line, word)),
                 Out::Answer(_, answer) => self.played.answers.push(answer),
                 // This site is in no federation.
@@ -364,7 +420,12 @@
         let stage = policies.rollout.as_ref().map_or(0, |r| r.stage);
         match change {
             Change::Commit => _ = self.played.in_force.get_or_insert(now),
-            Change::Halt { why } => _ = self.played.halted.get_or_insert((now, stage + 1, why.clone())),
+            Change::Halt { why } => {
+                _ = self
+                    .played
+                    .halted
+                    .get_or_insert((now, stage + 1, why.clone()))
+            }
             Change::Next if policies.rollout.is_none() => self.played.done = Some(now),
             Change::End { why } => {
                 self.played.end = Some(why.clone());
@@ -372,7 +433,9 @@
             }
             _ => {}
         }
-        let Some(step) = policies.rollout.as_ref().map(|r| (r.stage, r.step)) else { return };
+        let Some(step) = policies.rollout.as_ref().map(|r| (r.stage, r.step)) else {
+            return;
+        };
         if !self.steps.contains(&step) {
             self.steps.push(step);
             for (when, trouble) in self.play.troubles.clone() {
@@ -440,7 +503,9 @@
 
     fn told(&mut self, line: ConnectionId, word: ToAgent) {
         let now = self.now;
-        let Some(n) = self.of_line.get(&line).copied() else { return };
+        let Some(n) = self.of_line.get(&line).copied() else {
+            return;
+        };
         if now < self.senders[n].silent_until || !self.senders[n].alive {
             return;
         }
@@ -457,18 +522,27 @@
                 self.new_line(n);
             }
             ToAgent::Offer { number, print, .. } => {
-                let refused = self.play.refuses.contains(&n).then(|| "too little memory".to_string());
+                let refused = self
+                    .play
+                    .refuses
+                    .contains(&n)
+                    .then(|| "too little memory".to_string());
                 if refused.is_none() {
                     self.senders[n].stored.insert(number, print);
                 }
                 self.say(n, CHECK, FromAgent::Stored { number, refused });
             }
-            ToAgent::Rule { turn, number, paused } => {
+            ToAgent::Rule {
+                turn,
+                number,
+                paused,
+            } => {
                 let s = &mut self.senders[n];
                 if turn < s.turn {
                     return;
                 }
-                self.played.unchecked += u32::from(number != 0 && !s.stored.contains_key(&number) && !paused);
+                self.played.unchecked +=
+                    u32::from(number != 0 && !s.stored.contains_key(&number) && !paused);
                 if s.heard && s.paused && !paused && number != s.number {
                     self.played.gaps.push(now - s.paused_at);
                 }
@@ -504,13 +578,39 @@
         if !s.open {
             // Counts of a report that nobody hears are lost, as those of a sender that starts anew.
             let (sender, boot, zone) = (s.name.clone(), s.boot, format!("z{}", s.zone));
-            let stored = Some(s.stored.iter().map(|(number, print)| (*number, *print)).collect());
-            return self.say(n, 0, FromAgent::Open { sender, boot, zone, has: 1, stored });
+            let stored = Some(
+                s.stored
+                    .iter()
+                    .map(|(number, print)| (*number, *print))
+                    .collect(),
+            );
+            return self.say(
+                n,
+                0,
+                FromAgent::Open {
+                    sender,
+                    boot,
+                    zone,
+                    has: 1,
+                    stored,
+                },
+            );
         }
         s.report += 1;
         let (report, has) = (s.report, 1_000_000_000);
         let (seen, listed, wants) = (Vec::new(), None, Vec::new());
-        self.say(n, 0, FromAgent::Tell { report, has, seen, listed, wants, health });
+        self.say(
+            n,
+            0,
+            FromAgent::Tell {
+                report,
+                has,
+                seen,
+                listed,
+                wants,
+                health,
+            },
+        );
     }
 
     /// What became of messages since the last report.
@@ -519,9 +619,16 @@
         let each = report(&self.play);
         let (bad, heap) = self.zones[self.senders[n].zone];
         let mut told: BTreeMap<(u64, usize), Health> = BTreeMap::new();
-        let line = |told: &mut BTreeMap<(u64, usize), Health>, policy: u64, class: usize, add: [u32; 6]| {
+        let line = |told: &mut BTreeMap<(u64, usize), Health>,
+                    policy: u64,
+                    class: usize,
+                    add: [u32; 6]| {
             let name = CLASSES[class].0.to_string();
-            let new = Health { policy, class: name, ..Health::default() };
+            let new = Health {
+                policy,
+                class: name,
+                ..Health::default()
+            };
             let h = told.entry((policy, class)).or_insert(new);
             h.taken += add[0];
             h.late += add[1];
@@ -560,9 +667,17 @@
             let failed = drawn(came - refused, fail);
             let lates = drawn(came - refused - failed, late);
             let delivered = came - refused - failed - lates;
-            line(&mut told, policy, class, [came as u32, 0, refused as u32, 0, 0, turned as u32]);
-            for (at, which, count) in [(TAKES[1], 0, lates), (TAKES[2], 2, failed), (TAKES[0], 3, delivered)]
-            {
+            line(
+                &mut told,
+                policy,
+                class,
+                [came as u32, 0, refused as u32, 0, 0, turned as u32],
+            );
+            for (at, which, count) in [
+                (TAKES[1], 0, lates),
+                (TAKES[2], 2, failed),
+                (TAKES[0], 3, delivered),
+            ] {
                 if count > 0 {
                     s.coming.entry((now + at, policy, class)).or_default()[which] += count as u32;
                 }
@@ -570,7 +685,12 @@
         }
         while let Some(entry) = s.coming.first_entry().filter(|e| e.key().0 <= now) {
             let ((_, policy, class), [late, refused, failed, delivered]) = entry.remove_entry();
-            line(&mut told, policy, class, [0, late, refused, failed, delivered, 0]);
+            line(
+                &mut told,
+                policy,
+                class,
+                [0, late, refused, failed, delivered, 0],
+            );
         }
         told.into_values().collect()
     }
@@ -608,28 +728,46 @@
     pub gap_p50_ms: u64,
     /// Longest turn of the leader, in milliseconds of this machine.
     pub turn_ms: f64,
-    /// Breaches: two policies in a zone, a false halt, a worse policy that got past its first stage.
+    /// Breaches: two policies in a zone, a false halt, a worse policy that got past its first
+    /// stage.
     pub broken: u64,
 }
 
-/// Plays an equal policy so many times, each with the next seed and an outage that strikes all zones in every second play, and each of
-/// the worse ones once.
+/// Plays an equal policy so many times, each with the next seed and an outage that strikes all
+/// zones in every second play, and each of the worse ones once.
 pub fn figures(senders: usize, zones: usize, seed: u64, equal: u64) -> Figures {
-    let mut figures = Figures { zones, equal, ..Figures::default() };
+    let mut figures = Figures {
+        zones,
+        equal,
+        ..Figures::default()
+    };
     let mut gaps = Vec::new();
     for n in 0..equal {
         let mut calm = Play::new(senders, zones, seed + n, Does::Nothing);
         if n % 2 == 1 {
             calm.troubles = vec![
-                (When::Step(0, Step::Soaking, 10 * SECOND), Trouble::Outage(true)),
-                (When::Step(0, Step::Soaking, 35 * SECOND), Trouble::Outage(false)),
+                (
+                    When::Step(0, Step::Soaking, 10 * SECOND),
+                    Trouble::Outage(true),
+                ),
+                (
+                    When::Step(0, Step::Soaking, 35 * SECOND),
+                    Trouble::Outage(false),
+                ),
             ];
         }
         let played = play(&calm);
         let halted = played.halted.as_ref().map(|h| h.2.clone());
-        let halted = halted.or_else(|| played.done.is_none().then(|| "not rolled out in time".to_string()));
+        let halted = halted.or_else(|| {
+            played
+                .done
+                .is_none()
+                .then(|| "not rolled out in time".to_string())
+        });
         figures.false_halts += u64::from(halted.is_some());
-        figures.why.extend(halted.map(|why| format!("seed {}: {why}", seed + n)));
+        figures
+            .why
+            .extend(halted.map(|why| format!("seed {}: {why}", seed + n)));
         figures.broken += u64::from(played.two + played.unchecked);
         figures.turn_ms = figures.turn_ms.max(played.longest.as_secs_f64() * 1e3);
         gaps.extend(played.gaps);
@@ -637,7 +775,10 @@
     for does in Does::WORSE {
         let played = play(&Play::new(senders, zones, seed, does));
         let halted = played.halted.clone();
-        let after = halted.as_ref().zip(played.in_force).map(|(h, at)| (h.0 - at) / MS);
+        let after = halted
+            .as_ref()
+            .zip(played.in_force)
+            .map(|(h, at)| (h.0 - at) / MS);
         let stage = halted.as_ref().map_or(0, |h| h.1);
         figures.broken += u64::from(stage != 1) + u64::from(played.two + played.unchecked);
         figures.worse.push(Halted {
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,4 +1,5 @@
-//! What an experiment came to: lines of JSON, a table of commas, and a page that holds all it needs.
+//! What an experiment came to: lines of JSON, a table of commas, and a page that holds all it
+//! needs.
 
 use crate::plan::{Cell, Experiment, Mean, FIGURES};
 use crate::plot::{Line, NoPlot, Plot};
@@ -43,8 +44,8 @@
     Ok(())
 }
 
-/// Difference of a cell, seed by seed, to the one with the first value of the first factor and all others the same;
-/// nothing for such a one itself.
+/// Difference of a cell, seed by seed, to the one with the first value of the first factor and all
+/// others the same; nothing for such a one itself.
 pub fn against(cells: &[Cell], n: usize, figure: fn(&Played) -> f64) -> Option<Mean> {
     let others = |c: &Cell| c.values.get(1..).unwrap_or_default().to_vec();
     let first = cells.iter().position(|c| others(c) == others(&cells[n]))?;
@@ -70,11 +71,17 @@
             let mean = cell.mean(figure);
             let diff = against(cells, n, figure);
             row.extend([mean.mean.to_string(), mean.half.to_string()]);
-            row.extend(
-                diff.map_or([String::new(), String::new()], |d| [d.mean.to_string(), d.half.to_string()]),
-            );
+            row.extend(diff.map_or([String::new(), String::new()], |d| {
+                [d.mean.to_string(), d.half.to_string()]
+            }));
         }
-        row.push(cell.played.iter().map(|p| p.broken.values().sum::<u64>()).sum::<u64>().to_string());
+        row.push(
+            cell.played
+                .iter()
+                .map(|p| p.broken.values().sum::<u64>())
+                .sum::<u64>()
+                .to_string(),
+        );
         csv.write_record(&row)?;
     }
     csv.flush()?;
@@ -82,7 +89,9 @@
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 fn head(plan: &Experiment, cells: &[Cell]) -> String {
@@ -97,17 +106,31 @@
         plan.seeds,
         escape(&plan.day.display().to_string())
     );
-    let names = plan.factors.iter().map(|f| f.set.as_str()).chain(FIGURES.iter().map(|f| f.0));
+    let names = plan
+        .factors
+        .iter()
+        .map(|f| f.set.as_str())
+        .chain(FIGURES.iter().map(|f| f.0));
     names.for_each(|name| page.push_str(&format!("<th>{}</th>", escape(name))));
     page.push_str("<th>rules broken</th></tr>");
     for (n, cell) in cells.iter().enumerate() {
         page.push_str("<tr>");
-        cell.values.iter().for_each(|v| page.push_str(&format!("<td>{}</td>", escape(v))));
+        cell.values
+            .iter()
+            .for_each(|v| page.push_str(&format!("<td>{}</td>", escape(v))));
         for (_, figure) in FIGURES {
             let _ = write!(page, "<td>{}", cell.mean(figure));
             if let Some(diff) = against(cells, n, figure) {
-                let class = if diff.mean.abs() > diff.half { " class=\"sure\"" } else { "" };
-                let _ = write!(page, "<br><span{class}>{:+.3} +- {:.3}</span>", diff.mean, diff.half);
+                let class = if diff.mean.abs() > diff.half {
+                    " class=\"sure\""
+                } else {
+                    ""
+                };
+                let _ = write!(
+                    page,
+                    "<br><span{class}>{:+.3} +- {:.3}</span>",
+                    diff.mean, diff.half
+                );
             }
             page.push_str("</td>");
         }
@@ -120,8 +143,19 @@
 
 /// A plot that owns what it shows.
 enum Owned {
-    Lines { title: String, axes: (&'static str, &'static str), lines: Vec<Line>, shaded: Vec<(f64, f64)> },
-    Heat { title: String, axes: (String, String), columns: Vec<String>, rows: Vec<String>, values: Values },
+    Lines {
+        title: String,
+        axes: (&'static str, &'static str),
+        lines: Vec<Line>,
+        shaded: Vec<(f64, f64)>,
+    },
+    Heat {
+        title: String,
+        axes: (String, String),
+        columns: Vec<String>,
+        rows: Vec<String>,
+        values: Values,
+    },
 }
 
 type Values = Box<dyn Fn(usize, usize) -> f64>;
@@ -129,19 +163,48 @@
 impl Owned {
     fn as_plot(&self) -> Plot<'_> {
         match self {
-            Owned::Lines { title, axes, lines, shaded } => Plot::Lines { title, axes: *axes, lines, shaded },
-            Owned::Heat { title, axes, columns, rows, values } => {
-                Plot::Heat { title, axes: (&axes.0, &axes.1), columns, rows, values }
-            }
+            Owned::Lines {
+                title,
+                axes,
+                lines,
+                shaded,
+            } => Plot::Lines {
+                title,
+                axes: *axes,
+                lines,
+                shaded,
+            },
+            Owned::Heat {
+                title,
+                axes,
+                columns,
+                rows,
+                values,
+            } => Plot::Heat {
+                title,
+                axes: (&axes.0, &axes.1),
+                columns,
+                rows,
+                values,
+            },
         }
     }
 }
 
 /// A figure of each second, over the seeds of a cell.
 fn over_time(cell: &Cell, figure: impl Fn(&Second) -> (f64, f64)) -> Vec<(f64, f64)> {
-    let long = cell.played.iter().map(|p| p.seconds.len()).max().unwrap_or(0);
+    let long = cell
+        .played
+        .iter()
+        .map(|p| p.seconds.len())
+        .max()
+        .unwrap_or(0);
     let at = |n: usize| {
-        let seconds = cell.played.iter().filter_map(|p| p.seconds.get(n)).map(&figure);
+        let seconds = cell
+            .played
+            .iter()
+            .filter_map(|p| p.seconds.get(n))
+            .map(&figure);
         let (sum, of) = seconds.fold((0.0, 0.0), |s, (a, b)| (s.0 + a, s.1 + b));
         (n as f64, sum / of)
     };
@@ -169,23 +232,70 @@
         };
         let lines = |figure: &dyn Fn(&Second) -> (f64, f64)| -> Vec<Line> {
             let name = |c: &Cell| c.values.first().cloned().unwrap_or_else(|| "all".into());
-            group.iter().take(LINES).map(|c| Line { name: name(c), points: over_time(c, figure) }).collect()
+            group
+                .iter()
+                .take(LINES)
+                .map(|c| Line {
+                    name: name(c),
+                    points: over_time(c, figure),
+                })
+                .collect()
         };
         // Where a day draws when trouble comes, the stretches of the first seed are shaded.
-        let shaded = group.first().and_then(|c| c.played.first()).map_or(Vec::new(), |p| p.troubles.clone());
+        let shaded = group
+            .first()
+            .and_then(|c| c.played.first())
+            .map_or(Vec::new(), |p| p.troubles.clone());
         let mut plot = |name: &str, title: &str, axis, lines| {
-            let name = if groups.len() > 1 { format!("{name}-{}", n + 1) } else { name.into() };
+            let name = if groups.len() > 1 {
+                format!("{name}-{}", n + 1)
+            } else {
+                name.into()
+            };
             let axes = ("second of the day", axis);
-            plots.push((name, Owned::Lines { title: of(title), axes, lines, shaded: shaded.clone() }));
+            plots.push((
+                name,
+                Owned::Lines {
+                    title: of(title),
+                    axes,
+                    lines,
+                    shaded: shaded.clone(),
+                },
+            ));
         };
         let part = |a: u32, b: u32| (f64::from(a), f64::from(b));
-        plot("throughput", "Throughput", "delivered a second", lines(&|s| (f64::from(s.delivered), 1.0)));
-        plot("latency", "Age at delivery", "seconds, mean", lines(&|s| (s.ages, f64::from(s.delivered))));
+        plot(
+            "throughput",
+            "Throughput",
+            "delivered a second",
+            lines(&|s| (f64::from(s.delivered), 1.0)),
+        );
+        plot(
+            "latency",
+            "Age at delivery",
+            "seconds, mean",
+            lines(&|s| (s.ages, f64::from(s.delivered))),
+        );
         let served = lines(&|s| (s.gained, s.asked));
-        plot("recovery", "Service, by when messages were due", "part of the worth", served);
-        plot("refusals", "Calls refused by partners", "part of the calls", lines(&|s| part(s.full, s.calls)));
+        plot(
+            "recovery",
+            "Service, by when messages were due",
+            "part of the worth",
+            served,
+        );
+        plot(
+            "refusals",
+            "Calls refused by partners",
+            "part of the calls",
+            lines(&|s| part(s.full, s.calls)),
+        );
         let cold = lines(&|s| (f64::from(s.cold), 1.0));
-        plot("cold", "Harm: calls that reach cold partners", "calls a second", cold);
+        plot(
+            "cold",
+            "Harm: calls that reach cold partners",
+            "calls a second",
+            cold,
+        );
     }
     if let [across, down] = &plan.factors[..] {
         let rows = down.values.len();
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -68,16 +68,31 @@
 }
 
 /// Plays a day; whoever else wants to see it, may.
-pub fn play(day: &Day, seed: u64, fault: Option<Fault>, more: Option<&mut dyn See>) -> Result<Played, Bad> {
+pub fn play(
+    day: &Day,
+    seed: u64,
+    fault: Option<Fault>,
+    more: Option<&mut dyn See>,
+) -> Result<Played, Bad> {
     let sim = Sim::new(day, seed, fault)?;
     let settings = sim.settings().clone();
     let troubles = vec![(0.0, 0.0); day.troubles.len()];
-    let mut all = All { checker: Checker::new(&settings), tally: Tally::new(&settings), troubles, more };
+    let mut all = All {
+        checker: Checker::new(&settings),
+        tally: Tally::new(&settings),
+        troubles,
+        more,
+    };
     let begun = Instant::now();
     let ran = sim.run(&mut all);
     let took = begun.elapsed();
     all.checker.finish(ran.time);
-    let broken = all.checker.counts().iter().map(|(rule, n)| (rule.to_string(), *n)).collect();
+    let broken = all
+        .checker
+        .counts()
+        .iter()
+        .map(|(rule, n)| (rule.to_string(), *n))
+        .collect();
     Ok(Played {
         day: day.name.clone(),
         seed,
--- a/lab/src/sender.rs
+++ b/lab/src/sender.rs
@@ -1,5 +1,5 @@
-//! One sender: the decision module, the doors for connections and messages and the store's door, all as the program has
-//! them, and what the program keeps round them.
+//! One sender: the decision module, the doors for connections and messages and the store's door,
+//! all as the program has them, and what the program keeps round them.
 
 use crate::day::Day;
 use crate::policies::{Decides, Policy};
@@ -205,7 +205,8 @@
         self.next
     }
 
-    /// A place for a connection of a service; nothing if there is none, even after another has left.
+    /// A place for a connection of a service; nothing if there is none, even after another has
+    /// left.
     pub fn seat(&mut self, now: Time, from: IpAddr, comes: Comes) -> Option<u64> {
         let now = Duration::from_nanos(now);
         self.places.come(now, from, comes).ok()?;
@@ -232,7 +233,12 @@
             return Err(("no room", 500_000_000));
         }
         let (at, size) = (Duration::from_nanos(now), body + OVER_BODY);
-        let asked = self.guests.ask(at, &self.names[usize::from(service)], false, usize::from(class));
+        let asked = self.guests.ask(
+            at,
+            &self.names[usize::from(service)],
+            false,
+            usize::from(class),
+        );
         asked.map_err(|(why, wait)| {
             let why = match why {
                 Kept::Rate => "client rate",
@@ -286,7 +292,12 @@
     /// Its open connections to an endpoint.
     pub fn connections(&self, now: Time, route: u32, idle_close: Time) -> u32 {
         let conns = self.conns.get(&route).copied().unwrap_or_default();
-        conns.out + if conns.rests(now, idle_close) { conns.idle } else { 0 }
+        conns.out
+            + if conns.rests(now, idle_close) {
+                conns.idle
+            } else {
+                0
+            }
     }
 
     /// Closes those that carry no call.
@@ -299,7 +310,11 @@
     /// Whether a call may begin, as the program looks once more before the first byte.
     pub fn admits(&self, now: Time, world: &World, route: u32) -> bool {
         let r = &world.routes[route as usize];
-        let waits = |gate| self.waits.get(&(r.dest, gate)).is_some_and(|until| now < *until);
+        let waits = |gate| {
+            self.waits
+                .get(&(r.dest, gate))
+                .is_some_and(|until| now < *until)
+        };
         !self.gone.contains_key(&route) && !waits(None) && !waits(Some(route))
     }
 }
--- a/lab/src/sim.rs
+++ b/lab/src/sim.rs
@@ -9,20 +9,27 @@
 use crate::world::{route, World};
 use raildeal::door::lobby;
 use raildeal::settings::Deployment;
-use raildeal::{Action, Condition, DestId, Event, Message, MessageId, Outcome, Past, Settings, Time};
+use raildeal::{
+    Action, Condition, DestId, Event, Message, MessageId, Outcome, Past, Settings, Time,
+};
 use rustc_hash::FxHashSet;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::rc::Rc;
 
-/// After the last message was due, a day goes on for the longest time that one may be held, and this.
+/// After the last message was due, a day goes on for the longest time that one may be held, and
+/// this.
 const AFTER: Time = 2 * SECOND;
-/// A client waits so long for the answer to a hand-in that never comes, and then turns to another sender.
+/// A client waits so long for the answer to a hand-in that never comes, and then turns to another
+/// sender.
 const UNHEARD: Time = SECOND;
 /// A silent connection of a flood is held for so long.
 const FLOOD_HOLDS: Time = SECOND;
 /// The directory is asked again after so long, in seconds, where it could not be.
-const ASK_AGAIN: Range = Range { low: 0.5, high: 4.0 };
+const ASK_AGAIN: Range = Range {
+    low: 0.5,
+    high: 4.0,
+};
 
 /// A sender that was broken for it calls again after this time.
 const PUSH: Time = SECOND / 20;
@@ -205,12 +212,19 @@
     /// A day that has not begun. A fault breaks every sender in that way.
     pub fn new(day: &'a Day, seed: u64, fault: Option<Fault>) -> Result<Self, Bad> {
         let deployment: Deployment = day.deployment()?;
-        let settings = Settings { ask_list: true, ..deployment.settings.clone() };
+        let settings = Settings {
+            ask_list: true,
+            ..deployment.settings.clone()
+        };
         let world = World::draw(day, &deployment, seed)?;
         let mut seeds = Dice::new(seed, For::World);
-        let names: Rc<[String]> = (0..day.clients.services).map(|n| format!("service-{n}")).collect();
-        raildeal::Relay::new(settings.clone(), 0)
-            .map_err(|e| Bad::Setting { setting: "settings".into(), what: e.to_string() })?;
+        let names: Rc<[String]> = (0..day.clients.services)
+            .map(|n| format!("service-{n}"))
+            .collect();
+        raildeal::Relay::new(settings.clone(), 0).map_err(|e| Bad::Setting {
+            setting: "settings".into(),
+            what: e.to_string(),
+        })?;
         let senders = (0..day.senders.count)
             .map(|_| Sender::new(day, &settings, names.clone(), seeds.seed()))
             .collect();
@@ -261,13 +275,32 @@
         for (number, trouble) in self.day.troubles.iter().enumerate() {
             let at = seconds(self.dice.troubles.from(trouble.at_s));
             let long = seconds(self.dice.troubles.from(trouble.for_s));
-            self.at(at, Ev::Trouble { number, begins: true });
-            self.at(at + long, Ev::Trouble { number, begins: false });
+            self.at(
+                at,
+                Ev::Trouble {
+                    number,
+                    begins: true,
+                },
+            );
+            self.at(
+                at + long,
+                Ev::Trouble {
+                    number,
+                    begins: false,
+                },
+            );
         }
         self.at(0, Ev::Due);
         let last = seconds(self.day.seconds);
-        let longest = self.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let on_the_way = seconds(self.day.clients.pause_s.high + self.day.network.across_ms.high / 1e3);
+        let longest = self
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
+        let on_the_way =
+            seconds(self.day.clients.pause_s.high + self.day.network.across_ms.high / 1e3);
         let end = last + longest + on_the_way + AFTER;
         while let Some(Reverse((at, _, Item(event)))) = self.queue.pop() {
             if at > end {
@@ -277,12 +310,16 @@
             self.events += 1;
             self.happens(event, see);
         }
-        Ran { time: self.now, events: self.events }
+        Ran {
+            time: self.now,
+            events: self.events,
+        }
     }
 
     fn at(&mut self, at: Time, event: Ev) {
         self.made += 1;
-        self.queue.push(Reverse((at.max(self.now), self.made, Item(event))));
+        self.queue
+            .push(Reverse((at.max(self.now), self.made, Item(event))));
     }
 
     fn is_of(&self, sender: u16, life: u32) -> bool {
@@ -322,14 +359,23 @@
                     self.senders[usize::from(sender)].places.left(seat);
                 }
             }
-            Ev::Push { sender, life, id, route } => {
+            Ev::Push {
+                sender,
+                life,
+                id,
+                route,
+            } => {
                 let held = &self.senders[usize::from(sender)].held;
                 if let Some(h) = held.get(&id).filter(|_| self.is_of(sender, life)) {
                     let (message, attempt) = (h.message, h.attempts);
                     self.call(sender, (id, message, attempt), route, SECOND, true, see);
                 }
             }
-            Ev::Late { sender, id, verdict } => self.answer(sender, id, verdict, 0, see),
+            Ev::Late {
+                sender,
+                id,
+                verdict,
+            } => self.answer(sender, id, verdict, 0, see),
         }
     }
 
@@ -372,8 +418,22 @@
         let by = self.now + self.settings.classes[usize::from(class)].deadline;
         let service = self.dice.arrivals.below(self.day.clients.services) as u16;
         let body = self.dice.arrivals.from(self.day.clients.body) as u32;
-        self.messages.push(Wanted { dest, class, service, tries: 0, body, by });
-        see.see(self.now, &Fact::Due { message, class, dest });
+        self.messages.push(Wanted {
+            dest,
+            class,
+            service,
+            tries: 0,
+            body,
+            by,
+        });
+        see.see(
+            self.now,
+            &Fact::Due {
+                message,
+                class,
+                dest,
+            },
+        );
         self.front(message, 0);
     }
 
@@ -418,7 +478,12 @@
         let Some(seat) = s.seat(self.now, from, lobby::Comes::Whole) else {
             return self.turned_away(message, sender, ("no place", 500_000_000), see);
         };
-        let asked = s.ask(self.now, wanted.service, wanted.class, u64::from(wanted.body));
+        let asked = s.ask(
+            self.now,
+            wanted.service,
+            wanted.class,
+            u64::from(wanted.body),
+        );
         s.places.left(seat);
         let size = match asked {
             Ok(size) => size,
@@ -454,7 +519,14 @@
         (why, wait): (&'static str, Time),
         see: &mut dyn See,
     ) {
-        see.see(self.now, &Fact::TurnedAway { message, sender, why });
+        see.see(
+            self.now,
+            &Fact::TurnedAway {
+                message,
+                sender,
+                why,
+            },
+        );
         self.again(message, wait, see);
     }
 
@@ -472,12 +544,16 @@
 
     // Senders.
 
-    /// One turn of the module, and what it orders. `fresh` is a message that is only taken on if it is not refused here.
+    /// One turn of the module, and what it orders. `fresh` is a message that is only taken on if it
+    /// is not refused here.
     fn module(&mut self, sender: u16, event: Event, fresh: Option<MessageId>, see: &mut dyn See) {
         let actions = self.senders[usize::from(sender)].turn(self.now, event);
         if let Some(id) = fresh {
             let refused = actions.iter().find_map(|a| match a {
-                Action::Refuse { id: of, retry_after } if *of == id => Some(("module", *retry_after)),
+                Action::Refuse {
+                    id: of,
+                    retry_after,
+                } if *of == id => Some(("module", *retry_after)),
                 Action::Fail { id: of } if *of == id => Some(("failed at once", 0)),
                 _ => None,
             });
@@ -488,14 +564,24 @@
                 self.turned_away(message, sender, why, see);
             } else {
                 let Wanted { class, by, .. } = self.messages[message as usize];
-                see.see(self.now, &Fact::TakenOn { message, sender, class, by });
+                see.see(
+                    self.now,
+                    &Fact::TakenOn {
+                        message,
+                        sender,
+                        class,
+                        by,
+                    },
+                );
             }
         }
         for action in actions {
             match action {
-                Action::Send { id, endpoint, timeout } => {
-                    self.send(sender, id, route(endpoint), timeout, see)
-                }
+                Action::Send {
+                    id,
+                    endpoint,
+                    timeout,
+                } => self.send(sender, id, route(endpoint), timeout, see),
                 Action::Refuse { id, retry_after } => {
                     self.ends(sender, id, Verdict::Refused, retry_after, see)
                 }
@@ -523,13 +609,27 @@
     }
 
     /// The module gave a message up.
-    fn ends(&mut self, sender: u16, id: MessageId, verdict: Verdict, wait: Time, see: &mut dyn See) {
+    fn ends(
+        &mut self,
+        sender: u16,
+        id: MessageId,
+        verdict: Verdict,
+        wait: Time,
+        see: &mut dyn See,
+    ) {
         match self.fault {
             Some(Fault::Silent) => {}
             Some(Fault::Late) => {
                 if let Some(held) = self.senders[usize::from(sender)].held.get(&id) {
                     let by = self.messages[held.message as usize].by;
-                    self.at(by + SECOND, Ev::Late { sender, id, verdict });
+                    self.at(
+                        by + SECOND,
+                        Ev::Late {
+                            sender,
+                            id,
+                            verdict,
+                        },
+                    );
                 }
             }
             _ => self.answer(sender, id, verdict, wait, see),
@@ -537,11 +637,24 @@
     }
 
     /// A message gets its final answer.
-    fn answer(&mut self, sender: u16, id: MessageId, verdict: Verdict, wait: Time, see: &mut dyn See) {
+    fn answer(
+        &mut self,
+        sender: u16,
+        id: MessageId,
+        verdict: Verdict,
+        wait: Time,
+        see: &mut dyn See,
+    ) {
         let s = &mut self.senders[usize::from(sender)];
-        let Some(held) = s.let_go(self.now, id, verdict == Verdict::Delivered) else { return };
+        let Some(held) = s.let_go(self.now, id, verdict == Verdict::Delivered) else {
+            return;
+        };
         let message = held.message;
-        let ended = Fact::Ended { message, sender, verdict };
+        let ended = Fact::Ended {
+            message,
+            sender,
+            verdict,
+        };
         see.see(self.now, &ended);
         if self.fault == Some(Fault::Twice) {
             see.see(self.now, &ended);
@@ -552,9 +665,18 @@
     }
 
     fn send(&mut self, sender: u16, id: MessageId, route: u32, timeout: Time, see: &mut dyn See) {
-        let Some(held) = self.senders[usize::from(sender)].held.get(&id) else { return };
+        let Some(held) = self.senders[usize::from(sender)].held.get(&id) else {
+            return;
+        };
         let attempt = held.attempts;
-        self.call(sender, (id, held.message, attempt), route, timeout, false, see);
+        self.call(
+            sender,
+            (id, held.message, attempt),
+            route,
+            timeout,
+            false,
+            see,
+        );
         if self.fault == Some(Fault::Parallel) {
             let message = self.senders[usize::from(sender)].held[&id].message;
             self.call(sender, (id, message, attempt), route, timeout, true, see);
@@ -577,10 +699,21 @@
         };
         let deaf = matches!(self.fault, Some(Fault::Drains | Fault::Waits));
         let s = &mut self.senders[usize::from(sender)];
-        let forgot = self.fault == Some(Fault::Forgets) && s.warned.keys().any(|(of, _)| *of == dest);
+        let forgot =
+            self.fault == Some(Fault::Forgets) && s.warned.keys().any(|(of, _)| *of == dest);
         let admitted = stray || deaf || (s.admits(self.now, &self.world, route) && !forgot);
         let life = s.life;
-        let call = Out { sender, life, id, message, route, sent: self.now, timeout, attempt, stray };
+        let call = Out {
+            sender,
+            life,
+            id,
+            message,
+            route,
+            sent: self.now,
+            timeout,
+            attempt,
+            stray,
+        };
         let no = match self.spare.pop() {
             Some(no) => {
                 self.calls[no as usize] = call;
@@ -599,9 +732,24 @@
         }
         if !admitted {
             // Nothing was sent; the module hears it in a turn of its own.
-            return self.at(self.now, Ev::Over { call: no, outcome: Outcome::Moot });
+            return self.at(
+                self.now,
+                Ev::Over {
+                    call: no,
+                    outcome: Outcome::Moot,
+                },
+            );
         }
-        see.see(self.now, &Fact::Call { message, sender, endpoint: route, dest, zone });
+        see.see(
+            self.now,
+            &Fact::Call {
+                message,
+                sender,
+                endpoint: route,
+                dest,
+                zone,
+            },
+        );
         let cost = (self.day.senders.cpu_us * 1e3) as Time;
         let idle_close = self.settings.idle_close;
         let conns = s.conns.entry(route).or_default();
@@ -613,10 +761,23 @@
             s.free = begins;
         }
         let way = self.way(sender, zone);
-        if let Some(most) = self.world.dests[usize::from(dest)].connections.filter(|_| !kept) {
-            let open: u32 = self.senders.iter().map(|s| s.connections(self.now, route, idle_close)).sum();
+        if let Some(most) = self.world.dests[usize::from(dest)]
+            .connections
+            .filter(|_| !kept)
+        {
+            let open: u32 = self
+                .senders
+                .iter()
+                .map(|s| s.connections(self.now, route, idle_close))
+                .sum();
             if open > most {
-                return self.at(begins + 2 * way, Ev::Over { call: no, outcome: Outcome::ConnectFailed });
+                return self.at(
+                    begins + 2 * way,
+                    Ev::Over {
+                        call: no,
+                        outcome: Outcome::ConnectFailed,
+                    },
+                );
             }
         }
         // A new connection takes a way there and back before anything is sent.
@@ -628,17 +789,46 @@
     fn call_over(&mut self, no: u32, outcome: Outcome, see: &mut dyn See) {
         let call = self.calls[no as usize].clone();
         self.spare.push(no);
-        let Out { sender, life, id, message, route, sent, attempt, stray, .. } = call;
+        let Out {
+            sender,
+            life,
+            id,
+            message,
+            route,
+            sent,
+            attempt,
+            stray,
+            ..
+        } = call;
         if !self.is_of(sender, life) {
             return;
         }
         if outcome != Outcome::Moot {
-            see.see(self.now, &Fact::Answer { message, sender, endpoint: route, outcome });
-            let conns = self.senders[usize::from(sender)].conns.entry(route).or_default();
+            see.see(
+                self.now,
+                &Fact::Answer {
+                    message,
+                    sender,
+                    endpoint: route,
+                    outcome,
+                },
+            );
+            let conns = self.senders[usize::from(sender)]
+                .conns
+                .entry(route)
+                .or_default();
             conns.out = conns.out.saturating_sub(1);
         }
         if self.fault == Some(Fault::Pushes) && matches!(outcome, Outcome::Full { .. }) {
-            self.at(self.now + PUSH, Ev::Push { sender, life, id, route });
+            self.at(
+                self.now + PUSH,
+                Ev::Push {
+                    sender,
+                    life,
+                    id,
+                    route,
+                },
+            );
         }
         if stray {
             return;
@@ -650,8 +840,10 @@
         let apart = self.world.dests[usize::from(dest)].apart;
         let cold = self.world.rules.warm_after;
         let s = &mut self.senders[usize::from(sender)];
-        let unsure =
-            matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+        let unsure = matches!(
+            outcome,
+            Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+        );
         if let Some(held) = s.held.get_mut(&id) {
             held.out = None;
             if unsure {
@@ -659,7 +851,8 @@
             }
         }
         if !matches!(outcome, Outcome::Ok | Outcome::Moot) && self.world.is_out(route, self.now) {
-            s.warned.insert((dest, apart.then_some(route)), self.now + cold);
+            s.warned
+                .insert((dest, apart.then_some(route)), self.now + cold);
         }
         if matches!(outcome, Outcome::Ok | Outcome::Full { .. } | Outcome::Error) {
             let conns = s.conns.entry(route).or_default();
@@ -672,7 +865,15 @@
                 let until = self.now + wait;
                 let told = s.waits.entry((dest, endpoint)).or_insert(0);
                 *told = until.max(*told);
-                see.see(self.now, &Fact::Wait { sender, dest, endpoint, until });
+                see.see(
+                    self.now,
+                    &Fact::Wait {
+                        sender,
+                        dest,
+                        endpoint,
+                        until,
+                    },
+                );
             }
             if self.fault == Some(Fault::Waits) {
                 heard = Outcome::Full { wait: 0 };
@@ -686,7 +887,11 @@
         if known && self.fault == Some(Fault::Repeats) && unsure {
             // At once, in any building, and without the module.
             let routes = self.world.dests[usize::from(dest)].endpoints.clone();
-            let other = routes.iter().find(|r| **r != route).copied().unwrap_or(route);
+            let other = routes
+                .iter()
+                .find(|r| **r != route)
+                .copied()
+                .unwrap_or(route);
             self.call(sender, (id, message, attempt), other, SECOND, true, see);
         }
         let event = Event::Ended {
@@ -706,12 +911,23 @@
     fn way(&mut self, sender: u16, zone: u16) -> Time {
         let network = &self.day.network;
         let home = self.world.homes[usize::from(sender)];
-        let range = if home == zone { network.within_ms } else { network.across_ms };
+        let range = if home == zone {
+            network.within_ms
+        } else {
+            network.across_ms
+        };
         seconds(self.dice.network.from(range) / 1e3)
     }
 
     fn call_comes(&mut self, no: u32, see: &mut dyn See) {
-        let Out { sender, life, route, sent, timeout, .. } = self.calls[no as usize];
+        let Out {
+            sender,
+            life,
+            route,
+            sent,
+            timeout,
+            ..
+        } = self.calls[no as usize];
         let gives_up = sent + timeout;
         if !self.is_of(sender, life) {
             self.spare.push(no);
@@ -721,7 +937,10 @@
         let back = self.way(sender, r.zone);
         let over = |outcome| Ev::Over { call: no, outcome };
         if r.condition == Condition::Gone {
-            return self.at((self.now + back).min(gives_up), over(Outcome::ConnectFailed));
+            return self.at(
+                (self.now + back).min(gives_up),
+                over(Outcome::ConnectFailed),
+            );
         }
         let breaks = self.day.network.breaks;
         if self.dice.network.is(breaks) {
@@ -729,14 +948,26 @@
         }
         let warned = {
             let s = &self.senders[usize::from(sender)];
-            let of = (r.dest, self.world.dests[usize::from(r.dest)].apart.then_some(route));
+            let of = (
+                r.dest,
+                self.world.dests[usize::from(r.dest)].apart.then_some(route),
+            );
             s.warned.get(&of).is_some_and(|until| self.now < *until)
         };
-        let Some((said, at, fell)) = self.world.call(route, self.now, warned, &mut self.dice.partners) else {
+        let Some((said, at, fell)) =
+            self.world
+                .call(route, self.now, warned, &mut self.dice.partners)
+        else {
             return self.at(gives_up, over(Outcome::Timeout));
         };
         if let Some(warned) = fell {
-            see.see(self.now, &Fact::Toppled { dest: r.dest, warned });
+            see.see(
+                self.now,
+                &Fact::Toppled {
+                    dest: r.dest,
+                    warned,
+                },
+            );
         }
         let outcome = match said {
             Said::Ok => Outcome::Ok,
@@ -763,7 +994,10 @@
         self.changes.push((route, condition));
         let upto = self.changes.len();
         for sender in 0..self.senders.len() as u16 {
-            let (life, at) = (self.senders[usize::from(sender)].life, self.now + self.lateness());
+            let (life, at) = (
+                self.senders[usize::from(sender)].life,
+                self.now + self.lateness(),
+            );
             self.at(at, Ev::News { sender, life, upto });
         }
     }
@@ -791,9 +1025,20 @@
     fn hears(&mut self, sender: u16, route: u32, condition: Condition, see: &mut dyn See) {
         let ready = condition == Condition::Ready;
         let gone = &mut self.senders[usize::from(sender)].gone;
-        let changed = if ready { gone.remove(&route).is_some() } else { gone.insert(route, ()).is_none() };
+        let changed = if ready {
+            gone.remove(&route).is_some()
+        } else {
+            gone.insert(route, ()).is_none()
+        };
         if changed {
-            see.see(self.now, &Fact::Listed { sender, endpoint: route, ready });
+            see.see(
+                self.now,
+                &Fact::Listed {
+                    sender,
+                    endpoint: route,
+                    ready,
+                },
+            );
         }
     }
 
@@ -803,8 +1048,10 @@
         if !std::mem::replace(&mut s.blind, true) {
             self.module(sender, Event::ListFailed, None, see);
         }
-        let (life, after) =
-            (self.senders[usize::from(sender)].life, seconds(self.dice.directory.from(ASK_AGAIN)));
+        let (life, after) = (
+            self.senders[usize::from(sender)].life,
+            seconds(self.dice.directory.from(ASK_AGAIN)),
+        );
         self.at(self.now + after, Ev::List { sender, life });
     }
 
@@ -818,7 +1065,10 @@
             .map(|r| self.world.listing(r, Condition::Ready))
             .collect();
         self.module(sender, Event::CachedList(lines), None, see);
-        let (life, at) = (self.senders[usize::from(sender)].life, self.now + self.lateness());
+        let (life, at) = (
+            self.senders[usize::from(sender)].life,
+            self.now + self.lateness(),
+        );
         self.at(at, Ev::List { sender, life });
     }
 
@@ -853,7 +1103,8 @@
         };
         match (trouble.what, begins) {
             (What::SendersDie { share }, true) => {
-                let count = (self.dice.troubles.from(share) * self.senders.len() as f64).round() as usize;
+                let count =
+                    (self.dice.troubles.from(share) * self.senders.len() as f64).round() as usize;
                 let mut order: Vec<u16> = (0..self.senders.len() as u16).collect();
                 self.dice.troubles.shuffle(&mut order);
                 for sender in order.into_iter().take(count) {
@@ -864,10 +1115,15 @@
                 let step = long / self.senders.len().max(1) as u64;
                 for sender in 0..self.senders.len() as u16 {
                     let down = seconds(self.dice.troubles.from(down_s));
-                    self.at(self.now + step * u64::from(sender), Ev::Die { sender, down });
+                    self.at(
+                        self.now + step * u64::from(sender),
+                        Ev::Die { sender, down },
+                    );
                 }
             }
-            (What::DirectoryBehind { by_s }, true) => self.behind = seconds(self.dice.troubles.from(by_s)),
+            (What::DirectoryBehind { by_s }, true) => {
+                self.behind = seconds(self.dice.troubles.from(by_s))
+            }
             (What::DirectoryBehind { .. }, false) => self.behind = 0,
             (What::DirectoryDown, _) => {
                 self.down = begins;
@@ -892,7 +1148,10 @@
                 self.each_route(&hit, |_, limit| limit.shut(Time::MAX / 2));
                 self.struck[number] = hit;
             }
-            (What::PartnersFail { .. } | What::PartnersHang { .. } | What::PartnersShut { .. }, false) => {
+            (
+                What::PartnersFail { .. } | What::PartnersHang { .. } | What::PartnersShut { .. },
+                false,
+            ) => {
                 let (hit, now) = (std::mem::take(&mut self.struck[number]), self.now);
                 let mild = matches!(trouble.what, What::PartnersFail { .. });
                 let mut cold = true;
@@ -924,7 +1183,8 @@
             }
             (What::Surge { partners, more }, true) => {
                 let more = self.dice.troubles.from(more);
-                self.surges.push((more, self.world.largest(partners as usize)));
+                self.surges
+                    .push((more, self.world.largest(partners as usize)));
             }
             (What::Surge { .. }, false) => {
                 if !self.surges.is_empty() {
@@ -947,7 +1207,10 @@
                     }
                 }
             }
-            (What::SendersDie { .. } | What::SendersRestart { .. } | What::Replaced { .. }, false) => {}
+            (
+                What::SendersDie { .. } | What::SendersRestart { .. } | What::Replaced { .. },
+                false,
+            ) => {}
         }
     }
 
@@ -993,7 +1256,8 @@
         for held in s.held.values_mut() {
             if let Some(out) = held.out.take() {
                 let call = &self.calls[out as usize];
-                held.ran.get_or_insert((call.sent, self.world.routes[call.route as usize].zone));
+                held.ran
+                    .get_or_insert((call.sent, self.world.routes[call.route as usize].zone));
             }
         }
         s.die(self.now);
@@ -1013,11 +1277,15 @@
         for mut h in held {
             let wanted = self.messages[h.message as usize].clone();
             let id = self.senders[usize::from(sender)].number();
-            let past = Past { attempts: h.attempts, ran: h.ran.map(|(at, zone)| (self.now - at, zone)) };
+            let past = Past {
+                attempts: h.attempts,
+                ran: h.ran.map(|(at, zone)| (self.now - at, zone)),
+            };
             h.since = self.now;
             self.senders[usize::from(sender)].again(id, h);
             if self.now >= wanted.by {
-                // Its time ran out while nobody was there to answer; the checker counts from the first moment there is.
+                // Its time ran out while nobody was there to answer; the checker counts from the
+                // first moment there is.
                 self.answer(sender, id, Verdict::Failed, 0, see);
                 continue;
             }
@@ -1036,7 +1304,9 @@
     }
 
     fn flood(&mut self, number: usize, sender: u16) {
-        let What::Flood { per_second } = self.day.troubles[number].what else { return };
+        let What::Flood { per_second } = self.day.troubles[number].what else {
+            return;
+        };
         if !self.floods[number] {
             return;
         }
@@ -1044,7 +1314,10 @@
         if s.up {
             let life = s.life;
             if let Some(seat) = s.seat(self.now, flood(), lobby::Comes::Silent) {
-                self.at(self.now + FLOOD_HOLDS, Ev::FloodLeaves { sender, life, seat });
+                self.at(
+                    self.now + FLOOD_HOLDS,
+                    Ev::FloodLeaves { sender, life, seat },
+                );
             }
         }
         let gap = seconds(self.dice.troubles.gap(1.0 / per_second.max(1e-9)));
--- a/lab/src/tables.rs
+++ b/lab/src/tables.rs
@@ -1,6 +1,8 @@
-//! Routing tables agreed by all sites of a federation, in virtual time: the keepers' own machines ([`Switch`], [`Record`], [`Federation`]) with
-//! senders, sessions and lines round them that are simpler than the program's. The sites' consensus is an agreed log with the delays of one:
-//! a way to the site that leads, a round trip and a write for a majority, a way back. All is drawn from one seed.
+//! Routing tables agreed by all sites of a federation, in virtual time: the keepers' own machines
+//! ([`Switch`], [`Record`], [`Federation`]) with senders, sessions and lines round them that are
+//! simpler than the program's. The sites' consensus is an agreed log with the delays of one: a way
+//! to the site that leads, a round trip and a write for a majority, a way back. All is drawn from
+//! one seed.
 
 use crate::due::At;
 use raildeal::keeper::ears::OFFERS;
@@ -38,7 +40,8 @@
 const REPORT: Time = 200 * MS;
 /// Until another keeper leads, from when one died.
 const ELECTION: Time = 2 * SECOND;
-/// The first proposal; those that follow come when the last one is in use everywhere, as much later.
+/// The first proposal; those that follow come when the last one is in use everywhere, as much
+/// later.
 const PROPOSED: Time = 2 * SECOND;
 /// A play without an end of its own ends so long after the last trouble.
 const MOST: Time = 120 * SECOND;
@@ -86,7 +89,8 @@
     pub held: u64,
     /// Proposals that ended nowhere, and why.
     pub nowhere: Vec<String>,
-    /// What must not be: two tables in a site, three in use, one that was not decided, work beyond the lease.
+    /// What must not be: two tables in a site, three in use, one that was not decided, work beyond
+    /// the lease.
     pub broken: Vec<String>,
     /// All that was to be agreed was, or ended nowhere, and all senders go by the last one.
     pub done: bool,
@@ -166,7 +170,13 @@
 pub fn play(play: &Play) -> Played {
     let mut federation = Federation::default();
     for site in 1..=play.sites as u64 {
-        federation.apply(site, &federation::Command::Join { site, name: format!("s{site}") });
+        federation.apply(
+            site,
+            &federation::Command::Join {
+                site,
+                name: format!("s{site}"),
+            },
+        );
     }
     let known = Arc::new(federation.clone());
     let site = |at: usize| Site {
@@ -183,7 +193,12 @@
         senders: (0..play.senders).filter(|n| n % play.sites == at).collect(),
         said: Vec::new(),
     };
-    let sender = |n: usize| Sender { name: name(n), site: n % play.sites, line: 1, ..Sender::default() };
+    let sender = |n: usize| Sender {
+        name: name(n),
+        site: n % play.sites,
+        line: 1,
+        ..Sender::default()
+    };
     let mut world = World {
         rng: Pcg64Mcg::seed_from_u64(play.seed),
         now: 0,
@@ -332,7 +347,8 @@
             return;
         }
         if !matches!(command, federation::Command::Propose { .. }) {
-            let again = |(c, at): &(federation::Command, Time)| *c == command && self.now < *at + SECOND;
+            let again =
+                |(c, at): &(federation::Command, Time)| *c == command && self.now < *at + SECOND;
             if site.said.iter().any(again) {
                 return;
             }
@@ -355,7 +371,11 @@
             self.decision = now;
             self.played.decided.push(now - self.proposed);
         } else if self.federation.past.len() > past {
-            let why = self.federation.past.back().map_or(String::new(), |p| p.end.clone());
+            let why = self
+                .federation
+                .past
+                .back()
+                .map_or(String::new(), |p| p.end.clone());
             self.played.nowhere.push(why);
             self.over();
         }
@@ -382,7 +402,11 @@
         self.at(now + TICK, Event::Tick);
         if now % SECOND == 0 {
             let ms = 1_000;
-            self.agrees(&federation::Command::Beat { term: 1, beat: now, ms });
+            self.agrees(&federation::Command::Beat {
+                term: 1,
+                beat: now,
+                ms,
+            });
         }
         let asks = now >= self.asks;
         self.asks += if asks { ASKS } else { 0 };
@@ -396,13 +420,23 @@
             if asks && now >= site.cut {
                 // It counts from when it asked; the site that leads, from when it answers.
                 site.counted = site.counted.max(now + 2 * WAY + LEASE);
-                self.at(now + 2 * WAY, Event::Granted(at, term, now + LEASE / 100 * 98));
+                self.at(
+                    now + 2 * WAY,
+                    Event::Granted(at, term, now + LEASE / 100 * 98),
+                );
             }
             let site = &mut self.sites[at];
             if now >= site.beat + SECOND / 2 {
                 let ms = ((now - site.beat) / MS) as u32;
                 site.beat = now;
-                self.apply(at, &Command::Beat { term, beat: now, ms });
+                self.apply(
+                    at,
+                    &Command::Beat {
+                        term,
+                        beat: now,
+                        ms,
+                    },
+                );
             }
             self.tick(at);
         }
@@ -429,18 +463,33 @@
         let at = self.senders[n].site;
         let site = &mut self.sites[at];
         // A leader renews nothing while its site has to be held and the record does not say so yet.
-        let bars = site.switch.as_ref().is_some_and(|switch| switch.bars(&site.record));
-        let Some(switch) = site.switch.as_mut().filter(|_| !bars) else { return };
+        let bars = site
+            .switch
+            .as_ref()
+            .is_some_and(|switch| switch.bars(&site.record));
+        let Some(switch) = site.switch.as_mut().filter(|_| !bars) else {
+            return;
+        };
         let s = &mut self.senders[n];
         s.lease = now + SENDER_LEASE / 100 * 98;
         if !s.open {
             s.open = true;
             let live = site.record.roster.get(&name(n)).is_some_and(|m| m.live);
             switch.meet(&name(n), 1);
-            let (line, has) = (s.line, s.stored.iter().map(|(number, print)| (*number, *print)).collect());
+            let (line, has) = (
+                s.line,
+                s.stored
+                    .iter()
+                    .map(|(number, print)| (*number, *print))
+                    .collect(),
+            );
             if !live {
                 let term = site.term;
-                let join = Command::Join { sender: name(n), boot: 1, zone: "z".into() };
+                let join = Command::Join {
+                    sender: name(n),
+                    boot: 1,
+                    zone: "z".into(),
+                };
                 self.at(now + COMMIT, Event::Applies(at, term, join));
             }
             self.at(now + NEAR, Event::ToSite(n, line, FromSender::Has(has)));
@@ -475,7 +524,9 @@
         let leader = 1;
         let all: BTreeSet<u64> = (1..=self.sites.len() as u64).collect();
         let site = &mut self.sites[at];
-        let Some(switch) = &mut site.switch else { return };
+        let Some(switch) = &mut site.switch else {
+            return;
+        };
         let heard = if now < site.cut { BTreeSet::new() } else { all };
         let known = Known {
             name: "f".into(),
@@ -504,7 +555,9 @@
                 let s = &self.senders[n];
                 if s.open && site.record.roster.contains_key(&s.name) {
                     let record = &site.record;
-                    switch.say(now, &s.name, record, &mut offers, &mut |word| says.push((n, s.line, word)));
+                    switch.say(now, &s.name, record, &mut offers, &mut |word| {
+                        says.push((n, s.line, word))
+                    });
                 }
             }
         }
@@ -519,7 +572,10 @@
                 Out::Site(change) => {
                     let site = &self.sites[at];
                     let (term, base) = (site.term, site.record.tables.turn);
-                    let command = Command::Table { base, change: Box::new(change) };
+                    let command = Command::Table {
+                        base,
+                        change: Box::new(change),
+                    };
                     self.at(self.now + COMMIT, Event::Applies(at, term, command));
                 }
                 Out::Federation(command) => self.brings(at, command),
@@ -535,7 +591,11 @@
         }
         match &word {
             ToSender::Offer { .. } => self.at(now + CHECK, Event::Stored(n, line, word)),
-            ToSender::Rule { turn, number, stance } => {
+            ToSender::Rule {
+                turn,
+                number,
+                stance,
+            } => {
                 if *turn < s.turn || now >= s.lease {
                     return;
                 }
@@ -562,7 +622,9 @@
 
     fn stores(&mut self, n: usize, line: u64, word: ToSender) {
         let now = self.now;
-        let ToSender::Offer { number, print, .. } = word else { return };
+        let ToSender::Offer { number, print, .. } = word else {
+            return;
+        };
         let refuses = self.play.refuses && n + 1 == self.senders.len();
         let s = &mut self.senders[n];
         if !refuses {
@@ -570,9 +632,15 @@
         }
         let refused = refuses.then(|| "it leaves no route".to_string());
         let (heard, turn) = (s.heard, s.turn);
-        self.at(now + NEAR, Event::ToSite(n, line, FromSender::Stored { number, refused }));
+        self.at(
+            now + NEAR,
+            Event::ToSite(n, line, FromSender::Stored { number, refused }),
+        );
         if heard == Some((number, Stance::Open)) && !refuses {
-            self.at(now + NEAR, Event::ToSite(n, line, FromSender::Rules { turn }));
+            self.at(
+                now + NEAR,
+                Event::ToSite(n, line, FromSender::Rules { turn }),
+            );
         }
         self.look(n);
     }
@@ -594,9 +662,9 @@
         let takes = heard.map(|h| h.0);
         let (was, at) = (std::mem::replace(&mut s.takes, takes), s.site);
         if takes.is_some() && now > self.sites[at].counted + FENCE {
-            self.played
-                .broken
-                .push(format!("{now}: sender {n} takes messages on beyond the lease of its site"));
+            self.played.broken.push(format!(
+                "{now}: sender {n} takes messages on beyond the lease of its site"
+            ));
         }
         if was == takes {
             return;
@@ -608,7 +676,9 @@
             *self.uses.entry(number).or_default() += 1;
             let two = |m: &usize| self.senders[*m].takes.is_some_and(|other| other != number);
             if self.sites[at].senders.iter().any(two) {
-                self.played.broken.push(format!("{now}: two tables in site {at}"));
+                self.played
+                    .broken
+                    .push(format!("{now}: two tables in site {at}"));
             }
         }
         self.uses.retain(|_, count| *count > 0);
@@ -620,7 +690,9 @@
             _ => false,
         };
         if !follow {
-            self.played.broken.push(format!("{now}: in use are {:?}", self.uses));
+            self.played
+                .broken
+                .push(format!("{now}: in use are {:?}", self.uses));
         }
     }
 }
@@ -636,7 +708,8 @@
     pub sites: usize,
     /// Tables that were decided.
     pub decided: usize,
-    /// From a person's word to the decision: in the middle, and the longest; and the same in round trips of 30 ms.
+    /// From a person's word to the decision: in the middle, and the longest; and the same in round
+    /// trips of 30 ms.
     pub decided_ms: [u64; 2],
     /// See above.
     pub decided_trips: [f64; 2],
@@ -648,7 +721,8 @@
     pub pause_ms: [u64; 2],
     /// Pauses that were taken back, in all plays.
     pub taken_back: u64,
-    /// With a tenth of the sites cut off for 5 s and 25 s: from the person's word until all go by it.
+    /// With a tenth of the sites cut off for 5 s and 25 s: from the person's word until all go by
+    /// it.
     pub cut_ms: Vec<u64>,
     /// Senders that were held meanwhile.
     pub held: u64,
@@ -667,14 +741,28 @@
 fn two(times: &[Time]) -> [Time; 2] {
     let mut times = times.to_vec();
     times.sort_unstable();
-    [times.get(times.len() / 2).copied().unwrap_or(0) / MS, times.last().copied().unwrap_or(0) / MS]
+    [
+        times.get(times.len() / 2).copied().unwrap_or(0) / MS,
+        times.last().copied().unwrap_or(0) / MS,
+    ]
 }
 
-/// Plays one calm federation, some with sites that are cut off or whose leaders die, and one with a sender that refuses.
+/// Plays one calm federation, some with sites that are cut off or whose leaders die, and one with a
+/// sender that refuses.
 pub fn figures(senders: usize, sites: usize, seed: u64) -> Figures {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let calm = Play { senders, sites, seed, tables: 3, refuses: false, troubles: Vec::new() };
-    let mut figures = Figures { sites, ..Figures::default() };
+    let calm = Play {
+        senders,
+        sites,
+        seed,
+        tables: 3,
+        refuses: false,
+        troubles: Vec::new(),
+    };
+    let mut figures = Figures {
+        sites,
+        ..Figures::default()
+    };
     let see = |figures: &mut Figures, what: &str, played: &Played, decided: u64| {
         let wrong = played.broken.iter().map(|b| format!("{what}: {b}")).chain(
             (!played.done || played.decided.len() as u64 != decided).then(|| {
@@ -698,27 +786,55 @@
     let trips = |ms: [u64; 2]| ms.map(|ms| (ms * MS) as f64 / (2 * WAY) as f64);
     figures.decided_ms = two(&played.decided);
     figures.switched_ms = two(&played.switched);
-    (figures.decided_trips, figures.switched_trips) = (trips(figures.decided_ms), trips(figures.switched_ms));
+    (figures.decided_trips, figures.switched_trips) =
+        (trips(figures.decided_ms), trips(figures.switched_ms));
     figures.pause_ms = two(&played.pauses);
     for lasts in [5 * SECOND, 25 * SECOND] {
         // The first site leads the others; it is not cut off, as who leads then is not played here.
         let which = (1..sites).filter(|at| at % 10 == 1);
-        let cut = which.map(|at| (PROPOSED + rng.random_range(0..150 * MS), Trouble::Cut(at, lasts)));
-        let played = play(&Play { tables: 1, troubles: cut.collect(), ..calm.clone() });
+        let cut = which.map(|at| {
+            (
+                PROPOSED + rng.random_range(0..150 * MS),
+                Trouble::Cut(at, lasts),
+            )
+        });
+        let played = play(&Play {
+            tables: 1,
+            troubles: cut.collect(),
+            ..calm.clone()
+        });
         see(&mut figures, "cut off", &played, 1);
-        let all = played.decided.iter().zip(&played.switched).map(|(d, s)| (d + s) / MS).max();
+        let all = played
+            .decided
+            .iter()
+            .zip(&played.switched)
+            .map(|(d, s)| (d + s) / MS)
+            .max();
         figures.cut_ms.push(all.unwrap_or(0));
     }
     for _ in 0..5 {
         let which = (0..sites).filter(|at| at % 5 == 0);
         let dies = which.map(|at| (PROPOSED + rng.random_range(0..300 * MS), Trouble::Dies(at)));
-        let played = play(&Play { tables: 1, troubles: dies.collect(), ..calm.clone() });
+        let played = play(&Play {
+            tables: 1,
+            troubles: dies.collect(),
+            ..calm.clone()
+        });
         see(&mut figures, "leaders die", &played, 1);
-        let all = played.decided.iter().zip(&played.switched).map(|(d, s)| (d + s) / MS).max();
+        let all = played
+            .decided
+            .iter()
+            .zip(&played.switched)
+            .map(|(d, s)| (d + s) / MS)
+            .max();
         figures.died_ms = figures.died_ms.max(all.unwrap_or(0));
         figures.died_pause_ms = figures.died_pause_ms.max(two(&played.pauses)[1]);
     }
-    let played = play(&Play { tables: 1, refuses: true, ..calm });
+    let played = play(&Play {
+        tables: 1,
+        refuses: true,
+        ..calm
+    });
     see(&mut figures, "refused", &played, 0);
     figures.refused = played.nowhere;
     figures
--- a/lab/src/tally.rs
+++ b/lab/src/tally.rs
@@ -96,17 +96,26 @@
     /// What it came to.
     pub fn sum(&self) -> Sum {
         let part = |seconds: &[Second]| {
-            let (asked, gained) = seconds.iter().fold((0.0, 0.0), |s, n| (s.0 + n.asked, s.1 + n.gained));
+            let (asked, gained) = seconds
+                .iter()
+                .fold((0.0, 0.0), |s, n| (s.0 + n.asked, s.1 + n.gained));
             if asked > 0.0 {
                 gained / asked
             } else {
                 1.0
             }
         };
-        let asked = self.seconds.iter().rposition(|s| s.asked > 0.0).map_or(0, |n| n + 1);
+        let asked = self
+            .seconds
+            .iter()
+            .rposition(|s| s.asked > 0.0)
+            .map_or(0, |n| n + 1);
         let seconds = &self.seconds[..asked];
         let service = part(seconds);
-        let worst = seconds.windows(WORST.0.min(asked.max(1))).map(part).fold(1.0, f64::min);
+        let worst = seconds
+            .windows(WORST.0.min(asked.max(1)))
+            .map(part)
+            .fold(1.0, f64::min);
         let at = |q: f64| self.ages.value_at_quantile(q) as f64 / 1e6;
         let count = |what| self.counts.get(what).copied().unwrap_or(0);
         Sum {
@@ -114,7 +123,11 @@
             service,
             worst,
             messages: count("due"),
-            counts: self.counts.iter().map(|(what, n)| (what.to_string(), *n)).collect(),
+            counts: self
+                .counts
+                .iter()
+                .map(|(what, n)| (what.to_string(), *n))
+                .collect(),
             calls_each: count("calls") as f64 / count("delivered").max(1) as f64,
             ages: [0.5, 0.9, 0.99, 0.999, 0.9999].map(at),
         }
@@ -135,13 +148,19 @@
                 self.count(why);
                 self.second(now).refused += 1;
             }
-            Fact::Ended { message, verdict, .. } => match verdict {
+            Fact::Ended {
+                message, verdict, ..
+            } => match verdict {
                 Verdict::Delivered => {
                     self.count("delivered");
                     if let Some((due, class)) = self.due.remove(&message) {
                         let class = &self.settings.classes[usize::from(class)];
                         let (age, decay) = (now - due, self.settings.decay);
-                        let worth = if age < class.deadline { class.worth_after(age, decay) } else { 0.0 };
+                        let worth = if age < class.deadline {
+                            class.worth_after(age, decay)
+                        } else {
+                            0.0
+                        };
                         self.second(due).gained += worth;
                         self.ages.saturating_record(age / 1000);
                         let second = self.second(now);
