--- a/rig/src/routing.rs
+++ b/rig/src/routing.rs
@@ -1,9 +1,10 @@
-//! Routing tables as stand-ins see them. Each table of a play sends all messages to some zones alone, so that where a call comes to tells
-//! what it may have been made under. What may never be seen, judged by that alone, by what clients sent and heard, and by when which
-//! order was given.
+//! Routing tables as stand-ins see them. Each table of a play sends all messages to some zones
+//! alone, so that where a call comes to tells what it may have been made under. What may never be
+//! seen, judged by that alone, by what clients sent and heard, and by when which order was given.
 //!
-//! The list alone sends to any zone. It is over for certain where a second table was taken as a proposal, as that waits for all sites to
-//! go by the first one; from then on each call tells its table where tables that follow each other have no zone in common.
+//! The list alone sends to any zone. It is over for certain where a second table was taken as a
+//! proposal, as that waits for all sites to go by the first one; from then on each call tells its
+//! table where tables that follow each other have no zone in common.
 
 use crate::record::Life;
 use crate::rules::Switch;
@@ -57,7 +58,8 @@
     /// A site that is away takes nothing new on after so long.
     lease: Option<Duration>,
     away: Vec<Away>,
-    /// Sites that are off the roster: when a person heard so, and when an order to join again was given.
+    /// Sites that are off the roster: when a person heard so, and when an order to join again was
+    /// given.
     off: Vec<Away>,
 }
 
@@ -80,7 +82,8 @@
     site: &'a str,
     called: Instant,
     zone: &'a str,
-    /// The earliest table that it can be, as a position among those that may come into force; nothing where it can be none.
+    /// The earliest table that it can be, as a position among those that may come into force;
+    /// nothing where it can be none.
     at: Option<usize>,
     /// What forbids earlier ones, and which they are.
     floor: (usize, Option<Since>),
@@ -95,7 +98,8 @@
     }
 
     fn fits(&self, zone: &str, at: Instant) -> bool {
-        self.0.is_none_or(|p| p.given <= at && p.zones.contains(zone))
+        self.0
+            .is_none_or(|p| p.given <= at && p.zones.contains(zone))
     }
 
     fn is_sure(&self) -> bool {
@@ -121,41 +125,65 @@
 
     /// A site is away from now on, or is no more.
     pub fn away(&mut self, site: &str, away: bool, now: Instant) {
-        let open = self.away.iter_mut().find(|a| a.site == site && a.till.is_none());
+        let open = self
+            .away
+            .iter_mut()
+            .find(|a| a.site == site && a.till.is_none());
         match (open, away) {
             (Some(open), false) => open.till = Some(now),
-            (None, true) => self.away.push(Away { site: site.into(), from: now, till: None }),
+            (None, true) => self.away.push(Away {
+                site: site.into(),
+                from: now,
+                till: None,
+            }),
             _ => {}
         }
     }
 
     /// A site is off the roster.
     pub fn off(&mut self, site: &str, now: Instant) {
-        self.off.push(Away { site: site.into(), from: now, till: None });
+        self.off.push(Away {
+            site: site.into(),
+            from: now,
+            till: None,
+        });
     }
 
     /// An order that it joins again is given.
     pub fn joins(&mut self, site: &str, now: Instant) {
-        let of_site = self.off.iter_mut().filter(|o| o.site == site && o.till.is_none());
+        let of_site = self
+            .off
+            .iter_mut()
+            .filter(|o| o.site == site && o.till.is_none());
         of_site.for_each(|o| o.till = Some(now));
     }
 
     fn tables(&self) -> Vec<Table<'_>> {
         let may = self.proposed.iter().filter(|p| p.ends != Ends::Nowhere);
-        std::iter::once(Table(None)).chain(may.map(|p| Table(Some(p)))).collect()
+        std::iter::once(Table(None))
+            .chain(may.map(|p| Table(Some(p))))
+            .collect()
     }
 
     /// From when on no site goes by what comes before which position: proposals wait for all sites.
     fn over(&self, tables: &[Table]) -> Vec<(Instant, usize)> {
-        let taken = self.proposed.iter().enumerate().filter_map(|(n, p)| Some((n, p.taken?)));
+        let taken = self
+            .proposed
+            .iter()
+            .enumerate()
+            .filter_map(|(n, p)| Some((n, p.taken?)));
         let floor = |n: usize| {
             let is_before = |t: &Proposed| self.proposed[..n].iter().any(|p| std::ptr::eq(p, t));
-            tables.iter().rposition(|t| t.is_sure() && t.0.is_none_or(is_before)).unwrap_or(0)
+            tables
+                .iter()
+                .rposition(|t| t.is_sure() && t.0.is_none_or(is_before))
+                .unwrap_or(0)
         };
         taken.map(|(n, taken)| (taken, floor(n))).collect()
     }
 
-    /// All calls, by when their messages were handed in, each at the earliest table that it can be under.
+    /// All calls, by when their messages were handed in, each at the earliest table that it can be
+    /// under.
     fn placed<'a>(&'a self, lives: &'a BTreeMap<String, Life>) -> Vec<Placed<'a>> {
         let tables = self.tables();
         let over = self.over(&tables);
@@ -163,7 +191,12 @@
         let mut messages: Vec<(Instant, &str, &Life, &str)> = lives
             .iter()
             .filter_map(|(id, life)| {
-                Some((life.handed_at?, id.as_str(), life, self.sites.get(&life.by)?.as_str()))
+                Some((
+                    life.handed_at?,
+                    id.as_str(),
+                    life,
+                    self.sites.get(&life.by)?.as_str(),
+                ))
             })
             .collect();
         messages.sort_by_key(|(handed, id, ..)| (*handed, *id));
@@ -181,24 +214,49 @@
                 *known = at.max(*known);
                 elsewhere = elsewhere.max(before(at));
             }
-            let ordered = over.iter().filter(|(taken, _)| *taken < handed).map(|(_, at)| *at).max();
+            let ordered = over
+                .iter()
+                .filter(|(taken, _)| *taken < handed)
+                .map(|(_, at)| *at)
+                .max();
             let known = [
                 (here.get(site).copied().unwrap_or(0), Since::Here),
                 (elsewhere, Since::Elsewhere),
                 (ordered.unwrap_or(0), Since::Ordered),
             ];
-            let floor = known.into_iter().filter(|(at, _)| *at > 0).fold((0, None), |f, (at, why)| {
-                if at > f.0 {
-                    (at, Some(why))
-                } else {
-                    f
-                }
-            });
+            let floor =
+                known
+                    .into_iter()
+                    .filter(|(at, _)| *at > 0)
+                    .fold(
+                        (0, None),
+                        |f, (at, why)| {
+                            if at > f.0 {
+                                (at, Some(why))
+                            } else {
+                                f
+                            }
+                        },
+                    );
             for (called, zone) in &life.calls {
-                let fits = tables.iter().skip(floor.0).position(|t| t.fits(zone, *called));
+                let fits = tables
+                    .iter()
+                    .skip(floor.0)
+                    .position(|t| t.fits(zone, *called));
                 let at = fits.map(|n| floor.0 + n);
-                to_come.extend(at.filter(|at| *at > 0).map(|at| Reverse((*called, site, at))));
-                placed.push(Placed { id, life, site, called: *called, zone, at, floor });
+                to_come.extend(
+                    at.filter(|at| *at > 0)
+                        .map(|at| Reverse((*called, site, at))),
+                );
+                placed.push(Placed {
+                    id,
+                    life,
+                    site,
+                    called: *called,
+                    zone,
+                    at,
+                    floor,
+                });
             }
         }
         placed
@@ -213,13 +271,18 @@
             let by = &placed.life.by;
             let Some(at) = placed.at else {
                 let (known, why) = (tables[placed.floor.0].name(), placed.floor.1);
-                let nowhere =
-                    self.proposed.iter().find(|p| p.ends == Ends::Nowhere && p.zones.contains(zone));
-                let nowhere =
-                    nowhere.map_or(String::new(), |p| format!("; {}, which is nowhere, would", p.name));
+                let nowhere = self
+                    .proposed
+                    .iter()
+                    .find(|p| p.ends == Ends::Nowhere && p.zones.contains(zone));
+                let nowhere = nowhere.map_or(String::new(), |p| {
+                    format!("; {}, which is nowhere, would", p.name)
+                });
                 let why = match why {
                     Some(Since::Here) => "its site had called by before",
-                    Some(Since::Elsewhere) => "all sites had gone by before another called by the next",
+                    Some(Since::Elsewhere) => {
+                        "all sites had gone by before another called by the next"
+                    }
                     Some(Since::Ordered) => "all sites had gone by before the next was proposed",
                     None => "is all that there is",
                 };
@@ -232,7 +295,9 @@
             breaches.extend(self.before_all_accepted(&placed, &tables[at]));
         }
         for (id, life) in lives {
-            let Some(site) = self.sites.get(&life.by) else { continue };
+            let Some(site) = self.sites.get(&life.by) else {
+                continue;
+            };
             breaches.extend(self.without_lease(id, life, site));
         }
         breaches
@@ -242,7 +307,10 @@
     fn before_all_accepted(&self, placed: &Placed, table: &Table) -> Option<String> {
         let given = table.0?.given;
         let could_not = self.away.iter().find(|a| {
-            let off = self.off.iter().any(|o| o.site == a.site && o.from < placed.called && o.from > a.from);
+            let off = self
+                .off
+                .iter()
+                .any(|o| o.site == a.site && o.from < placed.called && o.from > a.from);
             a.from < given && a.till.is_none_or(|till| placed.called < till) && !off
         })?;
         let (by, id, zone, name) = (&placed.life.by, placed.id, placed.zone, table.name());
@@ -257,20 +325,28 @@
         let lease = self.lease?;
         let (handed, by) = (life.handed_at?, &life.by);
         let answered = life.answered_at.filter(|_| life.taken_on);
-        let heard = answered.into_iter().chain(life.calls.iter().map(|(called, _)| *called)).min()?;
+        let heard = answered
+            .into_iter()
+            .chain(life.calls.iter().map(|(called, _)| *called))
+            .min()?;
         let known = |a: &&Away, from: Instant| {
             a.site == site && handed > from && a.till.is_none_or(|till| heard < till)
         };
         if let Some(away) = self.away.iter().find(|a| known(a, a.from + lease)) {
             let ago = handed - away.from;
-            return Some(format!("{by} of {site} takes {id} on, though its site is away for {ago:?}"));
+            return Some(format!(
+                "{by} of {site} takes {id} on, though its site is away for {ago:?}"
+            ));
         }
         let off = self.off.iter().find(|o| known(o, o.from))?;
         let ago = handed - off.from;
-        Some(format!("{by} of {site} takes {id} on, though its site is off the roster for {ago:?}"))
+        Some(format!(
+            "{by} of {site} takes {id} on, though its site is off the roster for {ago:?}"
+        ))
     }
 
-    /// How clients fared around the first call of each site by each table: its `zone` is the site's name.
+    /// How clients fared around the first call of each site by each table: its `zone` is the site's
+    /// name.
     pub fn switches(&self, lives: &BTreeMap<String, Life>) -> Vec<Switch> {
         const AROUND: Duration = Duration::from_secs(1);
         let (tables, placed) = (self.tables(), self.placed(lives));
@@ -283,12 +359,16 @@
         }
         let mut switches = Vec::new();
         for ((site, at), first) in first {
-            let of_site = lives.values().filter(|l| self.sites.get(&l.by).is_some_and(|s| s == site));
+            let of_site = lives
+                .values()
+                .filter(|l| self.sites.get(&l.by).is_some_and(|s| s == site));
             let around = of_site.filter_map(|l| Some((l.handed_at?, l)));
-            let around = around.filter(|(handed, _)| *handed + AROUND >= first && *handed <= first + AROUND);
+            let around =
+                around.filter(|(handed, _)| *handed + AROUND >= first && *handed <= first + AROUND);
             let around: Vec<(Instant, &Life)> = around.collect();
-            let waited =
-                |(handed, l): &(Instant, &Life)| Some(l.answered_at?.saturating_duration_since(*handed));
+            let waited = |(handed, l): &(Instant, &Life)| {
+                Some(l.answered_at?.saturating_duration_since(*handed))
+            };
             let taken = around.iter().filter(|(_, l)| l.taken_on);
             let before = placed.iter().filter(|p| p.site == site && p.called < first);
             let quiet = before.map(|p| first - p.called).min().unwrap_or_default();
@@ -296,7 +376,12 @@
                 zone: site.to_string(),
                 to: tables[at].name().to_string(),
                 quiet_ms: quiet.as_millis() as u64,
-                longest_ms: taken.clone().filter_map(waited).max().unwrap_or_default().as_millis() as u64,
+                longest_ms: taken
+                    .clone()
+                    .filter_map(waited)
+                    .max()
+                    .unwrap_or_default()
+                    .as_millis() as u64,
                 refused: around.iter().filter(|(_, l)| !l.taken_on).count(),
                 waits: taken.filter_map(waited).collect(),
                 at: Some(first),
@@ -313,8 +398,8 @@
 
     const MS: Duration = Duration::from_millis(1);
 
-    /// Messages that are made up, by when in milliseconds they were handed in and called. Sites are `n` with `n0` and `n1`, and `s` with
-    /// `s0`; `t1` sends to a, `t2` to b, and `t3` to a.
+    /// Messages that are made up, by when in milliseconds they were handed in and called. Sites are
+    /// `n` with `n0` and `n1`, and `s` with `s0`; `t1` sends to a, `t2` to b, and `t3` to a.
     struct Made {
         begun: Instant,
         routing: Routing,
@@ -327,7 +412,11 @@
             for (sender, site) in [("n0", "n"), ("n1", "n"), ("s0", "s")] {
                 routing.stands(sender, site);
             }
-            Made { begun: Instant::now(), routing, lives: BTreeMap::new() }
+            Made {
+                begun: Instant::now(),
+                routing,
+                lives: BTreeMap::new(),
+            }
         }
 
         fn at(&self, ms: u32) -> Instant {
@@ -337,7 +426,13 @@
         fn table(&mut self, name: &str, zone: &str, given: u32, ends: Ends) {
             let (zones, given) = ([zone.to_string()].into(), self.at(given));
             let taken = Some(given + 10 * MS);
-            self.routing.proposed(Proposed { name: name.into(), zones, given, taken, ends });
+            self.routing.proposed(Proposed {
+                name: name.into(),
+                zones,
+                given,
+                taken,
+                ends,
+            });
         }
 
         fn calls(&mut self, by: &str, id: &str, zone: &str, handed: u32, called: u32) {
@@ -349,7 +444,10 @@
 
         fn told(&self, count: usize, why: &str, words: &str) {
             let told = self.routing.breaches(&self.lives);
-            assert!(told.len() == count && told.iter().all(|t| t.contains(words)), "{why}: {told:?}");
+            assert!(
+                told.len() == count && told.iter().all(|t| t.contains(words)),
+                "{why}: {told:?}"
+            );
         }
     }
 
@@ -367,10 +465,18 @@
         made.calls("s0", "m5", "a", 1_300, 1_310);
         made.told(0, "handed in before it was seen, and at another site", "");
         made.calls("n1", "m6", "a", 1_260, 1_270);
-        made.told(1, "after it was seen", "n1 of n sends m6 to zone a, where neither t2, which its site had");
+        made.told(
+            1,
+            "after it was seen",
+            "n1 of n sends m6 to zone a, where neither t2, which its site had",
+        );
         made.lives.remove("m6");
         made.calls("s0", "m7", "c", 1_300, 1_310);
-        made.told(1, "the list alone is over", "neither t1, which all sites had gone by before");
+        made.told(
+            1,
+            "the list alone is over",
+            "neither t1, which all sites had gone by before",
+        );
         made.lives.remove("m7");
         made.calls("s0", "m8", "b", 990, 995);
         made.told(0, "the list alone", "");
@@ -388,7 +494,11 @@
         made.calls("s0", "m3", "a", 2_140, 2_300);
         made.told(0, "they follow each other", "");
         made.calls("s0", "m4", "a", 2_160, 2_300);
-        made.told(1, "t1 beside t3", "neither t2, which all sites had gone by before another called");
+        made.told(
+            1,
+            "t1 beside t3",
+            "neither t2, which all sites had gone by before another called",
+        );
         made.routing.proposed[1].ends = Ends::Either;
         made.told(0, "t3 may have followed t1", "");
     }
@@ -402,11 +512,19 @@
         made.table("t2", "b", 1_000, Ends::Decided);
         made.calls("n0", "m1", "a", 1_100, 1_200);
         made.calls("n0", "m2", "b", 2_900, 3_010);
-        made.told(1, "it is away for good, as far as is known", "which s cannot have accepted yet");
+        made.told(
+            1,
+            "it is away for good, as far as is known",
+            "which s cannot have accepted yet",
+        );
         made.routing.away("s", false, healed);
         made.told(0, "it is back", "");
         made.calls("n0", "m3", "b", 1_100, 1_200);
-        made.told(1, "before it was back", "n0 of n sends m3 to zone b by t2, which s cannot have");
+        made.told(
+            1,
+            "before it was back",
+            "n0 of n sends m3 to zone b by t2, which s cannot have",
+        );
         let off = made.at(1_050);
         made.routing.off("s", off);
         made.told(0, "it is off the roster", "");
@@ -424,12 +542,20 @@
         made.calls("s0", "m1", "a", 490, 700);
         made.calls("n0", "m2", "a", 900, 910);
         made.calls("s0", "m3", "a", 900, 2_010);
-        made.told(0, "within its lease, elsewhere, and heard of when it was back", "");
+        made.told(
+            0,
+            "within its lease, elsewhere, and heard of when it was back",
+            "",
+        );
         made.calls("s0", "m4", "a", 900, 910);
         let life = made.lives.entry("m5".into()).or_default();
         (life.by, life.handed_at) = ("s0".into(), Some(made.begun + 600 * MS));
         (life.answered_at, life.taken_on) = (Some(made.begun + 610 * MS), true);
-        made.told(2, "taken on, by a call and by an answer", "though its site is away for");
+        made.told(
+            2,
+            "taken on, by a call and by an answer",
+            "though its site is away for",
+        );
         made.lives.clear();
         let (off, joins) = (made.at(3_000), made.at(4_000));
         made.routing.off("s", off);
--- a/rig/src/rules.rs
+++ b/rig/src/rules.rs
@@ -1,5 +1,6 @@
-//! Policies as stand-ins see them: each message that comes to an endpoint bears a stamp that its policy's script put on it. What may
-//! never be seen, judged by that alone and by what clients sent and heard.
+//! Policies as stand-ins see them: each message that comes to an endpoint bears a stamp that its
+//! policy's script put on it. What may never be seen, judged by that alone and by what clients sent
+//! and heard.
 
 use crate::record::Life;
 use std::cmp::Reverse;
@@ -75,13 +76,15 @@
     pub zone: String,
     /// The stamp of the policy that it went to.
     pub to: String,
-    /// From the last that was taken on before to the first after, as clients heard it, in milliseconds.
+    /// From the last that was taken on before to the first after, as clients heard it, in
+    /// milliseconds.
     pub quiet_ms: u64,
     /// Longest wait of a client for its answer around it, in milliseconds.
     pub longest_ms: u64,
     /// Clients that were turned away or heard nothing in time around it.
     pub refused: usize,
-    /// Waits of those whose messages were handed in between the last that was taken on before and the first after.
+    /// Waits of those whose messages were handed in between the last that was taken on before and
+    /// the first after.
     #[serde(skip)]
     pub waits: Vec<Duration>,
     /// When the first that was taken on after it was heard of.
@@ -130,7 +133,8 @@
 
     /// Only senders of these zones may ever put this on a message; nobody, where none is named.
     pub fn only_in(&mut self, stamp: &str, zones: &[String]) {
-        self.only.insert(stamp.into(), zones.iter().cloned().collect());
+        self.only
+            .insert(stamp.into(), zones.iter().cloned().collect());
     }
 
     /// A sender that hears no keeper takes nothing new on after so long.
@@ -141,10 +145,17 @@
     /// Senders hear no keeper from now on, or may hear one again.
     pub fn cut<'a>(&mut self, senders: impl IntoIterator<Item = &'a str>, cut: bool, now: Instant) {
         for sender in senders {
-            let open = self.cuts.iter_mut().find(|c| c.sender == sender && c.till.is_none());
+            let open = self
+                .cuts
+                .iter_mut()
+                .find(|c| c.sender == sender && c.till.is_none());
             match (open, cut) {
                 (Some(open), false) => open.till = Some(now),
-                (None, true) => self.cuts.push(Cut { sender: sender.into(), from: now, till: None }),
+                (None, true) => self.cuts.push(Cut {
+                    sender: sender.into(),
+                    from: now,
+                    till: None,
+                }),
                 _ => {}
             }
         }
@@ -152,7 +163,12 @@
 
     /// Endpoints fail what bears this stamp, of the class that is rare alone if `rare`.
     pub fn fail(&mut self, stamp: &str, after: Duration, rare: bool) {
-        self.fails.push(Fails { stamp: stamp.into(), after, rare, first: None });
+        self.fails.push(Fails {
+            stamp: stamp.into(),
+            after,
+            rare,
+            first: None,
+        });
     }
 
     /// Whether an endpoint fails this message.
@@ -163,13 +179,21 @@
         })
     }
 
-    /// All messages that were taken on, by zone and when they were handed in, each at the earliest place that it can have.
+    /// All messages that were taken on, by zone and when they were handed in, each at the earliest
+    /// place that it can have.
     fn placed<'a>(&'a self, lives: &'a BTreeMap<String, Life>) -> Vec<Placed<'a>> {
         let mut all: Vec<Placed> = lives
             .iter()
             .filter_map(|(id, life)| {
                 let (zone, (_, heard)) = (self.zones.get(&life.by)?, life.taken()?);
-                Some(Placed { id, life, zone, handed: life.handed_at?, heard, at: None })
+                Some(Placed {
+                    id,
+                    life,
+                    zone,
+                    handed: life.handed_at?,
+                    heard,
+                    at: None,
+                })
             })
             .collect();
         all.sort_by(|a, b| (a.zone, a.handed).cmp(&(b.zone, b.handed)));
@@ -189,7 +213,11 @@
                 floor = floor.max(at);
             }
             let stamp = placed.life.taken().map(|(stamp, _)| stamp);
-            let place = self.order.iter().skip(floor).position(|s| Some(s.as_str()) == stamp);
+            let place = self
+                .order
+                .iter()
+                .skip(floor)
+                .position(|s| Some(s.as_str()) == stamp);
             placed.at = place.map(|n| floor + n);
             to_come.extend(placed.at.map(|at| Reverse((placed.heard, at))));
         }
@@ -207,11 +235,19 @@
                     "{by} takes {id} on under {stamp} in {zone}, though a later one was heard of before it was handed in"
                 ));
             }
-            if self.only.get(stamp).is_some_and(|zones| !zones.contains(zone)) {
-                breaches.push(format!("{by} takes {id} on under {stamp}, which never came to {zone}"));
+            if self
+                .only
+                .get(stamp)
+                .is_some_and(|zones| !zones.contains(zone))
+            {
+                breaches.push(format!(
+                    "{by} takes {id} on under {stamp}, which never came to {zone}"
+                ));
             }
             let other = placed.life.stamps.iter().find(|(_, s)| s != stamp);
-            breaches.extend(other.map(|(_, s)| format!("{by} sends {id} under {s}, taken on under {stamp}")));
+            breaches.extend(
+                other.map(|(_, s)| format!("{by} sends {id} under {s}, taken on under {stamp}")),
+            );
             breaches.extend(self.after_lease(&placed));
         }
         breaches
@@ -226,7 +262,10 @@
             c.sender == *by && placed.handed > c.from + lease && known_before_it_was_over
         })?;
         let ago = placed.handed - cut.from;
-        Some(format!("{by} takes {} on though it has heard no keeper for {ago:?}", placed.id))
+        Some(format!(
+            "{by} takes {} on though it has heard no keeper for {ago:?}",
+            placed.id
+        ))
     }
 
     /// How clients fared at each switch that messages show.
@@ -245,15 +284,29 @@
             let places: BTreeSet<usize> = here().filter_map(|p| p.at).collect();
             for at in places.into_iter().skip(1) {
                 let of = |is: &dyn Fn(usize) -> bool| {
-                    here().filter(|p| p.at.is_some_and(is)).map(|p| p.heard).collect::<Vec<_>>()
+                    here()
+                        .filter(|p| p.at.is_some_and(is))
+                        .map(|p| p.heard)
+                        .collect::<Vec<_>>()
+                };
+                let Some(first) = of(&|n| n == at).into_iter().min() else {
+                    continue;
                 };
-                let Some(first) = of(&|n| n == at).into_iter().min() else { continue };
-                let before = of(&|n| n < at).into_iter().filter(|heard| *heard <= first).max();
+                let before = of(&|n| n < at)
+                    .into_iter()
+                    .filter(|heard| *heard <= first)
+                    .max();
                 let last = before.unwrap_or(first);
-                let around = handed.iter().filter(|(at, _)| *at + BEFORE >= last && *at <= first + AFTER);
+                let around = handed
+                    .iter()
+                    .filter(|(at, _)| *at + BEFORE >= last && *at <= first + AFTER);
                 let around: Vec<_> = around.collect();
                 let met = around.iter().filter(|(at, _)| *at >= last && *at <= first);
-                let longest = around.iter().filter(|(_, l)| l.taken_on).filter_map(|(_, l)| l.waited()).max();
+                let longest = around
+                    .iter()
+                    .filter(|(_, l)| l.taken_on)
+                    .filter_map(|(_, l)| l.waited())
+                    .max();
                 switches.push(Switch {
                     zone: zone.to_string(),
                     to: self.order[at].clone(),
--- a/rig/src/rules/tests.rs
+++ b/rig/src/rules/tests.rs
@@ -16,14 +16,26 @@
             rules.stands(sender, zone);
         }
         ["p1", "p2"].iter().for_each(|p| rules.may_follow(p));
-        Made { begun: Instant::now(), rules, lives: BTreeMap::new() }
+        Made {
+            begun: Instant::now(),
+            rules,
+            lives: BTreeMap::new(),
+        }
     }
 
     fn at(&self, ms: u32) -> Instant {
         self.begun + ms * MS
     }
 
-    fn takes(&mut self, by: &str, id: &str, stamp: &str, handed: u32, answered: Option<u32>, called: u32) {
+    fn takes(
+        &mut self,
+        by: &str,
+        id: &str,
+        stamp: &str,
+        handed: u32,
+        answered: Option<u32>,
+        called: u32,
+    ) {
         let begun = self.begun;
         let at = |ms| begun + ms * MS;
         let life = self.lives.entry(id.into()).or_default();
@@ -44,10 +56,17 @@
     made.takes("n2", "m2", "p1", 10, Some(20), 30);
     made.takes("n0", "m3", "0", 19, Some(300), 400);
     made.takes("n1", "m4", "0", 50, Some(60), 70);
-    assert_eq!(made.told(), [""; 0], "begun before it was heard; another zone");
+    assert_eq!(
+        made.told(),
+        [""; 0],
+        "begun before it was heard; another zone"
+    );
     made.takes("n0", "m5", "0", 21, None, 400);
     let told = made.told();
-    assert!(told.len() == 1 && told[0].contains("n0 takes m5 on under 0 in a"), "{told:?}");
+    assert!(
+        told.len() == 1 && told[0].contains("n0 takes m5 on under 0 in a"),
+        "{told:?}"
+    );
     made.lives.remove("m5");
     // Nobody heard of it, and yet an endpoint saw it.
     made.takes("n0", "m6", "p2", 40, None, 50);
@@ -80,7 +99,10 @@
     made.takes("n1", "m2", "p1", 0, Some(1), 2);
     made.takes("n0", "m3", "p2", 10, None, 12);
     let told = made.told();
-    assert!(told.len() == 2 && told.iter().all(|t| t.contains("never came to")), "{told:?}");
+    assert!(
+        told.len() == 2 && told.iter().all(|t| t.contains("never came to")),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -89,13 +111,20 @@
     made.takes("n0", "m1", "0", 0, Some(1), 2);
     let (again, later) = (made.at(50), made.at(90));
     let repeat = |made: &mut Made, at, stamp: &str| {
-        made.lives.get_mut("m1").expect("taken on").stamps.push((at, stamp.into()));
+        made.lives
+            .get_mut("m1")
+            .expect("taken on")
+            .stamps
+            .push((at, stamp.into()));
     };
     repeat(&mut made, again, "0");
     assert_eq!(made.told(), [""; 0]);
     repeat(&mut made, later, "p1");
     let told = made.told();
-    assert!(told.len() == 1 && told[0].contains("sends m1 under p1, taken on under 0"), "{told:?}");
+    assert!(
+        told.len() == 1 && told[0].contains("sends m1 under p1, taken on under 0"),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -109,13 +138,20 @@
     made.takes("n1", "m2", "0", 300, Some(301), 302);
     // Its client waits until the sender is back.
     made.takes("n0", "m3", "0", 450, Some(510), 520);
-    assert_eq!(made.told().len(), 1, "it is cut off for good as far as is known");
+    assert_eq!(
+        made.told().len(),
+        1,
+        "it is cut off for good as far as is known"
+    );
     made.rules.cut(["n0"], false, back);
     assert_eq!(made.told(), [""; 0]);
     made.takes("n0", "m4", "0", 200, Some(201), 202);
     made.takes("n0", "m5", "0", 200, None, 300);
     let told = made.told();
-    assert!(told.len() == 2 && told[0].contains("heard no keeper for 200ms"), "{told:?}");
+    assert!(
+        told.len() == 2 && told[0].contains("heard no keeper for 200ms"),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -137,8 +173,13 @@
     made.takes("n0", "m4", "p1", 200, Some(203), 205);
     made.takes("n1", "m5", "0", 50, Some(350), 360);
     let switches = made.rules.switches(&made.lives);
-    let [switch] = switches.as_slice() else { panic!("one: {switches:?}") };
-    assert_eq!((switch.zone.as_str(), switch.to.as_str(), switch.quiet_ms), ("a", "p1", 70));
+    let [switch] = switches.as_slice() else {
+        panic!("one: {switches:?}")
+    };
+    assert_eq!(
+        (switch.zone.as_str(), switch.to.as_str(), switch.quiet_ms),
+        ("a", "p1", 70)
+    );
     assert_eq!((switch.longest_ms, switch.refused), (70, 0));
     assert_eq!(switch.waits, [70 * MS, 30 * MS]);
     let unheard = made.lives.entry("m6".into()).or_default();
--- a/rig/src/sayings.rs
+++ b/rig/src/sayings.rs
@@ -7,8 +7,8 @@
 /// Words that are waited for.
 #[derive(Clone, Debug)]
 pub(crate) struct Wait {
-    /// The sender or keeper; any keeper where it is `keepers`, any sender where it is `senders`; those of a site, where that and a slash
-    /// go before.
+    /// The sender or keeper; any keeper where it is `keepers`, any sender where it is `senders`;
+    /// those of a site, where that and a slash go before.
     pub who: String,
     /// The words.
     pub says: String,
@@ -26,7 +26,14 @@
     /// One for nothing that anybody says.
     pub fn none() -> Wait {
         let (who, says) = (String::new(), String::new());
-        Wait { who, says, since: Duration::ZERO, times: 1, heard: 0, at: None }
+        Wait {
+            who,
+            says,
+            since: Duration::ZERO,
+            times: 1,
+            heard: 0,
+            at: None,
+        }
     }
 }
 
@@ -42,16 +49,25 @@
 impl Sayings {
     /// Counted from now on.
     pub fn new(waits: Vec<Wait>, sites: BTreeMap<String, String>) -> Sayings {
-        Sayings { begun: Instant::now(), sites, waits: Mutex::new(waits) }
+        Sayings {
+            begun: Instant::now(),
+            sites,
+            waits: Mutex::new(waits),
+        }
     }
 
     /// Whether this process is meant.
     fn is_meant(&self, who: &str, name: &str) -> bool {
-        let is_keeper = name.rsplit('/').next().is_some_and(|name| name.starts_with('k'));
+        let is_keeper = name
+            .rsplit('/')
+            .next()
+            .is_some_and(|name| name.starts_with('k'));
         match who.split_once('/') {
             _ if who == name => true,
             Some((site, "senders")) => self.sites.get(name).is_some_and(|s| s == site),
-            Some((site, "keepers")) => is_keeper && name.split_once('/').is_some_and(|(s, _)| s == site),
+            Some((site, "keepers")) => {
+                is_keeper && name.split_once('/').is_some_and(|(s, _)| s == site)
+            }
             Some(_) => false,
             None => who == "keepers" && is_keeper || who == "senders" && !is_keeper,
         }
@@ -103,12 +119,22 @@
             wait("north/k2", 0, 2),
         ];
         let said = Sayings::new(waits, sites.into());
-        for (name, line) in [("n0", "zone b left by"), ("n1", "zone a left"), ("n2", "INFO zone b left")] {
+        for (name, line) in [
+            ("n0", "zone b left by"),
+            ("n1", "zone a left"),
+            ("n2", "INFO zone b left"),
+        ] {
             said.hear(name, line);
         }
         let waits = said.waits().clone();
-        assert_eq!(waits.iter().map(|w| w.heard).collect::<Vec<_>>(), [2, 0, 0, 0, 1, 0, 0]);
-        assert_eq!(waits[0].at.as_ref().map(|(_, name)| name.as_str()), Some("n2"));
+        assert_eq!(
+            waits.iter().map(|w| w.heard).collect::<Vec<_>>(),
+            [2, 0, 0, 0, 1, 0, 0]
+        );
+        assert_eq!(
+            waits[0].at.as_ref().map(|(_, name)| name.as_str()),
+            Some("n2")
+        );
         assert!(waits[1..4].iter().all(|w| w.at.is_none()));
         for name in ["north/k1", "south/k2", "north/k2"] {
             said.hear(name, "zone b left");
--- a/rig/src/scenario.rs
+++ b/rig/src/scenario.rs
@@ -29,11 +29,12 @@
     /// Endpoints, `s0`, `s1` and so on, ten destinations in turn.
     #[serde(default = "endpoints")]
     pub endpoints: usize,
-    /// Zones of the endpoints: the first ten stand in the first one, the next ten in the next, and so on around.
+    /// Zones of the endpoints: the first ten stand in the first one, the next ten in the next, and
+    /// so on around.
     #[serde(default = "zones")]
     pub zones: Vec<String>,
-    /// Several sites with a record each, which are in one federation. Without any there is one, with the zones and keepers that are said
-    /// elsewhere.
+    /// Several sites with a record each, which are in one federation. Without any there is one,
+    /// with the zones and keepers that are said elsewhere.
     #[serde(default)]
     pub sites: Vec<Site>,
     /// What a word from one site to another needs, in milliseconds.
@@ -45,7 +46,8 @@
     /// Each endpoint is reached over a line of its own, which can fail.
     #[serde(default)]
     pub endpoint_lines: bool,
-    /// Keepers whose record the senders follow; the sender `n0` stands in the first zone, `n1` in the next, and so on around.
+    /// Keepers whose record the senders follow; the sender `n0` stands in the first zone, `n1` in
+    /// the next, and so on around.
     pub fleet: Option<Fleet>,
     /// What an ask costs the directory, in milliseconds.
     #[serde(default = "ask_ms")]
@@ -57,8 +59,8 @@
     pub rate: f64,
     /// They are handed in for so long, in seconds.
     pub lasts_s: f64,
-    /// It ends when all steps have been taken and no sender is out of a zone any more, `lasts_s` at the latest; then it is missed
-    /// that they are not back.
+    /// It ends when all steps have been taken and no sender is out of a zone any more, `lasts_s` at
+    /// the latest; then it is missed that they are not back.
     #[serde(default)]
     pub until_well: bool,
     /// What the kept lists name.
@@ -108,7 +110,15 @@
 impl Default for Fleet {
     fn default() -> Fleet {
         let (rules, federation) = (toml::Table::new(), toml::Table::new());
-        Fleet { keepers: 3, spare: 0, report_ms: 200, rules, policy: None, table: None, federation }
+        Fleet {
+            keepers: 3,
+            spare: 0,
+            report_ms: 200,
+            rules,
+            policy: None,
+            table: None,
+            federation,
+        }
     }
 }
 
@@ -126,17 +136,28 @@
 
     /// Whether senders take nothing new on without keepers.
     pub(crate) fn holds(&self) -> bool {
-        let holds =
-            |how: &toml::Table| how.get("without_keepers").is_none_or(|how| how.as_str() == Some("hold"));
+        let holds = |how: &toml::Table| {
+            how.get("without_keepers")
+                .is_none_or(|how| how.as_str() == Some("hold"))
+        };
         [&self.policy, &self.table].into_iter().flatten().any(holds)
     }
 
-    /// A site that is away takes nothing new on after so long: its senders' own lease comes behind the site's, where its keepers could
-    /// not agree any more that it holds. Nothing where it gives that up.
+    /// A site that is away takes nothing new on after so long: its senders' own lease comes behind
+    /// the site's, where its keepers could not agree any more that it holds. Nothing where it gives
+    /// that up.
     pub(crate) fn site_lease(&self) -> Option<Duration> {
-        let holds = self.federation.get("without").is_none_or(|how| how.as_str() == Some("hold"));
-        let s = self.federation.get("lease_s").and_then(toml::Value::as_integer).unwrap_or(LEASE_S);
-        (holds && self.holds()).then(|| Duration::from_secs(s.unsigned_abs()) + self.lease() + HOLDS)
+        let holds = self
+            .federation
+            .get("without")
+            .is_none_or(|how| how.as_str() == Some("hold"));
+        let s = self
+            .federation
+            .get("lease_s")
+            .and_then(toml::Value::as_integer)
+            .unwrap_or(LEASE_S);
+        (holds && self.holds())
+            .then(|| Duration::from_secs(s.unsigned_abs()) + self.lease() + HOLDS)
     }
 
     /// The table of rules that the keepers are told, as the text of a file.
@@ -145,11 +166,16 @@
         let told = [
             ("cold_share", toml::Value::Float(limits.cold_share)),
             ("warm_after_ms", ms(limits.warm_after_s)),
-            ("overload_factor", toml::Value::Float(limits.overload_factor)),
+            (
+                "overload_factor",
+                toml::Value::Float(limits.overload_factor),
+            ),
             ("overload_for_ms", ms(limits.overload_for_s)),
         ];
-        let mut zones: toml::Table =
-            told.into_iter().map(|(name, value)| (name.to_string(), value)).collect();
+        let mut zones: toml::Table = told
+            .into_iter()
+            .map(|(name, value)| (name.to_string(), value))
+            .collect();
         let mut rules = self.rules.clone();
         if let Some(toml::Value::Table(own)) = rules.remove("zones") {
             zones.extend(own);
@@ -236,7 +262,8 @@
     /// The file cannot be read, or a field of it cannot be used: one line with its name.
     pub fn read(file: &Path) -> Result<Scenario, NoScenario> {
         let name = file.display().to_string();
-        let text = std::fs::read_to_string(file).map_err(|e| NoScenario::Unread(name.clone(), e))?;
+        let text =
+            std::fs::read_to_string(file).map_err(|e| NoScenario::Unread(name.clone(), e))?;
         Scenario::of(&name, &text)
     }
 
@@ -246,7 +273,11 @@
     /// As [`Scenario::read`].
     pub fn of(name: &str, text: &str) -> Result<Scenario, NoScenario> {
         let field = |field: &str, why: &str| {
-            NoScenario::Field(name.to_string(), field.to_string(), why.trim().replace('\n', " "))
+            NoScenario::Field(
+                name.to_string(),
+                field.to_string(),
+                why.trim().replace('\n', " "),
+            )
         };
         let reader = toml::Deserializer::parse(text).map_err(|e| field("toml", e.message()))?;
         let scenario: Scenario = serde_path_to_error::deserialize(reader)
@@ -266,89 +297,141 @@
         let keepers = first + self.fleet.as_ref().map_or(0, |f| f.spare);
         let is_span = |s: f64| (0.0..=3_600.0).contains(&s);
         let all = [
-            ("senders", (1..=3_000).contains(&self.senders), "1 to 3000 can be started"),
-            ("endpoints", (DESTS..=1_000).contains(&self.endpoints), "10 to 1000 can be started"),
-            ("zones", (1..=100).contains(&self.zones.len()), "1 to 100 names"),
-            ("fleet.keepers", self.fleet.is_none() || (1..=9).contains(&first), "1 to 9"),
+            (
+                "senders",
+                (1..=3_000).contains(&self.senders),
+                "1 to 3000 can be started",
+            ),
+            (
+                "endpoints",
+                (DESTS..=1_000).contains(&self.endpoints),
+                "10 to 1000 can be started",
+            ),
+            (
+                "zones",
+                (1..=100).contains(&self.zones.len()),
+                "1 to 100 names",
+            ),
+            (
+                "fleet.keepers",
+                self.fleet.is_none() || (1..=9).contains(&first),
+                "1 to 9",
+            ),
             ("fleet.spare", keepers <= 9, "9 keepers in all"),
-            ("rate", self.rate > 0.0 && self.rate <= 10_000.0, "above 0, at most 10000"),
+            (
+                "rate",
+                self.rate > 0.0 && self.rate <= 10_000.0,
+                "above 0, at most 10000",
+            ),
             ("lasts_s", is_span(self.lasts_s), "0 to 3600"),
-            ("wanted.delivered", (0.0..=1.0).contains(&self.wanted.delivered), "0 to 1"),
+            (
+                "wanted.delivered",
+                (0.0..=1.0).contains(&self.wanted.delivered),
+                "0 to 1",
+            ),
         ];
         let one = all.into_iter().find(|(_, good, _)| !good);
         let one = one.map(|(field, _, why)| (field.to_string(), why.to_string()));
         let unheard = |a: &&After| a.times == 0 || !self.is_heard(&a.who);
         let unsaid = self.wanted.unsaid.iter().find(unheard);
-        let unsaid =
-            || unsaid.map(|a| ("wanted.unsaid".to_string(), format!("nobody is '{}', or times is 0", a.who)));
-        let limits = || self.limits.fault().map(|(field, why)| (format!("limits.{field}"), why.to_string()));
-        let policies =
-            || self.policies.fault(&self.zones).map(|(field, why)| (format!("policies.{field}"), why));
+        let unsaid = || {
+            unsaid.map(|a| {
+                (
+                    "wanted.unsaid".to_string(),
+                    format!("nobody is '{}', or times is 0", a.who),
+                )
+            })
+        };
+        let limits = || {
+            self.limits
+                .fault()
+                .map(|(field, why)| (format!("limits.{field}"), why.to_string()))
+        };
+        let policies = || {
+            self.policies
+                .fault(&self.zones)
+                .map(|(field, why)| (format!("policies.{field}"), why))
+        };
         let sites = || self.fault_of_sites();
-        one.or_else(limits).or_else(unsaid).or_else(policies).or_else(sites).or_else(|| {
-            self.steps.iter().enumerate().find_map(|(n, step)| {
-                let fault = |field: &str, why: String| Some((format!("step[{n}].{field}"), why));
-                if !is_span(step.at_s) {
-                    return fault("at_s", "0 to 3600".into());
-                }
-                if let Some(after) = step.after.as_ref().filter(|a| !self.is_heard(&a.who)) {
-                    return fault("after.who", format!("there is no sender '{}'", after.who));
-                }
-                if step.after.as_ref().is_some_and(|a| a.times == 0) {
-                    return fault("after.times", "1 or more".into());
-                }
-                if step.for_s.is_some_and(|s| !is_span(s)) {
-                    return fault("for_s", "0 to 3600".into());
-                }
-                if step.for_s.is_some() && step.deed.undone(&[]).is_none() {
-                    return fault("for_s", "this lasts, or is undone by another step".into());
-                }
-                if !step.deed.keepers().into_iter().all(|which| self.is_which(which)) {
-                    return fault("does", format!("there are {keepers} keepers"));
-                }
-                match &step.who {
-                    Who::Share(share) if !(0.0..=1.0).contains(share) => {
-                        return fault("who", "0 to 1".into())
+        one.or_else(limits)
+            .or_else(unsaid)
+            .or_else(policies)
+            .or_else(sites)
+            .or_else(|| {
+                self.steps.iter().enumerate().find_map(|(n, step)| {
+                    let fault =
+                        |field: &str, why: String| Some((format!("step[{n}].{field}"), why));
+                    if !is_span(step.at_s) {
+                        return fault("at_s", "0 to 3600".into());
                     }
-                    Who::Names(names) => {
-                        let is_speaker = |n: &str| n == "speaker" && step.after.is_some();
-                        let is_site = |n: &str| n.strip_suffix("/senders").is_some_and(|n| self.is_site(n));
-                        let known = |n: &str| is_sender(n) || is_speaker(n) || is_site(n);
-                        if let Some(name) = names.iter().find(|n| !known(n)) {
-                            return fault("who", format!("there is no sender '{name}'"));
-                        }
+                    if let Some(after) = step.after.as_ref().filter(|a| !self.is_heard(&a.who)) {
+                        return fault("after.who", format!("there is no sender '{}'", after.who));
                     }
-                    Who::Share(_) => {}
-                }
-                if let Some(why) = self.fault_of_deed(&step.deed) {
-                    return fault("does", why);
-                }
-                match &step.deed {
-                    Deed::Drain(uid) | Deed::Leave(uid) | Deed::Return(uid) if !is_endpoint(uid) => {
-                        fault("does", format!("there is no endpoint '{uid}'"))
+                    if step.after.as_ref().is_some_and(|a| a.times == 0) {
+                        return fault("after.times", "1 or more".into());
                     }
-                    Deed::EndpointDies { endpoint: uid, .. } | Deed::EndpointBack(uid)
-                        if !is_endpoint(uid) =>
-                    {
-                        fault("does", format!("there is no endpoint '{uid}'"))
+                    if step.for_s.is_some_and(|s| !is_span(s)) {
+                        return fault("for_s", "0 to 3600".into());
                     }
-                    Deed::ZoneDies { zone, .. }
-                    | Deed::ZoneBack(zone)
-                    | Deed::ZoneUnlisted(zone)
-                    | Deed::ZoneListed(zone)
-                    | Deed::EndpointLines { zone, .. }
-                    | Deed::AgentLines { zone: Some(zone), .. }
-                        if !self.zones.contains(zone) =>
+                    if step.for_s.is_some() && step.deed.undone(&[]).is_none() {
+                        return fault("for_s", "this lasts, or is undone by another step".into());
+                    }
+                    if !step
+                        .deed
+                        .keepers()
+                        .into_iter()
+                        .all(|which| self.is_which(which))
                     {
-                        fault("does", format!("there is no zone '{zone}'"))
+                        return fault("does", format!("there are {keepers} keepers"));
+                    }
+                    match &step.who {
+                        Who::Share(share) if !(0.0..=1.0).contains(share) => {
+                            return fault("who", "0 to 1".into())
+                        }
+                        Who::Names(names) => {
+                            let is_speaker = |n: &str| n == "speaker" && step.after.is_some();
+                            let is_site = |n: &str| {
+                                n.strip_suffix("/senders").is_some_and(|n| self.is_site(n))
+                            };
+                            let known = |n: &str| is_sender(n) || is_speaker(n) || is_site(n);
+                            if let Some(name) = names.iter().find(|n| !known(n)) {
+                                return fault("who", format!("there is no sender '{name}'"));
+                            }
+                        }
+                        Who::Share(_) => {}
                     }
-                    Deed::EndpointLines { .. } if !self.endpoint_lines => {
-                        fault("does", "endpoints have no lines without endpoint_lines".into())
+                    if let Some(why) = self.fault_of_deed(&step.deed) {
+                        return fault("does", why);
                     }
-                    _ => None,
-                }
+                    match &step.deed {
+                        Deed::Drain(uid) | Deed::Leave(uid) | Deed::Return(uid)
+                            if !is_endpoint(uid) =>
+                        {
+                            fault("does", format!("there is no endpoint '{uid}'"))
+                        }
+                        Deed::EndpointDies { endpoint: uid, .. } | Deed::EndpointBack(uid)
+                            if !is_endpoint(uid) =>
+                        {
+                            fault("does", format!("there is no endpoint '{uid}'"))
+                        }
+                        Deed::ZoneDies { zone, .. }
+                        | Deed::ZoneBack(zone)
+                        | Deed::ZoneUnlisted(zone)
+                        | Deed::ZoneListed(zone)
+                        | Deed::EndpointLines { zone, .. }
+                        | Deed::AgentLines {
+                            zone: Some(zone), ..
+                        } if !self.zones.contains(zone) => {
+                            fault("does", format!("there is no zone '{zone}'"))
+                        }
+                        Deed::EndpointLines { .. } if !self.endpoint_lines => fault(
+                            "does",
+                            "endpoints have no lines without endpoint_lines".into(),
+                        ),
+                        _ => None,
+                    }
+                })
             })
-        })
     }
 }
 
@@ -362,9 +445,16 @@
     #[test]
     fn all_schedules_of_the_tests_can_be_played() {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../tests/many");
-        let files = std::fs::read_dir(folder).expect("a folder").map(|file| file.expect("a file").path());
-        let read: Vec<_> = files.filter(|f| f.extension().is_some_and(|e| e == "toml")).collect();
-        let faults: Vec<_> = read.iter().filter_map(|file| Scenario::read(file).err()).collect();
+        let files = std::fs::read_dir(folder)
+            .expect("a folder")
+            .map(|file| file.expect("a file").path());
+        let read: Vec<_> = files
+            .filter(|f| f.extension().is_some_and(|e| e == "toml"))
+            .collect();
+        let faults: Vec<_> = read
+            .iter()
+            .filter_map(|file| Scenario::read(file).err())
+            .collect();
         assert!(read.len() > 30 && faults.is_empty(), "{faults:?}");
     }
 
@@ -376,12 +466,25 @@
              [[step]]\ndoes = {{ site-lines = {{ from = \"led\", both = true, fault = {{ cut = true }} }} }}\n"
         );
         let scenario = Scenario::of("x", &text).expect("a schedule");
-        assert_eq!((scenario.zones.join(""), scenario.endpoints), ("abc".into(), 30));
-        assert_eq!((0..4).map(|n| scenario.site_of(n)).collect::<Vec<_>>(), [0, 0, 1, 0]);
+        assert_eq!(
+            (scenario.zones.join(""), scenario.endpoints),
+            ("abc".into(), 30)
+        );
+        assert_eq!(
+            (0..4).map(|n| scenario.site_of(n)).collect::<Vec<_>>(),
+            [0, 0, 1, 0]
+        );
         assert_eq!(scenario.those(&scenario.steps[0].who, None), [2]);
-        assert_eq!((scenario.keeper((1, 2)), scenario.places().len()), ("south/k3".into(), 2));
-        let one = Scenario::of("x", "senders = 3\nrate = 5.0\nlasts_s = 2.0\n[fleet]").expect("a schedule");
-        assert_eq!((one.keeper((0, 0)), one.places()[0].keepers), ("k1".into(), 3));
+        assert_eq!(
+            (scenario.keeper((1, 2)), scenario.places().len()),
+            ("south/k3".into(), 2)
+        );
+        let one = Scenario::of("x", "senders = 3\nrate = 5.0\nlasts_s = 2.0\n[fleet]")
+            .expect("a schedule");
+        assert_eq!(
+            (one.keeper((0, 0)), one.places()[0].keepers),
+            ("k1".into(), 3)
+        );
     }
 
     #[test]
--- a/rig/src/scenario/deeds.rs
+++ b/rig/src/scenario/deeds.rs
@@ -37,9 +37,18 @@
 
     fn try_from(word: String) -> Result<Which, String> {
         if let Some((site, which)) = word.split_once('/') {
-            return Ok(Which::At(site.to_string(), Box::new(Which::try_from(which.to_string())?)));
+            return Ok(Which::At(
+                site.to_string(),
+                Box::new(Which::try_from(which.to_string())?),
+            ));
         }
-        let number = |one: &str| one.trim().strip_prefix('k')?.parse::<usize>().ok()?.checked_sub(1);
+        let number = |one: &str| {
+            one.trim()
+                .strip_prefix('k')?
+                .parse::<usize>()
+                .ok()?
+                .checked_sub(1)
+        };
         match word.as_str() {
             "all" => Ok(Which::All),
             "leader" => Ok(Which::Leader),
@@ -81,8 +90,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct After {
-    /// The sender or keeper; any keeper where it is `keepers`, any sender where it is `senders`; those of a site, where that and a
-    /// slash go before.
+    /// The sender or keeper; any keeper where it is `keepers`, any sender where it is `senders`;
+    /// those of a site, where that and a slash go before.
     pub who: String,
     /// Words of the line.
     pub says: String,
@@ -98,7 +107,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum Who {
-    /// By name; `SITE/senders` are those of a site, `speaker` is the one that logged what the step waited for.
+    /// By name; `SITE/senders` are those of a site, `speaker` is the one that logged what the step
+    /// waited for.
     Names(Vec<String>),
     /// So great a part of them, the first ones.
     Share(f64),
@@ -191,7 +201,8 @@
     KeeperBeginAnew(Which),
     /// They are killed, their folders are lost, and they start again.
     KeeperForget(Which),
-    /// They are killed, the newest files of their folders are cut at a byte that is drawn, and they start again.
+    /// They are killed, the newest files of their folders are cut at a byte that is drawn, and they
+    /// start again.
     KeeperTear(Which),
     /// What they write finds no room.
     KeeperFull(Which),
@@ -211,7 +222,8 @@
         #[serde(default = "all_keepers")]
         by: Which,
     },
-    /// The lines from keepers to keepers have this fault and no other: one way; the other way is another line.
+    /// The lines from keepers to keepers have this fault and no other: one way; the other way is
+    /// another line.
     KeeperLines {
         /// From these.
         from: Which,
@@ -244,8 +256,8 @@
         /// The fault.
         fault: Fault,
     },
-    /// A site whose keepers do not run is to join its federation under a new number; its folders are lost and its next start is as at
-    /// its first one, unless it keeps them.
+    /// A site whose keepers do not run is to join its federation under a new number; its folders
+    /// are lost and its next start is as at its first one, unless it keeps them.
     SiteAnew {
         /// The site.
         site: String,
@@ -287,27 +299,43 @@
             Deed::ZoneDies { zone, .. } => Deed::ZoneBack(zone.clone()),
             Deed::ZoneUnlisted(zone) => Deed::ZoneListed(zone.clone()),
             Deed::EndpointDies { endpoint, .. } => Deed::EndpointBack(endpoint.clone()),
-            Deed::EndpointLines { zone, .. } => Deed::EndpointLines { zone: zone.clone(), fault: whole },
+            Deed::EndpointLines { zone, .. } => Deed::EndpointLines {
+                zone: zone.clone(),
+                fault: whole,
+            },
             Deed::KeeperKill(_) => Deed::KeeperStart(these()),
             Deed::KeeperStop(_) => Deed::KeeperGoOn(these()),
             Deed::KeeperFull(_) => Deed::KeeperRoom(these()),
             Deed::KeeperLines { from, to, .. } => {
                 // Whoever was meant by one word: all lines of theirs, which is more.
-                let named = |which: &Which| matches!(which, Which::These(_) | Which::All | Which::Exactly(_));
+                let named = |which: &Which| {
+                    matches!(which, Which::These(_) | Which::All | Which::Exactly(_))
+                };
                 let (from, to) = if named(from) && named(to) {
                     (from.clone(), to.clone())
                 } else {
                     (Which::All, Which::All)
                 };
-                Deed::KeeperLines { from, to, fault: whole }
-            }
-            Deed::AgentLines { zone, .. } => {
-                Deed::AgentLines { zone: zone.clone(), to: these(), fault: whole }
+                Deed::KeeperLines {
+                    from,
+                    to,
+                    fault: whole,
+                }
             }
+            Deed::AgentLines { zone, .. } => Deed::AgentLines {
+                zone: zone.clone(),
+                to: these(),
+                fault: whole,
+            },
             // Whichever sites were meant by a word: all lines, which is more.
             Deed::SiteLines { .. } => {
                 let all = || "all".to_string();
-                Deed::SiteLines { from: all(), to: all(), both: true, fault: whole }
+                Deed::SiteLines {
+                    from: all(),
+                    to: all(),
+                    both: true,
+                    fault: whole,
+                }
             }
             _ => return None,
         })
@@ -347,6 +375,13 @@
 impl Step {
     /// To all, some seconds from the beginning.
     pub(crate) fn at(at_s: f64, deed: Deed) -> Step {
-        Step { at_s, for_s: None, may_fail: false, after: None, who: Who::default(), deed }
+        Step {
+            at_s,
+            for_s: None,
+            may_fail: false,
+            after: None,
+            who: Who::default(),
+            deed,
+        }
     }
 }
--- a/rig/src/scenario/drawn.rs
+++ b/rig/src/scenario/drawn.rs
@@ -10,12 +10,18 @@
 const CALM_FROM: f64 = 16.0;
 
 impl Scenario {
-    /// Some of everything that can happen, drawn: processes that die, end, stand still and come back, lines that fail, a directory
-    /// that is down, busy, slow or moves, endpoints that drain and return. At the end all are back and all lines whole.
+    /// Some of everything that can happen, drawn: processes that die, end, stand still and come
+    /// back, lines that fail, a directory that is down, busy, slow or moves, endpoints that drain
+    /// and return. At the end all are back and all lines whole.
     pub fn drawn(senders: usize, seed: u64) -> Scenario {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut steps = Vec::new();
-        let mut step = |at_s: f64, who: Who, deed| steps.push(Step { who, ..Step::at(at_s, deed) });
+        let mut step = |at_s: f64, who: Who, deed| {
+            steps.push(Step {
+                who,
+                ..Step::at(at_s, deed)
+            })
+        };
         let everyone = || Who::Share(1.0);
         step(0.0, everyone(), Deed::Start);
         // Until when each process is in trouble.
@@ -50,14 +56,33 @@
                 5..=7 => {
                     let all: Vec<usize> = (0..senders).collect();
                     let who = some(&mut random, &all);
-                    let how = if random.bool() { Break::Reset } else { Break::Close };
+                    let how = if random.bool() {
+                        Break::Reset
+                    } else {
+                        Break::Close
+                    };
                     let fault = match random.usize(..5) {
-                        0 => Fault { cut: true, ..Fault::default() },
-                        1 => Fault { silent_down: true, ..Fault::default() },
-                        2 => Fault { silent_up: true, ..Fault::default() },
-                        3 => Fault { delay_ms: random.u64(20..800), ..Fault::default() },
+                        0 => Fault {
+                            cut: true,
+                            ..Fault::default()
+                        },
+                        1 => Fault {
+                            silent_down: true,
+                            ..Fault::default()
+                        },
+                        2 => Fault {
+                            silent_up: true,
+                            ..Fault::default()
+                        },
+                        3 => Fault {
+                            delay_ms: random.u64(20..800),
+                            ..Fault::default()
+                        },
                         _ => Fault {
-                            breaks: Some(Breaks { after: random.usize(1..5_000), how }),
+                            breaks: Some(Breaks {
+                                after: random.usize(1..5_000),
+                                how,
+                            }),
                             ..Fault::default()
                         },
                     };
@@ -72,12 +97,24 @@
                     step(at, everyone(), Deed::Busy(true));
                     step(till, everyone(), Deed::Busy(false));
                 }
-                10 => step(at, everyone(), if random.bool() { Deed::Move } else { Deed::HangUp }),
+                10 => step(
+                    at,
+                    everyone(),
+                    if random.bool() {
+                        Deed::Move
+                    } else {
+                        Deed::HangUp
+                    },
+                ),
                 _ => {
                     step(
                         at,
                         everyone(),
-                        if random.bool() { Deed::Drain(uid.clone()) } else { Deed::Leave(uid.clone()) },
+                        if random.bool() {
+                            Deed::Drain(uid.clone())
+                        } else {
+                            Deed::Leave(uid.clone())
+                        },
                     );
                     step(till, everyone(), Deed::Return(uid));
                 }
@@ -95,13 +132,22 @@
             limits: Terms::default(),
             endpoint_lines: false,
             fleet: None,
-            ask_ms: if random.bool() { ask_ms() } else { random.u64(5..300) },
+            ask_ms: if random.bool() {
+                ask_ms()
+            } else {
+                random.u64(5..300)
+            },
             call_ms: random.u64(5..200),
             rate: 4.0 * senders as f64,
             lasts_s: CALM_FROM + 3.0,
             until_well: false,
-            kept: *random.choice([Kept::True, Kept::ThirdGone, Kept::Gone].iter()).unwrap_or(&Kept::True),
-            wanted: Wanted { delivered: 0.5, ..Wanted::default() },
+            kept: *random
+                .choice([Kept::True, Kept::ThirdGone, Kept::Gone].iter())
+                .unwrap_or(&Kept::True),
+            wanted: Wanted {
+                delivered: 0.5,
+                ..Wanted::default()
+            },
             policies: Policies::default(),
             steps,
         }
--- a/rig/src/scenario/play.rs
+++ b/rig/src/scenario/play.rs
@@ -23,8 +23,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients at once: each is a thread, and has another one at its endpoint. With four plays in a process that is far from the 65,530 maps
-/// that a process has, of which a thread takes two. What would be handed in beyond waits.
+/// Clients at once: each is a thread, and has another one at its endpoint. With four plays in a
+/// process that is far from the 65,530 maps that a process has, of which a thread takes two. What
+/// would be handed in beyond waits.
 const CLIENTS: usize = 2_000;
 /// Breaches that are told one by one.
 const TOLD: usize = 20;
@@ -126,7 +127,8 @@
     person: Option<(PathBuf, PathBuf)>,
     /// Orders that were given and not yet taken.
     orders: Arc<AtomicUsize>,
-    /// Numbers of keepers that lost what their folder held: an order to add one of them is refused for good, and rightly.
+    /// Numbers of keepers that lost what their folder held: an order to add one of them is refused
+    /// for good, and rightly.
     lost: Arc<Mutex<BTreeSet<String>>>,
     /// For what is drawn as steps are taken.
     random: fastrand::Rng,
@@ -142,10 +144,13 @@
 impl Place {
     /// Its keepers that are meant by a word that names no site, as things stand.
     fn those(&self, which: &Which, is_speaker: impl Fn(usize) -> bool) -> Vec<usize> {
-        let Some(keepers) = &self.keepers else { return Vec::new() };
+        let Some(keepers) = &self.keepers else {
+            return Vec::new();
+        };
         let leader = keepers.leader();
         let mut first = 0..self.site.keepers;
-        let follower = first.find(|n| leader != Some(*n) && keepers.runs(*n) && !keepers.is_out(*n));
+        let follower =
+            first.find(|n| leader != Some(*n) && keepers.runs(*n) && !keepers.is_out(*n));
         let is_meant = |n: &usize| match which {
             Which::All => true,
             Which::Leader => leader == Some(*n),
@@ -169,21 +174,35 @@
 
 /// What the program says of who leads a federation: the term, and the site by its number or name.
 fn leads(line: &str) -> Option<(u64, String)> {
-    let (site, term) = line.split_once(": site ")?.1.split_once(" leads in term ")?;
-    let term = term.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()?;
+    let (site, term) = line
+        .split_once(": site ")?
+        .1
+        .split_once(" leads in term ")?;
+    let term = term
+        .split(|c: char| !c.is_ascii_digit())
+        .next()?
+        .parse()
+        .ok()?;
     Some((term, site.to_string()))
 }
 
 impl Play<'_> {
     /// The sites that a word means, as things stand.
     fn sites(&self, word: &str) -> Vec<usize> {
-        let lead = self.lead.lock().unwrap_or_else(|e| e.into_inner()).1.clone();
+        let lead = self
+            .lead
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .1
+            .clone();
         let leads = |p: &Place| p.site.name == lead || p.number.to_string() == lead;
         let lead = self.sites.iter().position(leads).unwrap_or(0);
         let speaks = |s: &usize| {
             let name = self.speaker.as_deref().unwrap_or_default();
             let sender = self.senders.iter().position(|sender| sender.name == name);
-            let keeper = name.split_once('/').is_some_and(|(site, _)| site == self.sites[*s].site.name);
+            let keeper = name
+                .split_once('/')
+                .is_some_and(|(site, _)| site == self.sites[*s].site.name);
             keeper || sender.is_some_and(|n| self.scenario.site_of(n) == *s)
         };
         let is_meant = |s: &usize| match word {
@@ -205,7 +224,10 @@
         };
         let of_site = |s: usize| {
             let speaks = |n| self.speaker.as_deref() == Some(self.scenario.keeper((s, n)).as_str());
-            self.sites[s].those(which, speaks).into_iter().map(move |n| (s, n))
+            self.sites[s]
+                .those(which, speaks)
+                .into_iter()
+                .map(move |n| (s, n))
         };
         sites.into_iter().flat_map(of_site).collect()
     }
@@ -217,19 +239,26 @@
         mut does: impl FnMut(&mut Keepers, usize) -> Result<(), NoSender>,
     ) -> Result<(), NoSender> {
         let meant = self.keepers(which);
-        meant.into_iter().try_for_each(|(s, n)| match &mut self.sites[s].keepers {
-            Some(keepers) => does(keepers, n),
-            None => Ok(()),
-        })
+        meant
+            .into_iter()
+            .try_for_each(|(s, n)| match &mut self.sites[s].keepers {
+                Some(keepers) => does(keepers, n),
+                None => Ok(()),
+            })
     }
 
     /// Whether somebody has said something.
     fn said(&self, after: &After) -> bool {
-        let by_sender =
-            |s: &Sender| (s.name == after.who || after.who == "senders") && s.log().said(&after.says);
+        let by_sender = |s: &Sender| {
+            (s.name == after.who || after.who == "senders") && s.log().said(&after.says)
+        };
         let by_keeper = |(s, n): (usize, usize)| {
             let meant = after.who == "keepers" || after.who == self.scenario.keeper((s, n));
-            meant && self.sites[s].keepers.as_ref().is_some_and(|k| k.log(n).said(&after.says))
+            meant
+                && self.sites[s]
+                    .keepers
+                    .as_ref()
+                    .is_some_and(|k| k.log(n).said(&after.says))
         };
         self.senders.iter().any(by_sender) || self.keepers(&Which::All).into_iter().any(by_keeper)
     }
@@ -248,20 +277,30 @@
             let cut = others.peek().is_some() && others.all(|o| dumb(s, o) && dumb(o, s));
             let away = cut || place.is_dead();
             let since = if away { Instant::now() } else { before };
-            self.record.routing(|r| r.away(&place.site.name, away, since));
+            self.record
+                .routing(|r| r.away(&place.site.name, away, since));
         }
     }
 
     /// What the keepers of a site are told of the federation.
     fn federate(&mut self, s: usize, begin: bool, formerly: Option<u64>) {
-        let mut told = self.scenario.fleet.as_ref().map(|f| f.federation.clone()).unwrap_or_default();
+        let mut told = self
+            .scenario
+            .fleet
+            .as_ref()
+            .map(|f| f.federation.clone())
+            .unwrap_or_default();
         let me = &self.sites[s].site.name;
         told.insert("name".into(), FEDERATION.into());
         told.insert("number".into(), (self.sites[s].number as i64).into());
         told.insert("begin".into(), begin.into());
         told.extend(formerly.map(|number| ("formerly".to_string(), (number as i64).into())));
         let others = self.sites.iter().filter(|p| p.site.name != *me).map(|p| {
-            let at = p.keepers.as_ref().map(|k| k.reached_from_site(me)).unwrap_or_default();
+            let at = p
+                .keepers
+                .as_ref()
+                .map(|k| k.reached_from_site(me))
+                .unwrap_or_default();
             let mut other = toml::Table::new();
             other.insert("number".into(), (p.number as i64).into());
             other.insert("name".into(), p.site.name.clone().into());
@@ -269,11 +308,19 @@
             toml::Value::Table(other)
         });
         told.insert("site".into(), others.collect::<Vec<_>>().into());
-        self.sites[s].keepers.iter_mut().for_each(|k| k.in_federation(told.clone()));
+        self.sites[s]
+            .keepers
+            .iter_mut()
+            .for_each(|k| k.in_federation(told.clone()));
     }
 
     /// A person orders something of tables or sites.
-    fn order_table(&mut self, order: &TableOrder, by: &Which, patient_s: u64) -> Result<(), NotPlayed> {
+    fn order_table(
+        &mut self,
+        order: &TableOrder,
+        by: &Which,
+        patient_s: u64,
+    ) -> Result<(), NotPlayed> {
         let (s, first) = self.keepers(by).first().copied().unwrap_or_default();
         let reached = |site: &String| {
             let place = self.sites.iter().find(|p| p.site.name == *site)?;
@@ -286,14 +333,22 @@
         let file = self.people.path("table");
         let words = order.words(&self.scenario.tables, &self.scenario.places(), &file, &at)?;
         let patient = (patient_s > 0).then(|| Duration::from_secs(patient_s));
-        let fleet = self.sites[s].keepers.as_ref().map(|k| k.orders_file(first)).unwrap_or_default();
-        Ok(self.people.give(Order::Table(order.clone()), &words, &fleet, patient)?)
+        let fleet = self.sites[s]
+            .keepers
+            .as_ref()
+            .map(|k| k.orders_file(first))
+            .unwrap_or_default();
+        Ok(self
+            .people
+            .give(Order::Table(order.clone()), &words, &fleet, patient)?)
     }
 
     /// The lines from one site to another have this fault.
     fn between(&mut self, from: usize, to: usize, fault: Fault) {
         self.between.insert((from, to), fault);
-        let Some(keepers) = &self.sites[to].keepers else { return };
+        let Some(keepers) = &self.sites[to].keepers else {
+            return;
+        };
         keepers.from_site(&self.sites[from].site.name, fault);
         // What all learn by an order has one line for all.
         let mut others = (0..self.sites.len()).filter(|o| *o != to);
@@ -304,7 +359,9 @@
 
     /// A person gives an order, and again until it is taken.
     fn order(&self, words: Vec<String>) {
-        let Some((program, file)) = self.person.clone() else { return };
+        let Some((program, file)) = self.person.clone() else {
+            return;
+        };
         let (orders, lost) = (self.orders.clone(), self.lost.clone());
         let is_moot = move |words: &[String]| {
             let lost = lost.lock().unwrap_or_else(|e| e.into_inner());
@@ -329,7 +386,8 @@
     /// Senders can hear no keeper, or can again.
     fn cut_off(&self, senders: &[String], cut: bool) {
         if self.scenario.fleet.as_ref().is_some_and(Fleet::follows) {
-            self.record.rules(|r| r.cut(senders.iter().map(String::as_str), cut, Instant::now()));
+            self.record
+                .rules(|r| r.cut(senders.iter().map(String::as_str), cut, Instant::now()));
         }
     }
 
@@ -337,19 +395,28 @@
     fn of_zone(&self, zone: Option<&str>) -> Vec<String> {
         let zones = &self.scenario.zones;
         let there = |n: &usize| zone.is_none_or(|zone| zones[n % zones.len()] == zone);
-        (0..self.senders.len()).filter(there).map(|n| self.senders[n].name.clone()).collect()
+        (0..self.senders.len())
+            .filter(there)
+            .map(|n| self.senders[n].name.clone())
+            .collect()
     }
 
     /// Senders of a site.
     fn at_site(&self, s: usize) -> Vec<String> {
         let there = |n: &usize| self.scenario.site_of(*n) == s;
-        (0..self.senders.len()).filter(there).map(|n| self.senders[n].name.clone()).collect()
+        (0..self.senders.len())
+            .filter(there)
+            .map(|n| self.senders[n].name.clone())
+            .collect()
     }
 
     /// The directory of a sender's site.
     fn directory(&self, sender: usize) -> &Directory {
         let site = self.scenario.site_of(sender);
-        self.stage.directories().nth(site).unwrap_or(&self.stage.directory)
+        self.stage
+            .directories()
+            .nth(site)
+            .unwrap_or(&self.stage.directory)
     }
 
     fn directories(&self, does: impl Fn(&Directory)) {
@@ -362,7 +429,11 @@
     }
 
     fn crashed_keepers(&mut self) -> usize {
-        self.sites.iter_mut().filter_map(|p| p.keepers.as_mut()).map(Keepers::crashed).sum()
+        self.sites
+            .iter_mut()
+            .filter_map(|p| p.keepers.as_mut())
+            .map(Keepers::crashed)
+            .sum()
     }
 
     fn hears(&self, n: usize, hears: bool) {
@@ -380,10 +451,14 @@
     fn start_keepers(&mut self, which: &Which) -> Result<(), NoSender> {
         let those = self.keepers(which);
         let sites: BTreeSet<usize> = those.iter().map(|(s, _)| *s).collect();
-        sites.into_iter().for_each(|s| self.cut_off(&self.at_site(s), false));
+        sites
+            .into_iter()
+            .for_each(|s| self.cut_off(&self.at_site(s), false));
         for (s, n) in those {
             let name = self.scenario.keeper((s, n));
-            let Some(keepers) = self.sites[s].keepers.as_mut().filter(|k| !k.runs(n)) else { continue };
+            let Some(keepers) = self.sites[s].keepers.as_mut().filter(|k| !k.runs(n)) else {
+                continue;
+            };
             self.record.keeper_starts(&name);
             keepers.start(n)?;
         }
@@ -443,9 +518,13 @@
             Deed::Move => {
                 for &n in which {
                     let line = Relay::start(self.directory(n).address)?;
-                    self.directory(n).names(line.address.port(), &self.senders[n].name);
+                    self.directory(n)
+                        .names(line.address.port(), &self.senders[n].name);
                     self.senders[n].move_directory(line.address)?;
-                    std::mem::replace(&mut self.lines[n], line).set(Fault { cut: true, ..Fault::default() });
+                    std::mem::replace(&mut self.lines[n], line).set(Fault {
+                        cut: true,
+                        ..Fault::default()
+                    });
                 }
                 // It is told to all as nearly at once as can be.
                 which.iter().for_each(|&n| self.senders[n].hang_up());
@@ -472,14 +551,22 @@
             Deed::Drain(uid) => self.directories(|d| d.change(uid, "leaving")),
             Deed::Leave(uid) => self.directories(|d| d.change(uid, "left")),
             Deed::Return(uid) => self.directories(|d| d.change(uid, "active")),
-            Deed::ZoneDies { zone, how } => {
-                self.stage.ground.of_zone(zone).try_for_each(|n| self.stage.partners[n].dies(*how))?
-            }
-            Deed::ZoneBack(zone) => {
-                self.stage.ground.of_zone(zone).try_for_each(|n| self.stage.partners[n].lives())?
-            }
+            Deed::ZoneDies { zone, how } => self
+                .stage
+                .ground
+                .of_zone(zone)
+                .try_for_each(|n| self.stage.partners[n].dies(*how))?,
+            Deed::ZoneBack(zone) => self
+                .stage
+                .ground
+                .of_zone(zone)
+                .try_for_each(|n| self.stage.partners[n].lives())?,
             Deed::ZoneUnlisted(zone) | Deed::ZoneListed(zone) => {
-                let now = if matches!(deed, Deed::ZoneListed(_)) { "active" } else { "left" };
+                let now = if matches!(deed, Deed::ZoneListed(_)) {
+                    "active"
+                } else {
+                    "left"
+                };
                 let those = self.stage.ground.of_zone(zone);
                 those.for_each(|n| self.directories(|d| d.change(&format!("s{n}"), now)));
             }
@@ -495,7 +582,8 @@
             Deed::Policy { order, by } => {
                 let (s, first) = self.keepers(by).first().copied().unwrap_or_default();
                 if let Some(keepers) = &self.sites[s].keepers {
-                    self.people.order(&self.scenario.policies, order, keepers, first)?;
+                    self.people
+                        .order(&self.scenario.policies, order, keepers, first)?;
                 }
             }
             Deed::KeeperKill(which) => {
@@ -522,13 +610,19 @@
                 let (forgets, draw) = (matches!(deed, Deed::KeeperForget(_)), self.random.f64());
                 let those = self.keepers(which);
                 let numbers = those.iter().map(|(_, n)| (n + 1).to_string());
-                self.lost.lock().unwrap_or_else(|e| e.into_inner()).extend(numbers);
+                self.lost
+                    .lock()
+                    .unwrap_or_else(|e| e.into_inner())
+                    .extend(numbers);
                 let these = Which::Exactly(those);
                 self.does(&Deed::KeeperKill(these.clone()), &[])?;
-                self.with_keepers(
-                    &these,
-                    |k, n| if forgets { k.lose_folder(n) } else { k.tear_folder(n, draw) },
-                )?;
+                self.with_keepers(&these, |k, n| {
+                    if forgets {
+                        k.lose_folder(n)
+                    } else {
+                        k.tear_folder(n, draw)
+                    }
+                })?;
                 self.start_keepers(&these)?;
             }
             Deed::KeeperFull(which) | Deed::KeeperRoom(which) => {
@@ -541,7 +635,9 @@
             Deed::KeeperAdd(which) | Deed::KeeperRemove(which) => {
                 let adds = matches!(deed, Deed::KeeperAdd(_));
                 for (s, n) in self.keepers(which) {
-                    let Some(keepers) = &mut self.sites[s].keepers else { continue };
+                    let Some(keepers) = &mut self.sites[s].keepers else {
+                        continue;
+                    };
                     let (at, number) = (keepers.address(n), (n + 1).to_string());
                     let word = |word: &str| word.to_string();
                     if adds {
@@ -554,8 +650,17 @@
                 }
             }
             Deed::Order(words) => self.order(words.clone()),
-            Deed::Table { order, by, patient_s } => self.order_table(order, by, *patient_s)?,
-            Deed::SiteLines { from, to, both, fault } => {
+            Deed::Table {
+                order,
+                by,
+                patient_s,
+            } => self.order_table(order, by, *patient_s)?,
+            Deed::SiteLines {
+                from,
+                to,
+                both,
+                fault,
+            } => {
                 for from in self.sites(from) {
                     for to in self.sites(to).into_iter().filter(|to| *to != from) {
                         self.between(from, to, *fault);
@@ -565,7 +670,11 @@
                     }
                 }
             }
-            Deed::SiteAnew { site, number, keeps } => {
+            Deed::SiteAnew {
+                site,
+                number,
+                keeps,
+            } => {
                 for s in self.sites(site) {
                     let before = std::mem::replace(&mut self.sites[s].number, *number);
                     self.federate(s, false, keeps.then_some(before));
@@ -580,7 +689,9 @@
             Deed::KeeperLines { from, to, fault } => {
                 let to = self.keepers(to);
                 for (s, from) in self.keepers(from) {
-                    let Some(keepers) = &self.sites[s].keepers else { continue };
+                    let Some(keepers) = &self.sites[s].keepers else {
+                        continue;
+                    };
                     let here = to.iter().filter(|(site, _)| *site == s);
                     here.for_each(|(_, to)| keepers.between(from, *to, *fault));
                 }
@@ -589,20 +700,31 @@
                 let dumb = fault.cut || fault.refuse || fault.silent_up || fault.silent_down;
                 let to = self.keepers(to);
                 for (s, place) in self.sites.iter().enumerate() {
-                    let Some(keepers) = &place.keepers else { continue };
-                    let here: Vec<usize> =
-                        to.iter().filter(|(site, _)| *site == s).map(|(_, n)| *n).collect();
-                    let zones =
-                        place.site.zones.iter().filter(|z| zone.as_ref().is_none_or(|zone| zone == *z));
+                    let Some(keepers) = &place.keepers else {
+                        continue;
+                    };
+                    let here: Vec<usize> = to
+                        .iter()
+                        .filter(|(site, _)| *site == s)
+                        .map(|(_, n)| *n)
+                        .collect();
+                    let zones = place
+                        .site
+                        .zones
+                        .iter()
+                        .filter(|z| zone.as_ref().is_none_or(|zone| zone == *z));
                     for zone in zones {
-                        here.iter().for_each(|n| keepers.from_zone(zone, *n, *fault));
+                        here.iter()
+                            .for_each(|n| keepers.from_zone(zone, *n, *fault));
                         if here.len() == keepers.count() {
                             self.cut_off(&self.of_zone(Some(zone)), dumb);
                         }
                     }
                 }
             }
-            Deed::EndpointBack(endpoint) => self.partner(endpoint).map_or(Ok(()), Partner::lives)?,
+            Deed::EndpointBack(endpoint) => {
+                self.partner(endpoint).map_or(Ok(()), Partner::lives)?
+            }
         }
         Ok(())
     }
@@ -622,7 +744,8 @@
     program: &Path,
     seed: u64,
 ) -> Result<(Outcome, Arc<Record>, Vec<Led>), NotPlayed> {
-    play_heard(scenario, program, seed, Vec::new()).map(|(outcome, record, led, _)| (outcome, record, led))
+    play_heard(scenario, program, seed, Vec::new())
+        .map(|(outcome, record, led, _)| (outcome, record, led))
 }
 
 /// What [`play_heard`] brings.
@@ -644,14 +767,20 @@
         at: None,
     };
     // A step that waits for no line waits for one that nobody says.
-    let steps = scenario.steps.iter().map(|step| step.after.as_ref().map(wait).unwrap_or_else(Wait::none));
+    let steps = scenario
+        .steps
+        .iter()
+        .map(|step| step.after.as_ref().map(wait).unwrap_or_else(Wait::none));
     let waits = steps.chain(scenario.wanted.unsaid.iter().map(wait));
-    let waits = waits.chain(scenario.tables.until.iter().map(wait)).chain(counted);
+    let waits = waits
+        .chain(scenario.tables.until.iter().map(wait))
+        .chain(counted);
     let places = scenario.places();
     let sites = scenario.sites.iter().flat_map(|_| 0..scenario.senders);
     let sites = sites.map(|n| (format!("n{n}"), places[scenario.site_of(n)].name.clone()));
     let said = Arc::new(Sayings::new(waits.collect(), sites.collect()));
-    let is_gone = |n: usize| scenario.kept == Kept::Gone || scenario.kept == Kept::ThirdGone && n % 3 == 0;
+    let is_gone =
+        |n: usize| scenario.kept == Kept::Gone || scenario.kept == Kept::ThirdGone && n % 3 == 0;
     let [call, ask] = [scenario.call_ms, scenario.ask_ms].map(Duration::from_millis);
     let ground = Ground {
         endpoints: scenario.endpoints,
@@ -665,17 +794,30 @@
     let record = &stage.record;
     let balancers = scenario.balancers.unwrap_or(scenario.senders);
     let policies = &scenario.policies;
-    let told = Told { program, seed, balancers, rare: policies.rare > 0.0 };
+    let told = Told {
+        program,
+        seed,
+        balancers,
+        rare: policies.rare > 0.0,
+    };
     let (mut senders, mut lines) = (Vec::new(), Vec::new());
     let (mut sites, lead) = (Vec::new(), Arc::<Mutex<(u64, String)>>::default());
     for (s, site) in places.iter().enumerate() {
-        let others = scenario.sites.iter().filter(|other| other.name != site.name).map(|o| o.name.clone());
-        let others: Vec<String> =
-            others.chain(scenario.sites.iter().take(1).map(|_| LEARNT.into())).collect();
+        let others = scenario
+            .sites
+            .iter()
+            .filter(|other| other.name != site.name)
+            .map(|o| o.name.clone());
+        let others: Vec<String> = others
+            .chain(scenario.sites.iter().take(1).map(|_| LEARNT.into()))
+            .collect();
         let latency = Duration::from_millis(scenario.site_delay_ms);
         let mut keepers = None;
         if let Some(fleet) = &scenario.fleet {
-            let (site, count) = ((site.name.as_str(), &others[..], latency), (site.keepers, site.spare));
+            let (site, count) = (
+                (site.name.as_str(), &others[..], latency),
+                (site.keepers, site.spare),
+            );
             let rules = fleet.rules(&scenario.limits);
             let mut new = Keepers::of_site(program, site, count, &places[s].zones, &rules)?;
             let names: Vec<String> = (0..new.count()).map(|n| scenario.keeper((s, n))).collect();
@@ -690,7 +832,11 @@
             }));
             keepers = Some(new);
         }
-        sites.push(Place { site: site.clone(), number: s as u64 + 1, keepers });
+        sites.push(Place {
+            site: site.clone(),
+            number: s as u64 + 1,
+            keepers,
+        });
     }
     let folder = tempfile::TempDir::new()?;
     let mut person = None;
@@ -704,7 +850,14 @@
         let directory = stage.directories().nth(site).unwrap_or(&stage.directory);
         let line = Relay::start(directory.address)?;
         let lacks = policies.without_rare.contains(&format!("n{n}"));
-        let mut sender = stage.sender(&Told { rare: told.rare && !lacks, ..told }, n, line.address)?;
+        let mut sender = stage.sender(
+            &Told {
+                rare: told.rare && !lacks,
+                ..told
+            },
+            n,
+            line.address,
+        )?;
         if policies.own_script {
             sender.hooked(&script(OWN, ""))?;
         }
@@ -712,7 +865,9 @@
             let zone = &scenario.zones[n % scenario.zones.len()];
             let mut file = keepers.fleet_file(zone, fleet.report_ms);
             for (name, told) in [("policy", &fleet.policy), ("table", &fleet.table)] {
-                let told = told.iter().map(|told| (name.to_string(), told.clone().into()));
+                let told = told
+                    .iter()
+                    .map(|told| (name.to_string(), told.clone().into()));
                 file += &toml::Table::from_iter(told).to_string();
             }
             if fleet.follows() {
@@ -762,11 +917,24 @@
     };
     (0..scenario.sites.len()).for_each(|s| play.federate(s, true, None));
     let begun = Instant::now();
-    let Went { steps, never, handed, well, over } = run_through(&mut play, seed)?;
-    let (played_s, not_ordered) = (begun.elapsed().as_secs_f64(), play.orders.load(Ordering::SeqCst));
+    let Went {
+        steps,
+        never,
+        handed,
+        well,
+        over,
+    } = run_through(&mut play, seed)?;
+    let (played_s, not_ordered) = (
+        begun.elapsed().as_secs_f64(),
+        play.orders.load(Ordering::SeqCst),
+    );
     record.settle(LEFT + Duration::from_secs(2));
     (0..scenario.senders).for_each(|n| play.ended(n));
-    let dead = play.senders.iter_mut().zip(&play.run).map(|(s, run)| usize::from(*run && !s.lives()));
+    let dead = play
+        .senders
+        .iter_mut()
+        .zip(&play.run)
+        .map(|(s, run)| usize::from(*run && !s.lives()));
     let mut crashed = play.crashed + dead.sum::<usize>();
     crashed += play.crashed_keepers();
     let mut broken_off: u32 = play.lines.iter().map(Relay::broken).sum();
@@ -784,9 +952,18 @@
     }
     let keepers = || play.sites.iter().filter_map(|p| p.keepers.as_ref());
     let mut said_of: Vec<(Instant, String)> = Vec::new();
-    for (place, keepers) in play.sites.iter().filter_map(|p| Some((p, p.keepers.as_ref()?))) {
+    for (place, keepers) in play
+        .sites
+        .iter()
+        .filter_map(|p| Some((p, p.keepers.as_ref()?)))
+    {
         let name = &place.site.name;
-        said_of.extend(keepers.policies().into_iter().map(|(at, line)| (at, format!("{name} {line}"))));
+        said_of.extend(
+            keepers
+                .policies()
+                .into_iter()
+                .map(|(at, line)| (at, format!("{name} {line}"))),
+        );
     }
     said_of.sort();
     record.seen().said = said_of;
@@ -814,14 +991,28 @@
         crashed,
         verdict,
         ordered,
-        switches: seen.rules.as_ref().map(|r| r.switches(&seen.lives)).unwrap_or_default(),
-        tables: seen.routing.as_ref().map(|r| r.switches(&seen.lives)).unwrap_or_default(),
+        switches: seen
+            .rules
+            .as_ref()
+            .map(|r| r.switches(&seen.lives))
+            .unwrap_or_default(),
+        tables: seen
+            .routing
+            .as_ref()
+            .map(|r| r.switches(&seen.lives))
+            .unwrap_or_default(),
         missed: Vec::new(),
         breaches: seen
             .breaches()
             .into_iter()
             .chain(seen.strayed())
-            .chain(seen.twice.iter().chain(&seen.disagreed).chain(&seen.ran_twice).map(String::as_str))
+            .chain(
+                seen.twice
+                    .iter()
+                    .chain(&seen.disagreed)
+                    .chain(&seen.ran_twice)
+                    .map(String::as_str),
+            )
             .map(str::to_string)
             .chain(seen.rules.iter().flat_map(|r| r.breaches(&seen.lives)))
             .chain(seen.routing.iter().flat_map(|r| r.breaches(&seen.lives)))
@@ -836,24 +1027,43 @@
         ("steps", steps + never < scenario.steps.len()),
         ("well", scenario.until_well && !well),
         ("orders", not_ordered > 0),
-        ("delivered", (delivered as f64) < wanted.delivered * taken_on as f64),
+        (
+            "delivered",
+            (delivered as f64) < wanted.delivered * taken_on as f64,
+        ),
         ("asks", wanted.asks.is_some_and(|most| outcome.asks > most)),
-        ("toppled", wanted.toppled.is_some_and(|most| outcome.toppled > most)),
-        ("left", outcome.left < wanted.left || wanted.most_left.is_some_and(|most| outcome.left > most)),
+        (
+            "toppled",
+            wanted.toppled.is_some_and(|most| outcome.toppled > most),
+        ),
+        (
+            "left",
+            outcome.left < wanted.left || wanted.most_left.is_some_and(|most| outcome.left > most),
+        ),
         ("again", outcome.again < wanted.again),
         ("held", held < wanted.held),
         ("broken_off", broken_off < wanted.broken_off),
         ("unsaid", unsaid.iter().any(|wait| wait.at.is_some())),
         ("taken_on", taken_on == 0),
-        ("switched", wanted.switched.is_some_and(|n| outcome.switches.len() != n)),
+        (
+            "switched",
+            wanted.switched.is_some_and(|n| outcome.switches.len() != n),
+        ),
         ("tables", outcome.tables.len() < wanted.tables),
         (
             "refused_orders",
             outcome.ordered.iter().filter(|o| o.was_refused()).count() != wanted.refused_orders,
         ),
-        ("until", (scenario.policies.until.is_some() || !scenario.tables.until.is_empty()) && !over),
+        (
+            "until",
+            (scenario.policies.until.is_some() || !scenario.tables.until.is_empty()) && !over,
+        ),
     ];
-    outcome.missed = missed.iter().filter(|m| m.1).map(|m| m.0.to_string()).collect();
+    outcome.missed = missed
+        .iter()
+        .filter(|m| m.1)
+        .map(|m| m.0.to_string())
+        .collect();
     drop(seen);
     Ok((outcome, record.clone(), led, heard))
 }
@@ -882,7 +1092,11 @@
     let (mut handed, mut clients, mut well_since) = (0, Vec::new(), None);
     let policies = &play.scenario.policies;
     let tables = &play.scenario.tables;
-    let rest_s = if tables.until.is_empty() { policies.rest_s } else { tables.rest_s };
+    let rest_s = if tables.until.is_empty() {
+        policies.rest_s
+    } else {
+        tables.rest_s
+    };
     let (rest, mut over) = (Duration::from_secs_f64(rest_s), None);
     let until = play.scenario.steps.len() + play.scenario.wanted.unsaid.len();
     let until = until..until + tables.until.len();
@@ -892,7 +1106,9 @@
             over = (since && play.said(until)).then(Instant::now);
         }
         if over.is_none() && !until.is_empty() {
-            let said = play.said.waits()[until.clone()].iter().all(|wait| wait.at.is_some());
+            let said = play.said.waits()[until.clone()]
+                .iter()
+                .all(|wait| wait.at.is_some());
             over = said.then(Instant::now);
         }
         if over.is_some_and(|over: Instant| over.elapsed() >= rest) {
@@ -904,10 +1120,16 @@
             // When a step may come, as far as that is known, and who said so.
             let from = match step.after {
                 None => Some((begun, None)),
-                Some(_) => play.said.waits()[n].at.clone().map(|(at, who)| (at, Some(who))),
+                Some(_) => play.said.waits()[n]
+                    .at
+                    .clone()
+                    .map(|(at, who)| (at, Some(who))),
             };
             let at = from.map(|(from, who)| (from + Duration::from_secs_f64(step.at_s), who));
-            due.extend(at.filter(|(at, _)| *at <= Instant::now()).map(|(at, who)| (at, n, who)));
+            due.extend(
+                at.filter(|(at, _)| *at <= Instant::now())
+                    .map(|(at, who)| (at, n, who)),
+            );
         }
         due.sort();
         for (_, n, speaker) in &due {
@@ -916,10 +1138,18 @@
             play.record.seen().steps.push((Instant::now(), *n));
             play.speaker.clone_from(speaker);
             let senders = play.scenario.those(&step.who, speaker.as_deref());
-            let keepers = step.deed.keepers().last().map(|which| play.keepers(which)).unwrap_or_default();
+            let keepers = step
+                .deed
+                .keepers()
+                .last()
+                .map(|which| play.keepers(which))
+                .unwrap_or_default();
             if let Some(after) = step.for_s {
                 let at = Instant::now() + Duration::from_secs_f64(after);
-                let undo = step.deed.undone(&keepers).map(|deed| (at, deed, senders.clone()));
+                let undo = step
+                    .deed
+                    .undone(&keepers)
+                    .map(|deed| (at, deed, senders.clone()));
                 undone.extend(undo);
             }
             play.does(&step.deed, &senders)?;
@@ -938,18 +1168,25 @@
                 true => (RARE_CLASS, format!("{RARE}{handed}")),
                 false => (CLASS, format!("m{handed}")),
             };
-            let (log, name): (Arc<Log>, _) = (play.senders[sender].log(), play.senders[sender].name.clone());
+            let (log, name): (Arc<Log>, _) = (
+                play.senders[sender].log(),
+                play.senders[sender].name.clone(),
+            );
             handed += 1;
             if log.listens() {
                 let record = play.record.clone();
-                clients.push(thread::spawn(move || log.hand_in(&name, &id, class, dest, LEFT, &record)));
+                clients.push(thread::spawn(move || {
+                    log.hand_in(&name, &id, class, dest, LEFT, &record)
+                }));
             }
         }
         clients.retain(|c| !c.is_finished());
         let must = open.iter().any(|n| !play.scenario.steps[*n].may_fail);
         let is_well = !must && undone.is_empty() && play.record.all_in();
         let ordered = play.orders.load(Ordering::SeqCst) == 0;
-        well_since = well_since.filter(|_| is_well && ordered).or_else(|| is_well.then(Instant::now));
+        well_since = well_since
+            .filter(|_| is_well && ordered)
+            .or_else(|| is_well.then(Instant::now));
         if play.scenario.until_well && well_since.is_some_and(|since| since.elapsed() >= WELL) {
             break;
         }
@@ -960,11 +1197,20 @@
         seen.lateness = seen.lateness.max(late);
     }
     clients.into_iter().for_each(|c| drop(c.join()));
-    let never = open.iter().filter(|n| play.scenario.steps[**n].may_fail).count();
+    let never = open
+        .iter()
+        .filter(|n| play.scenario.steps[**n].may_fail)
+        .count();
     let (steps, well) = (play.scenario.steps.len() - open.len(), well_since.is_some());
     // Whoever stands still goes on before all is looked at, and lines are whole.
     for (_, deed, senders) in undone {
         play.does(&deed, &senders)?;
     }
-    Ok(Went { steps, never, handed, well, over: over.is_some() })
+    Ok(Went {
+        steps,
+        never,
+        handed,
+        well,
+        over: over.is_some(),
+    })
 }
--- a/rig/src/scenario/sites.rs
+++ b/rig/src/scenario/sites.rs
@@ -30,17 +30,22 @@
     /// One.
     pub fn of(name: &str, zones: &[&str], keepers: usize) -> Site {
         let zones = zones.iter().map(|z| z.to_string()).collect();
-        Site { name: name.into(), zones, keepers, spare: 0 }
+        Site {
+            name: name.into(),
+            zones,
+            keepers,
+            spare: 0,
+        }
     }
 }
 
-/// Words for sites beside their names: all, the one that leads the federation, the first one that does not, and the one whose process
-/// logged what the step waited for.
+/// Words for sites beside their names: all, the one that leads the federation, the first one that
+/// does not, and the one whose process logged what the step waited for.
 pub(super) const WORDS: [&str; 4] = ["all", "lead", "led", "speaker"];
 
 impl Scenario {
-    /// Where several sites are named: their zones are all that there are, each with an endpoint for each destination at the least, and
-    /// there are keepers.
+    /// Where several sites are named: their zones are all that there are, each with an endpoint for
+    /// each destination at the least, and there are keepers.
     pub(super) fn with_sites(mut self) -> Scenario {
         if !self.sites.is_empty() {
             self.zones = self.sites.iter().flat_map(|s| s.zones.clone()).collect();
@@ -55,7 +60,12 @@
         match (&self.sites[..], &self.fleet) {
             ([], fleet) => {
                 let (keepers, spare) = fleet.as_ref().map_or((0, 0), |f| (f.keepers, f.spare));
-                vec![Site { name: SITE.into(), zones: self.zones.clone(), keepers, spare }]
+                vec![Site {
+                    name: SITE.into(),
+                    zones: self.zones.clone(),
+                    keepers,
+                    spare,
+                }]
             }
             (sites, _) => sites.to_vec(),
         }
@@ -64,7 +74,10 @@
     /// The site of a sender, by its position.
     pub(crate) fn site_of(&self, sender: usize) -> usize {
         let zone = &self.zones[sender % self.zones.len()];
-        self.sites.iter().position(|s| s.zones.contains(zone)).unwrap_or(0)
+        self.sites
+            .iter()
+            .position(|s| s.zones.contains(zone))
+            .unwrap_or(0)
     }
 
     /// A keeper's name.
@@ -77,7 +90,8 @@
 
     /// Whether a word means sites.
     pub(super) fn is_site(&self, word: &str) -> bool {
-        !self.sites.is_empty() && (WORDS.contains(&word) || self.sites.iter().any(|s| s.name == word))
+        !self.sites.is_empty()
+            && (WORDS.contains(&word) || self.sites.iter().any(|s| s.name == word))
     }
 
     /// The first fault of what is said of sites.
@@ -85,13 +99,22 @@
         let fault = |why: &str| Some(("sites".to_string(), why.to_string()));
         let names: BTreeSet<&str> = self.sites.iter().map(|s| s.name.as_str()).collect();
         let zones: BTreeSet<&String> = self.zones.iter().collect();
-        if names.len() < self.sites.len() || !self.sites.is_empty() && zones.len() < self.zones.len() {
+        if names.len() < self.sites.len()
+            || !self.sites.is_empty() && zones.len() < self.zones.len()
+        {
             return fault("a name, or a zone, stands twice");
         }
-        if names.iter().any(|n| n.is_empty() || n.contains('/') || WORDS.contains(n)) {
+        if names
+            .iter()
+            .any(|n| n.is_empty() || n.contains('/') || WORDS.contains(n))
+        {
             return fault("a name is empty, has a slash, or is a word for sites");
         }
-        if self.sites.iter().any(|s| s.zones.is_empty() || !(1..=9).contains(&(s.keepers + s.spare))) {
+        if self
+            .sites
+            .iter()
+            .any(|s| s.zones.is_empty() || !(1..=9).contains(&(s.keepers + s.spare)))
+        {
             return fault("each has a zone or more, and 1 to 9 keepers");
         }
         if self.sites.len() > 50 {
@@ -107,16 +130,26 @@
         let names: Vec<&str> = match deed {
             Deed::SiteLines { from, to, .. } => vec![from, to],
             Deed::SiteAnew { site, .. } => vec![site],
-            Deed::Table { order: crate::tables::TableOrder::Off(site), .. }
-            | Deed::Table { order: crate::tables::TableOrder::Join { site, .. }, .. } => vec![site],
-            Deed::Table { order: crate::tables::TableOrder::Propose(name), .. }
-                if !self.tables.given.iter().any(|g| g.name == *name) =>
-            {
+            Deed::Table {
+                order: crate::tables::TableOrder::Off(site),
+                ..
+            }
+            | Deed::Table {
+                order: crate::tables::TableOrder::Join { site, .. },
+                ..
+            } => vec![site],
+            Deed::Table {
+                order: crate::tables::TableOrder::Propose(name),
+                ..
+            } if !self.tables.given.iter().any(|g| g.name == *name) => {
                 return Some(format!("there is no table '{name}'"));
             }
             _ => Vec::new(),
         };
-        names.into_iter().find(|name| !self.is_site(name)).map(no_site)
+        names
+            .into_iter()
+            .find(|name| !self.is_site(name))
+            .map(no_site)
     }
 
     /// Senders that are meant.
@@ -124,20 +157,28 @@
         match who {
             Who::Share(share) => (0..(share * self.senders as f64).ceil() as usize).collect(),
             Who::Names(names) => {
-                let speaks = |name: &str| names.iter().any(|n| n == "speaker") && speaker == Some(name);
+                let speaks =
+                    |name: &str| names.iter().any(|n| n == "speaker") && speaker == Some(name);
                 let of_site = |n: usize| {
                     let site = self.sites.get(self.site_of(n));
                     site.is_some_and(|s| names.contains(&format!("{}/senders", s.name)))
                 };
                 let is_meant = |name: String| names.contains(&name) || speaks(&name);
-                (0..self.senders).filter(|n| is_meant(format!("n{n}")) || of_site(*n)).collect()
+                (0..self.senders)
+                    .filter(|n| is_meant(format!("n{n}")) || of_site(*n))
+                    .collect()
             }
         }
     }
 
     /// Whether a word means keepers that there are.
     pub(super) fn is_which(&self, which: &Which) -> bool {
-        let most = self.places().iter().map(|s| s.keepers + s.spare).max().unwrap_or(0);
+        let most = self
+            .places()
+            .iter()
+            .map(|s| s.keepers + s.spare)
+            .max()
+            .unwrap_or(0);
         match which {
             Which::At(site, which) => self.is_site(site) && self.is_which(which),
             Which::These(these) => these.iter().all(|n| *n < most),
@@ -150,8 +191,10 @@
     pub(super) fn is_heard(&self, who: &str) -> bool {
         let is_sender = |name: &str| (0..self.senders).any(|n| name == format!("n{n}"));
         let places = self.places();
-        let keepers =
-            || (0..places.len()).flat_map(|s| (0..places[s].keepers + places[s].spare).map(move |k| (s, k)));
+        let keepers = || {
+            (0..places.len())
+                .flat_map(|s| (0..places[s].keepers + places[s].spare).map(move |k| (s, k)))
+        };
         let of_site = |(site, of): (&str, &str)| {
             self.sites.iter().any(|s| s.name == site) && ["keepers", "senders"].contains(&of)
         };
--- a/rig/src/sender.rs
+++ b/rig/src/sender.rs
@@ -50,7 +50,8 @@
     heard: Option<Heard>,
 }
 
-/// Where this is set in the environment, all that processes log is told on the standard error, each line with the process's number.
+/// Where this is set in the environment, all that processes log is told on the standard error, each
+/// line with the process's number.
 const TELLS: &str = "RAILDEAL_RIG_TELLS";
 
 /// What processes of a fleet log: also each step of the protocols between senders and keepers.
@@ -64,7 +65,11 @@
     let (stderr, log) = (child.stderr.take(), Arc::<Log>::default());
     let (hears, number, tells) = (log.clone(), child.id(), std::env::var_os(TELLS).is_some());
     thread::spawn(move || {
-        for line in stderr.into_iter().flat_map(|s| BufReader::new(s).lines()).map_while(Result::ok) {
+        for line in stderr
+            .into_iter()
+            .flat_map(|s| BufReader::new(s).lines())
+            .map_while(Result::ok)
+        {
             heard.iter().for_each(|heard| heard(&line));
             if tells {
                 eprintln!("{number}: {line}");
@@ -116,7 +121,8 @@
         self.heard = Some(heard);
     }
 
-    /// From its next start on an operator's file tells it all that it was told, but for a kept list, and this script.
+    /// From its next start on an operator's file tells it all that it was told, but for a kept
+    /// list, and this script.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -131,7 +137,9 @@
     /// There is no such program.
     pub fn spawn(&mut self) -> Result<(), NoSender> {
         self.kill();
-        let fleet = self.in_fleet.then(|| ("RAILDEAL_FLEET", self.folder.path().join("fleet.toml")));
+        let fleet = self
+            .in_fleet
+            .then(|| ("RAILDEAL_FLEET", self.folder.path().join("fleet.toml")));
         let file = self.hook.as_ref().map(|_| self.folder.path().join(OWN[0]));
         let child = Command::new(&self.program)
             .args(file)
@@ -155,11 +163,18 @@
     pub fn listens(&self) -> Result<(), NoSender> {
         let seen = self.log.seen();
         let silent = |log: &mut Said| log.address.is_none() && !log.over;
-        let (seen, _) =
-            self.log.news.wait_timeout_while(seen, PATIENCE, silent).unwrap_or_else(|e| e.into_inner());
+        let (seen, _) = self
+            .log
+            .news
+            .wait_timeout_while(seen, PATIENCE, silent)
+            .unwrap_or_else(|e| e.into_inner());
         match seen.address {
             Some(_) => Ok(()),
-            None => Err(NoSender::Silent(self.name.clone(), PATIENCE, seen.first.join("; "))),
+            None => Err(NoSender::Silent(
+                self.name.clone(),
+                PATIENCE,
+                seen.first.join("; "),
+            )),
         }
     }
 
@@ -184,7 +199,9 @@
 
     /// Waits until it has ended, and tells whether it did as it should.
     pub fn ended_well(&mut self) -> bool {
-        let Some(mut child) = self.child.take() else { return false };
+        let Some(mut child) = self.child.take() else {
+            return false;
+        };
         self.log = Arc::default();
         let end = Instant::now() + PATIENCE;
         while Instant::now() < end {
@@ -208,7 +225,10 @@
 
     /// Whole or not at all: a process may read it at any moment.
     fn write(&self, name: &str, text: &str) -> io::Result<()> {
-        let (file, new) = (self.folder.path().join(name), self.folder.path().join("new"));
+        let (file, new) = (
+            self.folder.path().join(name),
+            self.folder.path().join("new"),
+        );
         std::fs::write(&new, text)?;
         std::fs::rename(new, file)
     }
@@ -227,7 +247,8 @@
         toml::to_string(&file)
     }
 
-    /// Writes into its configuration that the directory is at another address. It reads that when it is told to.
+    /// Writes into its configuration that the directory is at another address. It reads that when
+    /// it is told to.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -242,7 +263,10 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let pid = self.child.as_ref().and_then(|c| Pid::from_raw(c.id() as i32));
+        let pid = self
+            .child
+            .as_ref()
+            .and_then(|c| Pid::from_raw(c.id() as i32));
         // One that is gone has stopped for good.
         let _ = pid.map(|pid| kill_process(pid, signal));
     }
@@ -254,10 +278,13 @@
 
     /// Whether its process lives.
     pub fn lives(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
+        self.child
+            .as_mut()
+            .is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
-    /// Hands a message for a destination in and waits for the answer as clients do. Whether it was taken on.
+    /// Hands a message for a destination in and waits for the answer as clients do. Whether it was
+    /// taken on.
     pub fn hand_in(&self, id: &str, dest: usize, left: Duration, record: &Record) -> bool {
         self.log.hand_in(&self.name, id, CLASS, dest, left, record)
     }
@@ -298,8 +325,13 @@
 
     fn hear(&self, line: String) {
         let mut seen = self.seen();
-        seen.words.iter_mut().for_each(|(words, heard)| *heard |= line.contains(words.as_str()));
-        if let Some(at) = line.split_once("platform at ").and_then(|(_, at)| at.trim().parse().ok()) {
+        seen.words
+            .iter_mut()
+            .for_each(|(words, heard)| *heard |= line.contains(words.as_str()));
+        if let Some(at) = line
+            .split_once("platform at ")
+            .and_then(|(_, at)| at.trim().parse().ok())
+        {
             seen.address = Some(at);
             self.news.notify_all();
         }
@@ -321,7 +353,11 @@
     /// Whether a line had these words since they were first asked for.
     pub fn said(&self, words: &str) -> bool {
         let mut seen = self.seen();
-        let known = seen.words.iter().find(|(w, _)| w == words).map(|(_, heard)| *heard);
+        let known = seen
+            .words
+            .iter()
+            .find(|(w, _)| w == words)
+            .map(|(_, heard)| *heard);
         known.unwrap_or_else(|| {
             let heard = seen.first.iter().any(|l| l.contains(words));
             seen.words.push((words.to_string(), heard));
@@ -329,7 +365,8 @@
         })
     }
 
-    /// Hands a message for a destination in and waits for the answer as clients do. Whether it was taken on.
+    /// Hands a message for a destination in and waits for the answer as clients do. Whether it was
+    /// taken on.
     pub fn hand_in(
         &self,
         sender: &str,
@@ -339,7 +376,9 @@
         left: Duration,
         record: &Record,
     ) -> bool {
-        let Some(address) = self.seen().address else { return false };
+        let Some(address) = self.seen().address else {
+            return false;
+        };
         record.handed(id, sender);
         let ask = || -> io::Result<Option<bool>> {
             let mut stream = TcpStream::connect(address)?;
@@ -355,7 +394,9 @@
         };
         // No answer at all is none that anybody heard.
         let taken_on = ask().unwrap_or(None);
-        taken_on.into_iter().for_each(|taken_on| record.answered(id, taken_on));
+        taken_on
+            .into_iter()
+            .for_each(|taken_on| record.answered(id, taken_on));
         taken_on == Some(true)
     }
 }
--- a/rig/src/stage.rs
+++ b/rig/src/stage.rs
@@ -1,4 +1,5 @@
-//! What every play stands on: endpoints of partners, the directory that lists them, and senders that are told of both.
+//! What every play stands on: endpoints of partners, the directory that lists them, and senders
+//! that are told of both.
 
 use crate::directory::Directory;
 use crate::limits::Terms;
@@ -79,11 +80,21 @@
         is_gone: impl Fn(usize) -> bool,
     ) -> io::Result<Stage> {
         let terms = Terms::default();
-        Stage::on(Ground { endpoints, zones: vec!["a".into()], call, terms, lines: false }, ask, is_gone)
+        Stage::on(
+            Ground {
+                endpoints,
+                zones: vec!["a".into()],
+                call,
+                terms,
+                lines: false,
+            },
+            ask,
+            is_gone,
+        )
     }
 
-    /// Endpoints `s0`, `s1` and so on, and a directory that needs `ask` for an ask. The kept lists name others in place of those
-    /// that are gone.
+    /// Endpoints `s0`, `s1` and so on, and a directory that needs `ask` for an ask. The kept lists
+    /// name others in place of those that are gone.
     pub fn on(ground: Ground, ask: Duration, is_gone: impl Fn(usize) -> bool) -> io::Result<Stage> {
         let record = Arc::new(Record::default());
         let (mut targets, mut kept, mut partners) = (Vec::new(), Vec::new(), Vec::new());
@@ -91,22 +102,44 @@
             let uid = format!("s{n}");
             let partner = Partner::start(&uid, ground.call, ground.terms, record.clone())?;
             record.stands(&uid, ground.zone(n), n % DESTS);
-            let at = if ground.lines { partner.line()?.address } else { partner.address() };
+            let at = if ground.lines {
+                partner.line()?.address
+            } else {
+                partner.address()
+            };
             let there = target(&ground, n, &uid, &at.to_string());
             // Nobody listens on these ports of the loopback addresses.
-            let gone = || target(&ground, n, &format!("gone{n}"), &format!("127.0.0.9:{}", 1 + n));
+            let gone = || {
+                target(
+                    &ground,
+                    n,
+                    &format!("gone{n}"),
+                    &format!("127.0.0.9:{}", 1 + n),
+                )
+            };
             kept.push(if is_gone(n) { gone() } else { there.clone() });
             targets.push(there);
             partners.push(partner);
         }
         let directory = Directory::start(ask, targets.clone(), record.clone())?;
         let others = Vec::new();
-        Ok(Stage { record, directory, others, partners, ground, deadline: LEFT, kept, targets, ask })
+        Ok(Stage {
+            record,
+            directory,
+            others,
+            partners,
+            ground,
+            deadline: LEFT,
+            kept,
+            targets,
+            ask,
+        })
     }
 
     /// So many sites have a directory of their own.
     pub fn sites(&mut self, count: usize) -> io::Result<()> {
-        let more = (1..count).map(|_| Directory::start(self.ask, self.targets.clone(), self.record.clone()));
+        let more = (1..count)
+            .map(|_| Directory::start(self.ask, self.targets.clone(), self.record.clone()));
         self.others = more.collect::<io::Result<_>>()?;
         Ok(())
     }
@@ -116,7 +149,8 @@
         std::iter::once(&self.directory).chain(&self.others)
     }
 
-    /// The sender `n0`, `n1` or so on, which finds the directory at an address; it is not started yet.
+    /// The sender `n0`, `n1` or so on, which finds the directory at an address; it is not started
+    /// yet.
     pub fn sender(&self, told: &Told, n: usize, directory: SocketAddr) -> Result<Sender, NoSender> {
         let config = json!({"listen": "127.0.0.1:0", "discovery": directory,
             "seed": format!("{:016x}", told.seed + n as u64),
@@ -135,8 +169,11 @@
         json!({"name": name, "promise": 3_000_000_000u64, "deadline": deadline.as_nanos() as u64, "effect": "token",
             "dedupScope": "zone", "window": 10_000_000_000u64, "points": 1.0, "lateWorth": 0.5})
     };
-    let classes: Vec<Value> =
-        [(CLASS, true), (RARE_CLASS, told.rare)].iter().filter(|c| c.1).map(|c| class(c.0)).collect();
+    let classes: Vec<Value> = [(CLASS, true), (RARE_CLASS, told.rare)]
+        .iter()
+        .filter(|c| c.1)
+        .map(|c| class(c.0))
+        .collect();
     json!({
         "balancers": told.balancers, "discovery": "subscribe", "kinds": ["hook"], "localities": ground.zones, "weights": "rough",
         "categories": classes,
--- a/rig/src/steps.rs
+++ b/rig/src/steps.rs
@@ -1,7 +1,9 @@
-//! Every step of the protocols between senders and keepers, as they log it, with each participant lost at that moment.
+//! Every step of the protocols between senders and keepers, as they log it, with each participant
+//! lost at that moment.
 //!
-//! Three scenes are played without a fault first, which tells how often each line of [`LINES`] comes. Then the same scenes are played
-//! again, each time with one [`Trouble`], or two: a line, a participant, and what befalls it at that line.
+//! Three scenes are played without a fault first, which tells how often each line of [`LINES`]
+//! comes. Then the same scenes are played again, each time with one [`Trouble`], or two: a line, a
+//! participant, and what befalls it at that line.
 
 use crate::cold_start::NotPlayed;
 use crate::limits::{Death, Terms};
@@ -31,13 +33,15 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 /// Messages a second for all senders: six for each destination, or a second tells nothing.
 const RATE: f64 = 60.0;
-/// Most that a run takes, in seconds: a keeper that sleeps for 20 s, an outage, and a return after it.
+/// Most that a run takes, in seconds: a keeper that sleeps for 20 s, an outage, and a return after
+/// it.
 const LASTS: f64 = 60.0;
 /// Least part of what was taken on that is delivered: troubles may take all zones away for a while.
 const DELIVERED: f64 = 0.3;
 /// Lines that come more often than this come a little more or less often in each play.
 const MANY: usize = 12;
-/// Between the line and the trouble, at the most, in milliseconds: a round between keepers, with a sync.
+/// Between the line and the trouble, at the most, in milliseconds: a round between keepers, with a
+/// sync.
 const LATER: u64 = 40;
 
 /// A line that is a step of the protocols. Those that a process logs are stable words.
@@ -53,61 +57,260 @@
 
 /// All steps that are logged, in the order in which they come first.
 pub const LINES: [Line; 49] = [
-    Line { name: "listens", who: "keepers", says: ": listens at " },
-    Line { name: "begins", who: "keepers", says: ": all keepers know each other, begins" },
-    Line { name: "leads", who: "keepers", says: ": leads in term " },
-    Line { name: "follows", who: "keepers", says: ": follows " },
-    Line { name: "beat", who: "keepers", says: " Beat " },
-    Line { name: "joined", who: "keepers", says: " Join " },
-    Line { name: "session", who: "senders", says: "fleet: session with keeper " },
-    Line { name: "wished", who: "keepers", says: " Wish " },
-    Line { name: "decides-left", who: "keepers", says: " phase=Left " },
-    Line { name: "ordered", who: "keepers", says: " Order " },
-    Line { name: "left", who: "senders", says: " left by epoch " },
-    Line { name: "decides-returning", who: "keepers", says: " phase=Returning " },
-    Line { name: "returning", who: "senders", says: " returning by epoch " },
-    Line { name: "slice", who: "keepers", says: " Slice " },
-    Line { name: "lent", who: "senders", says: "fleet: lent " },
-    Line { name: "decides-used", who: "keepers", says: " phase=Used " },
-    Line { name: "used", who: "senders", says: " in use again by epoch " },
-    Line { name: "members", who: "keepers", says: ": keepers [" },
-    Line { name: "restored", who: "keepers", says: ": has the record up to " },
-    Line { name: "offered", who: "keepers", says: ": offered" },
-    Line { name: "stored", who: "senders", says: " is checked and written down" },
-    Line { name: "paused", who: "keepers", says: " paused by turn " },
-    Line { name: "pauses", who: "senders", says: "takes nothing on for a moment" },
-    Line { name: "in-force", who: "keepers", says: " in force by turn " },
-    Line { name: "goes-by", who: "senders", says: "takes on under policy " },
-    Line { name: "next", who: "keepers", says: " is next by turn " },
-    Line { name: "rolled-out", who: "keepers", says: ": rolled out" },
-    Line { name: "goes-back", who: "keepers", says: ": goes back as " },
-    Line { name: "leads-no-more", who: "keepers", says: ": leads no more" },
-    Line { name: "site-speaks", who: "keepers", says: ": speaks for site " },
-    Line { name: "site-leads", who: "keepers", says: " leads in term " },
-    Line { name: "site-follows", who: "keepers", says: ": follows site " },
-    Line { name: "site-lease-over", who: "keepers", says: "lease of the federation is over" },
-    Line { name: "site-lease-again", who: "keepers", says: "lease of the federation runs again" },
-    Line { name: "site-off", who: "keepers", says: " is off the roster" },
-    Line { name: "site-joins", who: "keepers", says: " joins as " },
-    Line { name: "table-proposed", who: "keepers", says: ": proposed by " },
-    Line { name: "table-decided", who: "keepers", says: ": decided" },
-    Line { name: "table-ended", who: "keepers", says: ": ended: " },
-    Line { name: "table-offered", who: "keepers", says: ": offered" },
-    Line { name: "table-accepted", who: "keepers", says: ": accepted here" },
-    Line { name: "table-refused", who: "keepers", says: ": refused: " },
-    Line { name: "table-to-be", who: "keepers", says: ": to be switched to" },
-    Line { name: "table-paused", who: "keepers", says: ": paused by turn " },
-    Line { name: "table-in-force", who: "keepers", says: ": in force by turn " },
-    Line { name: "table-taken-back", who: "keepers", says: ": taken back by turn " },
-    Line { name: "table-all-go", who: "keepers", says: ": all senders go by it" },
-    Line { name: "table-stored", who: "senders", says: " is checked and written down" },
-    Line { name: "table-goes", who: "senders", says: "goes by table " },
+    Line {
+        name: "listens",
+        who: "keepers",
+        says: ": listens at ",
+    },
+    Line {
+        name: "begins",
+        who: "keepers",
+        says: ": all keepers know each other, begins",
+    },
+    Line {
+        name: "leads",
+        who: "keepers",
+        says: ": leads in term ",
+    },
+    Line {
+        name: "follows",
+        who: "keepers",
+        says: ": follows ",
+    },
+    Line {
+        name: "beat",
+        who: "keepers",
+        says: " Beat ",
+    },
+    Line {
+        name: "joined",
+        who: "keepers",
+        says: " Join ",
+    },
+    Line {
+        name: "session",
+        who: "senders",
+        says: "fleet: session with keeper ",
+    },
+    Line {
+        name: "wished",
+        who: "keepers",
+        says: " Wish ",
+    },
+    Line {
+        name: "decides-left",
+        who: "keepers",
+        says: " phase=Left ",
+    },
+    Line {
+        name: "ordered",
+        who: "keepers",
+        says: " Order ",
+    },
+    Line {
+        name: "left",
+        who: "senders",
+        says: " left by epoch ",
+    },
+    Line {
+        name: "decides-returning",
+        who: "keepers",
+        says: " phase=Returning ",
+    },
+    Line {
+        name: "returning",
+        who: "senders",
+        says: " returning by epoch ",
+    },
+    Line {
+        name: "slice",
+        who: "keepers",
+        says: " Slice ",
+    },
+    Line {
+        name: "lent",
+        who: "senders",
+        says: "fleet: lent ",
+    },
+    Line {
+        name: "decides-used",
+        who: "keepers",
+        says: " phase=Used ",
+    },
+    Line {
+        name: "used",
+        who: "senders",
+        says: " in use again by epoch ",
+    },
+    Line {
+        name: "members",
+        who: "keepers",
+        says: ": keepers [",
+    },
+    Line {
+        name: "restored",
+        who: "keepers",
+        says: ": has the record up to ",
+    },
+    Line {
+        name: "offered",
+        who: "keepers",
+        says: ": offered",
+    },
+    Line {
+        name: "stored",
+        who: "senders",
+        says: " is checked and written down",
+    },
+    Line {
+        name: "paused",
+        who: "keepers",
+        says: " paused by turn ",
+    },
+    Line {
+        name: "pauses",
+        who: "senders",
+        says: "takes nothing on for a moment",
+    },
+    Line {
+        name: "in-force",
+        who: "keepers",
+        says: " in force by turn ",
+    },
+    Line {
+        name: "goes-by",
+        who: "senders",
+        says: "takes on under policy ",
+    },
+    Line {
+        name: "next",
+        who: "keepers",
+        says: " is next by turn ",
+    },
+    Line {
+        name: "rolled-out",
+        who: "keepers",
+        says: ": rolled out",
+    },
+    Line {
+        name: "goes-back",
+        who: "keepers",
+        says: ": goes back as ",
+    },
+    Line {
+        name: "leads-no-more",
+        who: "keepers",
+        says: ": leads no more",
+    },
+    Line {
+        name: "site-speaks",
+        who: "keepers",
+        says: ": speaks for site ",
+    },
+    Line {
+        name: "site-leads",
+        who: "keepers",
+        says: " leads in term ",
+    },
+    Line {
+        name: "site-follows",
+        who: "keepers",
+        says: ": follows site ",
+    },
+    Line {
+        name: "site-lease-over",
+        who: "keepers",
+        says: "lease of the federation is over",
+    },
+    Line {
+        name: "site-lease-again",
+        who: "keepers",
+        says: "lease of the federation runs again",
+    },
+    Line {
+        name: "site-off",
+        who: "keepers",
+        says: " is off the roster",
+    },
+    Line {
+        name: "site-joins",
+        who: "keepers",
+        says: " joins as ",
+    },
+    Line {
+        name: "table-proposed",
+        who: "keepers",
+        says: ": proposed by ",
+    },
+    Line {
+        name: "table-decided",
+        who: "keepers",
+        says: ": decided",
+    },
+    Line {
+        name: "table-ended",
+        who: "keepers",
+        says: ": ended: ",
+    },
+    Line {
+        name: "table-offered",
+        who: "keepers",
+        says: ": offered",
+    },
+    Line {
+        name: "table-accepted",
+        who: "keepers",
+        says: ": accepted here",
+    },
+    Line {
+        name: "table-refused",
+        who: "keepers",
+        says: ": refused: ",
+    },
+    Line {
+        name: "table-to-be",
+        who: "keepers",
+        says: ": to be switched to",
+    },
+    Line {
+        name: "table-paused",
+        who: "keepers",
+        says: ": paused by turn ",
+    },
+    Line {
+        name: "table-in-force",
+        who: "keepers",
+        says: ": in force by turn ",
+    },
+    Line {
+        name: "table-taken-back",
+        who: "keepers",
+        says: ": taken back by turn ",
+    },
+    Line {
+        name: "table-all-go",
+        who: "keepers",
+        says: ": all senders go by it",
+    },
+    Line {
+        name: "table-stored",
+        who: "senders",
+        says: " is checked and written down",
+    },
+    Line {
+        name: "table-goes",
+        who: "senders",
+        says: "goes by table ",
+    },
 ];
 
 impl Line {
-    /// Whether it is a step of a scene: what sites say to each other, and what policies and zones go through, have words in common.
+    /// Whether it is a step of a scene: what sites say to each other, and what policies and zones
+    /// go through, have words in common.
     fn is_of(&self, scene: Scene) -> bool {
-        let of_sites = ["site-", "table-"].iter().any(|of| self.name.starts_with(of));
+        let of_sites = ["site-", "table-"]
+            .iter()
+            .any(|of| self.name.starts_with(of));
         of_sites == (scene == Scene::Tables)
     }
 }
@@ -117,7 +320,8 @@
 pub enum Scene {
     /// A zone dies, is left, comes back cold, and is returned to.
     Outage,
-    /// A person has a zone left and returned to; a keeper is added and another one removed meanwhile.
+    /// A person has a zone left and returned to; a keeper is added and another one removed
+    /// meanwhile.
     Orders,
     /// Rules are rolled out zone by zone, and go back.
     Rollout,
@@ -251,7 +455,13 @@
 
 impl fmt::Display for Trouble {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Trouble { line, times, later_ms, whom, harm } = self;
+        let Trouble {
+            line,
+            times,
+            later_ms,
+            whom,
+            harm,
+        } = self;
         write!(f, "{}/{times}/{later_ms}/{whom}/{harm}", line.name)
     }
 }
@@ -265,7 +475,10 @@
             return Err(format!("'{text}': LINE/TIMES/MILLISECONDS/WHOM/HARM"));
         };
         let number = |n: &str| n.parse::<u64>().map_err(|e| format!("'{n}': {e}"));
-        let line = LINES.iter().find(|l| l.name == line).ok_or_else(|| format!("'{line}' is no step"))?;
+        let line = LINES
+            .iter()
+            .find(|l| l.name == line)
+            .ok_or_else(|| format!("'{line}' is no step"))?;
         let trouble = Trouble {
             line,
             times: number(times)?.max(1) as usize,
@@ -274,7 +487,8 @@
             harm: harm.parse()?,
         };
         let can = trouble.whom.harms(line.who).contains(&trouble.harm);
-        can.then_some(trouble).ok_or_else(|| format!("'{text}': {harm} cannot befall {whom} there"))
+        can.then_some(trouble)
+            .ok_or_else(|| format!("'{text}': {harm} cannot befall {whom} there"))
     }
 }
 
@@ -299,8 +513,14 @@
 
     fn from_str(text: &str) -> Result<Run, String> {
         let (scene, troubles) = text.split_once('+').unwrap_or((text, ""));
-        let troubles = troubles.split('+').filter(|t| !t.is_empty()).map(str::parse);
-        Ok(Run { scene: scene.parse()?, troubles: troubles.collect::<Result<_, _>>()? })
+        let troubles = troubles
+            .split('+')
+            .filter(|t| !t.is_empty())
+            .map(str::parse);
+        Ok(Run {
+            scene: scene.parse()?,
+            troubles: troubles.collect::<Result<_, _>>()?,
+        })
     }
 }
 
@@ -318,9 +538,12 @@
     /// What can befall it, where `who` logs the line.
     fn harms(self, who: &str) -> &'static [Harm] {
         use Harm::*;
-        const KEEPER: &[Harm] =
-            &[Kill, Stop, Cut, Unheard, Unhearing, Silence, Torn, Late, Forget, Tear, Full, Sleep];
-        const SENDER: &[Harm] = &[Kill, Stop, Sleep, Cut, Unheard, Unhearing, Silence, Torn, Closed, Late];
+        const KEEPER: &[Harm] = &[
+            Kill, Stop, Cut, Unheard, Unhearing, Silence, Torn, Late, Forget, Tear, Full, Sleep,
+        ];
+        const SENDER: &[Harm] = &[
+            Kill, Stop, Sleep, Cut, Unheard, Unhearing, Silence, Torn, Closed, Late,
+        ];
         match self {
             Whom::Speaker if who == "senders" => SENDER,
             Whom::Speaker => &KEEPER[..KEEPER.len() - 1],
@@ -338,31 +561,69 @@
 impl Trouble {
     /// Its steps. What is drawn, by the seed.
     fn steps(&self, scene: Scene, senders: usize, random: &mut fastrand::Rng) -> Vec<Step> {
-        let after =
-            After { who: self.line.who.into(), says: self.line.says.into(), since_s: 0.0, times: self.times };
+        let after = After {
+            who: self.line.who.into(),
+            says: self.line.says.into(),
+            since_s: 0.0,
+            times: self.times,
+        };
         let bytes = random.usize(1..2_000);
         let breaks = |how| Some(Breaks { after: bytes, how });
         let (torn, closed) = (breaks(Break::Reset), breaks(Break::Close));
         let whole = Fault::default();
-        // What each harm does to a line that leads away from the one that it befalls, and to one that leads to it.
+        // What each harm does to a line that leads away from the one that it befalls, and to one
+        // that leads to it.
         let (away, to) = match self.harm {
             Harm::Cut => (Fault { cut: true, ..whole }, Fault { cut: true, ..whole }),
-            Harm::Unheard => (Fault { silent_up: true, ..whole }, Fault { silent_down: true, ..whole }),
-            Harm::Unhearing => (Fault { silent_down: true, ..whole }, Fault { silent_up: true, ..whole }),
+            Harm::Unheard => (
+                Fault {
+                    silent_up: true,
+                    ..whole
+                },
+                Fault {
+                    silent_down: true,
+                    ..whole
+                },
+            ),
+            Harm::Unhearing => (
+                Fault {
+                    silent_down: true,
+                    ..whole
+                },
+                Fault {
+                    silent_up: true,
+                    ..whole
+                },
+            ),
             Harm::Silence => {
-                let silent = Fault { silent_up: true, silent_down: true, ..whole };
+                let silent = Fault {
+                    silent_up: true,
+                    silent_down: true,
+                    ..whole
+                };
                 (silent, silent)
             }
             Harm::Torn => {
-                let torn = Fault { breaks: torn, breaks_up: torn, ..whole };
+                let torn = Fault {
+                    breaks: torn,
+                    breaks_up: torn,
+                    ..whole
+                };
                 (torn, torn)
             }
             Harm::Closed => {
-                let closed = Fault { breaks: closed, breaks_up: closed, ..whole };
+                let closed = Fault {
+                    breaks: closed,
+                    breaks_up: closed,
+                    ..whole
+                };
                 (closed, closed)
             }
             Harm::Late => {
-                let late = Fault { delay_ms: random.u64(100..500), ..whole };
+                let late = Fault {
+                    delay_ms: random.u64(100..500),
+                    ..whole
+                };
                 (late, late)
             }
             _ => (whole, whole),
@@ -378,7 +639,11 @@
         let mut who = Who::default();
         match self.whom {
             Whom::Sender | Whom::Speaker if self.whom == Whom::Sender || speaks_as_sender => {
-                let name = if speaks_as_sender { "speaker".to_string() } else { format!("n{sender}") };
+                let name = if speaks_as_sender {
+                    "speaker".to_string()
+                } else {
+                    format!("n{sender}")
+                };
                 who = Who::Names(vec![name]);
                 match self.harm {
                     Harm::Kill => deeds.push((Deed::Kill, 1.5)),
@@ -388,7 +653,14 @@
                         deeds.push((Deed::Line(away), 2.0));
                         // Its neighbours in the zone share its line to the keepers.
                         let zone = Some(ZONES[sender % ZONES.len()].to_string());
-                        deeds.push((Deed::AgentLines { zone, to: Which::All, fault: away }, 2.0));
+                        deeds.push((
+                            Deed::AgentLines {
+                                zone,
+                                to: Which::All,
+                                fault: away,
+                            },
+                            2.0,
+                        ));
                     }
                 }
             }
@@ -396,7 +668,15 @@
                 let (from, to) = ("lead".to_string(), "all".to_string());
                 // Half of the time only what the others begin fails.
                 let both = random.bool();
-                deeds.push((Deed::SiteLines { from, to, both, fault: away }, 2.0));
+                deeds.push((
+                    Deed::SiteLines {
+                        from,
+                        to,
+                        both,
+                        fault: away,
+                    },
+                    2.0,
+                ));
             }
             Whom::Leader | Whom::Lead | Whom::Follower | Whom::Speaker | Whom::Sender => {
                 let at = |site: &str, which| Which::At(site.into(), Box::new(which));
@@ -417,12 +697,33 @@
                     Harm::Tear => deeds.push((Deed::KeeperTear(which()), 0.0)),
                     _ => {
                         let (from, all) = (which(), Which::All);
-                        deeds.push((Deed::KeeperLines { from, to: all, fault: away }, 2.0));
+                        deeds.push((
+                            Deed::KeeperLines {
+                                from,
+                                to: all,
+                                fault: away,
+                            },
+                            2.0,
+                        ));
                         let (from, all) = (Which::All, which());
-                        deeds.push((Deed::KeeperLines { from, to: all, fault: to }, 2.0));
+                        deeds.push((
+                            Deed::KeeperLines {
+                                from,
+                                to: all,
+                                fault: to,
+                            },
+                            2.0,
+                        ));
                         // Half of the time senders reach it as ever.
                         if random.bool() {
-                            deeds.push((Deed::AgentLines { zone: None, to: which(), fault: to }, 2.0));
+                            deeds.push((
+                                Deed::AgentLines {
+                                    zone: None,
+                                    to: which(),
+                                    fault: to,
+                                },
+                                2.0,
+                            ));
                         }
                     }
                 }
@@ -435,13 +736,40 @@
             Whom::Zone | Whom::Elsewhere => {
                 let zone = zone.to_string();
                 match self.harm {
-                    Harm::Kill => deeds.push((Deed::ZoneDies { zone, how: Death::Unconnected }, 1.5)),
-                    Harm::Stop => deeds.push((Deed::ZoneDies { zone, how: Death::Hangs }, 1.5)),
-                    Harm::Errors => deeds.push((Deed::ZoneDies { zone, how: Death::Errors }, 1.5)),
+                    Harm::Kill => deeds.push((
+                        Deed::ZoneDies {
+                            zone,
+                            how: Death::Unconnected,
+                        },
+                        1.5,
+                    )),
+                    Harm::Stop => deeds.push((
+                        Deed::ZoneDies {
+                            zone,
+                            how: Death::Hangs,
+                        },
+                        1.5,
+                    )),
+                    Harm::Errors => deeds.push((
+                        Deed::ZoneDies {
+                            zone,
+                            how: Death::Errors,
+                        },
+                        1.5,
+                    )),
                     _ => {
                         // Answers of endpoints are short.
-                        let short = |b: Option<Breaks>| b.map(|b| Breaks { after: b.after % 60, ..b });
-                        let fault = Fault { breaks: short(to.breaks), breaks_up: None, ..to };
+                        let short = |b: Option<Breaks>| {
+                            b.map(|b| Breaks {
+                                after: b.after % 60,
+                                ..b
+                            })
+                        };
+                        let fault = Fault {
+                            breaks: short(to.breaks),
+                            breaks_up: None,
+                            ..to
+                        };
                         deeds.push((Deed::EndpointLines { zone, fault }, 2.0));
                     }
                 }
@@ -467,19 +795,39 @@
     let given = Given {
         name: "p1".into(),
         stages: vec![stage(&ZONES[..1]), stage(&ZONES[1..])],
-        plan: plan.map(|(name, n)| (name.to_string(), toml::Value::Integer(n))).into_iter().collect(),
+        plan: plan
+            .map(|(name, n)| (name.to_string(), toml::Value::Integer(n)))
+            .into_iter()
+            .collect(),
         ..Given::default()
     };
-    let until = After { who: "keepers".into(), says: "policy 2: rolled out".into(), since_s: 0.0, times: 1 };
-    Policies { own_script: true, given: vec![given], until: Some(until), rest_s: 1.0, ..Policies::default() }
+    let until = After {
+        who: "keepers".into(),
+        says: "policy 2: rolled out".into(),
+        since_s: 0.0,
+        times: 1,
+    };
+    Policies {
+        own_script: true,
+        given: vec![given],
+        until: Some(until),
+        rest_s: 1.0,
+        ..Policies::default()
+    }
 }
 
-/// Part of the messages that are of a class that one sender does not know, where a table is refused for it.
+/// Part of the messages that are of a class that one sender does not know, where a table is refused
+/// for it.
 const RARE_PART: f64 = 0.05;
 
-/// Three sites with two zones each, and the tables that they agree on: to the first zones, and to the second ones.
+/// Three sites with two zones each, and the tables that they agree on: to the first zones, and to
+/// the second ones.
 fn agreed() -> (Vec<Site>, Tables) {
-    let sites = [("north", ["a", "d"]), ("south", ["b", "e"]), ("west", ["c", "f"])];
+    let sites = [
+        ("north", ["a", "d"]),
+        ("south", ["b", "e"]),
+        ("west", ["c", "f"]),
+    ];
     // Any of three keepers may lose its folder, and its site goes on.
     let sites = sites.map(|(name, zones)| Site::of(name, &zones, 3));
     let given = |name: &str, zones: [&str; 3], ends| tables::Given {
@@ -489,9 +837,16 @@
         ..tables::Given::default()
     };
     let text = format!("[[route]]\nclasses = [\"{RARE_CLASS}\"]\ntiers = [{{ d = 1 }}]\n");
-    let refused = tables::Given { text, ..given("refused", ["d", "e", "f"], Ends::Nowhere) };
+    let refused = tables::Given {
+        text,
+        ..given("refused", ["d", "e", "f"], Ends::Nowhere)
+    };
     let (first, second) = (["a", "b", "c"], ["d", "e", "f"]);
-    let given = vec![given("t1", first, Ends::Decided), refused, given("t2", second, Ends::Decided)];
+    let given = vec![
+        given("t1", first, Ends::Decided),
+        refused,
+        given("t2", second, Ends::Decided),
+    ];
     let all = |site: &Site| After {
         who: format!("{}/keepers", site.name),
         says: "table 3: all senders go by it".into(),
@@ -499,18 +854,33 @@
         times: 1,
     };
     let until = sites.iter().map(all).collect();
-    (sites.to_vec(), Tables { given, until, rest_s: 2.0 })
+    (
+        sites.to_vec(),
+        Tables {
+            given,
+            until,
+            rest_s: 2.0,
+        },
+    )
 }
 
 impl Scene {
     /// It without a trouble.
     fn scenario(self, senders: usize, seed: u64) -> Scenario {
         let after = |who: &str, says: &str, at_s: f64, deed: Deed| Step {
-            after: Some(After { who: who.into(), says: says.into(), since_s: 0.0, times: 1 }),
+            after: Some(After {
+                who: who.into(),
+                says: says.into(),
+                since_s: 0.0,
+                times: 1,
+            }),
             ..Step::at(at_s, deed)
         };
         let order = |words: &str| Deed::Order(words.split(' ').map(String::from).collect());
-        let mut steps = vec![Step::at(0.0, Deed::KeeperStart(Which::All)), Step::at(0.0, Deed::Start)];
+        let mut steps = vec![
+            Step::at(0.0, Deed::KeeperStart(Which::All)),
+            Step::at(0.0, Deed::Start),
+        ];
         // The directory tells one sender after another, and keepers elect.
         let calm = 2.4 + 0.06 * senders as f64;
         let (mut spare, mut policies, mut tables) = (0, Policies::default(), Tables::default());
@@ -519,34 +889,71 @@
             Scene::Outage => {
                 let (mut random, zone) = (fastrand::Rng::with_seed(seed), ZONES[1].to_string());
                 let how = [Death::Unconnected, Death::Hangs, Death::Errors][random.usize(..3)];
-                steps.push(Step::at(calm, Deed::ZoneDies { zone: zone.clone(), how }));
+                steps.push(Step::at(
+                    calm,
+                    Deed::ZoneDies {
+                        zone: zone.clone(),
+                        how,
+                    },
+                ));
                 steps.push(after("keepers", " phase=Left ", 1.5, Deed::ZoneBack(zone)));
             }
             Scene::Orders => {
                 spare = 1;
                 steps.push(Step::at(calm, order("zone leave c")));
                 steps.push(Step::at(calm + 0.2, Deed::KeeperAdd(Which::These(vec![3]))));
-                steps.push(after("keepers", ": keepers [", 0.3, Deed::KeeperRemove(Which::Follower)));
-                steps.push(after("senders", "zone c left by epoch ", 0.8, order("zone return c")));
+                steps.push(after(
+                    "keepers",
+                    ": keepers [",
+                    0.3,
+                    Deed::KeeperRemove(Which::Follower),
+                ));
+                steps.push(after(
+                    "senders",
+                    "zone c left by epoch ",
+                    0.8,
+                    order("zone return c"),
+                ));
                 steps.push(after("keepers", " phase=Used ", 0.3, order("zone free c")));
             }
             Scene::Rollout => {
-                let order = |order| Deed::Policy { order, by: Which::All };
-                // Troubles of the first sessions are over by then: a zone without a sender is no part of a plan.
+                let order = |order| Deed::Policy {
+                    order,
+                    by: Which::All,
+                };
+                // Troubles of the first sessions are over by then: a zone without a sender is no
+                // part of a plan.
                 steps.push(Step::at(calm + 2.0, order(Order::Propose("p1".into()))));
-                steps.push(after("keepers", "policy 1: rolled out", 0.3, order(Order::Back)));
+                steps.push(after(
+                    "keepers",
+                    "policy 1: rolled out",
+                    0.3,
+                    order(Order::Back),
+                ));
                 policies = rolled_out();
             }
             Scene::Tables => {
                 (sites, tables) = agreed();
-                policies =
-                    Policies { rare: RARE_PART, without_rare: vec!["n0".into()], ..Policies::default() };
+                policies = Policies {
+                    rare: RARE_PART,
+                    without_rare: vec!["n0".into()],
+                    ..Policies::default()
+                };
                 let propose = |name: &str| {
                     let by = Which::At("lead".into(), Box::new(Which::Leader));
-                    Deed::Table { order: TableOrder::Propose(name.into()), by, patient_s: LASTS as u64 }
+                    Deed::Table {
+                        order: TableOrder::Propose(name.into()),
+                        by,
+                        patient_s: LASTS as u64,
+                    }
                 };
                 steps.push(Step::at(calm + 3.0, propose("t1")));
-                steps.push(after("keepers", "table 1: all senders go by it", 0.3, propose("refused")));
+                steps.push(after(
+                    "keepers",
+                    "table 1: all senders go by it",
+                    0.3,
+                    propose("refused"),
+                ));
                 steps.push(after("keepers", "table 2: ended", 0.3, propose("t2")));
             }
         }
@@ -574,15 +981,28 @@
                 ..Terms::default()
             },
             endpoint_lines: true,
-            fleet: Some(Fleet { spare, rules, policy, table, ..Fleet::default() }),
+            fleet: Some(Fleet {
+                spare,
+                rules,
+                policy,
+                table,
+                ..Fleet::default()
+            }),
             ask_ms: 55,
             call_ms: 30,
             rate: RATE,
             // A site that slept for 20 s is beyond its lease, and the next table waits for it.
-            lasts_s: if self == Scene::Tables { 2.0 * LASTS } else { LASTS },
+            lasts_s: if self == Scene::Tables {
+                2.0 * LASTS
+            } else {
+                LASTS
+            },
             until_well: !matches!(self, Scene::Rollout | Scene::Tables),
             kept: Kept::True,
-            wanted: Wanted { delivered: DELIVERED, ..Wanted::default() },
+            wanted: Wanted {
+                delivered: DELIVERED,
+                ..Wanted::default()
+            },
             policies,
             steps,
         }
@@ -712,13 +1132,16 @@
     let mut scenario = run.scene.scenario(plan.senders, seed);
     let mut random = fastrand::Rng::with_seed(seed ^ 3);
     for trouble in &run.troubles {
-        scenario.steps.extend(trouble.steps(run.scene, plan.senders, &mut random));
+        scenario
+            .steps
+            .extend(trouble.steps(run.scene, plan.senders, &mut random));
     }
     let (outcome, _, _, heard) = play_heard(&scenario, &plan.program, seed, counted())?;
     Ok((outcome, heard.iter().map(|w| w.heard).collect()))
 }
 
-/// Of a line that comes so often, the times at which something is to go wrong: the first, one in the middle, and one of the last.
+/// Of a line that comes so often, the times at which something is to go wrong: the first, one in
+/// the middle, and one of the last.
 fn times(count: usize) -> BTreeSet<usize> {
     match count {
         0 => BTreeSet::new(),
@@ -727,18 +1150,35 @@
     }
 }
 
-/// All single troubles of a scene in which lines come so often, in an order that is drawn: one for each line, time and participant,
-/// then the next.
+/// All single troubles of a scene in which lines come so often, in an order that is drawn: one for
+/// each line, time and participant, then the next.
 fn troubles(scene: Scene, counts: &[usize], random: &mut fastrand::Rng) -> Vec<(usize, Trouble)> {
     let mut all = Vec::new();
-    for (line, count) in LINES.iter().zip(counts).filter(|(line, _)| line.is_of(scene)) {
+    for (line, count) in LINES
+        .iter()
+        .zip(counts)
+        .filter(|(line, _)| line.is_of(scene))
+    {
         for times in times(*count) {
             for whom in Whom::ALL.iter().filter(|whom| whom.is_in(scene)) {
                 let mut harms = whom.harms(line.who).to_vec();
                 random.shuffle(&mut harms);
                 for (round, harm) in harms.into_iter().enumerate() {
-                    let later_ms = if random.bool() { 0 } else { random.u64(..LATER) };
-                    all.push((round, Trouble { line, times, later_ms, whom: *whom, harm }));
+                    let later_ms = if random.bool() {
+                        0
+                    } else {
+                        random.u64(..LATER)
+                    };
+                    all.push((
+                        round,
+                        Trouble {
+                            line,
+                            times,
+                            later_ms,
+                            whom: *whom,
+                            harm,
+                        },
+                    ));
                 }
             }
         }
@@ -752,16 +1192,44 @@
 fn here<'a>(plan: &Plan, run: &'a Run, seed: u64) -> Result<(Ran<'a>, Vec<usize>), NotPlayed> {
     let (outcome, counts) = play_one(plan, run, seed)?;
     let told = serde_json::to_string(&outcome).unwrap_or_default();
-    Ok((Ran { run, seed, sum: Sum::of(&outcome), told }, counts))
+    Ok((
+        Ran {
+            run,
+            seed,
+            sum: Sum::of(&outcome),
+            told,
+        },
+        counts,
+    ))
 }
 
 /// Plays one in a process of its own: stand-ins last as long as their process.
 fn apart<'a>(plan: &Plan, run: &'a Run, seed: u64) -> Ran<'a> {
-    let failed = |told: String| Ran { run, seed, sum: Sum { runs: 1, failed: 1, ..Sum::default() }, told };
+    let failed = |told: String| Ran {
+        run,
+        seed,
+        sum: Sum {
+            runs: 1,
+            failed: 1,
+            ..Sum::default()
+        },
+        told,
+    };
     let output = std::env::current_exe().and_then(|player| {
         let mut player = Command::new(player);
-        player.args(["fleet", "steps", "--senders", &plan.senders.to_string(), "--seed", &seed.to_string()]);
-        player.arg("--program").arg(&plan.program).args(["--only", &run.to_string()]).output()
+        player.args([
+            "fleet",
+            "steps",
+            "--senders",
+            &plan.senders.to_string(),
+            "--seed",
+            &seed.to_string(),
+        ]);
+        player
+            .arg("--program")
+            .arg(&plan.program)
+            .args(["--only", &run.to_string()])
+            .output()
     });
     let output = match output {
         Ok(output) => output,
@@ -770,7 +1238,12 @@
     let [said, told] =
         [&output.stdout, &output.stderr].map(|text| String::from_utf8_lossy(text).into_owned());
     match said.lines().last().map(serde_json::from_str) {
-        Some(Ok(sum)) => Ran { run, seed, sum, told: told.lines().last().unwrap_or_default().trim().into() },
+        Some(Ok(sum)) => Ran {
+            run,
+            seed,
+            sum,
+            told: told.lines().last().unwrap_or_default().trim().into(),
+        },
         _ => failed(format!("not played: {}", told.trim().replace('\n', "; "))),
     }
 }
@@ -789,27 +1262,43 @@
     let (mut sum, mut runs, mut all) = (Sum::default(), Vec::new(), Vec::new());
     let mut random = fastrand::Rng::with_seed(plan.seed);
     for scene in Scene::ALL {
-        let run = Run { scene: *scene, troubles: Vec::new() };
+        let run = Run {
+            scene: *scene,
+            troubles: Vec::new(),
+        };
         let (ran, counts) = here(plan, &run, plan.seed)?;
         sum.add(&ran.sum);
         tell(&ran);
-        let of_scene = LINES.iter().zip(&counts).filter(|(line, _)| line.is_of(*scene));
+        let of_scene = LINES
+            .iter()
+            .zip(&counts)
+            .filter(|(line, _)| line.is_of(*scene));
         sum.steps += of_scene.map(|(_, c)| times(*c).len()).sum::<usize>();
         let found = troubles(*scene, &counts, &mut random);
-        all.extend(found.into_iter().map(|(round, trouble)| (round, *scene, trouble)));
+        all.extend(
+            found
+                .into_iter()
+                .map(|(round, trouble)| (round, *scene, trouble)),
+        );
     }
     sum.troubles = all.len();
     if plan.pairs && all.len() > 1 {
         while runs.len() < plan.runs {
             let [one, other] = [0; 2].map(|_| all[random.usize(..all.len())]);
             if one.1 == other.1 {
-                runs.push(Run { scene: one.1, troubles: vec![one.2, other.2] });
+                runs.push(Run {
+                    scene: one.1,
+                    troubles: vec![one.2, other.2],
+                });
             }
         }
     } else {
         random.shuffle(&mut all);
         all.sort_by_key(|(round, ..)| *round);
-        runs.extend(all.into_iter().map(|(_, scene, one)| Run { scene, troubles: vec![one] }));
+        runs.extend(all.into_iter().map(|(_, scene, one)| Run {
+            scene,
+            troubles: vec![one],
+        }));
         runs.truncate(plan.runs);
     }
     let (next, sum) = (AtomicUsize::new(0), Mutex::new(sum));
@@ -818,7 +1307,9 @@
         for _ in 0..plan.jobs.clamp(1, runs.len().max(1)) {
             scope.spawn(|| loop {
                 let n = next.fetch_add(1, Ordering::SeqCst);
-                let Some(run) = runs.get(n).filter(|_| !late()) else { return };
+                let Some(run) = runs.get(n).filter(|_| !late()) else {
+                    return;
+                };
                 let ran = apart(plan, run, plan.seed + 1 + n as u64);
                 sum.lock().unwrap_or_else(|e| e.into_inner()).add(&ran.sum);
                 tell(&ran);
@@ -861,7 +1352,8 @@
     }
 
     #[test]
-    fn each_line_time_and_participant_has_a_trouble_before_any_has_two_and_the_seed_draws_the_rest() {
+    fn each_line_time_and_participant_has_a_trouble_before_any_has_two_and_the_seed_draws_the_rest()
+    {
         let counts: Vec<usize> = (0..LINES.len()).map(|n| [0, 1, 2, 7, 40][n % 5]).collect();
         for scene in [Scene::Orders, Scene::Tables] {
             troubles_are_drawn(scene, &counts);
@@ -874,11 +1366,19 @@
             all.iter().map(|(_, t)| t.to_string()).collect::<Vec<_>>()
         };
         let all = drawn(1);
-        let met: BTreeSet<String> =
-            all.iter().map(|t| t.rsplit_once('/').expect("a harm").0.to_string()).collect();
-        let of_scene = LINES.iter().zip(counts).filter(|(line, _)| line.is_of(scene));
+        let met: BTreeSet<String> = all
+            .iter()
+            .map(|t| t.rsplit_once('/').expect("a harm").0.to_string())
+            .collect();
+        let of_scene = LINES
+            .iter()
+            .zip(counts)
+            .filter(|(line, _)| line.is_of(scene));
         let whom = Whom::ALL.iter().filter(|whom| whom.is_in(scene)).count();
-        let least = of_scene.map(|(_, count)| times(*count).len()).sum::<usize>() * whom;
+        let least = of_scene
+            .map(|(_, count)| times(*count).len())
+            .sum::<usize>()
+            * whom;
         let first: BTreeSet<String> = all
             .iter()
             .map(|t| t.split('/').collect::<Vec<_>>())
@@ -887,12 +1387,19 @@
             .collect();
         assert!(first.len() == least && least > 100);
         assert!(met.len() >= first.len() && all != drawn(2) && all == drawn(1));
-        assert_eq!(all.iter().collect::<BTreeSet<_>>().len(), all.len(), "none comes twice");
+        assert_eq!(
+            all.iter().collect::<BTreeSet<_>>().len(),
+            all.len(),
+            "none comes twice"
+        );
         // All that befalls somebody does something, and is undone.
         for text in &all {
             let trouble: Trouble = text.parse().expect("a trouble");
             let steps = trouble.steps(scene, 6, &mut fastrand::Rng::with_seed(1));
-            assert!(!steps.is_empty() && steps.iter().all(|s| s.may_fail && s.after.is_some()), "{text}");
+            assert!(
+                !steps.is_empty() && steps.iter().all(|s| s.may_fail && s.after.is_some()),
+                "{text}"
+            );
         }
     }
 }
--- a/rig/src/tables.rs
+++ b/rig/src/tables.rs
@@ -15,7 +15,8 @@
 pub struct Tables {
     /// Those that can be proposed.
     pub given: Vec<Given>,
-    /// The play is over when all of these were said and `rest_s` have passed; it is missed if that never comes.
+    /// The play is over when all of these were said and `rest_s` have passed; it is missed if that
+    /// never comes.
     pub until: Vec<After>,
     /// See above.
     pub rest_s: f64,
@@ -27,8 +28,8 @@
 pub struct Given {
     /// Its name.
     pub name: String,
-    /// The zones that it sends all messages to, in equal shares. Where two tables follow each other and have one in common, calls there
-    /// tell less.
+    /// The zones that it sends all messages to, in equal shares. Where two tables follow each other
+    /// and have one in common, calls there tell less.
     pub zones: Vec<String>,
     /// Further routes, which send nowhere else.
     #[serde(default)]
@@ -69,9 +70,15 @@
         let mut text = String::new();
         for site in sites {
             let zones = toml::Value::from(site.zones.clone());
-            text += &format!("[site.{}]\nzones = {zones}\n\n", toml::Value::from(site.name.clone()));
+            text += &format!(
+                "[site.{}]\nzones = {zones}\n\n",
+                toml::Value::from(site.name.clone())
+            );
         }
-        let shares = self.zones.iter().map(|zone| format!("{} = 1", toml::Value::from(zone.clone())));
+        let shares = self
+            .zones
+            .iter()
+            .map(|zone| format!("{} = 1", toml::Value::from(zone.clone())));
         let tier = shares.collect::<Vec<_>>().join(", ");
         text += &format!("[[route]]\ntiers = [{{ {tier} }}]\n\n{}\n", self.text);
         text
@@ -85,26 +92,39 @@
         if let Some(given) = empty {
             return Some(("given", format!("{} sends to no zone", given.name)));
         }
-        let other = self.given.iter().flat_map(|g| &g.zones).find(|zone| !zones.contains(zone));
+        let other = self
+            .given
+            .iter()
+            .flat_map(|g| &g.zones)
+            .find(|zone| !zones.contains(zone));
         other.map(|zone| ("given", format!("there is no zone '{zone}'")))
     }
 
-    /// What orders make of it: what may come into force, one after another, what never may, and who is off the roster.
+    /// What orders make of it: what may come into force, one after another, what never may, and who
+    /// is off the roster.
     pub(crate) fn end(&self, routing: &mut Routing, ordered: &[Ordered]) {
         // One that waited for another may have been given before it.
         let mut by_end: Vec<&Ordered> = ordered.iter().collect();
         by_end.sort_by_key(|one| one.over_at);
         for one in by_end {
-            let (Order::Table(order), Some(given)) = (&one.order, one.given_at) else { continue };
+            let (Order::Table(order), Some(given)) = (&one.order, one.given_at) else {
+                continue;
+            };
             // One that was not answered may have been taken.
             let taken = one.over_at.filter(|_| one.code == Some(0));
             match order {
                 TableOrder::Propose(name) => {
-                    let Some(table) = self.given.iter().find(|g| g.name == *name) else { continue };
-                    // Where nobody else proposed, it is its own proposal that is in its way: an answer was lost.
+                    let Some(table) = self.given.iter().find(|g| g.name == *name) else {
+                        continue;
+                    };
+                    // Where nobody else proposed, it is its own proposal that is in its way: an
+                    // answer was lost.
                     let in_the_way = |o: &Ordered| {
                         let proposes = matches!(o.order, Order::Table(TableOrder::Propose(_)));
-                        !std::ptr::eq(o, one) && proposes && !o.was_refused() && o.given_at <= one.over_at
+                        !std::ptr::eq(o, one)
+                            && proposes
+                            && !o.was_refused()
+                            && o.given_at <= one.over_at
                     };
                     let own = one.said.contains(ONLY_ONE) && !ordered.iter().any(in_the_way);
                     let ends = match one.code {
@@ -115,7 +135,13 @@
                         _ => table.ends,
                     };
                     let (name, zones) = (name.clone(), table.zones.iter().cloned().collect());
-                    routing.proposed(Proposed { name, zones, given, taken, ends });
+                    routing.proposed(Proposed {
+                        name,
+                        zones,
+                        given,
+                        taken,
+                        ends,
+                    });
                 }
                 TableOrder::Off(site) => taken.into_iter().for_each(|at| routing.off(site, at)),
                 TableOrder::Join { site, .. } => routing.joins(site, given),
@@ -126,7 +152,8 @@
 }
 
 impl TableOrder {
-    /// Its words behind `raildeal fleet`; `file` is where a table may be written, `at` where a site's keepers are reached.
+    /// Its words behind `raildeal fleet`; `file` is where a table may be written, `at` where a
+    /// site's keepers are reached.
     pub(crate) fn words(
         &self,
         tables: &Tables,
@@ -138,20 +165,28 @@
         Ok(match self {
             TableOrder::Propose(name) => {
                 let table = tables.given.iter().find(|g| g.name == *name);
-                let table = table.ok_or_else(|| std::io::Error::other(format!("no table '{name}'")))?;
+                let table =
+                    table.ok_or_else(|| std::io::Error::other(format!("no table '{name}'")))?;
                 std::fs::write(file, table.document(sites))?;
                 let mut said = words(&["table", "propose"]);
                 said.push(file.display().to_string());
-                said.extend(table.within_s.iter().flat_map(|s| ["--within-s".to_string(), s.to_string()]));
+                said.extend(
+                    table
+                        .within_s
+                        .iter()
+                        .flat_map(|s| ["--within-s".to_string(), s.to_string()]),
+                );
                 said
             }
             TableOrder::Abort => words(&["table", "abort"]),
             TableOrder::Status => words(&["table", "status"]),
             TableOrder::History => words(&["table", "history"]),
             TableOrder::Off(site) => words(&["site", "off", site]),
-            TableOrder::Join { site, number } => {
-                [words(&["site", "join", site, &number.to_string()]), at.to_vec()].concat()
-            }
+            TableOrder::Join { site, number } => [
+                words(&["site", "join", site, &number.to_string()]),
+                at.to_vec(),
+            ]
+            .concat(),
         })
     }
 }
@@ -167,7 +202,11 @@
         let site = |name: &str, zones: &[&str]| Site::of(name, zones, 1);
         let sites = [site("north", &["a", "b"]), site("south", &["c"])];
         let zones = vec!["a".to_string(), "c".to_string()];
-        let given = Given { name: "t1".into(), zones, ..Given::default() };
+        let given = Given {
+            name: "t1".into(),
+            zones,
+            ..Given::default()
+        };
         let text: toml::Table = given.document(&sites).parse().expect("TOML");
         assert_eq!(text["site"]["north"]["zones"].to_string(), "[\"a\", \"b\"]");
         let tiers = text["route"][0]["tiers"][0].as_table().expect("a tier");
@@ -182,7 +221,10 @@
             zones: vec![zone.into()],
             ..Given::default()
         };
-        let tables = Tables { given: vec![given("t1", "a"), given("t2", "b")], ..Tables::default() };
+        let tables = Tables {
+            given: vec![given("t1", "a"), given("t2", "b")],
+            ..Tables::default()
+        };
         let order = |name: &str, code| Ordered {
             order: Order::Table(TableOrder::Propose(name.into())),
             code,
@@ -201,7 +243,8 @@
             let mut seen = record.seen();
             let life = seen.lives.get_mut("m1").expect("handed in");
             life.handed_at = Some(begun + Duration::from_secs(1));
-            life.calls.push((begun + Duration::from_secs(2), "b".into()));
+            life.calls
+                .push((begun + Duration::from_secs(2), "b".into()));
             let lives: BTreeMap<_, _> = std::mem::take(&mut seen.lives);
             routing.breaches(&lives).len()
         };
--- a/rig/src/zone.rs
+++ b/rig/src/zone.rs
@@ -1,4 +1,5 @@
-//! A zone that dies under a fleet and comes back cold, with a record that the senders follow and without.
+//! A zone that dies under a fleet and comes back cold, with a record that the senders follow and
+//! without.
 
 use crate::cold_start::NotPlayed;
 use crate::limits::{Death, Terms};
@@ -13,11 +14,13 @@
 
 /// The zones.
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// What a delivery is worth that comes within this time: all of it. One that comes later is worth half, as the settings have it.
+/// What a delivery is worth that comes within this time: all of it. One that comes later is worth
+/// half, as the settings have it.
 const IN_TIME: Duration = Duration::from_secs(3);
 /// A zone is full again when it delivers so great a part of what it did before it died...
 const FULL: f64 = 0.9;
-/// ...over a window of so many tenths of a second; what it did before is its mean over twice as many.
+/// ...over a window of so many tenths of a second; what it did before is its mean over twice as
+/// many.
 const WINDOW: usize = 20;
 /// It is low where it delivers less than this part of it.
 const LOW: f64 = 0.6;
@@ -33,8 +36,8 @@
     pub seed: u64,
     /// Whether there are keepers.
     pub record: bool,
-    /// It does not die: the directory tells all senders that it drains, and later that it is back. What is lost then is lost for lack
-    /// of the zone, whatever anybody knows.
+    /// It does not die: the directory tells all senders that it drains, and later that it is back.
+    /// What is lost then is lost for lack of the zone, whatever anybody knows.
     pub drains: bool,
     /// The keeper that leads is killed while the zone is left, and comes back.
     pub kill_leader: bool,
@@ -97,19 +100,24 @@
     pub answered_s: Option<f64>,
     /// From when it was back until it delivered nine tenths of what it did before, in seconds.
     pub full_s: Option<f64>,
-    /// From when it was back until it last delivered less than six tenths of that, over 2 s, while messages came.
+    /// From when it was back until it last delivered less than six tenths of that, over 2 s, while
+    /// messages came.
     pub low_s: Option<f64>,
-    /// What it delivered in each second since it was back, in hundredths of what it did before it died.
+    /// What it delivered in each second since it was back, in hundredths of what it did before it
+    /// died.
     pub back_by_second: Vec<u32>,
     /// The warm-up of its endpoints, in seconds.
     pub ideal_s: f64,
     /// From when it was back until the last sender used it as ever, in seconds.
     pub again_s: Option<f64>,
-    /// Messages handed in while it was dead, and of them those taken on, delivered, and delivered within 3 s.
+    /// Messages handed in while it was dead, and of them those taken on, delivered, and delivered
+    /// within 3 s.
     pub in_outage: InOutage,
-    /// Worth lost by those that were taken on: all where none was delivered, half where it came later than 3 s.
+    /// Worth lost by those that were taken on: all where none was delivered, half where it came
+    /// later than 3 s.
     pub worth_lost: f64,
-    /// The same worth, for each message taken on in the last half of the calm before: what is lost without an outage.
+    /// The same worth, for each message taken on in the last half of the calm before: what is lost
+    /// without an outage.
     pub lost_each_before: f64,
     /// What of `worth_lost` is over that, for as many messages.
     pub worth_lost_over: f64,
@@ -167,7 +175,13 @@
                 step(self.calm_s + self.dead_s, Deed::Return(format!("s{n}")));
             }
         } else {
-            step(self.calm_s, Deed::ZoneDies { zone: zone.into(), how });
+            step(
+                self.calm_s,
+                Deed::ZoneDies {
+                    zone: zone.into(),
+                    how,
+                },
+            );
             step(self.calm_s + self.dead_s, Deed::ZoneBack(zone.into()));
         }
         if self.record && self.kill_leader {
@@ -177,7 +191,8 @@
             step(at + 4.0, Deed::KeeperStart(Which::Down));
         }
         let limits = Terms {
-            // Two of three zones carry all of it, and seven parts in ten of that are listed for what leaves and for chance.
+            // Two of three zones carry all of it, and seven parts in ten of that are listed for
+            // what leaves and for chance.
             listed: (0.7 * self.rate / DESTS as f64).max(1.0),
             factor: Some(1.2),
             warm_after_s: self.warm_after_s,
@@ -217,13 +232,20 @@
     let (outcome, record, led) = play_seen(&scenario, &plan.program, plan.seed)?;
     let seen = record.seen();
     let at = |is: fn(&Deed) -> bool| {
-        seen.steps.iter().find(|(_, n)| is(&scenario.steps[*n].deed)).map(|(at, _)| *at)
+        seen.steps
+            .iter()
+            .find(|(_, n)| is(&scenario.steps[*n].deed))
+            .map(|(at, _)| *at)
     };
     let dies = at(|d| matches!(d, Deed::ZoneDies { .. } | Deed::Drain(_)));
     let back = at(|d| matches!(d, Deed::ZoneBack(_) | Deed::Return(_)));
     let mut played = Played {
         zone: zone.into(),
-        how: if plan.drains { "drains".into() } else { format!("{how:?}").to_lowercase() },
+        how: if plan.drains {
+            "drains".into()
+        } else {
+            format!("{how:?}").to_lowercase()
+        },
         record: plan.record,
         led: led.len(),
         ideal_s: plan.warm_after_s,
@@ -239,20 +261,29 @@
         played.moves(&seen, dies, back);
         (played.in_outage, played.worth_lost) = handed_in(&seen, dies, back);
         let calm = dies.checked_sub(Duration::from_secs_f64(plan.calm_s / 2.0));
-        let (before, lost) = calm.map(|from| handed_in(&seen, from, dies)).unwrap_or_default();
+        let (before, lost) = calm
+            .map(|from| handed_in(&seen, from, dies))
+            .unwrap_or_default();
         played.lost_each_before = lost / before.taken_on.max(1) as f64;
         let usual = played.lost_each_before * played.in_outage.taken_on as f64;
         played.worth_lost_over = played.worth_lost - usual;
         let flow = seen.flow.get(zone).map(Vec::as_slice).unwrap_or(&[]);
         let tenth = |at: Instant| {
-            let since = seen.first_call.map_or(Duration::ZERO, |first| at.saturating_duration_since(first));
+            let since = seen
+                .first_call
+                .map_or(Duration::ZERO, |first| at.saturating_duration_since(first));
             (since.as_millis() / FLOWS.as_millis()) as usize
         };
         let (dies, back) = (tenth(dies), tenth(back));
         played.calls_dead = flow.iter().take(back).skip(dies + 1).map(|f| f.calls).sum();
         let delivered = |tenths: &[Flow]| tenths.iter().map(|f| f.delivered).sum::<u32>();
-        played.answered_s = flow.iter().skip(back).position(|f| f.delivered > 0).map(|n| n as f64 / 10.0);
-        let before = delivered(&flow[dies.saturating_sub(2 * WINDOW).min(flow.len())..dies.min(flow.len())]);
+        played.answered_s = flow
+            .iter()
+            .skip(back)
+            .position(|f| f.delivered > 0)
+            .map(|n| n as f64 / 10.0);
+        let before =
+            delivered(&flow[dies.saturating_sub(2 * WINDOW).min(flow.len())..dies.min(flow.len())]);
         let second = f64::from(before) / (2.0 * WINDOW as f64 * FLOWS.as_secs_f64());
         played.back_by_second = flow[back.min(flow.len())..]
             .chunks(10)
@@ -297,13 +328,18 @@
 fn handed_in(seen: &Seen, from: Instant, to: Instant) -> (InOutage, f64) {
     let (mut sum, mut lost) = (InOutage::default(), 0.0);
     for life in seen.lives.values() {
-        let Some(at) = life.handed_at.filter(|at| (from..to).contains(at)) else { continue };
+        let Some(at) = life.handed_at.filter(|at| (from..to).contains(at)) else {
+            continue;
+        };
         sum.handed += 1;
         if !life.taken_on {
             continue;
         }
         sum.taken_on += 1;
-        match life.delivered_at.map(|delivered| delivered.saturating_duration_since(at)) {
+        match life
+            .delivered_at
+            .map(|delivered| delivered.saturating_duration_since(at))
+        {
             Some(age) => {
                 sum.delivered += 1;
                 sum.in_time += usize::from(age <= IN_TIME);
@@ -317,23 +353,36 @@
 
 /// Tenths of a second from `back` until the zone delivers as much as before it died.
 fn full(flow: &[Flow], dies: usize, back: usize) -> Option<usize> {
-    let sum =
-        |from: usize, to: usize| -> u32 { flow.iter().take(to).skip(from).map(|f| f.delivered).sum::<u32>() };
+    let sum = |from: usize, to: usize| -> u32 {
+        flow.iter()
+            .take(to)
+            .skip(from)
+            .map(|f| f.delivered)
+            .sum::<u32>()
+    };
     let before = f64::from(sum(dies.saturating_sub(2 * WINDOW), dies)) / 2.0;
-    let end =
-        (back..flow.len().saturating_sub(WINDOW)).find(|n| f64::from(sum(*n, n + WINDOW)) >= FULL * before);
+    let end = (back..flow.len().saturating_sub(WINDOW))
+        .find(|n| f64::from(sum(*n, n + WINDOW)) >= FULL * before);
     // It does so from the middle of that window on.
     end.filter(|_| before > 0.0).map(|n| n + WINDOW / 2 - back)
 }
 
-/// Tenths of a second from `back` until the last window, before `end`, in which the zone delivers much less than before it died. A zone that
-/// is full once may be called by few again when an order ends.
+/// Tenths of a second from `back` until the last window, before `end`, in which the zone delivers
+/// much less than before it died. A zone that is full once may be called by few again when an order
+/// ends.
 fn low(flow: &[Flow], dies: usize, back: usize, end: usize) -> Option<usize> {
-    let sum =
-        |from: usize, to: usize| -> u32 { flow.iter().take(to).skip(from).map(|f| f.delivered).sum::<u32>() };
+    let sum = |from: usize, to: usize| -> u32 {
+        flow.iter()
+            .take(to)
+            .skip(from)
+            .map(|f| f.delivered)
+            .sum::<u32>()
+    };
     let before = f64::from(sum(dies.saturating_sub(2 * WINDOW), dies)) / 2.0;
     let last = end.min(flow.len()).saturating_sub(WINDOW);
-    let low = (back..last).rev().find(|n| f64::from(sum(*n, n + WINDOW)) < LOW * before);
+    let low = (back..last)
+        .rev()
+        .find(|n| f64::from(sum(*n, n + WINDOW)) < LOW * before);
     low.filter(|_| before > 0.0).map(|n| n + WINDOW / 2 - back)
 }
 
@@ -343,7 +392,10 @@
 
     #[test]
     fn a_zone_is_full_when_it_delivers_again_what_it_did() {
-        let of = |delivered| Flow { calls: delivered, delivered };
+        let of = |delivered| Flow {
+            calls: delivered,
+            delivered,
+        };
         let tenths = |n: usize, delivered| vec![of(delivered); n];
         let growing: Vec<Flow> = (0..100).map(|n| of(n / 10)).collect();
         let flow = [tenths(60, 5), tenths(50, 0), growing, tenths(60, 10)].concat();
@@ -351,11 +403,21 @@
         assert!((45..=60).contains(&found), "{found}");
         assert_eq!(full(&flow[..150], 60, 110), None, "never");
         assert_eq!(full(&[], 60, 110), None, "it never delivered");
-        let dips = [tenths(60, 5), tenths(50, 0), tenths(30, 5), tenths(40, 1), tenths(60, 5)].concat();
+        let dips = [
+            tenths(60, 5),
+            tenths(50, 0),
+            tenths(30, 5),
+            tenths(40, 1),
+            tenths(60, 5),
+        ]
+        .concat();
         assert!(full(&dips, 60, 110).is_some_and(|n| n <= 10), "once");
         let found = low(&dips, 60, 110, 240).expect("low");
         assert!((65..=75).contains(&found), "{found}");
-        assert_eq!((low(&dips, 60, 180, 240), low(&dips, 60, 110, 140)), (None, None));
+        assert_eq!(
+            (low(&dips, 60, 180, 240), low(&dips, 60, 110, 140)),
+            (None, None)
+        );
     }
 
     #[test]
@@ -372,22 +434,46 @@
             ("n0", "a", 14, Goes::Back),
         ] {
             let (sender, zone) = (sender.to_string(), zone.to_string());
-            seen.moves.push(crate::record::Move { at: dies + at * tenth, sender, zone, goes });
+            seen.moves.push(crate::record::Move {
+                at: dies + at * tenth,
+                sender,
+                zone,
+                goes,
+            });
         }
-        for (id, handed, delivered) in
-            [("in time", 1, Some(2)), ("late", 2, Some(40)), ("never", 3, None), ("after", 11, None)]
-        {
+        for (id, handed, delivered) in [
+            ("in time", 1, Some(2)),
+            ("late", 2, Some(40)),
+            ("never", 3, None),
+            ("after", 11, None),
+        ] {
             let life = seen.lives.entry(id.to_string()).or_default();
             life.taken_on = true;
             life.handed_at = Some(dies + handed * tenth);
             life.delivered_at = delivered.map(|d| dies + d * tenth);
         }
-        let mut played = Played { zone: "a".into(), ..Played::default() };
+        let mut played = Played {
+            zone: "a".into(),
+            ..Played::default()
+        };
         played.moves(&seen, dies, back);
-        assert_eq!((played.left, played.false_leaves, played.relapses), (2, 1, 1));
-        let about = |s: Option<f64>, tenths: f64| s.is_some_and(|s| (s - tenths / 10.0).abs() < 1e-6);
-        assert!(about(played.first_left_s, 2.0) && about(played.left_s, 4.0) && about(played.again_s, 4.0));
-        let sum = InOutage { handed: 3, taken_on: 3, delivered: 2, in_time: 1 };
+        assert_eq!(
+            (played.left, played.false_leaves, played.relapses),
+            (2, 1, 1)
+        );
+        let about =
+            |s: Option<f64>, tenths: f64| s.is_some_and(|s| (s - tenths / 10.0).abs() < 1e-6);
+        assert!(
+            about(played.first_left_s, 2.0)
+                && about(played.left_s, 4.0)
+                && about(played.again_s, 4.0)
+        );
+        let sum = InOutage {
+            handed: 3,
+            taken_on: 3,
+            delivered: 2,
+            in_time: 1,
+        };
         assert_eq!(handed_in(&seen, dies, back), (sum, 1.5));
     }
 }
--- a/src/agent/file/tests.rs
+++ b/src/agent/file/tests.rs
@@ -20,7 +20,10 @@
     ];
     assert_eq!(faults.len(), named.len(), "{faults:?}");
     for name in named {
-        assert!(faults.iter().any(|f| f.starts_with(name)), "{name}: {faults:?}");
+        assert!(
+            faults.iter().any(|f| f.starts_with(name)),
+            "{name}: {faults:?}"
+        );
     }
 }
 
@@ -31,8 +34,13 @@
         File::parse(&text).map(|f| f.keepers.into_keys().collect::<Vec<_>>())
     };
     assert_eq!(read("[\"127.0.0.1:1\", \"127.0.0.1:2\"]"), Ok(vec![1, 2]));
-    assert_eq!(read("{ 7 = \"127.0.0.1:1\", 2 = \"127.0.0.1:2\" }"), Ok(vec![2, 7]));
-    assert!(read("[]").is_err() && read("{ 0 = \"127.0.0.1:1\" }").is_err() && read("\"x\"").is_err());
+    assert_eq!(
+        read("{ 7 = \"127.0.0.1:1\", 2 = \"127.0.0.1:2\" }"),
+        Ok(vec![2, 7])
+    );
+    assert!(
+        read("[]").is_err() && read("{ 0 = \"127.0.0.1:1\" }").is_err() && read("\"x\"").is_err()
+    );
 }
 
 #[test]
@@ -44,8 +52,14 @@
     };
     let (read, tables) = (|told: &str| both(told).0, |told: &str| both(told).1);
     assert_eq!((read(""), read("[policy]")), (None, Some(Without::Hold)));
-    assert_eq!(read("policy.without_keepers = \"last\""), Some(Without::Last));
-    assert_eq!((read("[table]"), tables(""), tables("[table]")), (None, None, Some(Without::Hold)));
+    assert_eq!(
+        read("policy.without_keepers = \"last\""),
+        Some(Without::Last)
+    );
+    assert_eq!(
+        (read("[table]"), tables(""), tables("[table]")),
+        (None, None, Some(Without::Hold))
+    );
 }
 
 #[test]
--- a/src/agent/ledger.rs
+++ b/src/agent/ledger.rs
@@ -1,4 +1,5 @@
-//! What this sender's calls came to, by zone and destination, since it was last told. No I/O, no clock.
+//! What this sender's calls came to, by zone and destination, since it was last told. No I/O, no
+//! clock.
 
 use crate::core::Life;
 use crate::keeper::wire::{Counts, Health, Seen};
@@ -6,16 +7,19 @@
 use crate::{Outcome, Time};
 use std::collections::BTreeMap;
 
-/// Zones and destinations that are counted: with names of [`NAME`] bytes all of them fit one word, beside as many lines of a list.
+/// Zones and destinations that are counted: with names of [`NAME`] bytes all of them fit one word,
+/// beside as many lines of a list.
 pub const GROUPS: usize = 1_024;
-/// Policies, classes and tenants that are counted: nine policies, each with some thirty classes or tenants.
+/// Policies, classes and tenants that are counted: nine policies, each with some thirty classes or
+/// tenants.
 pub const FATES: usize = 256;
 /// Longest name of a zone, in bytes; what is in others is not counted.
 pub const NAME: usize = 64;
-/// A call hangs once it is out for longer than this, two reports, and than so many times what calls usually take there. Who judges zones
-/// waits for a silence besides.
+/// A call hangs once it is out for longer than this, two reports, and than so many times what calls
+/// usually take there. Who judges zones waits for a silence besides.
 const HANGS: (Time, f64) = (400 * MS, 4.0);
-/// What calls are taken to need before one has ended anywhere, in seconds, and the weight of the newest where there are many.
+/// What calls are taken to need before one has ended anywhere, in seconds, and the weight of the
+/// newest where there are many.
 const USUAL: (f64, f64) = (0.4, 0.1);
 /// Memory of how many calls a destination gets: seconds, and the part that one more leaves.
 const MEMORY: (f64, f64) = (4.0, 0.9);
@@ -52,7 +56,8 @@
     groups: BTreeMap<(String, u16), Tally>,
     out: BTreeMap<u64, ((String, u16), Time)>,
     rates: BTreeMap<u16, Meter>,
-    /// What calls take anywhere: for where none has ended yet, as few of one sender go to each zone and destination.
+    /// What calls take anywhere: for where none has ended yet, as few of one sender go to each zone
+    /// and destination.
     usual: Usual,
     next: u64,
     /// What became of messages, by policy, class and tenant.
@@ -66,7 +71,12 @@
         if class.len() > NAME || self.fates.len() >= FATES && !self.fates.contains_key(&group) {
             return;
         }
-        let fresh = || Health { policy, class: class.into(), tenant, ..Health::default() };
+        let fresh = || Health {
+            policy,
+            class: class.into(),
+            tenant,
+            ..Health::default()
+        };
         let health = self.fates.entry(group).or_insert_with(fresh);
         let count = match life {
             Life::TurnedAway => &mut health.turned_away,
@@ -91,7 +101,10 @@
         if self.rates.len() >= GROUPS && !self.rates.contains_key(&dest) {
             self.rates.pop_first();
         }
-        self.rates.entry(dest).or_insert_with(|| Meter::new(now, MEMORY.0)).hit(now, MEMORY);
+        self.rates
+            .entry(dest)
+            .or_insert_with(|| Meter::new(now, MEMORY.0))
+            .hit(now, MEMORY);
         self.next
     }
 
@@ -102,7 +115,9 @@
 
     /// A call there ended so. What was called off or never sent counts for nothing.
     pub fn ended(&mut self, zone: &str, dest: u16, outcome: Outcome, took: Time) {
-        let Some(tally) = self.tally(zone, dest) else { return };
+        let Some(tally) = self.tally(zone, dest) else {
+            return;
+        };
         let counts = &mut tally.counts;
         let count = match outcome {
             Outcome::Ok => &mut counts.ok,
@@ -123,7 +138,11 @@
     pub fn take(&mut self, now: Time) -> Vec<Seen> {
         let mut hanging: BTreeMap<(String, u16), u32> = BTreeMap::new();
         for (group, since) in self.out.values() {
-            let usual = self.groups.get(group).and_then(|t| t.usual.seconds()).or(self.usual.seconds());
+            let usual = self
+                .groups
+                .get(group)
+                .and_then(|t| t.usual.seconds())
+                .or(self.usual.seconds());
             let usual = usual.unwrap_or(USUAL.0);
             if now.saturating_sub(*since) > HANGS.0.max(secs(HANGS.1 * usual)) {
                 *hanging.entry(group.clone()).or_default() += 1;
@@ -140,7 +159,11 @@
             let told = counts != Counts::default() || tally.hung;
             tally.hung = counts.hanging > 0;
             if told {
-                seen.push(Seen { zone: group.0.clone(), dest: group.1, counts });
+                seen.push(Seen {
+                    zone: group.0.clone(),
+                    dest: group.1,
+                    counts,
+                });
             }
         }
         seen
@@ -158,11 +181,18 @@
         }
         if self.groups.len() >= GROUPS && !self.groups.contains_key(&group) {
             // One that has nothing to tell makes room; where all have, the newest goes without.
-            let idle = self.groups.iter().find(|(_, t)| t.counts == Counts::default() && !t.hung);
+            let idle = self
+                .groups
+                .iter()
+                .find(|(_, t)| t.counts == Counts::default() && !t.hung);
             let idle = idle.map(|(group, _)| group.clone())?;
             self.groups.remove(&idle);
         }
-        let fresh = || Tally { counts: Counts::default(), usual: Usual::default(), hung: false };
+        let fresh = || Tally {
+            counts: Counts::default(),
+            usual: Usual::default(),
+            hung: false,
+        };
         Some(self.groups.entry(group).or_insert_with(fresh))
     }
 }
