--- a/src/core/invocation.rs
+++ b/src/core/invocation.rs
@@ -1,5 +1,5 @@
-//! The life of one message, top to bottom: taken on, written down, brought before the module, called, reported,
-//! answered, closed.
+//! The life of one message, top to bottom: taken on, written down, brought before the module,
+//! called, reported, answered, closed.
 
 use super::admission::{Admission, Shut};
 use super::desk::{Desk, Order, Ticket};
@@ -75,7 +75,8 @@
     decided: Rc<Decided>,
 }
 
-/// Whether a message is taken on and its client was told so, or it was turned away; before that it may still be either.
+/// Whether a message is taken on and its client was told so, or it was turned away; before that it
+/// may still be either.
 #[derive(Debug, Default)]
 struct Decided {
     taken_on: Cell<Option<bool>>,
@@ -109,17 +110,32 @@
             return None;
         }
         let decided = Rc::<Decided>::default();
-        let known = Known { print: print(envelope), decided: decided.clone() };
+        let known = Known {
+            print: print(envelope),
+            decided: decided.clone(),
+        };
         house.names.borrow_mut().insert(name.clone(), known);
-        let owed = house.fronts.get(&envelope.front).and_then(|f| f.owes(envelope));
-        Some(Named { house: house.clone(), name, decided, _owed: owed })
+        let owed = house
+            .fronts
+            .get(&envelope.front)
+            .and_then(|f| f.owes(envelope));
+        Some(Named {
+            house: house.clone(),
+            name,
+            decided,
+            _owed: owed,
+        })
     }
 }
 
 /// Tells messages of one name apart.
 fn print(envelope: &Envelope) -> u32 {
     let mut print = crc32fast::Hasher::new();
-    print.update(&[envelope.class, envelope.dest, envelope.tenant].map(u16::to_be_bytes).concat());
+    print.update(
+        &[envelope.class, envelope.dest, envelope.tenant]
+            .map(u16::to_be_bytes)
+            .concat(),
+    );
     print.update(envelope.key.as_deref().unwrap_or("").as_bytes());
     print.finalize()
 }
@@ -155,9 +171,15 @@
     let held = terms.hold();
     let (policy, table) = (held.policy.clone(), house.tables.current());
     let tenant = envelope.tenant;
-    let turned_away = |class| house.desk.saw(policy.number, class, tenant, Life::TurnedAway);
+    let turned_away = |class| {
+        house
+            .desk
+            .saw(policy.number, class, tenant, Life::TurnedAway)
+    };
     // No message is held for longer than its class may be, whatever its client says.
-    let left = policy.class(envelope.class).map_or(left, |c| left.min(span(c.deadline)));
+    let left = policy
+        .class(envelope.class)
+        .map_or(left, |c| left.min(span(c.deadline)));
     let Some(named) = Named::new(&house, &envelope) else {
         // Another copy of it came in while this one waited.
         return match house.held_already(&envelope).await {
@@ -166,7 +188,11 @@
         };
     };
     if !house.directory.serves(envelope.dest) {
-        log::debug!("{}: rejected, nobody serves destination {}", envelope.id, envelope.dest);
+        log::debug!(
+            "{}: rejected, nobody serves destination {}",
+            envelope.id,
+            envelope.dest
+        );
         turned_away(envelope.class);
         return reply.rejected(house.patience(NO_ROOM_WAIT)).await;
     }
@@ -182,10 +208,17 @@
     }
     if keyless(policy.class(envelope.class), &envelope) {
         // Its front asked for the key by the terms of before; it is told so when it comes again.
-        log::debug!("{}: rejected, without a key since its class needs one", envelope.id);
+        log::debug!(
+            "{}: rejected, without a key since its class needs one",
+            envelope.id
+        );
         return reply.rejected(house.patience(NO_ROOM_WAIT)).await;
     }
-    match policy.hook.as_ref().map(|h| h.ingress(&envelope, house.class(&envelope), left)) {
+    match policy
+        .hook
+        .as_ref()
+        .map(|h| h.ingress(&envelope, house.class(&envelope), left))
+    {
         Some(Ruling::Reject(wait)) => {
             log::debug!("{}: rejected by the hook", envelope.id);
             turned_away(envelope.class);
@@ -195,7 +228,8 @@
         None => {}
     }
     let (id, class) = (envelope.id.clone(), envelope.class);
-    // Right before it is written down: a process that stood still may have missed a change of policy or table.
+    // Right before it is written down: a process that stood still may have missed a change of
+    // policy or table.
     if let Err(shut) = house.may_take_on(&policy, table) {
         log::debug!("{id}: rejected, {shut}");
         return reply.rejected(house.patience(shut.wait())).await;
@@ -205,7 +239,9 @@
         Err(e) => {
             log::debug!("{id}: rejected, journal: {e}");
             turned_away(class);
-            return reply.rejected(house.patience(house.journal.come_back())).await;
+            return reply
+                .rejected(house.patience(house.journal.come_back()))
+                .await;
         }
     };
     let (envelope, guest) = (record.envelope(), house.guests.taken_on(client.name));
@@ -254,13 +290,25 @@
     log::debug!("{id}: {}", step::HEARD);
     named.decided.is(true);
     house.desk.saw(policy.number, class, tenant, Life::Taken);
-    deliver(&house, envelope, record, &held, (ticket, guest), first, started + left).await;
+    deliver(
+        &house,
+        envelope,
+        record,
+        &held,
+        (ticket, guest),
+        first,
+        started + left,
+    )
+    .await;
 }
 
 /// Answers one that is handed in under the name of a message that is held, and is the same or not.
 async fn twice(envelope: &Envelope, same: bool, reply: Box<dyn Reply>) {
     if !same {
-        log::debug!("{}: not taken on under the id of another message", envelope.id);
+        log::debug!(
+            "{}: not taken on under the id of another message",
+            envelope.id
+        );
         return reply.failed().await;
     }
     // Its client has not heard that it was taken on: it is, and still once.
@@ -285,21 +333,38 @@
     });
     let class = held.policy.class(envelope.class);
     let left = class.map_or(record.left(), |c| record.left().min(span(c.deadline)));
-    // How long ago a first call went; where that is not known, longer than any repeat of it is dropped.
+    // How long ago a first call went; where that is not known, longer than any repeat of it is
+    // dropped.
     let unknown = class.map_or(0, |c| c.window) + 1;
     let ago = |age: Option<Duration>| age.map_or(unknown, |age| age.as_nanos() as Time);
-    let ran = record.ran().map(|(zone, age)| (ago(age), house.directory.zone(&zone)));
+    let ran = record
+        .ran()
+        .map(|(zone, age)| (ago(age), house.directory.zone(&zone)));
     log::debug!(
         "{}: {}{left:?} left, {} calls made, ran: {ran:?}",
         envelope.id,
         step::TAKEN_UP,
         account.attempts
     );
-    let past = Past { attempts: account.attempts, ran };
-    let mut ticket = house.desk.enter(message(&envelope, &held, left), Some(past));
+    let past = Past {
+        attempts: account.attempts,
+        ran,
+    };
+    let mut ticket = house
+        .desk
+        .enter(message(&envelope, &held, left), Some(past));
     let first = ticket.ready();
     let guest = house.guests.earlier();
-    deliver(&house, envelope, record, &held, (ticket, guest), first, Instant::now() + left).await;
+    deliver(
+        &house,
+        envelope,
+        record,
+        &held,
+        (ticket, guest),
+        first,
+        Instant::now() + left,
+    )
+    .await;
 }
 
 /// Calls as the module orders until the message is over, then gives the final answer.
@@ -319,7 +384,16 @@
         };
         match order {
             Order::Call { endpoint, timeout } => {
-                let report = call(house, &envelope, &record, held, endpoint, span(timeout), deadline).await;
+                let report = call(
+                    house,
+                    &envelope,
+                    &record,
+                    held,
+                    endpoint,
+                    span(timeout),
+                    deadline,
+                )
+                .await;
                 let over = report.over;
                 let delivered = report.outcome == Outcome::Ok;
                 ticket.report(report);
@@ -329,22 +403,35 @@
                 }
                 if over {
                     // Withdrawn or out of time, as the other side knows: nothing is owed.
-                    log::debug!("{}: {}{} over elsewhere", envelope.id, step::ENDED, envelope.dest);
+                    log::debug!(
+                        "{}: {}{} over elsewhere",
+                        envelope.id,
+                        step::ENDED,
+                        envelope.dest
+                    );
                     let _ = record.close();
                     return;
                 }
             }
             Order::Reject { retry_after } => {
-                break Verdict::Deferred { again_ms: span(retry_after).as_millis() as u64 }
+                break Verdict::Deferred {
+                    again_ms: span(retry_after).as_millis() as u64,
+                }
             }
             Order::Fail => break Verdict::Undeliverable,
         }
     };
     drop((ticket, guest));
     let life = end(held, &envelope, verdict, deadline);
-    house.desk.saw(held.policy.number, envelope.class, envelope.tenant, life);
+    house
+        .desk
+        .saw(held.policy.number, envelope.class, envelope.tenant, life);
     let left = deadline.saturating_duration_since(Instant::now());
-    log::debug!("{}: {}", envelope.id, step::ended(&envelope, record.account().table, verdict, left));
+    log::debug!(
+        "{}: {}",
+        envelope.id,
+        step::ended(&envelope, record.account().table, verdict, left)
+    );
     house.write_down(&record, verdict, deadline).await;
     if let Some(hook) = &held.policy.hook {
         hook.final_answer(&envelope, house.class(&envelope), verdict);
@@ -365,24 +452,37 @@
     timeout: Duration,
     deadline: Instant,
 ) -> Report {
-    let Some(provider) = house.directory.provider(endpoint) else { return Outcome::Moot.into() };
+    let Some(provider) = house.directory.provider(endpoint) else {
+        return Outcome::Moot.into();
+    };
     let body = match record.whole().await {
         Ok(whole) => whole,
         Err(e) => {
             log::error!("{}: its body cannot be read: {e}", envelope.id);
-            return Report { outcome: Outcome::Moot, over: false, load: Vec::new() };
+            return Report {
+                outcome: Outcome::Moot,
+                over: false,
+                load: Vec::new(),
+            };
         }
     };
-    let Some(permit) = house.desk.permit(&provider) else { return Outcome::Moot.into() };
+    let Some(permit) = house.desk.permit(&provider) else {
+        return Outcome::Moot.into();
+    };
     let went = Cell::new(false);
     let allowed = || {
         house.directory.admits(endpoint, Instant::now())
             && Instant::now() < deadline
             && !house.desk.is_blind()
             && house.tables.leads(envelope, provider.zone)
-            && house.may_repeat(held.policy.class(envelope.class), record.ran(), provider.zone)
+            && house.may_repeat(
+                held.policy.class(envelope.class),
+                record.ran(),
+                provider.zone,
+            )
     };
-    // Where it has to be synced, it is written before the connection is asked for: afterwards is too late to wait.
+    // Where it has to be synced, it is written before the connection is asked for: afterwards is
+    // too late to wait.
     if record.settles() {
         if !allowed() || record.sent(&provider.entry.zone).is_err() {
             return Outcome::Moot.into();
@@ -394,7 +494,8 @@
         }
     }
     let began = Cell::new(false);
-    // A connection may take its time to come up: what the module saw when it chose is looked at once more.
+    // A connection may take its time to come up: what the module saw when it chose is looked at
+    // once more.
     let go = || {
         if went.get() {
             began.set(allowed() && permit.begin());
@@ -404,28 +505,53 @@
         }
         if began.get() {
             let (id, uid) = (&envelope.id, &provider.entry.uid);
-            log::debug!("{id}: {}{} to {uid}, for {timeout:?}", step::CALL, record.account().attempts);
+            log::debug!(
+                "{id}: {}{} to {uid}, for {timeout:?}",
+                step::CALL,
+                record.account().attempts
+            );
         }
         began.get()
     };
     let report = house
         .invoker
-        .call(InvokerCall { provider: provider.clone(), envelope: &body, timeout, go: &go })
+        .call(InvokerCall {
+            provider: provider.clone(),
+            envelope: &body,
+            timeout,
+            go: &go,
+        })
         .await;
     permit.ended(report.outcome);
-    // It may have left while the call was out: nobody else would close the connection that was just given back.
-    if house.directory.provider(endpoint).is_none_or(|p| p.entry.condition != Condition::Ready) {
+    // It may have left while the call was out: nobody else would close the connection that was just
+    // given back.
+    if house
+        .directory
+        .provider(endpoint)
+        .is_none_or(|p| p.entry.condition != Condition::Ready)
+    {
         house.invoker.close_idle(&provider);
     }
     if let Outcome::Full { wait } = report.outcome {
-        house.directory.told_wait(&provider, Instant::now() + span(wait));
+        house
+            .directory
+            .told_wait(&provider, Instant::now() + span(wait));
     }
     if went.get() {
-        // A delivery ran, too: a process that ends before the verdict is written must not send it to another zone.
-        let never = matches!(report.outcome, Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Moot);
+        // A delivery ran, too: a process that ends before the verdict is written must not send it
+        // to another zone.
+        let never = matches!(
+            report.outcome,
+            Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Moot
+        );
         record.back(began.get() && !never);
     }
-    log::debug!("{}: {} {:?}", envelope.id, provider.entry.uid, report.outcome);
+    log::debug!(
+        "{}: {} {:?}",
+        envelope.id,
+        provider.entry.uid,
+        report.outcome
+    );
     report
 }
 
@@ -438,14 +564,23 @@
             let _ = record.close();
         }
         // The record stays open: what is owed is owed until that front is back.
-        None => log::error!("{}: its front is not set up any more; {verdict:?} is not told", envelope.id),
+        None => log::error!(
+            "{}: its front is not set up any more; {verdict:?} is not told",
+            envelope.id
+        ),
     }
 }
 
 fn message(envelope: &Envelope, held: &Hold, left: Duration) -> Message {
     let ttl = left.as_nanos() as Time;
     let Envelope { dest, tenant, .. } = *envelope;
-    Message { class: held.class(envelope.class), dest, tenant, ttl, ..Message::default() }
+    Message {
+        class: held.class(envelope.class),
+        dest,
+        tenant,
+        ttl,
+        ..Message::default()
+    }
 }
 
 /// Whether a message has no key though its class is one with keys.
@@ -461,7 +596,10 @@
         Verdict::Delivered => {
             let rest = deadline.saturating_duration_since(Instant::now());
             let age = |c: &Class| span(c.deadline).saturating_sub(rest);
-            let late = held.policy.class(envelope.class).is_some_and(|c| age(c) > span(c.aim));
+            let late = held
+                .policy
+                .class(envelope.class)
+                .is_some_and(|c| age(c) > span(c.aim));
             if late {
                 Life::Late
             } else {
@@ -479,10 +617,14 @@
         }
     }
 
-    /// Whether a message is held under the name of this one, and whether it is the same. One that may still be turned away is
-    /// waited for: who hears of it now would take it for taken on.
+    /// Whether a message is held under the name of this one, and whether it is the same. One that
+    /// may still be turned away is waited for: who hears of it now would take it for taken on.
     async fn held_already(&self, envelope: &Envelope) -> Option<bool> {
-        let known = self.names.borrow().get(&(envelope.front, envelope.id.clone())).cloned()?;
+        let known = self
+            .names
+            .borrow()
+            .get(&(envelope.front, envelope.id.clone()))
+            .cloned()?;
         let bell = known.decided.bell.listen();
         if known.decided.taken_on.get().is_none() {
             self.wheel.limit(CLIENT_PATIENCE, bell).await;
@@ -492,7 +634,8 @@
         (known.decided.taken_on.get() != Some(false)).then_some(same)
     }
 
-    /// Writes a final answer down, as often as it takes. Once the message's time is up it is told in any case.
+    /// Writes a final answer down, as often as it takes. Once the message's time is up it is told
+    /// in any case.
     async fn write_down(&self, record: &Record, verdict: Verdict, deadline: Instant) {
         loop {
             let written = match record.ended(verdict) {
@@ -502,14 +645,18 @@
             let Err(e) = written else { return };
             if Instant::now() + AGAIN >= deadline {
                 let id = &record.envelope().id;
-                return log::error!("{id}: {verdict:?} could not be written and may be told again: {e}");
+                return log::error!(
+                    "{id}: {verdict:?} could not be written and may be told again: {e}"
+                );
             }
             self.wheel.sleep(AGAIN).await;
         }
     }
 
     fn class(&self, envelope: &Envelope) -> &str {
-        self.classes.get(usize::from(envelope.class)).map_or("", String::as_str)
+        self.classes
+            .get(usize::from(envelope.class))
+            .map_or("", String::as_str)
     }
 
     /// A wait, as far as clients heed one.
@@ -520,12 +667,14 @@
     /// Whether a message may be taken on under this policy and table in this moment.
     fn may_take_on(&self, policy: &Policy, table: u64) -> Result<(), Shut> {
         self.admission.look()?;
-        // Another one counts since this message came in: it is for another process, or for its client's next try.
+        // Another one counts since this message came in: it is for another process, or for its
+        // client's next try.
         let same = self.terms.current().number == policy.number && self.tables.current() == table;
         same.then_some(()).ok_or(Shut::Paused)
     }
 
-    /// Takes messages on under a policy from now on; false where it is not known. What is held, told and connected goes on.
+    /// Takes messages on under a policy from now on; false where it is not known. What is held,
+    /// told and connected goes on.
     pub fn go_by(&self, number: u64) -> bool {
         let known = self.terms.go_by(number);
         if known {
@@ -535,21 +684,28 @@
         known
     }
 
-    /// Takes messages on, and routes all that are held at their next attempt, by a routing table from now on; false where it is not known.
+    /// Takes messages on, and routes all that are held at their next attempt, by a routing table
+    /// from now on; false where it is not known.
     pub fn route_by(&self, number: u64) -> bool {
         let routes = self.tables.go_by(number, |zone| self.directory.zone(zone));
         routes.map(|routes| self.desk.route(routes)).is_some()
     }
 
     /// Whether a keyed message that may have run may go to this zone now.
-    fn may_repeat(&self, class: Option<&Class>, ran: Option<(String, Option<Duration>)>, zone: u16) -> bool {
+    fn may_repeat(
+        &self,
+        class: Option<&Class>,
+        ran: Option<(String, Option<Duration>)>,
+        zone: u16,
+    ) -> bool {
         let Some(class) = class else { return false };
         let Some((ran, age)) = ran else { return true };
         match class.effect {
             Effect::Pure => true,
             Effect::SideEffect => false,
             Effect::Token => {
-                let near = class.scope == crate::DedupScope::All || self.directory.zone(&ran) == zone;
+                let near =
+                    class.scope == crate::DedupScope::All || self.directory.zone(&ran) == zone;
                 near && age.is_some_and(|age| age < span(class.window))
             }
         }
--- a/src/core/journal.rs
+++ b/src/core/journal.rs
@@ -1,8 +1,8 @@
-//! What was taken on outlives the process: accounts of messages, kept in a [`crate::store`] before anything is
-//! promised or sent.
+//! What was taken on outlives the process: accounts of messages, kept in a [`crate::store`] before
+//! anything is promised or sent.
 //!
-//! A line that cannot be written is not forgotten: what follows it on the same message waits until it is, and what
-//! depends on it is not told.
+//! A line that cannot be written is not forgotten: what follows it on the same message waits until
+//! it is, and what depends on it is not told.
 
 pub use super::account::{Account, Sent};
 use super::past::Clock;
@@ -74,7 +74,8 @@
     pub limit: u64,
     /// What it outlasts.
     pub durability: Durability,
-    /// Bytes of bodies that are kept in memory; those of further messages are read when they are sent.
+    /// Bytes of bodies that are kept in memory; those of further messages are read when they are
+    /// sent.
     pub bodies: u64,
     /// For the store's salts; a client must not be able to know it.
     pub seed: u64,
@@ -83,7 +84,12 @@
 impl Setup {
     /// For a folder that may hold so many bytes; the rest at its simplest.
     pub fn new(limit: u64) -> Self {
-        Setup { limit, durability: Durability::Process, bodies: u64::MAX, seed: 0 }
+        Setup {
+            limit,
+            durability: Durability::Process,
+            bodies: u64::MAX,
+            seed: 0,
+        }
     }
 }
 
@@ -108,7 +114,11 @@
 }
 
 impl Items for Accounts {
-    fn snapshot(&self, no: u64, old: &mut dyn FnMut() -> io::Result<Vec<u8>>) -> io::Result<Vec<u8>> {
+    fn snapshot(
+        &self,
+        no: u64,
+        old: &mut dyn FnMut() -> io::Result<Vec<u8>>,
+    ) -> io::Result<Vec<u8>> {
         let entry = self.open.get(&no).ok_or(io::ErrorKind::NotFound)?;
         if entry.account.envelope.away == 0 {
             return Ok(entry.account.encode());
@@ -122,7 +132,13 @@
 
 impl Accounts {
     fn insert(&mut self, no: u64, account: Account, size: u64, most: u64) {
-        let mut entry = Entry { account, size, ran_at: None, out_at: None, unwritten: VecDeque::new() };
+        let mut entry = Entry {
+            account,
+            size,
+            ran_at: None,
+            out_at: None,
+            unwritten: VecDeque::new(),
+        };
         let envelope = &mut entry.account.envelope;
         let len = envelope.body.len() as u64;
         if self.bodies + len > most {
@@ -157,7 +173,12 @@
 impl Replayed {
     /// Nothing yet; so many bytes of bodies may be in memory.
     pub(super) fn new(bodies: u64) -> Self {
-        Replayed { accounts: Accounts::default(), bodies, doubts: Vec::new(), doubted: 0 }
+        Replayed {
+            accounts: Accounts::default(),
+            bodies,
+            doubts: Vec::new(),
+            doubted: 0,
+        }
     }
 
     /// Takes accounts of the first form in, and gives their numbers.
@@ -174,13 +195,18 @@
 
     fn newest(&mut self, account: &Account) {
         let sent = account.ran.iter().chain(&account.out).map(|s| s.at_ms);
-        let newest = sent.chain([account.taken_ms, self.accounts.newest_ms]).max();
+        let newest = sent
+            .chain([account.taken_ms, self.accounts.newest_ms])
+            .max();
         self.accounts.newest_ms = newest.unwrap_or_default();
     }
 
     /// What is open.
     pub(super) fn open(&self) -> impl Iterator<Item = (u64, &Account)> {
-        self.accounts.open.iter().map(|(no, entry)| (*no, &entry.account))
+        self.accounts
+            .open
+            .iter()
+            .map(|(no, entry)| (*no, &entry.account))
     }
 
     /// A message that turned out to be over.
@@ -199,7 +225,8 @@
         let account = Account::decode(data).map_err(|e| e.to_string())?;
         self.newest(&account);
         self.accounts.remove(no);
-        self.accounts.insert(no, account, counted(data), self.bodies);
+        self.accounts
+            .insert(no, account, counted(data), self.bodies);
         Ok(())
     }
 
@@ -220,7 +247,8 @@
     }
 
     fn doubt(&mut self) {
-        self.doubts.push(self.accounts.open.keys().copied().collect());
+        self.doubts
+            .push(self.accounts.open.keys().copied().collect());
     }
 
     fn believe(&mut self, lost: &[bool]) {
@@ -238,7 +266,10 @@
 
 /// Applies an event to an entry, and counts what becomes of its body.
 fn happened(entry: &mut Entry, event: Event, bodies: &mut u64) {
-    let (held, size) = (entry.account.envelope.body.len(), entry.account.envelope.size());
+    let (held, size) = (
+        entry.account.envelope.body.len(),
+        entry.account.envelope.size(),
+    );
     event.apply(&mut entry.account);
     *bodies -= (held - entry.account.envelope.body.len()) as u64;
     entry.size -= (size - entry.account.envelope.size()) as u64;
@@ -253,7 +284,8 @@
 
 /// The journal.
 pub struct Journal {
-    /// Held for as long as the process lives; a second one in this folder would send everything once more.
+    /// Held for as long as the process lives; a second one in this folder would send everything
+    /// once more.
     _locks: Vec<File>,
     book: RefCell<Book>,
     setup: Setup,
@@ -277,7 +309,13 @@
         };
         let _ = fs::remove_file(folder.join(v1::UNFINISHED));
         let start = Instant::now();
-        Journal::on(Arc::new(Folder::new(folder)), setup, old, locks, Box::new(move || start.elapsed()))
+        Journal::on(
+            Arc::new(Folder::new(folder)),
+            setup,
+            old,
+            locks,
+            Box::new(move || start.elapsed()),
+        )
     }
 
     /// Opens it on any disk. `old` is what the file of the first form holds, if there is one.
@@ -289,9 +327,14 @@
         time: Time,
     ) -> io::Result<(Rc<Self>, Vec<Record>)> {
         let mut replayed = Replayed::new(setup.bodies);
-        let legacy = old.map(|bytes| upgrade(&bytes, &mut replayed)).transpose()?;
-        let options =
-            Options { limit: setup.limit, seed: setup.seed, synced: setup.durability == Durability::Machine };
+        let legacy = old
+            .map(|bytes| upgrade(&bytes, &mut replayed))
+            .transpose()?;
+        let options = Options {
+            limit: setup.limit,
+            seed: setup.seed,
+            synced: setup.durability == Durability::Machine,
+        };
         let size = |r: &Replayed, no: u64| r.accounts.open.get(&no).map_or(0, |e| e.size);
         let opened = Log::open(disk, options, legacy, &mut replayed, size)?;
         for damage in &opened.damage {
@@ -304,10 +347,16 @@
             );
         }
         if opened.torn > 0 {
-            log::warn!("store: {} bytes at its end are part of a line that was not finished", opened.torn);
+            log::warn!(
+                "store: {} bytes at its end are part of a line that was not finished",
+                opened.torn
+            );
         }
         let accounts = replayed.accounts;
-        let clock = Clock { now_ms: unix_ms(), newest_ms: accounts.newest_ms };
+        let clock = Clock {
+            now_ms: unix_ms(),
+            newest_ms: accounts.newest_ms,
+        };
         if clock.went_back() {
             let by = clock.newest_ms - clock.now_ms;
             log::warn!(
@@ -316,10 +365,17 @@
         }
         let needs_thread = setup.durability == Durability::Machine || setup.bodies < u64::MAX;
         let worker = needs_thread.then(Worker::start).transpose()?;
-        let mut book = Book { log: opened.log, accounts, unclosed: BTreeSet::new() };
+        let mut book = Book {
+            log: opened.log,
+            accounts,
+            unclosed: BTreeSet::new(),
+        };
         let now = Instant::now();
         for entry in book.accounts.open.values_mut() {
-            let age = entry.account.may_have_run().and_then(|s| clock.age(s.at_ms));
+            let age = entry
+                .account
+                .may_have_run()
+                .and_then(|s| clock.age(s.at_ms));
             entry.ran_at = age.and_then(|age| now.checked_sub(age));
             entry.out_at = entry.ran_at;
         }
@@ -336,12 +392,18 @@
             wanted: Bell::new(),
             reached: Bell::new(),
         });
-        let records = open.into_iter().map(|no| Record { journal: journal.clone(), no }).collect();
+        let records = open
+            .into_iter()
+            .map(|no| Record {
+                journal: journal.clone(),
+                no,
+            })
+            .collect();
         Ok((journal, records))
     }
 
-    /// Writes a message down that is taken on under a policy and a routing table; from now on it is owed its end. With [`Durability::Machine`] that
-    /// counts once [`Record::settled`] says so.
+    /// Writes a message down that is taken on under a policy and a routing table; from now on it is
+    /// owed its end. With [`Durability::Machine`] that counts once [`Record::settled`] says so.
     pub fn take_on(
         self: &Rc<Self>,
         envelope: Envelope,
@@ -368,7 +430,10 @@
         tell(turned);
         let no = written?;
         accounts.insert(no, account, size, self.setup.bodies);
-        Ok(Record { journal: self.clone(), no })
+        Ok(Record {
+            journal: self.clone(),
+            no,
+        })
     }
 
     /// When a client that was refused for want of room may come back.
@@ -393,7 +458,8 @@
                 break;
             }
         }
-        if self.setup.durability == Durability::Machine && book.log.position() != self.synced.get() {
+        if self.setup.durability == Durability::Machine && book.log.position() != self.synced.get()
+        {
             // Nobody waits for it, but files may be free only then.
             self.wanted.notify(1);
         }
@@ -407,9 +473,13 @@
         }
     }
 
-    /// Syncs in groups whenever somebody waits for it; runs for ever. Nothing to do, but where the machine may fail.
+    /// Syncs in groups whenever somebody waits for it; runs for ever. Nothing to do, but where the
+    /// machine may fail.
     pub async fn sync(self: Rc<Self>) {
-        let Some(worker) = self.worker.as_ref().filter(|_| self.setup.durability == Durability::Machine)
+        let Some(worker) = self
+            .worker
+            .as_ref()
+            .filter(|_| self.setup.durability == Durability::Machine)
         else {
             return;
         };
@@ -432,7 +502,8 @@
         }
     }
 
-    /// Syncs all that is written so far, on this thread; for the end of a process, when nothing else has to go on.
+    /// Syncs all that is written so far, on this thread; for the end of a process, when nothing
+    /// else has to go on.
     pub fn sync_now(&self) -> io::Result<()> {
         if self.setup.durability == Durability::Process {
             return Ok(());
@@ -467,7 +538,8 @@
         self.book.borrow().log.view()
     }
 
-    /// Waits until all that is written so far is as durable as it is to be. Fails if a sync did, meanwhile.
+    /// Waits until all that is written so far is as durable as it is to be. Fails if a sync did,
+    /// meanwhile.
     async fn settled(&self) -> io::Result<()> {
         if self.setup.durability == Durability::Process {
             return Ok(());
@@ -488,17 +560,30 @@
 }
 
 impl Book {
-    /// Writes what is still unwritten of a message, then one more line. What is not written stays noted.
+    /// Writes what is still unwritten of a message, then one more line. What is not written stays
+    /// noted.
     fn write(&mut self, no: u64, event: Event) -> io::Result<()> {
         self.flush(no)?;
-        self.log.note(no, &postcard::to_stdvec(&event).expect("plain data always encodes"), &self.accounts)
+        self.log.note(
+            no,
+            &postcard::to_stdvec(&event).expect("plain data always encodes"),
+            &self.accounts,
+        )
     }
 
     fn flush(&mut self, no: u64) -> io::Result<()> {
-        while let Some(event) = self.accounts.open.get(&no).and_then(|e| e.unwritten.front()) {
+        while let Some(event) = self
+            .accounts
+            .open
+            .get(&no)
+            .and_then(|e| e.unwritten.front())
+        {
             let data = postcard::to_stdvec(event).expect("plain data always encodes");
             self.log.note(no, &data, &self.accounts)?;
-            self.accounts.open.get_mut(&no).and_then(|e| e.unwritten.pop_front());
+            self.accounts
+                .open
+                .get_mut(&no)
+                .and_then(|e| e.unwritten.pop_front());
         }
         Ok(())
     }
@@ -556,7 +641,13 @@
             if envelope.away == 0 {
                 return Ok(envelope);
             }
-            let place = self.journal.book.borrow().log.place(self.no).ok_or(io::ErrorKind::NotFound)?;
+            let place = self
+                .journal
+                .book
+                .borrow()
+                .log
+                .place(self.no)
+                .ok_or(io::ErrorKind::NotFound)?;
             let read = match &self.journal.worker {
                 Some(worker) => worker.run(move || place.read()).await?,
                 None => place.read(),
@@ -574,8 +665,8 @@
         Err(failed)
     }
 
-    /// Zone of the first call that may have run, and how long ago it went; nothing for the age where that is not
-    /// known.
+    /// Zone of the first call that may have run, and how long ago it went; nothing for the age
+    /// where that is not known.
     pub fn ran(&self) -> Option<(String, Option<Duration>)> {
         self.entry(|e| {
             let sent = e.account.ran.as_ref()?;
@@ -585,7 +676,11 @@
 
     /// The time that the message has left, as an earlier process wrote it down.
     pub fn left(&self) -> Duration {
-        self.entry(|e| self.journal.clock.left(e.account.taken_ms, e.account.expires_ms))
+        self.entry(|e| {
+            self.journal
+                .clock
+                .left(e.account.taken_ms, e.account.expires_ms)
+        })
     }
 
     /// Waits until all that was written of it is as durable as it is to be.
@@ -600,7 +695,10 @@
 
     /// A call is about to go. It must not, where this fails.
     pub fn sent(&self, zone: &str) -> io::Result<()> {
-        let sent = Event::Sent(Sent { at_ms: unix_ms(), zone: zone.to_string() });
+        let sent = Event::Sent(Sent {
+            at_ms: unix_ms(),
+            zone: zone.to_string(),
+        });
         let mut book = self.journal.book.borrow_mut();
         book.write(self.no, sent.clone())?;
         book.apply(self.no, sent);
@@ -610,14 +708,21 @@
         Ok(())
     }
 
-    /// The call that was out has ended. Where that cannot be written now, no further call goes before it is.
+    /// The call that was out has ended. Where that cannot be written now, no further call goes
+    /// before it is.
     pub fn back(&self, may_have_run: bool) {
         let event = Event::Back { may_have_run };
         let mut book = self.journal.book.borrow_mut();
         let written = book.write(self.no, event.clone());
-        let ran = book.accounts.open.get(&self.no).is_some_and(|e| e.account.ran.is_some());
+        let ran = book
+            .accounts
+            .open
+            .get(&self.no)
+            .is_some_and(|e| e.account.ran.is_some());
         book.apply(self.no, event.clone());
-        let Some(entry) = book.accounts.open.get_mut(&self.no) else { return };
+        let Some(entry) = book.accounts.open.get_mut(&self.no) else {
+            return;
+        };
         if !ran {
             entry.ran_at = entry.out_at.take().filter(|_| may_have_run);
         }
@@ -627,7 +732,8 @@
         }
     }
 
-    /// The final answer is decided. It must not be told while this fails, unless the message's time is up.
+    /// The final answer is decided. It must not be told while this fails, unless the message's time
+    /// is up.
     pub fn ended(&self, verdict: Verdict) -> io::Result<()> {
         let mut book = self.journal.book.borrow_mut();
         book.write(self.no, Event::Ended(verdict))?;
@@ -654,18 +760,27 @@
     crate::store::frame::size(data.len()) + GROWTH
 }
 
-/// Takes the accounts of a file of the first form in. It counts as the oldest segment until they were copied.
+/// Takes the accounts of a file of the first form in. It counts as the oldest segment until they
+/// were copied.
 fn upgrade(bytes: &[u8], into: &mut Replayed) -> io::Result<Legacy> {
     let form = || io::Error::new(io::ErrorKind::InvalidData, "a journal of another form");
     let (open, good) = v1::replay(bytes).ok_or_else(form)?;
     if good < bytes.len() {
-        log::warn!("journal: {} bytes at its end are not whole and are left out", bytes.len() - good);
+        log::warn!(
+            "journal: {} bytes at its end are not whole and are left out",
+            bytes.len() - good
+        );
     }
     let items = into.first_form(open);
-    Ok(Legacy { name: v1::NAME.into(), size: bytes.len() as u64, items })
+    Ok(Legacy {
+        name: v1::NAME.into(),
+        size: bytes.len() as u64,
+        items,
+    })
 }
 
-/// Locks a folder: the folder itself, which takes no room, and the file by which earlier versions did.
+/// Locks a folder: the folder itself, which takes no room, and the file by which earlier versions
+/// did.
 fn lock(folder: &Path) -> io::Result<Vec<File>> {
     let mut locks = vec![File::open(folder)?];
     match File::options().write(true).open(folder.join("lock")) {
@@ -683,7 +798,10 @@
         }
         match taken {
             Err(Errno::WOULDBLOCK) => {
-                return Err(io::Error::new(io::ErrorKind::WouldBlock, "in use by another process"))
+                return Err(io::Error::new(
+                    io::ErrorKind::WouldBlock,
+                    "in use by another process",
+                ))
             }
             Err(e) => log::warn!("journal: no lock: {e}"),
             Ok(()) => {}
--- a/src/core/journal_v1.rs
+++ b/src/core/journal_v1.rs
@@ -1,4 +1,5 @@
-//! The journal's first form, one file of checksummed lines: read once, when a folder of that form is opened.
+//! The journal's first form, one file of checksummed lines: read once, when a folder of that form
+//! is opened.
 
 use super::account::{Account, Sent};
 use super::{Envelope, Verdict};
@@ -34,8 +35,9 @@
     Closed(u64),
 }
 
-/// The accounts still open after these lines, and how many bytes were whole. Stops at the first line that is not, as
-/// that form has no way on from there. Nothing, where the bytes are of another form.
+/// The accounts still open after these lines, and how many bytes were whole. Stops at the first
+/// line that is not, as that form has no way on from there. Nothing, where the bytes are of another
+/// form.
 pub fn replay(bytes: &[u8]) -> Option<(BTreeMap<u64, Account>, usize)> {
     let mut open: BTreeMap<u64, Account> = BTreeMap::new();
     if !bytes.starts_with(FORM) {
@@ -43,12 +45,16 @@
     }
     let mut at = FORM.len();
     while let Some((payload, len)) = whole_line(&bytes[at..]) {
-        let Ok(entry) = postcard::from_bytes::<Line>(payload) else { break };
+        let Ok(entry) = postcard::from_bytes::<Line>(payload) else {
+            break;
+        };
         match entry {
             Line::Open(no, old) => drop(open.insert(no, old.into())),
             Line::Closed(no) => drop(open.remove(&no)),
             Line::Sent(no, sent) => drop(open.get_mut(&no).map(|a| a.sent(sent))),
-            Line::Back { no, may_have_run } => drop(open.get_mut(&no).map(|a| a.back(may_have_run))),
+            Line::Back { no, may_have_run } => {
+                drop(open.get_mut(&no).map(|a| a.back(may_have_run)))
+            }
             Line::Ended(no, verdict) => drop(open.get_mut(&no).map(|a| a.ended(verdict))),
         }
         at += len;
@@ -58,9 +64,27 @@
 
 impl From<Old> for Account {
     fn from(old: Old) -> Self {
-        let Old { envelope, expires_ms, attempts, ran, out, verdict } = old;
-        // When it was taken on was not written; a time left that only the expiry bounds is what it had.
-        Account { envelope, taken_ms: 0, expires_ms, attempts, ran, out, verdict, policy: 0, table: 0 }
+        let Old {
+            envelope,
+            expires_ms,
+            attempts,
+            ran,
+            out,
+            verdict,
+        } = old;
+        // When it was taken on was not written; a time left that only the expiry bounds is what it
+        // had.
+        Account {
+            envelope,
+            taken_ms: 0,
+            expires_ms,
+            attempts,
+            ran,
+            out,
+            verdict,
+            policy: 0,
+            table: 0,
+        }
     }
 }
 
@@ -68,8 +92,23 @@
 pub fn file(open: &[(u64, Account)]) -> Vec<u8> {
     let mut bytes = FORM.to_vec();
     for (no, a) in open.iter().cloned() {
-        let Account { envelope, expires_ms, attempts, ran, out, verdict, .. } = a;
-        let old = Old { envelope, expires_ms, attempts, ran, out, verdict };
+        let Account {
+            envelope,
+            expires_ms,
+            attempts,
+            ran,
+            out,
+            verdict,
+            ..
+        } = a;
+        let old = Old {
+            envelope,
+            expires_ms,
+            attempts,
+            ran,
+            out,
+            verdict,
+        };
         let payload = postcard::to_stdvec(&Line::Open(no, old)).expect("plain data always encodes");
         bytes.extend((payload.len() as u32).to_le_bytes());
         bytes.extend(crc32fast::hash(&payload).to_le_bytes());
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,8 @@
-//! The sender without a wire: what is taken on, asked of the module, called, answered and remembered.
+//! The sender without a wire: what is taken on, asked of the module, called, answered and
+//! remembered.
 //!
-//! A front hands messages in ([`invocation::Reply`]) and passes final answers on ([`Front`]); an [`Invoker`] makes one
-//! call to one provider. Nothing here names a protocol.
+//! A front hands messages in ([`invocation::Reply`]) and passes final answers on ([`Front`]); an
+//! [`Invoker`] makes one call to one provider. Nothing here names a protocol.
 
 pub mod account;
 pub mod admission;
@@ -59,8 +60,8 @@
     /// Bytes of a body that is not in memory.
     #[serde(skip)]
     pub away: usize,
-    /// Tenant, as a position in the settings, or [`crate::NO_TENANT`]; 0 where the settings have none. The journal keeps it behind the
-    /// account ([`account::Account`]).
+    /// Tenant, as a position in the settings, or [`crate::NO_TENANT`]; 0 where the settings have
+    /// none. The journal keeps it behind the account ([`account::Account`]).
     #[serde(skip)]
     pub tenant: u16,
 }
@@ -88,10 +89,12 @@
 
 /// Passes final answers on to those who handed messages in.
 pub trait Front {
-    /// Tells the verdict, as often as it takes; done once it is known to have arrived or is owed no more.
+    /// Tells the verdict, as often as it takes; done once it is known to have arrived or is owed no
+    /// more.
     fn tell<'a>(&'a self, envelope: &'a Envelope, verdict: Verdict) -> Local<'a, ()>;
 
-    /// A message is held. What this gives, if anything, is dropped once nothing is owed for it any more.
+    /// A message is held. What this gives, if anything, is dropped once nothing is owed for it any
+    /// more.
     fn owes(&self, _envelope: &Envelope) -> Option<Box<dyn Any>> {
         None
     }
@@ -110,7 +113,11 @@
 
 impl From<Outcome> for Report {
     fn from(outcome: Outcome) -> Self {
-        Report { outcome, over: outcome == Outcome::Ok, load: Vec::new() }
+        Report {
+            outcome,
+            over: outcome == Outcome::Ok,
+            load: Vec::new(),
+        }
     }
 }
 
@@ -133,7 +140,8 @@
 
 /// Sees what becomes of invoker calls, and of messages.
 pub trait Witness {
-    /// This became of a message of such a class and tenant under such a policy. One that was taken on here has one end.
+    /// This became of a message of such a class and tenant under such a policy. One that was taken
+    /// on here has one end.
     fn life(&self, _policy: u64, _class: u16, _tenant: u16, _life: Life) {}
     /// A call is out from now on; what this gives is dropped when it is no longer.
     fn out(&self, provider: &Rc<Provider>) -> Box<dyn Any>;
@@ -149,28 +157,33 @@
     pub envelope: &'a Envelope,
     /// How long its answer is waited for.
     pub timeout: Duration,
-    /// Asked right before the first byte; where it says no, nothing is sent and the outcome is moot.
+    /// Asked right before the first byte; where it says no, nothing is sent and the outcome is
+    /// moot.
     pub go: &'a dyn Fn() -> bool,
 }
 
 /// Makes invoker calls over connections that it owns.
 pub trait Invoker {
-    /// Makes a call. When this returns, or is dropped, the provider can see that the call is no longer out.
+    /// Makes a call. When this returns, or is dropped, the provider can see that the call is no
+    /// longer out.
     fn call<'a>(&'a self, call: InvokerCall<'a>) -> Local<'a, Report>;
 
     /// Closes the connections to a provider that carry no call.
     fn close_idle(&self, provider: &Provider);
 }
 
-/// Whether a text can be an id or a key: it travels in header lines and user properties, where every provider has to be
-/// able to read it.
+/// Whether a text can be an id or a key: it travels in header lines and user properties, where
+/// every provider has to be able to read it.
 pub fn is_word(text: &str) -> bool {
     (1..=256).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
 /// Milliseconds since 1970.
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// A span of the module's.
--- a/src/core/past.rs
+++ b/src/core/past.rs
@@ -1,5 +1,5 @@
-//! What may be believed of times that an earlier process wrote down. Wall clocks are all that lies between processes,
-//! and they can be set back.
+//! What may be believed of times that an earlier process wrote down. Wall clocks are all that lies
+//! between processes, and they can be set back.
 
 use std::time::Duration;
 
@@ -36,7 +36,10 @@
 
     #[test]
     fn a_clock_that_was_set_back_makes_nothing_younger_and_gives_no_time() {
-        let clock = |now_ms| Clock { now_ms, newest_ms: 10_000 };
+        let clock = |now_ms| Clock {
+            now_ms,
+            newest_ms: 10_000,
+        };
         assert_eq!(clock(12_000).age(9_000), Some(Duration::from_secs(3)));
         assert_eq!(clock(9_500).age(9_000), None);
         assert_eq!(clock(12_000).left(9_000, 25_000), Duration::from_secs(13));
--- a/src/core/survey.rs
+++ b/src/core/survey.rs
@@ -14,7 +14,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How often a folder is read again that a process writes to, where something in it could not be read.
+/// How often a folder is read again that a process writes to, where something in it could not be
+/// read.
 const LOOKS: usize = 5;
 /// Time between that.
 const BETWEEN: Duration = Duration::from_millis(20);
@@ -123,7 +124,9 @@
     let numbers = match old.as_deref().map(v1::replay) {
         Some(Some((open, good))) => {
             let cut = old.as_ref().map_or(0, |bytes| bytes.len() - good);
-            damage.extend((cut > 0).then(|| format!("{}: {cut} bytes at its end are not whole", v1::NAME)));
+            damage.extend(
+                (cut > 0).then(|| format!("{}: {cut} bytes at its end are not whole", v1::NAME)),
+            );
             replayed.first_form(open)
         }
         Some(None) => {
@@ -132,9 +135,16 @@
         }
         None => Vec::new(),
     };
-    let scan = recover::scan(&Folder::read_only(folder), u64::from(old.is_none()), &mut replayed)?;
+    let scan = recover::scan(
+        &Folder::read_only(folder),
+        u64::from(old.is_none()),
+        &mut replayed,
+    )?;
     if scan.oldest > 0 {
-        numbers.iter().filter(|no| !scan.homes.contains_key(no)).for_each(|no| replayed.forget(*no));
+        numbers
+            .iter()
+            .filter(|no| !scan.homes.contains_key(no))
+            .for_each(|no| replayed.forget(*no));
     }
     let mut live: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
     for home in scan.homes.values() {
@@ -144,19 +154,39 @@
     let segments = scan.found.iter().map(|f| {
         let (messages, live) = live.get(&f.header.seq).copied().unwrap_or_default();
         let (file, seq, size) = (name(f.slot), f.header.seq, f.size);
-        SegmentSeen { file, seq, size, used: f.len - frame::BEGIN, frames: f.frames, messages, live }
+        SegmentSeen {
+            file,
+            seq,
+            size,
+            used: f.len - frame::BEGIN,
+            frames: f.frames,
+            messages,
+            live,
+        }
     });
     let segments: Vec<_> = segments.collect();
-    let (used, needed) = segments.iter().fold((0, 0), |(u, l), s| (u + s.used, l + s.live));
+    let (used, needed) = segments
+        .iter()
+        .fold((0, 0), |(u, l), s| (u + s.used, l + s.live));
     damage.extend(scan.damage.iter().map(ToString::to_string));
-    let clock = Clock { now_ms: unix_ms(), newest_ms: 0 };
+    let clock = Clock {
+        now_ms: unix_ms(),
+        newest_ms: 0,
+    };
     Ok(Survey {
         in_use,
         segments,
         free: (scan.free.len(), scan.free.iter().map(|f| f.1).sum()),
         first_form: old.map(|bytes| bytes.len() as u64),
-        messages: replayed.open().map(|(no, account)| message(no, account, &clock)).collect(),
-        garbage: if used == 0 { 0.0 } else { 1.0 - needed as f64 / used as f64 },
+        messages: replayed
+            .open()
+            .map(|(no, account)| message(no, account, &clock))
+            .collect(),
+        garbage: if used == 0 {
+            0.0
+        } else {
+            1.0 - needed as f64 / used as f64
+        },
         damage,
         torn: scan.torn,
         doubted: replayed.doubted(),
--- a/src/core/tables.rs
+++ b/src/core/tables.rs
@@ -6,7 +6,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Most tables beside the list alone: the one in force, the one that is offered, and one before them while it is written over.
+/// Most tables beside the list alone: the one in force, the one that is offered, and one before
+/// them while it is written over.
 pub const MOST: usize = 3;
 
 /// Owner of the tables, and of which is current.
@@ -30,12 +31,28 @@
 
     /// Whether a message may go to a zone, by the sender's own number of it.
     pub fn leads(&self, message: &Envelope, zone: u16) -> bool {
-        let Envelope { dest, class, tenant, .. } = *message;
+        let Envelope {
+            dest,
+            class,
+            tenant,
+            ..
+        } = *message;
         let current = &self.current.borrow().1;
-        current.rank(&Traveller { dest, class, tenant, lot: 0.0 }, zone).is_some()
+        current
+            .rank(
+                &Traveller {
+                    dest,
+                    class,
+                    tenant,
+                    lot: 0.0,
+                },
+                zone,
+            )
+            .is_some()
     }
 
-    /// Knows one more, in place of one of its number that is not current; false where there is no place for it.
+    /// Knows one more, in place of one of its number that is not current; false where there is no
+    /// place for it.
     pub fn add(&self, number: u64, routes: Routes) -> bool {
         let mut known = self.known.borrow_mut();
         let fits = number > 0 && number != self.current();
@@ -51,7 +68,8 @@
         number != self.current() && self.known.borrow_mut().remove(&number).is_some()
     }
 
-    /// Makes one current, with the sender's own numbers of zones, by name; nothing where it is not known.
+    /// Makes one current, with the sender's own numbers of zones, by name; nothing where it is not
+    /// known.
     pub(super) fn go_by(&self, number: u64, zone: impl FnMut(&str) -> u16) -> Option<Rc<Routes>> {
         let routes = match number {
             0 => Routes::default(),
@@ -78,20 +96,37 @@
         let tables = Tables::default();
         let to = |zone: &str| {
             let tiers = vec![vec![(1, vec![zone.to_string()])]];
-            Routes::new(1, 1, vec![Said { tiers, ..Said::default() }])
+            Routes::new(
+                1,
+                1,
+                vec![Said {
+                    tiers,
+                    ..Said::default()
+                }],
+            )
         };
         let number = |zone: &str| if zone == "a" { 7 } else { 8 };
-        let message = Envelope { dest: 1, ..Envelope::default() };
+        let message = Envelope {
+            dest: 1,
+            ..Envelope::default()
+        };
         assert!(!tables.add(0, to("a")) && tables.add(4, to("a")) && tables.add(4, to("b")));
         assert!(tables.go_by(5, number).is_none() && tables.go_by(4, number).is_some());
         assert_eq!(
-            (tables.current(), tables.leads(&message, 7), tables.leads(&message, 8)),
+            (
+                tables.current(),
+                tables.leads(&message, 7),
+                tables.leads(&message, 8)
+            ),
             (4, false, true)
         );
         assert!(!tables.add(4, to("a")) && !tables.forget(4));
         assert!(tables.add(5, to("a")) && tables.add(6, to("a")) && !tables.add(7, to("a")));
         assert!(tables.forget(5) && !tables.forget(5) && tables.add(7, to("a")));
         assert!(tables.go_by(0, number).is_some() && tables.forget(4) && tables.leads(&message, 9));
-        assert_eq!((tables.numbers(), tables.routes().is_empty()), (vec![6, 7], true));
+        assert_eq!(
+            (tables.numbers(), tables.routes().is_empty()),
+            (vec![6, 7], true)
+        );
     }
 }
--- a/src/core/terms.rs
+++ b/src/core/terms.rs
@@ -1,8 +1,9 @@
 //! Under which policy messages are taken on, and that each ends under its own.
 //!
-//! A policy here is what a sender's own settings say with a document laid over them, ready for use; number 0 is those settings alone.
-//! The module knows no policies: the classes of all of them lie side by side in its settings, and a message's class points to the
-//! terms that it was taken on under. A policy that no message is held under may be forgotten, and its place is used again.
+//! A policy here is what a sender's own settings say with a document laid over them, ready for use;
+//! number 0 is those settings alone. The module knows no policies: the classes of all of them lie
+//! side by side in its settings, and a message's class points to the terms that it was taken on
+//! under. A policy that no message is held under may be forgotten, and its place is used again.
 
 use super::hook::Hook;
 use crate::door::messages::Limits;
@@ -72,9 +73,16 @@
 impl Terms {
     /// The sender's own settings, which are current.
     pub fn new(own: Policy) -> Rc<Terms> {
-        let own = Row { policy: Rc::new(Policy { number: 0, ..own }), held: 0 };
+        let own = Row {
+            policy: Rc::new(Policy { number: 0, ..own }),
+            held: 0,
+        };
         let rows = RefCell::new(vec![Some(own)]);
-        Rc::new(Terms { rows, current: Cell::default(), watchers: RefCell::default() })
+        Rc::new(Terms {
+            rows,
+            current: Cell::default(),
+            watchers: RefCell::default(),
+        })
     }
 
     /// Tells somebody of each policy that becomes current.
@@ -84,12 +92,14 @@
 
     /// The policy under which messages are taken on, if any are.
     pub fn current(&self) -> Rc<Policy> {
-        self.policy(self.current.get()).expect("the current one is never forgotten")
+        self.policy(self.current.get())
+            .expect("the current one is never forgotten")
     }
 
     /// A message is held under the current one.
     pub fn hold(self: &Rc<Self>) -> Hold {
-        self.hold_row(self.current.get()).expect("the current one is never forgotten")
+        self.hold_row(self.current.get())
+            .expect("the current one is never forgotten")
     }
 
     /// One is that was taken on under this policy; nothing where that is not known here.
@@ -100,17 +110,22 @@
     /// Numbers of all, but for the sender's own settings.
     pub fn numbers(&self) -> Vec<u64> {
         let rows = self.rows.borrow();
-        rows.iter().skip(1).flatten().map(|r| r.policy.number).collect()
+        rows.iter()
+            .skip(1)
+            .flatten()
+            .map(|r| r.policy.number)
+            .collect()
     }
 
     /// Whether a policy is current, or messages are held under it.
     pub fn needs(&self, number: u64) -> bool {
         let held = |at: usize| self.rows.borrow()[at].as_ref().is_some_and(|r| r.held > 0);
-        self.row(number).is_some_and(|at| at == self.current.get() || held(at))
+        self.row(number)
+            .is_some_and(|at| at == self.current.get() || held(at))
     }
 
-    /// Knows one more, in place of one of its number that nothing needs; false where there is no place, or its classes are not
-    /// those of the sender.
+    /// Knows one more, in place of one of its number that nothing needs; false where there is no
+    /// place, or its classes are not those of the sender.
     pub fn add(&self, policy: Policy) -> bool {
         let number = policy.number;
         let fits = policy.classes.len() == self.current().classes.len() && number > 0;
@@ -118,7 +133,10 @@
             return false;
         }
         let mut rows = self.rows.borrow_mut();
-        let row = Some(Row { policy: Rc::new(policy), held: 0 });
+        let row = Some(Row {
+            policy: Rc::new(policy),
+            held: 0,
+        });
         match rows.iter().position(Option::is_none) {
             Some(free) => rows[free] = row,
             None if rows.len() <= MOST => rows.push(row),
@@ -129,13 +147,17 @@
 
     /// Forgets one; false where it is needed.
     pub fn forget(&self, number: u64) -> bool {
-        let row = self.row(number).filter(|_| number > 0 && !self.needs(number));
+        let row = self
+            .row(number)
+            .filter(|_| number > 0 && !self.needs(number));
         row.is_some_and(|at| self.rows.borrow_mut()[at].take().is_some())
     }
 
     /// Makes one current and tells all who want to know; false where it is not known.
     pub fn go_by(&self, number: u64) -> bool {
-        let Some(row) = self.row(number) else { return false };
+        let Some(row) = self.row(number) else {
+            return false;
+        };
         self.current.set(row);
         let policy = self.current();
         self.watchers.borrow().iter().for_each(|told| told(&policy));
@@ -152,7 +174,12 @@
             classes.extend(policy.classes.iter().cloned());
             bounds.extend(policy.classes.iter().map(|_| policy.bounds));
         }
-        Side { classes, bounds, slots: current.slots, room: current.room }
+        Side {
+            classes,
+            bounds,
+            slots: current.slots,
+            room: current.room,
+        }
     }
 
     fn row(&self, number: u64) -> Option<usize> {
@@ -166,8 +193,14 @@
 
     fn hold_row(self: &Rc<Self>, row: usize) -> Option<Hold> {
         let policy = self.policy(row)?;
-        self.rows.borrow_mut()[row].iter_mut().for_each(|r| r.held += 1);
-        Some(Hold { terms: self.clone(), row, policy })
+        self.rows.borrow_mut()[row]
+            .iter_mut()
+            .for_each(|r| r.held += 1);
+        Some(Hold {
+            terms: self.clone(),
+            row,
+            policy,
+        })
     }
 }
 
@@ -183,7 +216,9 @@
 
 impl Drop for Hold {
     fn drop(&mut self) {
-        self.terms.rows.borrow_mut()[self.row].iter_mut().for_each(|r| r.held -= 1);
+        self.terms.rows.borrow_mut()[self.row]
+            .iter_mut()
+            .for_each(|r| r.held -= 1);
     }
 }
 
@@ -206,7 +241,10 @@
         Policy {
             number,
             classes: vec![class; classes],
-            bounds: Bounds { attempts: number as u32, retry_after: 0 },
+            bounds: Bounds {
+                attempts: number as u32,
+                retry_after: 0,
+            },
             slots: 1 + number as u32,
             room: 1,
             hook: None,
@@ -223,10 +261,23 @@
         let watcher = told.clone();
         terms.tell(move |p| watcher.set(p.number));
         let first = terms.hold();
-        assert!(terms.add(policy(5, 2)) && !terms.add(policy(6, 3)) && !terms.go_by(6) && terms.go_by(5));
+        assert!(
+            terms.add(policy(5, 2))
+                && !terms.add(policy(6, 3))
+                && !terms.go_by(6)
+                && terms.go_by(5)
+        );
         assert_eq!((told.get(), terms.current().number), (5, 5));
         let second = terms.hold();
-        assert_eq!((first.class(1), second.class(0), second.class(1), second.class(9)), (1, 2, 3, 3));
+        assert_eq!(
+            (
+                first.class(1),
+                second.class(0),
+                second.class(1),
+                second.class(9)
+            ),
+            (1, 2, 3, 3)
+        );
         assert!(terms.add(policy(7, 2)) && terms.go_by(7));
         assert!(!terms.forget(5), "a message is held under it");
         let side = terms.side_by_side();
@@ -244,7 +295,11 @@
     fn the_table_is_bounded_and_what_is_needed_stays() {
         let terms = Terms::new(policy(0, 1));
         let held: Vec<Hold> = (1..=MOST as u64)
-            .map(|n| (terms.add(policy(n, 1)) && terms.go_by(n)).then(|| terms.hold()).expect("room"))
+            .map(|n| {
+                (terms.add(policy(n, 1)) && terms.go_by(n))
+                    .then(|| terms.hold())
+                    .expect("room")
+            })
             .collect();
         assert!(!terms.add(policy(9, 1)) && !terms.forget(0));
         assert_eq!(terms.numbers(), (1..=8).collect::<Vec<_>>());
--- a/src/core/wheel.rs
+++ b/src/core/wheel.rs
@@ -1,4 +1,5 @@
-//! The only timers: coarse ticks on a wheel. A sleep ends at the first tick at or after its time, never before.
+//! The only timers: coarse ticks on a wheel. A sleep ends at the first tick at or after its time,
+//! never before.
 
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -33,7 +34,11 @@
 impl Slots {
     fn insert(&mut self, tick: u64, waker: Waker) -> u64 {
         self.key += 1;
-        self.ring[(tick % SLOTS) as usize].push(Entry { tick, key: self.key, waker });
+        self.ring[(tick % SLOTS) as usize].push(Entry {
+            tick,
+            key: self.key,
+            waker,
+        });
         self.key
     }
 
@@ -41,18 +46,28 @@
         self.ring[(tick % SLOTS) as usize].retain(|e| e.key != key);
     }
 
-    /// The next tick worth stopping at: one with sleepers, or a whole turn on if all of them are further off.
+    /// The next tick worth stopping at: one with sleepers, or a whole turn on if all of them are
+    /// further off.
     fn ahead(&self) -> Option<u64> {
         let turn = self.passed + 1..=self.passed + SLOTS;
-        let due = turn.clone().find(|t| self.ring[(t % SLOTS) as usize].iter().any(|e| e.tick == *t));
-        due.or_else(|| self.ring.iter().any(|s| !s.is_empty()).then_some(*turn.end()))
+        let due = turn
+            .clone()
+            .find(|t| self.ring[(t % SLOTS) as usize].iter().any(|e| e.tick == *t));
+        due.or_else(|| {
+            self.ring
+                .iter()
+                .any(|s| !s.is_empty())
+                .then_some(*turn.end())
+        })
     }
 
     fn pass(&mut self, now: u64) -> Vec<Entry> {
         let mut due = Vec::new();
         for tick in (self.passed + 1..=now).take(SLOTS as usize) {
             let slot = &mut self.ring[(tick % SLOTS) as usize];
-            let (over, rest) = std::mem::take(slot).into_iter().partition(|e| e.tick <= now);
+            let (over, rest) = std::mem::take(slot)
+                .into_iter()
+                .partition(|e| e.tick <= now);
             *slot = rest;
             due.extend::<Vec<Entry>>(over);
         }
@@ -72,8 +87,15 @@
     /// A wheel that stands still until [`Wheel::turn`] runs.
     pub fn new() -> Rc<Self> {
         let ring = (0..SLOTS).map(|_| Vec::new()).collect();
-        let slots = RefCell::new(Slots { ring, ..Slots::default() });
-        Rc::new(Wheel { start: Instant::now(), slots, sooner: async_channel::bounded(1) })
+        let slots = RefCell::new(Slots {
+            ring,
+            ..Slots::default()
+        });
+        Rc::new(Wheel {
+            start: Instant::now(),
+            slots,
+            sooner: async_channel::bounded(1),
+        })
     }
 
     /// Sleeps that have not ended.
@@ -109,12 +131,23 @@
 
     /// Sleeps to the first tick at or after a moment.
     pub fn until(self: &Rc<Self>, at: Instant) -> Sleep {
-        let tick = at.saturating_duration_since(self.start).as_nanos().div_ceil(TICK.as_nanos());
-        Sleep { wheel: self.clone(), tick: tick as u64, key: None }
+        let tick = at
+            .saturating_duration_since(self.start)
+            .as_nanos()
+            .div_ceil(TICK.as_nanos());
+        Sleep {
+            wheel: self.clone(),
+            tick: tick as u64,
+            key: None,
+        }
     }
 
     /// Runs work, which is dropped if the time ends first.
-    pub async fn limit<T>(self: &Rc<Self>, time: Duration, work: impl Future<Output = T>) -> Option<T> {
+    pub async fn limit<T>(
+        self: &Rc<Self>,
+        time: Duration,
+        work: impl Future<Output = T>,
+    ) -> Option<T> {
         let sleep = self.sleep(time);
         let late = async {
             sleep.await;
@@ -201,7 +234,10 @@
 
     #[test]
     fn a_sleep_longer_than_a_turn_waits_for_its_own_round() {
-        let mut slots = Slots { ring: (0..SLOTS).map(|_| Vec::new()).collect(), ..Slots::default() };
+        let mut slots = Slots {
+            ring: (0..SLOTS).map(|_| Vec::new()).collect(),
+            ..Slots::default()
+        };
         slots.insert(SLOTS + 3, Waker::noop().clone());
         assert_eq!(slots.ahead(), Some(SLOTS));
         assert!(slots.pass(3).is_empty() && slots.pass(SLOTS).is_empty());
@@ -212,7 +248,10 @@
 
     #[test]
     fn a_wheel_that_was_held_up_for_turns_wakes_all_that_is_due() {
-        let mut slots = Slots { ring: (0..SLOTS).map(|_| Vec::new()).collect(), ..Slots::default() };
+        let mut slots = Slots {
+            ring: (0..SLOTS).map(|_| Vec::new()).collect(),
+            ..Slots::default()
+        };
         for tick in [1, 7, SLOTS + 1, 2 * SLOTS] {
             slots.insert(tick, Waker::noop().clone());
         }
--- a/src/door/budget.rs
+++ b/src/door/budget.rs
@@ -1,7 +1,8 @@
-//! Who may hold how many of the process's descriptors. One budget, from the smaller of what is told and what the system
-//! allows; every part has its one holder.
+//! Who may hold how many of the process's descriptors. One budget, from the smaller of what is told
+//! and what the system allows; every part has its one holder.
 
-/// The process's own: the store's, ports, signals, the poller, the watch, notices, the one that is held back.
+/// The process's own: the store's, ports, signals, the poller, the watch, notices, the one that is
+/// held back.
 const OWN: usize = 18 + DESCRIPTORS;
 use crate::store::log::DESCRIPTORS;
 
@@ -28,7 +29,8 @@
 }
 
 impl Budget {
-    /// Splits the descriptors: `told` by the settings, `allowed` by the system, with so many calls out at most.
+    /// Splits the descriptors: `told` by the settings, `allowed` by the system, with so many calls
+    /// out at most.
     pub fn split(told: usize, allowed: Option<u64>, slots: usize, updates: usize) -> Self {
         let allowed = allowed.map_or(usize::MAX, |n| usize::try_from(n).unwrap_or(usize::MAX));
         let all = told.min(allowed);
@@ -38,7 +40,14 @@
         let lobby = LOBBY.min(rest / 16);
         let calls = slots.min(rest.saturating_sub(clients + lobby));
         let kept = rest.saturating_sub(clients + lobby + calls);
-        Budget { all, clients, lobby, calls, kept, updates }
+        Budget {
+            all,
+            clients,
+            lobby,
+            calls,
+            kept,
+            updates,
+        }
     }
 }
 
@@ -54,10 +63,17 @@
                     let b = Budget::split(all, None, slots, updates);
                     let sum = b.clients + b.lobby + b.calls + b.kept + b.updates + OWN;
                     assert!(sum <= all.max(OWN + updates + 1), "{b:?}");
-                    assert!(all < 128 || (b.clients >= all / 4 && b.calls == slots.min(b.calls)), "{b:?}");
+                    assert!(
+                        all < 128 || (b.clients >= all / 4 && b.calls == slots.min(b.calls)),
+                        "{b:?}"
+                    );
                 }
             }
         }
-        assert_eq!(Budget::split(1024, Some(100), 8, 0).all, 100, "the smaller one counts");
+        assert_eq!(
+            Budget::split(1024, Some(100), 8, 0).all,
+            100,
+            "the smaller one counts"
+        );
     }
 }
--- a/src/door/lobby.rs
+++ b/src/door/lobby.rs
@@ -1,5 +1,5 @@
-//! Who waits for a place, and who of them goes when more come than may wait. No I/O and no clock: times come from any
-//! start, never back.
+//! Who waits for a place, and who of them goes when more come than may wait. No I/O and no clock:
+//! times come from any start, never back.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,7 +17,8 @@
     Known,
 }
 
-/// Whether one comes from where a known client does, and what it has brought; those first that can best be spared.
+/// Whether one comes from where a known client does, and what it has brought; those first that can
+/// best be spared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank(pub bool, pub Comes);
 
@@ -32,7 +33,12 @@
 impl Lobby {
     /// Room for so many, 1 at least.
     pub fn new(most: usize) -> Self {
-        Lobby { most: most.max(1), waiting: BTreeMap::new(), order: BTreeSet::new(), made: 0 }
+        Lobby {
+            most: most.max(1),
+            waiting: BTreeMap::new(),
+            order: BTreeSet::new(),
+            made: 0,
+        }
     }
 
     /// One waits from now on; nothing if there is no room.
@@ -68,16 +74,16 @@
         }
     }
 
-    /// Who would go for a newcomer of this rank: of those of the least, the one that has waited longest. It has to be
-    /// looked at again whether it has brought more meanwhile. Nobody goes for one who ranks below, nor one with a request
-    /// for its like.
+    /// Who would go for a newcomer of this rank: of those of the least, the one that has waited
+    /// longest. It has to be looked at again whether it has brought more meanwhile. Nobody goes for
+    /// one who ranks below, nor one with a request for its like.
     pub fn least(&self, rank: Rank) -> Option<u64> {
         let (least, _, no) = self.order.first()?;
         (*least < rank || (*least == rank && rank.1 < Comes::Whole)).then_some(*no)
     }
 
-    /// Whether places are for another first: one without a request lets those pass who wait with one, unless they are
-    /// unknown and it is not.
+    /// Whether places are for another first: one without a request lets those pass who wait with
+    /// one, unless they are unknown and it is not.
     pub fn is_ahead(&self, rank: Rank) -> bool {
         let most = self.order.last().map(|(most, ..)| *most);
         rank.1 < Comes::Whole && most.is_some_and(|m| m.1 >= Comes::Whole && m.0 >= rank.0)
--- a/src/door/mod.rs
+++ b/src/door/mod.rs
@@ -1,6 +1,7 @@
 //! Who may connect: decisions on connections, messages and descriptors, free of I/O and clocks.
 //!
-//! `docs/notes/door.md` has the options weighed and the invariants, `docs/door.md` what operators see.
+//! `docs/notes/door.md` has the options weighed and the invariants, `docs/door.md` what operators
+//! see.
 
 pub mod budget;
 pub mod lobby;
--- a/src/door/places.rs
+++ b/src/door/places.rs
@@ -1,4 +1,5 @@
-//! Who has a place, who gets one and who gives one up. No I/O and no clock: times come from any start, never back.
+//! Who has a place, who gets one and who gives one up. No I/O and no clock: times come from any
+//! start, never back.
 
 use super::lobby::Comes;
 use super::rate::{Rate, Rates};
@@ -9,17 +10,20 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// How long a connection is let be, though its place is wanted: silent, stuck in a request, at rest. A usual client writes
-/// its request at once, and no client waits longer than 400 ms for the answer to one; to end one at rest that was of no
-/// use yet costs its client a connection.
-const PATIENCE: [Duration; 3] =
-    [Duration::from_millis(50), Duration::from_millis(400), Duration::from_millis(10)];
-/// Where more come than all places can hold for that long, each may have its part of the places' time (Little's law), but
-/// this at least; one whose request has begun four times as much.
+/// How long a connection is let be, though its place is wanted: silent, stuck in a request, at
+/// rest. A usual client writes its request at once, and no client waits longer than 400 ms for the
+/// answer to one; to end one at rest that was of no use yet costs its client a connection.
+const PATIENCE: [Duration; 3] = [
+    Duration::from_millis(50),
+    Duration::from_millis(400),
+    Duration::from_millis(10),
+];
+/// Where more come than all places can hold for that long, each may have its part of the places'
+/// time (Little's law), but this at least; one whose request has begun four times as much.
 const LEAST: Duration = Duration::from_millis(2);
 const BEGUN: u32 = 4;
-/// Of the places, the last of so many parts are for those that come with a whole request: what only begins to speak cannot
-/// keep them waiting.
+/// Of the places, the last of so many parts are for those that come with a whole request: what only
+/// begins to speak cannot keep them waiting.
 const WHOLE: usize = 8;
 /// How often somebody comes is seen over about this time, in seconds.
 const OVER: f64 = 0.1;
@@ -33,7 +37,8 @@
     Begun,
     /// It was answered, and the next request has not begun.
     Resting,
-    /// The same, and it has shown what it is for: a message was taken on over it, or it takes answers.
+    /// The same, and it has shown what it is for: a message was taken on over it, or it takes
+    /// answers.
     Kept,
     /// It is owed something.
     Busy,
@@ -155,7 +160,11 @@
 
 impl Holding {
     fn rank(&self, address: IpAddr) -> (usize, Reverse<Idle>, IpAddr) {
-        let first = self.idle.first().copied().unwrap_or((Use::Busy, Duration::MAX, u64::MAX));
+        let first = self
+            .idle
+            .first()
+            .copied()
+            .unwrap_or((Use::Busy, Duration::MAX, u64::MAX));
         (self.all, Reverse(first), address)
     }
 }
@@ -166,16 +175,16 @@
     places: BTreeMap<u64, Place>,
     made: u64,
     unknown: usize,
-    /// Of unknown clients, by address; and the addresses by how many they hold, and of those that hold as many, by what can
-    /// best be spared.
+    /// Of unknown clients, by address; and the addresses by how many they hold, and of those that
+    /// hold as many, by what can best be spared.
     addresses: BTreeMap<IpAddr, Holding>,
     order: BTreeSet<(usize, Reverse<Idle>, IpAddr)>,
     /// Of known clients, and of all unknown ones together.
     known_idle: BTreeSet<Idle>,
     unknown_idle: BTreeSet<Idle>,
     prefixes: BTreeMap<IpNet, usize>,
-    /// Those who come with a whole request have a count of their own beside the others: what says nothing does not use up
-    /// their rate.
+    /// Those who come with a whole request have a count of their own beside the others: what says
+    /// nothing does not use up their rate.
     address_rates: Option<Rates<(IpAddr, bool)>>,
     prefix_rates: Option<Rates<(IpNet, bool)>>,
     /// How many come in a second, faded, and when that was.
@@ -190,7 +199,11 @@
 fn prefix(address: IpAddr, bits: (u8, u8)) -> IpNet {
     match address {
         IpAddr::V4(a) => IpNet::V4(Ipv4Net::new(a, bits.0.min(32)).expect("at most 32").trunc()),
-        IpAddr::V6(a) => IpNet::V6(Ipv6Net::new(a, bits.1.min(128)).expect("at most 128").trunc()),
+        IpAddr::V6(a) => IpNet::V6(
+            Ipv6Net::new(a, bits.1.min(128))
+                .expect("at most 128")
+                .trunc(),
+        ),
     }
 }
 
@@ -213,8 +226,8 @@
         }
     }
 
-    /// Goes by other rules from now on, for as many places. Whoever has a place keeps it, as what it was taken for; rates that
-    /// stay as they were are remembered.
+    /// Goes by other rules from now on, for as many places. Whoever has a place keeps it, as what
+    /// it was taken for; rates that stay as they were are remembered.
     pub fn change(&mut self, rules: Rules) {
         let (old, places) = (&self.rules, self.rules.places);
         let anew = old.remembered != rules.remembered;
@@ -226,7 +239,11 @@
         }
         // Prefixes are counted as they were cut.
         let prefix = old.prefix;
-        self.rules = Rules { places, prefix, ..rules };
+        self.rules = Rules {
+            places,
+            prefix,
+            ..rules
+        };
     }
 
     /// Whether an address is one of a known client.
@@ -235,17 +252,26 @@
         self.rules.known.iter().any(|net| net.contains(&address))
     }
 
-    /// Counts a connection that comes, against the rates. Where it comes too often, the time is given after which it
-    /// would not. Known ones always may.
-    pub fn come(&mut self, now: Duration, address: IpAddr, comes: Comes) -> Result<(), (Why, Duration)> {
+    /// Counts a connection that comes, against the rates. Where it comes too often, the time is
+    /// given after which it would not. Known ones always may.
+    pub fn come(
+        &mut self,
+        now: Duration,
+        address: IpAddr,
+        comes: Comes,
+    ) -> Result<(), (Why, Duration)> {
         if comes != Comes::Known && !self.knows(address) {
             let (address, whole) = (plain(address), comes >= Comes::Whole);
             if let Some(rates) = &mut self.address_rates {
-                rates.come(now, &(address, whole)).map_err(|wait| (Why::AddressRate, wait))?;
+                rates
+                    .come(now, &(address, whole))
+                    .map_err(|wait| (Why::AddressRate, wait))?;
             }
             if let Some(rates) = &mut self.prefix_rates {
                 let net = prefix(address, self.rules.prefix);
-                rates.come(now, &(net, whole)).map_err(|wait| (Why::PrefixRate, wait))?;
+                rates
+                    .come(now, &(net, whole))
+                    .map_err(|wait| (Why::PrefixRate, wait))?;
             }
         }
         self.flow = (self.flow(now) + 1.0 / OVER, now);
@@ -260,16 +286,27 @@
         if !known {
             let held = self.addresses.get(&address).map_or(0, |h| h.all);
             if self.rules.per_address.is_some_and(|most| held >= most) {
-                return self.own(now, address).map_or(Seating::None(Why::Address), |no| self.after(no));
+                return self
+                    .own(now, address)
+                    .map_or(Seating::None(Why::Address), |no| self.after(no));
             }
             let held = self.prefixes.get(&net).copied().unwrap_or(0);
             if self.rules.per_prefix.is_some_and(|most| held >= most) {
-                return self.own(now, address).map_or(Seating::None(Why::Prefix), |no| self.after(no));
+                return self
+                    .own(now, address)
+                    .map_or(Seating::None(Why::Prefix), |no| self.after(no));
             }
         }
         let open = self.rules.places - self.rules.reserve.min(self.rules.places - 1);
-        // The last of what is open to anybody, and of what is left to the known, is for whole requests.
-        let part = |all: usize| if comes < Comes::Whole { all - all / WHOLE } else { all };
+        // The last of what is open to anybody, and of what is left to the known, is for whole
+        // requests.
+        let part = |all: usize| {
+            if comes < Comes::Whole {
+                all - all / WHOLE
+            } else {
+                all
+            }
+        };
         let mine = self.places.len() - self.unknown;
         let full = self.places.len() >= self.rules.places
             || (!known && self.unknown >= part(open))
@@ -282,7 +319,14 @@
         }
         let no = self.made;
         self.made += 1;
-        let place = Place { address, prefix: net, known, what: Use::Silent, since: now, leaving: false };
+        let place = Place {
+            address,
+            prefix: net,
+            known,
+            what: Use::Silent,
+            since: now,
+            leaving: false,
+        };
         self.places.insert(no, place);
         self.count(no, true);
         Seating::Seated(no)
@@ -343,13 +387,20 @@
         let address = plain(address);
         let net = prefix(address, self.rules.prefix);
         let own = self.addresses.get(&address).map_or(0, |h| h.all);
-        (self.unknown, own, self.prefixes.get(&net).copied().unwrap_or(0))
+        (
+            self.unknown,
+            own,
+            self.prefixes.get(&net).copied().unwrap_or(0),
+        )
     }
 
     /// Entries of all tables.
     pub fn remembered(&self) -> usize {
         let rates = self.address_rates.as_ref().map_or(0, Rates::len);
-        rates + self.prefix_rates.as_ref().map_or(0, Rates::len) + self.addresses.len() + self.prefixes.len()
+        rates
+            + self.prefix_rates.as_ref().map_or(0, Rates::len)
+            + self.addresses.len()
+            + self.prefixes.len()
     }
 
     /// Told to leave: it is nobody's choice any more.
@@ -376,16 +427,26 @@
         best(now, self.part(now), &self.addresses.get(&address)?.idle)
     }
 
-    /// The one that can best be spared for somebody: of the unknown address that holds most, and never of one that holds
-    /// no more than it would itself. A known client takes from the unknown first.
+    /// The one that can best be spared for somebody: of the unknown address that holds most, and
+    /// never of one that holds no more than it would itself. A known client takes from the unknown
+    /// first.
     fn spare(&self, now: Duration, address: IpAddr, known: bool) -> Option<u64> {
-        let own = if known { 0 } else { self.addresses.get(&address).map_or(0, |h| h.all) };
+        let own = if known {
+            0
+        } else {
+            self.addresses.get(&address).map_or(0, |h| h.all)
+        };
         let fair = |held: usize, other: &IpAddr| known || held > own || *other == address;
         let part = self.part(now);
-        let mut others = self.order.iter().rev().filter(|(held, _, other)| fair(*held, other));
+        let mut others = self
+            .order
+            .iter()
+            .rev()
+            .filter(|(held, _, other)| fair(*held, other));
         // In a flood mostly none can be: that is seen without asking each address.
-        let spared = best(now, part, &self.unknown_idle)
-            .and_then(|_| others.find_map(|(_, _, other)| best(now, part, &self.addresses.get(other)?.idle)));
+        let spared = best(now, part, &self.unknown_idle).and_then(|_| {
+            others.find_map(|(_, _, other)| best(now, part, &self.addresses.get(other)?.idle))
+        });
         spared.or_else(|| best(now, part, &self.known_idle).filter(|_| known))
     }
 
@@ -393,15 +454,29 @@
         if !comes {
             self.index(no, false);
         }
-        let Some(Place { address, prefix, known, .. }) = self.places.get(&no).cloned() else { return };
+        let Some(Place {
+            address,
+            prefix,
+            known,
+            ..
+        }) = self.places.get(&no).cloned()
+        else {
+            return;
+        };
         if !known {
-            self.hold(address, |h| h.all = if comes { h.all + 1 } else { h.all - 1 });
+            self.hold(address, |h| {
+                h.all = if comes { h.all + 1 } else { h.all - 1 }
+            });
             let net = self.prefixes.entry(prefix).or_default();
             *net = if comes { *net + 1 } else { *net - 1 };
             if *net == 0 {
                 self.prefixes.remove(&prefix);
             }
-            self.unknown = if comes { self.unknown + 1 } else { self.unknown - 1 };
+            self.unknown = if comes {
+                self.unknown + 1
+            } else {
+                self.unknown - 1
+            };
         }
         if comes {
             self.index(no, true);
@@ -409,7 +484,9 @@
     }
 
     fn index(&mut self, no: u64, comes: bool) {
-        let Some(place) = self.places.get(&no) else { return };
+        let Some(place) = self.places.get(&no) else {
+            return;
+        };
         let key = (place.what, place.since, no);
         let is = comes && place.what != Use::Busy && !place.leaving;
         let change = |idle: &mut BTreeSet<Idle>| {
@@ -443,8 +520,13 @@
 
 /// The first that has had its time.
 fn best(now: Duration, part: Duration, idle: &BTreeSet<Idle>) -> Option<u64> {
-    [Use::Silent, Use::Begun, Use::Resting, Use::Kept].into_iter().find_map(|what| {
-        let (_, since, no) = idle.range((what, Duration::ZERO, 0)..).next().filter(|(w, ..)| *w == what)?;
-        (now - *since >= what.patience(part)).then_some(*no)
-    })
+    [Use::Silent, Use::Begun, Use::Resting, Use::Kept]
+        .into_iter()
+        .find_map(|what| {
+            let (_, since, no) = idle
+                .range((what, Duration::ZERO, 0)..)
+                .next()
+                .filter(|(w, ..)| *w == what)?;
+            (now - *since >= what.patience(part)).then_some(*no)
+        })
 }
--- a/src/door/rate.rs
+++ b/src/door/rate.rs
@@ -1,5 +1,5 @@
-//! How often somebody may come: the generic cell rate algorithm (ITU-T I.371, annex A), in a table that never grows
-//! beyond its bound.
+//! How often somebody may come: the generic cell rate algorithm (ITU-T I.371, annex A), in a table
+//! that never grows beyond its bound.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,8 +19,8 @@
     }
 }
 
-/// What is remembered of each key: when it would be as if it had never come. Keys whose time has passed are forgotten,
-/// and beyond the bound the one whose time comes first.
+/// What is remembered of each key: when it would be as if it had never come. Keys whose time has
+/// passed are forgotten, and beyond the bound the one whose time comes first.
 #[derive(Clone, Debug)]
 pub struct Rates<K> {
     rate: Rate,
@@ -32,11 +32,16 @@
 impl<K: Ord + Clone> Rates<K> {
     /// Remembers so many keys at most.
     pub fn new(rate: Rate, most: usize) -> Self {
-        Rates { rate, most: most.max(1), clear_at: BTreeMap::new(), order: BTreeSet::new() }
+        Rates {
+            rate,
+            most: most.max(1),
+            clear_at: BTreeMap::new(),
+            order: BTreeSet::new(),
+        }
     }
 
-    /// Counts one that comes at this time (from any start, never back); where it comes too soon, it is not counted, and
-    /// the time until it would not is given.
+    /// Counts one that comes at this time (from any start, never back); where it comes too soon, it
+    /// is not counted, and the time until it would not is given.
     pub fn come(&mut self, now: Duration, key: &K) -> Result<(), Duration> {
         while let Some((at, old)) = self.order.first().filter(|(at, _)| *at <= now).cloned() {
             self.order.remove(&(at, old.clone()));
@@ -80,22 +85,43 @@
 
     #[test]
     fn a_burst_passes_and_then_the_rate_counts() {
-        let mut rates = Rates::new(Rate { per_second: 10.0, burst: 3 }, 100);
-        let passed: Vec<u32> = (0..1000).filter(|ms| rates.come(*ms * MS, &"a").is_ok()).collect();
+        let mut rates = Rates::new(
+            Rate {
+                per_second: 10.0,
+                burst: 3,
+            },
+            100,
+        );
+        let passed: Vec<u32> = (0..1000)
+            .filter(|ms| rates.come(*ms * MS, &"a").is_ok())
+            .collect();
         assert_eq!(passed.len(), 3 + 9);
         assert_eq!(passed[..4], [0, 1, 2, 100]);
-        assert_eq!(rates.come(1000 * MS, &"b"), Ok(()), "another one has a count of its own");
+        assert_eq!(
+            rates.come(1000 * MS, &"b"),
+            Ok(()),
+            "another one has a count of its own"
+        );
         let wait = loop {
             if let Err(wait) = rates.come(1000 * MS, &"a") {
                 break wait;
             }
         };
-        assert!(rates.come(1000 * MS + wait, &"a").is_ok(), "the time told is true");
+        assert!(
+            rates.come(1000 * MS + wait, &"a").is_ok(),
+            "the time told is true"
+        );
     }
 
     #[test]
     fn whatever_number_of_keys_comes_the_table_stays_in_its_bound() {
-        let mut rates = Rates::new(Rate { per_second: 1.0, burst: 1 }, 50);
+        let mut rates = Rates::new(
+            Rate {
+                per_second: 1.0,
+                burst: 1,
+            },
+            50,
+        );
         for n in 0..10_000u32 {
             let _ = rates.come(n * MS, &n);
             assert!(rates.len() <= 50);
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,33 +1,39 @@
-//! What follows from being one sender of very many: its part of a listed rate, and how it chooses among routes.
+//! What follows from being one sender of very many: its part of a listed rate, and how it chooses
+//! among routes.
 //!
-//! A sender that makes few of the calls that a route gets can't learn from its own calls what the others do: each sees a
-//! call now and then, and all of them together are over a limit before one has seen two refusals. So it keeps to its part
-//! of the listed rate from the first call on, and takes siblings by lot rather than all the same one. No I/O, no clock; the
-//! caller brings time and randomness.
+//! A sender that makes few of the calls that a route gets can't learn from its own calls what the
+//! others do: each sees a call now and then, and all of them together are over a limit before one
+//! has seen two refusals. So it keeps to its part of the listed rate from the first call on, and
+//! takes siblings by lot rather than all the same one. No I/O, no clock; the caller brings time and
+//! randomness.
 
 use crate::measure::{secs, to_secs, Meter};
 use crate::{Time, LENT};
 
-/// Senders from which on one sees too little of a route: its own calls are a tenth or less of those that the route gets.
+/// Senders from which on one sees too little of a route: its own calls are a tenth or less of those
+/// that the route gets.
 pub(crate) const MANY: u32 = 10;
-/// Least part, in calls a second: a fleet that is said to be far larger than it is slows a sender and never stops it.
+/// Least part, in calls a second: a fleet that is said to be far larger than it is slows a sender
+/// and never stops it.
 const LEAST_PART: f64 = 1.0 / 60.0;
-/// Part that comes back each second of what refusals took. A call comes every few seconds: with much more in between, refusals
-/// would no longer hold a pace down.
+/// Part that comes back each second of what refusals took. A call comes every few seconds: with
+/// much more in between, refusals would no longer hold a pace down.
 const BACK: f64 = 0.02;
-/// What a call that is taken adds and a refusal leaves. One refusal in 24 calls holds a pace where it is.
+/// What a call that is taken adds and a refusal leaves. One refusal in 24 calls holds a pace where
+/// it is.
 const GROW: f64 = 1.03;
 const CUT: f64 = 0.5;
 /// A rough rate may be half too high or too low: a limit is at most twice what is listed.
 const MOST: f64 = 2.0;
-/// A call ahead: what a sender has to spare for one that comes before its turn. With two, a fleet that is over the limit already
-/// would have twice as many refused before all of them know.
+/// A call ahead: what a sender has to spare for one that comes before its turn. With two, a fleet
+/// that is over the limit already would have twice as many refused before all of them know.
 const AHEAD: f64 = 1.0;
 /// A pace never falls under this part of the sender's own, or it would learn of no recovery.
 const LEAST: f64 = 0.05;
 
-/// Seconds for which a partner that failed a call `dt` seconds ago has probably been back, where one of many has not
-/// called it since: it may have come back at any moment between. One of few would have tried it by then: 0.
+/// Seconds for which a partner that failed a call `dt` seconds ago has probably been back, where
+/// one of many has not called it since: it may have come back at any moment between. One of few
+/// would have tried it by then: 0.
 pub fn unseen(dt: f64, relays: u32) -> f64 {
     if relays < MANY {
         0.0
@@ -36,7 +42,8 @@
     }
 }
 
-/// One sender's part of what a route, or a destination whose endpoints share a limit, takes from all senders.
+/// One sender's part of what a route, or a destination whose endpoints share a limit, takes from
+/// all senders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
     /// Calls a second.
@@ -48,8 +55,9 @@
 }
 
 impl Part {
-    /// The even part of a listed rate (calls a second). None where there are few senders, who learn by themselves, or where
-    /// nothing useful is listed. `longest` is the longest time that a message has.
+    /// The even part of a listed rate (calls a second). None where there are few senders, who learn
+    /// by themselves, or where nothing useful is listed. `longest` is the longest time that a
+    /// message has.
     pub fn of(listed: f64, relays: u32, longest: Time) -> Option<Self> {
         let told = relays >= MANY && listed > 0.0 && listed.is_finite();
         let rate = (listed / f64::from(relays)).max(LEAST_PART);
@@ -57,9 +65,10 @@
         told.then_some(Part { rate, lent, rare })
     }
 
-    /// Calls by which a sender at rest may be ahead of its pace. Where its turn comes again within the time of a message, it
-    /// waits for its turn: its messages live. Where it does not, two messages by chance are one too many for the part, and the
-    /// second dies beside an idle route. There N senders that may each be a call ahead, each when a message comes, are no clump:
+    /// Calls by which a sender at rest may be ahead of its pace. Where its turn comes again within
+    /// the time of a message, it waits for its turn: its messages live. Where it does not, two
+    /// messages by chance are one too many for the part, and the second dies beside an idle route.
+    /// There N senders that may each be a call ahead, each when a message comes, are no clump:
     /// their sum is as the traffic, and chance adds 3 roots of what a window expects.
     pub fn ahead(self) -> f64 {
         if self.rare {
@@ -69,14 +78,15 @@
         }
     }
 
-    /// How long a sender that was refused, or that starts with messages held, is no call ahead: others may have been in the same
-    /// moment, and openings of all that are spread over a turn come at the listed rate.
+    /// How long a sender that was refused, or that starts with messages held, is no call ahead:
+    /// others may have been in the same moment, and openings of all that are spread over a turn
+    /// come at the listed rate.
     pub fn turn(self) -> Time {
         secs(1.0 / self.rate)
     }
 
-    /// What part of a call is saved up at the beginning: as drawn, since all begin at the same moment, but a whole one where that
-    /// was thought of when calls were lent.
+    /// What part of a call is saved up at the beginning: as drawn, since all begin at the same
+    /// moment, but a whole one where that was thought of when calls were lent.
     pub fn saved(self, draw: f64) -> f64 {
         if self.lent {
             1.0
@@ -114,19 +124,22 @@
 const MEMORY: (f64, f64) = (8.0, 0.9);
 /// What is counted as seen before the first message, in seconds without any.
 const BEFORE: f64 = 2.0;
-/// Part of its class's time that a message has left when it is handed in for the first time, some of it spent on the way.
+/// Part of its class's time that a message has left when it is handed in for the first time, some
+/// of it spent on the way.
 const FIRST: f64 = 0.95;
-/// How far a sender's count may lie over the even part and still tell of none: chance in some fifty messages, and what comes
-/// to all senders more than usually, for which the routes take no more.
+/// How far a sender's count may lie over the even part and still tell of none: chance in some fifty
+/// messages, and what comes to all senders more than usually, for which the routes take no more.
 const STRAY: f64 = 1.25;
 /// Most even parts that one sender may take.
 const BUSIEST: f64 = 8.0;
 
-/// How much of the fleet's traffic comes by this sender. Fronts deal out connections, not messages: some senders see several
-/// times the mean, and with the even part of each route they would hold messages beside idle parts of their siblings.
+/// How much of the fleet's traffic comes by this sender. Fronts deal out connections, not messages:
+/// some senders see several times the mean, and with the even part of each route they would hold
+/// messages beside idle parts of their siblings.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
-    /// Messages handed in for the first time; those that come again say how much is refused, not how much is asked for.
+    /// Messages handed in for the first time; those that come again say how much is refused, not
+    /// how much is asked for.
     first: Meter,
     /// Calls a second that all routes together take, as listed.
     listed: f64,
@@ -135,7 +148,10 @@
 impl Traffic {
     /// Nothing seen and nothing listed yet.
     pub fn new(now: Time) -> Self {
-        Traffic { first: Meter::new(now, BEFORE), listed: 0.0 }
+        Traffic {
+            first: Meter::new(now, BEFORE),
+            listed: 0.0,
+        }
     }
 
     /// Takes what the routes of a list take, in calls a second each.
@@ -150,8 +166,9 @@
         }
     }
 
-    /// Even parts that this sender may take of each route: as many as it is handed of what the routes take, one at least.
-    /// What one takes over one part others leave, as far as the list is right about all routes together.
+    /// Even parts that this sender may take of each route: as many as it is handed of what the
+    /// routes take, one at least. What one takes over one part others leave, as far as the list is
+    /// right about all routes together.
     pub fn parts(&self, now: Time, relays: u32) -> f64 {
         if relays < MANY || self.listed <= 0.0 {
             return 1.0;
@@ -160,8 +177,8 @@
     }
 }
 
-/// The place of a route in a lottery: the smallest wins, each as often as its weight is part of all weights. `draw` is
-/// evenly from 0 to 1, a weight of 0 or less comes last.
+/// The place of a route in a lottery: the smallest wins, each as often as its weight is part of all
+/// weights. `draw` is evenly from 0 to 1, a weight of 0 or less comes last.
 pub fn lot(weight: f64, draw: f64) -> f64 {
     -(1.0 - draw).max(f64::MIN_POSITIVE).ln() / weight.max(f64::MIN_POSITIVE)
 }
@@ -220,14 +237,20 @@
             traffic.list([60.0, 40.0, f64::NAN].into_iter());
             for i in 1..=40 * SEC / crate::measure::MS {
                 let at = i * crate::measure::MS;
-                (0..u64::from(i % first == 0)).for_each(|_| traffic.handed_in(at, 12 * SEC, 12 * SEC));
-                (0..u64::from(i % again == 0)).for_each(|_| traffic.handed_in(at, 9 * SEC, 12 * SEC));
+                (0..u64::from(i % first == 0))
+                    .for_each(|_| traffic.handed_in(at, 12 * SEC, 12 * SEC));
+                (0..u64::from(i % again == 0))
+                    .for_each(|_| traffic.handed_in(at, 9 * SEC, 12 * SEC));
             }
             traffic.parts(40 * SEC, relays)
         };
         // One in a second is the even part of 100 a second among 100 senders.
         assert_eq!(seen(2_000, 50, 100), 1.0);
-        assert!((2.8..3.6).contains(&seen(250, 2_000, 100)), "{}", seen(250, 2_000, 100));
+        assert!(
+            (2.8..3.6).contains(&seen(250, 2_000, 100)),
+            "{}",
+            seen(250, 2_000, 100)
+        );
         assert_eq!((seen(20, 2_000, 100), seen(20, 2_000, 3)), (BUSIEST, 1.0));
         assert_eq!(Traffic::new(0).parts(SEC, 100), 1.0, "nothing listed");
     }
@@ -235,7 +258,9 @@
     #[test]
     fn lots_fall_by_weight() {
         let mut random = crate::measure::Random::new(7);
-        let wins = (0..10_000).filter(|_| lot(3.0, random.draw()) < lot(1.0, random.draw())).count();
+        let wins = (0..10_000)
+            .filter(|_| lot(3.0, random.draw()) < lot(1.0, random.draw()))
+            .count();
         assert!((7_300..7_700).contains(&wins), "{wins}");
     }
 }
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,13 +1,16 @@
-//! How an endpoint is doing, from what this relay's calls there came to. No I/O, no clock; the caller brings time and randomness.
+//! How an endpoint is doing, from what this relay's calls there came to. No I/O, no clock; the
+//! caller brings time and randomness.
 
 use crate::fleet::unseen;
 use crate::interface::{DestId, Listing, Outcome, Settings, Time};
 use crate::measure::{secs, to_secs, Meter, MS, RATE, SEC};
 use crate::pace::{RARE, SPENT};
 
-/// First and longest gap between trials of a sick endpoint; an outage's seconds deserve a few calls each.
+/// First and longest gap between trials of a sick endpoint; an outage's seconds deserve a few calls
+/// each.
 pub const TRIAL_GAPS: (Time, Time) = (300 * MS, 1_500 * MS);
-/// Attempt time-outs: over a slow handshake and call, and short enough that a hang does not keep the slot.
+/// Attempt time-outs: over a slow handshake and call, and short enough that a hang does not keep
+/// the slot.
 const TIMEOUT: (Time, Time) = (2 * SEC, 8 * SEC);
 /// Latency assumed before any is seen, in seconds.
 pub const LATENCY_GUESS: f64 = 0.4;
@@ -15,7 +18,8 @@
 const SLOWER: f64 = 2.0;
 /// Hard failures in a row that make an endpoint sick.
 const STREAK: u32 = 2;
-/// Refusals in a row, with no success between, from which on an endpoint that is long silent is taken for shut.
+/// Refusals in a row, with no success between, from which on an endpoint that is long silent is
+/// taken for shut.
 const SHUT: u32 = 3;
 /// Share of failing calls at which most are failing, with some margin for small samples.
 const FAILING: f64 = 0.45;
@@ -52,7 +56,8 @@
     pub streak: u32,
     pub fails: f64,
     pub last_ok: Time,
-    /// When a call last failed or was refused here, or it was taken for down with its siblings; at first when it was listed.
+    /// When a call last failed or was refused here, or it was taken for down with its siblings; at
+    /// first when it was listed.
     pub failed_at: Time,
     /// Send time of the first call of the present row of failures.
     pub first_bad: Time,
@@ -104,7 +109,11 @@
     /// It is taken for down.
     pub fn fall(&mut self, now: Time, jitter: f64) {
         let grown = (self.gap * 3 / 2).min(TRIAL_GAPS.1);
-        self.gap = if self.health == Health::Sick { grown } else { TRIAL_GAPS.0 };
+        self.gap = if self.health == Health::Sick {
+            grown
+        } else {
+            TRIAL_GAPS.0
+        };
         self.trial_at = now + secs(to_secs(self.gap) * (0.7 + 0.6 * jitter));
         self.health = Health::Sick;
     }
@@ -131,7 +140,8 @@
         }
     }
 
-    /// A call was refused, the last of so many in a row, and told to wait. `left`: the share of the limit left, by a report.
+    /// A call was refused, the last of so many in a row, and told to wait. `left`: the share of the
+    /// limit left, by a report.
     pub fn refused(
         &mut self,
         now: Time,
@@ -150,13 +160,19 @@
         }
     }
 
-    /// A call came to nothing. `crowded`: it got no connection, and its kind is suspected to be out of them.
+    /// A call came to nothing. `crowded`: it got no connection, and its kind is suspected to be out
+    /// of them.
     pub fn failed(&mut self, now: Time, end: Outcome, crowded: bool, of: &Came, s: &Settings) {
-        // Calls lost while others sent later were answered tell of loss on the way, not of an outage.
+        // Calls lost while others sent later were answered tell of loss on the way, not of an
+        // outage.
         let alone = self.last_ok <= of.sent;
         self.streak += u32::from(alone);
         self.fails += 0.2 * (1.0 - self.fails);
-        let slower = if alone && end == Outcome::Timeout { SLOWER } else { 1.0 };
+        let slower = if alone && end == Outcome::Timeout {
+            SLOWER
+        } else {
+            1.0
+        };
         self.spread = (self.spread * slower).min(LATENCY_GUESS.max(self.latency * slower));
         let hard = end != Outcome::Error;
         // One failure is enough where nothing was answered for long: calls are too rare for rows.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,4 +1,5 @@
-//! What goes into the decision module and what comes out: settings, events, actions. No decision is made here.
+//! What goes into the decision module and what comes out: settings, events, actions. No decision is
+//! made here.
 
 use crate::routes::Routes;
 use std::fmt;
@@ -77,7 +78,9 @@
         let late = age.saturating_sub(self.aim) as f64;
         let part = match decay {
             _ if late == 0.0 => 1.0,
-            Decay::Halving => 0.5f64.powf(late / self.aim.max(1) as f64).max(self.late_worth),
+            Decay::Halving => 0.5f64
+                .powf(late / self.aim.max(1) as f64)
+                .max(self.late_worth),
             Decay::Linear => {
                 let rest = self.deadline.saturating_sub(self.aim).max(1) as f64;
                 1.0 - (1.0 - self.late_worth) * (late / rest).min(1.0)
@@ -122,7 +125,8 @@
     pub planned: bool,
     /// What an ask cost the directory, in seconds.
     pub cost: Option<f64>,
-    /// How long the list that the process before had may still be trusted; nothing where none was before.
+    /// How long the list that the process before had may still be trusted; nothing where none was
+    /// before.
     pub trusted_for: Option<Time>,
 }
 
@@ -145,7 +149,8 @@
     pub room: u32,
     /// Attempts allowed for one message.
     pub max_attempts: u32,
-    /// Bounds of the messages of each class, by position, where classes have their own; empty where all have the same.
+    /// Bounds of the messages of each class, by position, where classes have their own; empty where
+    /// all have the same.
     pub bounds: Vec<Bounds>,
     /// How worth falls.
     pub decay: Decay,
@@ -153,13 +158,13 @@
     pub over_share_worth: f64,
     /// The list of endpoints must be asked for; it is not pushed.
     pub ask_list: bool,
-    /// An agent on the sender's own machine has it: it answers at once and no other sender, and what it has counts as told from the
-    /// first moment of a process.
+    /// An agent on the sender's own machine has it: it answers at once and no other sender, and
+    /// what it has counts as told from the first moment of a process.
     pub pushed: bool,
     /// Longest time without asking for it: then its changes count as told (0: no bound).
     pub ask_within: Time,
-    /// A watch says something at least this often, also where nothing changes (0: it tells changes alone, and its silence says
-    /// nothing).
+    /// A watch says something at least this often, also where nothing changes (0: it tells changes
+    /// alone, and its silence says nothing).
     pub watch_beat: Time,
     /// Endpoints may be probed.
     pub probes: bool,
@@ -198,7 +203,8 @@
     pub retry_after: Time,
 }
 
-/// What may change while a relay runs. Messages that it holds name classes by position: those keep their places.
+/// What may change while a relay runs. Messages that it holds name classes by position: those keep
+/// their places.
 #[derive(Clone, Debug, Default)]
 pub struct Terms {
     /// Classes, by position.
@@ -214,7 +220,10 @@
 impl Settings {
     /// What holds for messages of a class.
     pub fn bounds(&self, class: u16) -> Bounds {
-        let all = Bounds { attempts: self.max_attempts, retry_after: self.max_retry_after };
+        let all = Bounds {
+            attempts: self.max_attempts,
+            retry_after: self.max_retry_after,
+        };
         self.bounds.get(usize::from(class)).copied().unwrap_or(all)
     }
 
@@ -225,18 +234,35 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let faults = [
             (self.classes.is_empty(), "classes", "at least one is needed"),
-            (self.classes.iter().any(|c| c.deadline == 0), "classes.deadline", "must be above zero"),
+            (
+                self.classes.iter().any(|c| c.deadline == 0),
+                "classes.deadline",
+                "must be above zero",
+            ),
             (self.slots == 0, "slots", "must be above zero"),
             (self.room == 0, "room", "must be above zero"),
         ];
         let fault = faults.into_iter().find(|f| f.0);
-        fault.map_or(Ok(()), |(_, setting, problem)| Err(SettingsError { setting, problem }))
+        fault.map_or(Ok(()), |(_, setting, problem)| {
+            Err(SettingsError { setting, problem })
+        })
     }
 
     /// Goes by other terms from now on; by none that [`Settings::check`] refuses.
     pub fn change(&mut self, terms: &Terms) {
-        let Terms { classes, bounds, slots, room } = terms.clone();
-        let changed = Settings { classes, bounds, slots, room, ..self.clone() };
+        let Terms {
+            classes,
+            bounds,
+            slots,
+            room,
+        } = terms.clone();
+        let changed = Settings {
+            classes,
+            bounds,
+            slots,
+            room,
+            ..self.clone()
+        };
         if changed.check().is_ok() {
             *self = changed;
         }
@@ -271,8 +297,8 @@
     Gone,
 }
 
-/// What an endpoint is listed with while calls there are lent to this relay, which are to go there first and at once: no rate
-/// that is told of a partner comes near it.
+/// What an endpoint is listed with while calls there are lent to this relay, which are to go there
+/// first and at once: no rate that is told of a partner comes near it.
 pub const LENT: f32 = 1e12;
 
 /// A line of the list of endpoints.
@@ -288,12 +314,13 @@
     pub dest: DestId,
     /// Its condition.
     pub condition: Condition,
-    /// Calls a second that its destination (or the endpoint, where routes are apart) takes from all relays together,
-    /// as far as [`Settings::listed`] says. Any number may come.
+    /// Calls a second that its destination (or the endpoint, where routes are apart) takes from all
+    /// relays together, as far as [`Settings::listed`] says. Any number may come.
     pub rate: f32,
 }
 
-/// The tenant of a message that names none where the settings have tenants: it is within nobody's share.
+/// The tenant of a message that names none where the settings have tenants: it is within nobody's
+/// share.
 pub const NO_TENANT: u16 = u16::MAX;
 
 /// A message handed to this relay, which owes it one final answer.
@@ -301,7 +328,8 @@
 pub struct Message {
     /// Its id.
     pub id: MessageId,
-    /// Its tenant, as a position in [`Settings::tenants`]; one that is not there, as [`NO_TENANT`], is within nobody's share.
+    /// Its tenant, as a position in [`Settings::tenants`]; one that is not there, as [`NO_TENANT`],
+    /// is within nobody's share.
     pub tenant: u16,
     /// Its class, as a position in [`Settings::classes`].
     pub class: u16,
@@ -318,8 +346,8 @@
 pub struct Past {
     /// Attempts made; the next one is numbered so.
     pub attempts: u16,
-    /// How long ago the first attempt that may have run was sent, and its zone. The embedding relay's clock must have
-    /// started further back than that.
+    /// How long ago the first attempt that may have run was sent, and its zone. The embedding
+    /// relay's clock must have started further back than that.
     pub ran: Option<(Time, u16)>,
 }
 
@@ -356,7 +384,8 @@
     CachedList(Vec<Listing>),
     /// Changed lines only.
     ListChanges(Vec<Listing>),
-    /// The same by order of others than the directory, which has said nothing: the list is no newer by it.
+    /// The same by order of others than the directory, which has said nothing: the list is no newer
+    /// by it.
     Ordered(Vec<Listing>),
     /// Asking for the list failed, or the subscription broke.
     ListFailed,
@@ -364,8 +393,8 @@
     ListMoved,
     /// Goes by these terms from now on. What is told, learned, held and out stays as it is.
     Changed(Box<Terms>),
-    /// Goes by these routes from now on, as [`Listing::zone`] numbers zones; messages that are held at their next attempt. Calls that are
-    /// out end as they would have.
+    /// Goes by these routes from now on, as [`Listing::zone`] numbers zones; messages that are held
+    /// at their next attempt. Calls that are out end as they would have.
     Routed(Rc<Routes>),
     /// A message was handed in.
     Arrived(Message),
@@ -409,7 +438,10 @@
 impl Event {
     /// Whether the directory has said something with it.
     pub fn tells_list(&self) -> bool {
-        matches!(self, Event::List(_) | Event::CachedList(_) | Event::ListChanges(_))
+        matches!(
+            self,
+            Event::List(_) | Event::CachedList(_) | Event::ListChanges(_)
+        )
     }
 }
 
@@ -442,7 +474,8 @@
         /// The endpoint.
         endpoint: Endpoint,
     },
-    /// Close the connections to an endpoint that carry no call now, so that the next send opens a new one.
+    /// Close the connections to an endpoint that carry no call now, so that the next send opens a
+    /// new one.
     CloseIdle {
         /// The endpoint.
         endpoint: Endpoint,
--- a/src/keeper/begin.rs
+++ b/src/keeper/begin.rs
@@ -1,4 +1,5 @@
-//! The first start of a site: the keepers get to know each other's folders. [`super::group`] says what for.
+//! The first start of a site: the keepers get to know each other's folders. [`super::group`] says
+//! what for.
 
 use super::group::{Agreed, Held, Member};
 use super::log::{Base, Identity};
@@ -34,7 +35,12 @@
     /// The same for a group that agrees on something else.
     pub fn empty_of<R: Agreed>(identity: Identity, peers: impl Iterator<Item = u64>) -> Base {
         let voters: BTreeSet<u64> = peers.chain([identity.keeper]).collect();
-        Base::new(identity, 1, voters.into_iter().collect(), Held::<R>::default().bytes())
+        Base::new(
+            identity,
+            1,
+            voters.into_iter().collect(),
+            Held::<R>::default().bytes(),
+        )
     }
 
     /// What an empty folder begins with where the group is there already.
@@ -44,14 +50,21 @@
 
     /// The same for a group that agrees on something else.
     pub fn joining_of<R: Agreed>(identity: Identity) -> Base {
-        Base { begun: true, ..Base::new(identity, 0, Vec::new(), Held::<R>::default().bytes()) }
+        Base {
+            begun: true,
+            ..Base::new(identity, 0, Vec::new(), Held::<R>::default().bytes())
+        }
     }
 
     /// Goes on with a first start.
     pub fn new(base: Base) -> Begin {
         let me = base.identity.keeper;
         let peers = base.voters.iter().copied().filter(|id| *id != me).collect();
-        Begin { base, peers, known_to: BTreeSet::new() }
+        Begin {
+            base,
+            peers,
+            known_to: BTreeSet::new(),
+        }
     }
 
     /// As it is to be written down.
@@ -98,13 +111,25 @@
             return None;
         }
         let me = &self.base.identity;
-        let folders = self.base.known.iter().map(|(id, i)| (*id, *i)).chain([(me.keeper, me.incarnation)]);
+        let folders = self
+            .base
+            .known
+            .iter()
+            .map(|(id, i)| (*id, *i))
+            .chain([(me.keeper, me.incarnation)]);
         let members = folders.map(|(id, incarnation)| {
             let at = at.get(&id).cloned().unwrap_or_default();
             (id, Member { at, incarnation })
         });
-        let held = Held::<R> { members: members.collect(), ..Held::default() };
-        Some(Base { begun: true, held: ByteBuf::from(held.bytes()), ..self.base.clone() })
+        let held = Held::<R> {
+            members: members.collect(),
+            ..Held::default()
+        };
+        Some(Base {
+            begun: true,
+            held: ByteBuf::from(held.bytes()),
+            ..self.base.clone()
+        })
     }
 }
 
@@ -116,7 +141,9 @@
         // One that joins knows nobody yet, and has nothing to lose.
         None if held.members.is_empty() => Heard::Known,
         None if held.removed.contains(&keeper) => Heard::No(format!("keeper {keeper} was removed")),
-        None => Heard::No(format!("keeper {keeper} is not in the group: an order adds it")),
+        None => Heard::No(format!(
+            "keeper {keeper} is not in the group: an order adds it"
+        )),
     }
 }
 
--- a/src/keeper/config.rs
+++ b/src/keeper/config.rs
@@ -9,18 +9,20 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
 
-/// Least and most megabytes: of the least, sixteen segments hold a snapshot of the longest kind each.
+/// Least and most megabytes: of the least, sixteen segments hold a snapshot of the longest kind
+/// each.
 const DISK_MB: (u64, u64) = (20, 4096);
-/// Shortest and longest tick: shorter ones are less than what a busy machine loses, longer ones leave a site without a
-/// leader for more than two seconds.
+/// Shortest and longest tick: shorter ones are less than what a busy machine loses, longer ones
+/// leave a site without a leader for more than two seconds.
 const TICK_MS: (u64, u64) = (10, 100);
 /// Keepers that a file may name: more of them only make every word slower.
 const KEEPERS: usize = 9;
 /// Longest name of a site, in bytes.
 const SITE: usize = 64;
 
-/// Length of a tick in the federation, in milliseconds: an election takes 10 to 20 of them, so the shortest one bears lines of some
-/// 100 ms there and back, and with the longest one a site that led is missed for 10 s.
+/// Length of a tick in the federation, in milliseconds: an election takes 10 to 20 of them, so the
+/// shortest one bears lines of some 100 ms there and back, and with the longest one a site that led
+/// is missed for 10 s.
 const FEDERATION_TICK_MS: (u32, u32) = (20, 500);
 /// Shortest and longest lease of a site, in seconds.
 const LEASE_S: (u32, u32) = (5, 3_600);
@@ -133,7 +135,8 @@
     pub state: PathBuf,
     /// Bytes that the folder may hold.
     pub disk: u64,
-    /// The site starts for the first time, with this keeper and all peers: only then may an empty folder vote.
+    /// The site starts for the first time, with this keeper and all peers: only then may an empty
+    /// folder vote.
     pub begin: bool,
     /// Length of a tick, in milliseconds.
     pub tick_ms: u64,
@@ -171,7 +174,19 @@
             site: file.site.clone(),
             begin: f.begin,
             formerly: f.formerly,
-            sites: f.site.into_iter().map(|s| (s.number, Place { name: s.name, at: s.at })).collect(),
+            sites: f
+                .site
+                .into_iter()
+                .map(|s| {
+                    (
+                        s.number,
+                        Place {
+                            name: s.name,
+                            at: s.at,
+                        },
+                    )
+                })
+                .collect(),
             lease_ms: f.lease_s * 1_000,
             fence_ms: f.fence_s * 1_000,
             tick_ms: f.tick_ms,
@@ -194,7 +209,9 @@
 
     /// Whether an agent or a person may speak from there.
     pub fn may_ask(&self, from: IpAddr) -> bool {
-        self.agents.iter().any(|net| net.contains(&from.to_canonical()))
+        self.agents
+            .iter()
+            .any(|net| net.contains(&from.to_canonical()))
     }
 }
 
@@ -202,32 +219,63 @@
     fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut fault = |wrong: bool, told: String| faults.extend(wrong.then_some(told));
-        fault(!is_name(&self.site), format!("site: {}", no_name(&self.site)));
+        fault(
+            !is_name(&self.site),
+            format!("site: {}", no_name(&self.site)),
+        );
         fault(self.keeper == 0, "keeper: 0: numbers begin at 1".into());
         let any = self.listen.ip().is_unspecified();
-        fault(any, format!("listen: {}: a keeper listens on one address, never on all", self.listen));
-        fault(self.state.as_os_str().is_empty(), "state: a folder is needed".into());
+        fault(
+            any,
+            format!(
+                "listen: {}: a keeper listens on one address, never on all",
+                self.listen
+            ),
+        );
+        fault(
+            self.state.as_os_str().is_empty(),
+            "state: a folder is needed".into(),
+        );
         let (least, most) = DISK_MB;
         let fits = (least..=most).contains(&self.disk_mb);
-        fault(!fits, format!("disk_mb: {}: {least} to {most} may be", self.disk_mb));
+        fault(
+            !fits,
+            format!("disk_mb: {}: {least} to {most} may be", self.disk_mb),
+        );
         let (least, most) = TICK_MS;
         let fits = (least..=most).contains(&self.tick_ms);
-        fault(!fits, format!("tick_ms: {}: {least} to {most} may be", self.tick_ms));
+        fault(
+            !fits,
+            format!("tick_ms: {}: {least} to {most} may be", self.tick_ms),
+        );
         fault(
             self.peer.len() >= KEEPERS,
             format!("peer: {} of them, {} may be", self.peer.len(), KEEPERS - 1),
         );
-        fault(self.agents.is_empty(), "agents: without an address nobody may speak".into());
+        fault(
+            self.agents.is_empty(),
+            "agents: without an address nobody may speak".into(),
+        );
         for (n, peer) in self.peer.iter().enumerate() {
             let Peer { keeper, at } = peer;
-            fault(*keeper == 0, format!("peer[{n}].keeper: 0: numbers begin at 1"));
-            fault(*keeper == self.keeper, format!("peer[{n}].keeper: {keeper}: that is this keeper"));
+            fault(
+                *keeper == 0,
+                format!("peer[{n}].keeper: 0: numbers begin at 1"),
+            );
+            fault(
+                *keeper == self.keeper,
+                format!("peer[{n}].keeper: {keeper}: that is this keeper"),
+            );
             let twice = self.peer[..n].iter().any(|p| p.keeper == *keeper);
             fault(twice, format!("peer[{n}].keeper: {keeper}: named twice"));
-            let taken = self.peer[..n].iter().any(|p| p.at == *at) || (*at == self.listen && at.port() != 0);
+            let taken = self.peer[..n].iter().any(|p| p.at == *at)
+                || (*at == self.listen && at.port() != 0);
             fault(taken, format!("peer[{n}].at: {at}: named twice"));
             let nowhere = at.ip().is_unspecified() || at.port() == 0;
-            fault(nowhere, format!("peer[{n}].at: {at}: nobody can be reached there"));
+            fault(
+                nowhere,
+                format!("peer[{n}].at: {at}: nobody can be reached there"),
+            );
         }
         let voters = self.peer.len() + 1;
         fault(
@@ -250,21 +298,34 @@
         let mut faults = Vec::new();
         let mut fault =
             |wrong: bool, told: String| faults.extend(wrong.then(|| format!("federation.{told}")));
-        fault(!is_name(&self.name), format!("name: {}", no_name(&self.name)));
+        fault(
+            !is_name(&self.name),
+            format!("name: {}", no_name(&self.name)),
+        );
         fault(self.number == 0, "number: 0: numbers begin at 1".into());
         fault(
             self.formerly == Some(self.number),
             format!("formerly: {}: that is its number now", self.number),
         );
         let both = self.begin && self.formerly.is_some();
-        fault(both, "formerly: a federation that begins has had no site before".into());
+        fault(
+            both,
+            "formerly: a federation that begins has had no site before".into(),
+        );
         let (least, most) = LEASE_S;
         let fits = (least..=most).contains(&self.lease_s);
-        fault(!fits, format!("lease_s: {}: {least} to {most} may be", self.lease_s));
-        // Senders whose keepers were cut off from each other when the hold was due go on for so long.
+        fault(
+            !fits,
+            format!("lease_s: {}: {least} to {most} may be", self.lease_s),
+        );
+        // Senders whose keepers were cut off from each other when the hold was due go on for so
+        // long.
         let rules = &file.rules;
         let least = (rules.lease_ms.saturating_add(rules.sure_ms) / 100).saturating_mul(102);
-        let least = least.saturating_add(rules.beat_ms).saturating_add(FENCE_MORE_MS).div_ceil(1_000);
+        let least = least
+            .saturating_add(rules.beat_ms)
+            .saturating_add(FENCE_MORE_MS)
+            .div_ceil(1_000);
         let fits = (least..=FENCE_S).contains(&self.fence_s);
         let told = format!(
             "fence_s: {}: {least} to {FENCE_S} may be, as rules.lease_ms is {}",
@@ -273,28 +334,55 @@
         fault(!fits, told);
         let (least, most) = FEDERATION_TICK_MS;
         let fits = (least..=most).contains(&self.tick_ms);
-        fault(!fits, format!("tick_ms: {}: {least} to {most} may be", self.tick_ms));
+        fault(
+            !fits,
+            format!("tick_ms: {}: {least} to {most} may be", self.tick_ms),
+        );
         let most = MOST_SITES - 1;
-        fault(self.site.len() > most, format!("site: {} of them, {most} may be", self.site.len()));
+        fault(
+            self.site.len() > most,
+            format!("site: {} of them, {most} may be", self.site.len()),
+        );
         for (n, site) in self.site.iter().enumerate() {
             let SiteFile { number, name, at } = site;
             let before = &self.site[..n];
-            fault(*number == 0, format!("site[{n}].number: 0: numbers begin at 1"));
-            fault(*number == self.number, format!("site[{n}].number: {number}: that is this site"));
+            fault(
+                *number == 0,
+                format!("site[{n}].number: 0: numbers begin at 1"),
+            );
+            fault(
+                *number == self.number,
+                format!("site[{n}].number: {number}: that is this site"),
+            );
             let twice = before.iter().any(|s| s.number == *number);
             fault(twice, format!("site[{n}].number: {number}: named twice"));
             fault(!is_name(name), format!("site[{n}].name: {}", no_name(name)));
             let twice = before.iter().any(|s| s.name == *name) || *name == file.site;
             fault(twice, format!("site[{n}].name: {name}: named twice"));
             let many = !(1..=MOST_AT).contains(&at.len());
-            fault(many, format!("site[{n}].at: {} addresses, 1 to {MOST_AT} may be", at.len()));
+            fault(
+                many,
+                format!(
+                    "site[{n}].at: {} addresses, 1 to {MOST_AT} may be",
+                    at.len()
+                ),
+            );
             for (m, at) in at.iter().enumerate() {
                 let nowhere = at.ip().is_unspecified() || at.port() == 0;
-                fault(nowhere, format!("site[{n}].at[{m}]: {at}: nobody can be reached there"));
+                fault(
+                    nowhere,
+                    format!("site[{n}].at[{m}]: {at}: nobody can be reached there"),
+                );
                 let own = file.peer.iter().map(|p| p.at).chain([file.listen]);
-                let taken =
-                    before.iter().flat_map(|s| s.at.iter().copied()).chain(own).any(|other| other == *at);
-                fault(taken || site.at[..m].contains(at), format!("site[{n}].at[{m}]: {at}: named twice"));
+                let taken = before
+                    .iter()
+                    .flat_map(|s| s.at.iter().copied())
+                    .chain(own)
+                    .any(|other| other == *at);
+                fault(
+                    taken || site.at[..m].contains(at),
+                    format!("site[{n}].at[{m}]: {at}: named twice"),
+                );
             }
         }
         faults
--- a/src/keeper/config/tests.rs
+++ b/src/keeper/config/tests.rs
@@ -17,7 +17,10 @@
 #[test]
 fn a_short_file_is_enough() {
     let config = Config::from_toml(GOOD).expect("good");
-    assert_eq!((config.tick_ms, config.disk >> 20, config.begin), (50, 64, false));
+    assert_eq!(
+        (config.tick_ms, config.disk >> 20, config.begin),
+        (50, 64, false)
+    );
     assert!(config.may_ask([127, 3, 2, 1].into()) && !config.may_ask([10, 0, 0, 1].into()));
     let mapped: IpAddr = "::ffff:127.0.0.1".parse().expect("an address");
     assert!(config.may_ask(mapped));
@@ -27,7 +30,10 @@
 fn all_faults_are_told_by_name() {
     let text = GOOD
         .replace("\"north\"", "\"no/rth\"")
-        .replace("keeper = 1", "keeper = 3\ntick_ms = 5\ndisk_mb = 1\nbegin = true")
+        .replace(
+            "keeper = 1",
+            "keeper = 3\ntick_ms = 5\ndisk_mb = 1\nbegin = true",
+        )
         .replace("127.0.0.1:0", "0.0.0.0:7101")
         .replace("[\"127.0.0.0/8\", \"::1/128\"]", "[]");
     let text = format!("{text}\n[[peer]]\nkeeper = 2\nat = \"127.0.0.1:7102\"\n");
@@ -43,7 +49,10 @@
         "peer[2].keeper:",
         "peer[2].at:",
     ] {
-        assert!(faults.iter().any(|f| f.starts_with(field)), "{field} {faults:#?}");
+        assert!(
+            faults.iter().any(|f| f.starts_with(field)),
+            "{field} {faults:#?}"
+        );
     }
     assert_eq!(faults.len(), 9, "{faults:#?}");
     let text = format!(
@@ -55,7 +64,10 @@
     let told: Vec<&str> = faults.iter().filter_map(|f| f.split(": ").next()).collect();
     let fields = "name formerly formerly lease_s fence_s tick_ms site[0].number site[0].name site[0].at[0] site[0].at[1] \
                   site[1].number site[1].at";
-    let fields: Vec<String> = fields.split_whitespace().map(|f| format!("federation.{f}")).collect();
+    let fields: Vec<String> = fields
+        .split_whitespace()
+        .map(|f| format!("federation.{f}"))
+        .collect();
     assert_eq!(told, fields, "{faults:#?}");
     let unknown = Config::from_toml(&format!("colour = 1\n{GOOD}")).expect_err("unknown");
     assert!(unknown[0].contains("colour"), "{unknown:?}");
--- a/src/keeper/ears.rs
+++ b/src/keeper/ears.rs
@@ -1,7 +1,9 @@
-//! What a leader knows of senders by their own words: what each has checked and written down, what it refuses, and the turn that it goes by.
+//! What a leader knows of senders by their own words: what each has checked and written down, what
+//! it refuses, and the turn that it goes by.
 //!
-//! It forgets all of it with its office: the next leader hears it again from those that live, so nothing goes on by a word that only an
-//! earlier one heard. Rules ([`super::policy::rollout`]) and routing tables ([`super::table::switch`]) have one each.
+//! It forgets all of it with its office: the next leader hears it again from those that live, so
+//! nothing goes on by a word that only an earlier one heard. Rules ([`super::policy::rollout`]) and
+//! routing tables ([`super::table::switch`]) have one each.
 
 use super::cut;
 use super::record::{Member, Record};
@@ -12,9 +14,11 @@
 const SECOND: Time = 1_000_000_000;
 /// What is said and not answered is said again after this time.
 const AGAIN: Time = SECOND / 2;
-/// A text that is offered and not answered is offered again after this time: a sender checks and writes it first.
+/// A text that is offered and not answered is offered again after this time: a sender checks and
+/// writes it first.
 const OFFER_AGAIN: Time = SECOND;
-/// Offers of one kind in one turn of the office: what is sent at once is a few megabytes, and three thousand senders have theirs in 6 s.
+/// Offers of one kind in one turn of the office: what is sent at once is a few megabytes, and three
+/// thousand senders have theirs in 6 s.
 pub const OFFERS: usize = 50;
 /// Names in a line, at the most.
 const NAMES: usize = 10;
@@ -43,7 +47,9 @@
 impl Known {
     /// Whether it has said that it has this text; number 0 has none.
     pub fn has(&self, number: u64, print: Option<Print>) -> bool {
-        number == 0 || print.is_some() && self.stored.as_ref().and_then(|s| s.get(&number)) == print.as_ref()
+        number == 0
+            || print.is_some()
+                && self.stored.as_ref().and_then(|s| s.get(&number)) == print.as_ref()
     }
 
     /// Whether it has said what it has at all.
@@ -62,7 +68,8 @@
     }
 }
 
-/// A sender that the record has as live, with what is known of it in the session that the record has.
+/// A sender that the record has as live, with what is known of it in the session that the record
+/// has.
 pub type Live<'a> = (&'a String, &'a Member, Option<&'a Known>);
 
 /// What senders said of one kind of text.
@@ -76,7 +83,10 @@
     pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Print)]>) {
         let known = self.senders.entry(sender.into()).or_default();
         if known.boot != boot {
-            *known = Known { boot, ..Known::default() };
+            *known = Known {
+                boot,
+                ..Known::default()
+            };
         }
         known.stored = stored.map(|all| all.iter().take(MOST_STORED).copied().collect());
         (known.told, known.offered, known.refused) = (None, BTreeMap::new(), BTreeMap::new());
@@ -92,12 +102,17 @@
 
     /// It says something that it says after what it has.
     pub fn is_told(&mut self, sender: &str) {
-        self.senders.get_mut(sender).into_iter().for_each(|known| known.told_all = true);
+        self.senders
+            .get_mut(sender)
+            .into_iter()
+            .for_each(|known| known.told_all = true);
     }
 
     /// A text that senders cannot go by may be offered to them again.
     pub fn forgive(&mut self, number: u64) {
-        self.senders.values_mut().for_each(|known| _ = known.refused.remove(&number));
+        self.senders
+            .values_mut()
+            .for_each(|known| _ = known.refused.remove(&number));
     }
 
     /// Its session is over.
@@ -105,8 +120,8 @@
         self.senders.remove(sender);
     }
 
-    /// It has checked a text of that print. Gives the reason for which it cannot go by it, where that is new. What is not `kept` any more
-    /// is not asked for again.
+    /// It has checked a text of that print. Gives the reason for which it cannot go by it, where
+    /// that is new. What is not `kept` any more is not asked for again.
     pub fn checked(
         &mut self,
         sender: &str,
@@ -136,7 +151,9 @@
     /// It goes by a turn; false where nothing is known of it.
     pub fn goes_by(&mut self, sender: &str, turn: u64) -> bool {
         let known = self.senders.get_mut(sender);
-        known.map(|known| known.heard = known.heard.max(turn)).is_some()
+        known
+            .map(|known| known.heard = known.heard.max(turn))
+            .is_some()
     }
 
     /// What is known of a sender, in whatever session.
@@ -144,9 +161,12 @@
         self.senders.get(sender)
     }
 
-    /// Whether a sender is to be told now what its register says, that changed last by this turn. It counts as told.
+    /// Whether a sender is to be told now what its register says, that changed last by this turn.
+    /// It counts as told.
     pub fn is_due(&mut self, now: Time, sender: &str, changed: u64, turn: u64) -> bool {
-        let Some(known) = self.senders.get_mut(sender) else { return false };
+        let Some(known) = self.senders.get_mut(sender) else {
+            return false;
+        };
         let again = match known.told {
             None => true,
             Some((told, at)) => told < changed || known.heard < changed && now >= at + AGAIN,
@@ -158,11 +178,25 @@
     }
 
     /// Whether a sender is to be offered this now, while `offers` last. It counts as offered.
-    pub fn lacks(&mut self, now: Time, sender: &str, number: u64, print: &Print, offers: &mut usize) -> bool {
-        let Some(known) = self.senders.get_mut(sender) else { return false };
-        let Some(stored) = &known.stored else { return false };
+    pub fn lacks(
+        &mut self,
+        now: Time,
+        sender: &str,
+        number: u64,
+        print: &Print,
+        offers: &mut usize,
+    ) -> bool {
+        let Some(known) = self.senders.get_mut(sender) else {
+            return false;
+        };
+        let Some(stored) = &known.stored else {
+            return false;
+        };
         let has = stored.get(&number) == Some(print) || known.refused.contains_key(&number);
-        let waits = known.offered.get(&number).is_some_and(|at| now < at + OFFER_AGAIN);
+        let waits = known
+            .offered
+            .get(&number)
+            .is_some_and(|at| now < at + OFFER_AGAIN);
         if has || waits || *offers == 0 {
             return false;
         }
@@ -173,7 +207,10 @@
 
     /// What is not `kept` any more was never offered.
     pub fn forget(&mut self, sender: &str, kept: impl Fn(u64) -> bool) {
-        self.senders.get_mut(sender).into_iter().for_each(|known| known.offered.retain(|n, _| kept(*n)));
+        self.senders
+            .get_mut(sender)
+            .into_iter()
+            .for_each(|known| known.offered.retain(|n, _| kept(*n)));
     }
 
     /// Live senders of those that are asked for.
@@ -182,7 +219,10 @@
         record: &'a Record,
         asked: impl Fn(&Member) -> bool + 'a,
     ) -> impl Iterator<Item = Live<'a>> + 'a {
-        let live = record.roster.iter().filter(move |(_, m)| m.live && asked(m));
+        let live = record
+            .roster
+            .iter()
+            .filter(move |(_, m)| m.live && asked(m));
         live.map(|(name, m)| (name, m, self.senders.get(name).filter(|k| k.boot == m.boot)))
     }
 
@@ -199,7 +239,8 @@
             .collect()
     }
 
-    /// Those of them that have not said that they have what they are to go by: its number, and its print.
+    /// Those of them that have not said that they have what they are to go by: its number, and its
+    /// print.
     pub fn unstored<'a>(
         &'a self,
         record: &'a Record,
@@ -218,6 +259,10 @@
 pub fn names(all: &[&String]) -> String {
     let some: Vec<&str> = all.iter().take(NAMES).map(|n| n.as_str()).collect();
     let more = all.len().saturating_sub(NAMES);
-    let rest = if more > 0 { format!(" and {more} more") } else { String::new() };
+    let rest = if more > 0 {
+        format!(" and {more} more")
+    } else {
+        String::new()
+    };
     format!("{}{rest}", some.join(", "))
 }
--- a/src/keeper/frames.rs
+++ b/src/keeper/frames.rs
@@ -1,5 +1,5 @@
-//! Frames on a line: a length of four bytes (big end first), then a [`postcard`] body. One that is torn, too long or
-//! makes no sense is an error of its line, and of nothing else.
+//! Frames on a line: a length of four bytes (big end first), then a [`postcard`] body. One that is
+//! torn, too long or makes no sense is an error of its line, and of nothing else.
 
 use super::wire::{Hello, VERSION};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -99,7 +99,11 @@
 }
 
 /// The same as [`write`](fn@write), for a client that waits.
-pub fn write_blocking<T: Serialize>(to: &mut impl Write, word: &T, most: usize) -> Result<(), Broken> {
+pub fn write_blocking<T: Serialize>(
+    to: &mut impl Write,
+    word: &T,
+    most: usize,
+) -> Result<(), Broken> {
     Ok(to.write_all(&bytes(word, most)?)?)
 }
 
--- a/src/keeper/group.rs
+++ b/src/keeper/group.rs
@@ -1,22 +1,28 @@
-//! A group that agrees, as one machine of the `raft` library: no file, no socket, no clock. The keepers of a site are one, which agrees
-//! on the site's record; the sites of a federation are another, of the same code. Below a member is called a keeper.
+//! A group that agrees, as one machine of the `raft` library: no file, no socket, no clock. The
+//! keepers of a site are one, which agrees on the site's record; the sites of a federation are
+//! another, of the same code. Below a member is called a keeper.
 //!
-//! What has to be written comes out of [`Group::piece`] and goes back as [`Group::saved`]; only then come out the messages
-//! that rely on it. What is agreed comes out of [`Group::work`], in the order in which all keepers see it.
+//! What has to be written comes out of [`Group::piece`] and goes back as [`Group::saved`]; only
+//! then come out the messages that rely on it. What is agreed comes out of [`Group::work`], in the
+//! order in which all keepers see it.
 //!
 //! # Who may vote
 //!
-//! A keeper that has lost its folder has forgotten what it voted and what it acknowledged; would it vote as the old one, two leaders
-//! could stand in one term and what was agreed could be lost. So a vote belongs to a folder and not to a number. Each folder has an
-//! *incarnation*, drawn when it is begun. A group has the incarnation of each of its members in what it agrees on, and a keeper hears
-//! only those. There are two ways to become a member:
+//! A keeper that has lost its folder has forgotten what it voted and what it acknowledged; would it
+//! vote as the old one, two leaders could stand in one term and what was agreed could be lost. So a
+//! vote belongs to a folder and not to a number. Each folder has an *incarnation*, drawn when it is
+//! begun. A group has the incarnation of each of its members in what it agrees on, and a keeper
+//! hears only those. There are two ways to become a member:
 //!
-//! - *The first start of a site* (`begin = true`, an empty folder). The keepers tell each other their incarnations and write down
-//!   those of the others; one takes part when all others have said that they have written down its own. So whoever has ever voted or
-//!   acknowledged anything is known, with its folder, to all: one that comes again without it is refused by each of the others, never
-//!   hears from all of them, and never begins. A first start that breaks off with a folder lost is begun anew with empty folders.
-//! - *By an order* (`Add`). The leader asks the new keeper for its incarnation, and both become agreed in one entry. A keeper that has
-//!   not applied that entry does not count the new one as a voter and does not hear it.
+//! - *The first start of a site* (`begin = true`, an empty folder). The keepers tell each other
+//!   their incarnations and write down those of the others; one takes part when all others have
+//!   said that they have written down its own. So whoever has ever voted or acknowledged anything
+//!   is known, with its folder, to all: one that comes again without it is refused by each of the
+//!   others, never hears from all of them, and never begins. A first start that breaks off with a
+//!   folder lost is begun anew with empty folders.
+//! - *By an order* (`Add`). The leader asks the new keeper for its incarnation, and both become
+//!   agreed in one entry. A keeper that has not applied that entry does not count the new one as a
+//!   voter and does not hear it.
 //!
 //! Numbers of keepers that were removed are never used again; the group refuses them.
 
@@ -30,7 +36,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Ticks without a word of the leader after which another one stands, at least; at most twice as many.
+/// Ticks without a word of the leader after which another one stands, at least; at most twice as
+/// many.
 pub const ELECTION: usize = 10;
 /// Ticks between two words of the leader.
 const HEARTBEAT: usize = 2;
@@ -38,7 +45,8 @@
 const SLACK: u64 = 2;
 /// Messages with entries that are out to one keeper at once.
 const INFLIGHT: usize = 16;
-/// Longest command of a site's record, in bytes: what its voice in a federation writes down is a [`Piece`] of that.
+/// Longest command of a site's record, in bytes: what its voice in a federation writes down is a
+/// [`Piece`] of that.
 pub const COMMAND: usize = 128 * 1024;
 
 /// What may be how long, in bytes.
@@ -59,7 +67,9 @@
 }
 
 /// What is agreed: each member applies the same commands in the same order and comes to the same.
-pub trait Agreed: Clone + Default + std::fmt::Debug + PartialEq + Serialize + DeserializeOwned {
+pub trait Agreed:
+    Clone + Default + std::fmt::Debug + PartialEq + Serialize + DeserializeOwned
+{
     /// A change of it.
     type Command: Clone + std::fmt::Debug + PartialEq + Serialize + DeserializeOwned;
     /// What may be how long.
@@ -118,8 +128,8 @@
 
 impl Agreed for Federation {
     type Command = federation::Command;
-    // The snapshot has three tables of 16 KiB and some 20 KiB round them; with its tail, and as any batch, it fits in a command of a
-    // site's record.
+    // The snapshot has three tables of 16 KiB and some 20 KiB round them; with its tail, and as any
+    // batch, it fits in a command of a site's record.
     const BOUNDS: Bounds = Bounds {
         command: 24 * 1024,
         message: 24 * 1024,
@@ -267,8 +277,8 @@
 }
 
 impl<R: Agreed> Group<R> {
-    /// Goes on with what was written down, perhaps without a sync: so the first that it writes is that. When it stands for election is
-    /// drawn from the seed.
+    /// Goes on with what was written down, perhaps without a sync: so the first that it writes is
+    /// that. When it stands for election is drawn from the seed.
     pub fn new(base: Base, seed: u64) -> Result<Group<R>, Fatal> {
         let mut group = Group::resumed(base.clone(), seed)?;
         group.unsaved.push_back((0, Piece::Base(Box::new(base))));
@@ -315,9 +325,14 @@
         Ok(group)
     }
 
-    /// Draws when it stands, anew where the library would. What that draws itself has no seed, and is not used.
+    /// Draws when it stands, anew where the library would. What that draws itself has no seed, and
+    /// is not used.
     fn draw(&mut self) {
-        let now = (self.raw.raft.term, self.raw.raft.leader_id, self.raw.raft.state);
+        let now = (
+            self.raw.raft.term,
+            self.raw.raft.leader_id,
+            self.raw.raft.state,
+        );
         if self.waits.0 != now {
             self.waits = (now, self.random.usize(ELECTION..2 * ELECTION));
         }
@@ -364,14 +379,19 @@
         self.raw.raft.state == StateRole::Leader && self.raw.raft.apply_to_current_term()
     }
 
-    /// Whether, as a leader, it has heard a majority lately enough that nobody else can lead by now.
+    /// Whether, as a leader, it has heard a majority lately enough that nobody else can lead by
+    /// now.
     pub fn leads_for_certain(&self) -> bool {
         if self.raw.raft.state != StateRole::Leader {
             return false;
         }
         let me = self.me();
         let fresh = |id: &&u64| {
-            **id == me || self.heard.get(id).is_some_and(|at| self.ticks - at + SLACK < ELECTION as u64)
+            **id == me
+                || self
+                    .heard
+                    .get(id)
+                    .is_some_and(|at| self.ticks - at + SLACK < ELECTION as u64)
         };
         let voters = self.voters();
         voters.iter().filter(fresh).count() > voters.len() / 2
@@ -379,13 +399,20 @@
 
     /// Whether, as this leader knows, another keeper has written down all up to an entry.
     pub fn has(&self, keeper: u64, index: u64) -> bool {
-        self.raw.raft.prs().get(keeper).is_some_and(|known| known.matched >= index)
+        self.raw
+            .raft
+            .prs()
+            .get(keeper)
+            .is_some_and(|known| known.matched >= index)
     }
 
-    /// Voters that, as this leader knows, have nothing of the record; nobody, where it does not lead.
+    /// Voters that, as this leader knows, have nothing of the record; nobody, where it does not
+    /// lead.
     pub fn without_record(&self) -> Vec<u64> {
         let voters = self.voters().iter().copied();
-        voters.filter(|id| self.is_ready_to_lead() && !self.has(*id, 1)).collect()
+        voters
+            .filter(|id| self.is_ready_to_lead() && !self.has(*id, 1))
+            .collect()
     }
 
     /// Time has passed.
@@ -397,7 +424,8 @@
         }
     }
 
-    /// Another keeper's message. One that is not from it, not for this one or of no kind that keepers send is refused.
+    /// Another keeper's message. One that is not from it, not for this one or of no kind that
+    /// keepers send is refused.
     pub fn step(&mut self, from: u64, bytes: &[u8]) -> Result<(), String> {
         let mut message = Message::default();
         message.merge_from_bytes(bytes).map_err(|e| e.to_string())?;
@@ -420,15 +448,21 @@
         if message.term == self.term() {
             self.heard.insert(from, self.ticks);
         }
-        // The library can do nothing with a snapshot that is not written yet; what is lost meanwhile is sent again.
+        // The library can do nothing with a snapshot that is not written yet; what is lost
+        // meanwhile is sent again.
         if self.restoring.is_some() {
             return Ok(());
         }
         // A leader says no more of what is agreed than this keeper has acknowledged.
         let (last, known) = (self.raw.raft.raft_log.last_index(), message.commit);
-        let leads = message.get_msg_type() == MessageType::MsgHeartbeat && message.term >= self.term();
+        let leads =
+            message.get_msg_type() == MessageType::MsgHeartbeat && message.term >= self.term();
         if leads && known > last {
-            self.forgot = Some(Fatal::Forgot { last, known, leader: from });
+            self.forgot = Some(Fatal::Forgot {
+                last,
+                known,
+                leader: from,
+            });
             return Ok(());
         }
         // What the library refuses is late or of no use, and no fault of the line.
@@ -441,16 +475,19 @@
     pub fn unreachable(&mut self, keeper: u64, snapshot: bool) {
         self.raw.report_unreachable(keeper);
         if snapshot {
-            self.raw.report_snapshot(keeper, raft::SnapshotStatus::Failure);
+            self.raw
+                .report_snapshot(keeper, raft::SnapshotStatus::Failure);
         }
     }
 
     /// A snapshot was handed to the line.
     pub fn snapshot_sent(&mut self, keeper: u64) {
-        self.raw.report_snapshot(keeper, raft::SnapshotStatus::Finish);
+        self.raw
+            .report_snapshot(keeper, raft::SnapshotStatus::Finish);
     }
 
-    /// Brings a command before the group; whether it is agreed is told by [`Event::Applied`], or never.
+    /// Brings a command before the group; whether it is agreed is told by [`Event::Applied`], or
+    /// never.
     pub fn propose(&mut self, command: &R::Command) -> Result<(), No> {
         let data = postcard::to_stdvec(command).map_err(|_| No::Full)?;
         if self.raw.raft.state != StateRole::Leader {
@@ -470,16 +507,23 @@
         if self.raw.raft.has_pending_conf() {
             return Err(No::Busy);
         }
-        let mut change = ConfChange { node_id: keeper, ..ConfChange::default() };
+        let mut change = ConfChange {
+            node_id: keeper,
+            ..ConfChange::default()
+        };
         change.set_change_type(kind);
-        self.raw.propose_conf_change(context, change).map_err(|_| No::Full)
+        self.raw
+            .propose_conf_change(context, change)
+            .map_err(|_| No::Full)
     }
 
     /// Whether a keeper of this number may be added.
     pub fn may_add(&self, keeper: u64) -> Result<(), No> {
         match keeper {
             0 => Err(No::Unknown),
-            n if self.held.removed.contains(&n) || self.held.members.contains_key(&n) => Err(No::Used),
+            n if self.held.removed.contains(&n) || self.held.members.contains_key(&n) => {
+                Err(No::Used)
+            }
             _ => Ok(()),
         }
     }
@@ -514,7 +558,8 @@
         Ok(())
     }
 
-    /// Whether a base may be written now: nothing is on its way to the disk, and what would stand behind it is short.
+    /// Whether a base may be written now: nothing is on its way to the disk, and what would stand
+    /// behind it is short.
     fn may_compact(&self) -> bool {
         let last = self.raw.raft.raft_log.last_index();
         let tail = self.raw.raft.raft_log.unstable_entries().is_empty()
@@ -528,7 +573,12 @@
             return;
         }
         let data = self.held.bytes();
-        let base = self.base.of(self.raw.store(), self.voters().to_vec(), data.clone(), self.applied);
+        let base = self.base.of(
+            self.raw.store(),
+            self.voters().to_vec(),
+            data.clone(),
+            self.applied,
+        );
         let tail: usize = base.entries.iter().map(Line::size).sum();
         if tail > R::BOUNDS.tail || data.len() + tail > R::BOUNDS.base {
             return;
@@ -536,16 +586,20 @@
         self.raw.mut_store().compact(self.applied, data);
         let number = self.waiting.back().map_or(0, |w| w.0);
         self.base = base.bare();
-        self.unsaved.push_back((number, Piece::Base(Box::new(base))));
+        self.unsaved
+            .push_back((number, Piece::Base(Box::new(base))));
     }
 
-    /// What is to be written next; nothing while something is being written. It is given again until it is saved.
+    /// What is to be written next; nothing while something is being written. It is given again
+    /// until it is saved.
     pub fn piece(&mut self) -> Option<Piece> {
         if self.saving.is_some() {
             return None;
         }
         let (mut number, mut piece) = self.unsaved.pop_front()?;
-        while let (Piece::Batch(batch), Some((_, Piece::Batch(next)))) = (&mut piece, self.unsaved.front()) {
+        while let (Piece::Batch(batch), Some((_, Piece::Batch(next)))) =
+            (&mut piece, self.unsaved.front())
+        {
             if batch.size() + next.size() > R::BOUNDS.merged {
                 break;
             }
@@ -560,15 +614,22 @@
 
     /// What [`Group::piece`] gave is written.
     pub fn saved(&mut self) {
-        let Some(number) = self.saving.take() else { return };
+        let Some(number) = self.saving.take() else {
+            return;
+        };
         self.persisted(number);
     }
 
-    /// All that was to be written up to this number is; and what comes after it, as far as it needs no writing.
+    /// All that was to be written up to this number is; and what comes after it, as far as it needs
+    /// no writing.
     fn persisted(&mut self, number: u64) {
         let next = self.unsaved.front().map_or(u64::MAX, |(n, _)| *n);
         let mut upto = number;
-        while self.waiting.front().is_some_and(|(n, _)| *n <= number || *n < next) {
+        while self
+            .waiting
+            .front()
+            .is_some_and(|(n, _)| *n <= number || *n < next)
+        {
             if let Some((n, messages)) = self.waiting.pop_front() {
                 upto = upto.max(n);
                 self.out.extend(messages);
@@ -590,7 +651,8 @@
         }
     }
 
-    /// Goes on as far as it can. Gives messages to send, each with the keeper that it is for, and tells what happened.
+    /// Goes on as far as it can. Gives messages to send, each with the keeper that it is for, and
+    /// tells what happened.
     pub fn work(&mut self, events: &mut Vec<Event<R::Command>>) -> Result<Vec<Message>, Fatal> {
         if let Some(forgot) = self.forgot.take() {
             return Err(forgot);
@@ -604,25 +666,30 @@
             }
             if !ready.snapshot().is_empty() {
                 let snapshot = ready.snapshot().clone();
-                self.held =
-                    Held::read(&snapshot.data).map_err(|e| Fatal::Senseless(format!("the snapshot: {e}")))?;
+                self.held = Held::read(&snapshot.data)
+                    .map_err(|e| Fatal::Senseless(format!("the snapshot: {e}")))?;
                 self.applied = snapshot.get_metadata().index;
                 let data = snapshot.data.to_vec();
                 self.raw.mut_store().restore(snapshot);
                 let (store, index) = (self.raw.store(), self.applied);
                 let base = self.base.of(store, store.voters().to_vec(), data, index);
                 self.base = base.bare();
-                self.unsaved.push_back((number, Piece::Base(Box::new(base))));
+                self.unsaved
+                    .push_back((number, Piece::Base(Box::new(base))));
                 self.restoring = Some(number);
                 events.push(Event::Restored(self.applied));
             }
             self.raw.mut_store().append(ready.entries());
             if ready.must_sync() {
                 let entries = ready.entries().iter().map(Line::of).collect();
-                let batch = Batch { hard: super::log::Hard::of(&self.raw.store().hard), entries };
+                let batch = Batch {
+                    hard: super::log::Hard::of(&self.raw.store().hard),
+                    entries,
+                };
                 self.unsaved.push_back((number, Piece::Batch(batch)));
             }
-            self.waiting.push_back((number, ready.take_persisted_messages()));
+            self.waiting
+                .push_back((number, ready.take_persisted_messages()));
             let agreed = ready.take_committed_entries();
             self.raw.advance_append_async(ready);
             for entry in agreed {
@@ -674,7 +741,9 @@
                 events.push(Event::Member(index, keeper));
             }
             EntryType::EntryConfChangeV2 => {
-                return Err(Fatal::Senseless(format!("entry {index}: a change of many keepers at once")))
+                return Err(Fatal::Senseless(format!(
+                    "entry {index}: a change of many keepers at once"
+                )))
             }
         }
         self.applied = index;
--- a/src/keeper/group/tests.rs
+++ b/src/keeper/group/tests.rs
@@ -1,20 +1,39 @@
 use super::*;
 
-/// A snapshot as it was written before the record had policies: one sender on the roster, one keeper, version 3.
+/// A snapshot as it was written before the record had policies: one sender on the roster, one
+/// keeper, version 3.
 const OLDER: &[u8] = &[
-    3, 1, 2, b'n', b'1', 9, 1, b'a', 1, 2, 0, 0, 2, 0, 1, 1, 11, b'1', b'2', b'7', b'.', b'0', b'.', b'0',
-    b'.', b'1', b':', b'7', 101, 0,
+    3, 1, 2, b'n', b'1', 9, 1, b'a', 1, 2, 0, 0, 2, 0, 1, 1, 11, b'1', b'2', b'7', b'.', b'0',
+    b'.', b'0', b'.', b'1', b':', b'7', 101, 0,
 ];
 
 #[test]
 fn a_snapshot_of_an_older_keeper_is_one_without_policies() {
     let mut held: Held = Held::read(OLDER).expect("it reads");
-    assert_eq!((held.record.version, held.record.changed, held.record.clock_ms), (3, 2, 0));
+    assert_eq!(
+        (
+            held.record.version,
+            held.record.changed,
+            held.record.clock_ms
+        ),
+        (3, 2, 0)
+    );
     assert_eq!(
         held.record.roster["n1"],
-        super::super::record::Member { boot: 9, zone: "a".into(), live: true, since: 2 }
+        super::super::record::Member {
+            boot: 9,
+            zone: "a".into(),
+            live: true,
+            since: 2
+        }
+    );
+    assert_eq!(
+        held.members[&1],
+        Member {
+            at: "127.0.0.1:7".into(),
+            incarnation: 101
+        }
     );
-    assert_eq!(held.members[&1], Member { at: "127.0.0.1:7".into(), incarnation: 101 });
     assert_eq!(held.record.policies, Default::default());
     held.record.policies.turn = 7;
     assert_eq!(Held::read(&held.bytes()).expect("the newer form"), held);
--- a/src/keeper/leader.rs
+++ b/src/keeper/leader.rs
@@ -1,18 +1,22 @@
-//! What the leader alone does: sessions and their leases, evidence, shares of budgets. None of it outlives its term: the next
-//! leader begins anew, and whatever must not be told twice stands in the record first.
+//! What the leader alone does: sessions and their leases, evidence, shares of budgets. None of it
+//! outlives its term: the next leader begins anew, and whatever must not be told twice stands in
+//! the record first.
 //!
 //! # Leases
 //!
-//! An agent counts 98 in 100 of its lease from when it sent the word that was answered; the leader counts 102 in 100 from when it
-//! answers. A leader that was deposed and does not know it must not go on renewing for long: it renews only until [`Rules::sure_ms`]
-//! after the moment at which it proposed the last beat that the record has. What it proposed after its successor was elected is
-//! never there, so it renews nothing later than that after the election; its successor counts all leases of the record from its own
-//! start, and so much longer. So at no time does an agent count on a lease that the record has as lapsed.
+//! An agent counts 98 in 100 of its lease from when it sent the word that was answered; the leader
+//! counts 102 in 100 from when it answers. A leader that was deposed and does not know it must not
+//! go on renewing for long: it renews only until [`Rules::sure_ms`] after the moment at which it
+//! proposed the last beat that the record has. What it proposed after its successor was elected is
+//! never there, so it renews nothing later than that after the election; its successor counts all
+//! leases of the record from its own start, and so much longer. So at no time does an agent count
+//! on a lease that the record has as lapsed.
 //!
 //! # Orders
 //!
-//! One decision is out at a time. Each names the record's epoch that it was based on and is void where another one came before, so
-//! what holds for the decision (a destination keeps a route, not too many zones are out) holds for the record.
+//! One decision is out at a time. Each names the record's epoch that it was based on and is void
+//! where another one came before, so what holds for the decision (a destination keeps a route, not
+//! too many zones are out) holds for the record.
 
 use crate::keeper::policy::register::Change;
 use crate::keeper::policy::rollout::Roll;
@@ -42,7 +46,8 @@
 
 /// Zones are judged this often.
 const LOOK: Time = 100_000_000;
-/// What is proposed and does not come within this time may be proposed again: ten times what a slow disk takes.
+/// What is proposed and does not come within this time may be proposed again: ten times what a slow
+/// disk takes.
 const AGAIN: Time = 1_000_000_000;
 /// What a person hears whose order the record did not have in five times that.
 const UNAGREED: &str = "the keepers did not agree in 5 s; look at the status and say it again";
@@ -91,8 +96,9 @@
     tables: Option<Vec<(u64, Print)>>,
 }
 
-/// An order on the federation's record that does not show it yet, and when it was given. It is brought there once: what was void as something
-/// else ran must not come up again when that is over.
+/// An order on the federation's record that does not show it yet, and when it was given. It is
+/// brought there once: what was void as something else ran must not come up again when that is
+/// over.
 #[derive(Clone, Debug)]
 struct PendingTableOrder {
     connection: ConnectionId,
@@ -144,7 +150,8 @@
 }
 
 impl LeaderDuties {
-    /// Begins with nothing but the record. Leases that an earlier term gave may still run: all of them count as renewed now.
+    /// Begins with nothing but the record. Leases that an earlier term gave may still run: all of
+    /// them count as renewed now.
     pub fn new(rules: Rules, term: u64, now: Time, record: &Record) -> LeaderDuties {
         let mut duties = LeaderDuties {
             term,
@@ -172,14 +179,16 @@
             sure_until: 0,
             rules,
         };
-        let until = now + leader_side_lease(duties.rules.lease_ms.saturating_add(duties.rules.sure_ms));
+        let until =
+            now + leader_side_lease(duties.rules.lease_ms.saturating_add(duties.rules.sure_ms));
         for (sender, m) in record.roster.iter().filter(|(_, m)| m.live) {
             duties.add_session(sender, m.boot, &m.zone, None, until, 0);
         }
         duties
     }
 
-    /// Tells when this keeper saw a leader in office last, before it took over itself; nothing, where it never did.
+    /// Tells when this keeper saw a leader in office last, before it took over itself; nothing,
+    /// where it never did.
     pub fn led(mut self, now: Time, at: Option<Time>) -> LeaderDuties {
         (self.roll, self.switch) = (Roll::new(now, at), Switch::new(now, at));
         // The first beat counts the time between: nobody else does.
@@ -188,9 +197,18 @@
     }
 
     /// A command was applied to the record, which stands as given.
-    pub fn applied(&mut self, now: Time, index: u64, command: &Command, record: &Record, out: &mut Vec<Out>) {
+    pub fn applied(
+        &mut self,
+        now: Time,
+        index: u64,
+        command: &Command,
+        record: &Record,
+        out: &mut Vec<Out>,
+    ) {
         match command {
-            Command::Join { sender, boot, zone } => self.joined(now, (sender, *boot, zone), record, out),
+            Command::Join { sender, boot, zone } => {
+                self.joined(now, (sender, *boot, zone), record, out)
+            }
             Command::Lapse { sender, boot } => self.lapsed(sender, *boot, record),
             Command::Beat { term, beat, .. } => {
                 if *term == self.term {
@@ -202,25 +220,41 @@
                 self.deciding = self.deciding.filter(|(base, _)| *base >= record.epoch);
                 if record.changed == index {
                     self.follow(now, record);
-                    self.sessions.values_mut().for_each(|s| view(now, s, record, out));
+                    self.sessions
+                        .values_mut()
+                        .for_each(|s| view(now, s, record, out));
                 }
             }
             Command::Wish { .. } => {
-                let done = self.pending_orders.iter().position(|(_, c, _)| c == command);
+                let done = self
+                    .pending_orders
+                    .iter()
+                    .position(|(_, c, _)| c == command);
                 if let Some((connection, ..)) = done.and_then(|at| self.pending_orders.remove(at)) {
                     out.push(Out::Answer(connection, ToPerson::Done(index)));
                 }
                 self.looked = 0;
                 self.decide(now, record, out);
             }
-            Command::Slice { term, slice, zone, epoch, .. } => {
-                let stands = record.zones.get(zone).is_some_and(|z| z.slice == (*term, *slice));
+            Command::Slice {
+                term,
+                slice,
+                zone,
+                epoch,
+                ..
+            } => {
+                let stands = record
+                    .zones
+                    .get(zone)
+                    .is_some_and(|z| z.slice == (*term, *slice));
                 if *term == self.term && stands && record.zones[zone].epoch == *epoch {
                     self.cold.stands(zone, *slice);
                     self.send_grants(now, out);
                 }
             }
-            Command::Policy { change, .. } => self.changed_policies(now, index, change, record, out),
+            Command::Policy { change, .. } => {
+                self.changed_policies(now, index, change, record, out)
+            }
             Command::Table { change, .. } => {
                 self.switch.applied(now, index, change, record);
                 if record.tables.at == index {
@@ -231,7 +265,8 @@
         }
     }
 
-    /// The record has a beat of this term: leases may be renewed for some time after it was proposed.
+    /// The record has a beat of this term: leases may be renewed for some time after it was
+    /// proposed.
     fn beat_applied(&mut self, beat: u64) {
         while self.beats.front().is_some_and(|(n, _)| *n <= beat) {
             if let Some((_, at)) = self.beats.pop_front() {
@@ -247,13 +282,21 @@
             if now >= s.until {
                 // Said again each second, should it be lost; by then the session has no connection.
                 (s.lapsing, s.until) = (true, now + AGAIN);
-                out.push(Out::Propose(Command::Lapse { sender: sender.clone(), boot: s.boot }));
+                out.push(Out::Propose(Command::Lapse {
+                    sender: sender.clone(),
+                    boot: s.boot,
+                }));
             }
         }
         let sessions = &self.sessions;
-        self.connections.retain(|_, name| sessions.get(name).is_some_and(|s| !s.lapsing));
+        self.connections
+            .retain(|_, name| sessions.get(name).is_some_and(|s| !s.lapsing));
         self.joining.retain(|_, j| now < j.at + 2 * AGAIN);
-        while self.pending_orders.front().is_some_and(|(_, _, at)| now >= at + 5 * AGAIN) {
+        while self
+            .pending_orders
+            .front()
+            .is_some_and(|(_, _, at)| now >= at + 5 * AGAIN)
+        {
             if let Some((connection, ..)) = self.pending_orders.pop_front() {
                 out.push(Out::Answer(connection, ToPerson::Refused(UNAGREED.into())));
             }
@@ -263,9 +306,14 @@
             .partition(|a| now >= a.at + 5 * AGAIN);
         self.pending_policy_orders = waiting;
         for a in old {
-            out.push(Out::Answer(a.connection, ToPerson::Refused(UNAGREED.into())));
+            out.push(Out::Answer(
+                a.connection,
+                ToPerson::Refused(UNAGREED.into()),
+            ));
         }
-        self.deciding = self.deciding.filter(|(base, at)| *base == record.epoch && now < at + AGAIN);
+        self.deciding = self
+            .deciding
+            .filter(|(base, at)| *base == record.epoch && now < at + AGAIN);
         if now >= self.looked + LOOK {
             self.decide(now, record, out);
         }
@@ -291,11 +339,20 @@
             self.beats.pop_front();
         }
         self.beats.push_back((self.beat, now));
-        // A gap that nobody knows ends the lease in the federation: else a later leader would believe what is left of it.
+        // A gap that nobody knows ends the lease in the federation: else a later leader would
+        // believe what is left of it.
         let lease = record.tables.lease_ms.saturating_sub(record.clock_ms);
-        let gap = if std::mem::take(&mut self.unknown_gap) { lease } else { 0 };
+        let gap = if std::mem::take(&mut self.unknown_gap) {
+            lease
+        } else {
+            0
+        };
         let ms = passed.max(gap.min(u64::from(u32::MAX)) as u32);
-        out.push(Out::Propose(Command::Beat { term: self.term, beat: self.beat, ms }));
+        out.push(Out::Propose(Command::Beat {
+            term: self.term,
+            beat: self.beat,
+            ms,
+        }));
     }
 }
 
--- a/src/keeper/leader/announce.rs
+++ b/src/keeper/leader/announce.rs
@@ -9,7 +9,8 @@
 use crate::Time;
 
 impl LeaderDuties {
-    /// What a sender says of tables. What it has it says right behind its first word, before the record has its session.
+    /// What a sender says of tables. What it has it says right behind its first word, before the
+    /// record has its session.
     pub(super) fn hear_tables(
         &mut self,
         now: Time,
@@ -19,7 +20,10 @@
         out: &mut Vec<Out>,
     ) {
         let speaks = self.sender_on(connection);
-        let joining = self.joining.values_mut().find(|j| j.connection == connection);
+        let joining = self
+            .joining
+            .values_mut()
+            .find(|j| j.connection == connection);
         match (speaks, joining, word) {
             (Some(sender), ..) => {
                 let mut said = Vec::new();
@@ -35,16 +39,24 @@
         }
     }
 
-    /// The federation is known to stand so, or time has passed: to be told at each change and some ten times a second, and when the leader
-    /// begins, before a sender is heard. Nothing, where the site is in none.
-    pub fn federation(&mut self, now: Time, known: Option<Known>, record: &Record, out: &mut Vec<Out>) {
+    /// The federation is known to stand so, or time has passed: to be told at each change and some
+    /// ten times a second, and when the leader begins, before a sender is heard. Nothing, where the
+    /// site is in none.
+    pub fn federation(
+        &mut self,
+        now: Time,
+        known: Option<Known>,
+        record: &Record,
+        out: &mut Vec<Out>,
+    ) {
         self.known = known;
         self.tick_tables(now, record, out);
     }
 
     pub(super) fn tick_tables(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
         let mut said = Vec::new();
-        self.switch.tick(now, record, self.known.as_ref(), &mut said);
+        self.switch
+            .tick(now, record, self.known.as_ref(), &mut said);
         switched(record, said, out);
         let known = self.known.as_ref();
         self.pending_table_orders.retain_mut(|order| {
@@ -52,9 +64,9 @@
             let answer = match shows {
                 Some(Ok(version)) => ToPerson::Done(version),
                 Some(Err(why)) => ToPerson::Refused(why),
-                None if now >= order.at + 5 * AGAIN => {
-                    ToPerson::Refused("not agreed in 5 s; look at the status and say it again".into())
-                }
+                None if now >= order.at + 5 * AGAIN => ToPerson::Refused(
+                    "not agreed in 5 s; look at the status and say it again".into(),
+                ),
                 None => return true,
             };
             out.push(Out::Answer(order.connection, answer));
@@ -71,11 +83,14 @@
         offers: &mut usize,
         out: &mut Vec<Out>,
     ) {
-        let Some((connection, member)) = self.connection_of(sender).zip(record.roster.get(sender)) else {
+        let Some((connection, member)) = self.connection_of(sender).zip(record.roster.get(sender))
+        else {
             return;
         };
         self.roll
-            .say(now, sender, &member.zone, record, offers, &mut |word| out.push(Out::Say(connection, word)));
+            .say(now, sender, &member.zone, record, offers, &mut |word| {
+                out.push(Out::Say(connection, word))
+            });
     }
 
     /// The same of tables.
@@ -87,7 +102,9 @@
         offers: &mut usize,
         out: &mut Vec<Out>,
     ) {
-        let Some(connection) = self.connection_of(sender) else { return };
+        let Some(connection) = self.connection_of(sender) else {
+            return;
+        };
         let say = &mut |word| out.push(Out::Say(connection, ToAgent::Table(word)));
         self.switch.say(now, sender, record, offers, say);
     }
@@ -119,5 +136,8 @@
 
 /// A change of tables, based on the turn that stands.
 fn table(record: &Record, change: tables::Change) -> Command {
-    Command::Table { base: record.tables.turn, change: Box::new(change) }
+    Command::Table {
+        base: record.tables.turn,
+        change: Box::new(change),
+    }
 }
--- a/src/keeper/leader/decide.rs
+++ b/src/keeper/leader/decide.rs
@@ -1,4 +1,5 @@
-//! Which zone is left or returned to next, by the evidence and by what operators wish: one order at the most.
+//! Which zone is left or returned to next, by the evidence and by what operators wish: one order at
+//! the most.
 
 use super::capacity::{expected_load, share_of};
 use super::{LeaderDuties, Out};
@@ -17,16 +18,29 @@
 
 impl LeaderDuties {
     pub(super) fn follow(&mut self, now: Time, record: &Record) {
-        let back = record.zones.iter().filter(|(_, z)| z.phase == Phase::Returning);
+        let back = record
+            .zones
+            .iter()
+            .filter(|(_, z)| z.phase == Phase::Returning);
         let back = back.map(|(zone, z)| {
-            (zone.as_str(), z.epoch, z.out.iter().map(|(d, _)| *d).collect(), z.warm.as_slice())
+            (
+                zone.as_str(),
+                z.epoch,
+                z.out.iter().map(|(d, _)| *d).collect(),
+                z.warm.as_slice(),
+            )
         });
         self.cold.follow(now, back);
     }
 
     pub(super) fn reserve(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
-        for (zone, z) in record.zones.iter().filter(|(_, z)| z.phase == Phase::Returning) {
-            let (lists, evidence, headroom) = (&self.lists, &self.evidence, self.rules.zones.headroom);
+        for (zone, z) in record
+            .zones
+            .iter()
+            .filter(|(_, z)| z.phase == Phase::Returning)
+        {
+            let (lists, evidence, headroom) =
+                (&self.lists, &self.evidence, self.rules.zones.headroom);
             let listed = |dest| {
                 let (left, out) = (share_of(&z.left, dest), share_of(&z.out, dest));
                 // Those that are not listed any more get nothing.
@@ -40,7 +54,14 @@
             };
             if let Some((slice, calls, warm)) = self.cold.reserve(now, zone, listed) {
                 let (term, epoch, zone) = (self.term, z.epoch, zone.clone());
-                out.push(Out::Propose(Command::Slice { term, slice, zone, epoch, calls, warm }));
+                out.push(Out::Propose(Command::Slice {
+                    term,
+                    slice,
+                    zone,
+                    epoch,
+                    calls,
+                    warm,
+                }));
             }
         }
     }
@@ -52,13 +73,26 @@
         self.lists.settle();
         self.follow(now, record);
         let lists = &self.lists;
-        let is_out = |zone: &str| record.zones.get(zone).is_some_and(|z| z.phase != Phase::Used);
-        self.verdicts = self.evidence.judge(now, self.sessions.len(), |zone| lists.count(zone), is_out);
+        let is_out = |zone: &str| {
+            record
+                .zones
+                .get(zone)
+                .is_some_and(|z| z.phase != Phase::Used)
+        };
+        self.verdicts =
+            self.evidence
+                .judge(now, self.sessions.len(), |zone| lists.count(zone), is_out);
         let steps: BTreeMap<&String, Step> = record
             .zones
             .iter()
             .filter(|(_, z)| z.phase == Phase::Returning)
-            .map(|(zone, z)| (zone, self.cold.step(now, zone, wish(z.wish) == Some(ZoneWish::Hold))))
+            .map(|(zone, z)| {
+                (
+                    zone,
+                    self.cold
+                        .step(now, zone, wish(z.wish) == Some(ZoneWish::Hold)),
+                )
+            })
             .collect();
         if self.deciding.is_some() {
             return;
@@ -78,7 +112,10 @@
             log::info!("zone={zone} phase={phase:?} tries={tries} out={parts:?} why={why}");
             if phase == Phase::Left {
                 let rest = self.rest(&zone, record).into_iter();
-                for (dest, rest) in rest.filter(|(d, _)| share_of(&parts, *d) < 1.0).take(MOST_TOLD) {
+                for (dest, rest) in rest
+                    .filter(|(d, _)| share_of(&parts, *d) < 1.0)
+                    .take(MOST_TOLD)
+                {
                     let part = share_of(&parts, dest);
                     log::info!(
                         "zone={zone} destination={dest} is left by a part of {part}, as the rest is {rest:?}"
@@ -103,14 +140,24 @@
         if wish == Some(ZoneWish::Hold) {
             return None;
         }
-        // What is carried is a mean over so long; before it tells of the last order nothing follows from it.
-        let passed = record.clock_ms.saturating_sub(z.since_ms) >= u64::from(self.rules.zones.load_ms);
+        // What is carried is a mean over so long; before it tells of the last order nothing follows
+        // from it.
+        let passed =
+            record.clock_ms.saturating_sub(z.since_ms) >= u64::from(self.rules.zones.load_ms);
         let is_out = z.phase != Phase::Used && !self.cold.has_begun(zone);
         let grown = || {
             let out = self.grown(zone, z, record)?;
-            Some((zone.to_string(), Phase::Left, out, z.tries, "the rest bears more".to_string()))
+            Some((
+                zone.to_string(),
+                Phase::Left,
+                out,
+                z.tries,
+                "the rest bears more".to_string(),
+            ))
         };
-        let more = (passed && is_out && wish != Some(ZoneWish::Return)).then(grown).flatten();
+        let more = (passed && is_out && wish != Some(ZoneWish::Return))
+            .then(grown)
+            .flatten();
         more.or_else(|| self.moves(zone, z, step, record))
     }
 
@@ -118,7 +165,9 @@
     fn moves(&self, zone: &str, z: &Zone, step: Option<Step>, record: &Record) -> Option<Next> {
         let rules = &self.rules.zones;
         let passed = record.clock_ms.saturating_sub(z.since_ms);
-        let to = |phase, out, tries, why: &str| Some((zone.to_string(), phase, out, tries, why.to_string()));
+        let to = |phase, out, tries, why: &str| {
+            Some((zone.to_string(), phase, out, tries, why.to_string()))
+        };
         let wish = wish(z.wish);
         match z.phase {
             Phase::Used if wish == Some(ZoneWish::Leave) => {
@@ -135,7 +184,9 @@
                 let rested = passed >= rest.min(rules.most_rest_ms.into());
                 let listed = self.lists.count(zone) > 0;
                 match wish {
-                    Some(ZoneWish::Return) => to(Phase::Returning, z.out.clone(), z.tries, "a person's word"),
+                    Some(ZoneWish::Return) => {
+                        to(Phase::Returning, z.out.clone(), z.tries, "a person's word")
+                    }
                     _ if rested && listed => to(Phase::Returning, z.out.clone(), z.tries, "rested"),
                     _ => None,
                 }
@@ -147,15 +198,23 @@
         }
     }
 
-    /// The same for a zone that is being returned to, and stands as it is for `passed` milliseconds.
+    /// The same for a zone that is being returned to, and stands as it is for `passed`
+    /// milliseconds.
     fn returns(&self, zone: &str, z: &Zone, step: Step, passed: u64) -> Option<Next> {
         let rules = &self.rules.zones;
-        let to = |phase, out, tries, why: &str| Some((zone.to_string(), phase, out, tries, why.to_string()));
+        let to = |phase, out, tries, why: &str| {
+            Some((zone.to_string(), phase, out, tries, why.to_string()))
+        };
         let fails = matches!(self.verdicts.get(zone), Some(Verdict::Fails { .. }));
         match step {
             _ if wish(z.wish) == Some(ZoneWish::Return) => {}
             Step::Failed => {
-                return to(Phase::Left, z.left.clone(), z.tries.saturating_add(1), "the return failed")
+                return to(
+                    Phase::Left,
+                    z.left.clone(),
+                    z.tries.saturating_add(1),
+                    "the return failed",
+                )
             }
             // Senders that are in see it, and not by granted calls.
             _ if fails && self.cold.has_begun(zone) => {
@@ -165,26 +224,42 @@
             _ => {}
         }
         let out = self.still_out(zone, z, step);
-        // An order voids what was granted: those that have not answered yet have had their time with it.
-        let lags = z.out.iter().any(|(d, _)| self.cold.bears(zone, *d).is_none());
-        let gap = if lags { rules.within_ms.max(self.settle_ms()) } else { self.settle_ms() };
+        // An order voids what was granted: those that have not answered yet have had their time
+        // with it.
+        let lags = z
+            .out
+            .iter()
+            .any(|(d, _)| self.cold.bears(zone, *d).is_none());
+        let gap = if lags {
+            rules.within_ms.max(self.settle_ms())
+        } else {
+            self.settle_ms()
+        };
         let begun_ms = self.cold.begun_ms(zone, self.looked).unwrap_or(u64::MAX);
         if out == z.out || passed.min(begun_ms) < u64::from(gap) {
             None
         } else if out.is_empty() {
-            let why = if step == Step::Unwanted { "nobody calls there" } else { "warm" };
+            let why = if step == Step::Unwanted {
+                "nobody calls there"
+            } else {
+                "warm"
+            };
             to(Phase::Used, Vec::new(), z.tries.saturating_add(1), why)
         } else {
             to(Phase::Returning, out, z.tries, "it bears more")
         }
     }
 
-    /// The zone that evidence says to leave next, if there is one: where more fail, the one that most see.
+    /// The zone that evidence says to leave next, if there is one: where more fail, the one that
+    /// most see.
     fn next_to_leave(&self, record: &Record) -> Option<Next> {
-        let failing = self.verdicts.iter().filter_map(|(zone, verdict)| match verdict {
-            Verdict::Fails { seen_by, of } => Some((zone, *seen_by, *of)),
-            _ => None,
-        });
+        let failing = self
+            .verdicts
+            .iter()
+            .filter_map(|(zone, verdict)| match verdict {
+                Verdict::Fails { seen_by, of } => Some((zone, *seen_by, *of)),
+                _ => None,
+            });
         let mut failing: Vec<_> = failing.collect();
         failing.sort_by_key(|(_, seen_by, _)| std::cmp::Reverse(*seen_by));
         failing.into_iter().find_map(|(zone, seen_by, of)| {
@@ -194,7 +269,13 @@
             }
             let parts = self.may_leave(zone, record).ok()?;
             let why = format!("seen failing by {seen_by} of {of} senders");
-            Some((zone.clone(), Phase::Left, parts, known.map_or(0, |z| z.tries), why))
+            Some((
+                zone.clone(),
+                Phase::Left,
+                parts,
+                known.map_or(0, |z| z.tries),
+                why,
+            ))
         })
     }
 }
--- a/src/keeper/leader/orders.rs
+++ b/src/keeper/leader/orders.rs
@@ -12,8 +12,9 @@
 const MOST_WAITING: usize = 100;
 
 impl LeaderDuties {
-    /// An operator orders something over a connection; answered at once, or when the record has it. Of the status, what the leader does not
-    /// know (site, keepers) is left for the replica to fill in.
+    /// An operator orders something over a connection; answered at once, or when the record has it.
+    /// Of the status, what the leader does not know (site, keepers) is left for the replica to fill
+    /// in.
     pub fn order(
         &mut self,
         now: Time,
@@ -37,10 +38,17 @@
             FromPerson::Policies => ToPerson::Policies(Box::new(self.roll.status(now, record))),
             FromPerson::PastPolicies => ToPerson::PastPolicies(Roll::history(record)),
             FromPerson::Policy { number } => match record.policies.texts.get(number) {
-                Some(t) => ToPerson::Policy { number: *number, print: t.print, text: t.text.clone() },
+                Some(t) => ToPerson::Policy {
+                    number: *number,
+                    print: t.print,
+                    text: t.text.clone(),
+                },
                 None => ToPerson::Refused(format!("the record has no text of policy {number}")),
             },
-            FromPerson::Propose { .. } | FromPerson::Halt { .. } | FromPerson::Resume | FromPerson::Back => {
+            FromPerson::Propose { .. }
+            | FromPerson::Halt { .. }
+            | FromPerson::Resume
+            | FromPerson::Back => {
                 return self.order_policy(now, connection, word, record, out);
             }
             FromPerson::Table(word) => return self.order_table(now, connection, word, record, out),
@@ -67,18 +75,35 @@
         // What stands already is not written again.
         let same = match wish {
             ZoneWish::Free => word.is_none(),
-            _ => for_s == 0 && word == Some(Wish { what: wish, until_ms: 0 }),
+            _ => {
+                for_s == 0
+                    && word
+                        == Some(Wish {
+                            what: wish,
+                            until_ms: 0,
+                        })
+            }
         };
         if same {
             return Err(ToPerson::Done(record.version));
         }
         if self.pending_orders.len() >= MOST_WAITING {
-            return Err(ToPerson::Refused("too many orders wait; again in a second".into()));
+            return Err(ToPerson::Refused(
+                "too many orders wait; again in a second".into(),
+            ));
         }
         // The record's clock may be a beat behind.
-        let beat = if for_s == 0 { 0 } else { u64::from(self.rules.beat_ms) };
+        let beat = if for_s == 0 {
+            0
+        } else {
+            u64::from(self.rules.beat_ms)
+        };
         let for_ms = for_s.saturating_mul(1_000).saturating_add(beat);
-        Ok(Command::Wish { zone: zone.into(), wish, for_ms })
+        Ok(Command::Wish {
+            zone: zone.into(),
+            wish,
+            for_ms,
+        })
     }
 
     /// Why an order on a zone is not taken on.
@@ -114,14 +139,21 @@
             Ok(Some(change)) => {
                 out.push(policy(record, change.clone()));
                 let (word, base) = (word.clone(), record.policies.turn);
-                self.pending_policy_orders.push(PendingPolicyOrder { connection, word, base, change, at });
+                self.pending_policy_orders.push(PendingPolicyOrder {
+                    connection,
+                    word,
+                    base,
+                    change,
+                    at,
+                });
                 return;
             }
         };
         out.push(Out::Answer(connection, answer));
     }
 
-    /// An order on the federation and its table: answered at once, or when the federation's record shows it.
+    /// An order on the federation and its table: answered at once, or when the federation's record
+    /// shows it.
     fn order_table(
         &mut self,
         now: Time,
@@ -139,7 +171,11 @@
             (TableOrder::History, Some(known)) => ToPerson::PastTables(Switch::history(known)),
             (TableOrder::Status | TableOrder::History, None) => none(),
             (TableOrder::Text { number }, _) => match Switch::text(*number, record, known) {
-                Some((number, print, text)) => ToPerson::Table { number, print, text },
+                Some((number, print, text)) => ToPerson::Table {
+                    number,
+                    print,
+                    text,
+                },
                 None => ToPerson::Refused(format!("no text of table {number} is held")),
             },
             _ => match self.switch.order(word, record, known) {
@@ -150,7 +186,11 @@
                 }
                 Ok(Some(command)) => {
                     out.push(Out::Federation(command.clone()));
-                    self.pending_table_orders.push(PendingTableOrder { connection, command, at: now });
+                    self.pending_table_orders.push(PendingTableOrder {
+                        connection,
+                        command,
+                        at: now,
+                    });
                     return;
                 }
             },
@@ -188,5 +228,8 @@
 
 /// A change of policies, based on the turn that stands.
 pub(super) fn policy(record: &Record, change: Change) -> Out {
-    Out::Propose(Command::Policy { base: record.policies.turn, change: Box::new(change) })
+    Out::Propose(Command::Policy {
+        base: record.policies.turn,
+        change: Box::new(change),
+    })
 }
--- a/src/keeper/leader/rules.rs
+++ b/src/keeper/leader/rules.rs
@@ -12,7 +12,8 @@
     pub lease_ms: u32,
     /// A leader shows the record that it is in office this often, in milliseconds.
     pub beat_ms: u32,
-    /// It renews leases for so long after a beat that the record has, in milliseconds: two beats and a slow disk.
+    /// It renews leases for so long after a beat that the record has, in milliseconds: two beats
+    /// and a slow disk.
     pub sure_ms: u32,
     /// Senders with a session, at the most.
     pub most_senders: usize,
@@ -23,7 +24,13 @@
 impl Default for Rules {
     fn default() -> Self {
         let zones = zones::Rules::default();
-        Rules { lease_ms: 3_000, beat_ms: 500, sure_ms: 1_500, most_senders: MOST_SENDERS, zones }
+        Rules {
+            lease_ms: 3_000,
+            beat_ms: 500,
+            sure_ms: 1_500,
+            most_senders: MOST_SENDERS,
+            zones,
+        }
     }
 }
 
@@ -32,17 +39,28 @@
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         if !(500..=60_000).contains(&self.lease_ms) {
-            faults.push(format!("rules.lease_ms: {} is not from 500 to 60000", self.lease_ms));
+            faults.push(format!(
+                "rules.lease_ms: {} is not from 500 to 60000",
+                self.lease_ms
+            ));
         }
         if !(100..=10_000).contains(&self.beat_ms) {
-            faults.push(format!("rules.beat_ms: {} is not from 100 to 10000", self.beat_ms));
+            faults.push(format!(
+                "rules.beat_ms: {} is not from 100 to 10000",
+                self.beat_ms
+            ));
         }
         if self.sure_ms < self.beat_ms.saturating_mul(2) || self.sure_ms > 60_000 {
-            faults.push(format!("rules.sure_ms: {} is not from two beats to 60000", self.sure_ms));
+            faults.push(format!(
+                "rules.sure_ms: {} is not from two beats to 60000",
+                self.sure_ms
+            ));
         }
         if !(1..=MOST_SENDERS).contains(&self.most_senders) {
             let most = self.most_senders;
-            faults.push(format!("rules.most_senders: {most} is not from 1 to {MOST_SENDERS}"));
+            faults.push(format!(
+                "rules.most_senders: {most} is not from 1 to {MOST_SENDERS}"
+            ));
         }
         faults.extend(self.zones.faults());
         faults
