--- a/src/keeper/leader/sessions.rs
+++ b/src/keeper/leader/sessions.rs
@@ -1,18 +1,22 @@
-//! Sessions of senders: how one begins, what an agent reports in it, how its lease is renewed, and how it ends.
+//! Sessions of senders: how one begins, what an agent reports in it, how its lease is renewed, and
+//! how it ends.
 
 use super::announce::switched;
 use super::orders::policy;
 use super::{leader_side_lease, ConnectionId, Joining, LeaderDuties, Out, Session, AGAIN};
 use crate::keeper::ears::OFFERS;
 use crate::keeper::record::{Command, Record};
-use crate::keeper::wire::{FromAgent, FromSender, Grant, Health, Listed, Print, Seen, ToAgent, Want};
+use crate::keeper::wire::{
+    FromAgent, FromSender, Grant, Health, Listed, Print, Seen, ToAgent, Want,
+};
 use crate::Time;
 
 /// Counts of a report that are read, at the most: 50 zones with 80 destinations.
 const MOST_SEEN: usize = 4_000;
 /// Reports a second of an agent.
 const REPORTS: f32 = 5.0;
-/// A sender's part of the traffic may be so many times the even one: a fifth of a fleet sees three to five times it, few see more.
+/// A sender's part of the traffic may be so many times the even one: a fifth of a fleet sees three
+/// to five times it, few see more.
 const UNEVEN: f32 = 20.0;
 
 /// What an agent reports.
@@ -51,8 +55,17 @@
         self.next_id = self.next_id.wrapping_add(1);
         self.names.insert(id, sender.into());
         self.evidence.meet(id, own);
-        let session =
-            Session { id, boot, connection, until, report: 0, owed: None, has, told: (0, 0), lapsing: false };
+        let session = Session {
+            id,
+            boot,
+            connection,
+            until,
+            report: 0,
+            owed: None,
+            has,
+            told: (0, 0),
+            lapsing: false,
+        };
         self.sessions.insert(sender.into(), session);
     }
 
@@ -76,17 +89,51 @@
         out: &mut Vec<Out>,
     ) {
         match word {
-            FromAgent::Open { sender, boot, zone, has, stored } => {
+            FromAgent::Open {
+                sender,
+                boot,
+                zone,
+                has,
+                stored,
+            } => {
                 let (boot, own, has, stored) = (*boot, zone, *has, stored.as_deref());
-                self.open(now, connection, Opens { sender, boot, own, has, stored }, record, out);
+                self.open(
+                    now,
+                    connection,
+                    Opens {
+                        sender,
+                        boot,
+                        own,
+                        has,
+                        stored,
+                    },
+                    record,
+                    out,
+                );
             }
-            FromAgent::Tell { report, has, seen, listed, wants, health } => {
+            FromAgent::Tell {
+                report,
+                has,
+                seen,
+                listed,
+                wants,
+                health,
+            } => {
                 let (listed, health) = (listed.as_deref(), health.as_slice());
-                let report = Report { number: *report, has: *has, seen, listed, wants, health };
+                let report = Report {
+                    number: *report,
+                    has: *has,
+                    seen,
+                    listed,
+                    wants,
+                    health,
+                };
                 self.report(now, connection, &report, record, out);
             }
             FromAgent::Stored { number, refused } => match self.sender_on(connection) {
-                Some(sender) => self.roll.stored(&sender, *number, refused.as_deref(), record),
+                Some(sender) => self
+                    .roll
+                    .stored(&sender, *number, refused.as_deref(), record),
                 None => out.push(Out::Say(connection, ToAgent::Unknown)),
             },
             FromAgent::Rules { turn } => match self.sender_on(connection) {
@@ -110,8 +157,14 @@
         record: &Record,
         out: &mut Vec<Out>,
     ) {
-        self.connections.get(&connection).into_iter().for_each(|name| self.switch.reports(name));
-        let known = self.connections.get(&connection).and_then(|name| self.sessions.get_mut(name));
+        self.connections
+            .get(&connection)
+            .into_iter()
+            .for_each(|name| self.switch.reports(name));
+        let known = self
+            .connections
+            .get(&connection)
+            .and_then(|name| self.sessions.get_mut(name));
         let Some(session) = known.filter(|s| !s.lapsing && s.connection == Some(connection)) else {
             out.push(Out::Say(connection, ToAgent::Unknown));
             return;
@@ -121,7 +174,10 @@
         if report.number > session.report {
             session.report = report.number;
             self.count(now, id, report);
-            let member = self.connections.get(&connection).and_then(|name| record.roster.get(name));
+            let member = self
+                .connections
+                .get(&connection)
+                .and_then(|name| record.roster.get(name));
             if let Some(member) = member {
                 self.roll.hear(now, &member.zone, report.health, record);
             }
@@ -138,13 +194,23 @@
         self.evidence.hear(now, id, seen, |zone, dest| {
             let listed = lists.route(zone, dest)?;
             let most = listed.rate as f32 / REPORTS * even.min(0.5);
-            Some(if most > 0.0 { most.max(1.0) } else { f32::INFINITY })
+            Some(if most > 0.0 {
+                most.max(1.0)
+            } else {
+                f32::INFINITY
+            })
         });
-        seen.iter().for_each(|s| self.cold.saw(now, id, &s.zone, s.dest, &s.counts));
+        seen.iter()
+            .for_each(|s| self.cold.saw(now, id, &s.zone, s.dest, &s.counts));
         if let Some(listed) = report.listed {
             self.lists.tell(id, listed);
         }
-        self.cold.want(now, id, report.number, &report.wants[..report.wants.len().min(MOST_SEEN)]);
+        self.cold.want(
+            now,
+            id,
+            report.number,
+            &report.wants[..report.wants.len().min(MOST_SEEN)],
+        );
     }
 
     /// An agent ends its session.
@@ -170,13 +236,22 @@
     ) {
         let until = now + leader_side_lease(self.rules.lease_ms);
         let joining = self.joining.get(sender).filter(|j| j.boot == boot).cloned();
-        if !record.roster.get(sender).is_some_and(|m| m.live && m.boot == boot) {
+        if !record
+            .roster
+            .get(sender)
+            .is_some_and(|m| m.live && m.boot == boot)
+        {
             // The roster is full of senders that live.
             self.joining.remove(sender);
-            joining.into_iter().for_each(|j| out.push(Out::Say(j.connection, ToAgent::Elsewhere(None))));
+            joining
+                .into_iter()
+                .for_each(|j| out.push(Out::Say(j.connection, ToAgent::Elsewhere(None))));
             return;
         }
-        let known = self.sessions.get(sender).filter(|s| s.boot == boot && !s.lapsing);
+        let known = self
+            .sessions
+            .get(sender)
+            .filter(|s| s.boot == boot && !s.lapsing);
         if known.is_none() {
             if let Some(old) = self.sessions.get(sender).and_then(|s| s.connection) {
                 self.connections.remove(&old);
@@ -202,14 +277,18 @@
     ) {
         let connection = joining.connection;
         let session = self.sessions.get_mut(sender);
-        session.into_iter().for_each(|s| (s.connection, s.has) = (Some(connection), joining.has));
+        session
+            .into_iter()
+            .for_each(|s| (s.connection, s.has) = (Some(connection), joining.has));
         self.connections.insert(connection, sender.clone());
-        self.roll.meet(sender, joining.boot, joining.stored.as_deref());
+        self.roll
+            .meet(sender, joining.boot, joining.stored.as_deref());
         self.switch.meet(sender, joining.boot);
         self.say_policies(now, sender, record, &mut { OFFERS }, out);
         if let Some(tables) = joining.tables {
             let mut said = Vec::new();
-            self.switch.hear(now, sender, &FromSender::Has(tables), record, &mut said);
+            self.switch
+                .hear(now, sender, &FromSender::Has(tables), record, &mut said);
             switched(record, said, out);
             self.say_tables(now, sender, record, &mut { OFFERS }, out);
         }
@@ -249,11 +328,27 @@
         record: &Record,
         out: &mut Vec<Out>,
     ) {
-        let Opens { sender, boot, own, has, stored } = opens;
-        let live = record.roster.get(sender).is_some_and(|m| m.live && m.boot == boot && m.zone == *own);
-        let session = self.sessions.get_mut(sender).filter(|s| live && s.boot == boot && !s.lapsing);
+        let Opens {
+            sender,
+            boot,
+            own,
+            has,
+            stored,
+        } = opens;
+        let live = record
+            .roster
+            .get(sender)
+            .is_some_and(|m| m.live && m.boot == boot && m.zone == *own);
+        let session = self
+            .sessions
+            .get_mut(sender)
+            .filter(|s| live && s.boot == boot && !s.lapsing);
         if let Some(session) = session {
-            if let Some(old) = session.connection.replace(connection).filter(|old| *old != connection) {
+            if let Some(old) = session
+                .connection
+                .replace(connection)
+                .filter(|old| *old != connection)
+            {
                 self.connections.remove(&old);
             }
             (session.has, session.told) = (has, (0, 0));
@@ -267,20 +362,37 @@
         }
         let full = self.sessions.len() + self.joining.len() >= self.rules.most_senders;
         if full && !self.sessions.contains_key(sender) && !self.joining.contains_key(sender) {
-            log::warn!("a sender finds no room sender={sender} most={}", self.rules.most_senders);
+            log::warn!(
+                "a sender finds no room sender={sender} most={}",
+                self.rules.most_senders
+            );
             out.push(Out::Say(connection, ToAgent::Elsewhere(None)));
             return;
         }
-        let waiting = self.joining.get(sender).filter(|j| j.boot == boot && now < j.at + AGAIN);
+        let waiting = self
+            .joining
+            .get(sender)
+            .filter(|j| j.boot == boot && now < j.at + AGAIN);
         let at = waiting.map_or(now, |j| j.at);
         if waiting.is_none() {
             // A lapse that came after this would end what begins now.
             let lapsing = self.sessions.get_mut(sender).filter(|s| s.lapsing);
             lapsing.into_iter().for_each(|s| s.until = now + 60 * AGAIN);
-            out.push(Out::Propose(Command::Join { sender: sender.clone(), boot, zone: own.clone() }));
+            out.push(Out::Propose(Command::Join {
+                sender: sender.clone(),
+                boot,
+                zone: own.clone(),
+            }));
         }
         let stored = stored.map(<[_]>::to_vec);
-        let joining = Joining { boot, connection, has, at, stored, tables: None };
+        let joining = Joining {
+            boot,
+            connection,
+            has,
+            at,
+            stored,
+            tables: None,
+        };
         self.joining.insert(sender.clone(), joining);
     }
 
@@ -294,8 +406,14 @@
         out: &mut Vec<Out>,
     ) {
         let sure = now < self.sure_until && !self.switch.bars(record);
-        let (lease_ms, until) = (self.rules.lease_ms, now + leader_side_lease(self.rules.lease_ms));
-        let Some(session) = self.connections.get(&connection).and_then(|name| self.sessions.get_mut(name))
+        let (lease_ms, until) = (
+            self.rules.lease_ms,
+            now + leader_side_lease(self.rules.lease_ms),
+        );
+        let Some(session) = self
+            .connections
+            .get(&connection)
+            .and_then(|name| self.sessions.get_mut(name))
         else {
             return;
         };
@@ -312,7 +430,10 @@
     pub(super) fn send_grants(&mut self, now: Time, out: &mut Vec<Out>) {
         let (names, sessions) = (&self.names, &self.sessions);
         self.cold.grant(now, |id, grant: Grant| {
-            let session = names.get(&id).and_then(|name| sessions.get(name)).filter(|s| !s.lapsing);
+            let session = names
+                .get(&id)
+                .and_then(|name| sessions.get(name))
+                .filter(|s| !s.lapsing);
             if let Some(connection) = session.and_then(|s| s.connection) {
                 out.push(Out::Say(connection, ToAgent::Grant(grant)));
             }
@@ -322,13 +443,18 @@
     /// A connection is gone; the session goes on until its lease lapses.
     pub fn hung_up(&mut self, connection: ConnectionId) {
         if let Some(name) = self.connections.remove(&connection) {
-            let session = self.sessions.get_mut(&name).filter(|s| s.connection == Some(connection));
+            let session = self
+                .sessions
+                .get_mut(&name)
+                .filter(|s| s.connection == Some(connection));
             session.into_iter().for_each(|s| s.connection = None);
         }
         self.joining.retain(|_, j| j.connection != connection);
         self.pending_orders.retain(|(l, ..)| *l != connection);
-        self.pending_policy_orders.retain(|a| a.connection != connection);
-        self.pending_table_orders.retain(|s| s.connection != connection);
+        self.pending_policy_orders
+            .retain(|a| a.connection != connection);
+        self.pending_table_orders
+            .retain(|s| s.connection != connection);
     }
 
     /// Answers what was owed until the leader is sure of itself.
@@ -337,17 +463,22 @@
             return;
         }
         let owed = self.sessions.values().filter(|s| !s.lapsing);
-        let owed: Vec<_> = owed.filter_map(|s| Some((s.connection?, s.owed?))).collect();
-        owed.iter().for_each(|(connection, report)| self.renew(now, *connection, *report, record, out));
+        let owed: Vec<_> = owed
+            .filter_map(|s| Some((s.connection?, s.owed?)))
+            .collect();
+        owed.iter()
+            .for_each(|(connection, report)| self.renew(now, *connection, *report, record, out));
     }
 }
 
-/// Says the record to a sender that lacks some of it; once, and again where it does not come to have it in half a second.
+/// Says the record to a sender that lacks some of it; once, and again where it does not come to
+/// have it in half a second.
 pub(super) fn view(now: Time, session: &mut Session, record: &Record, out: &mut Vec<Out>) {
     let (told, at) = session.told;
     let again = told < record.changed || told == 0 || now >= at + AGAIN / 2;
-    if let Some(connection) =
-        session.connection.filter(|_| !session.lapsing && again && record.is_news_to(session.has))
+    if let Some(connection) = session
+        .connection
+        .filter(|_| !session.lapsing && again && record.is_news_to(session.has))
     {
         session.told = (record.version, now);
         out.push(Out::Say(connection, ToAgent::View(record.view())));
--- a/src/keeper/leader/status.rs
+++ b/src/keeper/leader/status.rs
@@ -9,8 +9,13 @@
 impl LeaderDuties {
     pub(super) fn status(&self, record: &Record) -> Status {
         let live = record.roster.iter().filter(|(_, m)| m.live);
-        let senders = live.map(|(name, _)| (name.clone(), self.sessions.get(name).map_or(0, |s| s.has)));
-        let lapsed = record.roster.iter().filter(|(_, m)| !m.live).map(|(name, _)| name.clone());
+        let senders =
+            live.map(|(name, _)| (name.clone(), self.sessions.get(name).map_or(0, |s| s.has)));
+        let lapsed = record
+            .roster
+            .iter()
+            .filter(|(_, m)| !m.live)
+            .map(|(name, _)| name.clone());
         let mut lines: BTreeMap<String, (String, String)> = BTreeMap::new();
         for zone in self.lists.zones() {
             lines.insert(zone.into(), ("used".into(), String::new()));
@@ -24,7 +29,10 @@
                     format!("returning, nothing answers yet, {}", parts_line(&z.out))
                 }
                 (Phase::Returning, Some((low, high))) => {
-                    format!("returning, {low} to {high} in 100 warm, {}", parts_line(&z.out))
+                    format!(
+                        "returning, {low} to {high} in 100 warm, {}",
+                        parts_line(&z.out)
+                    )
                 }
             };
             let word = z.wish.map_or(String::new(), |w| {
@@ -48,7 +56,9 @@
                     format!("{seen_by} of {of} senders see it fail{why}")
                 }
             };
-            let line = lines.entry(zone.clone()).or_insert_with(|| ("used".into(), String::new()));
+            let line = lines
+                .entry(zone.clone())
+                .or_insert_with(|| ("used".into(), String::new()));
             let between = if line.1.is_empty() { "" } else { "; " };
             line.1.push_str(between);
             line.1.push_str(&seen);
@@ -58,7 +68,10 @@
             version: record.version,
             senders: senders.collect(),
             lapsed: lapsed.collect(),
-            zones: lines.into_iter().map(|(zone, (ordered, why))| (zone, ordered, why)).collect(),
+            zones: lines
+                .into_iter()
+                .map(|(zone, (ordered, why))| (zone, ordered, why))
+                .collect(),
             ..Status::default()
         }
     }
@@ -66,5 +79,9 @@
 
 fn parts_line(out: &[(u16, f32)]) -> String {
     let low = out.iter().map(|(_, part)| *part).fold(1.0, f32::min);
-    format!("for {} destinations by {:.0} in 100 senders or more", out.len(), low * 100.0)
+    format!(
+        "for {} destinations by {:.0} in 100 senders or more",
+        out.len(),
+        low * 100.0
+    )
 }
--- a/src/keeper/log.rs
+++ b/src/keeper/log.rs
@@ -1,13 +1,16 @@
-//! What a keeper writes down, on the project's own store, and what it holds of it in memory for the library.
+//! What a keeper writes down, on the project's own store, and what it holds of it in memory for the
+//! library.
 //!
-//! Two kinds of items. A [`Base`] is whole in itself: who this folder belongs to, term and vote, a snapshot and the entries
-//! behind it. A [`Batch`] is what came after: term and vote, and entries that replace all from the first one's place on. Each is one
-//! frame of the store, and is synced before the next is written, so what is found after any stop is a base and an unbroken run of
-//! batches behind it, each whole; of the last one alone it may be open whether it is there, and nobody was told of that. When a base
-//! is synced, all that is older is over.
+//! Two kinds of items. A [`Base`] is whole in itself: who this folder belongs to, term and vote, a
+//! snapshot and the entries behind it. A [`Batch`] is what came after: term and vote, and entries
+//! that replace all from the first one's place on. Each is one frame of the store, and is synced
+//! before the next is written, so what is found after any stop is a base and an unbroken run of
+//! batches behind it, each whole; of the last one alone it may be open whether it is there, and
+//! nobody was told of that. When a base is synced, all that is older is over.
 //!
-//! What is found at a start was perhaps written and never synced: it would be lost by a power cut after it was believed. So the
-//! first thing that a keeper writes is a base of what it found; until that is synced it says nothing.
+//! What is found at a start was perhaps written and never synced: it would be lost by a power cut
+//! after it was believed. So the first thing that a keeper writes is a base of what it found; until
+//! that is synced it says nothing.
 
 use crate::store::disk::Disk;
 use crate::store::frame;
@@ -23,8 +26,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The form of what is written. The second one has policies behind the record in a snapshot, the third routing tables behind those;
-/// older ones are read as well, and become the third with the next snapshot.
+/// The form of what is written. The second one has policies behind the record in a snapshot, the
+/// third routing tables behind those; older ones are read as well, and become the third with the
+/// next snapshot.
 const FORM: u16 = 3;
 /// The oldest form that is read.
 const OLDEST: u16 = 1;
@@ -36,7 +40,8 @@
 const ASIDE_MOST: u64 = 2560 * 1024;
 /// Segments that a base may add for what is set aside with it.
 const GROWTH: usize = 8;
-/// Entries that stay in memory behind a snapshot, so that a keeper that is a little behind needs no snapshot.
+/// Entries that stay in memory behind a snapshot, so that a keeper that is a little behind needs no
+/// snapshot.
 const TRAIL: usize = 512;
 
 /// Whose folder it is.
@@ -64,7 +69,11 @@
 impl Hard {
     /// As the library has it.
     pub fn of(state: &HardState) -> Hard {
-        Hard { term: state.term, vote: state.vote, commit: state.commit }
+        Hard {
+            term: state.term,
+            vote: state.vote,
+            commit: state.commit,
+        }
     }
 }
 
@@ -133,11 +142,27 @@
 impl Base {
     /// What a folder begins with.
     pub fn new(identity: Identity, index: u64, voters: Vec<u64>, held: Vec<u8>) -> Base {
-        // A group that begins has a snapshot of nothing as its first entry, so that whoever joins later is sent one.
-        let hard = Hard { term: index, vote: 0, commit: index };
+        // A group that begins has a snapshot of nothing as its first entry, so that whoever joins
+        // later is sent one.
+        let hard = Hard {
+            term: index,
+            vote: 0,
+            commit: index,
+        };
         let (held, term) = (ByteBuf::from(held), index);
         let (known, entries) = (BTreeMap::new(), Vec::new());
-        Base { form: FORM, identity, begun: false, known, hard, index, term, voters, held, entries }
+        Base {
+            form: FORM,
+            identity,
+            begun: false,
+            known,
+            hard,
+            index,
+            term,
+            voters,
+            held,
+            entries,
+        }
     }
 
     /// The same without what is large.
@@ -156,8 +181,20 @@
     /// The same place, as it stands in memory.
     pub fn of(&self, shelf: &Shelf, voters: Vec<u64>, held: Vec<u8>, index: u64) -> Base {
         let (entries, term) = (shelf.after(index), shelf.term(index).unwrap_or(self.term));
-        let hard = Hard { commit: shelf.hard.commit.max(index), ..Hard::of(&shelf.hard) };
-        Base { form: FORM, hard, index, term, voters, held: ByteBuf::from(held), entries, ..self.clone() }
+        let hard = Hard {
+            commit: shelf.hard.commit.max(index),
+            ..Hard::of(&shelf.hard)
+        };
+        Base {
+            form: FORM,
+            hard,
+            index,
+            term,
+            voters,
+            held: ByteBuf::from(held),
+            entries,
+            ..self.clone()
+        }
     }
 }
 
@@ -230,7 +267,11 @@
 struct Asis;
 
 impl Items for Asis {
-    fn snapshot(&self, _: u64, old: &mut dyn FnMut() -> io::Result<Vec<u8>>) -> io::Result<Vec<u8>> {
+    fn snapshot(
+        &self,
+        _: u64,
+        old: &mut dyn FnMut() -> io::Result<Vec<u8>>,
+    ) -> io::Result<Vec<u8>> {
         old()
     }
 }
@@ -275,10 +316,19 @@
 }
 
 impl Keep {
-    /// Opens a folder that may hold `limit` bytes, and gives what stands in it; nothing, where it is empty.
-    pub fn open(disk: Arc<dyn Disk>, limit: u64, seed: u64) -> Result<(Keep, Option<Base>), Unusable> {
+    /// Opens a folder that may hold `limit` bytes, and gives what stands in it; nothing, where it
+    /// is empty.
+    pub fn open(
+        disk: Arc<dyn Disk>,
+        limit: u64,
+        seed: u64,
+    ) -> Result<(Keep, Option<Base>), Unusable> {
         let mut found = Found::default();
-        let options = Options { limit, seed, synced: true };
+        let options = Options {
+            limit,
+            seed,
+            synced: true,
+        };
         let size = |f: &Found, no: u64| f.pieces.get(&no).map_or(0, |p| frame::size(p.1));
         let opened = Log::open(disk, options, None, &mut found, size)?;
         if !opened.damage.is_empty() {
@@ -292,7 +342,17 @@
         let over = found.pieces.keys().copied().collect();
         let base = whole(found.pieces.into_values().map(|p| p.0)).map_err(Unusable::Damaged)?;
         let (start, batches) = (Instant::now(), Vec::new());
-        Ok((Keep { log: opened.log, start, base: None, batches, over, behind: 0 }, base))
+        Ok((
+            Keep {
+                log: opened.log,
+                start,
+                base: None,
+                batches,
+                over,
+                behind: 0,
+            },
+            base,
+        ))
     }
 
     /// Writes something down and returns when it outlasts the machine.
@@ -300,8 +360,8 @@
         let later = |e: &dyn std::fmt::Display| Unsaved::Later(e.to_string());
         let data = postcard::to_stdvec(piece).map_err(|e| later(&e))?;
         let len = frame::size(data.len());
-        // Room for the next base is set aside with each, so that a file system which others have filled stops neither
-        // that nor, with it, the end of what is old.
+        // Room for the next base is set aside with each, so that a file system which others have
+        // filled stops neither that nor, with it, the end of what is old.
         let aside = |len: u64| (3 * (len + COMPACT_AT.max(len))).min(ASIDE_MOST);
         if let (Piece::Base(_), Some((no, len))) = (piece, self.base) {
             self.log.resize(no, len);
@@ -317,7 +377,11 @@
                     self.log.resize(no, aside(len));
                 }
                 let too_long = matches!(e, Refused::TooLong);
-                return Err(if too_long { Unsaved::Broken(e.to_string()) } else { later(&e) });
+                return Err(if too_long {
+                    Unsaved::Broken(e.to_string())
+                } else {
+                    later(&e)
+                });
             }
         };
         self.sync()?;
@@ -326,7 +390,10 @@
                 self.batches.push(no);
                 self.behind += len;
                 // What was set aside is there for it.
-                if self.base.is_some_and(|(_, base)| self.behind <= 2 * COMPACT_AT.max(base)) {
+                if self
+                    .base
+                    .is_some_and(|(_, base)| self.behind <= 2 * COMPACT_AT.max(base))
+                {
                     self.log.resize(no, 1);
                 }
             }
@@ -335,7 +402,8 @@
                 self.over.append(&mut self.batches);
                 (self.base, self.behind) = (Some((no, len)), 0);
                 self.log.resize(no, aside(len));
-                // What is set aside has to be there; where the file system gives no more, half of what is left is.
+                // What is set aside has to be there; where the file system gives no more, half of
+                // what is left is.
                 for _ in 0..GROWTH {
                     let _ = self.log.tend(self.now(), &Asis);
                 }
@@ -381,27 +449,38 @@
 
     /// Whether a new base should be written.
     pub fn wants_base(&self) -> bool {
-        self.base.is_some_and(|(_, len)| self.behind > len.max(COMPACT_AT))
+        self.base
+            .is_some_and(|(_, len)| self.behind > len.max(COMPACT_AT))
     }
 }
 
-/// Puts the newest base and what stands behind it together; nothing, where there is no base. Tells what is wrong with it.
+/// Puts the newest base and what stands behind it together; nothing, where there is no base. Tells
+/// what is wrong with it.
 pub fn whole(pieces: impl Iterator<Item = Piece>) -> Result<Option<Base>, String> {
     let mut told: Option<Base> = None;
     for piece in pieces {
         match (piece, &mut told) {
             (Piece::Base(base), _) if !(OLDEST..=FORM).contains(&base.form) => {
-                return Err(format!("it has form {}, this program knows {OLDEST} to {FORM}", base.form))
+                return Err(format!(
+                    "it has form {}, this program knows {OLDEST} to {FORM}",
+                    base.form
+                ))
             }
             (Piece::Base(base), told) => *told = Some(*base),
             // Older than the base, and not yet noted as over.
             (Piece::Batch(_), None) => {}
             (Piece::Batch(batch), Some(base)) => {
-                let mut all = Batch { hard: base.hard, entries: std::mem::take(&mut base.entries) };
+                let mut all = Batch {
+                    hard: base.hard,
+                    entries: std::mem::take(&mut base.entries),
+                };
                 all.merge(batch);
                 (base.hard, base.entries) = (all.hard, all.entries);
-                let unbroken =
-                    base.entries.iter().zip(base.index + 1..).all(|(line, index)| line.index == index);
+                let unbroken = base
+                    .entries
+                    .iter()
+                    .zip(base.index + 1..)
+                    .all(|(line, index)| line.index == index);
                 if !unbroken {
                     return Err("entries are missing".into());
                 }
@@ -427,25 +506,42 @@
     pub fn new(base: &Base) -> Result<Shelf, String> {
         let mut hard = HardState::default();
         (hard.term, hard.vote, hard.commit) = (base.hard.term, base.hard.vote, base.hard.commit);
-        let conf = ConfState { voters: base.voters.clone(), ..ConfState::default() };
-        let read = base.entries.iter().cloned().map(Line::entry).collect::<Option<_>>();
+        let conf = ConfState {
+            voters: base.voters.clone(),
+            ..ConfState::default()
+        };
+        let read = base
+            .entries
+            .iter()
+            .cloned()
+            .map(Line::entry)
+            .collect::<Option<_>>();
         let entries = read.ok_or("an entry of a kind that is not known")?;
         let before = (base.index, base.term);
-        let mut shelf = Shelf { hard, conf, snapshot: Snapshot::default(), before, entries };
+        let mut shelf = Shelf {
+            hard,
+            conf,
+            snapshot: Snapshot::default(),
+            before,
+            entries,
+        };
         shelf.set_snapshot(base.index, base.term, base.held.to_vec());
         Ok(shelf)
     }
 
     fn set_snapshot(&mut self, index: u64, term: u64, data: Vec<u8>) {
-        let mut snapshot = Snapshot { data: data.into(), ..Snapshot::default() };
+        let mut snapshot = Snapshot {
+            data: data.into(),
+            ..Snapshot::default()
+        };
         let meta = snapshot.mut_metadata();
         (meta.index, meta.term) = (index, term);
         meta.set_conf_state(self.conf.clone());
         self.snapshot = snapshot;
     }
 
-    /// Who votes has changed, by the entry of this place. A keeper refuses a snapshot that does not count it as a voter, so the
-    /// one that is sent from now on is of this place; no entry goes.
+    /// Who votes has changed, by the entry of this place. A keeper refuses a snapshot that does not
+    /// count it as a voter, so the one that is sent from now on is of this place; no entry goes.
     pub fn set_conf(&mut self, conf: ConfState, index: u64, data: Vec<u8>) {
         self.conf = conf;
         if let Ok(term) = self.term(index) {
@@ -471,7 +567,8 @@
     /// Entries that replace all from the first one's place on.
     pub fn append(&mut self, entries: &[Entry]) {
         if let Some(first) = entries.first() {
-            self.entries.truncate(first.index.saturating_sub(self.before.0 + 1) as usize);
+            self.entries
+                .truncate(first.index.saturating_sub(self.before.0 + 1) as usize);
             self.entries.extend(entries.iter().cloned());
         }
     }
@@ -481,14 +578,20 @@
         let Ok(term) = self.term(index) else { return };
         self.set_snapshot(index, term, data);
         while self.entries.get(TRAIL).is_some_and(|e| e.index <= index) {
-            let Some(first) = self.entries.pop_front() else { break };
+            let Some(first) = self.entries.pop_front() else {
+                break;
+            };
             self.before = (first.index, first.term);
         }
     }
 
     /// Entries behind a place.
     fn after(&self, index: u64) -> Vec<Line> {
-        self.entries.iter().filter(|e| e.index > index).map(Line::of).collect()
+        self.entries
+            .iter()
+            .filter(|e| e.index > index)
+            .map(Line::of)
+            .collect()
     }
 
     fn last(&self) -> u64 {
@@ -528,8 +631,14 @@
         if index == meta.index {
             return Ok(meta.term);
         }
-        let at = index.checked_sub(self.before.0 + 1).ok_or(StorageError::Compacted)?;
-        Ok(self.entries.get(at as usize).ok_or(StorageError::Unavailable)?.term)
+        let at = index
+            .checked_sub(self.before.0 + 1)
+            .ok_or(StorageError::Compacted)?;
+        Ok(self
+            .entries
+            .get(at as usize)
+            .ok_or(StorageError::Unavailable)?
+            .term)
     }
 
     fn first_index(&self) -> raft::Result<u64> {
--- a/src/keeper/policy/document.rs
+++ b/src/keeper/policy/document.rs
@@ -1,6 +1,8 @@
-//! A policy: what may change in a sender while it runs. Nothing in it belongs to one machine (addresses, folders, memory, descriptors).
+//! A policy: what may change in a sender while it runs. Nothing in it belongs to one machine
+//! (addresses, folders, memory, descriptors).
 //!
-//! What a policy does not name stays as the sender's own settings say, so that policies do not add up: each lies over those alone.
+//! What a policy does not name stays as the sender's own settings say, so that policies do not add
+//! up: each lies over those alone.
 
 use crate::config::{Door, Name};
 use crate::core::hook::Hook;
@@ -17,8 +19,8 @@
 use toml::de::{DeTable, DeValue};
 use toml::Table;
 
-/// Longest policy, in bytes of its text. It has to fit into a command of the record (64 KiB) beside its plan, and a snapshot of 1 MiB
-/// has to hold eight of them beside ten thousand senders.
+/// Longest policy, in bytes of its text. It has to fit into a command of the record (64 KiB) beside
+/// its plan, and a snapshot of 1 MiB has to hold eight of them beside ten thousand senders.
 pub const MOST_TEXT: usize = 32 * 1024;
 /// Classes that a policy may name: four times as many as any site that is played has.
 const MOST_CLASSES: usize = 64;
@@ -40,7 +42,8 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.line.map_or(Ok(()), |line| write!(f, "line {line}: "))?;
+        self.line
+            .map_or(Ok(()), |line| write!(f, "line {line}: "))?;
         if self.setting.is_empty() {
             f.write_str(&self.problem)
         } else {
@@ -162,8 +165,8 @@
     pub late_worth: Option<f64>,
 }
 
-/// The door's limits; names and meanings as in an operator's file. Its ranges are judged by [`Door::faults`], over the whole door
-/// that comes of them.
+/// The door's limits; names and meanings as in an operator's file. Its ranges are judged by
+/// [`Door::faults`], over the whole door that comes of them.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
@@ -199,7 +202,8 @@
     /// Part of the room that only known clients' messages may take.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub known_room: Option<f64>,
-    /// Part of the room up to which a class is taken on; classes that are not named stay as they are.
+    /// Part of the room up to which a class is taken on; classes that are not named stay as they
+    /// are.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub class_room: Option<BTreeMap<String, f64>>,
     /// How long the quickest message may stay before less is held, in milliseconds.
@@ -209,18 +213,18 @@
 
 fn from_to(low: f64, high: f64) -> impl FnOnce(&Option<f64>, &()) -> garde::Result {
     move |value, ()| match value {
-        Some(value) if !(low..=high).contains(value) => {
-            Err(garde::Error::new(format!("{value} is not from {low} to {high}")))
-        }
+        Some(value) if !(low..=high).contains(value) => Err(garde::Error::new(format!(
+            "{value} is not from {low} to {high}"
+        ))),
         _ => Ok(()),
     }
 }
 
 fn in_time(deadline: &Option<u64>) -> impl FnOnce(&Option<u64>, &()) -> garde::Result + '_ {
     move |promise, ()| match (promise, deadline) {
-        (Some(promise), Some(deadline)) if promise > deadline => {
-            Err(garde::Error::new(format!("{promise} is later than its deadline_ms, {deadline}")))
-        }
+        (Some(promise), Some(deadline)) if promise > deadline => Err(garde::Error::new(format!(
+            "{promise} is later than its deadline_ms, {deadline}"
+        ))),
         _ => Ok(()),
     }
 }
@@ -240,11 +244,18 @@
     pub fn parse(text: &str) -> Result<Document, Vec<Fault>> {
         let table = Text::read(text, MOST_TEXT)?;
         let mut faults = Vec::new();
-        let mut document = Document { lines: table.lines.clone(), ..Document::default() };
+        let mut document = Document {
+            lines: table.lines.clone(),
+            ..Document::default()
+        };
         for (key, value) in &table.values {
             match (key.as_str(), value) {
-                ("limits", toml::Value::Table(t)) => document.limits = table.fields(key, t, &mut faults),
-                ("door", toml::Value::Table(t)) => document.door = table.fields(key, t, &mut faults),
+                ("limits", toml::Value::Table(t)) => {
+                    document.limits = table.fields(key, t, &mut faults)
+                }
+                ("door", toml::Value::Table(t)) => {
+                    document.door = table.fields(key, t, &mut faults)
+                }
                 ("class", toml::Value::Table(classes)) => {
                     for (name, terms) in classes {
                         let at = format!("class.{name}");
@@ -265,7 +276,12 @@
         }
         faults.extend(table.judged(&document));
         // Of the door's faults those count that no sender's own settings could mend.
-        let own: Vec<String> = document.door.class_room.iter().flat_map(|m| m.keys().cloned()).collect();
+        let own: Vec<String> = document
+            .door
+            .class_room
+            .iter()
+            .flat_map(|m| m.keys().cloned())
+            .collect();
         let mut door = document.door.over(&Door::default());
         // Somebody may be known to the sender's own door.
         door.known_names.push(String::new());
@@ -290,20 +306,29 @@
             names.sort();
             names.dedup();
         }
-        self.door.class_room = self.door.class_room.take().filter(|classes| !classes.is_empty());
-        self.class
-            .retain(|_, terms| !matches!(serde_json::to_value(terms), Ok(Value::Object(o)) if o.is_empty()));
+        self.door.class_room = self
+            .door
+            .class_room
+            .take()
+            .filter(|classes| !classes.is_empty());
+        self.class.retain(
+            |_, terms| !matches!(serde_json::to_value(terms), Ok(Value::Object(o)) if o.is_empty()),
+        );
     }
 
-    /// The one form of all texts that mean the same: JSON without blanks, fields in the order of their declaration, classes by name,
-    /// nothing that is not set.
+    /// The one form of all texts that mean the same: JSON without blanks, fields in the order of
+    /// their declaration, classes by name, nothing that is not set.
     pub fn canonical(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
     /// The print of that.
     pub fn print(&self) -> Print {
-        Sha256::new().chain_update(KIND).chain_update(self.canonical()).finalize().into()
+        Sha256::new()
+            .chain_update(KIND)
+            .chain_update(self.canonical())
+            .finalize()
+            .into()
     }
 
     /// Its settings, each by its path, as JSON.
@@ -315,7 +340,9 @@
                         "" => key.clone(),
                         path => format!("{path}.{key}"),
                     };
-                    fields.iter().for_each(|(key, value)| under(&at(key), value, into));
+                    fields
+                        .iter()
+                        .for_each(|(key, value)| under(&at(key), value, into));
                 }
                 other => _ = into.insert(path.into(), other.to_string()),
             }
@@ -326,12 +353,14 @@
         settings
     }
 
-    /// What is another in the later one, by setting: its name, what it was and what it is, as JSON; nothing where it is not said.
+    /// What is another in the later one, by setting: its name, what it was and what it is, as JSON;
+    /// nothing where it is not said.
     pub fn diff(&self, later: &Document) -> Vec<Difference> {
         differences(&self.settings(), &later.settings())
     }
 
-    /// What a sender goes by under it, by its own settings, the names of its classes and its door. Its hook is [`Document::hook`].
+    /// What a sender goes by under it, by its own settings, the names of its classes and its door.
+    /// Its hook is [`Document::hook`].
     ///
     /// # Errors
     /// All for which this sender cannot go by it.
@@ -343,7 +372,12 @@
     ) -> Result<(Settings, Door), Vec<Fault>> {
         let mut settings = own.clone();
         let mut faults = Vec::new();
-        let Limits { slots, room, max_attempts, max_retry_after_ms } = self.limits;
+        let Limits {
+            slots,
+            room,
+            max_attempts,
+            max_retry_after_ms,
+        } = self.limits;
         settings.slots = slots.unwrap_or(own.slots);
         settings.room = room.unwrap_or(own.room);
         settings.max_attempts = max_attempts.unwrap_or(own.max_attempts);
@@ -355,11 +389,13 @@
                     terms.lay_over(class);
                     if class.aim > class.deadline {
                         let (aim, deadline) = (class.aim / MS, class.deadline / MS);
-                        let problem = format!("wanted within {aim} ms, but given up after {deadline} ms");
+                        let problem =
+                            format!("wanted within {aim} ms, but given up after {deadline} ms");
                         faults.push(self.fault(&format!("class.{name}"), problem));
                     }
                 }
-                None => faults.push(self.fault(&format!("class.{name}"), "this sender has no such class")),
+                None => faults
+                    .push(self.fault(&format!("class.{name}"), "this sender has no such class")),
             }
         }
         if let Err(e) = Relay::new(settings.clone(), 0) {
@@ -378,7 +414,11 @@
     }
 
     fn fault(&self, setting: &str, problem: impl Into<String>) -> Fault {
-        Fault { line: line_of(&self.lines, setting), setting: setting.into(), problem: problem.into() }
+        Fault {
+            line: line_of(&self.lines, setting),
+            setting: setting.into(),
+            problem: problem.into(),
+        }
     }
 
     /// Faults as settings tell them, `name: problem`.
@@ -432,7 +472,8 @@
         door.known_room = self.known_room.or(own.known_room);
         door.target_ms = self.target_ms.or(own.target_ms);
         let classes = self.class_room.iter().flatten();
-        door.class_room.extend(classes.map(|(class, part)| (class.clone(), *part)));
+        door.class_room
+            .extend(classes.map(|(class, part)| (class.clone(), *part)));
         door
     }
 }
@@ -452,7 +493,9 @@
     is: &BTreeMap<String, String>,
 ) -> Vec<Difference> {
     let names: BTreeSet<&String> = was.keys().chain(is.keys()).collect();
-    let lines = names.into_iter().map(|n| (n.clone(), was.get(n).cloned(), is.get(n).cloned()));
+    let lines = names
+        .into_iter()
+        .map(|n| (n.clone(), was.get(n).cloned(), is.get(n).cloned()));
     lines.filter(|(_, was, is)| was != is).collect()
 }
 
@@ -479,10 +522,19 @@
     pub(in crate::keeper) fn read(text: &str, most: usize) -> Result<Text, Vec<Fault>> {
         if text.len() > most {
             let problem = format!("{} bytes; {most} may be", text.len());
-            return Err(vec![Fault { line: None, setting: String::new(), problem }]);
+            return Err(vec![Fault {
+                line: None,
+                setting: String::new(),
+                problem,
+            }]);
         }
-        let line_at =
-            |at: usize| text.as_bytes()[..at.min(text.len())].iter().filter(|b| **b == b'\n').count() + 1;
+        let line_at = |at: usize| {
+            text.as_bytes()[..at.min(text.len())]
+                .iter()
+                .filter(|b| **b == b'\n')
+                .count()
+                + 1
+        };
         let (read, wrong) = DeTable::parse_recoverable(text);
         if !wrong.is_empty() {
             let fault = |e: &toml::de::Error| Fault {
@@ -499,11 +551,18 @@
             setting: String::new(),
             problem: e.message().into(),
         };
-        Ok(Text { values: text.parse().map_err(|e| vec![whole(e)])?, lines })
+        Ok(Text {
+            values: text.parse().map_err(|e| vec![whole(e)])?,
+            lines,
+        })
     }
 
     pub(in crate::keeper) fn fault(&self, setting: &str, problem: impl Into<String>) -> Fault {
-        Fault { line: line_of(&self.lines, setting), setting: setting.into(), problem: problem.into() }
+        Fault {
+            line: line_of(&self.lines, setting),
+            setting: setting.into(),
+            problem: problem.into(),
+        }
     }
 
     /// Reads the fields of a table one by one: one that does not read hides none of the others.
@@ -517,7 +576,11 @@
         for (key, value) in told {
             let one = Table::from_iter([(key.clone(), value.clone())]);
             if let Err(e) = one.try_into::<T>() {
-                let setting = if at.is_empty() { key.clone() } else { format!("{at}.{key}") };
+                let setting = if at.is_empty() {
+                    key.clone()
+                } else {
+                    format!("{at}.{key}")
+                };
                 faults.push(self.fault(&setting, e.message().trim().replace('\n', "; ")));
                 good.remove(key);
             }
@@ -527,8 +590,15 @@
 
     /// What is wrong with values that read.
     pub(in crate::keeper) fn judged<T: Validate<Context = ()>>(&self, what: &T) -> Vec<Fault> {
-        let report = what.validate().err().map(garde::Report::into_inner).unwrap_or_default();
-        report.iter().map(|(path, e)| self.fault(&path.to_string(), e.message())).collect()
+        let report = what
+            .validate()
+            .err()
+            .map(garde::Report::into_inner)
+            .unwrap_or_default();
+        report
+            .iter()
+            .map(|(path, e)| self.fault(&path.to_string(), e.message()))
+            .collect()
     }
 }
 
@@ -539,8 +609,11 @@
     lines: &mut BTreeMap<String, usize>,
 ) {
     for (key, value) in table {
-        let at =
-            if path.is_empty() { key.get_ref().to_string() } else { format!("{path}.{}", key.get_ref()) };
+        let at = if path.is_empty() {
+            key.get_ref().to_string()
+        } else {
+            format!("{path}.{}", key.get_ref())
+        };
         lines.insert(at.clone(), line_at(key.span().start));
         match value.get_ref() {
             DeValue::Table(inner) => walk(&at, inner, line_at, lines),
--- a/src/keeper/policy/document/tests.rs
+++ b/src/keeper/policy/document/tests.rs
@@ -26,7 +26,13 @@
         in_order: false,
     };
     let classes = vec![class(3_000), class(9_000)];
-    let settings = Settings { classes, slots: 8, room: 60, max_attempts: 12, ..Settings::default() };
+    let settings = Settings {
+        classes,
+        slots: 8,
+        room: 60,
+        max_attempts: 12,
+        ..Settings::default()
+    };
     (settings, vec!["quick".into(), "bulk".into()])
 }
 
@@ -49,14 +55,25 @@
         "line 14: door.known: 'nowhere' is neither",
         "line 15: door.rate_per_address: -1 is not",
     ] {
-        assert!(told.iter().any(|t| t.starts_with(named)), "{named}: {told:#?}");
+        assert!(
+            told.iter().any(|t| t.starts_with(named)),
+            "{named}: {told:#?}"
+        );
     }
-    assert!(told.iter().any(|t| t.contains("door.client_share")), "{told:#?}");
+    assert!(
+        told.iter().any(|t| t.contains("door.client_share")),
+        "{told:#?}"
+    );
     assert_eq!(told.len(), 11, "{told:#?}");
     let torn = Document::parse("[limits\nslots = = 3\n").expect_err("no TOML");
-    assert!(torn.iter().any(|f| f.line == Some(1)) && torn.iter().any(|f| f.line == Some(2)), "{torn:?}");
+    assert!(
+        torn.iter().any(|f| f.line == Some(1)) && torn.iter().any(|f| f.line == Some(2)),
+        "{torn:?}"
+    );
     let long = format!("hook = \"{}\"", "x".repeat(MOST_TEXT));
-    assert!(Document::parse(&long).expect_err("long")[0].problem.contains("may be"));
+    assert!(Document::parse(&long).expect_err("long")[0]
+        .problem
+        .contains("may be"));
 }
 
 #[test]
@@ -66,30 +83,58 @@
                  door.known = ['127.0.0.1', '10.1.0.0/16', '127.0.0.1/32']\ndoor.class_room.bulk = 0.5\n\
                  limits.slots = 0x28\nhook = 'fn ingress(message) { true }'\n";
     let other = Document::parse(other).expect("good");
-    assert_eq!((one.canonical(), one.print()), (other.canonical(), other.print()));
+    assert_eq!(
+        (one.canonical(), one.print()),
+        (other.canonical(), other.print())
+    );
     assert_eq!(one.diff(&other), vec![]);
-    let third =
-        Document::parse(&GOOD.replace("60_000", "60_001").replace("[limits]\nslots = 40", "")).expect("good");
+    let third = Document::parse(
+        &GOOD
+            .replace("60_000", "60_001")
+            .replace("[limits]\nslots = 40", ""),
+    )
+    .expect("good");
     assert_ne!(one.print(), third.print());
-    let changed: Vec<String> = one.diff(&third).iter().map(|(name, ..)| name.clone()).collect();
+    let changed: Vec<String> = one
+        .diff(&third)
+        .iter()
+        .map(|(name, ..)| name.clone())
+        .collect();
     assert_eq!(changed, ["class.bulk.deadline_ms", "limits.slots"]);
     // A print never changes: senders and keepers of different programs compare it.
     let shown = data_encoding::HEXLOWER.encode(&Document::default().print());
-    assert_eq!(shown, "716ee05c4854b1d7952c6a504e987d9410c861f1764bf02249dd2a92ef60c90c");
+    assert_eq!(
+        shown,
+        "716ee05c4854b1d7952c6a504e987d9410c861f1764bf02249dd2a92ef60c90c"
+    );
 }
 
 #[test]
 fn it_lies_over_own_settings_and_says_nothing_of_the_rest() {
     let (own, classes) = own();
     let policy = Document::parse(GOOD).expect("good");
-    let own_door = Door { per_address: Some(7), ..Door::default() };
+    let own_door = Door {
+        per_address: Some(7),
+        ..Door::default()
+    };
     let (settings, door) = policy.lay_over(&own, &classes, &own_door).expect("usable");
-    assert_eq!((settings.slots, settings.room, settings.max_attempts), (40, 60, 12));
+    assert_eq!(
+        (settings.slots, settings.room, settings.max_attempts),
+        (40, 60, 12)
+    );
     let bulk = &settings.classes[1];
-    assert_eq!((bulk.aim, bulk.deadline, bulk.effect), (9_000 * MS, 60_000 * MS, Effect::Token));
+    assert_eq!(
+        (bulk.aim, bulk.deadline, bulk.effect),
+        (9_000 * MS, 60_000 * MS, Effect::Token)
+    );
     assert_eq!(settings.classes[0].deadline, 16_000 * MS);
-    assert_eq!((door.per_address, door.known.len(), door.class_room["bulk"]), (Some(7), 2, 0.5));
-    let (same, _) = Document::default().lay_over(&own, &classes, &own_door).expect("nothing changes");
+    assert_eq!(
+        (door.per_address, door.known.len(), door.class_room["bulk"]),
+        (Some(7), 2, 0.5)
+    );
+    let (same, _) = Document::default()
+        .lay_over(&own, &classes, &own_door)
+        .expect("nothing changes");
     assert_eq!(format!("{same:?}"), format!("{own:?}"));
 }
 
@@ -98,7 +143,9 @@
     let (own, classes) = own();
     let text = "[class.quick]\ndeadline_ms = 1000\n[class.odd]\npoints = 2.0\n[door]\nreserve = 3\nclass_room = { rare = 0.5 }\n";
     let policy = Document::parse(text).expect("good as such");
-    let faults = policy.lay_over(&own, &classes, &Door::default()).expect_err("not here");
+    let faults = policy
+        .lay_over(&own, &classes, &Door::default())
+        .expect_err("not here");
     let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
     for named in [
         "line 1: class.quick: wanted within 3000 ms",
@@ -106,10 +153,15 @@
         "line 6: door.reserve: nobody",
         "line 7: door.class_room: settings",
     ] {
-        assert!(told.iter().any(|t| t.starts_with(named)), "{named}: {told:#?}");
+        assert!(
+            told.iter().any(|t| t.starts_with(named)),
+            "{named}: {told:#?}"
+        );
     }
     assert_eq!(told.len(), 4, "{told:#?}");
     let none = Settings { slots: 0, ..own };
-    let faults = Document::default().lay_over(&none, &classes, &Door::default()).expect_err("no slots");
+    let faults = Document::default()
+        .lay_over(&none, &classes, &Door::default())
+        .expect_err("no slots");
     assert_eq!(faults[0].setting, "limits.slots");
 }
--- a/src/keeper/policy/health.rs
+++ b/src/keeper/policy/health.rs
@@ -1,31 +1,39 @@
 //! Whether a stage is worse for its policy, from counts that senders report.
 //!
-//! **What is compared.** A stage, from when it went over, with the zones that have not, in the same seconds; less what it was worse by
-//! before, and a standard error of that. The last stage has nothing left to be compared with at the same time: it is compared with what it was itself, less what the
-//! other zones got worse by meanwhile. So what strikes both moves nothing. By class and tenant, in the last 10 s, the last minute and all
-//! since the change: what begins later is not drowned in what was well before.
+//! **What is compared.** A stage, from when it went over, with the zones that have not, in the same
+//! seconds; less what it was worse by before, and a standard error of that. The last stage has
+//! nothing left to be compared with at the same time: it is compared with what it was itself, less
+//! what the other zones got worse by meanwhile. So what strikes both moves nothing. By class and
+//! tenant, in the last 10 s, the last minute and all since the change: what begins later is not
+//! drowned in what was well before.
 //!
-//! **Shares** are bad ends of messages that were taken on, not of ends: a message that fails takes longer than one that is delivered, and
-//! one that is refused ends at once; as a share of ends the first seconds would look like nothing else. So a stage looks better than it is
-//! for as long as its messages last, never worse.
+//! **Shares** are bad ends of messages that were taken on, not of ends: a message that fails takes
+//! longer than one that is delivered, and one that is refused ends at once; as a share of ends the
+//! first seconds would look like nothing else. So a stage looks better than it is for as long as
+//! its messages last, never worse.
 //!
-//! **When it is enough.** A stage is over only when what was seen of it rules out that it is worse by [`sees`](super::plan::Health::sees) (in
-//! one of thirty looks wrongly): each class and tenant in the last minute, all together also in the last 10 s. Until then there are too
-//! few messages to judge. So a policy that is worse by that much does not pass its first stage, however little comes there.
+//! **When it is enough.** A stage is over only when what was seen of it rules out that it is worse
+//! by [`sees`](super::plan::Health::sees) (in one of thirty looks wrongly): each class and tenant
+//! in the last minute, all together also in the last 10 s. Until then there are too few messages to
+//! judge. So a policy that is worse by that much does not pass its first stage, however little
+//! comes there.
 //!
-//! **How sure.** Bounds of a share are Chernoff's by relative entropy, which hold for any number of messages and far out in the tails,
-//! where those of the normal law don't. Counts are widened by how much more neighbouring spans differ than chance alone lets them (ends of
-//! messages come in heaps); the largest such step is left out, as a policy that turns worse makes one. All looks, classes, tenants, shares
-//! and spans of a stage share one [`ERROR`] (Bonferroni).
+//! **How sure.** Bounds of a share are Chernoff's by relative entropy, which hold for any number of
+//! messages and far out in the tails, where those of the normal law don't. Counts are widened by
+//! how much more neighbouring spans differ than chance alone lets them (ends of messages come in
+//! heaps); the largest such step is left out, as a policy that turns worse makes one. All looks,
+//! classes, tenants, shares and spans of a stage share one [`ERROR`] (Bonferroni).
 
 use super::plan::{Bounds, Plan};
 use crate::keeper::wire;
 use crate::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// An equal policy is taken for worse in one of so many stages, at the most, over all that is looked at.
+/// An equal policy is taken for worse in one of so many stages, at the most, over all that is
+/// looked at.
 const ERROR: f64 = 1e-3;
-/// What two groups differed by before is drawn to nothing by so many messages: a few say little of it.
+/// What two groups differed by before is drawn to nothing by so many messages: a few say little of
+/// it.
 const DRAWN: f64 = 2.0;
 /// Length of a span.
 pub const SPAN: Time = 2_000_000_000;
@@ -35,12 +43,15 @@
 const LOOKS: [u64; 2] = [5, 30];
 /// Shares that are looked at.
 const SHARES: usize = 5;
-/// A stage that is worse by [`super::plan::Health::sees`] is let pass in one look of so many, at the most.
+/// A stage that is worse by [`super::plan::Health::sees`] is let pass in one look of so many, at
+/// the most.
 const MISSED: f64 = 30.0;
-/// Steps between neighbouring spans without which nobody knows how much they differ by chance, and what is taken for it until then.
+/// Steps between neighbouring spans without which nobody knows how much they differ by chance, and
+/// what is taken for it until then.
 const STEPS: usize = 8;
 const UNKNOWN: f64 = 3.0;
-/// Classes and tenants of all stages, at the most; what comes beyond is counted in the sum of its stage alone.
+/// Classes and tenants of all stages, at the most; what comes beyond is counted in the sum of its
+/// stage alone.
 const GROUPS: usize = 2_000;
 /// A class and tenant with this part of the messages has to be judged before a stage is over.
 const PART: f64 = 0.02;
@@ -71,7 +82,14 @@
     fn of(h: &wire::Health) -> Sum {
         let [taken, late, refused, failed, turned_away] =
             [h.taken, h.late, h.refused, h.failed, h.turned_away].map(u64::from);
-        Sum { came: taken + turned_away, taken, late, refused, failed, turned_away }
+        Sum {
+            came: taken + turned_away,
+            taken,
+            late,
+            refused,
+            failed,
+            turned_away,
+        }
     }
 
     /// The bad ones, and of how many.
@@ -88,10 +106,22 @@
     }
 }
 
-const NAMES: [&str; SHARES] = ["not delivered in time", "delivered late", "refused", "failed", "turned away"];
+const NAMES: [&str; SHARES] = [
+    "not delivered in time",
+    "delivered late",
+    "refused",
+    "failed",
+    "turned away",
+];
 
 fn bound(bounds: &Bounds, which: usize) -> f64 {
-    [bounds.delivered, bounds.late, bounds.refused, bounds.failed, bounds.turned_away][which]
+    [
+        bounds.delivered,
+        bounds.late,
+        bounds.refused,
+        bounds.failed,
+        bounds.turned_away,
+    ][which]
 }
 
 /// Spans of a class and tenant in a stage.
@@ -121,12 +151,19 @@
 
     fn between(&self, from: u64, to: u64) -> Sum {
         let mut sum = Sum::default();
-        self.spans.iter().filter(|(n, _)| (from..to).contains(n)).for_each(|(_, s)| sum.add(s));
+        self.spans
+            .iter()
+            .filter(|(n, _)| (from..to).contains(n))
+            .for_each(|(_, s)| sum.add(s));
         sum
     }
 
     fn at(&self, span: u64) -> Sum {
-        self.spans.iter().rev().find(|(n, _)| *n == span).map_or(Sum::default(), |s| s.1)
+        self.spans
+            .iter()
+            .rev()
+            .find(|(n, _)| *n == span)
+            .map_or(Sum::default(), |s| s.1)
     }
 }
 
@@ -150,7 +187,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     rings: BTreeMap<(usize, Group), Ring>,
-    /// The first span that is all after the change of the stage that is looked at, and what was before it.
+    /// The first span that is all after the change of the stage that is looked at, and what was
+    /// before it.
     from: u64,
     before: BTreeMap<(usize, Group), Sum>,
 }
@@ -172,35 +210,53 @@
         *self = Health::default();
     }
 
-    /// A sender that stands in this stage reports. In stages that went over only what was taken on under the policy counts.
+    /// A sender that stands in this stage reports. In stages that went over only what was taken on
+    /// under the policy counts.
     pub fn hear(&mut self, now: Time, stage: usize, only: Option<u64>, told: &[wire::Health]) {
         let span = now / SPAN;
-        let told = told.iter().take(LINES).filter(|line| !line.class.is_empty());
+        let told = told
+            .iter()
+            .take(LINES)
+            .filter(|line| !line.class.is_empty());
         for line in told.filter(|line| only.is_none_or(|policy| line.policy == policy)) {
             let sum = Sum::of(line);
-            self.rings.entry((stage, all())).or_default().add(span, self.from, &sum);
+            self.rings
+                .entry((stage, all()))
+                .or_default()
+                .add(span, self.from, &sum);
             let key = (stage, (line.class.clone(), line.tenant));
             if self.rings.len() < GROUPS || self.rings.contains_key(&key) {
-                self.rings.entry(key).or_default().add(span, self.from, &sum);
+                self.rings
+                    .entry(key)
+                    .or_default()
+                    .add(span, self.from, &sum);
             }
         }
     }
 
-    /// A stage goes over to its policy, or is looked at anew: what was before is what it is compared with.
+    /// A stage goes over to its policy, or is looked at anew: what was before is what it is
+    /// compared with.
     pub fn change(&mut self, now: Time, anew: bool) {
         let span = now / SPAN;
         if !anew {
             let first = span.saturating_sub(LOOKS[1]);
-            self.before =
-                self.rings.iter().map(|(key, ring)| (key.clone(), ring.between(first, span))).collect();
+            self.before = self
+                .rings
+                .iter()
+                .map(|(key, ring)| (key.clone(), ring.between(first, span)))
+                .collect();
         }
         self.from = span + 1;
-        self.rings.values_mut().for_each(|ring| ring.since = Sum::default());
+        self.rings
+            .values_mut()
+            .for_each(|ring| ring.since = Sum::default());
     }
 
     /// Messages that came to a stage since.
     pub fn came(&self, stage: usize) -> u64 {
-        self.rings.get(&(stage, all())).map_or(0, |ring| ring.since.came)
+        self.rings
+            .get(&(stage, all()))
+            .map_or(0, |ring| ring.since.came)
     }
 
     /// Sums of a class and tenant over some stages.
@@ -244,7 +300,9 @@
             for (which, name) in NAMES.iter().enumerate() {
                 let heaped = self.heaped(&view.own, &view.others, group, which, view.span);
                 for long in LOOKS.iter().map(|n| Some(*n)).chain([None]) {
-                    let Some(seen) = view.look(group, which, heaped, long) else { continue };
+                    let Some(seen) = view.look(group, which, heaped, long) else {
+                        continue;
+                    };
                     let bound = bound(&bounds, which);
                     if seen.own.low(sure) > seen.like.high(sure) + seen.more + bound {
                         return Verdict::Worse(format!(
@@ -255,13 +313,18 @@
                             name,
                             seen.like.part() * 100.0,
                             seen.like.of,
-                            if view.last { "there before" } else { "in zones not yet touched" },
+                            if view.last {
+                                "there before"
+                            } else {
+                                "in zones not yet touched"
+                            },
                             (view.span - seen.start) * SPAN / 1_000_000_000,
                         ));
                     }
-                    // All together are looked at in a short span, each class and tenant in a minute.
-                    let counts =
-                        long == Some(LOOKS[1]) || long.is_none() && view.span - seen.start <= LOOKS[1];
+                    // All together are looked at in a short span, each class and tenant in a
+                    // minute.
+                    let counts = long == Some(LOOKS[1])
+                        || long.is_none() && view.span - seen.start <= LOOKS[1];
                     let counts = counts || group.0.is_empty() && long.is_some();
                     let most = seen.like.part() + seen.more + bound + plan.health.sees;
                     let high = seen.own.high(MISSED.ln());
@@ -281,8 +344,15 @@
         few.map_or(Verdict::Well, Verdict::TooFew)
     }
 
-    /// What a stage lacks of messages, of each class and tenant that has a part of them elsewhere or had one before.
-    fn few(&self, view: &View<'_>, stage: usize, plan: &Plan, groups: &BTreeSet<&Group>) -> Option<String> {
+    /// What a stage lacks of messages, of each class and tenant that has a part of them elsewhere
+    /// or had one before.
+    fn few(
+        &self,
+        view: &View<'_>,
+        stage: usize,
+        plan: &Plan,
+        groups: &BTreeSet<&Group>,
+    ) -> Option<String> {
         let came = self.came(stage);
         if came < u64::from(plan.least) {
             return Some(format!("{came} messages of {}", plan.least));
@@ -296,7 +366,14 @@
     }
 
     /// By how much neighbouring spans differ more than chance lets them, at least 1.
-    fn heaped(&self, own: &[usize], others: &[usize], group: &Group, which: usize, span: u64) -> f64 {
+    fn heaped(
+        &self,
+        own: &[usize],
+        others: &[usize],
+        group: &Group,
+        which: usize,
+        span: u64,
+    ) -> f64 {
         let first = span.saturating_sub(SPANS as u64);
         let mut steps = Vec::new();
         let mut last: Option<(f64, f64)> = None;
@@ -359,14 +436,21 @@
 }
 
 impl View<'_> {
-    /// A share in the last so many spans, or in all since the change; nothing where there are not so many, or nothing to compare with.
+    /// A share in the last so many spans, or in all since the change; nothing where there are not
+    /// so many, or nothing to compare with.
     fn look(&self, group: &Group, which: usize, heaped: f64, long: Option<u64>) -> Option<Seen> {
         let (health, from) = (self.health, self.health.from);
         let start = match long {
             Some(n) => Some(self.span.saturating_sub(n)).filter(|start| *start > from)?,
             None => from.min(self.span),
         };
-        let of = |ring: &Ring| if long.is_some() { ring.between(start, self.span) } else { ring.since };
+        let of = |ring: &Ring| {
+            if long.is_some() {
+                ring.between(start, self.span)
+            } else {
+                ring.since
+            }
+        };
         let own = Share::of(&health.sum(&self.own, group, of), which, heaped);
         let others = Share::of(&health.sum(&self.others, group, of), which, heaped);
         let was = Share::of(&health.was(&self.own, group), which, heaped);
@@ -375,7 +459,12 @@
             true => (was, others.over(&others_were)),
             false => (others, was.over(&others_were)),
         };
-        (like.of > 0.0).then_some(Seen { own, like, more, start })
+        (like.of > 0.0).then_some(Seen {
+            own,
+            like,
+            more,
+            start,
+        })
     }
 
     /// Whether a class and tenant has a part of the messages where it is compared.
@@ -399,7 +488,11 @@
 impl Share {
     fn of(sum: &Sum, which: usize, heaped: f64) -> Share {
         let (bad, of) = sum.share(which);
-        Share { bad, of, worth: of / heaped }
+        Share {
+            bad,
+            of,
+            worth: of / heaped,
+        }
     }
 
     fn part(&self) -> f64 {
@@ -410,7 +503,8 @@
         }
     }
 
-    /// By how much it is over another one, and one standard error more: so much is no surprise later. Nothing where nobody looked.
+    /// By how much it is over another one, and one standard error more: so much is no surprise
+    /// later. Nothing where nobody looked.
     fn over(&self, other: &Share) -> f64 {
         if self.of == 0.0 || other.of == 0.0 {
             return 0.0;
@@ -453,7 +547,13 @@
 
 /// How little a share that is seen as `p` speaks for `q` (relative entropy of two coins).
 fn entropy(p: f64, q: f64) -> f64 {
-    let term = |p: f64, q: f64| if p <= 0.0 { 0.0 } else { p * (p / q.max(1e-300)).ln() };
+    let term = |p: f64, q: f64| {
+        if p <= 0.0 {
+            0.0
+        } else {
+            p * (p / q.max(1e-300)).ln()
+        }
+    };
     term(p, q) + term(1.0 - p, 1.0 - q)
 }
 
--- a/src/keeper/policy/plan.rs
+++ b/src/keeper/policy/plan.rs
@@ -1,18 +1,21 @@
-//! How a policy is rolled out: which zones go together and in which order, how long each stage is watched, and what halts it.
+//! How a policy is rolled out: which zones go together and in which order, how long each stage is
+//! watched, and what halts it.
 
 use super::document::{Fault, Text};
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest plan, in bytes of its text: 200 zones with names of 64 bytes, and what stands round them.
+/// Longest plan, in bytes of its text: 200 zones with names of 64 bytes, and what stands round
+/// them.
 pub const MOST_TEXT: usize = 16 * 1024;
 /// Stages, at the most. What is seen of each is held apart.
 pub const MOST_STAGES: usize = 16;
 /// Longest name of a zone, in bytes, as in a sender's file.
 const NAME: usize = 64;
 
-/// A plan. Zones that it does not name cannot be left out: each zone of the site stands in exactly one stage.
+/// A plan. Zones that it does not name cannot be left out: each zone of the site stands in exactly
+/// one stage.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
@@ -20,13 +23,15 @@
     /// The stages, in order.
     #[garde(length(min = 1, max = MOST_STAGES), dive)]
     pub stage: Vec<Stage>,
-    /// Each stage is watched for so long before it, in seconds: what is seen then says what its zones are like without the policy.
+    /// Each stage is watched for so long before it, in seconds: what is seen then says what its
+    /// zones are like without the policy.
     #[garde(range(max = 3_600))]
     pub watch_s: u32,
     /// And for so long after it.
     #[garde(range(min = 1, max = 86_400))]
     pub soak_s: u32,
-    /// It halts where too few messages came to judge it in this time. Nothing says four times `soak_s`.
+    /// It halts where too few messages came to judge it in this time. Nothing says four times
+    /// `soak_s`.
     #[garde(range(min = 1, max = 345_600))]
     pub most_soak_s: Option<u32>,
     /// So few messages of a stage are too few to judge it by.
@@ -35,8 +40,9 @@
     /// A sender that does not say in this time whether it can go by the policy ends the rollout.
     #[garde(range(min = 1, max = 3_600))]
     pub offer_s: u32,
-    /// A stage's senders take nothing on for so long at the most, in milliseconds, until the keepers give the change up for now.
-    /// Senders hold messages for 300 ms; the rest is for the word to come.
+    /// A stage's senders take nothing on for so long at the most, in milliseconds, until the
+    /// keepers give the change up for now. Senders hold messages for 300 ms; the rest is for the
+    /// word to come.
     #[garde(range(min = 20, max = 250))]
     pub pause_ms: u32,
     /// What halts it.
@@ -68,7 +74,8 @@
     /// Part of a stage's senders that may lapse in it.
     #[garde(custom(share))]
     pub lapsed: f64,
-    /// A stage is watched until what is seen rules out that a share is worse by this much over its bound; 1 takes any for enough.
+    /// A stage is watched until what is seen rules out that a share is worse by this much over its
+    /// bound; 1 takes any for enough.
     #[garde(custom(share))]
     pub sees: f64,
 }
@@ -119,13 +126,24 @@
 
 impl Default for Bounds {
     fn default() -> Bounds {
-        Bounds { delivered: 0.02, late: 0.02, refused: 0.02, failed: 0.01, turned_away: 0.02 }
+        Bounds {
+            delivered: 0.02,
+            late: 0.02,
+            refused: 0.02,
+            failed: 0.01,
+            turned_away: 0.02,
+        }
     }
 }
 
 impl Default for Health {
     fn default() -> Health {
-        Health { all: Bounds::default(), class: BTreeMap::new(), lapsed: 0.25, sees: 0.1 }
+        Health {
+            all: Bounds::default(),
+            class: BTreeMap::new(),
+            lapsed: 0.25,
+            sees: 0.1,
+        }
     }
 }
 
@@ -176,7 +194,9 @@
                 }
             }
             Some(_) => faults.push(told.fault("stage", "is not a list of tables, [[stage]]")),
-            None => faults.push(told.fault("stage", "not set; each zone of the site stands in one")),
+            None => {
+                faults.push(told.fault("stage", "not set; each zone of the site stands in one"))
+            }
         }
         match health {
             Some(toml::Value::Table(t)) => plan.health = told.fields("health", &t, &mut faults),
@@ -185,7 +205,11 @@
         }
         if faults.is_empty() {
             faults = told.judged(&plan);
-            faults.extend(plan.twice().into_iter().map(|(at, why)| told.fault(&at, why)));
+            faults.extend(
+                plan.twice()
+                    .into_iter()
+                    .map(|(at, why)| told.fault(&at, why)),
+            );
         }
         if plan.most_soak_s.is_some_and(|most| most < plan.soak_s) {
             faults.push(told.fault("most_soak_s", format!("less than soak_s, {}", plan.soak_s)));
@@ -203,8 +227,15 @@
         let mut known = BTreeSet::new();
         let mut twice = Vec::new();
         for (n, stage) in self.stage.iter().enumerate() {
-            for zone in stage.zones.iter().filter(|zone| !known.insert(zone.as_str())) {
-                twice.push((format!("stage[{n}].zones"), format!("zone {zone:?} is named twice")));
+            for zone in stage
+                .zones
+                .iter()
+                .filter(|zone| !known.insert(zone.as_str()))
+            {
+                twice.push((
+                    format!("stage[{n}].zones"),
+                    format!("zone {zone:?} is named twice"),
+                ));
             }
         }
         twice
@@ -217,17 +248,26 @@
 
     /// The stage of a zone.
     pub fn stage_of(&self, zone: &str) -> Option<usize> {
-        self.stage.iter().position(|stage| stage.zones.iter().any(|z| z == zone))
+        self.stage
+            .iter()
+            .position(|stage| stage.zones.iter().any(|z| z == zone))
     }
 
     /// Longest soak, in seconds.
     pub fn most_soak(&self) -> u64 {
-        self.most_soak_s.map_or(4 * u64::from(self.soak_s), u64::from)
+        self.most_soak_s
+            .map_or(4 * u64::from(self.soak_s), u64::from)
     }
 
     /// The bounds of a class.
     pub fn bounds(&self, class: &str) -> Bounds {
-        let Bounds { delivered, late, refused, failed, turned_away } = self.health.all;
+        let Bounds {
+            delivered,
+            late,
+            refused,
+            failed,
+            turned_away,
+        } = self.health.all;
         let own = self.health.class.get(class).copied().unwrap_or_default();
         Bounds {
             delivered: own.delivered.unwrap_or(delivered),
--- a/src/keeper/policy/plan/tests.rs
+++ b/src/keeper/policy/plan/tests.rs
@@ -2,14 +2,22 @@
 
 #[test]
 fn a_plan_needs_no_more_than_its_stages() {
-    let plan = Plan::parse("[[stage]]\nzones = ['a']\n[[stage]]\nzones = ['b', 'c']\n").expect("good");
-    assert_eq!((plan.stage.len(), plan.stage_of("c"), plan.stage_of("d")), (2, Some(1), None));
+    let plan =
+        Plan::parse("[[stage]]\nzones = ['a']\n[[stage]]\nzones = ['b', 'c']\n").expect("good");
+    assert_eq!(
+        (plan.stage.len(), plan.stage_of("c"), plan.stage_of("d")),
+        (2, Some(1), None)
+    );
     assert_eq!((plan.most_soak(), plan.bounds("any").failed), (240, 0.01));
     let text =
         "soak_s = 5\n[[stage]]\nzones = ['a']\n[health.class.bulk]\nlate = 0.3\n[health.all]\nfailed = 0.1\n";
     let plan = Plan::parse(text).expect("good");
     assert_eq!(
-        (plan.bounds("bulk").late, plan.bounds("bulk").failed, plan.bounds("x").late),
+        (
+            plan.bounds("bulk").late,
+            plan.bounds("bulk").failed,
+            plan.bounds("x").late
+        ),
         (0.3, 0.1, 0.02)
     );
 }
@@ -17,14 +25,27 @@
 #[test]
 fn all_faults_are_told_by_line() {
     let text = "soak_s = 0\npause_ms = 'long'\nspeed = 1\n[[stage]]\nzones = []\n[[stage]]\nzone = 'a'\n[health]\nlapsed = 2.0\n";
-    let told: Vec<String> = Plan::parse(text).expect_err("bad").iter().map(Fault::to_string).collect();
-    for named in
-        ["line 2: pause_ms: invalid type", "line 3: speed: unknown field", "line 7: stage[1].zone: unknown"]
-    {
-        assert!(told.iter().any(|t| t.starts_with(named)), "{named}: {told:#?}");
+    let told: Vec<String> = Plan::parse(text)
+        .expect_err("bad")
+        .iter()
+        .map(Fault::to_string)
+        .collect();
+    for named in [
+        "line 2: pause_ms: invalid type",
+        "line 3: speed: unknown field",
+        "line 7: stage[1].zone: unknown",
+    ] {
+        assert!(
+            told.iter().any(|t| t.starts_with(named)),
+            "{named}: {told:#?}"
+        );
     }
     let text = "soak_s = 0\nmost_soak_s = 0\n[[stage]]\nzones = []\n[[stage]]\nzones = ['a', 'b', 'a']\n[health]\nlapsed = 2.0\n";
-    let told: Vec<String> = Plan::parse(text).expect_err("bad").iter().map(Fault::to_string).collect();
+    let told: Vec<String> = Plan::parse(text)
+        .expect_err("bad")
+        .iter()
+        .map(Fault::to_string)
+        .collect();
     let named = [
         "line 1: soak_s",
         "line 2: most_soak_s",
@@ -33,7 +54,12 @@
         "line 8: health.lapsed",
     ];
     for named in named {
-        assert!(told.iter().any(|t| t.starts_with(named)), "{named}: {told:#?}");
+        assert!(
+            told.iter().any(|t| t.starts_with(named)),
+            "{named}: {told:#?}"
+        );
     }
-    assert!(Plan::parse("").expect_err("none")[0].to_string().starts_with("stage: not set"));
+    assert!(Plan::parse("").expect_err("none")[0]
+        .to_string()
+        .starts_with("stage: not set"));
 }
--- a/src/keeper/policy/register.rs
+++ b/src/keeper/policy/register.rs
@@ -1,7 +1,9 @@
-//! What the record holds of policies: the register of each zone, texts, the rollout that runs, and those before.
+//! What the record holds of policies: the register of each zone, texts, the rollout that runs, and
+//! those before.
 //!
-//! Each change is based on a turn and is void where another one came first (compare and set). What it decides is therefore decided about
-//! the record as it stands. Nothing here reads a clock; times are the record's own.
+//! Each change is based on a turn and is void where another one came first (compare and set). What
+//! it decides is therefore decided about the record as it stands. Nothing here reads a clock; times
+//! are the record's own.
 
 use super::plan::Plan;
 use crate::keeper::cut;
@@ -9,7 +11,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Policies with their text, at the most: in force, rolled out, gone back to, and the last ones before.
+/// Policies with their text, at the most: in force, rolled out, gone back to, and the last ones
+/// before.
 pub const MOST_TEXTS: usize = 8;
 /// Rollouts that are over and told.
 pub const MOST_PAST: usize = 50;
@@ -82,7 +85,10 @@
 impl Rollout {
     /// Zones of the stage.
     pub fn zones(&self) -> &[String] {
-        self.plan.stage.get(self.stage as usize).map_or(&[], |stage| &stage.zones)
+        self.plan
+            .stage
+            .get(self.stage as usize)
+            .map_or(&[], |stage| &stage.zones)
     }
 
     /// Stages in which its policy is in force.
@@ -196,7 +202,8 @@
         self.texts.get(&number).map(|t| t.print)
     }
 
-    /// Applies a change that was based on this turn; void where another one came first, or where it does not fit.
+    /// Applies a change that was based on this turn; void where another one came first, or where it
+    /// does not fit.
     pub fn apply(&mut self, index: u64, clock_ms: u64, base: u64, change: &Change) {
         if base == self.turn && self.change(index, clock_ms, change).is_some() {
             (self.turn, self.at) = (self.turn + 1, index);
@@ -211,10 +218,21 @@
             return Err(format!("the record names {most_zones} zones at the most"));
         }
         // One more for it, and as many to go back to as its zones go by now.
-        let before: BTreeSet<u64> = plan.zones().map(|zone| self.register(zone).number).collect();
-        let kept = self.zones.values().map(|r| r.number).filter(|n| *n != 0).collect::<BTreeSet<u64>>().len();
+        let before: BTreeSet<u64> = plan
+            .zones()
+            .map(|zone| self.register(zone).number)
+            .collect();
+        let kept = self
+            .zones
+            .values()
+            .map(|r| r.number)
+            .filter(|n| *n != 0)
+            .collect::<BTreeSet<u64>>()
+            .len();
         if kept + 1 + before.len() > MOST_TEXTS {
-            return Err(format!("{kept} policies are in force at once; bring zones under one first"));
+            return Err(format!(
+                "{kept} policies are in force at once; bring zones under one first"
+            ));
         }
         Ok(())
     }
@@ -228,11 +246,20 @@
                 }
                 self.given += 1;
                 let number = self.given;
-                self.texts.insert(number, Text { print: *print, text: text.clone() });
+                self.texts.insert(
+                    number,
+                    Text {
+                        print: *print,
+                        text: text.clone(),
+                    },
+                );
                 self.rollout = Some(Rollout {
                     number,
                     to: plan.zones().map(|zone| (zone.clone(), number)).collect(),
-                    from: plan.zones().map(|zone| (zone.clone(), self.register(zone).number)).collect(),
+                    from: plan
+                        .zones()
+                        .map(|zone| (zone.clone(), self.register(zone).number))
+                        .collect(),
                     plan: plan.clone(),
                     at: index,
                     begun_ms: now,
@@ -242,7 +269,10 @@
                 self.last = None;
             }
             Change::Pause => {
-                let r = self.rollout.as_mut().filter(|r| r.step == Step::Ready && r.halted.is_none())?;
+                let r = self
+                    .rollout
+                    .as_mut()
+                    .filter(|r| r.step == Step::Ready && r.halted.is_none())?;
                 (r.step, r.at, r.since_ms) = (Step::Paused, index, now);
                 for zone in r.zones() {
                     let register = self.zones.entry(zone.clone()).or_default();
@@ -254,16 +284,27 @@
                 (r.step, r.tries, r.at, r.since_ms) = (Step::Soaking, 0, index, now);
                 for zone in r.zones() {
                     let number = r.to.get(zone).copied().unwrap_or_default();
-                    self.zones.insert(zone.clone(), Register { number, paused: false, turn });
+                    self.zones.insert(
+                        zone.clone(),
+                        Register {
+                            number,
+                            paused: false,
+                            turn,
+                        },
+                    );
                 }
             }
             Change::TakeBack { .. } => {
                 let r = self.rollout.as_mut().filter(|r| r.step == Step::Paused)?;
-                (r.step, r.tries, r.at, r.since_ms) = (Step::Ready, r.tries.saturating_add(1), index, now);
+                (r.step, r.tries, r.at, r.since_ms) =
+                    (Step::Ready, r.tries.saturating_add(1), index, now);
                 self.go_on(turn);
             }
             Change::Next => {
-                let r = self.rollout.as_mut().filter(|r| r.step == Step::Soaking && r.halted.is_none())?;
+                let r = self
+                    .rollout
+                    .as_mut()
+                    .filter(|r| r.step == Step::Soaking && r.halted.is_none())?;
                 if r.is_last() {
                     let r = self.rollout.take()?;
                     self.over(&r, now, "done");
@@ -274,7 +315,8 @@
             }
             Change::Halt { why } => {
                 let r = self.rollout.as_mut().filter(|r| r.halted.is_none())?;
-                (r.halted, r.halts, r.at) = (Some(cut(why, MOST_WHY)), r.halts.saturating_add(1), index);
+                (r.halted, r.halts, r.at) =
+                    (Some(cut(why, MOST_WHY)), r.halts.saturating_add(1), index);
                 if r.step == Step::Paused {
                     (r.step, r.since_ms) = (Step::Ready, now);
                     self.go_on(turn);
@@ -286,7 +328,10 @@
             }
             Change::Back { own } => self.back(index, now, own)?,
             Change::End { why } => {
-                let r = self.rollout.as_ref().filter(|r| r.in_force() == 0 && r.step == Step::Ready)?;
+                let r = self
+                    .rollout
+                    .as_ref()
+                    .filter(|r| r.in_force() == 0 && r.step == Step::Ready)?;
                 let r = r.clone();
                 self.over(&r, now, &cut(why, MOST_WHY));
                 self.rollout = None;
@@ -312,22 +357,37 @@
         self.last = None;
         self.go_on(turn);
         // One that is over is in force everywhere.
-        let stages = if running { r.in_force() } else { r.plan.stage.len() };
+        let stages = if running {
+            r.in_force()
+        } else {
+            r.plan.stage.len()
+        };
         if running {
-            let how = if stages == 0 { "called back before it was in force" } else { "goes back" };
+            let how = if stages == 0 {
+                "called back before it was in force"
+            } else {
+                "goes back"
+            };
             self.over(&r, now, how);
         }
         if stages == 0 {
             return Some(());
         }
-        let plan = Plan { stage: r.plan.stage[..stages].iter().rev().cloned().collect(), ..r.plan.clone() };
-        // A number for each policy that is gone back to; what was no policy is one that says nothing.
+        let plan = Plan {
+            stage: r.plan.stage[..stages].iter().rev().cloned().collect(),
+            ..r.plan.clone()
+        };
+        // A number for each policy that is gone back to; what was no policy is one that says
+        // nothing.
         let mut numbers: BTreeMap<Print, u64> = BTreeMap::new();
         let mut to = BTreeMap::new();
         for zone in plan.zones() {
             let before = r.from.get(zone).copied().unwrap_or_default();
             let text = self.texts.get(&before).cloned().filter(|_| before != 0);
-            let text = text.unwrap_or(Text { print: *own, text: String::new() });
+            let text = text.unwrap_or(Text {
+                print: *own,
+                text: String::new(),
+            });
             let number = *numbers.entry(text.print).or_insert_with(|| {
                 self.given += 1;
                 self.texts.insert(self.given, text);
@@ -338,7 +398,10 @@
         self.rollout = Some(Rollout {
             number: numbers.values().min().copied().unwrap_or_default(),
             back_of: r.number,
-            from: plan.zones().map(|zone| (zone.clone(), self.register(zone).number)).collect(),
+            from: plan
+                .zones()
+                .map(|zone| (zone.clone(), self.register(zone).number))
+                .collect(),
             to,
             plan,
             at: index,
@@ -365,14 +428,20 @@
         });
     }
 
-    /// Texts that nobody goes by, may go by or may go back to are kept while there is room, the newest ones.
+    /// Texts that nobody goes by, may go by or may go back to are kept while there is room, the
+    /// newest ones.
     fn tidy(&mut self) {
         let mut used: BTreeSet<u64> = self.zones.values().map(|r| r.number).collect();
         for r in self.rollout.iter().chain(&self.last) {
             used.extend(r.to.values().chain(r.from.values()));
         }
         while self.texts.len() > MOST_TEXTS {
-            let Some(oldest) = self.texts.keys().find(|number| !used.contains(number)).copied() else {
+            let Some(oldest) = self
+                .texts
+                .keys()
+                .find(|number| !used.contains(number))
+                .copied()
+            else {
                 break;
             };
             self.texts.remove(&oldest);
--- a/src/keeper/policy/register/tests.rs
+++ b/src/keeper/policy/register/tests.rs
@@ -2,12 +2,22 @@
 
 fn plan(stages: &[&[&str]]) -> Plan {
     let zones = |zones: &&[&str]| zones.iter().map(|z| z.to_string()).collect();
-    let stage = stages.iter().map(|s| super::super::plan::Stage { zones: zones(s) }).collect();
-    Plan { stage, ..Plan::default() }
+    let stage = stages
+        .iter()
+        .map(|s| super::super::plan::Stage { zones: zones(s) })
+        .collect();
+    Plan {
+        stage,
+        ..Plan::default()
+    }
 }
 
 fn propose(n: u8) -> Change {
-    Change::Propose { text: format!("# {n}"), print: [n; 32], plan: plan(&[&["a"], &["b", "c"]]) }
+    Change::Propose {
+        text: format!("# {n}"),
+        print: [n; 32],
+        plan: plan(&[&["a"], &["b", "c"]]),
+    }
 }
 
 fn go(p: &mut Policies, changes: &[Change]) {
@@ -25,15 +35,42 @@
     let mut p = Policies::default();
     go(&mut p, &[propose(1), Change::Pause]);
     let before = p.clone();
-    for (base, change) in [(1, Change::Commit), (2, propose(2)), (2, Change::Pause), (2, Change::Resume)] {
+    for (base, change) in [
+        (1, Change::Commit),
+        (2, propose(2)),
+        (2, Change::Pause),
+        (2, Change::Resume),
+    ] {
         p.apply(9, 9, base, &change);
         assert_eq!(p, before, "{change:?} on {base}");
     }
-    assert_eq!(p.register("a"), Register { number: 0, paused: true, turn: 2 });
+    assert_eq!(
+        p.register("a"),
+        Register {
+            number: 0,
+            paused: true,
+            turn: 2
+        }
+    );
     assert_eq!(p.register("b"), Register::default());
-    go(&mut p, &[Change::TakeBack { silent: "n1".into() }]);
-    assert_eq!(p.register("a"), Register { number: 0, paused: false, turn: 3 });
-    assert_eq!(p.rollout.as_ref().map(|r| (r.step, r.tries)), Some((Step::Ready, 1)));
+    go(
+        &mut p,
+        &[Change::TakeBack {
+            silent: "n1".into(),
+        }],
+    );
+    assert_eq!(
+        p.register("a"),
+        Register {
+            number: 0,
+            paused: false,
+            turn: 3
+        }
+    );
+    assert_eq!(
+        p.rollout.as_ref().map(|r| (r.step, r.tries)),
+        Some((Step::Ready, 1))
+    );
 }
 
 #[test]
@@ -44,10 +81,25 @@
     assert_eq!((p.register("a").number, p.register("b").number), (1, 0));
     go(&mut p, &STAGE);
     assert!(p.rollout.is_none() && p.last.is_some());
-    assert_eq!((p.register("c").number, p.past[0].end.as_str(), p.past[0].stages), (1, "done", (2, 2)));
+    assert_eq!(
+        (
+            p.register("c").number,
+            p.past[0].end.as_str(),
+            p.past[0].stages
+        ),
+        (1, "done", (2, 2))
+    );
     go(&mut p, &[propose(2)]);
     go(&mut p, &STAGE);
-    go(&mut p, &[Change::Pause, Change::Halt { why: "x".repeat(2_000) }]);
+    go(
+        &mut p,
+        &[
+            Change::Pause,
+            Change::Halt {
+                why: "x".repeat(2_000),
+            },
+        ],
+    );
     let r = p.rollout.clone().expect("it runs");
     assert_eq!(
         (r.step, r.halted.map(|w| w.len()), p.register("b").paused),
@@ -55,7 +107,10 @@
     );
     go(&mut p, &[Change::Back { own: [0; 32] }]);
     let r = p.rollout.clone().expect("it goes back");
-    assert_eq!((r.number, r.back_of, r.plan.stage.len(), &p.texts[&3].text), (3, 2, 1, &"# 1".to_string()));
+    assert_eq!(
+        (r.number, r.back_of, r.plan.stage.len(), &p.texts[&3].text),
+        (3, 2, 1, &"# 1".to_string())
+    );
     go(&mut p, &STAGE);
     assert_eq!((p.register("a").number, p.register("b").number), (3, 1));
     assert!(p.rollout.is_none() && p.last.is_none());
@@ -64,31 +119,70 @@
 #[test]
 fn one_that_is_over_may_be_gone_back_from_whole_and_each_zone_to_its_own() {
     let mut p = Policies::default();
-    go(&mut p, &[Change::Propose { text: "# 0".into(), print: [9; 32], plan: plan(&[&["a"]]) }]);
+    go(
+        &mut p,
+        &[Change::Propose {
+            text: "# 0".into(),
+            print: [9; 32],
+            plan: plan(&[&["a"]]),
+        }],
+    );
     go(&mut p, &STAGE);
     go(&mut p, &[propose(2)]);
     go(&mut p, &STAGE);
     go(&mut p, &STAGE);
     go(&mut p, &[Change::Back { own: [0; 32] }]);
     let r = p.rollout.clone().expect("it goes back");
-    assert_eq!(r.plan.stage.iter().map(|s| s.zones.len()).collect::<Vec<_>>(), [2, 1]);
+    assert_eq!(
+        r.plan
+            .stage
+            .iter()
+            .map(|s| s.zones.len())
+            .collect::<Vec<_>>(),
+        [2, 1]
+    );
     assert_eq!((r.to["a"], r.to["b"], r.to["c"]), (4, 3, 3));
-    assert_eq!((p.texts[&4].print, p.texts[&3].print, p.texts[&3].text.as_str()), ([9; 32], [0; 32], ""));
+    assert_eq!(
+        (
+            p.texts[&4].print,
+            p.texts[&3].print,
+            p.texts[&3].text.as_str()
+        ),
+        ([9; 32], [0; 32], "")
+    );
 }
 
 #[test]
 fn a_refusal_changes_nothing_and_tables_are_bounded() {
     let mut p = Policies::default();
     for n in 0..80 {
-        go(&mut p, &[propose(n), Change::End { why: "n1: no".into() }]);
+        go(
+            &mut p,
+            &[
+                propose(n),
+                Change::End {
+                    why: "n1: no".into(),
+                },
+            ],
+        );
     }
     assert!(p.zones.is_empty() && p.rollout.is_none());
-    assert_eq!((p.texts.len(), p.past.len(), p.past[0].number), (MOST_TEXTS, MOST_PAST, 31));
+    assert_eq!(
+        (p.texts.len(), p.past.len(), p.past[0].number),
+        (MOST_TEXTS, MOST_PAST, 31)
+    );
     go(&mut p, &[propose(81)]);
     go(&mut p, &[Change::Pause, Change::Commit]);
     let turn = p.turn;
     p.apply(99, 0, turn, &Change::End { why: "late".into() });
     assert_eq!(p.turn, turn, "what is in force does not end so");
-    go(&mut p, &[Change::Halt { why: "w".into() }, Change::Resume, Change::Back { own: [0; 32] }]);
+    go(
+        &mut p,
+        &[
+            Change::Halt { why: "w".into() },
+            Change::Resume,
+            Change::Back { own: [0; 32] },
+        ],
+    );
     assert!(p.room(&plan(&[&["a"]]), 200).is_ok() && p.room(&plan(&[&["z"]]), 1).is_err());
 }
--- a/src/keeper/policy/rollout.rs
+++ b/src/keeper/policy/rollout.rs
@@ -1,12 +1,15 @@
-//! What the leader does with a rollout: whom it waits for, when a stage is paused, goes over, is taken back, and what halts it.
+//! What the leader does with a rollout: whom it waits for, when a stage is paused, goes over, is
+//! taken back, and what halts it.
 //!
-//! All that has to outlast a leader stands in the record ([`super::register`]). What a leader has heard of senders (policies that they
-//! have, turns that they go by, counts) it forgets with its office; the next one hears it again from those that live, and a stage is
-//! watched anew. So nothing is counted twice, and nothing goes on by a word that only an earlier leader heard.
+//! All that has to outlast a leader stands in the record ([`super::register`]). What a leader has
+//! heard of senders (policies that they have, turns that they go by, counts) it forgets with its
+//! office; the next one hears it again from those that live, and a stage is watched anew. So
+//! nothing is counted twice, and nothing goes on by a word that only an earlier leader heard.
 //!
-//! A live sender is one that the record has as live. A leader proposes a change only where each of them has said what is needed to it, in
-//! the session that the record has. One that joins between that and the change finds the pause in the record, and takes nothing on before
-//! it has heard the change.
+//! A live sender is one that the record has as live. A leader proposes a change only where each of
+//! them has said what is needed to it, in the session that the record has. One that joins between
+//! that and the change finds the pause in the record, and takes nothing on before it has heard the
+//! change.
 
 use super::document::Document;
 use super::health::{Health, Verdict};
@@ -20,17 +23,20 @@
 
 const MS: Time = 1_000_000;
 const SECOND: Time = 1_000 * MS;
-/// A decision that does not come into the record within this time may be proposed again, as in the office.
+/// A decision that does not come into the record within this time may be proposed again, as in the
+/// office.
 const DECIDED: Time = SECOND;
 /// Between two looks at what senders report.
 const LOOK: Time = SECOND;
 /// First and longest time between a pause that was taken back and the next one; it doubles.
 const RETRY: (Time, Time) = (SECOND, 60 * SECOND);
-/// After a pause for a routing table comes none of a stage for so long: what waited at doors is let in between.
+/// After a pause for a routing table comes none of a stage for so long: what waited at doors is let
+/// in between.
 pub(crate) const APART: Time = SECOND / 2;
 /// So many pauses of a stage are taken back before it halts.
 const MOST_TRIES: u32 = 10;
-/// What is missing from a stage has to be missing for so long: a sender that is started anew is there again.
+/// What is missing from a stage has to be missing for so long: a sender that is started anew is
+/// there again.
 const GONE: Time = 10 * SECOND;
 /// Nobody led for longer than this: what senders did meanwhile nobody saw. Five elections.
 const UNLED: Time = 10 * SECOND;
@@ -63,7 +69,8 @@
 }
 
 impl Roll {
-    /// Begins with nothing. `led` is when this keeper saw another leader, or itself, in office last; nothing, where it never did.
+    /// Begins with nothing. `led` is when this keeper saw another leader, or itself, in office
+    /// last; nothing, where it never did.
     pub fn new(now: Time, led: Option<Time>) -> Roll {
         Roll {
             begun: now,
@@ -94,11 +101,16 @@
 
     /// It has checked a policy.
     pub fn stored(&mut self, sender: &str, number: u64, refused: Option<&str>, record: &Record) {
-        let Some(print) = record.policies.print(number) else { return };
+        let Some(print) = record.policies.print(number) else {
+            return;
+        };
         // The record has a few at the most, and only those are asked for.
         let kept = |number| record.policies.texts.contains_key(&number);
         if let Some(why) = self.ears.checked(sender, (number, print), refused, kept) {
-            log::warn!("policy {number}: refused: {sender}: {}", why.replace('\n', "; "));
+            log::warn!(
+                "policy {number}: refused: {sender}: {}",
+                why.replace('\n', "; ")
+            );
         }
     }
 
@@ -117,8 +129,12 @@
 
     /// It reports what became of messages.
     pub fn hear(&mut self, now: Time, zone: &str, told: &[wire::Health], record: &Record) {
-        let Some(r) = &record.policies.rollout else { return };
-        let Some(stage) = r.plan.stage_of(zone) else { return };
+        let Some(r) = &record.policies.rollout else {
+            return;
+        };
+        let Some(stage) = r.plan.stage_of(zone) else {
+            return;
+        };
         let only = (stage < r.in_force()).then(|| r.to.get(zone).copied().unwrap_or_default());
         self.health.hear(now, stage, only, told);
     }
@@ -132,7 +148,10 @@
         }
         (self.step, self.waits, self.missing) = ((index, now), None, None);
         let rollout = policies.rollout.as_ref();
-        let number = rollout.map_or_else(|| policies.past.back().map_or(0, |p| p.number), |r| r.number);
+        let number = rollout.map_or_else(
+            || policies.past.back().map_or(0, |p| p.number),
+            |r| r.number,
+        );
         let stage = rollout.map_or(0, |r| r.stage + 1);
         let turn = policies.turn;
         match change {
@@ -143,7 +162,12 @@
                 log::info!("policy {number}: offered");
             }
             Change::Pause => {
-                self.waits = rollout.map(|r| self.unheard(record, r.zones()).into_iter().cloned().collect());
+                self.waits = rollout.map(|r| {
+                    self.unheard(record, r.zones())
+                        .into_iter()
+                        .cloned()
+                        .collect()
+                });
                 log::info!("policy {number}: stage {stage} paused by turn {turn}");
             }
             Change::Commit => {
@@ -153,7 +177,9 @@
                 log::info!("policy {number}: stage {stage} soaks");
             }
             Change::TakeBack { silent } => {
-                log::warn!("policy {number}: stage {stage} taken back by turn {turn}: {silent} silent");
+                log::warn!(
+                    "policy {number}: stage {stage} taken back by turn {turn}: {silent} silent"
+                );
             }
             Change::Next if rollout.is_none() => log::info!("policy {number}: rolled out"),
             Change::Next => {
@@ -191,7 +217,8 @@
         self.decide(now, record)
     }
 
-    /// What a sender is to be told: its register where it has not said that it goes by it, and policies that it lacks.
+    /// What a sender is to be told: its register where it has not said that it goes by it, and
+    /// policies that it lacks.
     pub fn say(
         &mut self,
         now: Time,
@@ -208,20 +235,39 @@
         let register = policies.register(zone);
         if self.ears.is_due(now, sender, register.turn, policies.turn) {
             let turn = policies.turn;
-            say(ToAgent::Rule { turn, number: register.number, paused: register.paused });
+            say(ToAgent::Rule {
+                turn,
+                number: register.number,
+                paused: register.paused,
+            });
         }
         let target = policies.rollout.as_ref().and_then(|r| r.to.get(zone));
-        for number in [Some(&register.number), target].into_iter().flatten().filter(|n| **n != 0) {
-            let Some(text) = policies.texts.get(number) else { continue };
+        for number in [Some(&register.number), target]
+            .into_iter()
+            .flatten()
+            .filter(|n| **n != 0)
+        {
+            let Some(text) = policies.texts.get(number) else {
+                continue;
+            };
             if self.ears.lacks(now, sender, *number, &text.print, offers) {
-                say(ToAgent::Offer { number: *number, print: text.print, text: text.text.clone() });
+                say(ToAgent::Offer {
+                    number: *number,
+                    print: text.print,
+                    text: text.text.clone(),
+                });
             }
         }
-        self.ears.forget(sender, |number| policies.texts.contains_key(&number));
+        self.ears
+            .forget(sender, |number| policies.texts.contains_key(&number));
     }
 
     /// Live senders of some zones, with what is known of each in the session that the record has.
-    fn live<'a>(&'a self, record: &'a Record, zones: &'a [String]) -> impl Iterator<Item = Live<'a>> + 'a {
+    fn live<'a>(
+        &'a self,
+        record: &'a Record,
+        zones: &'a [String],
+    ) -> impl Iterator<Item = Live<'a>> + 'a {
         self.ears.live(record, |m| zones.contains(&m.zone))
     }
 
@@ -232,12 +278,18 @@
     }
 
     /// Those that have not said that they have what they are to go by.
-    fn unstored<'a>(&'a self, record: &'a Record, r: &'a Rollout, zones: &'a [String]) -> Vec<&'a String> {
+    fn unstored<'a>(
+        &'a self,
+        record: &'a Record,
+        r: &'a Rollout,
+        zones: &'a [String],
+    ) -> Vec<&'a String> {
         let needs = |m: &Member| {
             let number = r.to.get(&m.zone).copied().unwrap_or_default();
             (number, record.policies.print(number))
         };
-        self.ears.unstored(record, |m| zones.contains(&m.zone), needs)
+        self.ears
+            .unstored(record, |m| zones.contains(&m.zone), needs)
     }
 
     /// Why live senders of these zones cannot go by it, the first of them.
@@ -246,7 +298,9 @@
             let number = r.to.get(&m.zone).copied().unwrap_or_default();
             let known = known?;
             if !known.follows() {
-                return Some(format!("{name}: its fleet file has no table [policy], so it follows none"));
+                return Some(format!(
+                    "{name}: its fleet file has no table [policy], so it follows none"
+                ));
             }
             known.refuses(number).map(|why| format!("{name}: {why}"))
         })
@@ -254,7 +308,9 @@
 
     /// A zone of these without a live sender, and a zone of senders that the plan does not name.
     fn empty<'a>(record: &Record, zones: &'a [String]) -> Option<&'a String> {
-        zones.iter().find(|zone| !record.roster.values().any(|m| m.live && m.zone == **zone))
+        zones
+            .iter()
+            .find(|zone| !record.roster.values().any(|m| m.live && m.zone == **zone))
     }
 
     /// What the stage lacks now, if that has been so for long enough.
@@ -262,9 +318,13 @@
         let told = match Roll::empty(record, r.zones()) {
             Some(zone) => Some(format!("zone {zone}: none of its senders holds a lease")),
             None if r.step == Step::Soaking && r.back_of == 0 => {
-                let own = record.roster.iter().filter(|(_, m)| r.zones().contains(&m.zone));
-                let (live, lapsed): (Vec<_>, Vec<_>) =
-                    own.filter(|(_, m)| m.live || m.since > r.at).partition(|(_, m)| m.live);
+                let own = record
+                    .roster
+                    .iter()
+                    .filter(|(_, m)| r.zones().contains(&m.zone));
+                let (live, lapsed): (Vec<_>, Vec<_>) = own
+                    .filter(|(_, m)| m.live || m.since > r.at)
+                    .partition(|(_, m)| m.live);
                 let part = lapsed.len() as f64 / (live.len() + lapsed.len()).max(1) as f64;
                 (part > r.plan.health.lapsed).then(|| {
                     let gone: Vec<&String> = lapsed.iter().map(|(name, _)| *name).collect();
@@ -280,17 +340,26 @@
             _ => now,
         };
         self.missing = told.map(|told| (told, since));
-        self.missing.as_ref().filter(|(_, since)| now >= since + GONE).map(|(why, _)| why.clone())
+        self.missing
+            .as_ref()
+            .filter(|(_, since)| now >= since + GONE)
+            .map(|(why, _)| why.clone())
     }
 
     /// One decision at a time.
     fn decide(&mut self, now: Time, record: &Record) -> Option<Change> {
         let turn = record.policies.turn;
-        self.deciding = self.deciding.filter(|(base, at)| *base == turn && now < at + DECIDED);
+        self.deciding = self
+            .deciding
+            .filter(|(base, at)| *base == turn && now < at + DECIDED);
         if self.deciding.is_some() {
             return None;
         }
-        let r = record.policies.rollout.as_ref().filter(|r| r.halted.is_none())?;
+        let r = record
+            .policies
+            .rollout
+            .as_ref()
+            .filter(|r| r.halted.is_none())?;
         if self.step.0 != r.at {
             // It began under another leader, who may have waited long.
             (self.step, self.waits) = ((r.at, self.begun), None);
@@ -308,7 +377,10 @@
     fn next(&mut self, now: Time, record: &Record, r: &Rollout) -> Option<Change> {
         let halt = |why: String| Some(Change::Halt { why });
         if self.unled {
-            return halt(format!("no keeper led for {} s or longer, as far as is known", UNLED / SECOND));
+            return halt(format!(
+                "no keeper led for {} s or longer, as far as is known",
+                UNLED / SECOND
+            ));
         }
         let all: Vec<String> = r.plan.zones().cloned().collect();
         let passed = now.saturating_sub(self.step.1);
@@ -321,7 +393,10 @@
                 if let Some(why) = self.refusal(record, r, &all) {
                     return end(format!("refused by {why}"));
                 }
-                let stray = record.roster.iter().find(|(_, m)| m.live && !r.to.contains_key(&m.zone));
+                let stray = record
+                    .roster
+                    .iter()
+                    .find(|(_, m)| m.live && !r.to.contains_key(&m.zone));
                 if let Some((name, m)) = stray.filter(|_| r.back_of == 0) {
                     return end(format!(
                         "{name} stands in zone {}, which is in no stage of the plan",
@@ -347,8 +422,10 @@
                     ));
                 }
                 // Those that were silent have answered since, or lapsed.
-                let silent =
-                    self.unheard(record, r.zones()).into_iter().any(|name| self.silent.contains(name));
+                let silent = self
+                    .unheard(record, r.zones())
+                    .into_iter()
+                    .any(|name| self.silent.contains(name));
                 let first = RETRY.0 << r.tries.saturating_sub(1).min(10);
                 let rested = r.tries == 0 || passed >= first.min(RETRY.1);
                 let watch = Time::from(r.plan.watch_s) * SECOND;
@@ -400,11 +477,13 @@
                 self.verdict = Some(verdict.clone());
                 match verdict {
                     Verdict::Worse(why) => halt(format!("stage {} is worse: {why}", r.stage + 1)),
-                    Verdict::TooFew(what) if passed >= r.plan.most_soak() * SECOND => halt(format!(
-                        "too few to judge stage {}: {what} in {} s",
-                        r.stage + 1,
-                        passed / SECOND
-                    )),
+                    Verdict::TooFew(what) if passed >= r.plan.most_soak() * SECOND => {
+                        halt(format!(
+                            "too few to judge stage {}: {what} in {} s",
+                            r.stage + 1,
+                            passed / SECOND
+                        ))
+                    }
                     Verdict::Well
                         if passed >= Time::from(r.plan.soak_s) * SECOND
                             && self.missing.is_none()
@@ -418,7 +497,8 @@
         }
     }
 
-    /// What a person wants of policies: a change to be brought into the record, or how things are already.
+    /// What a person wants of policies: a change to be brought into the record, or how things are
+    /// already.
     ///
     /// # Errors
     /// Why not.
@@ -429,16 +509,20 @@
             FromPerson::Propose { text, plan } => self.propose(text, plan, record),
             FromPerson::Halt { why } => Ok(match &runs()?.halted {
                 Some(_) => None,
-                None if why.is_empty() => Some(Change::Halt { why: "a person's word".into() }),
-                None => Some(Change::Halt { why: format!("a person's word: {why}") }),
+                None if why.is_empty() => Some(Change::Halt {
+                    why: "a person's word".into(),
+                }),
+                None => Some(Change::Halt {
+                    why: format!("a person's word: {why}"),
+                }),
             }),
             FromPerson::Resume => Ok(runs()?.halted.as_ref().map(|_| Change::Resume)),
             FromPerson::Back => match (&p.rollout, &p.last, p.past.back()) {
                 (Some(r), ..) if r.back_of != 0 => Ok(None),
                 (None, None, Some(past)) if past.back_of != 0 => Ok(None),
-                (Some(_), ..) | (None, Some(_), _) => {
-                    Ok(Some(Change::Back { own: Document::default().print() }))
-                }
+                (Some(_), ..) | (None, Some(_), _) => Ok(Some(Change::Back {
+                    own: Document::default().print(),
+                })),
                 _ => Err("no rollout runs, and none was done that could be gone back from".into()),
             },
             _ => Err("that is no order on policies".into()),
@@ -447,7 +531,11 @@
 
     fn propose(&self, text: &str, plan: &str, record: &Record) -> Result<Option<Change>, String> {
         let lines = |what: &str, faults: Vec<super::document::Fault>| {
-            faults.iter().map(|fault| format!("{what}: {fault}")).collect::<Vec<_>>().join("\n")
+            faults
+                .iter()
+                .map(|fault| format!("{what}: {fault}"))
+                .collect::<Vec<_>>()
+                .join("\n")
         };
         let document = Document::parse(text).map_err(|faults| lines("policy", faults));
         let read = Plan::parse(plan).map_err(|faults| lines("plan", faults));
@@ -476,15 +564,26 @@
         }
         p.room(&plan, MOST_ZONES)?;
         let named: BTreeSet<&String> = plan.zones().collect();
-        let live: BTreeSet<&String> = record.roster.values().filter(|m| m.live).map(|m| &m.zone).collect();
+        let live: BTreeSet<&String> = record
+            .roster
+            .values()
+            .filter(|m| m.live)
+            .map(|m| &m.zone)
+            .collect();
         let mut faults = Vec::new();
-        faults.extend(live.difference(&named).map(|zone| format!("plan: zone {zone} is in no stage")));
+        faults.extend(
+            live.difference(&named)
+                .map(|zone| format!("plan: zone {zone} is in no stage")),
+        );
         faults.extend(
             named
                 .difference(&live)
                 .map(|zone| format!("plan: zone {zone}: no sender that lives stands there")),
         );
-        let deaf = self.ears.live(record, |_| true).filter(|(.., known)| known.is_some_and(|k| !k.follows()));
+        let deaf = self
+            .ears
+            .live(record, |_| true)
+            .filter(|(.., known)| known.is_some_and(|k| !k.follows()));
         let deaf: Vec<&String> = deaf.map(|(name, ..)| name).collect();
         if !deaf.is_empty() {
             let told = names(&deaf);
@@ -493,7 +592,11 @@
             ));
         }
         match faults.is_empty() {
-            true => Ok(Some(Change::Propose { text: text.into(), print, plan })),
+            true => Ok(Some(Change::Propose {
+                text: text.into(),
+                print,
+                plan,
+            })),
             false => Err(faults.join("\n")),
         }
     }
@@ -512,16 +615,21 @@
             let count = senders.get(zone).copied().unwrap_or(0);
             zones.insert(zone, (register.number, register.paused, count));
         }
-        let zones = zones.into_iter().map(|(zone, (number, paused, senders))| wire::PolicyZone {
-            zone: zone.clone(),
-            number,
-            paused,
-            senders: senders as u32,
-        });
+        let zones = zones
+            .into_iter()
+            .map(|(zone, (number, paused, senders))| wire::PolicyZone {
+                zone: zone.clone(),
+                number,
+                paused,
+                senders: senders as u32,
+            });
         let rollout = p.rollout.as_ref().map(|r| {
             let all: Vec<String> = r.plan.zones().cloned().collect();
             let (waits, what) = match r.step {
-                Step::Ready => (self.unstored(record, r, &all), "to check it and write it down"),
+                Step::Ready => (
+                    self.unstored(record, r, &all),
+                    "to check it and write it down",
+                ),
                 Step::Paused => (self.unheard(record, r.zones()), "to take nothing on"),
                 Step::Soaking => (self.unheard(record, r.zones()), "to go by it"),
             };
@@ -533,14 +641,19 @@
                 }
                 Step::Ready => format!("is watched before, for {passed} of {} s", r.plan.watch_s),
                 Step::Paused => "is paused".into(),
-                Step::Soaking => format!("in force for {passed} s, of {} at the least", r.plan.soak_s),
+                Step::Soaking => {
+                    format!("in force for {passed} s, of {} at the least", r.plan.soak_s)
+                }
             };
             let seen = match &self.verdict {
                 Some(Verdict::TooFew(what)) if r.step == Step::Soaking => {
                     format!("too few to judge so far: {what}")
                 }
                 Some(Verdict::Well) if r.step == Step::Soaking => {
-                    format!("nothing speaks against it in {} messages", self.health.came(r.stage as usize))
+                    format!(
+                        "nothing speaks against it in {} messages",
+                        self.health.came(r.stage as usize)
+                    )
                 }
                 _ => String::new(),
             };
@@ -553,16 +666,34 @@
                 back_of: r.back_of,
                 print: p.print(r.number).unwrap_or_default(),
                 stage: r.stage + 1,
-                stages: r.plan.stage.iter().map(|s| (s.zones.clone(), count(&s.zones) as u32)).collect(),
-                step: if r.halted.is_some() { "halted".into() } else { step },
+                stages: r
+                    .plan
+                    .stage
+                    .iter()
+                    .map(|s| (s.zones.clone(), count(&s.zones) as u32))
+                    .collect(),
+                step: if r.halted.is_some() {
+                    "halted".into()
+                } else {
+                    step
+                },
                 halted: r.halted.clone(),
                 seen,
-                waits_what: if waits.is_empty() { String::new() } else { what.into() },
+                waits_what: if waits.is_empty() {
+                    String::new()
+                } else {
+                    what.into()
+                },
                 waits: waits.into_iter().take(1_000).cloned().collect(),
                 refused: refused.take(100).collect(),
             }
         });
-        wire::PolicyStatus { turn: p.turn, zones: zones.collect(), rollout, done: p.past.back().map(past) }
+        wire::PolicyStatus {
+            turn: p.turn,
+            zones: zones.collect(),
+            rollout,
+            done: p.past.back().map(past),
+        }
     }
 
     /// Rollouts that are over, the newest first.
--- a/src/keeper/record.rs
+++ b/src/keeper/record.rs
@@ -1,10 +1,13 @@
-//! What all keepers of a site agree on. Each applies the same commands in the same order and comes to the same record.
+//! What all keepers of a site agree on. Each applies the same commands in the same order and comes
+//! to the same record.
 //!
-//! The record reads no clock, yet some of it lasts for a time (a person's word, a rest before a return). So it has a clock of its
-//! own, [`Record::clock_ms`]: the leader adds what it counted itself since its last beat ([`Command::Beat`]). What a leader proposes after
-//! its successor was elected is not committed; a successor counts from the last beat that it saw, and with it the time between the two:
-//! else what is to end in time (a site's lease in its federation) would last longer with each leader. So two leaders count the same moment
-//! for a beat at the most. It is up to a beat behind: what waits for it may be a beat or two short.
+//! The record reads no clock, yet some of it lasts for a time (a person's word, a rest before a
+//! return). So it has a clock of its own, [`Record::clock_ms`]: the leader adds what it counted
+//! itself since its last beat ([`Command::Beat`]). What a leader proposes after its successor was
+//! elected is not committed; a successor counts from the last beat that it saw, and with it the
+//! time between the two: else what is to end in time (a site's lease in its federation) would last
+//! longer with each leader. So two leaders count the same moment for a beat at the most. It is up
+//! to a beat behind: what waits for it may be a beat or two short.
 
 use super::log::Piece;
 use super::policy::register::{Change, Policies};
@@ -14,8 +17,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Senders that the roster names at the most, those that lapsed among them: three fleets of the largest size that is played.
-/// Those that lapsed first go first.
+/// Senders that the roster names at the most, those that lapsed among them: three fleets of the
+/// largest size that is played. Those that lapsed first go first.
 pub const MOST_SENDERS: usize = 10_000;
 /// Zones that the record names at the most: four times as many as any site that is played has.
 pub const MOST_ZONES: usize = 200;
@@ -39,7 +42,8 @@
         /// The process.
         boot: u64,
     },
-    /// The leader of this term was in office when it proposed this, and has counted so much time since the last one.
+    /// The leader of this term was in office when it proposed this, and has counted so much time
+    /// since the last one.
     Beat {
         /// Its term.
         term: u64,
@@ -72,8 +76,8 @@
         /// For so long on the record's clock, in milliseconds; 0 until another word.
         for_ms: u64,
     },
-    /// Cold calls of a zone that the leader of this term may hand out, and how warm the zone is by destination. Of another epoch:
-    /// void.
+    /// Cold calls of a zone that the leader of this term may hand out, and how warm the zone is by
+    /// destination. Of another epoch: void.
     Slice {
         /// The leader's term.
         term: u64,
@@ -102,7 +106,8 @@
         /// What.
         change: Box<tables::Change>,
     },
-    /// The leader of this term is the site's voice in its federation: what earlier ones bring later is void.
+    /// The leader of this term is the site's voice in its federation: what earlier ones bring later
+    /// is void.
     Fence {
         /// Its term.
         term: u64,
@@ -210,17 +215,30 @@
         match command {
             Command::Join { sender, boot, zone } => {
                 if !self.roster.contains_key(sender) && self.roster.len() >= MOST_SENDERS {
-                    let lapsed = self.roster.iter().filter(|(_, m)| !m.live).min_by_key(|(_, m)| m.since);
+                    let lapsed = self
+                        .roster
+                        .iter()
+                        .filter(|(_, m)| !m.live)
+                        .min_by_key(|(_, m)| m.since);
                     match lapsed.map(|(name, _)| name.clone()) {
                         Some(name) => self.roster.remove(&name),
                         None => return,
                     };
                 }
-                let member = Member { boot: *boot, zone: zone.clone(), live: true, since: index };
+                let member = Member {
+                    boot: *boot,
+                    zone: zone.clone(),
+                    live: true,
+                    since: index,
+                };
                 self.roster.insert(sender.clone(), member);
             }
             Command::Lapse { sender, boot } => {
-                if let Some(m) = self.roster.get_mut(sender).filter(|m| m.boot == *boot && m.live) {
+                if let Some(m) = self
+                    .roster
+                    .get_mut(sender)
+                    .filter(|m| m.boot == *boot && m.live)
+                {
                     (m.live, m.since) = (false, index);
                 }
             }
@@ -232,7 +250,14 @@
                 }
                 self.tidy();
             }
-            Command::Order { base, zone, phase, out, tries, why } => {
+            Command::Order {
+                base,
+                zone,
+                phase,
+                out,
+                tries,
+                why,
+            } => {
                 if *base == self.epoch && self.has_room(zone) {
                     (self.epoch, self.changed) = (self.epoch + 1, index);
                     let (epoch, since_ms) = (self.epoch, self.clock_ms);
@@ -251,24 +276,47 @@
             }
             Command::Wish { zone, wish, for_ms } => {
                 if self.has_room(zone) {
-                    let until_ms = if *for_ms == 0 { 0 } else { self.clock_ms.saturating_add(*for_ms) };
+                    let until_ms = if *for_ms == 0 {
+                        0
+                    } else {
+                        self.clock_ms.saturating_add(*for_ms)
+                    };
                     let stands = *wish != ZoneWish::Free;
-                    self.zones.entry(zone.clone()).or_default().wish =
-                        stands.then_some(Wish { what: *wish, until_ms });
+                    self.zones.entry(zone.clone()).or_default().wish = stands.then_some(Wish {
+                        what: *wish,
+                        until_ms,
+                    });
                     self.tidy();
                 }
             }
-            Command::Slice { term, slice, zone, epoch, warm, .. } => {
-                let same =
-                    self.zones.get_mut(zone).filter(|z| z.epoch == *epoch && z.phase == Phase::Returning);
+            Command::Slice {
+                term,
+                slice,
+                zone,
+                epoch,
+                warm,
+                ..
+            } => {
+                let same = self
+                    .zones
+                    .get_mut(zone)
+                    .filter(|z| z.epoch == *epoch && z.phase == Phase::Returning);
                 if let Some(z) = same {
                     (z.slice, z.warm) = ((*term, *slice), warm.clone());
                 }
             }
-            Command::Policy { base, change } => self.policies.apply(index, self.clock_ms, *base, change),
-            Command::Table { base, change } => self.tables.apply(index, self.clock_ms, *base, change),
+            Command::Policy { base, change } => {
+                self.policies.apply(index, self.clock_ms, *base, change)
+            }
+            Command::Table { base, change } => {
+                self.tables.apply(index, self.clock_ms, *base, change)
+            }
             Command::Fence { term } => self.written.fence(*term),
-            Command::Voice { term, number, piece } => self.written.put(*term, *number, piece),
+            Command::Voice {
+                term,
+                number,
+                piece,
+            } => self.written.put(*term, *number, piece),
         }
     }
 
@@ -279,7 +327,8 @@
 
     /// A zone in use, without a word and without failed returns, is not named.
     fn tidy(&mut self) {
-        self.zones.retain(|_, z| z.phase != Phase::Used || z.wish.is_some() || z.tries > 0);
+        self.zones
+            .retain(|_, z| z.phase != Phase::Used || z.wish.is_some() || z.tries > 0);
     }
 
     /// What senders are to know of it.
@@ -291,7 +340,10 @@
             returning: z.phase == Phase::Returning,
             out: z.out.clone(),
         });
-        View { version: self.version, zones: zones.collect() }
+        View {
+            version: self.version,
+            zones: zones.collect(),
+        }
     }
 
     /// Whether one that goes by this version lacks something of what senders are to know.
--- a/src/keeper/record/tests.rs
+++ b/src/keeper/record/tests.rs
@@ -1,11 +1,22 @@
 use super::*;
 
 fn join(sender: &str, boot: u64) -> Command {
-    Command::Join { sender: sender.into(), boot, zone: "a".into() }
+    Command::Join {
+        sender: sender.into(),
+        boot,
+        zone: "a".into(),
+    }
 }
 
 fn order(base: u64, phase: Phase) -> Command {
-    Command::Order { base, zone: "z".into(), phase, out: vec![(1, 1.0)], tries: 0, why: String::new() }
+    Command::Order {
+        base,
+        zone: "z".into(),
+        phase,
+        out: vec![(1, 1.0)],
+        tries: 0,
+        why: String::new(),
+    }
 }
 
 #[test]
@@ -13,9 +24,21 @@
     let mut record = Record::default();
     record.apply(1, &join("n", 1));
     record.apply(2, &join("n", 2));
-    record.apply(3, &Command::Lapse { sender: "n".into(), boot: 1 });
+    record.apply(
+        3,
+        &Command::Lapse {
+            sender: "n".into(),
+            boot: 1,
+        },
+    );
     assert!(record.roster["n"].live);
-    record.apply(4, &Command::Lapse { sender: "n".into(), boot: 2 });
+    record.apply(
+        4,
+        &Command::Lapse {
+            sender: "n".into(),
+            boot: 2,
+        },
+    );
     assert!(!record.roster["n"].live);
 }
 
@@ -24,21 +47,48 @@
     let mut record = Record::default();
     record.apply(1, &order(0, Phase::Left));
     record.apply(2, &order(0, Phase::Returning));
-    assert_eq!((record.zones["z"].phase, record.epoch, record.changed), (Phase::Left, 1, 1));
+    assert_eq!(
+        (record.zones["z"].phase, record.epoch, record.changed),
+        (Phase::Left, 1, 1)
+    );
     record.apply(3, &order(1, Phase::Used));
     assert!(record.zones.is_empty() && record.view().zones.is_empty());
     assert!(record.is_news_to(2) && !record.is_news_to(3));
     record.apply(4, &order(2, Phase::Left));
-    assert_eq!(record.zones["z"].epoch, 3, "it grows though the zone was in use between");
+    assert_eq!(
+        record.zones["z"].epoch, 3,
+        "it grows though the zone was in use between"
+    );
 }
 
 #[test]
 fn a_word_ends_by_the_clock_of_the_record_alone() {
     let mut record = Record::default();
-    record.apply(1, &Command::Wish { zone: "z".into(), wish: ZoneWish::Hold, for_ms: 1_000 });
-    record.apply(2, &Command::Beat { term: 1, beat: 1, ms: 999 });
+    record.apply(
+        1,
+        &Command::Wish {
+            zone: "z".into(),
+            wish: ZoneWish::Hold,
+            for_ms: 1_000,
+        },
+    );
+    record.apply(
+        2,
+        &Command::Beat {
+            term: 1,
+            beat: 1,
+            ms: 999,
+        },
+    );
     assert!(record.zones["z"].wish.is_some());
-    record.apply(3, &Command::Beat { term: 2, beat: 1, ms: 1 });
+    record.apply(
+        3,
+        &Command::Beat {
+            term: 2,
+            beat: 1,
+            ms: 1,
+        },
+    );
     assert!(record.zones.is_empty());
 }
 
@@ -51,7 +101,13 @@
     let at = record.version;
     record.apply(at + 1, &join("one more", 1));
     assert!(!record.roster.contains_key("one more"));
-    record.apply(at + 2, &Command::Lapse { sender: "n7".into(), boot: 1 });
+    record.apply(
+        at + 2,
+        &Command::Lapse {
+            sender: "n7".into(),
+            boot: 1,
+        },
+    );
     record.apply(at + 3, &join("one more", 1));
     assert!(record.roster.contains_key("one more") && !record.roster.contains_key("n7"));
     assert_eq!(record.roster.len(), MOST_SENDERS);
--- a/src/keeper/replica.rs
+++ b/src/keeper/replica.rs
@@ -1,8 +1,9 @@
-//! Carries the machines: sockets, the log's thread, time. One task owns all that decides; the others bring it what came in
-//! and take away what goes out.
+//! Carries the machines: sockets, the log's thread, time. One task owns all that decides; the
+//! others bring it what came in and take away what goes out.
 //!
-//! `start` opens what is needed and runs the task's `event_loop`, which hands what came in to `receive` and `requests`. Connections are
-//! accepted by `accept`, and opened to other replicas by `peers` and to other sites by `sites` and `site_links`, both over `transport`.
+//! `start` opens what is needed and runs the task's `event_loop`, which hands what came in to
+//! `receive` and `requests`. Connections are accepted by `accept`, and opened to other replicas by
+//! `peers` and to other sites by `sites` and `site_links`, both over `transport`.
 
 use crate::core::wheel::Wheel;
 use crate::keeper::begin::Begin;
@@ -44,21 +45,35 @@
 const PEER_QUEUE: usize = 256;
 /// Between two attempts to write what found no room, and to accept where there is no descriptor.
 const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// What is wrong between two keepers counts as over when it was not seen for so long; connections are tried more often than that.
+/// What is wrong between two keepers counts as over when it was not seen for so long; connections
+/// are tried more often than that.
 const CONFLICT_LASTS: Duration = Duration::from_secs(10);
 
 /// What comes in.
 enum Incoming {
     /// A keeper connected.
-    Came { keeper: u64, incarnation: u64, answer: Sender<PeerMessage>, alive: Sender<()> },
+    Came {
+        keeper: u64,
+        incarnation: u64,
+        answer: Sender<PeerMessage>,
+        alive: Sender<()>,
+    },
     /// A keeper answered.
     Answered { keeper: u64, word: PeerMessage },
     /// A keeper was asked for its folder, in order to add it.
-    Asked { connection: ConnectionId, keeper: u64, at: String, folder: Result<u64, String> },
+    Asked {
+        connection: ConnectionId,
+        keeper: u64,
+        at: String,
+        folder: Result<u64, String>,
+    },
     /// A message of the group.
     Raft { keeper: u64, bytes: Vec<u8> },
     /// A connection of an agent or a person.
-    Opened { connection: ConnectionId, queue: Sender<Vec<u8>> },
+    Opened {
+        connection: ConnectionId,
+        queue: Sender<Vec<u8>>,
+    },
     /// An agent says something.
     Agent(ConnectionId, FromAgent),
     /// A person orders something.
@@ -109,7 +124,8 @@
     connections: BTreeMap<ConnectionId, Sender<Vec<u8>>>,
     /// Persons that wait for an answer.
     asked: BTreeSet<ConnectionId>,
-    /// Who ordered that this keeper comes or goes, and the entry that adds it: that is done when it has it.
+    /// Who ordered that this keeper comes or goes, and the entry that adds it: that is done when it
+    /// has it.
     changing: Option<(ConnectionId, u64, Option<u64>)>,
     outgoing: BTreeMap<u64, OutgoingLink>,
     incoming: BTreeMap<u64, Sender<()>>,
--- a/src/keeper/replica/accept.rs
+++ b/src/keeper/replica/accept.rs
@@ -1,4 +1,5 @@
-//! Accepts connections, bounded in number, and serves each by who opened it: an agent, a person, another replica or another site.
+//! Accepts connections, bounded in number, and serves each by who opened it: an agent, a person,
+//! another replica or another site.
 
 use super::peers::{refuse, serve_peer};
 use super::transport::{with_timeout, HANDSHAKE_TIMEOUT, WRITE_TIMEOUT};
@@ -59,7 +60,11 @@
 }
 
 impl Acceptor {
-    pub(super) async fn accept(self, listener: Async<TcpListener>, executor: Rc<LocalExecutor<'static>>) {
+    pub(super) async fn accept(
+        self,
+        listener: Async<TcpListener>,
+        executor: Rc<LocalExecutor<'static>>,
+    ) {
         loop {
             let (stream, from) = match listener.accept().await {
                 Ok(come) => come,
@@ -70,14 +75,24 @@
                 }
             };
             let from = from.ip().to_canonical();
-            let (agent, keeper) = (self.config.may_ask(from), self.allowed.borrow().contains(&from));
-            let permissions = Permissions { agent, keeper, site: self.sites.borrow().contains(&from) };
+            let (agent, keeper) = (
+                self.config.may_ask(from),
+                self.allowed.borrow().contains(&from),
+            );
+            let permissions = Permissions {
+                agent,
+                keeper,
+                site: self.sites.borrow().contains(&from),
+            };
             if !permissions.agent && !permissions.keeper && !permissions.site {
                 log::warn!("keeper: {from} may not speak here");
                 continue;
             }
             let Some(slot) = ConnectionSlot::take(&self.context) else {
-                log::warn!("keeper: {} lines are open, more may not be", self.context.most);
+                log::warn!(
+                    "keeper: {} lines are open, more may not be",
+                    self.context.most
+                );
                 continue;
             };
             let _ = stream.get_ref().set_nodelay(true);
@@ -99,12 +114,22 @@
     mut stream: Async<TcpStream>,
     permissions: Permissions,
 ) -> Result<(), Broken> {
-    let Permissions { agent, keeper, site } = permissions;
-    let hello: Hello =
-        with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, frames::read(&mut stream, MOST)).await?;
+    let Permissions {
+        agent,
+        keeper,
+        site,
+    } = permissions;
+    let hello: Hello = with_timeout(
+        &context.wheel,
+        HANDSHAKE_TIMEOUT,
+        frames::read(&mut stream, MOST),
+    )
+    .await?;
     if let Who::Site(number) = hello.who {
-        let here =
-            context.federation.as_ref().filter(|(name, me)| hello.admit(name).is_ok() && number != *me);
+        let here = context
+            .federation
+            .as_ref()
+            .filter(|(name, me)| hello.admit(name).is_ok() && number != *me);
         return match here {
             Some(_) if site => site_links::serve_site(context, stream, number).await,
             _ => site_links::refuse(&context, stream).await,
@@ -113,11 +138,19 @@
     let admitted = hello.admit(&context.site);
     let denied = || Broken::Io(std::io::ErrorKind::PermissionDenied.into());
     match (hello.who, admitted) {
-        (Who::Keeper(_), Err(e)) => refuse(&context, stream, e, format!("of site {:?}", context.site)).await,
+        (Who::Keeper(_), Err(e)) => {
+            refuse(&context, stream, e, format!("of site {:?}", context.site)).await
+        }
         (_, Err(e)) => Err(e),
         (Who::Keeper(n), _) if keeper => serve_peer(context, stream, n).await,
         (Who::Keeper(_), _) => {
-            refuse(&context, stream, denied(), "that knows no keeper at its address".into()).await
+            refuse(
+                &context,
+                stream,
+                denied(),
+                "that knows no keeper at its address".into(),
+            )
+            .await
         }
         (Who::Agent, _) if agent => serve_client(context, stream, Incoming::Agent).await,
         (Who::Person, _) if agent => serve_client(context, stream, Incoming::Person).await,
@@ -134,7 +167,10 @@
     let connection = context.next.get() + 1;
     context.next.set(connection);
     let (queue, going) = async_channel::bounded::<Vec<u8>>(CONNECTION_QUEUE);
-    let _ = context.inbox.send(Incoming::Opened { connection, queue }).await;
+    let _ = context
+        .inbox
+        .send(Incoming::Opened { connection, queue })
+        .await;
     let (mut from, mut to) = split(stream);
     let (inbox, wheel) = (context.inbox.clone(), context.wheel.clone());
     let reading = async {
@@ -145,7 +181,10 @@
     };
     let writing = async {
         while let Ok(bytes) = going.recv().await {
-            with_timeout(&wheel, WRITE_TIMEOUT, async { Ok(to.write_all(&bytes).await?) }).await?;
+            with_timeout(&wheel, WRITE_TIMEOUT, async {
+                Ok(to.write_all(&bytes).await?)
+            })
+            .await?;
         }
         Ok(())
     };
--- a/src/keeper/replica/event_loop.rs
+++ b/src/keeper/replica/event_loop.rs
@@ -1,4 +1,5 @@
-//! The loop of the one task that owns all decisions: takes what came in, advances time, and works until nothing is left to be done.
+//! The loop of the one task that owns all decisions: takes what came in, advances time, and works
+//! until nothing is left to be done.
 
 use super::peers::send;
 use super::{Incoming, Replica, Stage, RESOURCE_RETRY_DELAY};
@@ -72,7 +73,8 @@
         Ok(())
     }
 
-    /// Ticks that are due. After twice the time of an election, a leader that heard nobody leads no more.
+    /// Ticks that are due. After twice the time of an election, a leader that heard nobody leads no
+    /// more.
     fn advance_clock(&mut self, tick: Duration) {
         let due = (self.ticked.elapsed().as_nanos() / tick.as_nanos()) as u32;
         if due == 0 {
@@ -80,7 +82,9 @@
         }
         self.ticked += tick * due;
         let now = self.now();
-        let Stage::Takes(group) = &mut self.stage else { return };
+        let Stage::Takes(group) = &mut self.stage else {
+            return;
+        };
         for _ in 0..due.min(2 * ELECTION as u32) {
             group.tick();
         }
@@ -96,7 +100,9 @@
     fn handle_saved(&mut self, (piece, result): Wrote) -> Result<(), String> {
         let wants_base = self.keep.here().is_some_and(Keep::wants_base);
         let who = self.who();
-        let Stage::Takes(group) = &mut self.stage else { return Ok(()) };
+        let Stage::Takes(group) = &mut self.stage else {
+            return Ok(());
+        };
         match result {
             Ok(()) => {
                 group.saved();
@@ -133,7 +139,9 @@
     /// Does what the group has ready, and what follows from it; whether there may be more.
     fn work_once(&mut self) -> Result<bool, String> {
         let now = self.now();
-        let Stage::Takes(group) = &mut self.stage else { return Ok(false) };
+        let Stage::Takes(group) = &mut self.stage else {
+            return Ok(false);
+        };
         let mut events = Vec::new();
         let messages = group.work(&mut events).map_err(|e| e.to_string())?;
         let idle = messages.is_empty() && events.is_empty();
@@ -169,24 +177,35 @@
 
     /// Something happened in the group.
     fn event(&mut self, now: Time, event: Event, effects: &mut Effects) {
-        let Stage::Takes(group) = &self.stage else { return };
+        let Stage::Takes(group) = &self.stage else {
+            return;
+        };
         match event {
             Event::Applied(index, command) => self.applied(now, index, &command, effects),
             Event::Member(index, keeper) => {
-                log::info!("{}: keepers {:?} by entry {index}", self.who(), group.voters());
+                log::info!(
+                    "{}: keepers {:?} by entry {index}",
+                    self.who(),
+                    group.voters()
+                );
                 effects.members = true;
                 self.removed = group.held().removed.contains(&group.me());
                 let came = group.held().members.contains_key(&keeper);
                 if let Some(changing) = self.changing.as_mut().filter(|c| c.1 == keeper) {
                     changing.2 = Some(index).filter(|_| came);
                     if !came {
-                        effects.out.push(Out::Answer(changing.0, ToPerson::Done(index)));
+                        effects
+                            .out
+                            .push(Out::Answer(changing.0, ToPerson::Done(index)));
                         self.changing = None;
                     }
                 }
             }
             Event::Restored(index) => {
-                log::info!("{}: has the record up to {index} from another keeper", self.who());
+                log::info!(
+                    "{}: has the record up to {index} from another keeper",
+                    self.who()
+                );
                 effects.members = true;
             }
             Event::Leads(leader, term) if leader != 0 && leader != group.me() => {
@@ -198,7 +217,9 @@
 
     /// A command was applied to the record.
     fn applied(&mut self, now: Time, index: u64, command: &Command, effects: &mut Effects) {
-        let Stage::Takes(group) = &self.stage else { return };
+        let Stage::Takes(group) = &self.stage else {
+            return;
+        };
         if let Command::Beat { term, .. } = command {
             // An older one that is only now read says nothing of when its leader lived.
             if *term == group.term() && group.leader() != 0 {
@@ -219,18 +240,25 @@
 
     /// Answers whoever ordered that a keeper comes, when that has the record.
     fn finish_change(&mut self, effects: &mut Effects) {
-        let Stage::Takes(group) = &self.stage else { return };
+        let Stage::Takes(group) = &self.stage else {
+            return;
+        };
         let has = |(_, keeper, index): &mut (_, u64, Option<u64>)| {
             index.is_some_and(|index| group.has(*keeper, index))
         };
         if let Some((connection, _, Some(index))) = self.changing.take_if(has) {
-            effects.out.push(Out::Answer(connection, ToPerson::Done(index)));
+            effects
+                .out
+                .push(Out::Answer(connection, ToPerson::Done(index)));
         }
     }
 
-    /// Begins the leader duties where this keeper leads by now, and ends them where it leads no more.
+    /// Begins the leader duties where this keeper leads by now, and ends them where it leads no
+    /// more.
     fn begin_or_end_duties(&mut self, now: Time, effects: &mut Effects) {
-        let Stage::Takes(group) = &self.stage else { return };
+        let Stage::Takes(group) = &self.stage else {
+            return;
+        };
         let term = group.term();
         if group.is_ready_to_lead() && self.duties.is_none() {
             effects.begins = true;
@@ -244,9 +272,11 @@
             self.changing = None;
             let elsewhere = ToPerson::Elsewhere(Some(group.leader()).filter(|id| *id != 0));
             let asked = std::mem::take(&mut self.asked);
-            effects
-                .out
-                .extend(asked.into_iter().map(|connection| Out::Answer(connection, elsewhere.clone())));
+            effects.out.extend(
+                asked
+                    .into_iter()
+                    .map(|connection| Out::Answer(connection, elsewhere.clone())),
+            );
         }
     }
 
--- a/src/keeper/replica/formation.rs
+++ b/src/keeper/replica/formation.rs
@@ -1,4 +1,5 @@
-//! What a replica does before it takes part in the group: it meets the others and writes down whom it knows.
+//! What a replica does before it takes part in the group: it meets the others and writes down whom
+//! it knows.
 
 use super::{draw, Replica, Stage, RESOURCE_RETRY_DELAY};
 use crate::keeper::group::Group;
@@ -7,13 +8,19 @@
 impl Replica {
     /// Writes down what an empty folder begins with.
     pub(super) async fn begin(&mut self) -> Result<(), String> {
-        let Stage::Begins(begin) = &self.stage else { return self.work() };
+        let Stage::Begins(begin) = &self.stage else {
+            return self.work();
+        };
         let piece = Piece::Base(Box::new(begin.base().clone()));
         self.save_now(piece).await?;
         // One that is alone waits for nobody.
         self.form_group().await?;
         if let Stage::Begins(begin) = &self.stage {
-            log::info!("{}: begins when it and keepers {:?} know each other", self.who(), begin.missing());
+            log::info!(
+                "{}: begins when it and keepers {:?} know each other",
+                self.who(),
+                begin.missing()
+            );
         }
         self.work()
     }
@@ -35,15 +42,26 @@
 
     /// Writes down whom it knows.
     pub(super) async fn save_known_replicas(&mut self) -> Result<(), String> {
-        let Stage::Begins(begin) = &self.stage else { return Ok(()) };
-        self.save_now(Piece::Base(Box::new(begin.base().clone()))).await
+        let Stage::Begins(begin) = &self.stage else {
+            return Ok(());
+        };
+        self.save_now(Piece::Base(Box::new(begin.base().clone())))
+            .await
     }
 
     /// Takes part, when all know each other.
     pub(super) async fn form_group(&mut self) -> Result<(), String> {
-        let Stage::Begins(begin) = &self.stage else { return Ok(()) };
-        let peers = self.config.peers.iter().map(|(id, at)| (*id, at.to_string()));
-        let at = peers.chain([(self.config.keeper, self.config.listen.to_string())]).collect();
+        let Stage::Begins(begin) = &self.stage else {
+            return Ok(());
+        };
+        let peers = self
+            .config
+            .peers
+            .iter()
+            .map(|(id, at)| (*id, at.to_string()));
+        let at = peers
+            .chain([(self.config.keeper, self.config.listen.to_string())])
+            .collect();
         if let Some(base) = begin.finish(&at) {
             log::info!("{}: all keepers know each other, begins", self.who());
             let group = Group::new(base, draw()).map_err(|e| e.to_string())?;
--- a/src/keeper/replica/peers.rs
+++ b/src/keeper/replica/peers.rs
@@ -1,7 +1,8 @@
 //! Connections to the other replicas of the site, one in each direction.
 
 use super::transport::{
-    receive_messages, retry_delay, send_messages, with_timeout, LinkState, HANDSHAKE_TIMEOUT, WRITE_TIMEOUT,
+    receive_messages, retry_delay, send_messages, with_timeout, LinkState, HANDSHAKE_TIMEOUT,
+    WRITE_TIMEOUT,
 };
 use super::{Context, Incoming, Replica, Stage, PEER_QUEUE};
 use crate::keeper::frames::{self, Broken};
@@ -54,7 +55,12 @@
     what: String,
 ) -> Result<(), Broken> {
     let word = PeerMessage::Refused(format!("it came to a keeper {what}, form {VERSION}"));
-    with_timeout(&context.wheel, WRITE_TIMEOUT, frames::write(&mut stream, &word, PEER_MOST)).await?;
+    with_timeout(
+        &context.wheel,
+        WRITE_TIMEOUT,
+        frames::write(&mut stream, &word, PEER_MOST),
+    )
+    .await?;
     Err(why)
 }
 
@@ -64,22 +70,53 @@
     mut stream: Async<TcpStream>,
     keeper: u64,
 ) -> Result<(), Broken> {
-    let me = with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, frames::read(&mut stream, PEER_MOST)).await?;
-    let PeerMessage::Me { incarnation } = me else { return Ok(()) };
+    let me = with_timeout(
+        &context.wheel,
+        HANDSHAKE_TIMEOUT,
+        frames::read(&mut stream, PEER_MOST),
+    )
+    .await?;
+    let PeerMessage::Me { incarnation } = me else {
+        return Ok(());
+    };
     let (answer, answered) = async_channel::bounded(1);
     let (alive, ended) = async_channel::bounded::<()>(1);
-    let came = Incoming::Came { keeper, incarnation, answer, alive };
+    let came = Incoming::Came {
+        keeper,
+        incarnation,
+        answer,
+        alive,
+    };
     let _ = context.inbox.send(came).await;
-    let Ok(word) = answered.recv().await else { return Ok(()) };
-    with_timeout(&context.wheel, WRITE_TIMEOUT, frames::write(&mut stream, &word, PEER_MOST)).await?;
+    let Ok(word) = answered.recv().await else {
+        return Ok(());
+    };
+    with_timeout(
+        &context.wheel,
+        WRITE_TIMEOUT,
+        frames::write(&mut stream, &word, PEER_MOST),
+    )
+    .await?;
     if !matches!(word, PeerMessage::Known { .. }) {
         return Ok(());
     }
     let raft = |word| match word {
-        PeerMessage::Raft(bytes) => Ok(Incoming::Raft { keeper, bytes: bytes.into_vec() }),
-        other => Err(Broken::Io(std::io::Error::other(format!("{other:?} from a keeper")))),
+        PeerMessage::Raft(bytes) => Ok(Incoming::Raft {
+            keeper,
+            bytes: bytes.into_vec(),
+        }),
+        other => Err(Broken::Io(std::io::Error::other(format!(
+            "{other:?} from a keeper"
+        )))),
     };
-    receive_messages(&context, stream, (&PeerMessage::Pulse, PEER_MOST), &ended, raft).await
+    receive_messages(
+        &context,
+        stream,
+        (&PeerMessage::Pulse, PEER_MOST),
+        &ended,
+        raft,
+    )
+    .await
 }
 
 /// Introduces itself to another keeper.
@@ -90,10 +127,20 @@
     let meeting = async {
         let mut stream = Async::<TcpStream>::connect(at).await?;
         stream.get_ref().set_nodelay(true)?;
-        let hello =
-            Hello { version: VERSION, site: context.site.to_string(), who: Who::Keeper(context.keeper) };
+        let hello = Hello {
+            version: VERSION,
+            site: context.site.to_string(),
+            who: Who::Keeper(context.keeper),
+        };
         frames::write(&mut stream, &hello, MOST).await?;
-        frames::write(&mut stream, &PeerMessage::Me { incarnation: context.incarnation }, PEER_MOST).await?;
+        frames::write(
+            &mut stream,
+            &PeerMessage::Me {
+                incarnation: context.incarnation,
+            },
+            PEER_MOST,
+        )
+        .await?;
         let word = frames::read(&mut stream, PEER_MOST).await?;
         Ok((stream, word))
     };
@@ -108,7 +155,10 @@
     going: Receiver<Vec<u8>>,
     reach: Rc<LinkState>,
 ) {
-    let who = format!("keeper {} of {}: keeper {keeper} at {at}", context.keeper, context.site);
+    let who = format!(
+        "keeper {} of {}: keeper {keeper} at {at}",
+        context.keeper, context.site
+    );
     loop {
         let ended = async {
             let (stream, word) = handshake(&context, at).await?;
@@ -116,12 +166,17 @@
             // What waited for the last connection is late by now.
             while going.try_recv().is_ok() {}
             reach.up.set(known);
-            let _ = context.inbox.send(Incoming::Answered { keeper, word }).await;
+            let _ = context
+                .inbox
+                .send(Incoming::Answered { keeper, word })
+                .await;
             if !known {
                 return Ok(());
             }
-            // One that is not the keeper that it should be is left; another one may answer there by now.
-            send_messages::<PeerMessage>(&context, stream, PEER_MOST, &going, &reach.up, || ()).await
+            // One that is not the keeper that it should be is left; another one may answer there by
+            // now.
+            send_messages::<PeerMessage>(&context, stream, PEER_MOST, &going, &reach.up, || ())
+                .await
         };
         let ended: Result<(), Broken> = ended.await;
         let was_up = reach.up.replace(false);
@@ -131,13 +186,21 @@
 }
 
 /// Sends messages of the group, each as far as there is a connection for it.
-pub(super) fn send(group: &mut Group, outgoing: &BTreeMap<u64, OutgoingLink>, messages: Vec<Message>) {
+pub(super) fn send(
+    group: &mut Group,
+    outgoing: &BTreeMap<u64, OutgoingLink>,
+    messages: Vec<Message>,
+) {
     for message in messages {
-        let (to, snapshot) = (message.to, message.get_msg_type() == MessageType::MsgSnapshot);
+        let (to, snapshot) = (
+            message.to,
+            message.get_msg_type() == MessageType::MsgSnapshot,
+        );
         let connection = outgoing.get(&to).filter(|o| o.reach.up.get());
         let bytes = message.write_to_bytes().map_err(|e| e.to_string());
         let framed = bytes.and_then(|b| {
-            frames::bytes(&PeerMessage::Raft(ByteBuf::from(b)), PEER_MOST).map_err(|e| e.to_string())
+            frames::bytes(&PeerMessage::Raft(ByteBuf::from(b)), PEER_MOST)
+                .map_err(|e| e.to_string())
         });
         let sent = match (framed, connection) {
             (Ok(bytes), Some(connection)) => connection.queue.try_send(bytes).is_ok(),
@@ -159,7 +222,11 @@
     /// Where a keeper is reached: the file goes before what the group knows.
     pub(super) fn address_of(&self, keeper: u64) -> Option<SocketAddr> {
         let known = match &self.stage {
-            Stage::Takes(group) => group.held().members.get(&keeper).and_then(|m| m.at.parse().ok()),
+            Stage::Takes(group) => group
+                .held()
+                .members
+                .get(&keeper)
+                .and_then(|m| m.at.parse().ok()),
             Stage::Begins(_) => None,
         };
         self.config.peers.get(&keeper).copied().or(known)
@@ -175,11 +242,17 @@
             }
         }
         wanted.remove(&self.config.keeper);
-        let at: BTreeMap<u64, SocketAddr> =
-            wanted.iter().filter_map(|id| Some((*id, self.address_of(*id)?))).collect();
+        let at: BTreeMap<u64, SocketAddr> = wanted
+            .iter()
+            .filter_map(|id| Some((*id, self.address_of(*id)?)))
+            .collect();
         // One that joins is spoken to from addresses that its file names.
         let named = self.config.peers.values();
-        *self.allowed.borrow_mut() = at.values().chain(named).map(|at| at.ip().to_canonical()).collect();
+        *self.allowed.borrow_mut() = at
+            .values()
+            .chain(named)
+            .map(|at| at.ip().to_canonical())
+            .collect();
         self.outgoing.retain(|id, o| at.get(id) == Some(&o.at));
         self.incoming.retain(|id, _| wanted.contains(id));
         for (keeper, at) in at {
@@ -188,7 +261,15 @@
                 let reach: Rc<LinkState> = Rc::default();
                 let task = send_to_peer(self.context.clone(), keeper, at, going, reach.clone());
                 let task = self.executor.spawn(task);
-                self.outgoing.insert(keeper, OutgoingLink { queue, at, reach, _task: task });
+                self.outgoing.insert(
+                    keeper,
+                    OutgoingLink {
+                        queue,
+                        at,
+                        reach,
+                        _task: task,
+                    },
+                );
             }
         }
     }
--- a/src/keeper/replica/receive.rs
+++ b/src/keeper/replica/receive.rs
@@ -10,10 +10,18 @@
     /// Something came in.
     pub(super) async fn handle(&mut self, word: Incoming) -> Result<(), String> {
         match word {
-            Incoming::Came { keeper, incarnation, answer, alive } => {
+            Incoming::Came {
+                keeper,
+                incarnation,
+                answer,
+                alive,
+            } => {
                 return self.keeper_came(keeper, incarnation, answer, alive).await;
             }
-            Incoming::Answered { keeper, word: PeerMessage::Known { incarnation } } => {
+            Incoming::Answered {
+                keeper,
+                word: PeerMessage::Known { incarnation },
+            } => {
                 return self.keeper_answered(keeper, incarnation).await;
             }
             Incoming::Answered { keeper, word } => {
@@ -21,9 +29,12 @@
                     self.note_conflict(keeper, Conflict::Shut, &why);
                 }
             }
-            Incoming::Asked { connection, keeper, at, folder } => {
-                self.add_replica(connection, keeper, at, folder)
-            }
+            Incoming::Asked {
+                connection,
+                keeper,
+                at,
+                folder,
+            } => self.add_replica(connection, keeper, at, folder),
             Incoming::Raft { keeper, bytes } => self.raft_came(keeper, &bytes),
             Incoming::Opened { connection, queue } => {
                 self.connections.insert(connection, queue);
@@ -32,10 +43,14 @@
             Incoming::Person(connection, word) => self.handle_operator(connection, word),
             Incoming::Site(word) => self.came_site(word),
             Incoming::Gone(connection) => {
-                self.voice.iter_mut().for_each(|voice| voice.hung_up(connection));
+                self.voice
+                    .iter_mut()
+                    .for_each(|voice| voice.hung_up(connection));
                 self.connections.remove(&connection);
                 self.asked.remove(&connection);
-                self.duties.iter_mut().for_each(|duties| duties.hung_up(connection));
+                self.duties
+                    .iter_mut()
+                    .for_each(|duties| duties.hung_up(connection));
             }
         }
         Ok(())
@@ -69,7 +84,9 @@
             _ => {
                 self.wrong.remove(&(keeper, Conflict::Came));
                 self.incoming.insert(keeper, alive);
-                PeerMessage::Known { incarnation: self.context.incarnation }
+                PeerMessage::Known {
+                    incarnation: self.context.incarnation,
+                }
             }
         };
         let _ = answer.try_send(word);
@@ -82,10 +99,14 @@
         if let Heard::No(why) = &heard {
             self.note_conflict(keeper, Conflict::Answers, why);
             // Nothing is said to it.
-            self.outgoing.get(&keeper).into_iter().for_each(|o| o.reach.up.set(false));
+            self.outgoing
+                .get(&keeper)
+                .into_iter()
+                .for_each(|o| o.reach.up.set(false));
             return Ok(());
         }
-        let was = [Conflict::Answers, Conflict::Shut].map(|how| self.wrong.remove(&(keeper, how)).is_some());
+        let was = [Conflict::Answers, Conflict::Shut]
+            .map(|how| self.wrong.remove(&(keeper, how)).is_some());
         if let Some(o) = self.outgoing.get(&keeper) {
             if o.reach.told.take().is_some() || was.contains(&true) {
                 log::info!("{}: keeper {keeper} at {}: is reached", self.who(), o.at);
@@ -102,7 +123,9 @@
 
     /// A message of the group came; the connection of one that sends what makes no sense is ended.
     fn raft_came(&mut self, keeper: u64, bytes: &[u8]) {
-        let Stage::Takes(group) = &mut self.stage else { return };
+        let Stage::Takes(group) = &mut self.stage else {
+            return;
+        };
         if let Err(e) = group.step(keeper, bytes) {
             log::warn!("{}: keeper {keeper} sent {e}", self.who());
             self.incoming.remove(&keeper);
--- a/src/keeper/replica/requests.rs
+++ b/src/keeper/replica/requests.rs
@@ -25,7 +25,9 @@
                 Out::Answer(connection, word) => self.answer(connection, word),
                 Out::Federation(command) => {
                     let (now, mut said) = (self.now(), Vec::new());
-                    self.voice.iter_mut().for_each(|voice| voice.command(now, command.clone(), &mut said));
+                    self.voice
+                        .iter_mut()
+                        .for_each(|voice| voice.command(now, command.clone(), &mut said));
                     self.carry_voice(said);
                 }
             }
@@ -33,7 +35,9 @@
     }
 
     pub(super) fn send<T: Serialize>(&mut self, connection: ConnectionId, word: &T) {
-        let Some(queue) = self.connections.get(&connection) else { return };
+        let Some(queue) = self.connections.get(&connection) else {
+            return;
+        };
         let sent = frames::bytes(word, MOST).map_err(|e| e.to_string());
         let sent = sent.and_then(|bytes| queue.try_send(bytes).map_err(|e| e.to_string()));
         if let Err(e) = sent {
@@ -95,25 +99,31 @@
             (Stage::Takes(group), Some(duties)) if group.leads_for_certain() => {
                 self.asked.insert(connection);
                 match word {
-                    FromPerson::Table(order @ (TableOrder::Off { .. } | TableOrder::Join { .. }))
-                        if self.voice.is_some() =>
-                    {
+                    FromPerson::Table(
+                        order @ (TableOrder::Off { .. } | TableOrder::Join { .. }),
+                    ) if self.voice.is_some() => {
                         return self.order_site(connection, &order);
                     }
-                    FromPerson::Add { keeper, at } => return self.ask_incarnation(connection, keeper, at),
+                    FromPerson::Add { keeper, at } => {
+                        return self.ask_incarnation(connection, keeper, at)
+                    }
                     FromPerson::Remove { keeper } => match group.remove(keeper) {
                         Ok(()) => self.changing = Some((connection, keeper, None)),
                         // It was removed before: as ordered.
                         Err(_) if group.held().removed.contains(&keeper) => {
-                            out.push(Out::Answer(connection, ToPerson::Done(group.record().version)));
+                            out.push(Out::Answer(
+                                connection,
+                                ToPerson::Done(group.record().version),
+                            ));
+                        }
+                        Err(no) => {
+                            out.push(Out::Answer(connection, ToPerson::Refused(no.to_string())))
                         }
-                        Err(no) => out.push(Out::Answer(connection, ToPerson::Refused(no.to_string()))),
                     },
                     word => {
                         duties.order(now, connection, &word, group.record(), &mut out);
                         // What the replica knows can be told in any case.
-                        let none =
-                            |o: &Out| matches!(o, Out::Answer(l, ToPerson::Refused(_)) if *l == connection);
+                        let none = |o: &Out| matches!(o, Out::Answer(l, ToPerson::Refused(_)) if *l == connection);
                         if word == FromPerson::Status && out.iter().any(none) {
                             out.retain(|o| !none(o));
                             out.push(Out::Answer(connection, ToPerson::Status(Box::default())));
@@ -132,15 +142,17 @@
 
     /// Asks a keeper that is to be added for its folder.
     fn ask_incarnation(&mut self, connection: ConnectionId, keeper: u64, at: String) {
-        let Stage::Takes(group) = &self.stage else { return };
+        let Stage::Takes(group) = &self.stage else {
+            return;
+        };
         let known = group.held().members.get(&keeper);
         if known.is_some_and(|m| m.at == at) {
             // As ordered, already.
             let word = match group.has(keeper, 1) {
                 true => ToPerson::Done(group.record().version),
-                false => {
-                    ToPerson::Refused(format!("keeper {keeper} was added and has not got the record yet"))
-                }
+                false => ToPerson::Refused(format!(
+                    "keeper {keeper} was added and has not got the record yet"
+                )),
             };
             return self.answer(connection, word);
         }
@@ -150,7 +162,10 @@
         let address = match at.parse::<SocketAddr>() {
             Ok(address) if !address.ip().is_unspecified() && address.port() != 0 => address,
             _ => {
-                return self.answer(connection, ToPerson::Refused(format!("{at:?}: no address with a port")))
+                return self.answer(
+                    connection,
+                    ToPerson::Refused(format!("{at:?}: no address with a port")),
+                )
             }
         };
         let context = self.context.clone();
@@ -161,7 +176,15 @@
                 Ok((_, other)) => Err(format!("it answers {other:?}")),
                 Err(e) => Err(e.to_string()),
             };
-            let _ = context.inbox.send(Incoming::Asked { connection, keeper, at, folder }).await;
+            let _ = context
+                .inbox
+                .send(Incoming::Asked {
+                    connection,
+                    keeper,
+                    at,
+                    folder,
+                })
+                .await;
         };
         self.executor.spawn(asking).detach();
     }
@@ -173,7 +196,9 @@
         at: String,
         folder: Result<u64, String>,
     ) {
-        let Stage::Takes(group) = &mut self.stage else { return };
+        let Stage::Takes(group) = &mut self.stage else {
+            return;
+        };
         let added = match folder {
             Ok(incarnation) => {
                 let added = group.add(keeper, &Member { at, incarnation });
--- a/src/keeper/replica/site_links.rs
+++ b/src/keeper/replica/site_links.rs
@@ -1,10 +1,12 @@
-//! Single connections to other sites: the handshake, what is said, and attempts to reach whichever replica of a site leads it.
+//! Single connections to other sites: the handshake, what is said, and attempts to reach whichever
+//! replica of a site leads it.
 //!
-//! A site is reached at whichever of its keepers leads it. The addresses are tried in turn; one that does not lead says who does, where it
-//! knows.
+//! A site is reached at whichever of its keepers leads it. The addresses are tried in turn; one
+//! that does not lead says who does, where it knows.
 
 use super::transport::{
-    self, receive_messages, retry_delay, send_messages, with_timeout, HANDSHAKE_TIMEOUT, WRITE_TIMEOUT,
+    self, receive_messages, retry_delay, send_messages, with_timeout, HANDSHAKE_TIMEOUT,
+    WRITE_TIMEOUT,
 };
 use super::{Context, Incoming};
 use crate::keeper::frames::{self, Broken};
@@ -28,7 +30,11 @@
     /// The record of the site that connected, and the term of its voice there.
     Me { incarnation: u64, term: u64 },
     /// It is known, and written down. And the same of the one that answers.
-    Known { number: u64, incarnation: u64, term: u64 },
+    Known {
+        number: u64,
+        incarnation: u64,
+        term: u64,
+    },
     /// This keeper is not its site's voice, or not ready to be; where that is, if it is known.
     Elsewhere(Option<String>),
     /// It is not heard, and why.
@@ -42,13 +48,26 @@
 /// What comes in of other sites.
 pub(super) enum Site {
     /// A voice connected.
-    Came { site: u64, incarnation: u64, term: u64, answer: Sender<Said>, alive: Sender<()> },
+    Came {
+        site: u64,
+        incarnation: u64,
+        term: u64,
+        answer: Sender<Said>,
+        alive: Sender<()>,
+    },
     /// One answered, at this address.
-    Answered { site: u64, at: SocketAddr, said: Said },
+    Answered {
+        site: u64,
+        at: SocketAddr,
+        said: Said,
+    },
     /// One says something.
     Word { site: u64, word: Word },
     /// One was asked for its incarnation, in order to add it.
-    Met { site: u64, folder: Result<u64, String> },
+    Met {
+        site: u64,
+        folder: Result<u64, String>,
+    },
 }
 
 /// Who this site is to others.
@@ -85,19 +104,44 @@
     mut stream: Async<TcpStream>,
     site: u64,
 ) -> Result<(), Broken> {
-    let me = with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, frames::read(&mut stream, SITE_MOST)).await?;
-    let Said::Me { incarnation, term } = me else { return Ok(()) };
+    let me = with_timeout(
+        &context.wheel,
+        HANDSHAKE_TIMEOUT,
+        frames::read(&mut stream, SITE_MOST),
+    )
+    .await?;
+    let Said::Me { incarnation, term } = me else {
+        return Ok(());
+    };
     let (answer, answered) = async_channel::bounded(1);
     let (alive, ended) = async_channel::bounded::<()>(1);
-    let _ = context.inbox.send(Incoming::Site(Site::Came { site, incarnation, term, answer, alive })).await;
-    let Ok(said) = answered.recv().await else { return Ok(()) };
-    with_timeout(&context.wheel, WRITE_TIMEOUT, frames::write(&mut stream, &said, SITE_MOST)).await?;
+    let _ = context
+        .inbox
+        .send(Incoming::Site(Site::Came {
+            site,
+            incarnation,
+            term,
+            answer,
+            alive,
+        }))
+        .await;
+    let Ok(said) = answered.recv().await else {
+        return Ok(());
+    };
+    with_timeout(
+        &context.wheel,
+        WRITE_TIMEOUT,
+        frames::write(&mut stream, &said, SITE_MOST),
+    )
+    .await?;
     if !matches!(said, Said::Known { .. }) {
         return Ok(());
     }
     let word = |said| match said {
         Said::Word(word) => Ok(Incoming::Site(Site::Word { site, word })),
-        other => Err(Broken::Io(std::io::Error::other(format!("{other:?} from a site")))),
+        other => Err(Broken::Io(std::io::Error::other(format!(
+            "{other:?} from a site"
+        )))),
     };
     receive_messages(&context, stream, (&Said::Pulse, SITE_MOST), &ended, word).await
 }
@@ -110,8 +154,12 @@
         }
         None => format!("it came to a keeper in no federation, form {VERSION}"),
     };
-    with_timeout(&context.wheel, WRITE_TIMEOUT, frames::write(&mut stream, &Said::Refused(what), SITE_MOST))
-        .await?;
+    with_timeout(
+        &context.wheel,
+        WRITE_TIMEOUT,
+        frames::write(&mut stream, &Said::Refused(what), SITE_MOST),
+    )
+    .await?;
     Err(Broken::Io(std::io::ErrorKind::PermissionDenied.into()))
 }
 
@@ -124,9 +172,16 @@
     let meeting = async {
         let mut stream = Async::<TcpStream>::connect(at).await?;
         stream.get_ref().set_nodelay(true)?;
-        let hello = Hello { version: VERSION, site: me.federation.to_string(), who: Who::Site(me.number) };
+        let hello = Hello {
+            version: VERSION,
+            site: me.federation.to_string(),
+            who: Who::Site(me.number),
+        };
         frames::write(&mut stream, &hello, MOST).await?;
-        let word = Said::Me { incarnation: me.incarnation, term: me.term };
+        let word = Said::Me {
+            incarnation: me.incarnation,
+            term: me.term,
+        };
         frames::write(&mut stream, &word, SITE_MOST).await?;
         let said = frames::read(&mut stream, SITE_MOST).await?;
         Ok((stream, said))
@@ -146,13 +201,17 @@
     let who = format!("federation {}: site {site}", me.federation);
     let (mut next, mut tried) = (fastrand::usize(..places.len().max(1)), 0);
     loop {
-        let Some(at) = places.get(next).copied() else { return };
+        let Some(at) = places.get(next).copied() else {
+            return;
+        };
         let mut elsewhere = None;
         let ended = async {
             let (stream, said) = handshake(&context, &me, at).await?;
             if let Said::Elsewhere(hint) = said {
                 elsewhere = hint;
-                return Err(Broken::Io(std::io::Error::other("no keeper there leads its site")));
+                return Err(Broken::Io(std::io::Error::other(
+                    "no keeper there leads its site",
+                )));
             }
             let known = matches!(said, Said::Known { .. });
             // What waited for the last connection is late by now.
@@ -167,13 +226,25 @@
                 Said::Refused(why) => Some(why.clone()),
                 _ => None,
             };
-            let _ = context.inbox.send(Incoming::Site(Site::Answered { site, at, said })).await;
+            let _ = context
+                .inbox
+                .send(Incoming::Site(Site::Answered { site, at, said }))
+                .await;
             if let Some(why) = refused {
                 return Err(Broken::Io(std::io::Error::other(why)));
             }
-            // One that is not the site that it should be is left; another one may answer there by now.
+            // One that is not the site that it should be is left; another one may answer there by
+            // now.
             let lives = || reach.lives.set(Some(Instant::now()));
-            send_messages::<Said>(&context, stream, SITE_MOST, &going, &reach.connection.up, lives).await
+            send_messages::<Said>(
+                &context,
+                stream,
+                SITE_MOST,
+                &going,
+                &reach.connection.up,
+                lives,
+            )
+            .await
         };
         let ended: Result<(), Broken> = ended.await;
         let was_up = reach.connection.up.replace(false);
--- a/src/keeper/replica/sites.rs
+++ b/src/keeper/replica/sites.rs
@@ -1,8 +1,11 @@
-//! The other sites of a federation: this site's voice has a connection to each other's, and those have one to it.
+//! The other sites of a federation: this site's voice has a connection to each other's, and those
+//! have one to it.
 //!
 //! A voice of a later term at its site goes before an earlier one, on either side of a connection.
 
-use super::site_links::{handshake, send_to_site, LinkState, Me, OutgoingLink, Said, Site, SITE_MOST};
+use super::site_links::{
+    handshake, send_to_site, LinkState, Me, OutgoingLink, Said, Site, SITE_MOST,
+};
 use super::transport::HEARTBEAT_TIMEOUT;
 use super::trouble::Conflict;
 use super::{draw, Incoming, Replica, Stage, PEER_QUEUE};
@@ -33,8 +36,16 @@
 impl Replica {
     /// Speaks for the site from now on, if it is in a federation.
     pub(super) fn begin_voice(&mut self) {
-        let (Some(settings), Stage::Takes(group)) = (&self.config.federation, &self.stage) else { return };
-        let voice = Voice::new(settings.clone(), group.term(), self.now(), group.record(), draw());
+        let (Some(settings), Stage::Takes(group)) = (&self.config.federation, &self.stage) else {
+            return;
+        };
+        let voice = Voice::new(
+            settings.clone(),
+            group.term(),
+            self.now(),
+            group.record(),
+            draw(),
+        );
         self.voice = Some(voice);
         self.sites.told = None;
     }
@@ -46,20 +57,33 @@
             voice.ends(&mut out);
             self.carry_voice(out);
             let allowed = self.sites.allowed.clone();
-            self.sites = Sites { allowed, ..Sites::default() };
+            self.sites = Sites {
+                allowed,
+                ..Sites::default()
+            };
         }
     }
 
     /// Has a connection to each other site, and to nobody else.
     pub(super) fn connect_sites(&mut self) {
-        let Some(settings) = &self.config.federation else { return };
-        let mut places: BTreeMap<u64, Vec<SocketAddr>> =
-            settings.sites.iter().map(|(site, place)| (*site, place.at.clone())).collect();
+        let Some(settings) = &self.config.federation else {
+            return;
+        };
+        let mut places: BTreeMap<u64, Vec<SocketAddr>> = settings
+            .sites
+            .iter()
+            .map(|(site, place)| (*site, place.at.clone()))
+            .collect();
         let (mut me, mut named) = (None, BTreeSet::new());
         if let (Some(voice), Stage::Takes(group)) = (&self.voice, &self.stage) {
             if let Some(incarnation) = voice.incarnation(group.record()) {
                 let (number, term) = (settings.number, voice.term());
-                me = Some(Me { federation: (&*settings.name).into(), number, incarnation, term });
+                me = Some(Me {
+                    federation: (&*settings.name).into(),
+                    number,
+                    incarnation,
+                    term,
+                });
             }
             let file = std::mem::replace(&mut places, voice.places());
             // One that joins is spoken to from addresses that its file names.
@@ -68,17 +92,35 @@
         named.extend(places.values().flatten().copied());
         *self.sites.allowed.borrow_mut() = named.iter().map(|at| at.ip().to_canonical()).collect();
         let Some(me) = me else { return };
-        self.sites.outgoing.retain(|site, o| places.get(site) == Some(&o.at));
-        self.sites.incoming.retain(|site, _| places.contains_key(site));
+        self.sites
+            .outgoing
+            .retain(|site, o| places.get(site) == Some(&o.at));
+        self.sites
+            .incoming
+            .retain(|site, _| places.contains_key(site));
         self.sites.terms.retain(|site, _| places.contains_key(site));
         for (site, at) in places {
             if !self.sites.outgoing.contains_key(&site) {
                 let (queue, going) = async_channel::bounded(PEER_QUEUE);
                 let reach: Rc<LinkState> = Rc::default();
-                let task =
-                    send_to_site(self.context.clone(), me.clone(), site, at.clone(), going, reach.clone());
+                let task = send_to_site(
+                    self.context.clone(),
+                    me.clone(),
+                    site,
+                    at.clone(),
+                    going,
+                    reach.clone(),
+                );
                 let task = self.executor.spawn(task);
-                self.sites.outgoing.insert(site, OutgoingLink { queue, at, reach, _task: task });
+                self.sites.outgoing.insert(
+                    site,
+                    OutgoingLink {
+                        queue,
+                        at,
+                        reach,
+                        _task: task,
+                    },
+                );
             }
         }
     }
@@ -86,10 +128,15 @@
     /// Time has passed for the voice.
     pub(super) fn tick_voice(&mut self) {
         let now = self.now();
-        let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else { return };
+        let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else {
+            return;
+        };
         for (site, o) in &self.sites.outgoing {
             if o.reach.connection.up.get()
-                && o.reach.lives.get().is_some_and(|at| at.elapsed() < HEARTBEAT_TIMEOUT)
+                && o.reach
+                    .lives
+                    .get()
+                    .is_some_and(|at| at.elapsed() < HEARTBEAT_TIMEOUT)
             {
                 voice.lives(now, *site);
             }
@@ -104,7 +151,8 @@
     /// Tells the leader how the federation stands: at each change, and as time passes.
     pub(super) fn tell_leader(&mut self, tick: bool) {
         let now = self.now();
-        let (Some(voice), Some(duties), Stage::Takes(group)) = (&self.voice, &mut self.duties, &self.stage)
+        let (Some(voice), Some(duties), Stage::Takes(group)) =
+            (&self.voice, &mut self.duties, &self.stage)
         else {
             return;
         };
@@ -125,9 +173,14 @@
         for what in out {
             match what {
                 Out::Propose(command) => {
-                    let Stage::Takes(group) = &mut self.stage else { continue };
+                    let Stage::Takes(group) = &mut self.stage else {
+                        continue;
+                    };
                     if let Err(no) = group.propose(&command) {
-                        log::debug!("keeper {}: a voice's piece is not proposed: {no}", group.me());
+                        log::debug!(
+                            "keeper {}: a voice's piece is not proposed: {no}",
+                            group.me()
+                        );
                         self.voice.iter_mut().for_each(|voice| voice.refused(now));
                     }
                 }
@@ -136,7 +189,9 @@
                 }
                 Out::Raft(site, word, snapshot) => {
                     let went = self.say_site(site, word);
-                    self.voice.iter_mut().for_each(|voice| voice.sent(site, snapshot, went));
+                    self.voice
+                        .iter_mut()
+                        .for_each(|voice| voice.sent(site, snapshot, went));
                 }
                 Out::Answer(connection, word) => self.answer(connection, word),
                 Out::Meet(site, at) => self.meet(site, at),
@@ -145,7 +200,12 @@
     }
 
     fn say_site(&mut self, site: u64, word: Word) -> bool {
-        let Some(connection) = self.sites.outgoing.get(&site).filter(|o| o.reach.connection.up.get()) else {
+        let Some(connection) = self
+            .sites
+            .outgoing
+            .get(&site)
+            .filter(|o| o.reach.connection.up.get())
+        else {
             return false;
         };
         match frames::bytes(&Said::Word(word), SITE_MOST) {
@@ -157,25 +217,44 @@
         }
     }
 
-    /// Asks a site that is to join for its incarnation, at each of its keepers until one speaks for it.
+    /// Asks a site that is to join for its incarnation, at each of its keepers until one speaks for
+    /// it.
     fn meet(&mut self, site: u64, places: Vec<SocketAddr>) {
         let (Some(settings), Some(voice), Stage::Takes(group)) =
             (&self.config.federation, &self.voice, &self.stage)
         else {
             return;
         };
-        let Some(incarnation) = voice.incarnation(group.record()) else { return };
+        let Some(incarnation) = voice.incarnation(group.record()) else {
+            return;
+        };
         let (number, term) = (settings.number, voice.term());
-        let me = Me { federation: (&*settings.name).into(), number, incarnation, term };
+        let me = Me {
+            federation: (&*settings.name).into(),
+            number,
+            incarnation,
+            term,
+        };
         let context = self.context.clone();
         let asking = async move {
             let mut folder = Err("no address".to_string());
             for at in places {
                 folder = match handshake(&context, &me, at).await {
-                    Ok((_, Said::Known { number, incarnation, .. })) if number == site => Ok(incarnation),
-                    Ok((_, Said::Known { number, .. })) => Err(format!("{at}: it is site {number}")),
+                    Ok((
+                        _,
+                        Said::Known {
+                            number,
+                            incarnation,
+                            ..
+                        },
+                    )) if number == site => Ok(incarnation),
+                    Ok((_, Said::Known { number, .. })) => {
+                        Err(format!("{at}: it is site {number}"))
+                    }
                     Ok((_, Said::Refused(why))) => Err(format!("{at}: {why}")),
-                    Ok((_, Said::Elsewhere(_))) => Err(format!("{at}: no keeper there leads its site")),
+                    Ok((_, Said::Elsewhere(_))) => {
+                        Err(format!("{at}: no keeper there leads its site"))
+                    }
                     Ok((_, other)) => Err(format!("{at}: it answers {other:?}")),
                     Err(e) => Err(format!("{at}: {e}")),
                 };
@@ -183,7 +262,10 @@
                     break;
                 }
             }
-            let _ = context.inbox.send(Incoming::Site(Site::Met { site, folder })).await;
+            let _ = context
+                .inbox
+                .send(Incoming::Site(Site::Met { site, folder }))
+                .await;
         };
         self.executor.spawn(asking).detach();
     }
@@ -202,21 +284,37 @@
         let now = self.now();
         let mut out = Vec::new();
         match word {
-            Site::Came { site, incarnation, term, answer, alive } => {
+            Site::Came {
+                site,
+                incarnation,
+                term,
+                answer,
+                alive,
+            } => {
                 let said = self.site_came(site, incarnation, term, &mut out);
                 if matches!(said, Said::Known { .. }) {
                     self.wrong.remove(&(site, Conflict::SiteCame));
                     self.sites.incoming.insert(site, (term, alive));
                     self.sites.terms.insert(site, (incarnation, term));
                     // What it was spoken to by is one that speaks for it no more.
-                    let older = |o: &OutgoingLink| o.reach.connection.up.get() && o.reach.term.get() < term;
+                    let older =
+                        |o: &OutgoingLink| o.reach.connection.up.get() && o.reach.term.get() < term;
                     if self.sites.outgoing.get(&site).is_some_and(older) {
                         self.sites.outgoing.remove(&site);
                     }
                 }
                 let _ = answer.try_send(said);
             }
-            Site::Answered { site, at, said: Said::Known { number, incarnation, term } } => {
+            Site::Answered {
+                site,
+                at,
+                said:
+                    Said::Known {
+                        number,
+                        incarnation,
+                        term,
+                    },
+            } => {
                 if self.voice.is_none() {
                     return;
                 }
@@ -228,7 +326,10 @@
                 }
             }
             Site::Word { site, word } => {
-                let Some(voice) = self.voice.as_mut().filter(|_| self.sites.incoming.contains_key(&site))
+                let Some(voice) = self
+                    .voice
+                    .as_mut()
+                    .filter(|_| self.sites.incoming.contains_key(&site))
                 else {
                     return;
                 };
@@ -257,9 +358,13 @@
         out: &mut Vec<Out>,
     ) {
         let now = self.now();
-        let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else { return };
+        let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else {
+            return;
+        };
         let seen = self.sites.terms.get(&site).copied();
-        let seen = seen.filter(|seen| seen.0 == incarnation).map_or(0, |seen| seen.1);
+        let seen = seen
+            .filter(|seen| seen.0 == incarnation)
+            .map_or(0, |seen| seen.1);
         let came = match number == site {
             true if term < seen => Came::Later,
             true => voice.answered(now, site, incarnation, group.record(), out),
@@ -270,7 +375,10 @@
                 // Nothing is said to it.
                 o.reach.connection.up.set(false);
             } else if o.reach.connection.told.take().is_some() {
-                log::info!("federation {}: site {site} at {at}: is reached", voice.known().name);
+                log::info!(
+                    "federation {}: site {site} at {at}: is reached",
+                    voice.known().name
+                );
             }
         }
         match came {
@@ -286,17 +394,31 @@
 
     fn site_came(&mut self, site: u64, incarnation: u64, term: u64, out: &mut Vec<Out>) -> Said {
         let now = self.now();
-        let leader = self.leader().and_then(|keeper| self.address_of(keeper)).map(|at| at.to_string());
+        let leader = self
+            .leader()
+            .and_then(|keeper| self.address_of(keeper))
+            .map(|at| at.to_string());
         let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else {
             return Said::Elsewhere(leader);
         };
         let (number, own) = (voice.known().me, voice.incarnation(group.record()));
-        let Some(own) = own.filter(|_| group.leads_for_certain()) else { return Said::Elsewhere(leader) };
-        if self.sites.terms.get(&site).is_some_and(|seen| seen.0 == incarnation && term < seen.1) {
+        let Some(own) = own.filter(|_| group.leads_for_certain()) else {
+            return Said::Elsewhere(leader);
+        };
+        if self
+            .sites
+            .terms
+            .get(&site)
+            .is_some_and(|seen| seen.0 == incarnation && term < seen.1)
+        {
             return Said::Elsewhere(None);
         }
         match voice.came(now, site, incarnation, group.record(), out) {
-            Came::Known => Said::Known { number, incarnation: own, term: voice.term() },
+            Came::Known => Said::Known {
+                number,
+                incarnation: own,
+                term: voice.term(),
+            },
             Came::Later => Said::Elsewhere(None),
             Came::No(why) => {
                 self.site_is_wrong(site, Conflict::SiteCame, &why);
@@ -307,12 +429,21 @@
 
     fn site_is_wrong(&mut self, site: u64, how: Conflict, why: &str) {
         if self.is_new_conflict(site, how, why) {
-            let name = self.voice.as_ref().map_or_else(|| site.to_string(), |v| v.name_of(site));
-            let who =
-                self.config.federation.as_ref().map(|f| format!("federation {}", f.name)).unwrap_or_default();
+            let name = self
+                .voice
+                .as_ref()
+                .map_or_else(|| site.to_string(), |v| v.name_of(site));
+            let who = self
+                .config
+                .federation
+                .as_ref()
+                .map(|f| format!("federation {}", f.name))
+                .unwrap_or_default();
             match how {
                 Conflict::SiteCame => log::error!("{who}: refuses site {name}: {why}"),
-                Conflict::SiteAnswers => log::error!("{who}: refuses what answers as site {name}: {why}"),
+                Conflict::SiteAnswers => {
+                    log::error!("{who}: refuses what answers as site {name}: {why}")
+                }
                 _ => log::warn!("{who}: site {name} does not hear this one: {why}"),
             }
         }
@@ -320,7 +451,9 @@
 
     /// What keeps sites from taking part, as this keeper knows it.
     pub(super) fn site_trouble(&self) -> Vec<(u64, String)> {
-        let Some(voice) = &self.voice else { return Vec::new() };
+        let Some(voice) = &self.voice else {
+            return Vec::new();
+        };
         let mut told = voice.trouble();
         for (site, o) in &self.sites.outgoing {
             let why = o.reach.connection.why.borrow();
