--- a/src/keeper/replica/start.rs
+++ b/src/keeper/replica/start.rs
@@ -32,24 +32,32 @@
 /// Connections that wait to be accepted: as many agents may come at once.
 const BACKLOG: i32 = 1024;
 
-/// Runs a keeper until it is told to end. All that keeps it from starting, or from going on, is told.
+/// Runs a keeper until it is told to end. All that keeps it from starting, or from going on, is
+/// told.
 pub fn run(config: Config) -> Result<(), String> {
     let folder = config.state.display().to_string();
     let said = |e: &dyn std::fmt::Display| format!("state: {folder}: {e}");
     fs::create_dir_all(&config.state).map_err(|e| said(&e))?;
     let lock = File::open(&config.state).map_err(|e| said(&e))?;
-    flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(|_| said(&"in use by another process"))?;
+    flock(&lock, FlockOperation::NonBlockingLockExclusive)
+        .map_err(|_| said(&"in use by another process"))?;
     let disk = Arc::new(Folder::new(&config.state));
     let (keep, found) = Keep::open(disk, config.disk, draw()).map_err(|e| said(&e))?;
     let base = match found {
-        Some(base) if base.identity.site != config.site || base.identity.keeper != config.keeper => {
+        Some(base)
+            if base.identity.site != config.site || base.identity.keeper != config.keeper =>
+        {
             let other = Unusable::Other(base.identity.keeper, base.identity.site);
             return Err(said(&other));
         }
         Some(base) => base,
         None => {
             let (site, keeper) = (config.site.clone(), config.keeper);
-            let identity = Identity { site, keeper, incarnation: draw() };
+            let identity = Identity {
+                site,
+                keeper,
+                incarnation: draw(),
+            };
             match config.begin {
                 true => Begin::empty(identity, config.peers.keys().copied()),
                 false => Begin::joining(identity),
@@ -61,7 +69,8 @@
     async_io::block_on(executor.run(served))
 }
 
-/// How many connections may be open: as many descriptors as the system gives when it is asked for more.
+/// How many connections may be open: as many descriptors as the system gives when it is asked for
+/// more.
 fn most_connections() -> u64 {
     let limit = getrlimit(Resource::Nofile);
     let wanted = limit
@@ -69,7 +78,13 @@
         .unwrap_or(MOST_CONNECTIONS + OTHER_DESCRIPTORS)
         .min(MOST_CONNECTIONS + OTHER_DESCRIPTORS);
     if limit.current.is_some_and(|now| now < wanted) {
-        let _ = setrlimit(Resource::Nofile, Rlimit { current: Some(wanted), maximum: limit.maximum });
+        let _ = setrlimit(
+            Resource::Nofile,
+            Rlimit {
+                current: Some(wanted),
+                maximum: limit.maximum,
+            },
+        );
     }
     getrlimit(Resource::Nofile)
         .current
@@ -80,11 +95,18 @@
 
 /// Listens where the file says.
 fn listen(config: &Config) -> Result<Async<TcpListener>, String> {
-    let listener =
-        Async::<TcpListener>::bind(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
+    let listener = Async::<TcpListener>::bind(config.listen)
+        .map_err(|e| format!("listen: {}: {e}", config.listen))?;
     rustix::net::listen(&listener, BACKLOG).map_err(|e| format!("listen: {e}"))?;
-    let at = listener.get_ref().local_addr().map_err(|e| format!("listen: {e}"))?;
-    log::info!("keeper {} of {}: listens at {at}", config.keeper, config.site);
+    let at = listener
+        .get_ref()
+        .local_addr()
+        .map_err(|e| format!("listen: {e}"))?;
+    log::info!(
+        "keeper {} of {}: listens at {at}",
+        config.keeper,
+        config.site
+    );
     Ok(listener)
 }
 
@@ -94,7 +116,8 @@
     base: Base,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
-    let mut ending = Signals::new([Signal::Term, Signal::Int]).map_err(|e| format!("signals: {e}"))?;
+    let mut ending =
+        Signals::new([Signal::Term, Signal::Int]).map_err(|e| format!("signals: {e}"))?;
     let listener = listen(&config)?;
     let wheel = Wheel::new();
     let (inbox, coming) = async_channel::bounded(INBOX);
@@ -103,9 +126,15 @@
     replica.connect_replicas();
     replica.connect_sites();
     let (allowed, sites) = (replica.allowed.clone(), replica.sites.allowed.clone());
-    let acceptor =
-        Acceptor { context: replica.context.clone(), config: replica.config.clone(), allowed, sites };
-    executor.spawn(acceptor.accept(listener, executor.clone())).detach();
+    let acceptor = Acceptor {
+        context: replica.context.clone(),
+        config: replica.config.clone(),
+        allowed,
+        sites,
+    };
+    executor
+        .spawn(acceptor.accept(listener, executor.clone()))
+        .detach();
     replica.begin().await?;
     replica.check_federation()?;
     let ended = async {
@@ -136,14 +165,19 @@
             site: config.site.as_str().into(),
             keeper: config.keeper,
             incarnation: base.identity.incarnation,
-            federation: config.federation.as_ref().map(|f| ((&*f.name).into(), f.number)),
+            federation: config
+                .federation
+                .as_ref()
+                .map(|f| ((&*f.name).into(), f.number)),
             open: Rc::default(),
             most: most_connections(),
             next: Rc::default(),
         };
         let now = Instant::now();
         let stage = match base.begun {
-            true => Stage::Takes(Box::new(Group::new(base, draw()).map_err(|e| e.to_string())?)),
+            true => Stage::Takes(Box::new(
+                Group::new(base, draw()).map_err(|e| e.to_string())?,
+            )),
             false => Stage::Begins(Box::new(Begin::new(base))),
         };
         Ok(Replica {
@@ -152,7 +186,11 @@
             stage,
             duties: None,
             led: None,
-            keep: Lent::new(Worker::start().map_err(|e| e.to_string())?, keep, Keep::save),
+            keep: Lent::new(
+                Worker::start().map_err(|e| e.to_string())?,
+                keep,
+                Keep::save,
+            ),
             full: None,
             again: None,
             start: now,
@@ -173,8 +211,12 @@
 
     /// Whether the folder is of the site that the file names in its federation.
     fn check_federation(&self) -> Result<(), String> {
-        let Stage::Takes(group) = &self.stage else { return Ok(()) };
-        let Some(base) = &group.record().written.base else { return Ok(()) };
+        let Stage::Takes(group) = &self.stage else {
+            return Ok(());
+        };
+        let Some(base) = &group.record().written.base else {
+            return Ok(());
+        };
         match &self.config.federation {
             Some(settings) => {
                 let told = settings.fits(&base.identity);
--- a/src/keeper/replica/transport.rs
+++ b/src/keeper/replica/transport.rs
@@ -1,4 +1,5 @@
-//! What connections to other replicas and to other sites have in common: limits of time, signs of life, attempts to connect.
+//! What connections to other replicas and to other sites have in common: limits of time, signs of
+//! life, attempts to connect.
 
 use super::{Context, Incoming, CONFLICT_LASTS};
 use crate::core::wheel::Wheel;
@@ -41,7 +42,8 @@
         let why = ended.err().map(|e| e.to_string());
         *self.why.borrow_mut() = why.clone().unwrap_or_default();
         let Some(why) = why else { return };
-        let known = |(at, before): &(Instant, String)| *before == why || at.elapsed() < CONFLICT_LASTS;
+        let known =
+            |(at, before): &(Instant, String)| *before == why || at.elapsed() < CONFLICT_LASTS;
         let mut told = self.told.borrow_mut();
         if new || !told.as_ref().is_some_and(known) {
             log::info!("{who}: is not reached: {why}");
@@ -60,7 +62,8 @@
     wheel.limit(time, work).await.unwrap_or_else(|| Err(late()))
 }
 
-/// Brings in what another one says, and tells it that this one lives, until the connection breaks or another one takes its place.
+/// Brings in what another one says, and tells it that this one lives, until the connection breaks
+/// or another one takes its place.
 pub(super) async fn receive_messages<T: Serialize + DeserializeOwned>(
     context: &Context,
     stream: Async<TcpStream>,
@@ -77,7 +80,12 @@
     };
     let living = async {
         loop {
-            with_timeout(&context.wheel, WRITE_TIMEOUT, frames::write(&mut to, pulse, most)).await?;
+            with_timeout(
+                &context.wheel,
+                WRITE_TIMEOUT,
+                frames::write(&mut to, pulse, most),
+            )
+            .await?;
             context.wheel.sleep(HEARTBEAT_INTERVAL).await;
         }
     };
@@ -88,7 +96,8 @@
     reading.or(living).or(replaced).await
 }
 
-/// Sends what is to be said, for as long as there are signs of life and the other one is who it should be; tells of each of those signs.
+/// Sends what is to be said, for as long as there are signs of life and the other one is who it
+/// should be; tells of each of those signs.
 pub(super) async fn send_messages<T: DeserializeOwned>(
     context: &Context,
     stream: Async<TcpStream>,
@@ -100,13 +109,21 @@
     let (mut from, mut to) = split(stream);
     let writing = async {
         while let Ok(bytes) = going.recv().await {
-            with_timeout(&context.wheel, WRITE_TIMEOUT, async { Ok(to.write_all(&bytes).await?) }).await?;
+            with_timeout(&context.wheel, WRITE_TIMEOUT, async {
+                Ok(to.write_all(&bytes).await?)
+            })
+            .await?;
         }
         Ok(())
     };
     let listening = async {
         while up.get() {
-            with_timeout(&context.wheel, HEARTBEAT_TIMEOUT, frames::read::<T>(&mut from, most)).await?;
+            with_timeout(
+                &context.wheel,
+                HEARTBEAT_TIMEOUT,
+                frames::read::<T>(&mut from, most),
+            )
+            .await?;
             lives();
         }
         Ok(())
--- a/src/keeper/replica/trouble.rs
+++ b/src/keeper/replica/trouble.rs
@@ -1,4 +1,5 @@
-//! What keeps other replicas and sites from taking part: logged when it begins, and shown in the status for as long as it lasts.
+//! What keeps other replicas and sites from taking part: logged when it begins, and shown in the
+//! status for as long as it lasts.
 
 use super::{Replica, Stage, CONFLICT_LASTS};
 use std::time::Instant;
@@ -24,10 +25,12 @@
 }
 
 impl Replica {
-    /// Two keepers cannot go together: told when it begins, and in the status for as long as it lasts.
+    /// Two keepers cannot go together: told when it begins, and in the status for as long as it
+    /// lasts.
     pub(super) fn is_new_conflict(&mut self, number: u64, how: Conflict, why: &str) -> bool {
         let now = Instant::now();
-        self.wrong.retain(|_, (at, _)| now.duration_since(*at) < CONFLICT_LASTS);
+        self.wrong
+            .retain(|_, (at, _)| now.duration_since(*at) < CONFLICT_LASTS);
         if self.wrong.len() >= MOST_CONFLICTS && !self.wrong.contains_key(&(number, how)) {
             return false;
         }
@@ -39,11 +42,18 @@
         if !self.is_new_conflict(keeper, how, why) {
             return;
         }
-        let (who, at) =
-            (self.who(), self.outgoing.get(&keeper).map(|o| o.at.to_string()).unwrap_or_default());
+        let (who, at) = (
+            self.who(),
+            self.outgoing
+                .get(&keeper)
+                .map(|o| o.at.to_string())
+                .unwrap_or_default(),
+        );
         match how {
             Conflict::Came => log::error!("{who}: refuses keeper {keeper}: {why}"),
-            Conflict::Answers => log::error!("{who}: refuses what answers as keeper {keeper} at {at}: {why}"),
+            Conflict::Answers => {
+                log::error!("{who}: refuses what answers as keeper {keeper} at {at}: {why}")
+            }
             _ => log::warn!("{who}: keeper {keeper} at {at} does not hear it: {why}"),
         }
     }
--- a/src/keeper/table/document.rs
+++ b/src/keeper/table/document.rs
@@ -1,8 +1,10 @@
-//! A routing table as it is written: sites with their zones, and routes by destination, class and tenant.
+//! A routing table as it is written: sites with their zones, and routes by destination, class and
+//! tenant.
 //!
-//! **Which route counts** for a message: one that names its destination goes before one for all destinations, whatever else either says;
-//! where that is the same, one that names its class before one for all classes; where that is the same too, one that names its tenant. Two
-//! routes that say the same number of these, in the same places, and have a message in common, are a fault.
+//! **Which route counts** for a message: one that names its destination goes before one for all
+//! destinations, whatever else either says; where that is the same, one that names its class before
+//! one for all classes; where that is the same too, one that names its tenant. Two routes that say
+//! the same number of these, in the same places, and have a message in common, are a fault.
 
 use super::federation::{MOST_SITES, MOST_TEXT};
 use crate::core::directory::Offer;
@@ -29,7 +31,8 @@
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// All is left to the list. Said by a table without routes, so that an empty file does not say it.
+    /// All is left to the list. Said by a table without routes, so that an empty file does not say
+    /// it.
     #[garde(skip)]
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub list_alone: bool,
@@ -64,8 +67,9 @@
     #[garde(custom(some))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub classes: Option<Vec<String>>,
-    /// Tenants, by their position in the senders' settings; without it, all. Where settings have none, all messages are tenant 0's; where
-    /// they have some, a message that names none is no tenant's.
+    /// Tenants, by their position in the senders' settings; without it, all. Where settings have
+    /// none, all messages are tenant 0's; where they have some, a message that names none is no
+    /// tenant's.
     #[garde(custom(some))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenants: Option<Vec<u16>>,
@@ -89,7 +93,9 @@
 
 fn some<T>(named: &Option<Vec<T>>, (): &()) -> garde::Result {
     match named {
-        Some(named) if named.is_empty() => Err(garde::Error::new("names none; without it, all are meant")),
+        Some(named) if named.is_empty() => {
+            Err(garde::Error::new("names none; without it, all are meant"))
+        }
         _ => Ok(()),
     }
 }
@@ -97,7 +103,9 @@
 fn either(nobody: &bool) -> impl FnOnce(&Vec<BTreeMap<String, u32>>, &()) -> garde::Result + '_ {
     move |tiers, ()| match (nobody, tiers.is_empty()) {
         (true, false) => Err(garde::Error::new("stand beside nobody = true")),
-        (false, true) => Err(garde::Error::new("are none; where nobody is to serve, say nobody = true")),
+        (false, true) => Err(garde::Error::new(
+            "are none; where nobody is to serve, say nobody = true",
+        )),
         _ => Ok(()),
     }
 }
@@ -132,15 +140,18 @@
             }
 
             fn visit_i64<E: Error>(self, one: i64) -> Result<Dests, E> {
-                let dest =
-                    u16::try_from(one).map_err(|_| E::invalid_value(Unexpected::Signed(one), &self))?;
+                let dest = u16::try_from(one)
+                    .map_err(|_| E::invalid_value(Unexpected::Signed(one), &self))?;
                 Ok(Dests(dest, dest))
             }
 
             fn visit_str<E: Error>(self, text: &str) -> Result<Dests, E> {
-                let ends = text.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+                let ends = text
+                    .split_once('-')
+                    .and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
                 let ends = ends.filter(|(a, b)| a <= b);
-                ends.map(|(a, b)| Dests(a, b)).ok_or_else(|| E::invalid_value(Unexpected::Str(text), &self))
+                ends.map(|(a, b)| Dests(a, b))
+                    .ok_or_else(|| E::invalid_value(Unexpected::Str(text), &self))
             }
         }
 
@@ -200,7 +211,9 @@
                     for (n, route) in routes.iter().enumerate() {
                         let at = format!("route[{n}]");
                         match route {
-                            Value::Table(t) => document.route.push(route_of(&table, &at, t, &mut faults)),
+                            Value::Table(t) => {
+                                document.route.push(route_of(&table, &at, t, &mut faults))
+                            }
                             _ => faults.push(table.fault(&at, "is not a table")),
                         }
                     }
@@ -213,16 +226,20 @@
         }
         // What did not read is told, and not once more for what follows from it.
         let read = faults.clone();
-        let follows =
-            |f: &Fault| read.iter().any(|r| within(&r.setting, &f.setting) || within(&f.setting, &r.setting));
+        let follows = |f: &Fault| {
+            read.iter()
+                .any(|r| within(&r.setting, &f.setting) || within(&f.setting, &r.setting))
+        };
         faults.extend(table.judged(&document).into_iter().filter(|f| !follows(f)));
         document.settle();
         document.look(&table, &read, &mut faults);
         if document.list_alone && !document.route.is_empty() {
             faults.push(table.fault("list_alone", "routes stand beside it"));
         } else if !document.list_alone && document.route.is_empty() && read.is_empty() {
-            faults
-                .push(table.fault("", "has no route; where all is left to the list, say list_alone = true"));
+            faults.push(table.fault(
+                "",
+                "has no route; where all is left to the list, say list_alone = true",
+            ));
         }
         faults.sort();
         faults.dedup();
@@ -243,7 +260,9 @@
                 let mut joined: Vec<Dests> = Vec::new();
                 for dests in dests.iter() {
                     match joined.last_mut() {
-                        Some(last) if dests.0 <= last.1.saturating_add(1) => last.1 = last.1.max(dests.1),
+                        Some(last) if dests.0 <= last.1.saturating_add(1) => {
+                            last.1 = last.1.max(dests.1)
+                        }
                         _ => joined.push(*dests),
                     }
                 }
@@ -259,7 +278,8 @@
             }
             for tier in &mut route.tiers {
                 let all = tier.values().copied().reduce(common).filter(|all| *all > 1);
-                all.into_iter().for_each(|all| tier.values_mut().for_each(|share| *share /= all));
+                all.into_iter()
+                    .for_each(|all| tier.values_mut().for_each(|share| *share /= all));
             }
         }
     }
@@ -267,8 +287,9 @@
     /// Faults that no field shows by itself.
     fn look(&self, table: &Text, read: &[Fault], faults: &mut Vec<Fault>) {
         // What a route is for counts only where all of that did read.
-        let scope =
-            |f: &Fault, at: &str| within(&f.setting, at) && !within(&f.setting, &format!("{at}.tiers"));
+        let scope = |f: &Fault, at: &str| {
+            within(&f.setting, at) && !within(&f.setting, &format!("{at}.tiers"))
+        };
         let whole = |n: usize| !read.iter().any(|f| scope(f, &format!("route[{n}]")));
         let mut of: BTreeMap<&str, &str> = BTreeMap::new();
         for (name, site) in &self.site {
@@ -278,7 +299,9 @@
                     Some(other) if other == name => {
                         faults.push(table.fault(&at, format!("{zone} stands twice")))
                     }
-                    Some(other) => faults.push(table.fault(&at, format!("{zone} is a zone of {other}"))),
+                    Some(other) => {
+                        faults.push(table.fault(&at, format!("{zone} is a zone of {other}")))
+                    }
                     None => {}
                 }
             }
@@ -295,21 +318,32 @@
                 for name in shares.keys() {
                     let at = format!("route[{n}].tiers[{tier}].{name}");
                     match self.zones_of(name) {
-                        None => faults.push(table.fault(&at, "is neither a site nor a zone of one")),
+                        None => {
+                            faults.push(table.fault(&at, "is neither a site nor a zone of one"))
+                        }
                         Some(zones) => {
                             let twice = zones.into_iter().find(|zone| !seen.insert(*zone));
-                            let problem = |zone: &str| format!("zone {zone} stands twice in this tier");
+                            let problem =
+                                |zone: &str| format!("zone {zone} stands twice in this tier");
                             faults.extend(twice.map(|zone| table.fault(&at, problem(zone))));
                         }
                     }
                 }
             }
-            let others = self.route[..n].iter().enumerate().filter(|(m, _)| whole(*m));
-            let same = others.into_iter().find_map(|(m, other)| Some((m, route.meets(other)?)));
+            let others = self.route[..n]
+                .iter()
+                .enumerate()
+                .filter(|(m, _)| whole(*m));
+            let same = others
+                .into_iter()
+                .find_map(|(m, other)| Some((m, route.meets(other)?)));
             if let Some((m, what)) = same.filter(|_| whole(n)) {
-                let line = self.route[m].line.map_or(String::new(), |line| format!(" (line {line})"));
-                let problem =
-                    format!("{what}: route[{m}]{line} is for it as well, and neither is more specific");
+                let line = self.route[m]
+                    .line
+                    .map_or(String::new(), |line| format!(" (line {line})"));
+                let problem = format!(
+                    "{what}: route[{m}]{line} is for it as well, and neither is more specific"
+                );
                 faults.push(table.fault(&format!("route[{n}]"), problem));
             }
         }
@@ -320,32 +354,42 @@
         match self.site.get(name) {
             Some(site) => Some(site.zones.iter().map(String::as_str).collect()),
             None => {
-                let known = self.site.values().any(|site| site.zones.iter().any(|zone| zone == name));
+                let known = self
+                    .site
+                    .values()
+                    .any(|site| site.zones.iter().any(|zone| zone == name));
                 known.then(|| vec![name])
             }
         }
     }
 
-    /// The one form of all texts that mean the same: JSON without blanks, fields in the order of their declaration, sites by name, routes by
-    /// what they are for, shares without a common factor, nothing that is not set.
+    /// The one form of all texts that mean the same: JSON without blanks, fields in the order of
+    /// their declaration, sites by name, routes by what they are for, shares without a common
+    /// factor, nothing that is not set.
     pub fn canonical(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
     /// The print of that.
     pub fn print(&self) -> Print {
-        Sha256::new().chain_update(KIND).chain_update(self.canonical()).finalize().into()
+        Sha256::new()
+            .chain_update(KIND)
+            .chain_update(self.canonical())
+            .finalize()
+            .into()
     }
 
-    /// What is another in the later one: its name, what it was and what it is, as JSON; nothing where it is not said. Routes are named by what
-    /// they are for.
+    /// What is another in the later one: its name, what it was and what it is, as JSON; nothing
+    /// where it is not said. Routes are named by what they are for.
     pub fn diff(&self, later: &Document) -> Vec<Difference> {
         let said = |of: &Document| {
             let json = |value: serde_json::Result<String>| value.unwrap_or_default();
-            let sites = of
-                .site
-                .iter()
-                .map(|(name, s)| (format!("site.{name}.zones"), json(serde_json::to_string(&s.zones))));
+            let sites = of.site.iter().map(|(name, s)| {
+                (
+                    format!("site.{name}.zones"),
+                    json(serde_json::to_string(&s.zones)),
+                )
+            });
             let routes = of.route.iter().map(|route| {
                 let goes = if route.nobody {
                     json(serde_json::to_string("nobody"))
@@ -354,28 +398,41 @@
                 };
                 (route.scope_told(), goes)
             });
-            let alone = of.list_alone.then(|| ("list_alone".to_string(), "true".to_string()));
+            let alone = of
+                .list_alone
+                .then(|| ("list_alone".to_string(), "true".to_string()));
             sites.chain(routes).chain(alone).collect()
         };
         differences(&said(self), &said(later))
     }
 
-    /// All for which a sender cannot go by it, a line each, at most 20: by the names of its classes, how many tenants its settings have, and
-    /// what its directory offers. Each destination that is listed has to have a route for each class and tenant, with a zone in which it is
+    /// All for which a sender cannot go by it, a line each, at most 20: by the names of its
+    /// classes, how many tenants its settings have, and what its directory offers. Each destination
+    /// that is listed has to have a route for each class and tenant, with a zone in which it is
     /// listed, or has to be served by nobody on purpose.
     pub fn lacks(&self, classes: &[String], tenants: usize, offers: &[Offer]) -> Vec<String> {
         let mut lacks = Vec::new();
         let tenants = tenants.max(1);
         for route in &self.route {
             let at = |what: String| format!("{}: {what}", route.told());
-            let unknown = route.classes.iter().flatten().filter(|name| !classes.contains(name));
+            let unknown = route
+                .classes
+                .iter()
+                .flatten()
+                .filter(|name| !classes.contains(name));
             lacks.extend(unknown.map(|name| at(format!("this sender has no class {name}"))));
-            let unknown = route.tenants.iter().flatten().filter(|tenant| usize::from(**tenant) >= tenants);
+            let unknown = route
+                .tenants
+                .iter()
+                .flatten()
+                .filter(|tenant| usize::from(**tenant) >= tenants);
             lacks.extend(unknown.map(|tenant| at(format!("this sender has no tenant {tenant}"))));
         }
         if !self.route.is_empty() {
             let mut listed: BTreeMap<u16, BTreeSet<&str>> = BTreeMap::new();
-            offers.iter().for_each(|o| _ = listed.entry(o.dest).or_default().insert(&o.zone));
+            offers
+                .iter()
+                .for_each(|o| _ = listed.entry(o.dest).or_default().insert(&o.zone));
             for (dest, zones) in &listed {
                 for class in classes {
                     self.lacks_of(*dest, zones, class, tenants, &mut lacks);
@@ -390,7 +447,8 @@
         lacks
     }
 
-    /// What a class lacks at a destination that is listed in these zones: a line for each route that does not lead there, and one for want of any.
+    /// What a class lacks at a destination that is listed in these zones: a line for each route
+    /// that does not lead there, and one for want of any.
     fn lacks_of(
         &self,
         dest: u16,
@@ -402,13 +460,21 @@
         let shown = |zones: &mut dyn Iterator<Item = &str>| zones.collect::<Vec<_>>().join(" ");
         let mut by: BTreeMap<Option<usize>, Vec<usize>> = BTreeMap::new();
         for tenant in 0..tenants {
-            by.entry(self.route_for(dest, class, tenant as u16)).or_default().push(tenant);
+            by.entry(self.route_for(dest, class, tenant as u16))
+                .or_default()
+                .push(tenant);
         }
         for (route, of) in by {
             let tenant = match of.len() == tenants {
                 true => String::new(),
                 false => {
-                    format!(", tenant {}", of.iter().map(usize::to_string).collect::<Vec<_>>().join(" "))
+                    format!(
+                        ", tenant {}",
+                        of.iter()
+                            .map(usize::to_string)
+                            .collect::<Vec<_>>()
+                            .join(" ")
+                    )
                 }
             };
             let who = format!("destination {dest}, class {class}{tenant}");
@@ -426,8 +492,9 @@
                 .collect();
             if !route.nobody && !names.iter().any(|zone| listed.contains(zone)) {
                 let (told, goes) = (route.told(), shown(&mut names.iter().copied()));
-                lacks
-                    .push(format!("{who}: {told} goes to zone {goes}, and it is listed in zone {has} alone"));
+                lacks.push(format!(
+                    "{who}: {told} goes to zone {goes}, and it is listed in zone {has} alone"
+                ));
             }
         }
     }
@@ -435,20 +502,36 @@
     /// The route that counts for a message.
     fn route_for(&self, dest: u16, class: &str, tenant: u16) -> Option<usize> {
         let is_for = |r: &Route| {
-            r.dests.as_ref().is_none_or(|d| d.iter().any(|d| (d.0..=d.1).contains(&dest)))
-                && r.classes.as_ref().is_none_or(|c| c.iter().any(|c| c == class))
+            r.dests
+                .as_ref()
+                .is_none_or(|d| d.iter().any(|d| (d.0..=d.1).contains(&dest)))
+                && r.classes
+                    .as_ref()
+                    .is_none_or(|c| c.iter().any(|c| c == class))
                 && r.tenants.as_ref().is_none_or(|t| t.contains(&tenant))
         };
         let all = self.route.iter().enumerate().filter(|(_, r)| is_for(r));
         all.min_by_key(|(_, r)| r.specific()).map(|(at, _)| at)
     }
 
-    /// Its routes for a sender with these classes and so many tenants. A class that the sender does not have is nobody's.
+    /// Its routes for a sender with these classes and so many tenants. A class that the sender does
+    /// not have is nobody's.
     pub fn routes(&self, classes: &[String], tenants: usize) -> Routes {
-        let place = |name: &String| classes.iter().position(|class| class == name).map(|at| at as u16);
+        let place = |name: &String| {
+            classes
+                .iter()
+                .position(|class| class == name)
+                .map(|at| at as u16)
+        };
         let said = self.route.iter().map(|route| Said {
-            dests: route.dests.as_ref().map(|dests| dests.iter().map(|d| (d.0, d.1)).collect()),
-            classes: route.classes.as_ref().map(|names| names.iter().filter_map(place).collect()),
+            dests: route
+                .dests
+                .as_ref()
+                .map(|dests| dests.iter().map(|d| (d.0, d.1)).collect()),
+            classes: route
+                .classes
+                .as_ref()
+                .map(|names| names.iter().filter_map(place).collect()),
             tenants: route.tenants.clone(),
             tiers: route.tiers.iter().map(|tier| self.parts(tier)).collect(),
         });
@@ -468,29 +551,46 @@
 impl Route {
     /// Sorts the more specific before the less.
     fn specific(&self) -> (bool, bool, bool) {
-        (self.dests.is_none(), self.classes.is_none(), self.tenants.is_none())
+        (
+            self.dests.is_none(),
+            self.classes.is_none(),
+            self.tenants.is_none(),
+        )
     }
 
     /// What it is for: no two routes of a table are for the same.
     fn scope(&self) -> impl Ord {
-        (self.dests.clone(), self.classes.clone(), self.tenants.clone())
+        (
+            self.dests.clone(),
+            self.classes.clone(),
+            self.tenants.clone(),
+        )
     }
 
     fn scope_told(&self) -> String {
         fn some<T: ToString>(what: &str, names: &Option<Vec<T>>) -> String {
-            let names = names.as_ref().map(|n| n.iter().map(T::to_string).collect::<Vec<_>>().join(" "));
+            let names = names
+                .as_ref()
+                .map(|n| n.iter().map(T::to_string).collect::<Vec<_>>().join(" "));
             names.map_or(String::new(), |names| format!(", {what} {names}"))
         }
         let dests = match &self.dests {
             Some(_) => some("destinations", &self.dests).split_off(2),
             None => "all destinations".into(),
         };
-        format!("route for {dests}{}{}", some("classes", &self.classes), some("tenants", &self.tenants))
+        format!(
+            "route for {dests}{}{}",
+            some("classes", &self.classes),
+            some("tenants", &self.tenants)
+        )
     }
 
     /// It, for those who have its text before them.
     fn told(&self) -> String {
-        self.line.map_or_else(|| self.scope_told(), |line| format!("its route in line {line}"))
+        self.line.map_or_else(
+            || self.scope_told(),
+            |line| format!("its route in line {line}"),
+        )
     }
 
     /// A message that both are for, where neither is more specific.
@@ -498,18 +598,28 @@
         if self.specific() != other.specific() {
             return None;
         }
-        let meet =
-            |a: &Dests| other.dests.iter().flatten().find(|b| a.0 <= b.1 && b.0 <= a.1).map(|b| a.0.max(b.0));
+        let meet = |a: &Dests| {
+            other
+                .dests
+                .iter()
+                .flatten()
+                .find(|b| a.0 <= b.1 && b.0 <= a.1)
+                .map(|b| a.0.max(b.0))
+        };
         let mut what = Vec::new();
         if let Some(dests) = &self.dests {
             what.push(format!("destination {}", dests.iter().find_map(meet)?));
         }
         if let Some(classes) = &self.classes {
-            let both = classes.iter().find(|c| other.classes.iter().flatten().any(|o| o == *c))?;
+            let both = classes
+                .iter()
+                .find(|c| other.classes.iter().flatten().any(|o| o == *c))?;
             what.push(format!("class {both}"));
         }
         if let Some(tenants) = &self.tenants {
-            let both = tenants.iter().find(|t| other.tenants.iter().flatten().any(|o| o == *t))?;
+            let both = tenants
+                .iter()
+                .find(|t| other.tenants.iter().flatten().any(|o| o == *t))?;
             what.push(format!("tenant {both}"));
         }
         match what.is_empty() {
@@ -533,7 +643,9 @@
                 match tier {
                     Value::Table(t) => {
                         let tier: BTreeMap<String, u32> = table.fields(&at, t, faults);
-                        for (name, share) in tier.iter().filter(|(_, n)| !(1..=MOST_SHARE).contains(n)) {
+                        for (name, share) in
+                            tier.iter().filter(|(_, n)| !(1..=MOST_SHARE).contains(n))
+                        {
                             let problem = format!("{share} is not from 1 to {MOST_SHARE}");
                             faults.push(table.fault(&format!("{at}.{name}"), problem));
                         }
@@ -550,7 +662,9 @@
 
 /// Whether a setting is one, or stands in it.
 fn within(setting: &str, of: &str) -> bool {
-    setting.strip_prefix(of).is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
+    setting
+        .strip_prefix(of)
+        .is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
 }
 
 /// The greatest common factor.
--- a/src/keeper/table/document/tests.rs
+++ b/src/keeper/table/document/tests.rs
@@ -20,7 +20,11 @@
 "#;
 
 fn faults(text: &str) -> Vec<String> {
-    Document::parse(text).expect_err("refused").iter().map(Fault::to_string).collect()
+    Document::parse(text)
+        .expect_err("refused")
+        .iter()
+        .map(Fault::to_string)
+        .collect()
 }
 
 fn classes() -> Vec<String> {
@@ -28,7 +32,12 @@
 }
 
 fn offer(zone: &str, dest: u16) -> Offer {
-    Offer { zone: zone.into(), dest, endpoints: 1, rate: 1.0 }
+    Offer {
+        zone: zone.into(),
+        dest,
+        endpoints: 1,
+        rate: 1.0,
+    }
 }
 
 #[test]
@@ -61,12 +70,18 @@
         "line 22: route[5]: destination 8: route[4] (line 19) is for it as well",
         "line 24: route[5].tiers[0].b: 20000 is not from 1 to 10000",
     ] {
-        assert!(told.iter().any(|t| t.starts_with(named)), "{named}: {told:#?}");
+        assert!(
+            told.iter().any(|t| t.starts_with(named)),
+            "{named}: {told:#?}"
+        );
     }
     assert_eq!(told.len(), 18, "{told:#?}");
     assert!(faults("")[0].contains("list_alone = true"));
     assert!(faults("route = []\n")[0].contains("list_alone = true"));
-    assert_eq!(faults(&format!("list_alone = true\n{GOOD}")), ["line 1: list_alone: routes stand beside it"]);
+    assert_eq!(
+        faults(&format!("list_alone = true\n{GOOD}")),
+        ["line 1: list_alone: routes stand beside it"]
+    );
     assert!(faults(&" ".repeat(MOST_TEXT + 1))[0].contains("may be"));
 }
 
@@ -78,12 +93,19 @@
                  { classes = ['bulk', 'bulk'], dests = [200, '150-199', '100-170', 7], tiers = [{ south = 5 }] },\n\
                  { tiers = [{ south = 1, north = 3 }, { c = 7 }] }]\n";
     let other = Document::parse(other).expect("good");
-    assert_eq!((one.canonical(), one.print(), one.diff(&other)), (other.canonical(), other.print(), vec![]));
-    let third = GOOD.replace("nobody = true", "tiers = [{ a = 1 }]").replace("classes = [\"bulk\"]\n", "");
+    assert_eq!(
+        (one.canonical(), one.print(), one.diff(&other)),
+        (other.canonical(), other.print(), vec![])
+    );
+    let third = GOOD
+        .replace("nobody = true", "tiers = [{ a = 1 }]")
+        .replace("classes = [\"bulk\"]\n", "");
     let third = Document::parse(&third).expect("good");
     let changed = one.diff(&third);
-    let changed: Vec<(&str, bool, bool)> =
-        changed.iter().map(|(n, a, b)| (n.as_str(), a.is_some(), b.is_some())).collect();
+    let changed: Vec<(&str, bool, bool)> = changed
+        .iter()
+        .map(|(n, a, b)| (n.as_str(), a.is_some(), b.is_some()))
+        .collect();
     let bulk = "route for destinations 7 100-200, classes bulk";
     let all = [
         ("route for destinations 7 100-200", false, true),
@@ -103,7 +125,12 @@
     let table = Document::parse(GOOD).expect("good");
     let offers = [offer("a", 7), offer("c", 7), offer("c", 100), offer("z", 9)];
     assert_eq!(table.lacks(&classes(), 0, &offers), Vec::<String>::new());
-    let offers = [offer("a", 7), offer("b", 100), offer("d", 100), offer("d", 3)];
+    let offers = [
+        offer("a", 7),
+        offer("b", 100),
+        offer("d", 100),
+        offer("d", 3),
+    ];
     let lacks = [
         "destination 3, class quick: its route in line 8 goes to zone a b c, and it is listed in zone d alone",
         "destination 3, class bulk: its route in line 8 goes to zone a b c, and it is listed in zone d alone",
@@ -134,7 +161,12 @@
 fn it_is_compiled_for_the_classes_of_a_sender() {
     let routes = Document::parse(GOOD).expect("good").routes(&classes(), 1);
     let goes = |dest, class| {
-        let message = Traveller { dest, class, tenant: 0, lot: 0.9 };
+        let message = Traveller {
+            dest,
+            class,
+            tenant: 0,
+            lot: 0.9,
+        };
         let mut goes: Vec<(u16, &str)> = routes
             .zones()
             .iter()
--- a/src/keeper/table/federation.rs
+++ b/src/keeper/table/federation.rs
@@ -1,9 +1,12 @@
-//! What all sites of a federation agree on. Each applies the same commands in the same order and comes to the same record.
+//! What all sites of a federation agree on. Each applies the same commands in the same order and
+//! comes to the same record.
 //!
-//! A table is decided when the last site of the roster has accepted it, by the command that says so and by nothing else. No proposal is
-//! taken before all sites go by the table that was decided last: so at no time more than two are in use, and those follow each other.
+//! A table is decided when the last site of the roster has accepted it, by the command that says so
+//! and by nothing else. No proposal is taken before all sites go by the table that was decided
+//! last: so at no time more than two are in use, and those follow each other.
 //!
-//! Like a site's record it reads no clock and has one of its own, which the site that leads moves on.
+//! Like a site's record it reads no clock and has one of its own, which the site that leads moves
+//! on.
 
 use crate::keeper::cut;
 use crate::keeper::wire::Print;
@@ -14,21 +17,26 @@
 pub const MOST_SITES: usize = 50;
 /// Proposals that are over and told.
 pub const MOST_PAST: usize = 50;
-/// Numbers of sites that were on the roster and are told one by one; all up to the highest that is forgotten count as used.
+/// Numbers of sites that were on the roster and are told one by one; all up to the highest that is
+/// forgotten count as used.
 pub const MOST_OFF: usize = 1_000;
-/// Longest text of a table, in bytes: 200 routes of some 80 bytes. Three of them and what stands round them fit in one entry.
+/// Longest text of a table, in bytes: 200 routes of some 80 bytes. Three of them and what stands
+/// round them fit in one entry.
 pub const MOST_TEXT: usize = 16 * 1024;
-/// The site that leads gives leases for so long after a beat that the record has, in milliseconds: two beats and a slow line.
+/// The site that leads gives leases for so long after a beat that the record has, in milliseconds:
+/// two beats and a slow line.
 pub const SURE_MS: u32 = 3_000;
 /// Longest reason that is kept, in bytes.
 const MOST_WHY: usize = 1_000;
 /// All that are kept, in bytes: with three tables the record still fits in one entry of a site's.
 const MOST_WHYS: usize = 8 * 1024;
 
-/// A change of the federation's record. Each may be said again: what it says already stands then, or is void.
+/// A change of the federation's record. Each may be said again: what it says already stands then,
+/// or is void.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// The site that leads in this term was in office when it proposed this, and has counted so much time since the last one.
+    /// The site that leads in this term was in office when it proposed this, and has counted so
+    /// much time since the last one.
     Beat {
         /// Its term.
         term: u64,
@@ -47,7 +55,8 @@
         text: String,
         /// Its print.
         print: Print,
-        /// It ends if not all have accepted it after so long, in milliseconds of the record's clock.
+        /// It ends if not all have accepted it after so long, in milliseconds of the record's
+        /// clock.
         within_ms: u64,
     },
     /// A site has checked it, and its record stores it with all its senders. The last one decides.
@@ -111,7 +120,8 @@
 /// A table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
-    /// Its number; 0 is the list alone. Numbers grow, and those that ended nowhere are not used again.
+    /// Its number; 0 is the list alone. Numbers grow, and those that ended nowhere are not used
+    /// again.
     pub number: u64,
     /// Its print.
     pub print: Print,
@@ -190,17 +200,30 @@
         match command {
             Command::Beat { ms, .. } => {
                 self.clock_ms += u64::from(*ms);
-                let late = self.proposal.as_ref().filter(|p| p.until_ms <= self.clock_ms);
+                let late = self
+                    .proposal
+                    .as_ref()
+                    .filter(|p| p.until_ms <= self.clock_ms);
                 if let Some(p) = late {
                     let waits: Vec<&str> = self.waits(p).map(|site| site.name.as_str()).collect();
                     let why = format!("not accepted in time by {}", waits.join(", "));
                     self.ends(&why);
                 }
             }
-            Command::Propose { by, key, text, print, within_ms } => {
+            Command::Propose {
+                by,
+                key,
+                text,
+                print,
+                within_ms,
+            } => {
                 if self.may_propose(text).is_ok() && !self.knows(by, *key) {
                     self.given += 1;
-                    let table = Table { number: self.given, print: *print, text: text.clone() };
+                    let table = Table {
+                        number: self.given,
+                        print: *print,
+                        text: text.clone(),
+                    };
                     self.proposal = Some(Proposal {
                         table,
                         by: (by.clone(), *key),
@@ -229,14 +252,23 @@
             Command::Switched { site, number } => {
                 // Nobody goes back, and nobody goes by what is not decided.
                 if *number == self.table.number {
-                    self.sites.get_mut(site).into_iter().for_each(|s| s.uses = *number);
+                    self.sites
+                        .get_mut(site)
+                        .into_iter()
+                        .for_each(|s| s.uses = *number);
                 }
             }
             Command::Join { site, name } => {
                 if self.may_join(*site, name).is_ok() {
                     // What has accepted before it came has not asked it.
                     self.ends(&format!("{name} joins"));
-                    self.sites.insert(*site, Site { name: name.clone(), uses: 0 });
+                    self.sites.insert(
+                        *site,
+                        Site {
+                            name: name.clone(),
+                            uses: 0,
+                        },
+                    );
                 }
             }
             Command::Leases { ms } => {
@@ -255,9 +287,14 @@
         }
     }
 
-    /// What may be left of any lease that was given before now, in milliseconds, on the clock of whoever comes in office now.
+    /// What may be left of any lease that was given before now, in milliseconds, on the clock of
+    /// whoever comes in office now.
     pub fn leases_left_ms(&self) -> u64 {
-        let now = if self.lease_ms == 0 { 0 } else { u64::from(self.lease_ms) + u64::from(SURE_MS) };
+        let now = if self.lease_ms == 0 {
+            0
+        } else {
+            u64::from(self.lease_ms) + u64::from(SURE_MS)
+        };
         now.max(self.earlier_ms.saturating_sub(self.clock_ms))
     }
 
@@ -267,17 +304,27 @@
     /// Another one is, or sites do not go by the one in force, or it is too long.
     pub fn may_propose(&self, text: &str) -> Result<(), String> {
         if text.len() > MOST_TEXT {
-            return Err(format!("{} bytes; a table has {MOST_TEXT} at the most", text.len()));
+            return Err(format!(
+                "{} bytes; a table has {MOST_TEXT} at the most",
+                text.len()
+            ));
         }
         if let Some(p) = &self.proposal {
             let number = p.table.number;
-            return Err(format!("table {number} is proposed by {}; only one is at a time", p.by.0));
+            return Err(format!(
+                "table {number} is proposed by {}; only one is at a time",
+                p.by.0
+            ));
         }
         let late = self.sites.values().filter(|s| s.uses != self.table.number);
         let late: Vec<&str> = late.map(|s| s.name.as_str()).collect();
         match late.is_empty() {
             true => Ok(()),
-            false => Err(format!("table {} is not in use yet at {}", self.table.number, late.join(", "))),
+            false => Err(format!(
+                "table {} is not in use yet at {}",
+                self.table.number,
+                late.join(", ")
+            )),
         }
     }
 
@@ -287,7 +334,9 @@
     /// Its number was used, its name is, or there are as many as may be.
     pub fn may_join(&self, site: u64, name: &str) -> Result<(), String> {
         if site <= self.used || self.sites.contains_key(&site) || self.off.contains(&site) {
-            return Err(format!("the number {site} was used: a site that joins needs another one"));
+            return Err(format!(
+                "the number {site} was used: a site that joins needs another one"
+            ));
         }
         if self.sites.values().any(|s| s.name == name) {
             return Err(format!("{name} is on the roster"));
@@ -306,24 +355,43 @@
 
     /// Sites that have not accepted a proposal.
     pub fn waits<'a>(&'a self, p: &'a Proposal) -> impl Iterator<Item = &'a Site> + 'a {
-        self.sites.iter().filter(|(site, _)| !p.accepted.contains(site)).map(|(_, s)| s)
+        self.sites
+            .iter()
+            .filter(|(site, _)| !p.accepted.contains(site))
+            .map(|(_, s)| s)
     }
 
     /// The text of a table that is in force, was before, or is proposed.
     pub fn text(&self, number: u64) -> Option<&Table> {
-        let all = [Some(&self.table), Some(&self.before), self.proposal.as_ref().map(|p| &p.table)];
-        all.into_iter().flatten().find(|t| t.number == number && number > 0)
+        let all = [
+            Some(&self.table),
+            Some(&self.before),
+            self.proposal.as_ref().map(|p| &p.table),
+        ];
+        all.into_iter()
+            .flatten()
+            .find(|t| t.number == number && number > 0)
     }
 
     fn ends_one(&mut self, number: u64, why: &str) {
-        if self.proposal.as_ref().is_some_and(|p| p.table.number == number) {
+        if self
+            .proposal
+            .as_ref()
+            .is_some_and(|p| p.table.number == number)
+        {
             self.ends(why);
         }
     }
 
     /// The proposal that runs, if one does, is over.
     fn ends(&mut self, how: &str) {
-        if let Some(Proposal { table, by, since_ms, .. }) = self.proposal.take() {
+        if let Some(Proposal {
+            table,
+            by,
+            since_ms,
+            ..
+        }) = self.proposal.take()
+        {
             let Table { number, print, .. } = table;
             self.past.push_back(Past {
                 number,
--- a/src/keeper/table/federation/tests.rs
+++ b/src/keeper/table/federation/tests.rs
@@ -2,7 +2,13 @@
 
 fn propose(key: u64) -> Command {
     let (by, text) = ("n".into(), format!("# {key}"));
-    Command::Propose { by, key, text, print: [key as u8; 32], within_ms: 1_000 }
+    Command::Propose {
+        by,
+        key,
+        text,
+        print: [key as u8; 32],
+        within_ms: 1_000,
+    }
 }
 
 fn go(f: &mut Federation, commands: &[Command]) {
@@ -13,7 +19,15 @@
 
 fn of(sites: u64) -> Federation {
     let mut f = Federation::default();
-    (1..=sites).for_each(|site| go(&mut f, &[Command::Join { site, name: format!("s{site}") }]));
+    (1..=sites).for_each(|site| {
+        go(
+            &mut f,
+            &[Command::Join {
+                site,
+                name: format!("s{site}"),
+            }],
+        )
+    });
     f
 }
 
@@ -28,10 +42,26 @@
 #[test]
 fn the_last_acceptance_decides_and_the_next_proposal_waits_for_all() {
     let mut f = of(3);
-    go(&mut f, &[propose(1), propose(2), accept(1, 1), accept(2, 1), accept(2, 1), accept(9, 1)]);
-    assert_eq!((f.table.number, f.proposal.as_ref().map(|p| p.table.number)), (0, Some(1)));
+    go(
+        &mut f,
+        &[
+            propose(1),
+            propose(2),
+            accept(1, 1),
+            accept(2, 1),
+            accept(2, 1),
+            accept(9, 1),
+        ],
+    );
+    assert_eq!(
+        (f.table.number, f.proposal.as_ref().map(|p| p.table.number)),
+        (0, Some(1))
+    );
     go(&mut f, &[switched(1, 1), accept(3, 1)]);
-    assert_eq!((f.table.number, f.sites[&1].uses, f.past[0].end.as_str()), (1, 0, DECIDED));
+    assert_eq!(
+        (f.table.number, f.sites[&1].uses, f.past[0].end.as_str()),
+        (1, 0, DECIDED)
+    );
     go(&mut f, &[switched(1, 1), switched(2, 1), propose(3)]);
     assert!(f.proposal.is_none() && f.may_propose("").unwrap_err().contains("s3"));
     // What was proposed and decided is not proposed again by a word that comes late.
@@ -44,31 +74,103 @@
 #[test]
 fn one_refusal_a_deadline_an_abort_or_a_change_of_the_roster_ends_it_nowhere() {
     let ends = [
-        Command::Refuse { site: 2, number: 1, why: "no".into() },
-        Command::Beat { term: 1, beat: 1, ms: 1_000 },
-        Command::Abort { number: 1, why: "a person's word".into() },
+        Command::Refuse {
+            site: 2,
+            number: 1,
+            why: "no".into(),
+        },
+        Command::Beat {
+            term: 1,
+            beat: 1,
+            ms: 1_000,
+        },
+        Command::Abort {
+            number: 1,
+            why: "a person's word".into(),
+        },
         Command::Off { site: 2 },
-        Command::Join { site: 7, name: "s7".into() },
+        Command::Join {
+            site: 7,
+            name: "s7".into(),
+        },
     ];
     for end in ends {
         let mut f = of(2);
-        go(&mut f, &[propose(1), accept(1, 1), end.clone(), accept(1, 1), accept(2, 1)]);
-        assert!(f.proposal.is_none() && f.table == Table::default(), "{end:?}");
+        go(
+            &mut f,
+            &[
+                propose(1),
+                accept(1, 1),
+                end.clone(),
+                accept(1, 1),
+                accept(2, 1),
+            ],
+        );
+        assert!(
+            f.proposal.is_none() && f.table == Table::default(),
+            "{end:?}"
+        );
         assert_ne!(f.past[0].end, DECIDED);
     }
     let mut f = of(2);
-    go(&mut f, &[propose(1), Command::Abort { number: 2, why: String::new() }]);
-    go(&mut f, &[Command::Refuse { site: 9, number: 1, why: String::new() }]);
-    assert!(f.proposal.is_some(), "neither another number nor a site that is not on the roster ends it");
+    go(
+        &mut f,
+        &[
+            propose(1),
+            Command::Abort {
+                number: 2,
+                why: String::new(),
+            },
+        ],
+    );
+    go(
+        &mut f,
+        &[Command::Refuse {
+            site: 9,
+            number: 1,
+            why: String::new(),
+        }],
+    );
+    assert!(
+        f.proposal.is_some(),
+        "neither another number nor a site that is not on the roster ends it"
+    );
 }
 
 #[test]
 fn a_number_is_used_once_and_a_site_that_joins_goes_by_the_table_before_the_next_one() {
     let mut f = of(2);
-    go(&mut f, &[propose(1), accept(1, 1), accept(2, 1), switched(1, 1), switched(2, 1)]);
-    go(&mut f, &[Command::Off { site: 2 }, Command::Join { site: 2, name: "s2".into() }]);
+    go(
+        &mut f,
+        &[
+            propose(1),
+            accept(1, 1),
+            accept(2, 1),
+            switched(1, 1),
+            switched(2, 1),
+        ],
+    );
+    go(
+        &mut f,
+        &[
+            Command::Off { site: 2 },
+            Command::Join {
+                site: 2,
+                name: "s2".into(),
+            },
+        ],
+    );
     assert!(!f.sites.contains_key(&2));
-    go(&mut f, &[Command::Join { site: 3, name: "s2".into() }, propose(2)]);
+    go(
+        &mut f,
+        &[
+            Command::Join {
+                site: 3,
+                name: "s2".into(),
+            },
+            propose(2),
+        ],
+    );
     assert!(f.sites.contains_key(&3) && f.proposal.is_none());
     go(&mut f, &[switched(3, 1), propose(3)]);
     assert!(f.proposal.is_some());
@@ -87,15 +189,52 @@
     go(&mut f, &[long]);
     assert!(f.proposal.is_none());
     for key in 0..80 {
-        go(&mut f, &[propose(key), Command::Abort { number: key + 1, why: "w".repeat(50) }]);
+        go(
+            &mut f,
+            &[
+                propose(key),
+                Command::Abort {
+                    number: key + 1,
+                    why: "w".repeat(50),
+                },
+            ],
+        );
     }
     assert_eq!((f.past.len(), f.given), (MOST_PAST, 80));
     for key in 80..100 {
-        go(&mut f, &[propose(key), Command::Abort { number: key + 1, why: "w".repeat(5_000) }]);
+        go(
+            &mut f,
+            &[
+                propose(key),
+                Command::Abort {
+                    number: key + 1,
+                    why: "w".repeat(5_000),
+                },
+            ],
+        );
     }
-    assert_eq!((f.past.len(), f.past[0].end.len()), (MOST_WHYS / MOST_WHY, MOST_WHY));
+    assert_eq!(
+        (f.past.len(), f.past[0].end.len()),
+        (MOST_WHYS / MOST_WHY, MOST_WHY)
+    );
     for site in 2..1_200 {
-        go(&mut f, &[Command::Join { site, name: "s".into() }, Command::Off { site }]);
+        go(
+            &mut f,
+            &[
+                Command::Join {
+                    site,
+                    name: "s".into(),
+                },
+                Command::Off { site },
+            ],
+        );
     }
-    assert_eq!((f.off.len(), f.may_join(2, "s").is_err(), f.may_join(1_200, "s")), (MOST_OFF, true, Ok(())));
+    assert_eq!(
+        (
+            f.off.len(),
+            f.may_join(2, "s").is_err(),
+            f.may_join(1_200, "s")
+        ),
+        (MOST_OFF, true, Ok(()))
+    );
 }
--- a/src/keeper/table/switch.rs
+++ b/src/keeper/table/switch.rs
@@ -1,21 +1,26 @@
-//! What the leader of a site does with routing tables: whom it waits for, when the site accepts, and when it goes over.
+//! What the leader of a site does with routing tables: whom it waits for, when the site accepts,
+//! and when it goes over.
 //!
-//! What outlasts a leader stands in the site's record ([`super::tables`]) and in the federation's ([`super::federation`]). What senders said a
-//! leader forgets with its office, as with policies.
+//! What outlasts a leader stands in the site's record ([`super::tables`]) and in the federation's
+//! ([`super::federation`]). What senders said a leader forgets with its office, as with policies.
 //!
 //! # The lease
 //!
-//! The federation counts the site in for a time. The voice that is told so counts that on its own clock; a leader that takes over from it
-//! has the record's word, which it believes less the time that it knows nobody counted, and less [`LATE`]. One that never saw a leader
-//! believes nothing of it. Beyond it, a site that holds takes nothing on, also one that was never counted in: nobody there knows what the
-//! federation goes by, as its folders may be those of a site that was cut off, or new ones in place of lost ones. While the leader knows the
-//! lease to be over, no sender hears of an open door from it, and none has its own renewed before the record says that nothing is taken on.
+//! The federation counts the site in for a time. The voice that is told so counts that on its own
+//! clock; a leader that takes over from it has the record's word, which it believes less the time
+//! that it knows nobody counted, and less [`LATE`]. One that never saw a leader believes nothing of
+//! it. Beyond it, a site that holds takes nothing on, also one that was never counted in: nobody
+//! there knows what the federation goes by, as its folders may be those of a site that was cut off,
+//! or new ones in place of lost ones. While the leader knows the lease to be over, no sender hears
+//! of an open door from it, and none has its own renewed before the record says that nothing is
+//! taken on.
 //!
 //! # Who cannot go by what was decided
 //!
-//! A sender that refuses a table before the site accepts it ends the proposal. One that does so later, as it joined later, holds nothing up: it
-//! takes nothing on, as it has not the table that it is told to go by. One whose file lets it follow no tables would go on by the list
-//! alone, so a switch waits until it lapses.
+//! A sender that refuses a table before the site accepts it ends the proposal. One that does so
+//! later, as it joined later, holds nothing up: it takes nothing on, as it has not the table that
+//! it is told to go by. One whose file lets it follow no tables would go on by the list alone, so a
+//! switch waits until it lapses.
 
 use super::document::Document;
 use super::federation::{Command, Federation, Table, DECIDED};
@@ -24,7 +29,8 @@
 use crate::keeper::policy::rollout::APART;
 use crate::keeper::record::{Member, Record};
 use crate::keeper::wire::{
-    FederationStatus, FromSender, Print, ProposalStatus, SiteStatus, Stance, TableOrder, TablePast, ToSender,
+    FederationStatus, FromSender, Print, ProposalStatus, SiteStatus, Stance, TableOrder, TablePast,
+    ToSender,
 };
 use crate::Time;
 use std::collections::BTreeSet;
@@ -32,16 +38,18 @@
 
 const MS: Time = 1_000_000;
 const SECOND: Time = 1_000 * MS;
-/// A change that does not come into the record within this time may be proposed again; a word to the federation that its record does not
-/// show is said again after it.
+/// A change that does not come into the record within this time may be proposed again; a word to
+/// the federation that its record does not show is said again after it.
 const AGAIN: Time = SECOND;
 /// A pause lasts so long at the most: clients wait 300 ms at the door, and hang up after 400.
 const PAUSE: Time = 150 * MS;
 /// First and longest time between a pause that was taken back and the next one; it doubles.
 const RETRY: (Time, Time) = (SECOND, 60 * SECOND);
-/// A sender that cannot go by a table that was decided is asked again after this time: what its list lacks may come.
+/// A sender that cannot go by a table that was decided is asked again after this time: what its
+/// list lacks may come.
 const ASK_AGAIN: Time = 10 * SECOND;
-/// The record's clock is up to a beat behind, and its word on the lease takes a moment to be agreed.
+/// The record's clock is up to a beat behind, and its word on the lease takes a moment to be
+/// agreed.
 pub const LATE: Time = SECOND;
 /// Who leads hears within this time how the federation stands, or the site is in none.
 const SOON: Time = SECOND;
@@ -59,15 +67,18 @@
     pub name: Arc<str>,
     /// This site's number in it.
     pub me: u64,
-    /// Its record, as far as it was agreed and heard here. While the lease runs it is no older than when that was given.
+    /// Its record, as far as it was agreed and heard here. While the lease runs it is no older than
+    /// when that was given.
     pub record: Arc<Federation>,
     /// The site that leads it; 0 where none is known to.
     pub leader: u64,
     /// Sites that are heard, as far as this voice knows.
     pub heard: BTreeSet<u64>,
-    /// Until when it counts this site in, on the clock of the caller; nothing where this voice was never told.
+    /// Until when it counts this site in, on the clock of the caller; nothing where this voice was
+    /// never told.
     pub lease: Option<Time>,
-    /// Beyond its lease the site takes nothing new on; else it gives the promise up and goes on by its last table.
+    /// Beyond its lease the site takes nothing new on; else it gives the promise up and goes on by
+    /// its last table.
     pub holds: bool,
 }
 
@@ -79,7 +90,10 @@
 
     /// How the site that leads is called.
     fn name_of(&self, site: u64) -> String {
-        self.record.sites.get(&site).map_or(String::new(), |s| s.name.clone())
+        self.record
+            .sites
+            .get(&site)
+            .map_or(String::new(), |s| s.name.clone())
     }
 }
 
@@ -88,7 +102,8 @@
 pub enum Out {
     /// Bring this into the site's record.
     Site(Change),
-    /// Bring this into the federation's record. It may be lost; it is said again as long as that does not show it.
+    /// Bring this into the federation's record. It may be lost; it is said again as long as that
+    /// does not show it.
     Federation(Command),
 }
 
@@ -96,7 +111,8 @@
 #[derive(Clone, Debug)]
 pub struct Switch {
     begun: Time,
-    /// For how long nobody counted on the record's clock before this leader began; nothing where that is not known.
+    /// For how long nobody counted on the record's clock before this leader began; nothing where
+    /// that is not known.
     uncounted: Option<Time>,
     ears: Ears,
     /// The change that is out: the turn it was based on, and when it was proposed.
@@ -107,12 +123,14 @@
     waits: Option<BTreeSet<String>>,
     /// Those that the last pause was taken back for.
     silent: BTreeSet<String>,
-    /// Until when the site is counted in: what the record says, counted since this leader began, and what the voice was told.
+    /// Until when the site is counted in: what the record says, counted since this leader began,
+    /// and what the voice was told.
     recorded: Option<Option<Time>>,
     told: Option<Time>,
     /// When that was proposed to the record last.
     leased: Option<Time>,
-    /// Whether the site holds beyond its lease; nothing where it is in no federation, as far as is known.
+    /// Whether the site holds beyond its lease; nothing where it is in no federation, as far as is
+    /// known.
     holds: Option<bool>,
     /// Whether nobody may hear of an open door, as of the last look.
     shut: bool,
@@ -128,7 +146,8 @@
 }
 
 impl Switch {
-    /// Begins with nothing. `led` is when this keeper saw another leader, or itself, in office last; nothing, where it never did.
+    /// Begins with nothing. `led` is when this keeper saw another leader, or itself, in office
+    /// last; nothing, where it never did.
     pub fn new(now: Time, led: Option<Time>) -> Switch {
         Switch {
             begun: now,
@@ -151,7 +170,8 @@
         }
     }
 
-    /// A sender has a session on a line of its own, on which it has not said yet whether it follows tables.
+    /// A sender has a session on a line of its own, on which it has not said yet whether it follows
+    /// tables.
     pub fn meet(&mut self, sender: &str, boot: u64) {
         self.ears.meet(sender, boot, None);
     }
@@ -167,16 +187,30 @@
     }
 
     /// A sender says something of tables.
-    pub fn hear(&mut self, now: Time, sender: &str, word: &FromSender, record: &Record, out: &mut Vec<Out>) {
+    pub fn hear(
+        &mut self,
+        now: Time,
+        sender: &str,
+        word: &FromSender,
+        record: &Record,
+        out: &mut Vec<Out>,
+    ) {
         let tables = &record.tables;
         match word {
             FromSender::Has(stored) => self.ears.has(sender, stored),
             FromSender::Stored { number, refused } => {
-                let Some(print) = tables.text(*number).map(|t| t.print) else { return };
+                let Some(print) = tables.text(*number).map(|t| t.print) else {
+                    return;
+                };
                 let kept = |number| tables.text(number).is_some();
-                let why = self.ears.checked(sender, (*number, print), refused.as_deref(), kept);
+                let why = self
+                    .ears
+                    .checked(sender, (*number, print), refused.as_deref(), kept);
                 if let Some(why) = why {
-                    log::warn!("table {number}: {sender} cannot go by it: {}", why.replace('\n', "; "));
+                    log::warn!(
+                        "table {number}: {sender} cannot go by it: {}",
+                        why.replace('\n', "; ")
+                    );
                 }
             }
             FromSender::Rules { turn } => {
@@ -243,7 +277,11 @@
         if record.tables.register.stance != Stance::Paused && now >= self.asked + ASK_AGAIN {
             self.asked = now;
             self.ears.forgive(record.tables.register.number);
-            record.tables.next.iter().for_each(|next| self.ears.forgive(next.number));
+            record
+                .tables
+                .next
+                .iter()
+                .for_each(|next| self.ears.forgive(next.number));
         }
         self.lease(now, record, known, out);
         self.decide(now, record, |switch| switch.next(now, record, known), out);
@@ -255,7 +293,8 @@
         self.recorded.flatten().max(self.told)
     }
 
-    /// Whether the site may go by a table: its lease runs, or it gives the promise up, or has been in no federation for long enough.
+    /// Whether the site may go by a table: its lease runs, or it gives the promise up, or has been
+    /// in no federation for long enough.
     fn may(&self, now: Time) -> bool {
         let runs = self.counted().is_some_and(|until| now < until);
         match self.holds {
@@ -264,7 +303,8 @@
         }
     }
 
-    /// Whether this voice itself was told that the site is counted in: then what it knows is no older than that.
+    /// Whether this voice itself was told that the site is counted in: then what it knows is no
+    /// older than that.
     fn is_told(&self, now: Time) -> bool {
         self.told.is_some_and(|until| now < until)
     }
@@ -272,14 +312,18 @@
     /// Why the site can have no part in its federation: it goes by what that never knew.
     fn stranger(&self, now: Time, record: &Record, known: &Known) -> Option<String> {
         let (tables, federation) = (&record.tables, &known.record);
-        let has = tables.next.as_ref().map_or(tables.register.number, |t| t.number);
+        let has = tables
+            .next
+            .as_ref()
+            .map_or(tables.register.number, |t| t.number);
         (self.is_told(now) && has > federation.given).then(|| {
             let given = federation.given;
             format!("it goes by table {has}, and its federation has come to {given}: its record is that of another one")
         })
     }
 
-    /// Whether senders are to hear of no open door and have no lease renewed: the site has to be held, and the record does not say so yet.
+    /// Whether senders are to hear of no open door and have no lease renewed: the site has to be
+    /// held, and the record does not say so yet.
     pub fn bars(&self, record: &Record) -> bool {
         self.shut && record.tables.register.stance != Stance::Held
     }
@@ -288,7 +332,10 @@
     fn lease(&mut self, now: Time, record: &Record, known: Option<&Known>, out: &mut Vec<Out>) {
         let tables = &record.tables;
         if self.recorded.is_none() {
-            let left = tables.lease_ms.saturating_sub(record.clock_ms).saturating_mul(MS);
+            let left = tables
+                .lease_ms
+                .saturating_sub(record.clock_ms)
+                .saturating_mul(MS);
             let left = self.uncounted.and_then(|gap| left.checked_sub(gap + LATE));
             self.recorded = Some(left.map(|left| self.begun + left));
         }
@@ -310,7 +357,9 @@
         let is_out = self.leased.is_some_and(|at| now < at + AGAIN);
         // Written when half of it has passed, and for no less than a second more.
         if !is_out && stands < left / 2 {
-            let until_ms = record.clock_ms.saturating_add(left.saturating_sub(LATE / MS));
+            let until_ms = record
+                .clock_ms
+                .saturating_add(left.saturating_sub(LATE / MS));
             if until_ms >= tables.lease_ms.saturating_add(1_000) {
                 self.leased = Some(now);
                 out.push(Out::Site(Change::Lease { until_ms }));
@@ -328,7 +377,9 @@
     ) {
         let tables = &record.tables;
         let turn = tables.turn;
-        self.deciding = self.deciding.filter(|(base, at)| *base == turn && now < at + AGAIN);
+        self.deciding = self
+            .deciding
+            .filter(|(base, at)| *base == turn && now < at + AGAIN);
         if self.deciding.is_some() {
             return;
         }
@@ -354,16 +405,21 @@
         if let Some(change) = known.and_then(|known| self.follow(record, known)) {
             return Some(change);
         }
-        // One that holds catches up with what this voice itself hears of, and goes on as a site of the roster.
+        // One that holds catches up with what this voice itself hears of, and goes on as a site of
+        // the roster.
         let runs = known.is_none_or(|k| !k.holds || self.is_told(now) && k.own().is_some());
         if !self.may(now) || stance == Stance::Held && !runs {
             return None;
         }
         let Some(next) = &tables.next else {
-            let caught_up = known.is_none_or(|k| !k.holds || tables.register.number == k.record.table.number);
+            let caught_up =
+                known.is_none_or(|k| !k.holds || tables.register.number == k.record.table.number);
             return (stance == Stance::Held && caught_up).then_some(Change::GoOn);
         };
-        let silent = self.unheard(record).into_iter().any(|name| self.silent.contains(name));
+        let silent = self
+            .unheard(record)
+            .into_iter()
+            .any(|name| self.silent.contains(name));
         let rest = (RETRY.0 << tables.tries.saturating_sub(1).min(10)).min(RETRY.1);
         let rested = tables.tries == 0 || now >= self.step.1 + rest;
         let apart = self.rules.is_none_or(|at| now >= at + APART);
@@ -378,13 +434,23 @@
             return None;
         }
         let mut late = self.unheard(record);
-        late.extend(record.tables.next.iter().flat_map(|next| self.unstored(record, next)));
+        late.extend(
+            record
+                .tables
+                .next
+                .iter()
+                .flat_map(|next| self.unstored(record, next)),
+        );
         late.sort();
         late.dedup();
         if late.is_empty() && self.may(now) {
             return Some(Change::Commit);
         }
-        let silent = if late.is_empty() { "the federation is".into() } else { names(&late) };
+        let silent = if late.is_empty() {
+            "the federation is".into()
+        } else {
+            names(&late)
+        };
         let late: BTreeSet<String> = late.into_iter().cloned().collect();
         if over {
             self.silent = late;
@@ -398,13 +464,21 @@
     fn follow(&self, record: &Record, known: &Known) -> Option<Change> {
         let (tables, federation) = (&record.tables, &known.record);
         let decided = &federation.table;
-        let has = tables.next.as_ref().map_or(tables.register.number, |t| t.number);
+        let has = tables
+            .next
+            .as_ref()
+            .map_or(tables.register.number, |t| t.number);
         if decided.number > has {
-            return Some(Change::Decide { table: decided.clone() });
+            return Some(Change::Decide {
+                table: decided.clone(),
+            });
         }
         if let Some(offered) = &tables.offered {
             let number = offered.table.number;
-            let runs = federation.proposal.as_ref().is_some_and(|p| p.table.number == number);
+            let runs = federation
+                .proposal
+                .as_ref()
+                .is_some_and(|p| p.table.number == number);
             // What an earlier record does not know yet is not gone.
             if !runs && federation.given >= number {
                 return Some(Change::Drop { number });
@@ -417,9 +491,17 @@
                 return Some(Change::Accept { number });
             }
         }
-        let proposal = federation.proposal.as_ref().filter(|_| tables.next.is_none())?;
-        let newer = tables.offered.as_ref().map_or(tables.register.number, |o| o.table.number);
-        (proposal.table.number > newer).then(|| Change::Offer { table: proposal.table.clone() })
+        let proposal = federation
+            .proposal
+            .as_ref()
+            .filter(|_| tables.next.is_none())?;
+        let newer = tables
+            .offered
+            .as_ref()
+            .map_or(tables.register.number, |o| o.table.number);
+        (proposal.table.number > newer).then(|| Change::Offer {
+            table: proposal.table.clone(),
+        })
     }
 
     /// Says to the federation what its record does not show yet.
@@ -427,11 +509,17 @@
         let Some(known) = known else { return };
         let (tables, site) = (&record.tables, known.me);
         let strange = self.stranger(now, record, known);
-        let Some(own) = known.record.sites.get(&site) else { return };
+        let Some(own) = known.record.sites.get(&site) else {
+            return;
+        };
         let asked = known.record.proposal.as_ref().zip(tables.offered.as_ref());
         let asked = asked.filter(|(p, o)| p.table.number == o.table.number);
         let command = if let Some((proposal, why)) = known.record.proposal.as_ref().zip(strange) {
-            Some(Command::Refuse { site, number: proposal.table.number, why })
+            Some(Command::Refuse {
+                site,
+                number: proposal.table.number,
+                why,
+            })
         } else if let Some((proposal, offered)) = asked {
             let number = offered.table.number;
             match self.refusal(record, number) {
@@ -443,8 +531,12 @@
             }
         } else {
             let number = tables.register.number;
-            let late = number == known.record.table.number && own.uses != number && tables.next.is_none();
-            let unheard = self.unheard(record).into_iter().filter(|name| !self.refuses(name, number));
+            let late =
+                number == known.record.table.number && own.uses != number && tables.next.is_none();
+            let unheard = self
+                .unheard(record)
+                .into_iter()
+                .filter(|name| !self.refuses(name, number));
             (late && unheard.count() == 0).then_some(Command::Switched { site, number })
         };
         let Some(command) = command else { return };
@@ -467,7 +559,8 @@
         out.push(Out::Federation(command));
     }
 
-    /// What a sender is to be told: the register where it has not said that it goes by it, and tables that it lacks, while `offers` last.
+    /// What a sender is to be told: the register where it has not said that it goes by it, and
+    /// tables that it lacks, while `offers` last.
     pub fn say(
         &mut self,
         now: Time,
@@ -484,16 +577,36 @@
         let shut = self.shut && register.stance == Stance::Open;
         if !shut && self.ears.is_due(now, sender, register.turn, register.turn) {
             let (turn, number) = (register.turn, register.number);
-            say(ToSender::Rule { turn, number, stance: register.stance });
+            say(ToSender::Rule {
+                turn,
+                number,
+                stance: register.stance,
+            });
         }
         let offered = tables.offered.as_ref().map(|o| &o.table);
-        for table in [Some(&tables.table), tables.next.as_ref(), offered].into_iter().flatten() {
-            if table.number > 0 && self.ears.lacks(now, sender, table.number, &table.print, offers) {
-                let Table { number, print, text } = table.clone();
-                say(ToSender::Offer { number, print, text });
+        for table in [Some(&tables.table), tables.next.as_ref(), offered]
+            .into_iter()
+            .flatten()
+        {
+            if table.number > 0
+                && self
+                    .ears
+                    .lacks(now, sender, table.number, &table.print, offers)
+            {
+                let Table {
+                    number,
+                    print,
+                    text,
+                } = table.clone();
+                say(ToSender::Offer {
+                    number,
+                    print,
+                    text,
+                });
             }
         }
-        self.ears.forget(sender, |number| tables.text(number).is_some());
+        self.ears
+            .forget(sender, |number| tables.text(number).is_some());
     }
 
     /// Live senders that have not said that they go by the register.
@@ -511,7 +624,9 @@
     }
 
     fn refuses(&self, sender: &str, number: u64) -> bool {
-        self.ears.of(sender).is_some_and(|ear| ear.refuses(number).is_some())
+        self.ears
+            .of(sender)
+            .is_some_and(|ear| ear.refuses(number).is_some())
     }
 
     /// Why live senders cannot go by a table, the first of them.
@@ -519,14 +634,16 @@
         self.ears.live(record, |_| true).find_map(|(name, _, ear)| {
             let ear = ear?;
             if ear.is_deaf() {
-                return Some(format!("{name}: its fleet file has no table [table], so it follows none"));
+                return Some(format!(
+                    "{name}: its fleet file has no table [table], so it follows none"
+                ));
             }
             ear.refuses(number).map(|why| format!("{name}: {why}"))
         })
     }
 
-    /// What a person wants: a command for the federation's record, or how things are already. Who joins or leaves the roster is not
-    /// decided here.
+    /// What a person wants: a command for the federation's record, or how things are already. Who
+    /// joins or leaves the roster is not decided here.
     ///
     /// # Errors
     /// Why not.
@@ -540,18 +657,33 @@
         let federation = &known.record;
         match word {
             TableOrder::Propose { text, within_s } => {
-                let by = known.own().ok_or("this site is not on the roster of its federation")?.to_string();
-                let lines = |faults: Vec<_>| faults.iter().map(|f| format!("table: {f}")).collect::<Vec<_>>();
+                let by = known
+                    .own()
+                    .ok_or("this site is not on the roster of its federation")?
+                    .to_string();
+                let lines = |faults: Vec<_>| {
+                    faults
+                        .iter()
+                        .map(|f| format!("table: {f}"))
+                        .collect::<Vec<_>>()
+                };
                 let document = Document::parse(text).map_err(|faults| lines(faults).join("\n"))?;
                 let print = document.print();
                 if !(1..=MOST_WITHIN_S).contains(within_s) {
                     return Err(format!("{within_s} s are not from 1 to {MOST_WITHIN_S}"));
                 }
-                if federation.proposal.as_ref().is_some_and(|p| p.by.0 == by && p.table.print == print) {
+                if federation
+                    .proposal
+                    .as_ref()
+                    .is_some_and(|p| p.by.0 == by && p.table.print == print)
+                {
                     return Ok(None);
                 }
                 federation.may_propose(text)?;
-                let deaf = self.ears.live(record, |_| true).filter(|(.., ear)| ear.is_some_and(Ear::is_deaf));
+                let deaf = self
+                    .ears
+                    .live(record, |_| true)
+                    .filter(|(.., ear)| ear.is_some_and(Ear::is_deaf));
                 let deaf: Vec<&String> = deaf.map(|(name, ..)| name).collect();
                 if !deaf.is_empty() {
                     let told = names(&deaf);
@@ -559,16 +691,30 @@
                         "{told}: a fleet file without a table [table], so no table is followed there"
                     ));
                 }
-                // The record's version grows with each beat: no two proposals of this site have one, and it outlasts this leader.
+                // The record's version grows with each beat: no two proposals of this site have
+                // one, and it outlasts this leader.
                 let key = record.version << 32 | u64::from(crc32fast::hash(&print));
                 let within_ms = u64::from(*within_s) * 1_000;
-                Ok(Some(Command::Propose { by, key, text: text.clone(), print, within_ms }))
+                Ok(Some(Command::Propose {
+                    by,
+                    key,
+                    text: text.clone(),
+                    print,
+                    within_ms,
+                }))
             }
             TableOrder::Abort { why } => {
                 let proposal = federation.proposal.as_ref().ok_or("no table is proposed")?;
                 let word = "a person's word";
-                let why = if why.is_empty() { word.into() } else { format!("{word}: {why}") };
-                Ok(Some(Command::Abort { number: proposal.table.number, why }))
+                let why = if why.is_empty() {
+                    word.into()
+                } else {
+                    format!("{word}: {why}")
+                };
+                Ok(Some(Command::Abort {
+                    number: proposal.table.number,
+                    why,
+                }))
             }
             TableOrder::Status
             | TableOrder::History
@@ -578,23 +724,30 @@
         }
     }
 
-    /// Whether the federation's record shows what a person wanted; an error, where that has ended otherwise.
+    /// Whether the federation's record shows what a person wanted; an error, where that has ended
+    /// otherwise.
     pub fn shows(command: &Command, known: &Known) -> Option<Result<u64, String>> {
         let federation = &known.record;
         let done = match command {
             Command::Propose { by, key, .. } => {
                 let by = (by.clone(), *key);
-                if let Some(past) = federation.past.iter().find(|p| p.by == by && p.end != DECIDED) {
+                if let Some(past) = federation
+                    .past
+                    .iter()
+                    .find(|p| p.by == by && p.end != DECIDED)
+                {
                     return Some(Err(format!("table {}: {}", past.number, past.end)));
                 }
                 federation.knows(&by.0, *key)
             }
-            Command::Abort { number, .. } => match federation.past.iter().find(|p| p.number == *number) {
-                Some(past) if past.end == DECIDED => {
-                    return Some(Err(format!("table {number} was decided before")))
+            Command::Abort { number, .. } => {
+                match federation.past.iter().find(|p| p.number == *number) {
+                    Some(past) if past.end == DECIDED => {
+                        return Some(Err(format!("table {number} was decided before")))
+                    }
+                    past => past.is_some(),
                 }
-                past => past.is_some(),
-            },
+            }
             _ => true,
         };
         done.then_some(Ok(federation.version))
@@ -607,7 +760,10 @@
             site: site.name.clone(),
             number: *number,
             uses: site.uses,
-            accepted: federation.proposal.as_ref().is_some_and(|p| p.accepted.contains(number)),
+            accepted: federation
+                .proposal
+                .as_ref()
+                .is_some_and(|p| p.accepted.contains(number)),
             heard: known.heard.contains(number),
         });
         let proposal = federation.proposal.as_ref().map(|p| ProposalStatus {
@@ -618,11 +774,17 @@
             waits: federation.waits(p).map(|s| s.name.clone()).collect(),
         });
         let own = Some(&tables.table).filter(|t| t.number > 0);
-        let asked = tables.offered.as_ref().map(|o| &o.table).or(tables.next.as_ref()).or(own);
+        let asked = tables
+            .offered
+            .as_ref()
+            .map(|o| &o.table)
+            .or(tables.next.as_ref())
+            .or(own);
         let (what, waits) = match (asked, tables.register.stance) {
-            (Some(t), Stance::Open) if !self.unstored(record, t).is_empty() => {
-                (format!("to check table {} and write it down", t.number), self.unstored(record, t))
-            }
+            (Some(t), Stance::Open) if !self.unstored(record, t).is_empty() => (
+                format!("to check table {} and write it down", t.number),
+                self.unstored(record, t),
+            ),
             (_, Stance::Open) if tables.next.is_some() && tables.tries > 0 => {
                 let tries = tables.tries;
                 (
@@ -630,20 +792,36 @@
                     self.unheard(record),
                 )
             }
-            (_, Stance::Open) => (format!("to go by table {}", tables.register.number), self.unheard(record)),
-            (_, Stance::Paused) => ("to take nothing on for a moment".into(), self.unheard(record)),
-            (_, Stance::Held) => {
-                ("to take nothing on, as the lease of the federation is over".into(), self.unheard(record))
-            }
+            (_, Stance::Open) => (
+                format!("to go by table {}", tables.register.number),
+                self.unheard(record),
+            ),
+            (_, Stance::Paused) => (
+                "to take nothing on for a moment".into(),
+                self.unheard(record),
+            ),
+            (_, Stance::Held) => (
+                "to take nothing on, as the lease of the federation is over".into(),
+                self.unheard(record),
+            ),
+        };
+        let what = if waits.is_empty() {
+            String::new()
+        } else {
+            what
         };
-        let what = if waits.is_empty() { String::new() } else { what };
         let what = self.stranger(now, record, known).unwrap_or(what);
         let refused = asked.into_iter().flat_map(|t| {
-            self.ears.live(record, |_| true).filter_map(|(name, _, ear)| {
-                let why = ear?.refuses(t.number).cloned();
-                let deaf = || ear?.is_deaf().then(|| "its fleet file has no table [table]".to_string());
-                Some((name.clone(), why.or_else(deaf)?))
-            })
+            self.ears
+                .live(record, |_| true)
+                .filter_map(|(name, _, ear)| {
+                    let why = ear?.refuses(t.number).cloned();
+                    let deaf = || {
+                        ear?.is_deaf()
+                            .then(|| "its fleet file has no table [table]".to_string())
+                    };
+                    Some((name.clone(), why.or_else(deaf)?))
+                })
         });
         FederationStatus {
             federation: known.name.to_string(),
@@ -654,7 +832,10 @@
             table: (tables.register.number, tables.table.print),
             sites: sites.collect(),
             proposal,
-            here: (what, waits.into_iter().take(MOST_NAMES.0).cloned().collect()),
+            here: (
+                what,
+                waits.into_iter().take(MOST_NAMES.0).cloned().collect(),
+            ),
             refused: refused.take(MOST_NAMES.1).collect(),
         }
     }
@@ -672,8 +853,14 @@
     }
 
     /// A table that the federation's record has the text of, or the site's.
-    pub fn text(number: u64, record: &Record, known: Option<&Known>) -> Option<(u64, Print, String)> {
-        let table = known.and_then(|k| k.record.text(number)).or_else(|| record.tables.text(number))?;
+    pub fn text(
+        number: u64,
+        record: &Record,
+        known: Option<&Known>,
+    ) -> Option<(u64, Print, String)> {
+        let table = known
+            .and_then(|k| k.record.text(number))
+            .or_else(|| record.tables.text(number))?;
         Some((table.number, table.print, table.text.clone()))
     }
 }
--- a/src/keeper/table/tables.rs
+++ b/src/keeper/table/tables.rs
@@ -1,9 +1,10 @@
-//! What a site's record holds of routing tables: the one in force, the one that is offered, and the one that was decided.
+//! What a site's record holds of routing tables: the one in force, the one that is offered, and the
+//! one that was decided.
 //!
 //! Each change is based on a turn and is void where another one came first, as with policies.
 //!
-//! The site's lease in its federation ends on the record's own clock. That stands between leaders, so a leader adds what it knows that
-//! nobody counted before it believes what is left.
+//! The site's lease in its federation ends on the record's own clock. That stands between leaders,
+//! so a leader adds what it knows that nobody counted before it believes what is left.
 
 use super::federation::Table;
 use crate::keeper::wire::Stance;
@@ -14,7 +15,8 @@
 pub struct Offered {
     /// The table.
     pub table: Table,
-    /// All senders have it; the federation was, or is to be, told so. From then on it may be decided at any moment.
+    /// All senders have it; the federation was, or is to be, told so. From then on it may be
+    /// decided at any moment.
     pub accepted: bool,
 }
 
@@ -47,7 +49,8 @@
         /// Its number.
         number: u64,
     },
-    /// The federation has decided on a table. It is one that was accepted here, unless the site has joined since.
+    /// The federation has decided on a table. It is one that was accepted here, unless the site has
+    /// joined since.
     Decide {
         /// It.
         table: Table,
@@ -68,7 +71,8 @@
     },
     /// The lease is over, and the site takes nothing new on.
     Hold,
-    /// It is heard by its federation again and has caught up, or gives the promise up. Void while something that was decided waits.
+    /// It is heard by its federation again and has caught up, or gives the promise up. Void while
+    /// something that was decided waits.
     GoOn,
 }
 
@@ -89,7 +93,8 @@
     pub next: Option<Table>,
     /// Pauses for it that were taken back.
     pub tries: u32,
-    /// The pause began while nothing was taken on as the lease was over: taken back, it is so again.
+    /// The pause began while nothing was taken on as the lease was over: taken back, it is so
+    /// again.
     pub held: bool,
     /// When the last change came, on the record's clock.
     pub since_ms: u64,
@@ -98,7 +103,8 @@
 }
 
 impl Tables {
-    /// Applies a change that was based on this turn; void where another one came first, or where it does not fit.
+    /// Applies a change that was based on this turn; void where another one came first, or where it
+    /// does not fit.
     pub fn apply(&mut self, index: u64, clock_ms: u64, base: u64, change: &Change) {
         if let Change::Lease { until_ms } = change {
             self.lease_ms = self.lease_ms.max(*until_ms);
@@ -111,32 +117,52 @@
 
     /// A table that the record has the text of.
     pub fn text(&self, number: u64) -> Option<&Table> {
-        let all = [Some(&self.table), self.offered.as_ref().map(|o| &o.table), self.next.as_ref()];
-        all.into_iter().flatten().find(|t| t.number == number && number > 0)
+        let all = [
+            Some(&self.table),
+            self.offered.as_ref().map(|o| &o.table),
+            self.next.as_ref(),
+        ];
+        all.into_iter()
+            .flatten()
+            .find(|t| t.number == number && number > 0)
     }
 
     fn change(&mut self, change: &Change) -> Option<()> {
         let turn = self.turn + 1;
-        let stands = |register: &mut Register, stance| (register.stance, register.turn) = (stance, turn);
+        let stands =
+            |register: &mut Register, stance| (register.stance, register.turn) = (stance, turn);
         match change {
             Change::Offer { table } => {
                 // What came before it is over.
-                let newer = self.offered.as_ref().is_none_or(|o| o.table.number < table.number);
+                let newer = self
+                    .offered
+                    .as_ref()
+                    .is_none_or(|o| o.table.number < table.number);
                 if !newer || table.number <= self.register.number || self.next.is_some() {
                     return None;
                 }
-                self.offered = Some(Offered { table: table.clone(), accepted: false });
+                self.offered = Some(Offered {
+                    table: table.clone(),
+                    accepted: false,
+                });
             }
             Change::Accept { number } => {
-                let offered = self.offered.as_mut().filter(|o| o.table.number == *number && !o.accepted)?;
+                let offered = self
+                    .offered
+                    .as_mut()
+                    .filter(|o| o.table.number == *number && !o.accepted)?;
                 offered.accepted = true;
             }
             Change::Drop { number } => {
                 self.offered.take_if(|o| o.table.number == *number)?;
             }
             Change::Decide { table } => {
-                // One that comes while another waits comes to a site that was off the roster meanwhile: nobody goes by that one any more.
-                let last = self.next.as_ref().map_or(self.register.number, |next| next.number);
+                // One that comes while another waits comes to a site that was off the roster
+                // meanwhile: nobody goes by that one any more.
+                let last = self
+                    .next
+                    .as_ref()
+                    .map_or(self.register.number, |next| next.number);
                 if table.number <= last {
                     return None;
                 }
@@ -159,7 +185,11 @@
                 }
                 self.table = self.next.take()?;
                 (self.tries, self.held) = (0, false);
-                self.register = Register { number: self.table.number, stance: Stance::Open, turn };
+                self.register = Register {
+                    number: self.table.number,
+                    stance: Stance::Open,
+                    turn,
+                };
             }
             Change::TakeBack { .. } => {
                 if self.register.stance != Stance::Paused {
@@ -167,7 +197,10 @@
                 }
                 self.tries = self.tries.saturating_add(1);
                 let held = std::mem::take(&mut self.held);
-                stands(&mut self.register, if held { Stance::Held } else { Stance::Open });
+                stands(
+                    &mut self.register,
+                    if held { Stance::Held } else { Stance::Open },
+                );
             }
             Change::Lease { .. } => return None,
             Change::Hold => {
@@ -177,7 +210,8 @@
                 stands(&mut self.register, Stance::Held);
             }
             Change::GoOn => {
-                // What was decided meanwhile comes first: the others may be beyond what is in force here.
+                // What was decided meanwhile comes first: the others may be beyond what is in force
+                // here.
                 if self.register.stance != Stance::Held || self.next.is_some() {
                     return None;
                 }
--- a/src/keeper/table/tables/tests.rs
+++ b/src/keeper/table/tables/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
 fn table(number: u64) -> Table {
-    Table { number, print: [number as u8; 32], text: format!("# {number}") }
+    Table {
+        number,
+        print: [number as u8; 32],
+        text: format!("# {number}"),
+    }
 }
 
 fn go(t: &mut Tables, changes: &[Change]) -> usize {
@@ -25,7 +29,17 @@
         Change::Commit,
     ];
     assert_eq!(go(&mut t, &all), 5);
-    assert_eq!((t.register, &t.table), (Register { number: 1, stance: Stance::Open, turn: 5 }, &table(1)));
+    assert_eq!(
+        (t.register, &t.table),
+        (
+            Register {
+                number: 1,
+                stance: Stance::Open,
+                turn: 5
+            },
+            &table(1)
+        )
+    );
     assert_eq!(go(&mut t, &all), 0, "said again, nothing of it counts");
     assert!(t.offered.is_none() && t.next.is_none());
 }
@@ -33,9 +47,26 @@
 #[test]
 fn what_is_dropped_leaves_no_trace_and_what_is_based_on_an_earlier_turn_is_void() {
     let mut t = Tables::default();
-    let (offer, accept) = (Change::Offer { table: table(2) }, Change::Accept { number: 2 });
-    assert_eq!(go(&mut t, &[offer, accept, Change::Drop { number: 1 }, Change::Drop { number: 2 }]), 3);
-    assert_eq!((t.offered.is_none(), t.register), (true, Register::default()));
+    let (offer, accept) = (
+        Change::Offer { table: table(2) },
+        Change::Accept { number: 2 },
+    );
+    assert_eq!(
+        go(
+            &mut t,
+            &[
+                offer,
+                accept,
+                Change::Drop { number: 1 },
+                Change::Drop { number: 2 }
+            ]
+        ),
+        3
+    );
+    assert_eq!(
+        (t.offered.is_none(), t.register),
+        (true, Register::default())
+    );
     let before = t.clone();
     t.apply(9, 9, t.turn - 1, &Change::Decide { table: table(3) });
     assert_eq!(t, before);
@@ -44,11 +75,23 @@
 #[test]
 fn a_pause_is_taken_back_and_a_hold_goes_before_it() {
     let mut t = Tables::default();
-    let back = Change::TakeBack { silent: "n1".into() };
-    go(&mut t, &[Change::Decide { table: table(4) }, Change::Pause, back]);
-    assert_eq!((t.register.stance, t.tries, t.register.number), (Stance::Open, 1, 0));
+    let back = Change::TakeBack {
+        silent: "n1".into(),
+    };
+    go(
+        &mut t,
+        &[Change::Decide { table: table(4) }, Change::Pause, back],
+    );
+    assert_eq!(
+        (t.register.stance, t.tries, t.register.number),
+        (Stance::Open, 1, 0)
+    );
     go(&mut t, &[Change::Pause, Change::Hold]);
-    assert_eq!(go(&mut t, &[Change::Commit]), 0, "senders that are held have said nothing of a pause");
+    assert_eq!(
+        go(&mut t, &[Change::Commit]),
+        0,
+        "senders that are held have said nothing of a pause"
+    );
     // It catches up by a pause of its own before it goes on.
     assert_eq!(go(&mut t, &[Change::Pause, Change::Commit]), 2);
     assert_eq!((t.register.number, t.register.stance), (4, Stance::Open));
@@ -59,16 +102,35 @@
 #[test]
 fn a_site_that_was_off_the_roster_opens_by_nothing_but_the_newest() {
     let mut t = Tables::default();
-    let back = Change::TakeBack { silent: "n1".into() };
+    let back = Change::TakeBack {
+        silent: "n1".into(),
+    };
     go(&mut t, &[Change::Decide { table: table(4) }, Change::Hold]);
-    assert_eq!(go(&mut t, &[Change::GoOn, Change::Pause, back.clone()]), 2, "it waits for what was decided");
-    assert_eq!((t.register.stance, t.register.number), (Stance::Held, 0), "nobody was open before the pause");
+    assert_eq!(
+        go(&mut t, &[Change::GoOn, Change::Pause, back.clone()]),
+        2,
+        "it waits for what was decided"
+    );
+    assert_eq!(
+        (t.register.stance, t.register.number),
+        (Stance::Held, 0),
+        "nobody was open before the pause"
+    );
     // It joins again while the others are at 7; what it paused for is void with what it was.
     go(&mut t, &[Change::Pause, Change::Decide { table: table(7) }]);
-    assert_eq!(go(&mut t, &[Change::Commit, Change::Decide { table: table(6) }]), 0);
+    assert_eq!(
+        go(
+            &mut t,
+            &[Change::Commit, Change::Decide { table: table(6) }]
+        ),
+        0
+    );
     assert_eq!(go(&mut t, &[Change::Pause, Change::Commit]), 2);
     assert_eq!((t.register.stance, t.register.number), (Stance::Open, 7));
-    go(&mut t, &[Change::Decide { table: table(8) }, Change::Pause, back]);
+    go(
+        &mut t,
+        &[Change::Decide { table: table(8) }, Change::Pause, back],
+    );
     assert_eq!(t.register.stance, Stance::Open);
 }
 
--- a/src/keeper/table/voice.rs
+++ b/src/keeper/table/voice.rs
@@ -1,23 +1,28 @@
-//! A site's part in its federation, as the keeper that leads the site plays it: a member of the group of sites, and, where that leads,
-//! its office. No socket, no clock.
+//! A site's part in its federation, as the keeper that leads the site plays it: a member of the
+//! group of sites, and, where that leads, its office. No socket, no clock.
 //!
 //! # Where its vote stands
 //!
-//! What the member has to write down goes into the site's record ([`Written`](super::written::Written)). The voice begins with a fence
-//! there, goes on from what the record then holds, and says what relies on a piece only when the record has that. So nothing of an earlier
-//! voice can be taken after it began, and whatever an earlier one had said stands in what it goes on from.
+//! What the member has to write down goes into the site's record
+//! ([`Written`](super::written::Written)). The voice begins with a fence there, goes on from what
+//! the record then holds, and says what relies on a piece only when the record has that. So nothing
+//! of an earlier voice can be taken after it began, and whatever an earlier one had said stands in
+//! what it goes on from.
 //!
-//! An earlier one may speak on for a while. As a member that follows, it says what was written. As the member that leads in a term, the
-//! library lets its messages go before they are written: entries that it brings in that term, which no other voice of the site ever
-//! leads in, as a later one begins as a follower and leads in a later term only. Those that take these entries count for themselves; it
-//! does not count itself before they are written, which they never are. So what it gets agreed is agreed by a majority of others.
+//! An earlier one may speak on for a while. As a member that follows, it says what was written. As
+//! the member that leads in a term, the library lets its messages go before they are written:
+//! entries that it brings in that term, which no other voice of the site ever leads in, as a later
+//! one begins as a follower and leads in a later term only. Those that take these entries count for
+//! themselves; it does not count itself before they are written, which they never are. So what it
+//! gets agreed is agreed by a majority of others.
 //!
 //! # Leases
 //!
-//! They are as the senders' ([`leader`](crate::keeper::leader)): the asker believes 98 in 100 of it from when it asked, the site that leads
-//! counts 102 in 100 from when it answers, and it answers only until [`SURE_MS`] after it proposed the last beat that the record has. How
-//! long they are stands in the record before the first one is given. A new leader counts from its own start what an earlier one may have
-//! given.
+//! They are as the senders' ([`leader`](crate::keeper::leader)): the asker believes 98 in 100 of it
+//! from when it asked, the site that leads counts 102 in 100 from when it answers, and it answers
+//! only until [`SURE_MS`] after it proposed the last beat that the record has. How long they are
+//! stands in the record before the first one is given. A new leader counts from its own start what
+//! an earlier one may have given.
 
 use super::federation::{Command, Federation, DECIDED, SURE_MS};
 use super::switch::Known;
@@ -38,13 +43,15 @@
 
 mod lead;
 
-/// What is proposed and does not come within this time is proposed again: ten times what a slow disk takes.
+/// What is proposed and does not come within this time is proposed again: ten times what a slow
+/// disk takes.
 const AGAIN: Time = 1_000_000_000;
 /// The same where it was refused, as too much waited.
 const SOON: Time = 100_000_000;
 /// The site that leads shows the record that it does this often.
 const BEAT_MS: u32 = 1_000;
-/// A lease is asked for this often, or three times in its length; and more often where a third of it is gone.
+/// A lease is asked for this often, or three times in its length; and more often where a third of
+/// it is gone.
 const ASK: (Time, Time) = (1_000_000_000, 250_000_000);
 /// Words that ask and are not answered, at the most.
 const ASKS: usize = 16;
@@ -102,7 +109,8 @@
         ask: u64,
         /// How long.
         lease_ms: u32,
-        /// The version of the record by which it was: it counts once that is here, so whoever has a lease knows what stood then.
+        /// The version of the record by which it was: it counts once that is here, so whoever has a
+        /// lease knows what stood then.
         version: u64,
     },
     /// To the site that leads: a person's order on the roster.
@@ -128,7 +136,8 @@
     Propose(record::Command),
     /// Say this to another site's voice. It may be lost.
     Say(u64, Word),
-    /// The same with a message of the group; whether it went is to be told by [`Voice::sent`]. And whether it has a snapshot.
+    /// The same with a message of the group; whether it went is to be told by [`Voice::sent`]. And
+    /// whether it has a snapshot.
     Raft(u64, Word, bool),
     /// Answer a person.
     Answer(ConnectionId, ToPerson),
@@ -193,7 +202,8 @@
     beat: u64,
     counted: Time,
     sure_until: Time,
-    /// Until when the leases run that were given, as this leader counts, and all that earlier ones gave.
+    /// Until when the leases run that were given, as this leader counts, and all that earlier ones
+    /// gave.
     leases: BTreeMap<u64, Time>,
     before: Time,
     /// Sites that are given none, and until when.
@@ -218,7 +228,8 @@
     term: u64,
     rng: fastrand::Rng,
     stage: Stage,
-    /// The last piece's number; the piece, when it is not in the record yet; when the last proposal is to be made again.
+    /// The last piece's number; the piece, when it is not in the record yet; when the last proposal
+    /// is to be made again.
     number: u64,
     saving: Option<Piece>,
     again: Time,
@@ -228,7 +239,8 @@
     asks: VecDeque<(u64, u64, Time)>,
     ask: u64,
     asked: Time,
-    /// Leases that were given by a record that is not here yet: its version, and until when they run.
+    /// Leases that were given by a record that is not here yet: its version, and until when they
+    /// run.
     given: VecDeque<(u64, Time)>,
     lead: Option<Lead>,
     /// Orders that were handed on.
@@ -270,13 +282,15 @@
 }
 
 impl Voice {
-    /// The voice of a site's leader, in its term at the site; it speaks when the record has its fence.
+    /// The voice of a site's leader, in its term at the site; it speaks when the record has its
+    /// fence.
     pub fn new(settings: Settings, term: u64, now: Time, record: &Record, seed: u64) -> Voice {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (ask, order) = (rng.u64(..) >> 1, rng.u64(..) >> 1);
         let base = record.written.base.as_deref();
         // Until the group is heard, what the site knew last is what it knows.
-        let held = base.and_then(|base| crate::keeper::group::Held::<Federation>::read(&base.held).ok());
+        let held =
+            base.and_then(|base| crate::keeper::group::Held::<Federation>::read(&base.held).ok());
         let known = Known {
             name: settings.name.clone(),
             me: settings.number,
@@ -344,14 +358,26 @@
     /// Sites that it has to have a line to, and where.
     pub fn places(&self) -> BTreeMap<u64, Vec<SocketAddr>> {
         let named = |site: &u64| self.settings.sites.get(site).map(|place| place.at.clone());
-        let members = self.group().map(|group| &group.held().members).filter(|m| !m.is_empty());
+        let members = self
+            .group()
+            .map(|group| &group.held().members)
+            .filter(|m| !m.is_empty());
         match members {
             Some(members) => {
-                let others = members.iter().filter(|(site, _)| **site != self.settings.number);
+                let others = members
+                    .iter()
+                    .filter(|(site, _)| **site != self.settings.number);
                 let at = |m: &Member| m.at.split(',').filter_map(|at| at.parse().ok()).collect();
-                others.map(|(site, m)| (*site, named(site).unwrap_or_else(|| at(m)))).collect()
+                others
+                    .map(|(site, m)| (*site, named(site).unwrap_or_else(|| at(m))))
+                    .collect()
             }
-            None => self.settings.sites.iter().map(|(site, place)| (*site, place.at.clone())).collect(),
+            None => self
+                .settings
+                .sites
+                .iter()
+                .map(|(site, place)| (*site, place.at.clone()))
+                .collect(),
         }
     }
 
@@ -371,22 +397,44 @@
             Stage::Begins(begin) => {
                 let missing = begin.missing();
                 let told = missing.iter().map(|site| {
-                    (*site, format!("site {}: not met yet: the federation has not begun", name(site)))
+                    (
+                        *site,
+                        format!(
+                            "site {}: not met yet: the federation has not begun",
+                            name(site)
+                        ),
+                    )
                 });
                 told.collect()
             }
             Stage::Takes(group) => {
                 let without = group.without_record();
                 let told = without.iter().map(|site| {
-                    (*site, format!("site {}: has not got the federation's record yet", name(site)))
+                    (
+                        *site,
+                        format!(
+                            "site {}: has not got the federation's record yet",
+                            name(site)
+                        ),
+                    )
                 });
                 let own = self.known.record.sites.get(&self.settings.number);
                 let other = own.filter(|s| s.name != self.settings.site).map(|s| {
-                    (self.settings.number, format!("{}: it knows this site as {}", self.who(), s.name))
+                    (
+                        self.settings.number,
+                        format!("{}: it knows this site as {}", self.who(), s.name),
+                    )
                 });
-                let off =
-                    self.known.record.off.contains(&self.settings.number).then(|| {
-                        (self.settings.number, format!("{}: this site is off the roster", self.who()))
+                let off = self
+                    .known
+                    .record
+                    .off
+                    .contains(&self.settings.number)
+                    .then(|| {
+                        (
+                            self.settings.number,
+                            format!("{}: this site is off the roster", self.who()),
+                        )
                     });
                 told.chain(other).chain(off).collect()
             }
@@ -402,7 +450,11 @@
             (Stage::Fences, None) => out.push(Out::Propose(record::Command::Fence { term })),
             (_, Some(piece)) => {
                 let (number, piece) = (self.number, piece.clone());
-                out.push(Out::Propose(record::Command::Voice { term, number, piece }));
+                out.push(Out::Propose(record::Command::Voice {
+                    term,
+                    number,
+                    piece,
+                }));
             }
             _ => {}
         }
@@ -420,7 +472,13 @@
     }
 
     /// A command of a voice was applied to the site's record, which stands as given.
-    pub fn applied(&mut self, now: Time, command: &record::Command, record: &Record, out: &mut Vec<Out>) {
+    pub fn applied(
+        &mut self,
+        now: Time,
+        command: &record::Command,
+        record: &Record,
+        out: &mut Vec<Out>,
+    ) {
         match command {
             record::Command::Fence { term } => {
                 let mine = *term == self.term && record.written.term == self.term;
@@ -429,7 +487,9 @@
                 }
             }
             record::Command::Voice { term, number, .. } => {
-                let mine = *term == self.term && record.written.term == self.term && *number == self.number;
+                let mine = *term == self.term
+                    && record.written.term == self.term
+                    && *number == self.number;
                 if mine && self.saving.take().is_some() {
                     self.saved(now, record, out);
                 }
@@ -449,10 +509,17 @@
             Some(id) if id.keeper == number => self.start(now, record, out),
             // Nothing may be said before the record has what it is known by.
             given_up => {
-                given_up.inspect(|id| log::info!("{}: gives up the number {}", self.who(), id.keeper));
-                let identity = Identity { site: name, keeper: number, incarnation: self.rng.u64(..) };
+                given_up
+                    .inspect(|id| log::info!("{}: gives up the number {}", self.who(), id.keeper));
+                let identity = Identity {
+                    site: name,
+                    keeper: number,
+                    incarnation: self.rng.u64(..),
+                };
                 let base = match self.settings.begin {
-                    true => Begin::empty_of::<Federation>(identity, self.settings.sites.keys().copied()),
+                    true => {
+                        Begin::empty_of::<Federation>(identity, self.settings.sites.keys().copied())
+                    }
                     false => Begin::joining_of::<Federation>(identity),
                 };
                 self.write(now, Piece::Base(Box::new(base)), out);
@@ -461,10 +528,16 @@
     }
 
     fn start(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
-        let Some(base) = record.written.base.as_deref() else { return };
+        let Some(base) = record.written.base.as_deref() else {
+            return;
+        };
         let who = self.who();
         if matches!(self.stage, Stage::Fences) {
-            log::info!("{who}: speaks for site {} in term {}", self.settings.number, self.term);
+            log::info!(
+                "{who}: speaks for site {} in term {}",
+                self.settings.number,
+                self.term
+            );
         }
         self.ticked = now;
         if base.begun {
@@ -475,7 +548,10 @@
             self.work(now, out);
         } else {
             let begin = Begin::new(base.clone());
-            log::info!("{who}: begins when it and sites {:?} know each other", begin.missing());
+            log::info!(
+                "{who}: begins when it and sites {:?} know each other",
+                begin.missing()
+            );
             self.stage = Stage::Begins(Box::new(begin));
             self.tend_begin(now, record, out);
         }
@@ -491,7 +567,11 @@
         match &mut self.stage {
             Stage::Fences => self.start(now, record, out),
             Stage::Begins(_) => {
-                let begun = record.written.base.as_deref().is_some_and(|base| base.begun);
+                let begun = record
+                    .written
+                    .base
+                    .as_deref()
+                    .is_some_and(|base| base.begun);
                 match begun {
                     true => self.start(now, record, out),
                     false => self.tend_begin(now, record, out),
@@ -510,12 +590,15 @@
 
     /// A first start: writes down whom it knows, and begins when nobody is missing.
     fn tend_begin(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
-        let Stage::Begins(begin) = &self.stage else { return };
+        let Stage::Begins(begin) = &self.stage else {
+            return;
+        };
         if self.saving.is_some() {
             return;
         }
         let done = begin.finish_of::<Federation>(&BTreeMap::new());
-        let done = done.inspect(|_| log::info!("{}: all sites know each other, begins", self.who()));
+        let done =
+            done.inspect(|_| log::info!("{}: all sites know each other, begins", self.who()));
         let base: Base = done.unwrap_or_else(|| begin.base().clone());
         if record.written.base.as_deref() != Some(&base) {
             self.write(now, Piece::Base(Box::new(base)), out);
@@ -601,8 +684,16 @@
     ///
     /// # Errors
     /// No voice says so: its line is to be ended.
-    pub fn hear(&mut self, now: Time, site: u64, word: Word, out: &mut Vec<Out>) -> Result<(), String> {
-        let Stage::Takes(group) = &mut self.stage else { return Ok(()) };
+    pub fn hear(
+        &mut self,
+        now: Time,
+        site: u64,
+        word: Word,
+        out: &mut Vec<Out>,
+    ) -> Result<(), String> {
+        let Stage::Takes(group) = &mut self.stage else {
+            return Ok(());
+        };
         self.heard.insert(site, now);
         match word {
             Word::Raft(bytes) => group.step(site, &bytes)?,
@@ -612,11 +703,25 @@
             },
             Word::Ask(ask) => {
                 if let Some((lease_ms, version)) = self.grant(now, site) {
-                    out.push(Out::Say(site, Word::Granted { ask, lease_ms, version }));
+                    out.push(Out::Say(
+                        site,
+                        Word::Granted {
+                            ask,
+                            lease_ms,
+                            version,
+                        },
+                    ));
                 }
             }
-            Word::Granted { ask, lease_ms, version } => {
-                let asked = self.asks.iter().position(|(id, at, _)| (*id, *at) == (ask, site));
+            Word::Granted {
+                ask,
+                lease_ms,
+                version,
+            } => {
+                let asked = self
+                    .asks
+                    .iter()
+                    .position(|(id, at, _)| (*id, *at) == (ask, site));
                 if let Some((_, _, at)) = asked.and_then(|n| self.asks.remove(n)) {
                     self.has_lease(at, lease_ms, version);
                 }
@@ -635,7 +740,8 @@
 
     // ---- The group.
 
-    /// Time has passed; to be told some ten times a second, and before words that came in after the voice stood still.
+    /// Time has passed; to be told some ten times a second, and before words that came in after the
+    /// voice stood still.
     pub fn tick(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
         if now >= self.again && (self.saving.is_some() || matches!(self.stage, Stage::Fences)) {
             self.propose(now, out);
@@ -653,10 +759,19 @@
         self.ask(now, out);
         self.heard.retain(|_, at| now < *at + HEARD);
         self.known.heard = self.heard.keys().copied().collect();
-        let late: Vec<u64> =
-            self.orders.iter().filter(|(_, o)| now >= o.1 + ORDERS.1).map(|(id, _)| *id).collect();
-        for (line, _) in late.iter().filter_map(|id| self.orders.remove(id)).collect::<Vec<_>>() {
-            let why = "the site that leads did not answer in 5 s; look at the status and say it again";
+        let late: Vec<u64> = self
+            .orders
+            .iter()
+            .filter(|(_, o)| now >= o.1 + ORDERS.1)
+            .map(|(id, _)| *id)
+            .collect();
+        for (line, _) in late
+            .iter()
+            .filter_map(|id| self.orders.remove(id))
+            .collect::<Vec<_>>()
+        {
+            let why =
+                "the site that leads did not answer in 5 s; look at the status and say it again";
             out.push(Out::Answer(line, ToPerson::Refused(why.into())));
         }
         self.work(now, out);
@@ -665,7 +780,9 @@
     /// Goes on until nothing more is to be done.
     fn work(&mut self, now: Time, out: &mut Vec<Out>) {
         loop {
-            let Stage::Takes(group) = &mut self.stage else { return };
+            let Stage::Takes(group) = &mut self.stage else {
+                return;
+            };
             let mut events = Vec::new();
             let messages = match group.work(&mut events) {
                 Ok(messages) => messages,
@@ -681,7 +798,11 @@
             for message in messages {
                 let snapshot = message.get_msg_type() == MessageType::MsgSnapshot;
                 match message.write_to_bytes() {
-                    Ok(bytes) => out.push(Out::Raft(message.to, Word::Raft(ByteBuf::from(bytes)), snapshot)),
+                    Ok(bytes) => out.push(Out::Raft(
+                        message.to,
+                        Word::Raft(ByteBuf::from(bytes)),
+                        snapshot,
+                    )),
                     Err(e) => log::error!("{}: a message to site {}: {e}", self.who(), message.to),
                 }
             }
@@ -689,8 +810,14 @@
                 self.happened(event, out);
             }
             self.leads(now);
-            let Stage::Takes(group) = &mut self.stage else { return };
-            let piece = if self.saving.is_none() { group.piece() } else { None };
+            let Stage::Takes(group) = &mut self.stage else {
+                return;
+            };
+            let piece = if self.saving.is_none() {
+                group.piece()
+            } else {
+                None
+            };
             if let Some(piece) = piece {
                 self.write(now, piece, out);
             } else if idle {
@@ -702,7 +829,9 @@
 
     fn happened(&mut self, event: Event<Command>, out: &mut Vec<Out>) {
         let who = self.who();
-        let Stage::Takes(group) = &self.stage else { return };
+        let Stage::Takes(group) = &self.stage else {
+            return;
+        };
         match event {
             Event::Applied(index, command) => {
                 log::debug!("{who}: applied {index} {command:?}");
@@ -723,7 +852,8 @@
                             }
                         }
                         Command::Off { site } => {
-                            let done = |d: &mut Doing| d.site == *site && matches!(d.step, Step::Offs);
+                            let done =
+                                |d: &mut Doing| d.site == *site && matches!(d.step, Step::Offs);
                             if let Some(doing) = lead.doing.take_if(done) {
                                 lead::answer(doing.asker, Ok(index), out);
                             }
@@ -736,10 +866,16 @@
                 log::info!("{who}: sites {:?} by entry {index}", group.voters());
                 let came = group.held().members.contains_key(&site);
                 let adds = |d: &&mut Doing| came && d.site == site && matches!(d.step, Step::Adds);
-                let doing = self.lead.as_mut().and_then(|lead| lead.doing.as_mut()).filter(adds);
+                let doing = self
+                    .lead
+                    .as_mut()
+                    .and_then(|lead| lead.doing.as_mut())
+                    .filter(adds);
                 doing.into_iter().for_each(|d| d.step = Step::Joins);
             }
-            Event::Restored(index) => log::info!("{who}: has the record up to {index} from another site"),
+            Event::Restored(index) => {
+                log::info!("{who}: has the record up to {index} from another site")
+            }
             Event::Leads(leader, term) => {
                 if leader != 0 && leader != group.me() {
                     log::info!("{who}: follows site {leader} in term {term}");
@@ -752,9 +888,12 @@
 
     /// Takes office, or gives it up.
     fn leads(&mut self, now: Time) {
-        let Stage::Takes(group) = &self.stage else { return };
+        let Stage::Takes(group) = &self.stage else {
+            return;
+        };
         let term = group.term();
-        if group.leader() != group.me() || self.lead.as_ref().is_some_and(|lead| lead.term != term) {
+        if group.leader() != group.me() || self.lead.as_ref().is_some_and(|lead| lead.term != term)
+        {
             self.lead = None;
         }
         if group.is_ready_to_lead() && self.lead.is_none() {
@@ -782,7 +921,9 @@
 
     /// Tells the log what has become of the record.
     fn tell(&mut self) {
-        let Stage::Takes(group) = &self.stage else { return };
+        let Stage::Takes(group) = &self.stage else {
+            return;
+        };
         let record = group.record();
         let first = self.told.is_none();
         let told = self.told.get_or_insert_with(Told::default);
@@ -796,13 +937,21 @@
                 why => format!("table {}: ended: {why}", past.number),
             });
         }
-        if let Some(p) = record.proposal.as_ref().filter(|p| p.table.number > told.proposed) {
+        if let Some(p) = record
+            .proposal
+            .as_ref()
+            .filter(|p| p.table.number > told.proposed)
+        {
             say(format!("table {}: proposed by {}", p.table.number, p.by.0));
             told.proposed = p.table.number;
         }
         told.ended = record.past.back().map_or(0, |p| p.number).max(told.ended);
         told.proposed = told.proposed.max(told.ended);
-        for (site, s) in record.sites.iter().filter(|(site, _)| !told.sites.contains_key(site)) {
+        for (site, s) in record
+            .sites
+            .iter()
+            .filter(|(site, _)| !told.sites.contains_key(site))
+        {
             say(format!("site {} joins as {site}", s.name));
         }
         told.sites.retain(|site, name| {
@@ -812,7 +961,8 @@
             }
             stays
         });
-        told.sites.extend(record.sites.iter().map(|(site, s)| (*site, s.name.clone())));
+        told.sites
+            .extend(record.sites.iter().map(|(site, s)| (*site, s.name.clone())));
     }
 
     // ---- Its lease, and what it wants of the site that leads.
@@ -821,7 +971,8 @@
         if self.given.len() >= ASKS {
             self.given.pop_front();
         }
-        self.given.push_back((version, asked + shorter(ms(lease_ms))));
+        self.given
+            .push_back((version, asked + shorter(ms(lease_ms))));
         self.count_leases();
     }
 
@@ -840,7 +991,10 @@
     /// Asks for a lease, when that is due.
     fn ask(&mut self, now: Time, out: &mut Vec<Out>) {
         let lease = ms(self.settings.lease_ms);
-        let fresh = self.known.lease.is_some_and(|until| until > now + lease / 3 * 2);
+        let fresh = self
+            .known
+            .lease
+            .is_some_and(|until| until > now + lease / 3 * 2);
         let every = if fresh { ASK.0.min(lease / 3) } else { ASK.1 };
         let leader = self.known.leader;
         if leader == 0 || self.asked != 0 && now < self.asked + every {
@@ -861,10 +1015,13 @@
         out.push(Out::Say(leader, Word::Ask(self.ask)));
     }
 
-    /// Brings a command before the federation's record, here or at the site that leads. It may be lost.
+    /// Brings a command before the federation's record, here or at the site that leads. It may be
+    /// lost.
     pub fn command(&mut self, now: Time, command: Command, out: &mut Vec<Out>) {
         let leader = self.known.leader;
-        let Stage::Takes(group) = &mut self.stage else { return };
+        let Stage::Takes(group) = &mut self.stage else {
+            return;
+        };
         if self.lead.is_some() {
             if let Err(no) = group.propose(&command) {
                 log::debug!("{}: not proposed: {no}", self.who());
@@ -890,7 +1047,13 @@
             (_, leader) => {
                 self.order += 1;
                 self.orders.insert(self.order, (line, now));
-                out.push(Out::Say(leader, Word::Order { id: self.order, order: order.clone() }));
+                out.push(Out::Say(
+                    leader,
+                    Word::Order {
+                        id: self.order,
+                        order: order.clone(),
+                    },
+                ));
                 return;
             }
         };
@@ -912,12 +1075,19 @@
 
     /// The voice ends: persons that wait are to ask elsewhere.
     pub fn ends(&mut self, out: &mut Vec<Out>) {
-        let here = self.lead.take().and_then(|lead| lead.doing).map(|d| d.asker);
+        let here = self
+            .lead
+            .take()
+            .and_then(|lead| lead.doing)
+            .map(|d| d.asker);
         let here = here.and_then(|asker| match asker {
             Asker::Here(line) => Some(line),
             Asker::There(..) => None,
         });
-        let lines = std::mem::take(&mut self.orders).into_values().map(|o| o.0).chain(here);
+        let lines = std::mem::take(&mut self.orders)
+            .into_values()
+            .map(|o| o.0)
+            .chain(here);
         out.extend(lines.map(|line| Out::Answer(line, ToPerson::Elsewhere(None))));
     }
 }
@@ -929,10 +1099,13 @@
 fn says(command: &Command, from: u64, record: &Federation) -> bool {
     match command {
         Command::Propose { by, .. } => record.sites.get(&from).is_some_and(|s| s.name == *by),
-        Command::Accept { site, .. } | Command::Refuse { site, .. } | Command::Switched { site, .. } => {
-            *site == from
-        }
+        Command::Accept { site, .. }
+        | Command::Refuse { site, .. }
+        | Command::Switched { site, .. } => *site == from,
         Command::Abort { .. } => true,
-        Command::Beat { .. } | Command::Join { .. } | Command::Off { .. } | Command::Leases { .. } => false,
+        Command::Beat { .. }
+        | Command::Join { .. }
+        | Command::Off { .. }
+        | Command::Leases { .. } => false,
     }
 }
--- a/src/keeper/table/voice/lead.rs
+++ b/src/keeper/table/voice/lead.rs
@@ -9,7 +9,8 @@
 
 /// An order that a change of sites waits for so long, where nothing else ends it.
 const CHANGE: Time = 20_000_000_000;
-/// A site that is ordered off is given no lease until the order is so old, and 30 s longer than it needs.
+/// A site that is ordered off is given no lease until the order is so old, and 30 s longer than it
+/// needs.
 const STOPPED: Time = 60_000_000_000;
 
 /// In words, to the next second.
@@ -20,7 +21,9 @@
 impl Voice {
     pub(super) fn lead(&mut self, now: Time, out: &mut Vec<Out>) {
         let Some(lead) = &mut self.lead else { return };
-        let Stage::Takes(group) = &mut self.stage else { return };
+        let Stage::Takes(group) = &mut self.stage else {
+            return;
+        };
         if lead.beat == 0 || now >= lead.counted + ms(BEAT_MS) {
             lead.beat += 1;
             let passed = ((now - lead.counted) / 1_000_000).min(u64::from(u32::MAX)) as u32;
@@ -29,7 +32,11 @@
                 lead.beats.pop_front();
             }
             lead.beats.push_back((lead.beat, now));
-            let _ = group.propose(&Command::Beat { term: lead.term, beat: lead.beat, ms: passed });
+            let _ = group.propose(&Command::Beat {
+                term: lead.term,
+                beat: lead.beat,
+                ms: passed,
+            });
         }
         lead.stopped.retain(|_, until| now < *until);
         let late = |d: &mut Doing| now >= d.since + CHANGE;
@@ -37,7 +44,8 @@
             let why = "the sites did not agree in 20 s; look at the status and say it again";
             answer(doing.asker, Err(why.into()), out);
         }
-        let brought = |d: &mut Doing| matches!(d.step, Step::Brings(index) if group.has(d.site, index));
+        let brought =
+            |d: &mut Doing| matches!(d.step, Step::Brings(index) if group.has(d.site, index));
         if let Some(doing) = lead.doing.take_if(brought) {
             answer(doing.asker, Ok(group.record().version), out);
         }
@@ -48,7 +56,9 @@
         let record = group.record();
         let mut wanted = Vec::new();
         if record.lease_ms != self.settings.lease_ms {
-            wanted.push(Command::Leases { ms: self.settings.lease_ms });
+            wanted.push(Command::Leases {
+                ms: self.settings.lease_ms,
+            });
         }
         let mut gone = Vec::new();
         for site in group.voters().iter().copied() {
@@ -56,13 +66,19 @@
                 gone.push(site);
             } else if !record.sites.contains_key(&site) {
                 // The first sites, and one whose order was not carried out to its end.
-                let ordered = lead.doing.as_ref().filter(|d| d.site == site && matches!(d.step, Step::Joins));
+                let ordered = lead
+                    .doing
+                    .as_ref()
+                    .filter(|d| d.site == site && matches!(d.step, Step::Joins));
                 let name = match site == self.settings.number {
                     true => Some(&self.settings.site),
                     false => self.settings.sites.get(&site).map(|place| &place.name),
                 };
                 let name = ordered.map(|d| &d.name).or(name);
-                wanted.extend(name.map(|name| Command::Join { site, name: name.clone() }));
+                wanted.extend(name.map(|name| Command::Join {
+                    site,
+                    name: name.clone(),
+                }));
             }
         }
         for command in wanted {
@@ -76,9 +92,12 @@
     /// Gives a site a lease, where that may be: how long, and by which version of the record.
     pub(super) fn grant(&mut self, now: Time, site: u64) -> Option<(u32, u64)> {
         let lead = self.lead.as_mut()?;
-        let Stage::Takes(group) = &self.stage else { return None };
+        let Stage::Takes(group) = &self.stage else {
+            return None;
+        };
         let (record, lease_ms) = (group.record(), self.settings.lease_ms);
-        let sure = group.leads_for_certain() && now < lead.sure_until && record.lease_ms == lease_ms;
+        let sure =
+            group.leads_for_certain() && now < lead.sure_until && record.lease_ms == lease_ms;
         if !sure || lead.stopped.contains_key(&site) || !record.sites.contains_key(&site) {
             return None;
         }
@@ -88,7 +107,13 @@
         Some((lease_ms, record.version))
     }
 
-    pub(super) fn do_order(&mut self, now: Time, asker: Asker, order: &TableOrder, out: &mut Vec<Out>) {
+    pub(super) fn do_order(
+        &mut self,
+        now: Time,
+        asker: Asker,
+        order: &TableOrder,
+        out: &mut Vec<Out>,
+    ) {
         let done = match order {
             TableOrder::Off { site } => self.off(now, asker, site),
             TableOrder::Join { site, number, at } => self.join(now, asker, site, *number, at, out),
@@ -104,7 +129,11 @@
             return Err("this site does not lead the federation".into());
         };
         let record = group.record();
-        let site = record.sites.iter().find(|(_, s)| s.name == name).map(|(site, _)| *site);
+        let site = record
+            .sites
+            .iter()
+            .find(|(_, s)| s.name == name)
+            .map(|(site, _)| *site);
         let site = site.ok_or_else(|| format!("no site {name:?} is on the roster"))?;
         if record.sites.len() == 1 {
             return Err("the last site cannot go".into());
@@ -121,7 +150,12 @@
         let fence = ms(self.settings.fence_ms);
         let stopped = now + STOPPED.max(longer(ms(self.settings.lease_ms)) + fence + STOPPED / 2);
         lead.stopped.insert(site, stopped);
-        let lease = lead.leases.get(&site).copied().unwrap_or_default().max(lead.before);
+        let lease = lead
+            .leases
+            .get(&site)
+            .copied()
+            .unwrap_or_default()
+            .max(lead.before);
         let fenced = lease + longer(fence);
         if now < fenced {
             return Err(format!(
@@ -130,8 +164,16 @@
                 seconds(fenced - now)
             ));
         }
-        group.propose(&Command::Off { site }).map_err(|no| no.to_string())?;
-        lead.doing = Some(Doing { asker, since: now, site, name: name.into(), step: Step::Offs });
+        group
+            .propose(&Command::Off { site })
+            .map_err(|no| no.to_string())?;
+        lead.doing = Some(Doing {
+            asker,
+            since: now,
+            site,
+            name: name.into(),
+            step: Step::Offs,
+        });
         Ok(())
     }
 
@@ -167,9 +209,14 @@
         }
         let places: Vec<SocketAddr> = at.iter().filter_map(|at| at.parse().ok()).collect();
         let good = |at: &SocketAddr| !at.ip().is_unspecified() && at.port() != 0;
-        if places.is_empty() || places.len() != at.len() || !places.iter().all(good) || places.len() > MOST_AT
+        if places.is_empty()
+            || places.len() != at.len()
+            || !places.iter().all(good)
+            || places.len() > MOST_AT
         {
-            return Err(format!("{at:?}: 1 to {MOST_AT} addresses with a port are needed"));
+            return Err(format!(
+                "{at:?}: 1 to {MOST_AT} addresses with a port are needed"
+            ));
         }
         let step = match joined {
             true => Step::Joins,
@@ -180,17 +227,30 @@
             }
         };
         lead.tended = 0;
-        lead.doing = Some(Doing { asker, since: now, site, name: name.into(), step });
+        lead.doing = Some(Doing {
+            asker,
+            since: now,
+            site,
+            name: name.into(),
+            step,
+        });
         Ok(())
     }
 
     /// What a site that was asked for its incarnation answered.
     pub fn met(&mut self, now: Time, site: u64, folder: Result<u64, String>, out: &mut Vec<Out>) {
-        let (Some(lead), Stage::Takes(group)) = (&mut self.lead, &mut self.stage) else { return };
-        let Some(doing) = lead.doing.as_mut().filter(|d| d.site == site) else { return };
+        let (Some(lead), Stage::Takes(group)) = (&mut self.lead, &mut self.stage) else {
+            return;
+        };
+        let Some(doing) = lead.doing.as_mut().filter(|d| d.site == site) else {
+            return;
+        };
         let Step::Meets(at) = &doing.step else { return };
         let added = folder.and_then(|incarnation| {
-            let member = Member { at: at.clone(), incarnation };
+            let member = Member {
+                at: at.clone(),
+                incarnation,
+            };
             group.add(site, &member).map_err(|no| no.to_string())
         });
         match added {
@@ -210,7 +270,9 @@
 
 pub(super) fn answer(asker: Asker, answer: Result<u64, String>, out: &mut Vec<Out>) {
     out.push(match asker {
-        Asker::Here(line) => Out::Answer(line, answer.map_or_else(ToPerson::Refused, ToPerson::Done)),
+        Asker::Here(line) => {
+            Out::Answer(line, answer.map_or_else(ToPerson::Refused, ToPerson::Done))
+        }
         Asker::There(site, id) => Out::Say(site, Word::Ordered { id, answer }),
     });
 }
--- a/src/keeper/table/written.rs
+++ b/src/keeper/table/written.rs
@@ -1,8 +1,10 @@
-//! What a site's voice in the federation has written down. It stands in the site's record, so that whichever keeper leads the site next
-//! goes on from it: the site votes once in a term, and what it has acknowledged it knows.
+//! What a site's voice in the federation has written down. It stands in the site's record, so that
+//! whichever keeper leads the site next goes on from it: the site votes once in a term, and what it
+//! has acknowledged it knows.
 //!
-//! Two keepers may both take themselves for the voice for a while. The first command of each names its term at the site ([`Written::fence`]);
-//! from there on nothing of an earlier one is taken. What an earlier one had said before relied on what stands here, and stays true.
+//! Two keepers may both take themselves for the voice for a while. The first command of each names
+//! its term at the site ([`Written::fence`]); from there on nothing of an earlier one is taken.
+//! What an earlier one had said before relied on what stands here, and stays true.
 
 use crate::keeper::group::COMMAND;
 use crate::keeper::log::{Base, Batch, Line, Piece};
@@ -34,9 +36,10 @@
         }
     }
 
-    /// A piece, numbered from 1 on in each term. Void are pieces of other terms, those that came before, and what does not go on from
-    /// what is here. Another identity begins with an empty base and gives up the earlier one's vote for good: it cannot come back, as
-    /// it would be drawn anew.
+    /// A piece, numbered from 1 on in each term. Void are pieces of other terms, those that came
+    /// before, and what does not go on from what is here. Another identity begins with an empty
+    /// base and gives up the earlier one's vote for good: it cannot come back, as it would be drawn
+    /// anew.
     pub fn put(&mut self, term: u64, number: u64, piece: &Piece) {
         if term != self.term || number != self.number + 1 {
             return;
@@ -51,7 +54,10 @@
             (Piece::Base(base), before) => *before = Some(base.clone()),
             (Piece::Batch(_), None) => {}
             (Piece::Batch(batch), Some(base)) => {
-                let mut all = Batch { hard: base.hard, entries: std::mem::take(&mut base.entries) };
+                let mut all = Batch {
+                    hard: base.hard,
+                    entries: std::mem::take(&mut base.entries),
+                };
                 all.merge(batch.clone());
                 (base.hard, base.entries) = (all.hard, all.entries);
             }
--- a/src/keeper/table/written/tests.rs
+++ b/src/keeper/table/written/tests.rs
@@ -2,12 +2,23 @@
 use crate::keeper::log::{Hard, Identity};
 
 fn base(site: u64, incarnation: u64) -> Base {
-    let identity = Identity { site: "land".into(), keeper: site, incarnation };
+    let identity = Identity {
+        site: "land".into(),
+        keeper: site,
+        incarnation,
+    };
     Base::new(identity, 1, vec![1, 2, 3], Vec::new())
 }
 
 fn vote(term: u64, vote: u64) -> Piece {
-    Piece::Batch(Batch { hard: Hard { term, vote, commit: 1 }, entries: Vec::new() })
+    Piece::Batch(Batch {
+        hard: Hard {
+            term,
+            vote,
+            commit: 1,
+        },
+        entries: Vec::new(),
+    })
 }
 
 #[test]
@@ -18,7 +29,13 @@
     w.put(4, 2, &vote(5, 1));
     w.put(4, 2, &vote(5, 3));
     let stands = w.clone();
-    assert_eq!(stands.base.as_ref().map(|b| (b.hard.vote, b.identity.incarnation)), Some((1, 7)));
+    assert_eq!(
+        stands
+            .base
+            .as_ref()
+            .map(|b| (b.hard.vote, b.identity.incarnation)),
+        Some((1, 7))
+    );
     // One that was deposed, one that comes too early, and a fence that is late.
     w.fence(6);
     w.fence(5);
@@ -26,9 +43,23 @@
     w.put(6, 2, &vote(6, 2));
     assert_eq!((w.base.clone(), w.term, w.number), (stands.base, 6, 0));
     w.put(6, 1, &vote(6, 2));
-    assert_eq!(w.base.as_ref().map(|b| b.hard), Some(Hard { term: 6, vote: 2, commit: 1 }));
+    assert_eq!(
+        w.base.as_ref().map(|b| b.hard),
+        Some(Hard {
+            term: 6,
+            vote: 2,
+            commit: 1
+        })
+    );
     // Another identity begins with nothing, or not at all.
-    let voted = Base { hard: Hard { term: 7, vote: 1, commit: 1 }, ..base(4, 9) };
+    let voted = Base {
+        hard: Hard {
+            term: 7,
+            vote: 1,
+            commit: 1,
+        },
+        ..base(4, 9)
+    };
     w.put(6, 2, &Piece::Base(Box::new(voted)));
     assert_eq!(w.base.as_ref().map(|b| b.identity.keeper), Some(2));
     w.put(6, 3, &Piece::Base(Box::new(base(4, 9))));
--- a/src/keeper/wire.rs
+++ b/src/keeper/wire.rs
@@ -27,7 +27,8 @@
     Agent,
     /// An operator's command.
     Person,
-    /// Another site of the federation that [`Hello::site`] names then, by its number: the keeper there that leads.
+    /// Another site of the federation that [`Hello::site`] names then, by its number: the keeper
+    /// there that leads.
     Site(u64),
 }
 
@@ -44,7 +45,8 @@
     pub late: u32,
     /// No connection.
     pub unconnected: u32,
-    /// Out now, for longer than calls there usually take. This one is what it is now, and not a count since the last report.
+    /// Out now, for longer than calls there usually take. This one is what it is now, and not a
+    /// count since the last report.
     pub hanging: u32,
 }
 
@@ -85,8 +87,8 @@
         zone: String,
         /// The version of the record that it has; 0 for none.
         has: u64,
-        /// Policies that it has checked and written down, by number, with the print of each. Nothing where its file lets it
-        /// follow no policies: then it is never offered one.
+        /// Policies that it has checked and written down, by number, with the print of each.
+        /// Nothing where its file lets it follow no policies: then it is never offered one.
         stored: Option<Vec<(u64, Print)>>,
     },
     /// Renews the lease and tells what it saw.
@@ -108,10 +110,12 @@
     Stored {
         /// The policy.
         number: u64,
-        /// Why it cannot go by it, each fault on a line of its own; nothing where it is checked and written down.
+        /// Why it cannot go by it, each fault on a line of its own; nothing where it is checked and
+        /// written down.
         refused: Option<String>,
     },
-    /// It goes by [`ToAgent::Rule`] of this turn: where that was a pause, nothing new is taken on until a later one.
+    /// It goes by [`ToAgent::Rule`] of this turn: where that was a pause, nothing new is taken on
+    /// until a later one.
     Rules {
         /// The turn.
         turn: u64,
@@ -125,16 +129,19 @@
 /// What an agent says of routing tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FromSender {
-    /// It has a session, said right behind [`FromAgent::Open`], and has checked and written down these tables, by number.
+    /// It has a session, said right behind [`FromAgent::Open`], and has checked and written down
+    /// these tables, by number.
     Has(Vec<(u64, Print)>),
     /// Answers [`ToSender::Offer`].
     Stored {
         /// The table.
         number: u64,
-        /// Why it cannot go by it, each fault on a line of its own; nothing where it is checked and written down.
+        /// Why it cannot go by it, each fault on a line of its own; nothing where it is checked and
+        /// written down.
         refused: Option<String>,
     },
-    /// It goes by [`ToSender::Rule`] of this turn: where that shut the door, nothing new is taken on until a later one.
+    /// It goes by [`ToSender::Rule`] of this turn: where that shut the door, nothing new is taken
+    /// on until a later one.
     Rules {
         /// The turn.
         turn: u64,
@@ -157,7 +164,8 @@
 pub enum ToAgent {
     /// Ask this keeper, which leads; nothing where nobody is known to.
     Elsewhere(Option<u64>),
-    /// The session holds for so long from when the word was sent that this answers, in milliseconds.
+    /// The session holds for so long from when the word was sent that this answers, in
+    /// milliseconds.
     Renewed {
         /// The report that this answers; 0 for [`FromAgent::Open`].
         report: u64,
@@ -170,7 +178,8 @@
     Grant(Grant),
     /// The session has lapsed or was never there: open it.
     Unknown,
-    /// Check this policy against the sender's own settings and write it down; nothing changes by it.
+    /// Check this policy against the sender's own settings and write it down; nothing changes by
+    /// it.
     Offer {
         /// Its number.
         number: u64,
@@ -179,8 +188,8 @@
         /// Its text.
         text: String,
     },
-    /// What messages are taken on under in the sender's zone from now on. A word of an earlier turn than one that was heard is
-    /// none.
+    /// What messages are taken on under in the sender's zone from now on. A word of an earlier turn
+    /// than one that was heard is none.
     Rule {
         /// Grows with each change of what is in force or paused anywhere in the record.
         turn: u64,
@@ -196,7 +205,8 @@
 /// What a keeper says of routing tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ToSender {
-    /// Check this table against the sender's own list and settings and write it down; nothing changes by it.
+    /// Check this table against the sender's own list and settings and write it down; nothing
+    /// changes by it.
     Offer {
         /// Its number.
         number: u64,
@@ -205,7 +215,8 @@
         /// Its text.
         text: String,
     },
-    /// What messages are taken on and routed by at this site from now on. A word of an earlier turn than one that was heard is none.
+    /// What messages are taken on and routed by at this site from now on. A word of an earlier turn
+    /// than one that was heard is none.
     Rule {
         /// Grows with each change of the site's table or its stance.
         turn: u64,
@@ -228,10 +239,12 @@
     Held,
 }
 
-/// The print of a policy: a hash of its canonical form, over which senders and keepers agree that they mean the same.
+/// The print of a policy: a hash of its canonical form, over which senders and keepers agree that
+/// they mean the same.
 pub type Print = [u8; 32];
 
-/// What became of messages of one policy, class and tenant since the last report: counts, not verdicts.
+/// What became of messages of one policy, class and tenant since the last report: counts, not
+/// verdicts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
     /// The policy that they were taken on under.
@@ -287,14 +300,16 @@
     pub zone: String,
     /// Grows with each order.
     pub epoch: u64,
-    /// Whether it is being returned to: then a sender that is out may begin calls there by [`Grant`]s.
+    /// Whether it is being returned to: then a sender that is out may begin calls there by
+    /// [`Grant`]s.
     pub returning: bool,
-    /// By destination, the part of the senders that is out, over 0 and up to 1: those whose lot is under it ([`lot`]).
-    /// Destinations that are not named stay.
+    /// By destination, the part of the senders that is out, over 0 and up to 1: those whose lot is
+    /// under it ([`lot`]). Destinations that are not named stay.
     pub out: Vec<(u16, f32)>,
 }
 
-/// A sender's lot for a destination of a zone, evenly from 0 to 1. It is the same for one sender as long as the epoch is.
+/// A sender's lot for a destination of a zone, evenly from 0 to 1. It is the same for one sender as
+/// long as the epoch is.
 pub fn lot(sender: &str, zone: &str, dest: u16) -> f32 {
     let mut print = crc32fast::Hasher::new();
     print.update(sender.as_bytes());
--- a/src/keeper/wire/tests.rs
+++ b/src/keeper/wire/tests.rs
@@ -5,7 +5,10 @@
     let lots: Vec<f32> = (0..3_000).map(|n| lot(&format!("n{n}"), "a", 3)).collect();
     for tenth in 1..10 {
         let under = lots.iter().filter(|l| **l < tenth as f32 / 10.0).count();
-        assert!((270 * tenth..=330 * tenth).contains(&under), "{under} under {tenth} tenths");
+        assert!(
+            (270 * tenth..=330 * tenth).contains(&under),
+            "{under} under {tenth} tenths"
+        );
     }
     assert_ne!(lot("n1", "a", 3), lot("n1", "b", 3));
 }
--- a/src/keeper/zones/bearing.rs
+++ b/src/keeper/zones/bearing.rs
@@ -1,7 +1,8 @@
 //! What the rest can bear when a zone is left.
 //!
-//! Senders tell the lists that they hold. Those that are alike are kept once; of each zone and destination the value in the middle of
-//! all senders' counts, so that one that lies, or is late, moves nothing.
+//! Senders tell the lists that they hold. Those that are alike are kept once; of each zone and
+//! destination the value in the middle of all senders' counts, so that one that lies, or is late,
+//! moves nothing.
 
 use super::Rules;
 use crate::keeper::wire::Listed;
@@ -75,7 +76,9 @@
 
     /// A sender's session is over.
     pub fn part(&mut self, id: u32) {
-        let Some(print) = self.of.remove(&id) else { return };
+        let Some(print) = self.of.remove(&id) else {
+            return;
+        };
         self.stale = true;
         if let Some(held) = self.held.get_mut(&print) {
             held.senders -= 1;
@@ -104,18 +107,30 @@
             // Those that don't name it say that it has none.
             let silent = all - values.iter().map(|(_, _, n)| n).sum::<usize>();
             values.push((0.0, 0, silent));
-            values.sort_by(|a, b| (a.1, a.0).partial_cmp(&(b.1, b.0)).unwrap_or(std::cmp::Ordering::Equal));
+            values.sort_by(|a, b| {
+                (a.1, a.0)
+                    .partial_cmp(&(b.1, b.0))
+                    .unwrap_or(std::cmp::Ordering::Equal)
+            });
             let mut past = 0;
             let middle = values.iter().find(|(_, _, n)| {
                 past += n;
                 past * 2 > all
             });
             if let Some((rate, endpoints, _)) = middle.filter(|(_, endpoints, _)| *endpoints > 0) {
-                routes.insert((zone.to_string(), dest), Route { endpoints: *endpoints, rate: *rate });
+                routes.insert(
+                    (zone.to_string(), dest),
+                    Route {
+                        endpoints: *endpoints,
+                        rate: *rate,
+                    },
+                );
             }
         }
         self.zones.clear();
-        routes.keys().for_each(|(zone, _)| *self.zones.entry(zone.clone()).or_insert(0) += 1);
+        routes
+            .keys()
+            .for_each(|(zone, _)| *self.zones.entry(zone.clone()).or_insert(0) += 1);
         self.routes = routes;
     }
 
@@ -127,7 +142,10 @@
     /// Destinations that a zone lists.
     pub fn dests<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = (u16, Route)> + 'a {
         let from = (zone.to_string(), 0);
-        let of = self.routes.range(from..).take_while(move |((z, _), _)| z == zone);
+        let of = self
+            .routes
+            .range(from..)
+            .take_while(move |((z, _), _)| z == zone);
         of.map(|((_, dest), route)| (*dest, *route))
     }
 
@@ -168,8 +186,9 @@
     pub fails: bool,
 }
 
-/// The part of the senders that may leave a zone for a destination, which carried so many calls a second there: as much as the rest
-/// has room for. 0 where there is no other route, which is never left.
+/// The part of the senders that may leave a zone for a destination, which carried so many calls a
+/// second there: as much as the rest has room for. 0 where there is no other route, which is never
+/// left.
 pub fn bearable(rules: &Rules, carried: f64, rest: &[Rest]) -> f64 {
     let mut room = 0.0;
     for r in rest.iter().filter(|r| r.out < 1.0 && !r.fails) {
@@ -182,7 +201,11 @@
         }
         room += (r.rate * rules.headroom * (1.0 - r.out) - r.carried).max(0.0);
     }
-    let part = if room <= 0.0 { 0.0 } else { (room / carried.max(1e-9)).min(1.0) };
+    let part = if room <= 0.0 {
+        0.0
+    } else {
+        (room / carried.max(1e-9)).min(1.0)
+    };
     // Told in hundredths: a part that moves with each report would be another order each time.
     let part = (part * 100.0).floor() / 100.0;
     if part < LEAST {
--- a/src/keeper/zones/bearing/tests.rs
+++ b/src/keeper/zones/bearing/tests.rs
@@ -1,7 +1,12 @@
 use super::*;
 
 fn line(zone: &str, dest: u16, rate: f32) -> Listed {
-    Listed { zone: zone.into(), dest, endpoints: 2, rate }
+    Listed {
+        zone: zone.into(),
+        dest,
+        endpoints: 2,
+        rate,
+    }
 }
 
 #[test]
@@ -22,12 +27,39 @@
 #[test]
 fn no_more_leaves_than_the_rest_has_room_for() {
     let rules = Rules::default();
-    let rest = Rest { rate: 20.0, carried: 8.0, ..Rest::default() };
+    let rest = Rest {
+        rate: 20.0,
+        carried: 8.0,
+        ..Rest::default()
+    };
     assert_eq!(bearable(&rules, 10.0, &[]), 0.0);
     assert_eq!(bearable(&rules, 10.0, &[rest]), 1.0);
     assert_eq!(bearable(&rules, 20.0, &[rest]), 0.5);
-    assert_eq!(bearable(&rules, 10.0, &[Rest { refused: 0.5, ..rest }]), 0.0);
+    assert_eq!(
+        bearable(
+            &rules,
+            10.0,
+            &[Rest {
+                refused: 0.5,
+                ..rest
+            }]
+        ),
+        0.0
+    );
     assert_eq!(bearable(&rules, 10.0, &[Rest { out: 1.0, ..rest }]), 0.0);
-    assert_eq!(bearable(&rules, 10.0, &[Rest { fails: true, ..rest }, rest]), 1.0);
+    assert_eq!(
+        bearable(
+            &rules,
+            10.0,
+            &[
+                Rest {
+                    fails: true,
+                    ..rest
+                },
+                rest
+            ]
+        ),
+        1.0
+    );
     assert_eq!(bearable(&rules, 1e6, &[Rest { rate: 0.0, ..rest }]), 1.0);
 }
--- a/src/keeper/zones/evidence/tests.rs
+++ b/src/keeper/zones/evidence/tests.rs
@@ -2,8 +2,17 @@
 
 #[test]
 fn one_refusal_in_few_calls_is_chance() {
-    let of = |taken, refused| Lately { taken, refused, bad: 0.0 }.least_refused();
-    assert!(of(8.0, 1.0) < 0.1 && of(6.0, 3.0) > 0.1 && of(80.0, 10.0) < 0.1 && of(80.0, 16.0) > 0.1);
+    let of = |taken, refused| {
+        Lately {
+            taken,
+            refused,
+            bad: 0.0,
+        }
+        .least_refused()
+    };
+    assert!(
+        of(8.0, 1.0) < 0.1 && of(6.0, 3.0) > 0.1 && of(80.0, 10.0) < 0.1 && of(80.0, 16.0) > 0.1
+    );
 }
 
 #[test]
--- a/src/keeper/zones/mod.rs
+++ b/src/keeper/zones/mod.rs
@@ -1,5 +1,6 @@
-//! Zones: what is seen of them ([`evidence`]), what the rest can bear when one is left ([`bearing`]), and the cold calls of a return
-//! ([`cold`]). The office brings these together and proposes; the record decides.
+//! Zones: what is seen of them ([`evidence`]), what the rest can bear when one is left
+//! ([`bearing`]), and the cold calls of a return ([`cold`]). The office brings these together and
+//! proposes; the record decides.
 
 pub mod bearing;
 pub mod cold;
@@ -11,12 +12,15 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Windows in which a zone is judged, the shortest first. The first is two reports of agents; the second lets a zone be left in
-    /// 1.5 s where it gets some 20 calls a second; the last is for little traffic.
+    /// Windows in which a zone is judged, the shortest first. The first is two reports of agents;
+    /// the second lets a zone be left in 1.5 s where it gets some 20 calls a second; the last is
+    /// for little traffic.
     pub windows_ms: Vec<u32>,
-    /// Part of a destination's calls that fail where it counts as hit. Over a half, as one of two endpoints may be down.
+    /// Part of a destination's calls that fail where it counts as hit. Over a half, as one of two
+    /// endpoints may be down.
     pub fail_share: f64,
-    /// Standard errors by which the part that is seen has to be over it. 3: one window in a thousand by chance, and that twice.
+    /// Standard errors by which the part that is seen has to be over it. 3: one window in a
+    /// thousand by chance, and that twice.
     pub errors: f64,
     /// Part of the destinations called in the zone that have to be hit.
     pub dest_share: f64,
@@ -24,22 +28,27 @@
     pub reporter_share: f64,
     /// Reporters that have to see it, at the least. Three: two that err together move nothing.
     pub least_reporters: u32,
-    /// Calls of one reporter that count in a window, at the most, so that no one outweighs the others.
+    /// Calls of one reporter that count in a window, at the most, so that no one outweighs the
+    /// others.
     pub most_weight: f64,
     /// Part of the reporters' own zones that have to see it; more than that.
     pub own_share: f64,
-    /// Part of the senders with a session that have to be heard; else the keepers are cut off, and judge nothing.
+    /// Part of the senders with a session that have to be heard; else the keepers are cut off, and
+    /// judge nothing.
     pub heard_share: f64,
-    /// Calls that hang count where a zone has answered none for so long, `confirm_ms` included. Five reports of agents; a zone where
-    /// every call takes longer than that cannot be told from a dead one.
+    /// Calls that hang count where a zone has answered none for so long, `confirm_ms` included.
+    /// Five reports of agents; a zone where every call takes longer than that cannot be told from a
+    /// dead one.
     pub silent_ms: u32,
     /// A zone has to be seen failing for so long, one report and more.
     pub confirm_ms: u32,
     /// Zones that are out at once, at the most.
     pub most_left: u32,
-    /// Part of all zones that is out at once, at the most, but one may be: the rest has to carry them.
+    /// Part of all zones that is out at once, at the most, but one may be: the rest has to carry
+    /// them.
     pub left_share: f64,
-    /// Part of the listed rates of the rest that may be filled by what leaves; the remainder is for chance.
+    /// Part of the listed rates of the rest that may be filled by what leaves; the remainder is for
+    /// chance.
     pub headroom: f64,
     /// Part of calls refused over which a zone has no room for more.
     pub refused_share: f64,
@@ -57,10 +66,12 @@
     pub least_results: u32,
     /// Cold calls are reserved for so long at once.
     pub slice_ms: u32,
-    /// A grant holds for so long from when the report that asked for it was sent. A message comes to that sender in this time or
-    /// the call is lost: with 12 senders and 6 messages a second for a destination one in two.
+    /// A grant holds for so long from when the report that asked for it was sent. A message comes
+    /// to that sender in this time or the call is lost: with 12 senders and 6 messages a second for
+    /// a destination one in two.
     pub within_ms: u32,
-    /// A granted call begins on its endpoint this much later at the most: the connection and the way.
+    /// A granted call begins on its endpoint this much later at the most: the connection and the
+    /// way.
     pub flight_ms: u32,
     /// Clocks of keepers and senders differ in pace by this part at the most.
     pub drift: f64,
@@ -74,8 +85,8 @@
     pub overload_for_ms: u32,
     /// Calls a second to a destination of a zone that lists no rate, when warm.
     pub unlisted_rate: f64,
-    /// Sights of one window that are kept at the most, over all zones: 10,000 senders with four in each report of the longest
-    /// window would be twice that, and then the oldest go.
+    /// Sights of one window that are kept at the most, over all zones: 10,000 senders with four in
+    /// each report of the longest window would be twice that, and then the oldest go.
     pub most_sights: usize,
 }
 
@@ -123,7 +134,9 @@
         let mut faults = Vec::new();
         let mut within = |name: &str, value: f64, low: f64, high: f64| {
             if !(low..=high).contains(&value) {
-                faults.push(format!("rules.zones.{name}: {value} is not from {low} to {high}"));
+                faults.push(format!(
+                    "rules.zones.{name}: {value} is not from {low} to {high}"
+                ));
             }
         };
         within("fail_share", self.fail_share, 0.5, 0.95);
@@ -142,7 +155,12 @@
         within("refused_share", self.refused_share, 0.0, 1.0);
         within("load_ms", self.load_ms.into(), 1_000.0, 120_000.0);
         within("rest_ms", self.rest_ms.into(), 500.0, 3_600_000.0);
-        within("most_rest_ms", self.most_rest_ms.into(), self.rest_ms.into(), 86_400_000.0);
+        within(
+            "most_rest_ms",
+            self.most_rest_ms.into(),
+            self.rest_ms.into(),
+            86_400_000.0,
+        );
         within("calm_ms", self.calm_ms.into(), 1_000.0, 86_400_000.0);
         within("trial_calls", self.trial_calls.into(), 1.0, 1_000.0);
         within("least_results", self.least_results.into(), 3.0, 1_000.0);
@@ -153,7 +171,12 @@
         within("cold_share", self.cold_share, 0.001, 1.0);
         within("warm_after_ms", self.warm_after_ms.into(), 0.0, 3_600_000.0);
         within("overload_factor", self.overload_factor, 0.1, 100.0);
-        within("overload_for_ms", self.overload_for_ms.into(), 0.0, 600_000.0);
+        within(
+            "overload_for_ms",
+            self.overload_for_ms.into(),
+            0.0,
+            600_000.0,
+        );
         within("unlisted_rate", self.unlisted_rate, 0.01, 1e6);
         within("most_sights", self.most_sights as f64, 1_000.0, 1e7);
         let w = &self.windows_ms;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a dispatcher of notifications to outside receivers.
 //!
-//! [`policy`] holds every decision, [`interface`] the plain types it takes and gives back. Round it, [`core`] is the
-//! sender without a wire and [`net`] its fronts on sockets.
+//! [`policy`] holds every decision, [`interface`] the plain types it takes and gives back. Round
+//! it, [`core`] is the sender without a wire and [`net`] its fronts on sockets.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/src/links.rs
+++ b/src/links.rs
@@ -1,13 +1,16 @@
-//! Which idle connections are to be trusted: a decision of its own, from what came of calls. No I/O, no clock.
+//! Which idle connections are to be trusted: a decision of its own, from what came of calls. No
+//! I/O, no clock.
 
 use crate::measure::to_secs;
 use crate::Time;
 
-/// Suspicion of idle connections: where it closes them (one lost call: they cost little), bound, memory in s.
+/// Suspicion of idle connections: where it closes them (one lost call: they cost little), bound,
+/// memory in s.
 const REAP: (f64, f64, f64) = (0.7, 3.0, 20.0);
 
-/// Whether connections are lost while idle: calls on idle ones get lost, calls on new ones do not. Suspicion is
-/// the relay's, not an endpoint's: few calls go to each, and what drops connections sits between.
+/// Whether connections are lost while idle: calls on idle ones get lost, calls on new ones do not.
+/// Suspicion is the relay's, not an endpoint's: few calls go to each, and what drops connections
+/// sits between.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reaper {
     /// The suspicion when it was last learnt of.
--- a/src/main.rs
+++ b/src/main.rs
@@ -116,14 +116,17 @@
     }
 }
 
-/// Reads the configuration again and moves to the discovery that it names. A file that cannot be used changes nothing.
+/// Reads the configuration again and moves to the discovery that it names. A file that cannot be
+/// used changes nothing.
 fn reload(file: Option<&Path>, discovery: &Discovery) {
     match configuration(file).map(|c| c.platform.map(|p| p.discovery)) {
         Ok(Some(address)) => {
             log::info!("configuration read again: discovery at {address}");
             discovery.move_to(address);
         }
-        Ok(None) => log::warn!("configuration read again: platform: not set any more; the old one stays"),
+        Ok(None) => {
+            log::warn!("configuration read again: platform: not set any more; the old one stays")
+        }
         Err(e) => log::error!("configuration not read again: {e}; the old one stays"),
     }
 }
@@ -143,7 +146,10 @@
 
 fn bind(at: SocketAddr, name: &str, who: &str) -> Result<Async<TcpListener>, String> {
     let bound = Async::<TcpListener>::bind(at).map_err(|e| format!("{who}: {at}: {e}"))?;
-    let at = bound.get_ref().local_addr().map_err(|e| format!("{who}: {e}"))?;
+    let at = bound
+        .get_ref()
+        .local_addr()
+        .map_err(|e| format!("{who}: {e}"))?;
     log::info!("{name}: {who} at {at}");
     Ok(bound)
 }
@@ -152,11 +158,21 @@
     Signals::new(which).map_err(|e| format!("signals: {e}"))
 }
 
-/// Who may hold how many descriptors: of those that are told, or fewer, where the system allows fewer.
+/// Who may hold how many descriptors: of those that are told, or fewer, where the system allows
+/// fewer.
 fn budget(config: &Config) -> Budget {
-    let updates = config.dns.as_ref().and_then(|d| d.updates.as_ref()).map_or(0, |_| UPDATERS);
+    let updates = config
+        .dns
+        .as_ref()
+        .and_then(|d| d.updates.as_ref())
+        .map_or(0, |_| UPDATERS);
     let allowed = getrlimit(Resource::Nofile).current;
-    let budget = Budget::split(config.sockets, allowed, config.deployment.settings.slots as usize, updates);
+    let budget = Budget::split(
+        config.sockets,
+        allowed,
+        config.deployment.settings.slots as usize,
+        updates,
+    );
     if budget.all < config.sockets {
         let told = config.sockets;
         log::warn!(
@@ -172,17 +188,36 @@
     let deployment = &config.deployment;
     // Both wires together keep what the budget has for it.
     let most = budget.kept / if config.brokers.is_some() { 2 } else { 1 };
-    let (connect, idle) = (span(deployment.connect_timeout), span(deployment.settings.idle_close));
-    let posters = Calls::new(Poster { columns: config.columns.clone() }, wheel.clone(), connect, idle, most);
+    let (connect, idle) = (
+        span(deployment.connect_timeout),
+        span(deployment.settings.idle_close),
+    );
+    let posters = Calls::new(
+        Poster {
+            columns: config.columns.clone(),
+        },
+        wheel.clone(),
+        connect,
+        idle,
+        most,
+    );
     let brokers = config.brokers.as_ref().map(|b| {
-        let publisher =
-            Publisher::new(b.client_id.clone(), b.topic.clone(), deployment.classes.clone(), idle);
-        (Calls::new(publisher, wheel.clone(), connect, idle, most), b.kinds.clone())
+        let publisher = Publisher::new(
+            b.client_id.clone(),
+            b.topic.clone(),
+            deployment.classes.clone(),
+            idle,
+        );
+        (
+            Calls::new(publisher, wheel.clone(), connect, idle, most),
+            b.kinds.clone(),
+        )
     });
     Rc::new(ByKind { posters, brokers })
 }
 
-/// Tells how long each table is, and how long work took between two looks at the sockets, for as long as the process lives.
+/// Tells how long each table is, and how long work took between two looks at the sockets, for as
+/// long as the process lives.
 async fn sizes(house: Rc<House>, invoker: Rc<ByKind>, notices: Option<Rc<Notices>>, turns: Turns) {
     loop {
         house.wheel.sleep(SIZES_EVERY).await;
@@ -192,7 +227,10 @@
         all.push(("idle", invoker.idle()));
         all.push(("notices", notices.as_ref().map_or(0, |n| n.waiting())));
         all.push(("sleepers", house.wheel.sleepers()));
-        let all: Vec<String> = all.iter().map(|(table, entries)| format!("{table}={entries}")).collect();
+        let all: Vec<String> = all
+            .iter()
+            .map(|(table, entries)| format!("{table}={entries}"))
+            .collect();
         log::debug!("sizes: {}", all.join(" "));
         log::debug!("{}", turns.told());
     }
@@ -201,7 +239,9 @@
 /// What the process before this one left.
 fn known_from_before(config: &Config) -> Earlier {
     let (found, faults) = earlier::look(&config.state, unix_ms());
-    faults.iter().for_each(|fault| log::warn!("state: a note does not count: {fault}"));
+    faults
+        .iter()
+        .for_each(|fault| log::warn!("state: a note does not count: {fault}"));
     log::debug!("state: {found:?}");
     found
 }
@@ -223,12 +263,16 @@
 
 /// What acts with the fleet in this sender.
 #[cfg(feature = "fleet")]
-struct Fleet(Option<raildeal::agent::file::File>, Option<Rc<raildeal::agent::Agent>>);
+struct Fleet(
+    Option<raildeal::agent::file::File>,
+    Option<Rc<raildeal::agent::Agent>>,
+);
 
 #[cfg(feature = "fleet")]
 impl Fleet {
     fn read() -> Result<Fleet, String> {
-        let file = std::env::var_os(FLEET).map(|path| raildeal::agent::file::File::read(Path::new(&path)));
+        let file =
+            std::env::var_os(FLEET).map(|path| raildeal::agent::file::File::read(Path::new(&path)));
         let file = file.transpose().map_err(|e| format!("{FLEET}: {e}"))?;
         Ok(Fleet(file, None))
     }
@@ -247,21 +291,35 @@
                 "limits.disk_mb: policies or tables are followed here, which needs {least} bytes at least"
             ));
         }
-        Ok(Setup { limit, ..config.store })
+        Ok(Setup {
+            limit,
+            ..config.store
+        })
     }
 
     /// Whether it follows policies, and tables.
     fn follows(&self) -> (bool, bool) {
-        self.0.as_ref().map_or((false, false), |file| (file.policy.is_some(), file.table.is_some()))
+        self.0.as_ref().map_or((false, false), |file| {
+            (file.policy.is_some(), file.table.is_some())
+        })
     }
 
     fn start(&mut self, wired: &Wired) -> Result<(), String> {
         use raildeal::agent::{shelf, Agent, Parts};
         use std::sync::Arc;
-        let Wired { config, settings, budget, house, seats, invoker, executor } = *wired;
+        let Wired {
+            config,
+            settings,
+            budget,
+            house,
+            seats,
+            invoker,
+            executor,
+        } = *wired;
         let (policies, tables) = self.follows();
         let told = |e: std::io::Error| format!("state: {}: {e}", config.state.display());
-        // What an earlier process took on may have been under policies, also where none is followed any more.
+        // What an earlier process took on may have been under policies, also where none is followed
+        // any more.
         let reserved = shelf::reserved::<Terms>(&config.state, policies);
         let policies = (reserved.unwrap_or(0) > 0).then(|| {
             let ground = Arc::new(shelf::Ground {
@@ -282,7 +340,11 @@
         let tables = tables.then(|| {
             let list = move |house: &House, offers| {
                 let classes = house.classes.clone();
-                shelf::List { classes, tenants, offers }
+                shelf::List {
+                    classes,
+                    tenants,
+                    offers,
+                }
             };
             let start = list(house, None);
             let now = house.clone();
@@ -300,7 +362,15 @@
         });
         let (sender, house, executor) = (config.name.clone(), house.clone(), executor.clone());
         let warm_after = settings.warm_after;
-        let parts = Parts { sender, seed: salt(), warm_after, house, policies, tables, executor };
+        let parts = Parts {
+            sender,
+            seed: salt(),
+            warm_after,
+            house,
+            policies,
+            tables,
+            executor,
+        };
         self.1 = self.0.take().map(|file| Agent::start(file, parts));
         Ok(())
     }
@@ -320,7 +390,9 @@
 impl Fleet {
     fn read() -> Result<Fleet, String> {
         match std::env::var_os(FLEET) {
-            Some(_) => Err(format!("{FLEET}: set, but this program was built without the feature fleet")),
+            Some(_) => Err(format!(
+                "{FLEET}: set, but this program was built without the feature fleet"
+            )),
             None => Ok(Fleet),
         }
     }
@@ -342,38 +414,77 @@
     executor: Rc<LocalExecutor<'static>>,
     turns: Turns,
 ) -> Result<(), String> {
-    let Config { name, deployment, .. } = &config;
+    let Config {
+        name, deployment, ..
+    } = &config;
     let mut settings = deployment.settings.clone();
-    // On sockets nobody pushes the list: a discovery service has to be asked for it, whatever the settings say.
+    // On sockets nobody pushes the list: a discovery service has to be asked for it, whatever the
+    // settings say.
     settings.ask_list = config.platform.is_some();
     let mut fleet = Fleet::read()?;
     let mut ending = signals(&[Signal::Term, Signal::Int])?;
     let mut hangups = signals(&[Signal::Hup])?;
-    // Where the size of files is bounded, a write past it is an error like any other and not the end of the process.
+    // Where the size of files is bounded, a write past it is an error like any other and not the
+    // end of the process.
     let _bounds = signals(&[Signal::Xfsz])?;
 
     // Each part, with its one owner.
     let wheel = Wheel::new();
-    let directory = Rc::new(Directory::new(&deployment.zones, &deployment.kinds, &settings.kinds));
-    let (journal, unfinished) = Journal::open(&config.state, Setup { seed: salt(), ..fleet.store(&config)? })
-        .map_err(|e| format!("state: {}: {e}", config.state.display()))?;
-    settings.watch_beat = config.platform.as_ref().map_or(0, |_| BEAT.as_nanos() as u64);
+    let directory = Rc::new(Directory::new(
+        &deployment.zones,
+        &deployment.kinds,
+        &settings.kinds,
+    ));
+    let (journal, unfinished) = Journal::open(
+        &config.state,
+        Setup {
+            seed: salt(),
+            ..fleet.store(&config)?
+        },
+    )
+    .map_err(|e| format!("state: {}: {e}", config.state.display()))?;
+    settings.watch_beat = config
+        .platform
+        .as_ref()
+        .map_or(0, |_| BEAT.as_nanos() as u64);
     settings.earlier = known_from_before(&config);
     let (tended, synced, ended) = (journal.clone(), journal.clone(), journal.clone());
     let budget = budget(&config);
     let invoker = providers(&config, &budget, &wheel);
     let relay = Relay::new(settings.clone(), config.seed).map_err(|e| e.to_string())?;
     let (watch, asked) = async_channel::bounded(1);
-    let desk = Desk::new(relay, directory.clone(), Rc::new(Wishes { invoker: invoker.clone(), watch }));
-    let zones = config.dns.as_ref().map(|d| Zones::open(&d.zone_file)).transpose()?;
-    let discovery = config.platform.as_ref().map(|p| Discovery::new(p.discovery));
+    let desk = Desk::new(
+        relay,
+        directory.clone(),
+        Rc::new(Wishes {
+            invoker: invoker.clone(),
+            watch,
+        }),
+    );
+    let zones = config
+        .dns
+        .as_ref()
+        .map(|d| Zones::open(&d.zone_file))
+        .transpose()?;
+    let discovery = config
+        .platform
+        .as_ref()
+        .map(|p| Discovery::new(p.discovery));
     let notices = discovery.clone().map(|d| Notices::new(d, wheel.clone()));
-    let sessions = config.mqtt.as_ref().map(|m| Sessions::new(wheel.clone(), m.keep_answers()));
+    let sessions = config
+        .mqtt
+        .as_ref()
+        .map(|m| Sessions::new(wheel.clone(), m.keep_answers()));
     let mut fronts: BTreeMap<u8, Rc<dyn Front>> = BTreeMap::new();
     fronts.extend(notices.clone().map(|n| (PLATFORM, n as Rc<dyn Front>)));
     fronts.extend(sessions.clone().map(|s| (MQTT, s as Rc<dyn Front>)));
     let hook = config.hook.as_deref().map(script).transpose()?;
-    let terms = Terms::new(config.door.policy(0, &settings, &deployment.classes, budget.clients, hook));
+    let terms =
+        Terms::new(
+            config
+                .door
+                .policy(0, &settings, &deployment.classes, budget.clients, hook),
+        );
     let house = Rc::new(House {
         terms,
         tables: Default::default(),
@@ -381,7 +492,11 @@
         classes: deployment.classes.clone(),
         desk: desk.clone(),
         journal,
-        guests: Guests::new(config.door.limits(settings.room as usize, &deployment.classes)),
+        guests: Guests::new(
+            config
+                .door
+                .limits(settings.room as usize, &deployment.classes),
+        ),
         directory: directory.clone(),
         invoker: invoker.clone(),
         fronts,
@@ -392,9 +507,19 @@
     // Ports, so that whatever is wrong with them is told before anything is served.
     let updates = config.dns.as_ref().and_then(|d| d.updates.as_ref());
     let signer = updates.map(Updates::signer).transpose()?;
-    let platform_port = config.platform.as_ref().map(|p| bind(p.listen, name, "platform")).transpose()?;
-    let mqtt_port = config.mqtt.as_ref().map(|m| bind(m.listen, name, "mqtt")).transpose()?;
-    let update_port = updates.map(|u| bind(u.listen, name, "dns updates")).transpose()?;
+    let platform_port = config
+        .platform
+        .as_ref()
+        .map(|p| bind(p.listen, name, "platform"))
+        .transpose()?;
+    let mqtt_port = config
+        .mqtt
+        .as_ref()
+        .map(|m| bind(m.listen, name, "mqtt"))
+        .transpose()?;
+    let update_port = updates
+        .map(|u| bind(u.listen, name, "dns updates"))
+        .transpose()?;
 
     // The list as last held comes first of all, then what is still owed, then what is new.
     log::info!("{name}: {} messages to take up", unfinished.len());
@@ -404,7 +529,10 @@
     }
     let (turning, timing) = (wheel.clone(), (desk.clone(), wheel.clone()));
     keep(&executor, async move { turning.turn().await });
-    keep(&executor, async move { timing.0.keep_time(&timing.1).await });
+    keep(
+        &executor,
+        async move { timing.0.keep_time(&timing.1).await },
+    );
     keep(&executor, tended.tend(wheel.clone()));
     keep(&executor, synced.sync());
     let sweeping = invoker.clone();
@@ -413,7 +541,10 @@
         keep(&executor, async move { notices.run().await });
     }
     if log::log_enabled!(log::Level::Debug) {
-        keep(&executor, sizes(house.clone(), invoker.clone(), notices, turns));
+        keep(
+            &executor,
+            sizes(house.clone(), invoker.clone(), notices, turns),
+        );
     }
     if let Some(discovery) = discovery.clone() {
         let patience = Duration::from_secs_f64(asking::patience(asking::asking_with(&settings)));
@@ -430,7 +561,12 @@
         keep(&executor, async move { watch.run(asked).await });
     }
     let door = &config.door;
-    let seats = Seats::new(door.rules(budget.clients), budget.lobby, door.when_full, config.seed);
+    let seats = Seats::new(
+        door.rules(budget.clients),
+        budget.lobby,
+        door.when_full,
+        config.seed,
+    );
     fleet.start(&Wired {
         config: &config,
         settings: &settings,
@@ -443,20 +579,34 @@
     for record in unfinished {
         keep(&executor, invocation::resume(house.clone(), record));
     }
-    keep(&executor, seats.clone().tell(house.guests.clone(), door.log_every(), wheel.clone()));
+    keep(
+        &executor,
+        seats
+            .clone()
+            .tell(house.guests.clone(), door.log_every(), wheel.clone()),
+    );
     let run = executor.clone();
     let ingress = Ingress::new(house.clone(), deployment, PLATFORM, run.clone());
-    let port = sessions.clone().map(|s| Port::new(house.clone(), s, deployment, MQTT, run.clone()));
+    let port = sessions
+        .clone()
+        .map(|s| Port::new(house.clone(), s, deployment, MQTT, run.clone()));
     let mut listening = Vec::new();
     if let Some(listener) = platform_port {
-        let clients = seats.clone().listen(listener, ingress.clone(), wheel.clone(), run.clone());
+        let clients = seats
+            .clone()
+            .listen(listener, ingress.clone(), wheel.clone(), run.clone());
         listening.push(executor.spawn(clients));
     }
     if let Some((listener, port)) = mqtt_port.zip(port.clone()) {
         listening.push(executor.spawn(seats.listen(listener, port, wheel.clone(), run.clone())));
     }
     if let Some(((listener, zones), signer)) = update_port.zip(zones.clone()).zip(signer) {
-        let updates = Rc::new(UpdatePort { zones, desk: desk.clone(), signer, wheel: wheel.clone() });
+        let updates = Rc::new(UpdatePort {
+            zones,
+            desk: desk.clone(),
+            signer,
+            wheel: wheel.clone(),
+        });
         let seats = Seats::new(Rules::open(UPDATERS), 1, WhenFull::Queue, config.seed);
         listening.push(executor.spawn(seats.listen(listener, updates, wheel.clone(), run)));
     }
@@ -486,8 +636,14 @@
     };
     finishing.or(async { wheel.sleep(END).await }).await;
     sessions.iter().for_each(|s| s.farewell());
-    ended.sync_now().unwrap_or_else(|e| log::error!("store: sync: {e}"));
-    earlier::ends(&config.state, unix_ms()).unwrap_or_else(|e| log::warn!("state: end not noted: {e}"));
-    log::info!("{name}: ends with {} messages for the next start", desk.held());
+    ended
+        .sync_now()
+        .unwrap_or_else(|e| log::error!("store: sync: {e}"));
+    earlier::ends(&config.state, unix_ms())
+        .unwrap_or_else(|e| log::warn!("state: end not noted: {e}"));
+    log::info!(
+        "{name}: ends with {} messages for the next start",
+        desk.held()
+    );
     Ok(())
 }
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -6,10 +6,12 @@
 pub const MS: Time = 1_000_000;
 /// A second.
 pub const SEC: Time = 1_000 * MS;
-/// Memory of a rate: seconds (less than an outage), and the part that one more event leaves: some ten.
+/// Memory of a rate: seconds (less than an outage), and the part that one more event leaves: some
+/// ten.
 pub const RATE: (f64, f64) = (2.0, 0.9);
 
-/// Events a second: over the last seconds where they are frequent, over the last few events where they are rare.
+/// Events a second: over the last seconds where they are frequent, over the last few events where
+/// they are rare.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Meter {
     pub count: f64,
@@ -20,14 +22,19 @@
 impl Meter {
     /// Nothing seen, for `span` seconds.
     pub fn new(now: Time, span: f64) -> Self {
-        Meter { count: 0.0, span, at: now }
+        Meter {
+            count: 0.0,
+            span,
+            at: now,
+        }
     }
 
     pub fn rate(&self, now: Time) -> f64 {
         self.count / (self.span + to_secs(now.saturating_sub(self.at)))
     }
 
-    /// Counts an event. What came before fades within `tau` seconds, but keeps the part `keep` at least.
+    /// Counts an event. What came before fades within `tau` seconds, but keeps the part `keep` at
+    /// least.
     pub fn hit(&mut self, now: Time, (tau, keep): (f64, f64)) -> f64 {
         let gap = to_secs(now.saturating_sub(self.at));
         let keep = (-gap / tau).exp().max(keep);
--- a/src/net/by_kind.rs
+++ b/src/net/by_kind.rs
@@ -19,10 +19,15 @@
 impl ByKind {
     /// Connections that are kept idle.
     pub fn idle(&self) -> usize {
-        self.posters.idle() + self.brokers.as_ref().map_or(0, |(brokers, _)| brokers.idle())
+        self.posters.idle()
+            + self
+                .brokers
+                .as_ref()
+                .map_or(0, |(brokers, _)| brokers.idle())
     }
 
-    /// So many connections are kept idle at the most; both wires together keep what there is for it.
+    /// So many connections are kept idle at the most; both wires together keep what there is for
+    /// it.
     pub fn keep_at_most(&self, most: usize) {
         match &self.brokers {
             Some((brokers, _)) => {
