--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,5 +1,5 @@
-//! Invoker calls over kept connections, the same for every wire: connect, ask once more, one write, one answer. A
-//! [`Dialect`] supplies the words.
+//! Invoker calls over kept connections, the same for every wire: connect, ask once more, one write,
+//! one answer. A [`Dialect`] supplies the words.
 
 use crate::core::directory::Provider;
 use crate::core::wheel::Wheel;
@@ -19,7 +19,8 @@
 const REST_OF_ANSWER: Duration = Duration::from_millis(300);
 /// Most beginnings of an answer that only announce another.
 const MAX_INTERIM: usize = 32;
-/// A connection rests this long before it is used again: bytes that belong to no call show up meanwhile.
+/// A connection rests this long before it is used again: bytes that belong to no call show up
+/// meanwhile.
 const SETTLE: Duration = Duration::from_millis(10);
 /// What a connection is kept for where the settings name no time.
 const IDLE_DEFAULT: Duration = Duration::from_secs(60);
@@ -37,14 +38,20 @@
 
 /// What a wire says in a call.
 pub trait Dialect {
-    /// Greets a provider on a new connection. Gives how long the connection may stand idle, if the other side says.
+    /// Greets a provider on a new connection. Gives how long the connection may stand idle, if the
+    /// other side says.
     fn greet(&self, stream: &mut Stream) -> impl Future<Output = io::Result<Option<Duration>>>;
 
     /// The bytes of a call, for one write.
-    fn request(&self, provider: &Provider, envelope: &Envelope, left: Duration) -> io::Result<Vec<u8>>;
+    fn request(
+        &self,
+        provider: &Provider,
+        envelope: &Envelope,
+        left: Duration,
+    ) -> io::Result<Vec<u8>>;
 
-    /// Reads an answer that has begun. `known` is set as soon as its meaning cannot change any more, whatever becomes of
-    /// the rest; where it is not set in the end, the answer was spoilt.
+    /// Reads an answer that has begun. `known` is set as soon as its meaning cannot change any
+    /// more, whatever becomes of the rest; where it is not set in the end, the answer was spoilt.
     fn answer(
         &self,
         stream: &mut Stream,
@@ -83,8 +90,8 @@
 }
 
 impl<D: Dialect> Calls<D> {
-    /// No connections yet; `idle_close` is when the other side closes an idle one (0: never), and so many are kept idle
-    /// at the most.
+    /// No connections yet; `idle_close` is when the other side closes an idle one (0: never), and
+    /// so many are kept idle at the most.
     pub fn new(
         dialect: D,
         wheel: Rc<Wheel>,
@@ -92,10 +99,22 @@
         idle_close: Duration,
         most: usize,
     ) -> Rc<Self> {
-        // A fifth to spare: a request that crosses the other side's close is lost, and may have run for all we know.
-        let idle_most = if idle_close.is_zero() { IDLE_DEFAULT } else { idle_close * 4 / 5 };
+        // A fifth to spare: a request that crosses the other side's close is lost, and may have run
+        // for all we know.
+        let idle_most = if idle_close.is_zero() {
+            IDLE_DEFAULT
+        } else {
+            idle_close * 4 / 5
+        };
         let (idle, most) = (RefCell::default(), Cell::new(most));
-        Rc::new(Calls { dialect, idle, most, wheel, connect_timeout, idle_most })
+        Rc::new(Calls {
+            dialect,
+            idle,
+            most,
+            wheel,
+            connect_timeout,
+            idle_most,
+        })
     }
 
     /// So many are kept idle at the most, from the next one on that is given back.
@@ -114,7 +133,10 @@
             self.wheel.sleep(Duration::from_secs(1)).await;
             let mut idle = self.idle.borrow_mut();
             for links in idle.values_mut() {
-                links.iter().filter(|l| !l.fresh()).for_each(|l| l.stream.try_send(self.dialect.farewell()));
+                links
+                    .iter()
+                    .filter(|l| !l.fresh())
+                    .for_each(|l| l.stream.try_send(self.dialect.farewell()));
                 links.retain(Link::fresh);
             }
             idle.retain(|_, links| !links.is_empty());
@@ -124,7 +146,11 @@
     /// The connection used last of those that still stand.
     async fn kept(&self, provider: Endpoint) -> Option<Link> {
         loop {
-            let link = self.idle.borrow_mut().get_mut(&provider).and_then(Vec::pop)?;
+            let link = self
+                .idle
+                .borrow_mut()
+                .get_mut(&provider)
+                .and_then(Vec::pop)?;
             if link.since.elapsed() < SETTLE {
                 self.wheel.until(link.since + SETTLE).await;
             }
@@ -138,8 +164,13 @@
     fn give_up_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         // Each provider's stand in that order.
-        let oldest = idle.values_mut().filter(|l| !l.is_empty()).min_by_key(|l| l[0].since);
-        oldest.map(|links| links.remove(0).stream.try_send(self.dialect.farewell())).is_some()
+        let oldest = idle
+            .values_mut()
+            .filter(|l| !l.is_empty())
+            .min_by_key(|l| l[0].since);
+        oldest
+            .map(|links| links.remove(0).stream.try_send(self.dialect.farewell()))
+            .is_some()
     }
 
     fn keep(&self, provider: Endpoint, link: Link) {
@@ -149,7 +180,10 @@
             }
         }
         let mut idle = self.idle.borrow_mut();
-        idle.entry(provider).or_default().push(Link { since: Instant::now(), ..link });
+        idle.entry(provider).or_default().push(Link {
+            since: Instant::now(),
+            ..link
+        });
     }
 
     async fn connect(&self, address: SocketAddr) -> io::Result<Link> {
@@ -160,16 +194,29 @@
         };
         let told = self.dialect.greet(&mut stream).await?;
         let idle_most = told.map_or(self.idle_most, |t| self.idle_most.min(t));
-        Ok(Link { stream, idle_most, since: Instant::now() })
+        Ok(Link {
+            stream,
+            idle_most,
+            since: Instant::now(),
+        })
     }
 
     async fn exchange(&self, call: InvokerCall<'_>) -> Report {
-        let InvokerCall { provider, envelope, timeout, go } = call;
+        let InvokerCall {
+            provider,
+            envelope,
+            timeout,
+            go,
+        } = call;
         let (address, deadline) = (provider.entry.address, Instant::now() + timeout);
         let left = || deadline.saturating_duration_since(Instant::now());
         let mut link = match self.kept(provider.endpoint).await {
             Some(link) => link,
-            None => match self.wheel.limit(self.connect_timeout.min(left()), self.connect(address)).await {
+            None => match self
+                .wheel
+                .limit(self.connect_timeout.min(left()), self.connect(address))
+                .await
+            {
                 Some(Ok(link)) => link,
                 failed => {
                     log::debug!("calls: {address}: {:?}", failed.and_then(Result::err));
@@ -178,14 +225,19 @@
             },
         };
         let request = self.dialect.request(&provider, envelope, left());
-        let bytes = match request.inspect_err(|e| log::error!("calls: {} cannot be said: {e}", envelope.id)) {
+        let bytes = match request
+            .inspect_err(|e| log::error!("calls: {} cannot be said: {e}", envelope.id))
+        {
             Ok(bytes) if go() => bytes,
             _ => {
                 self.keep(provider.endpoint, link);
                 return Outcome::Moot.into();
             }
         };
-        if !matches!(self.wheel.limit(left(), link.stream.send(&bytes)).await, Some(Ok(()))) {
+        if !matches!(
+            self.wheel.limit(left(), link.stream.send(&bytes)).await,
+            Some(Ok(()))
+        ) {
             // Broken or stuck before its last byte: it never ran.
             return Outcome::ConnectFailed.into();
         }
@@ -196,16 +248,24 @@
                 None => return Outcome::Timeout.into(),
                 Some(Ok(true)) => {}
                 Some(end @ (Ok(false) | Err::<_, io::Error>(_))) => {
-                    log::debug!("calls: {} ended after the call was sent: {end:?}", provider.entry.uid);
+                    log::debug!(
+                        "calls: {} ended after the call was sent: {end:?}",
+                        provider.entry.uid
+                    );
                     return Outcome::Reset.into();
                 }
             }
             let rest = self.dialect.answer(&mut link.stream, &mut known);
             match self.wheel.limit(REST_OF_ANSWER, rest).await {
                 Some(Ok(Read::Interim)) => continue,
-                Some(Ok(Read::Whole)) if link.stream.buf.is_empty() => self.keep(provider.endpoint, link),
+                Some(Ok(Read::Whole)) if link.stream.buf.is_empty() => {
+                    self.keep(provider.endpoint, link)
+                }
                 Some(Ok(_)) => {}
-                spoilt => log::debug!("calls: {} answered what is no answer: {spoilt:?}", provider.entry.uid),
+                spoilt => log::debug!(
+                    "calls: {} answered what is no answer: {spoilt:?}",
+                    provider.entry.uid
+                ),
             }
             break;
         }
@@ -216,12 +276,16 @@
 
 impl<D: Dialect> Invoker for Calls<D> {
     fn call<'a>(&'a self, call: InvokerCall<'a>) -> Local<'a, Report> {
-        // The connection lives in the exchange: whatever ends that has closed it, or put it back, before its report.
+        // The connection lives in the exchange: whatever ends that has closed it, or put it back,
+        // before its report.
         self.exchange(call).boxed_local()
     }
 
     fn close_idle(&self, provider: &Provider) {
         let links = self.idle.borrow_mut().remove(&provider.endpoint);
-        links.iter().flatten().for_each(|l| l.stream.try_send(self.dialect.farewell()));
+        links
+            .iter()
+            .flatten()
+            .for_each(|l| l.stream.try_send(self.dialect.farewell()));
     }
 }
--- a/src/net/dns/mod.rs
+++ b/src/net/dns/mod.rs
@@ -1,4 +1,5 @@
-//! The directory as a DNS zone: read from a zone file (RFC 1035), changed by dynamic updates (RFC 2136).
+//! The directory as a DNS zone: read from a zone file (RFC 1035), changed by dynamic updates (RFC
+//! 2136).
 
 pub mod server;
 pub mod update;
--- a/src/net/dns/server.rs
+++ b/src/net/dns/server.rs
@@ -1,4 +1,5 @@
-//! Owner of the zone and its file, and the port that takes signed updates (RFC 2136 over TCP, RFC 8945).
+//! Owner of the zone and its file, and the port that takes signed updates (RFC 2136 over TCP, RFC
+//! 8945).
 
 use super::update::{self, is_newer};
 use super::zone::Zone;
@@ -39,21 +40,34 @@
     /// Reads the zone file.
     pub fn open(path: &Path) -> Result<Rc<Self>, String> {
         let zone = load(path).map_err(|e| format!("dns.zone_file: {e}"))?;
-        Ok(Rc::new(Zones { path: path.into(), zone: RefCell::new(zone), rev: Cell::new(1) }))
+        Ok(Rc::new(Zones {
+            path: path.into(),
+            zone: RefCell::new(zone),
+            rev: Cell::new(1),
+        }))
     }
 
     /// The list as it stands.
     pub fn news(&self) -> News {
         // A zone is only kept once its providers could be read.
         let entries = self.zone.borrow().providers().unwrap_or_default();
-        News { rev: self.rev.get(), whole: true, entries }
+        News {
+            rev: self.rev.get(),
+            whole: true,
+            entries,
+        }
     }
 
     /// Reads the file again. One that is wrong, or not newer by its serial, changes nothing.
     pub fn reload(&self, desk: &Desk) {
         match load(&self.path) {
-            Ok(zone) if is_newer(zone.serial(), self.zone.borrow().serial()) => self.tell(zone, desk),
-            Ok(zone) => log::warn!("dns: serial {} is not newer; the old list stays", zone.serial()),
+            Ok(zone) if is_newer(zone.serial(), self.zone.borrow().serial()) => {
+                self.tell(zone, desk)
+            }
+            Ok(zone) => log::warn!(
+                "dns: serial {} is not newer; the old list stays",
+                zone.serial()
+            ),
             Err(e) => log::error!("dns: {e}; the old list stays"),
         }
     }
@@ -93,7 +107,8 @@
 
 fn load(path: &Path) -> Result<Zone, String> {
     let text = fs::read_to_string(path).map_err(|e| e.to_string());
-    text.and_then(|t| Zone::read(&t, None)).map_err(|e| format!("{}: {e}", path.display()))
+    text.and_then(|t| Zone::read(&t, None))
+        .map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// The port for updates.
@@ -119,7 +134,9 @@
             Err(_) if bytes.len() < HEADER => return None,
             Err(e) => {
                 log::debug!("dns: {e}");
-                return Message::error_msg(id, OpCode::Update, ResponseCode::FormErr).to_vec().ok();
+                return Message::error_msg(id, OpCode::Update, ResponseCode::FormErr)
+                    .to_vec()
+                    .ok();
             }
         };
         let mut answer = Message::error_msg(id, message.op_code(), ResponseCode::NoError);
@@ -128,9 +145,11 @@
         let trust = signed.map(|record| self.trust(record, bytes));
         let code = match (trust, message.op_code()) {
             (None, _) => ResponseCode::Refused,
-            (Some(ResponseCode::NoError), OpCode::Update) => {
-                self.zones.update(&message, &self.desk).err().unwrap_or(ResponseCode::NoError)
-            }
+            (Some(ResponseCode::NoError), OpCode::Update) => self
+                .zones
+                .update(&message, &self.desk)
+                .err()
+                .unwrap_or(ResponseCode::NoError),
             (Some(ResponseCode::NoError), _) => ResponseCode::NotImp,
             (Some(_), _) => ResponseCode::NotAuth,
         };
@@ -144,12 +163,15 @@
 
     /// What is wrong with a message's signature; no error, where it can be trusted.
     fn trust(&self, record: &Record, bytes: &[u8]) -> ResponseCode {
-        let Some(tsig) = tsig_of(record) else { return ResponseCode::BADSIG };
-        if record.name() != self.signer.signer_name() || tsig.algorithm() != self.signer.algorithm() {
+        let Some(tsig) = tsig_of(record) else {
+            return ResponseCode::BADSIG;
+        };
+        if record.name() != self.signer.signer_name() || tsig.algorithm() != self.signer.algorithm()
+        {
             return ResponseCode::BADKEY;
         }
-        // The digest takes class and time to live for what they have to be, so it would not tell them wrong; and the
-        // library takes the fudge from the time, so a time that small is none.
+        // The digest takes class and time to live for what they have to be, so it would not tell
+        // them wrong; and the library takes the fudge from the time, so a time that small is none.
         let sound = record.dns_class() == DNSClass::ANY && record.ttl() == 0;
         if !sound || tsig.time() < u64::from(tsig.fudge()) {
             return ResponseCode::BADSIG;
@@ -164,7 +186,8 @@
         }
     }
 
-    /// The signature record of an answer (RFC 8945, section 5.3). It is empty where the request's was not trusted.
+    /// The signature record of an answer (RFC 8945, section 5.3). It is empty where the request's
+    /// was not trusted.
     fn sign(&self, answer: &Message, request: &Record, error: ResponseCode) -> Option<Record> {
         let (now, asked, name) = (unix_ms() / 1000, tsig_of(request)?, request.name().clone());
         // To a wrong time the right one is told, beside the one that was sent.
@@ -173,10 +196,21 @@
             _ => (now, Vec::new()),
         };
         let (algorithm, fudge) = (asked.algorithm().clone(), self.signer.fudge());
-        let tsig = TSIG::new(algorithm, time, fudge, Vec::new(), answer.id(), error.into(), other);
+        let tsig = TSIG::new(
+            algorithm,
+            time,
+            fudge,
+            Vec::new(),
+            answer.id(),
+            error.into(),
+            other,
+        );
         let mac = match error {
             ResponseCode::BADKEY | ResponseCode::BADSIG => Vec::new(),
-            _ => self.signer.sign(&message_tbs(Some(asked.mac()), answer, &tsig, &name).ok()?).ok()?,
+            _ => self
+                .signer
+                .sign(&message_tbs(Some(asked.mac()), answer, &tsig, &name).ok()?)
+                .ok()?,
         };
         Some(make_tsig_record(name, tsig.set_mac(mac)))
     }
@@ -190,12 +224,19 @@
     }
 
     async fn serve(self: Rc<Self>, socket: Async<TcpStream>, seat: Rc<Seat>) {
-        let Ok(mut stream) = Stream::new(socket) else { return };
+        let Ok(mut stream) = Stream::new(socket) else {
+            return;
+        };
         while let Some(Ok(Some(message))) = self.wheel.limit(IDLE, read(&mut stream)).await {
             seat.busy();
-            let Some(answer) = self.answer(&message) else { return };
+            let Some(answer) = self.answer(&message) else {
+                return;
+            };
             let framed = [&(answer.len() as u16).to_be_bytes()[..], &answer].concat();
-            if !matches!(self.wheel.limit(IDLE, stream.send(&framed)).await, Some(Ok(()))) {
+            if !matches!(
+                self.wheel.limit(IDLE, stream.send(&framed)).await,
+                Some(Ok(()))
+            ) {
                 return;
             }
             seat.resting();
--- a/src/net/dns/update.rs
+++ b/src/net/dns/update.rs
@@ -1,4 +1,5 @@
-//! What a dynamic update asks of a zone (RFC 2136, sections 3.2 and 3.4). A zone is changed as a whole or not at all.
+//! What a dynamic update asks of a zone (RFC 2136, sections 3.2 and 3.4). A zone is changed as a
+//! whole or not at all.
 
 use super::zone::Zone;
 use hickory_proto::op::{Message, ResponseCode};
@@ -7,7 +8,9 @@
 
 /// The zone after an update; nothing where the update changes nothing.
 pub fn apply(zone: &Zone, update: &Message) -> Result<Option<Zone>, ResponseCode> {
-    let [section] = update.queries() else { return Err(ResponseCode::FormErr) };
+    let [section] = update.queries() else {
+        return Err(ResponseCode::FormErr);
+    };
     if section.query_type() != RecordType::SOA {
         return Err(ResponseCode::FormErr);
     }
@@ -17,7 +20,10 @@
     prerequisites(zone, update.answers())?;
     prescan(zone, update.name_servers())?;
     let mut next = zone.clone();
-    update.name_servers().iter().for_each(|r| change(&mut next, r));
+    update
+        .name_servers()
+        .iter()
+        .for_each(|r| change(&mut next, r));
     if same(&next.records, &zone.records) {
         return Ok(None);
     }
@@ -39,15 +45,25 @@
         }
         in_zone(zone, r.name())?;
         let any = r.record_type() == RecordType::ANY;
-        let found =
-            zone.records.iter().any(|z| z.name() == r.name() && (any || z.record_type() == r.record_type()));
+        let found = zone
+            .records
+            .iter()
+            .any(|z| z.name() == r.name() && (any || z.record_type() == r.record_type()));
         match r.dns_class() {
             DNSClass::ANY | DNSClass::NONE if !is_empty(r) => return Err(ResponseCode::FormErr),
             DNSClass::ANY if !found => {
-                return Err(if any { ResponseCode::NXDomain } else { ResponseCode::NXRRSet });
+                return Err(if any {
+                    ResponseCode::NXDomain
+                } else {
+                    ResponseCode::NXRRSet
+                });
             }
             DNSClass::NONE if found => {
-                return Err(if any { ResponseCode::YXDomain } else { ResponseCode::YXRRSet });
+                return Err(if any {
+                    ResponseCode::YXDomain
+                } else {
+                    ResponseCode::YXRRSet
+                });
             }
             DNSClass::ANY | DNSClass::NONE => {}
             DNSClass::IN => sets.push(r),
@@ -59,7 +75,8 @@
         let of_set = |o: &&Record| o.name() == r.name() && o.record_type() == r.record_type();
         let told: Vec<&Record> = sets.iter().copied().filter(of_set).collect();
         let held: Vec<&Record> = zone.records.iter().filter(of_set).collect();
-        let covers = |a: &[&Record], b: &[&Record]| a.iter().all(|x| b.iter().any(|y| x.data() == y.data()));
+        let covers =
+            |a: &[&Record], b: &[&Record]| a.iter().all(|x| b.iter().any(|y| x.data() == y.data()));
         if !covers(&told, &held) || !covers(&held, &told) {
             return Err(ResponseCode::NXRRSet);
         }
@@ -71,7 +88,10 @@
 fn prescan(zone: &Zone, changes: &[Record]) -> Result<(), ResponseCode> {
     for r in changes {
         in_zone(zone, r.name())?;
-        let meta = matches!(r.record_type(), RecordType::AXFR | RecordType::IXFR | RecordType::OPT);
+        let meta = matches!(
+            r.record_type(),
+            RecordType::AXFR | RecordType::IXFR | RecordType::OPT
+        );
         let any = r.record_type() == RecordType::ANY;
         let sound = match r.dns_class() {
             DNSClass::IN => !any && !meta && !is_empty(r),
@@ -92,30 +112,39 @@
     match (r.dns_class(), kind) {
         (DNSClass::IN, RecordType::SOA) => {
             // Only the apex has one, and only a newer one counts.
-            let newer = r.data().as_soa().is_some_and(|soa| is_newer(soa.serial(), zone.serial()));
+            let newer = r
+                .data()
+                .as_soa()
+                .is_some_and(|soa| is_newer(soa.serial(), zone.serial()));
             if apex && newer {
                 zone.records.retain(|z| z.record_type() != RecordType::SOA);
                 zone.records.push(r.clone());
             }
         }
         (DNSClass::IN, _) => {
-            zone.records.retain(|z| !(z.name() == name && z.data() == r.data()));
+            zone.records
+                .retain(|z| !(z.name() == name && z.data() == r.data()));
             zone.records.push(r.clone());
         }
         (DNSClass::ANY, RecordType::ANY) => {
-            zone.records.retain(|z| z.name() != name || apex && kept.contains(&z.record_type()));
+            zone.records
+                .retain(|z| z.name() != name || apex && kept.contains(&z.record_type()));
         }
         (DNSClass::ANY, _) => {
             let stays = apex && kept.contains(&kind);
-            zone.records.retain(|z| stays || z.name() != name || z.record_type() != kind);
+            zone.records
+                .retain(|z| stays || z.name() != name || z.record_type() != kind);
         }
         // Only class NONE is left: one record by value. The SOA and the last NS of the apex stay.
         (_, RecordType::SOA) => {}
         _ => {
-            let servers =
-                zone.records.iter().filter(|z| z.name() == name && z.record_type() == RecordType::NS);
+            let servers = zone
+                .records
+                .iter()
+                .filter(|z| z.name() == name && z.record_type() == RecordType::NS);
             if !(apex && kind == RecordType::NS && servers.count() < 2) {
-                zone.records.retain(|z| z.name() != name || z.data() != r.data());
+                zone.records
+                    .retain(|z| z.name() != name || z.data() != r.data());
             }
         }
     }
@@ -127,8 +156,15 @@
         if let Some(soa) = r.data().as_soa() {
             let serial = soa.serial().wrapping_add(1).max(1);
             let (mname, rname) = (soa.mname().clone(), soa.rname().clone());
-            let next =
-                SOA::new(mname, rname, serial, soa.refresh(), soa.retry(), soa.expire(), soa.minimum());
+            let next = SOA::new(
+                mname,
+                rname,
+                serial,
+                soa.refresh(),
+                soa.retry(),
+                soa.expire(),
+                soa.minimum(),
+            );
             r.set_data(RData::SOA(next));
         }
     }
@@ -152,7 +188,9 @@
 }
 
 fn same(a: &[Record], b: &[Record]) -> bool {
-    let within =
-        |a: &[Record], b: &[Record]| a.iter().all(|r| b.iter().any(|o| o == r && o.ttl() == r.ttl()));
+    let within = |a: &[Record], b: &[Record]| {
+        a.iter()
+            .all(|r| b.iter().any(|o| o == r && o.ttl() == r.ttl()))
+    };
     a.len() == b.len() && within(a, b) && within(b, a)
 }
--- a/src/net/dns/zone.rs
+++ b/src/net/dns/zone.rs
@@ -1,7 +1,8 @@
 //! A zone that lists providers.
 //!
-//! `_raildeal._tcp.DEST SRV 0 0 PORT HOST` lists a provider of a destination. The address record of the host is where
-//! it listens; its TXT record may hold `zone=`, `kind=`, `rate=` (calls a second) and `state=draining`.
+//! `_raildeal._tcp.DEST SRV 0 0 PORT HOST` lists a provider of a destination. The address record of
+//! the host is where it listens; its TXT record may hold `zone=`, `kind=`, `rate=` (calls a second)
+//! and `state=draining`.
 
 use crate::core::directory::Entry;
 use crate::Condition;
@@ -10,8 +11,14 @@
 use std::net::{IpAddr, SocketAddr};
 
 /// Records of other types are not kept.
-const TYPES: [RecordType; 6] =
-    [RecordType::SOA, RecordType::NS, RecordType::A, RecordType::AAAA, RecordType::SRV, RecordType::TXT];
+const TYPES: [RecordType; 6] = [
+    RecordType::SOA,
+    RecordType::NS,
+    RecordType::A,
+    RecordType::AAAA,
+    RecordType::SRV,
+    RecordType::TXT,
+];
 
 /// A zone's records, each once.
 #[derive(Clone, Debug)]
@@ -27,16 +34,34 @@
     pub fn read(text: &str, origin: Option<&Name>) -> Result<Self, String> {
         let parse = |text: &str| Parser::new(text.to_string(), None, origin.cloned()).parse();
         let (_, sets) = parse(text).map_err(|e| {
-            // The parser tells no line: it is the last one with which the file cannot be read, whatever follows.
-            let ends: Vec<usize> = text.match_indices('\n').map(|(i, _)| i + 1).chain([text.len()]).collect();
-            let bad = ends.iter().rposition(|end| parse(&text[..*end]).is_ok()).map_or(0, |good| good + 1);
+            // The parser tells no line: it is the last one with which the file cannot be read,
+            // whatever follows.
+            let ends: Vec<usize> = text
+                .match_indices('\n')
+                .map(|(i, _)| i + 1)
+                .chain([text.len()])
+                .collect();
+            let bad = ends
+                .iter()
+                .rposition(|end| parse(&text[..*end]).is_ok())
+                .map_or(0, |good| good + 1);
             format!("line {}: {e}", bad + 1)
         })?;
-        let records: Vec<Record> =
-            sets.values().flat_map(|set| set.records_without_rrsigs().cloned().collect::<Vec<_>>()).collect();
-        let soas: Vec<&Record> = records.iter().filter(|r| r.record_type() == RecordType::SOA).collect();
-        let [soa] = soas[..] else { return Err(format!("{} SOA records where one is needed", soas.len())) };
-        let zone = Zone { origin: soa.name().clone(), records };
+        let records: Vec<Record> = sets
+            .values()
+            .flat_map(|set| set.records_without_rrsigs().cloned().collect::<Vec<_>>())
+            .collect();
+        let soas: Vec<&Record> = records
+            .iter()
+            .filter(|r| r.record_type() == RecordType::SOA)
+            .collect();
+        let [soa] = soas[..] else {
+            return Err(format!("{} SOA records where one is needed", soas.len()));
+        };
+        let zone = Zone {
+            origin: soa.name().clone(),
+            records,
+        };
         zone.check()?;
         Ok(zone)
     }
@@ -46,7 +71,9 @@
         for r in &self.records {
             let (name, kind) = (r.name(), r.record_type());
             if !TYPES.contains(&kind) || r.dns_class() != DNSClass::IN {
-                return Err(format!("{name} {kind}: records of this type or class are not kept"));
+                return Err(format!(
+                    "{name} {kind}: records of this type or class are not kept"
+                ));
             }
             if !self.origin.zone_of(name) {
                 return Err(format!("{name}: not in the zone {}", self.origin));
@@ -75,18 +102,27 @@
 
     /// The providers that it lists.
     pub fn providers(&self) -> Result<Vec<Entry>, String> {
-        let listed = self.records.iter().filter_map(|r| Some((self.dest(r.name())?, r.data().as_srv()?)));
+        let listed = self
+            .records
+            .iter()
+            .filter_map(|r| Some((self.dest(r.name())?, r.data().as_srv()?)));
         let called = listed.filter(|(_, srv)| !srv.target().is_root());
         called
             .map(|(dest, srv)| {
                 let host = srv.target();
-                let address = self.address(host).ok_or_else(|| format!("{host}: no address in this zone"))?;
+                let address = self
+                    .address(host)
+                    .ok_or_else(|| format!("{host}: no address in this zone"))?;
                 let told = |field: &str| self.attribute(host, field);
                 let rate = told("rate").map_or(Ok(0.0), |v| v.parse::<f32>());
                 let rate = rate.ok().filter(|r| r.is_finite() && *r >= 0.0);
                 let host = host.to_lowercase();
                 Ok(Entry {
-                    uid: format!("{dest}/{}:{}", host.to_utf8().trim_end_matches('.'), srv.port()),
+                    uid: format!(
+                        "{dest}/{}:{}",
+                        host.to_utf8().trim_end_matches('.'),
+                        srv.port()
+                    ),
                     address: SocketAddr::new(address, srv.port()),
                     zone: told("zone").unwrap_or_default(),
                     kind: told("kind").unwrap_or_default(),
@@ -105,20 +141,31 @@
     /// The destination whose providers a name lists.
     fn dest(&self, name: &Name) -> Option<u16> {
         let labels: Vec<&[u8]> = name.iter().collect();
-        let fits = labels.len() == usize::from(self.origin.num_labels()) + 3 && self.origin.zone_of(name);
+        let fits =
+            labels.len() == usize::from(self.origin.num_labels()) + 3 && self.origin.zone_of(name);
         let service = fits && labels[0] == b"_raildeal" && labels[1] == b"_tcp";
         service.then(|| std::str::from_utf8(labels[2]).ok()?.parse().ok())?
     }
 
     fn address(&self, host: &Name) -> Option<IpAddr> {
-        self.records.iter().filter(|r| r.name() == host).find_map(|r| r.data().ip_addr())
+        self.records
+            .iter()
+            .filter(|r| r.name() == host)
+            .find_map(|r| r.data().ip_addr())
     }
 
     fn attribute(&self, host: &Name, field: &str) -> Option<String> {
-        let texts = self.records.iter().filter(|r| r.name() == host).filter_map(|r| r.data().as_txt());
-        let mut items =
-            texts.flat_map(|t| t.txt_data()).filter_map(|s| std::str::from_utf8(s).ok()?.split_once('='));
-        items.find(|(name, _)| name.eq_ignore_ascii_case(field)).map(|(_, value)| value.to_string())
+        let texts = self
+            .records
+            .iter()
+            .filter(|r| r.name() == host)
+            .filter_map(|r| r.data().as_txt());
+        let mut items = texts
+            .flat_map(|t| t.txt_data())
+            .filter_map(|s| std::str::from_utf8(s).ok()?.split_once('='));
+        items
+            .find(|(name, _)| name.eq_ignore_ascii_case(field))
+            .map(|(_, value)| value.to_string())
     }
 }
 
@@ -127,10 +174,16 @@
         // The library shows these without their quotes.
         RData::TXT(t) => {
             let quoted = |s: &[u8]| {
-                let text = String::from_utf8_lossy(s).replace('\\', "\\\\").replace('"', "\\\"");
+                let text = String::from_utf8_lossy(s)
+                    .replace('\\', "\\\\")
+                    .replace('"', "\\\"");
                 format!("\"{text}\"")
             };
-            t.txt_data().iter().map(|s| quoted(s)).collect::<Vec<_>>().join(" ")
+            t.txt_data()
+                .iter()
+                .map(|s| quoted(s))
+                .collect::<Vec<_>>()
+                .join(" ")
         }
         other => other.to_string(),
     };
--- a/src/net/mqtt/brokers.rs
+++ b/src/net/mqtt/brokers.rs
@@ -31,15 +31,31 @@
 
 impl Publisher {
     /// `topic` may hold `{dest}`, `{class}` and `{key}`; connections stand idle up to `idle_most`.
-    pub fn new(client_id: String, topic: String, classes: Vec<String>, idle_most: Duration) -> Self {
-        // Idle connections are closed well before the broker would miss a packet, so that none has to ping.
-        Publisher { client_id, made: Cell::new(0), topic, classes, keep_alive: idle_most * 2 }
+    pub fn new(
+        client_id: String,
+        topic: String,
+        classes: Vec<String>,
+        idle_most: Duration,
+    ) -> Self {
+        // Idle connections are closed well before the broker would miss a packet, so that none has
+        // to ping.
+        Publisher {
+            client_id,
+            made: Cell::new(0),
+            topic,
+            classes,
+            keep_alive: idle_most * 2,
+        }
     }
 
     fn topic(&self, envelope: &Envelope) -> String {
-        let class = self.classes.get(usize::from(envelope.class)).map_or("", String::as_str);
+        let class = self
+            .classes
+            .get(usize::from(envelope.class))
+            .map_or("", String::as_str);
         let key = envelope.key.as_deref().unwrap_or("");
-        // Keys come from outside: one that holds a wildcard or a level would make another topic of it.
+        // Keys come from outside: one that holds a wildcard or a level would make another topic of
+        // it.
         let key = key.replace(['/', '+', '#', '\0'], "_");
         self.topic
             .replace("{dest}", &envelope.dest.to_string())
@@ -51,16 +67,28 @@
 impl Dialect for Publisher {
     async fn greet(&self, stream: &mut Stream) -> io::Result<Option<Duration>> {
         self.made.set(self.made.get() + 1);
-        let id = format!("{}-{}-{}", self.client_id, std::process::id(), self.made.get());
+        let id = format!(
+            "{}-{}-{}",
+            self.client_id,
+            std::process::id(),
+            self.made.get()
+        );
         let keep_alive = self.keep_alive.as_secs().min(u64::from(u16::MAX)) as u16;
         // `Connect::new` asks for a clean start: nothing that an earlier connection left is wanted.
-        stream.send(&encode(&Packet::Connect(Connect::new(id.as_str().into(), keep_alive)))?).await?;
+        stream
+            .send(&encode(&Packet::Connect(Connect::new(
+                id.as_str().into(),
+                keep_alive,
+            )))?)
+            .await?;
         match read(stream).await? {
             Some(Packet::Connack(ack)) if ack.reason_code == ConnectReasonCode::Success => {
                 let told = ack.properties.server_keep_alive.filter(|s| *s > 0);
                 Ok(told.map(|s| Duration::from_secs(u64::from(s))))
             }
-            Some(Packet::Connack(ack)) => Err(io::Error::other(format!("CONNACK {:?}", ack.reason_code))),
+            Some(Packet::Connack(ack)) => {
+                Err(io::Error::other(format!("CONNACK {:?}", ack.reason_code)))
+            }
             other => Err(io::Error::other(format!("no CONNACK but {other:?}"))),
         }
     }
@@ -68,7 +96,12 @@
     fn request(&self, _: &Provider, envelope: &Envelope, left: Duration) -> io::Result<Vec<u8>> {
         let mut properties = vec![user("id", &envelope.id)];
         properties.extend(envelope.key.as_ref().map(|k| user("key", k)));
-        properties.extend(envelope.notes.iter().map(|(n, v)| user(&format!("note-{n}"), v)));
+        properties.extend(
+            envelope
+                .notes
+                .iter()
+                .map(|(n, v)| user(&format!("note-{n}"), v)),
+        );
         properties.push(user("remaining-ms", left.as_millis().max(1).to_string()));
         let publish = Publish {
             properties: PublishProperties {
@@ -110,9 +143,11 @@
     match ack.reason_code {
         PubackReasonCode::Success => Outcome::Ok,
         PubackReasonCode::QuotaExceeded => {
-            let told =
-                property(&ack.properties.user_properties, "wait-ms").and_then(|v| v.parse::<u64>().ok());
-            Outcome::Full { wait: told.filter(|ms| *ms <= 86_400_000).unwrap_or(0) * 1_000_000 as Time }
+            let told = property(&ack.properties.user_properties, "wait-ms")
+                .and_then(|v| v.parse::<u64>().ok());
+            Outcome::Full {
+                wait: told.filter(|ms| *ms <= 86_400_000).unwrap_or(0) * 1_000_000 as Time,
+            }
         }
         // No subscriber took it, say: it may be anywhere but there.
         _ => Outcome::Error,
--- a/src/net/mqtt/ingress.rs
+++ b/src/net/mqtt/ingress.rs
@@ -1,5 +1,5 @@
-//! Where MQTT clients hand messages in: a message is a PUBLISH at QoS 1 to `class/dest`, and its PUBACK says whether it
-//! is taken on.
+//! Where MQTT clients hand messages in: a message is a PUBLISH at QoS 1 to `class/dest`, and its
+//! PUBACK says whether it is taken on.
 
 use super::packets::{decode, encode, property, read, user, Bad, MAX_PACKET};
 use super::sessions::{ReplyTo, Session, Sessions};
@@ -16,8 +16,8 @@
 use async_io::Async;
 use futures_lite::FutureExt;
 use mqtt_proto::v5::{
-    Connack, ConnackProperties, Connect, ConnectReasonCode, Disconnect, DisconnectReasonCode, Packet, Puback,
-    PubackProperties, PubackReasonCode, Publish, Suback, Unsuback, UserProperty,
+    Connack, ConnackProperties, Connect, ConnectReasonCode, Disconnect, DisconnectReasonCode,
+    Packet, Puback, PubackProperties, PubackReasonCode, Publish, Suback, Unsuback, UserProperty,
 };
 use mqtt_proto::{Pid, QoS, QosPid};
 use std::cell::Cell;
@@ -58,7 +58,15 @@
         executor: Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         let (classes, tenants) = (deployment.classes.clone(), deployment.tenants.clone());
-        Rc::new(Port { house, sessions, classes, tenants, front, executor, closing: Cell::new(false) })
+        Rc::new(Port {
+            house,
+            sessions,
+            classes,
+            tenants,
+            front,
+            executor,
+            closing: Cell::new(false),
+        })
     }
 
     /// Takes no further messages on.
@@ -123,7 +131,11 @@
     }
 
     /// Takes a PUBLISH in: a message, or an answer that says what is wrong with it.
-    async fn publish(&self, session: &Rc<Session>, publish: Publish) -> Result<(), DisconnectReasonCode> {
+    async fn publish(
+        &self,
+        session: &Rc<Session>,
+        publish: Publish,
+    ) -> Result<(), DisconnectReasonCode> {
         let pid = match publish.qos_pid {
             QosPid::Level1(pid) => pid,
             // Nothing could be promised at QoS 0, and QoS 2 was not offered.
@@ -133,7 +145,11 @@
             return Err(DisconnectReasonCode::RetainNotSupported);
         }
         let (answered, waits) = async_channel::bounded(1);
-        let answer = Box::new(Answer { session: session.clone(), pid, _answered: answered });
+        let answer = Box::new(Answer {
+            session: session.clone(),
+            pid,
+            _answered: answered,
+        });
         if self.closing.get() {
             answer.rejected(Duration::ZERO).await;
             return Ok(());
@@ -145,28 +161,42 @@
                     session.counts(WITHOUT_TENANT);
                 }
                 self.executor
-                    .spawn(invocation::serve(self.house.clone(), session.client(), envelope, left, answer))
+                    .spawn(invocation::serve(
+                        self.house.clone(),
+                        session.client(),
+                        envelope,
+                        left,
+                        answer,
+                    ))
                     .detach();
                 // Acknowledgements have to go in the order in which the messages came.
                 let _ = waits.recv().await;
             }
             Err((code, what)) => {
                 log::debug!("mqtt: {what}");
-                answer.give(code, Some(what), None).await.unwrap_or_default();
+                answer
+                    .give(code, Some(what), None)
+                    .await
+                    .unwrap_or_default();
             }
         }
         session.asks(false);
         Ok(())
     }
 
-    fn message(&self, publish: Publish) -> Result<(Envelope, Duration), (PubackReasonCode, &'static str)> {
+    fn message(
+        &self,
+        publish: Publish,
+    ) -> Result<(Envelope, Duration), (PubackReasonCode, &'static str)> {
         let topic = publish.topic_name.split_once('/');
         let place = topic.and_then(|(class, dest)| {
             let class = self.classes.iter().position(|c| c == class)?;
             Some((class, dest.parse::<u16>().ok()?))
         });
-        let (class, dest) =
-            place.ok_or((PubackReasonCode::TopicNameInvalid, "the topic is not class/dest"))?;
+        let (class, dest) = place.ok_or((
+            PubackReasonCode::TopicNameInvalid,
+            "the topic is not class/dest",
+        ))?;
         let missing = |what| (PubackReasonCode::ImplementationSpecificError, what);
         let properties = &publish.properties;
         let value = |name| property(&properties.user_properties, name).filter(|v| is_word(v));
@@ -178,13 +208,21 @@
             return Err((PubackReasonCode::QuotaExceeded, "payload over 64 KiB"));
         }
         let policy = self.house.terms.current();
-        let wanted = properties.message_expiry_interval.map(|s| Duration::from_secs(u64::from(s)));
-        let left = wanted.unwrap_or(policy.class(class as u16).map_or(Duration::ZERO, |c| span(c.deadline)));
+        let wanted = properties
+            .message_expiry_interval
+            .map(|s| Duration::from_secs(u64::from(s)));
+        let left = wanted.unwrap_or(
+            policy
+                .class(class as u16)
+                .map_or(Duration::ZERO, |c| span(c.deadline)),
+        );
         let reply_to = properties.response_topic.as_ref().map(|topic| ReplyTo {
             topic: topic.to_string(),
             correlation: properties.correlation_data.as_ref().map(|c| c.to_vec()),
         });
-        let reply_to = reply_to.and_then(|r| postcard::to_stdvec(&r).ok()).unwrap_or_default();
+        let reply_to = reply_to
+            .and_then(|r| postcard::to_stdvec(&r).ok())
+            .unwrap_or_default();
         let (id, body, class) = (id.to_string(), publish.payload.to_vec(), class as u16);
         let envelope = Envelope {
             front: self.front,
@@ -207,7 +245,10 @@
 impl Port {
     /// Whose message it is; nothing where it names a tenant that is not known, or two.
     fn tenant(&self, properties: &[UserProperty]) -> Option<u16> {
-        let mut names = properties.iter().filter(|p| &*p.name == "org").map(|p| &*p.value);
+        let mut names = properties
+            .iter()
+            .filter(|p| &*p.name == "org")
+            .map(|p| &*p.value);
         let name = names.next();
         let alone = self.tenants.is_empty() || names.next().is_none();
         self.tenants.of(name).ok().filter(|_| alone)
@@ -217,13 +258,18 @@
     fn knows(&self, connect: &Connect) -> bool {
         let user = connect.username.as_ref().map(|u| u.to_string());
         let policy = self.house.terms.current();
-        policy.known_names.iter().any(|k| *k == *connect.client_id || user.as_ref() == Some(k))
+        policy
+            .known_names
+            .iter()
+            .any(|k| *k == *connect.client_id || user.as_ref() == Some(k))
     }
 }
 
 impl Serve for Port {
     async fn full(&self, socket: Async<TcpStream>, why: Why, wait: Duration) {
-        let Ok(mut stream) = Stream::new(socket) else { return };
+        let Ok(mut stream) = Stream::new(socket) else {
+            return;
+        };
         // Only an answer to a CONNECT is one.
         let code = match why {
             Why::AddressRate | Why::PrefixRate => ConnectReasonCode::ConnectionRateExceeded,
@@ -233,10 +279,15 @@
             Ok(Some(Packet::Connect(connect))) => {
                 let told = connect.properties.request_problem_info != Some(false);
                 let waits = told.then(|| user("wait-ms", wait.as_millis().to_string()));
-                let properties =
-                    ConnackProperties { user_properties: waits.into_iter().collect(), ..Default::default() };
-                encode(&Packet::Connack(Connack { properties, ..Connack::new(false, code) }))
-                    .unwrap_or_default()
+                let properties = ConnackProperties {
+                    user_properties: waits.into_iter().collect(),
+                    ..Default::default()
+                };
+                encode(&Packet::Connack(Connack {
+                    properties,
+                    ..Connack::new(false, code)
+                }))
+                .unwrap_or_default()
             }
             Err(e) if matches!(Bad::behind(&e), Some(Bad::Old)) => OLD_FULL.to_vec(),
             _ => return,
@@ -259,12 +310,16 @@
     }
 
     async fn serve(self: Rc<Self>, socket: Async<TcpStream>, seat: Rc<Seat>) {
-        let Ok(mut stream) = Stream::new(socket) else { return };
+        let Ok(mut stream) = Stream::new(socket) else {
+            return;
+        };
         let wheel = &self.house.wheel;
         let greeted = wheel.limit(GREETING, read(&mut stream)).await;
         let writer = stream.writer(wheel.clone(), STUCK);
         let connect = match greeted {
-            Some(Ok(Some(Packet::Connect(connect)))) if connect.properties.auth_method.is_none() => {
+            Some(Ok(Some(Packet::Connect(connect))))
+                if connect.properties.auth_method.is_none() =>
+            {
                 if self.knows(&connect) {
                     seat.identified();
                 }
@@ -278,7 +333,11 @@
         };
         let open = self.sessions.open(&connect, writer, seat.clone());
         let session = &open.session;
-        if session.send(&Packet::Connack(greeting(&connect, session))).await.is_err() {
+        if session
+            .send(&Packet::Connack(greeting(&connect, session)))
+            .await
+            .is_err()
+        {
             return;
         }
         // A client may be silent for one and a half times its keep-alive.
@@ -293,7 +352,9 @@
         };
         if let Err(code) = self.converse(session, &mut stream, silence).or(ended).await {
             log::debug!("mqtt: client {} cut off: {code:?}", connect.client_id);
-            let _ = session.send(&Packet::Disconnect(Disconnect::new(code))).await;
+            let _ = session
+                .send(&Packet::Disconnect(Disconnect::new(code)))
+                .await;
             drop(open);
             wheel.limit(GREETING, stream.part()).await;
         }
@@ -341,9 +402,15 @@
         let waits = wait.filter(|w| told && !w.is_zero());
         let properties = PubackProperties {
             reason_string: reason.filter(|_| told).map(Into::into),
-            user_properties: waits.map(|w| user("wait-ms", w.as_millis().to_string())).into_iter().collect(),
+            user_properties: waits
+                .map(|w| user("wait-ms", w.as_millis().to_string()))
+                .into_iter()
+                .collect(),
+        };
+        let ack = Puback {
+            properties,
+            ..Puback::new(self.pid, code)
         };
-        let ack = Puback { properties, ..Puback::new(self.pid, code) };
         self.session.send(&Packet::Puback(ack)).await
     }
 }
@@ -355,11 +422,23 @@
     }
 
     fn rejected<'a>(self: Box<Self>, wait: Duration) -> Local<'a, ()> {
-        async move { drop(self.give(PubackReasonCode::QuotaExceeded, None, Some(wait)).await) }.boxed_local()
+        async move {
+            drop(
+                self.give(PubackReasonCode::QuotaExceeded, None, Some(wait))
+                    .await,
+            )
+        }
+        .boxed_local()
     }
 
     fn failed<'a>(self: Box<Self>) -> Local<'a, ()> {
-        async move { drop(self.give(PubackReasonCode::UnspecifiedError, None, None).await) }.boxed_local()
+        async move {
+            drop(
+                self.give(PubackReasonCode::UnspecifiedError, None, None)
+                    .await,
+            )
+        }
+        .boxed_local()
     }
 }
 
@@ -377,5 +456,8 @@
         shared_subscription_available: Some(false),
         ..ConnackProperties::default()
     };
-    Connack { properties, ..Connack::new(false, ConnectReasonCode::Success) }
+    Connack {
+        properties,
+        ..Connack::new(false, ConnectReasonCode::Success)
+    }
 }
--- a/src/net/mqtt/mod.rs
+++ b/src/net/mqtt/mod.rs
@@ -1,4 +1,5 @@
-//! MQTT 5: clients hand messages in by PUBLISH, brokers serve as providers. The rules are the core's.
+//! MQTT 5: clients hand messages in by PUBLISH, brokers serve as providers. The rules are the
+//! core's.
 
 pub mod brokers;
 pub mod ingress;
--- a/src/net/mqtt/packets.rs
+++ b/src/net/mqtt/packets.rs
@@ -1,4 +1,5 @@
-//! MQTT 5 packets off and onto a connection. The codec is a library's; what it is given is bounded here.
+//! MQTT 5 packets off and onto a connection. The codec is a library's; what it is given is bounded
+//! here.
 
 use crate::net::stream::Stream;
 use mqtt_proto::v5::{ErrorV5, Packet, UserProperty};
@@ -48,11 +49,15 @@
     }
 }
 
-/// Reads one packet, and how many bytes it took; `None` while it is not whole. The codec sees whole packets of a
-/// bounded size only, because it makes room for whatever length a packet claims.
+/// Reads one packet, and how many bytes it took; `None` while it is not whole. The codec sees whole
+/// packets of a bounded size only, because it makes room for whatever length a packet claims.
 pub fn decode(bytes: &[u8]) -> Result<Option<(Packet, usize)>, Bad> {
-    let Some(total) = total_len(bytes)? else { return Ok(None) };
-    let Some(whole) = bytes.get(..total) else { return Ok(None) };
+    let Some(total) = total_len(bytes)? else {
+        return Ok(None);
+    };
+    let Some(whole) = bytes.get(..total) else {
+        return Ok(None);
+    };
     match Packet::decode(whole) {
         Ok(Some(packet)) => Ok(Some((packet, total))),
         Ok(None) => Err(Bad::Malformed("shorter than its own fields".into())),
@@ -66,11 +71,17 @@
 fn total_len(bytes: &[u8]) -> Result<Option<usize>, Bad> {
     let mut len = 0;
     for i in 0..4 {
-        let Some(byte) = bytes.get(1 + i) else { return Ok(None) };
+        let Some(byte) = bytes.get(1 + i) else {
+            return Ok(None);
+        };
         len |= usize::from(byte & 0x7f) << (7 * i);
         if byte & 0x80 == 0 {
             let total = 2 + i + len;
-            return if total > MAX_PACKET { Err(Bad::TooLarge) } else { Ok(Some(total)) };
+            return if total > MAX_PACKET {
+                Err(Bad::TooLarge)
+            } else {
+                Ok(Some(total))
+            };
         }
     }
     Err(Bad::Malformed("length longer than four bytes".into()))
@@ -78,7 +89,9 @@
 
 /// The bytes of a packet.
 pub fn encode(packet: &Packet) -> io::Result<Vec<u8>> {
-    let bytes = packet.encode().map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e.to_string()))?;
+    let bytes = packet
+        .encode()
+        .map_err(|e| io::Error::new(io::ErrorKind::InvalidInput, e.to_string()))?;
     Ok(bytes.as_ref().to_vec())
 }
 
@@ -90,17 +103,27 @@
             return Ok(Some(packet));
         }
         if !stream.fill().await? {
-            return if stream.buf.is_empty() { Ok(None) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+            return if stream.buf.is_empty() {
+                Ok(None)
+            } else {
+                Err(io::ErrorKind::UnexpectedEof.into())
+            };
         }
     }
 }
 
 /// The first user property of a name.
 pub fn property<'a>(properties: &'a [UserProperty], name: &str) -> Option<&'a str> {
-    properties.iter().find(|p| &*p.name == name).map(|p| &*p.value)
+    properties
+        .iter()
+        .find(|p| &*p.name == name)
+        .map(|p| &*p.value)
 }
 
 /// A user property.
 pub fn user(name: &str, value: impl Into<String>) -> UserProperty {
-    UserProperty { name: name.into(), value: value.into().into() }
+    UserProperty {
+        name: name.into(),
+        value: value.into().into(),
+    }
 }
--- a/src/net/mqtt/sessions.rs
+++ b/src/net/mqtt/sessions.rs
@@ -1,7 +1,7 @@
 //! The clients that are connected, and the final answers that go to them.
 //!
-//! A final answer is a PUBLISH to the message's Response Topic, for whichever connection has subscribed to that. It is
-//! sent until one has it, and waits for one if there is none.
+//! A final answer is a PUBLISH to the message's Response Topic, for whichever connection has
+//! subscribed to that. It is sent until one has it, and waits for one if there is none.
 
 use super::packets::{encode, user};
 use crate::core::guests::Client;
@@ -73,11 +73,15 @@
         self.seat.counts(what);
     }
 
-    /// Tells its seat what it is used for. It is owed something while a PUBLISH of its own is unanswered, while an answer
-    /// is out here, and while one is to come for a topic that it subscribed to.
+    /// Tells its seat what it is used for. It is owed something while a PUBLISH of its own is
+    /// unanswered, while an answer is out here, and while one is to come for a topic that it
+    /// subscribed to.
     fn settle(&self) {
         let (owed, filters) = (self.owed.borrow(), self.filters.borrow());
-        let takes = || owed.keys().any(|topic| filters.iter().any(|(f, _)| covers(f, topic)));
+        let takes = || {
+            owed.keys()
+                .any(|topic| filters.iter().any(|(f, _)| covers(f, topic)))
+        };
         if self.asks.get() || !self.out.borrow().is_empty() || takes() {
             self.seat.busy();
         } else if self.useful.get() || !filters.is_empty() {
@@ -89,7 +93,10 @@
 
     /// Who it is, by its name.
     pub fn client(&self) -> Client {
-        Client { name: self.client_id.as_str().into(), known: self.seat.is_known() }
+        Client {
+            name: self.client_id.as_str().into(),
+            known: self.seat.is_known(),
+        }
     }
 
     /// A PUBLISH is being looked at, or no more.
@@ -165,7 +172,11 @@
     /// How it would get a topic: not at all, sent once, or until it acknowledges.
     fn covers(&self, topic: &str) -> Option<QoS> {
         let filters = self.filters.borrow();
-        filters.iter().filter(|(f, _)| covers(f, topic)).map(|(_, qos)| *qos).max()
+        filters
+            .iter()
+            .filter(|(f, _)| covers(f, topic))
+            .map(|(_, qos)| *qos)
+            .max()
     }
 
     /// Sends a final answer; false if the connection ends before the client has it.
@@ -173,11 +184,16 @@
         let _room = self.room.acquire().await;
         let (acknowledged, waiting) = async_channel::bounded(1);
         let out = (qos == QoS::Level1).then(|| self.claim(acknowledged));
-        publish.qos_pid = out.as_ref().map_or(QosPid::Level0, |o| QosPid::Level1(o.pid));
+        publish.qos_pid = out
+            .as_ref()
+            .map_or(QosPid::Level0, |o| QosPid::Level1(o.pid));
         let sent = match encode(&Packet::Publish(publish)) {
             Ok(bytes) if bytes.len() > self.most => {
                 // What a client does not take counts as sent (MQTT 5, section 3.1.2.11.4).
-                log::warn!("mqtt: a final answer is longer than {} takes", self.client_id);
+                log::warn!(
+                    "mqtt: a final answer is longer than {} takes",
+                    self.client_id
+                );
                 return true;
             }
             Ok(bytes) => self.writer.send(&bytes).await.is_ok(),
@@ -196,7 +212,9 @@
         let mut out = self.out.borrow_mut();
         loop {
             self.next_pid.set(self.next_pid.get().wrapping_add(1));
-            let free = Pid::try_from(self.next_pid.get()).ok().filter(|p| !out.contains_key(&p.value()));
+            let free = Pid::try_from(self.next_pid.get())
+                .ok()
+                .filter(|p| !out.contains_key(&p.value()));
             if let Some(pid) = free {
                 out.insert(pid.value(), acknowledged);
                 drop(out);
@@ -249,8 +267,16 @@
 impl Sessions {
     /// No sessions yet; a final answer that nobody subscribes to is kept so long.
     pub fn new(wheel: Rc<Wheel>, keep_answers: Duration) -> Rc<Self> {
-        let (open, owed, made, subscribed) = (Rc::default(), Rc::default(), Cell::new(0), Event::new());
-        Rc::new(Sessions { open, owed, made, subscribed, keep_answers, wheel })
+        let (open, owed, made, subscribed) =
+            (Rc::default(), Rc::default(), Cell::new(0), Event::new());
+        Rc::new(Sessions {
+            open,
+            owed,
+            made,
+            subscribed,
+            keep_answers,
+            wheel,
+        })
     }
 
     /// Opens a session for a client, and ends an earlier one of the same name.
@@ -261,10 +287,17 @@
             "" => format!("client-{no}"),
             id => id.to_string(),
         };
-        let earlier: Vec<_> =
-            self.open.borrow().values().filter(|s| s.client_id == client_id).cloned().collect();
+        let earlier: Vec<_> = self
+            .open
+            .borrow()
+            .values()
+            .filter(|s| s.client_id == client_id)
+            .cloned()
+            .collect();
         for session in earlier {
-            session.writer.try_send(&last_word(DisconnectReasonCode::SessionTakenOver));
+            session
+                .writer
+                .try_send(&last_word(DisconnectReasonCode::SessionTakenOver));
             self.end(&session);
         }
         let wants = &connect.properties;
@@ -276,7 +309,9 @@
             out: RefCell::default(),
             next_pid: Cell::new(0),
             room: Semaphore::new(usize::from(wants.receive_max.unwrap_or(u16::MAX).max(1))),
-            most: wants.max_packet_size.map_or(usize::MAX, |most| most as usize),
+            most: wants
+                .max_packet_size
+                .map_or(usize::MAX, |most| most as usize),
             told_more: wants.request_problem_info != Some(false),
             ending: async_channel::bounded(1),
             seat,
@@ -286,12 +321,17 @@
         });
         session.settle();
         self.open.borrow_mut().insert(no, session.clone());
-        Open { sessions: self.clone(), session }
+        Open {
+            sessions: self.clone(),
+            session,
+        }
     }
 
     /// Tells a client that it has to go, for others who need its place more.
     pub fn make_room(&self, session: &Session) {
-        session.writer.try_send(&last_word(DisconnectReasonCode::QuotaExceeded));
+        session
+            .writer
+            .try_send(&last_word(DisconnectReasonCode::QuotaExceeded));
     }
 
     /// A client has subscribed: answers may wait for it.
@@ -302,7 +342,10 @@
     /// Tells all clients that this sender ends.
     pub fn farewell(&self) {
         let bytes = last_word(DisconnectReasonCode::ServerShuttingDown);
-        self.open.borrow().values().for_each(|s| s.writer.try_send(&bytes));
+        self.open
+            .borrow()
+            .values()
+            .for_each(|s| s.writer.try_send(&bytes));
     }
 
     fn end(&self, session: &Session) {
@@ -312,7 +355,9 @@
 
     fn subscriber(&self, topic: &str) -> Option<(Rc<Session>, QoS)> {
         let open = self.open.borrow();
-        open.values().rev().find_map(|s| Some((s.clone(), s.covers(topic)?)))
+        open.values()
+            .rev()
+            .find_map(|s| Some((s.clone(), s.covers(topic)?)))
     }
 
     async fn deliver(&self, to: &ReplyTo, publish: &Publish) {
@@ -343,7 +388,9 @@
     /// Those who would take it are owed something, or perhaps no more.
     fn settle(&self) {
         let open = self.open.borrow();
-        open.values().filter(|s| s.covers(&self.topic).is_some()).for_each(|s| s.settle());
+        open.values()
+            .filter(|s| s.covers(&self.topic).is_some())
+            .for_each(|s| s.settle());
     }
 }
 
@@ -364,9 +411,20 @@
 
 impl Front for Sessions {
     fn owes(&self, envelope: &Envelope) -> Option<Box<dyn Any>> {
-        let topic = postcard::from_bytes::<ReplyTo>(&envelope.reply_to).ok()?.topic;
-        let due = Due { topic, owed: self.owed.clone(), open: self.open.clone() };
-        let count = *self.owed.borrow_mut().entry(due.topic.clone()).and_modify(|n| *n += 1).or_insert(1);
+        let topic = postcard::from_bytes::<ReplyTo>(&envelope.reply_to)
+            .ok()?
+            .topic;
+        let due = Due {
+            topic,
+            owed: self.owed.clone(),
+            open: self.open.clone(),
+        };
+        let count = *self
+            .owed
+            .borrow_mut()
+            .entry(due.topic.clone())
+            .and_modify(|n| *n += 1)
+            .or_insert(1);
         if count == 1 {
             due.settle();
         }
@@ -376,10 +434,23 @@
     fn tell<'a>(&'a self, envelope: &'a Envelope, verdict: Verdict) -> Local<'a, ()> {
         async move {
             // Without a Response Topic nobody wants to know.
-            let Ok(to) = postcard::from_bytes::<ReplyTo>(&envelope.reply_to) else { return };
-            let Ok(publish) = final_answer(&envelope.id, &to, verdict) else { return };
-            if self.wheel.limit(self.keep_answers, self.deliver(&to, &publish)).await.is_none() {
-                log::warn!("{}: nobody took its final answer, {verdict:?}, at {}", envelope.id, to.topic);
+            let Ok(to) = postcard::from_bytes::<ReplyTo>(&envelope.reply_to) else {
+                return;
+            };
+            let Ok(publish) = final_answer(&envelope.id, &to, verdict) else {
+                return;
+            };
+            if self
+                .wheel
+                .limit(self.keep_answers, self.deliver(&to, &publish))
+                .await
+                .is_none()
+            {
+                log::warn!(
+                    "{}: nobody took its final answer, {verdict:?}, at {}",
+                    envelope.id,
+                    to.topic
+                );
             }
         }
         .boxed_local()
@@ -404,7 +475,10 @@
         ..PublishProperties::default()
     };
     let topic = TopicName::try_from(to.topic.as_str())?;
-    Ok(Publish { properties, ..Publish::new(QosPid::Level0, topic, status.as_bytes().to_vec().into()) })
+    Ok(Publish {
+        properties,
+        ..Publish::new(QosPid::Level0, topic, status.as_bytes().to_vec().into())
+    })
 }
 
 /// Whether a topic filter covers a topic.
--- a/src/net/platform/discovery.rs
+++ b/src/net/platform/discovery.rs
@@ -1,4 +1,5 @@
-//! Where discovery is. The one owner of that address, which the operators may change while the program runs.
+//! Where discovery is. The one owner of that address, which the operators may change while the
+//! program runs.
 
 use event_listener::Event;
 use futures_lite::{Future, FutureExt};
@@ -15,7 +16,10 @@
 impl Discovery {
     /// At an address, for now.
     pub fn new(address: SocketAddr) -> Rc<Self> {
-        Rc::new(Discovery { address: Cell::new(address), moved: Event::new() })
+        Rc::new(Discovery {
+            address: Cell::new(address),
+            moved: Event::new(),
+        })
     }
 
     /// Where it is now.
@@ -23,15 +27,16 @@
         self.address.get()
     }
 
-    /// It is somewhere else from now on: all work with it there ends at once, and begins again at the new address.
+    /// It is somewhere else from now on: all work with it there ends at once, and begins again at
+    /// the new address.
     pub fn move_to(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.moved.notify(usize::MAX);
         }
     }
 
-    /// Runs work with it; nothing, if it moves before that is done. Whatever the work was waiting for cannot delay the
-    /// move: the old address may never answer again.
+    /// Runs work with it; nothing, if it moves before that is done. Whatever the work was waiting
+    /// for cannot delay the move: the old address may never answer again.
     pub async fn while_there<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let listening = self.moved.listen();
         let moved = async {
--- a/src/net/platform/http.rs
+++ b/src/net/platform/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 as far as the platform speaks it: heads by httparse, bodies by length, by chunks or to the end.
+//! HTTP/1.1 as far as the platform speaks it: heads by httparse, bodies by length, by chunks or to
+//! the end.
 
 use crate::core::MAX_BODY;
 use crate::net::stream::Stream;
@@ -29,7 +30,8 @@
     /// Content-Length is no number, or two of them differ.
     #[error("Content-Length cannot be read")]
     Length,
-    /// Content-Length and Transfer-Encoding in one request: who reads on might go by the other one (RFC 9112, 6.3).
+    /// Content-Length and Transfer-Encoding in one request: who reads on might go by the other one
+    /// (RFC 9112, 6.3).
     #[error("Content-Length beside Transfer-Encoding")]
     TwoLengths,
     /// A request whose body has no length beforehand.
@@ -74,15 +76,23 @@
             let value = std::str::from_utf8(h.value).map_err(|_| Bad::HeaderNotText)?;
             Ok((h.name.to_ascii_lowercase(), value.trim().to_string()))
         };
-        lines.iter().map(read).collect::<Result<_, _>>().map(Headers)
+        lines
+            .iter()
+            .map(read)
+            .collect::<Result<_, _>>()
+            .map(Headers)
     }
 
     /// The first header of a name.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
+        self.0
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
     }
 
-    /// The header of a name that must not stand there twice: who reads on might go by the other one.
+    /// The header of a name that must not stand there twice: who reads on might go by the other
+    /// one.
     pub fn only(&self, name: &str) -> Result<Option<&str>, Bad> {
         match self.0.iter().filter(|(n, _)| n == name).count() {
             0 | 1 => Ok(self.get(name)),
@@ -96,8 +106,14 @@
     }
 
     fn length(&self) -> Result<Option<usize>, Bad> {
-        let mut lengths = self.0.iter().filter(|(n, _)| n == "content-length").map(|(_, v)| v);
-        let Some(first) = lengths.next() else { return Ok(None) };
+        let mut lengths = self
+            .0
+            .iter()
+            .filter(|(n, _)| n == "content-length")
+            .map(|(_, v)| v);
+        let Some(first) = lengths.next() else {
+            return Ok(None);
+        };
         let digits = !first.is_empty() && first.bytes().all(|b| b.is_ascii_digit());
         if !digits || lengths.any(|l| l != first) {
             return Err(Bad::Length);
@@ -157,7 +173,9 @@
 pub fn request(bytes: &[u8]) -> Result<Option<(Request, usize)>, Bad> {
     let mut lines = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut lines);
-    let Some(len) = whole(head.parse(bytes), bytes.len())? else { return Ok(None) };
+    let Some(len) = whole(head.parse(bytes), bytes.len())? else {
+        return Ok(None);
+    };
     let headers = Headers::read(head.headers)?;
     headers.only("host")?;
     let length = headers.length()?;
@@ -170,12 +188,24 @@
     }
     let old = head.version == Some(0);
     let keep_alive = !headers.says("connection", "close") && !old;
-    let (method, path) = (head.method.unwrap_or("").to_string(), head.path.unwrap_or("").to_string());
-    Ok(Some((Request { method, path, headers, length, keep_alive }, len)))
+    let (method, path) = (
+        head.method.unwrap_or("").to_string(),
+        head.path.unwrap_or("").to_string(),
+    );
+    Ok(Some((
+        Request {
+            method,
+            path,
+            headers,
+            length,
+            keep_alive,
+        },
+        len,
+    )))
 }
 
-/// The status that the first line of an answer says, whatever may follow it; nothing while that line is not whole, or
-/// where it says none.
+/// The status that the first line of an answer says, whatever may follow it; nothing while that
+/// line is not whole, or where it says none.
 pub fn status(bytes: &[u8]) -> Option<u16> {
     let line = &bytes[..bytes.iter().position(|b| *b == b'\n')?];
     match line.strip_prefix(b"HTTP/1.")? {
@@ -196,7 +226,9 @@
 pub fn response(bytes: &[u8]) -> Result<Option<(Response, usize)>, Bad> {
     let mut lines = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut lines);
-    let Some(len) = whole(head.parse(bytes), bytes.len())? else { return Ok(None) };
+    let Some(len) = whole(head.parse(bytes), bytes.len())? else {
+        return Ok(None);
+    };
     let headers = Headers::read(head.headers)?;
     let status = head.code.unwrap_or(0);
     let body = match headers.length()? {
@@ -207,7 +239,15 @@
     };
     let old = head.version == Some(0);
     let keep_alive = body != Body::ToEnd && !headers.says("connection", "close") && !old;
-    Ok(Some((Response { status, headers, body, keep_alive }, len)))
+    Ok(Some((
+        Response {
+            status,
+            headers,
+            body,
+            keep_alive,
+        },
+        len,
+    )))
 }
 
 fn whole(parsed: httparse::Result<usize>, read: usize) -> Result<Option<usize>, Bad> {
@@ -338,7 +378,11 @@
             return Err(Bad::BodyTooLong.into());
         }
         if !stream.fill().await? {
-            return if body == Body::ToEnd { Ok(got) } else { Err(io::ErrorKind::UnexpectedEof.into()) };
+            return if body == Body::ToEnd {
+                Ok(got)
+            } else {
+                Err(io::ErrorKind::UnexpectedEof.into())
+            };
         }
     }
 }
--- a/src/net/platform/ingress.rs
+++ b/src/net/platform/ingress.rs
@@ -121,7 +121,11 @@
     }
 
     /// Reads one request; nothing where the connection ended before one began.
-    async fn read(&self, stream: &mut Stream, seat: &Seat) -> Result<Option<(Request, Vec<u8>)>, Refusal> {
+    async fn read(
+        &self,
+        stream: &mut Stream,
+        seat: &Seat,
+    ) -> Result<Option<(Request, Vec<u8>)>, Refusal> {
         let whole = async {
             if stream.buf.is_empty() {
                 let more = async { stream.fill().await.unwrap_or(false) };
@@ -144,7 +148,10 @@
                     return Ok(None);
                 }
             };
-            let waits = request.headers.get("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
+            let waits = request
+                .headers
+                .get("expect")
+                .is_some_and(|e| e.eq_ignore_ascii_case("100-continue"));
             if waits && stream.buf.len() < len + request.length {
                 let _ = stream.send(b"HTTP/1.1 100 Continue\r\n\r\n").await;
             }
@@ -158,13 +165,25 @@
             seat.busy();
             Ok(Some((request, body)))
         };
-        self.house.wheel.limit(SLOW_REQUEST, whole).await.unwrap_or(Err(Refusal::Slow))
+        self.house
+            .wheel
+            .limit(SLOW_REQUEST, whole)
+            .await
+            .unwrap_or(Err(Refusal::Slow))
     }
 
-    /// The message that a request hands in, with the time left; nothing for a question whether this sender is up.
-    fn message(&self, request: &Request, body: Vec<u8>) -> Result<Option<(Envelope, Duration)>, Refusal> {
+    /// The message that a request hands in, with the time left; nothing for a question whether this
+    /// sender is up.
+    fn message(
+        &self,
+        request: &Request,
+        body: Vec<u8>,
+    ) -> Result<Option<(Envelope, Duration)>, Refusal> {
         let path = request.path.split('?').next().unwrap_or("");
-        let class = path.strip_prefix('/').and_then(|p| p.split('/').next()).unwrap_or("");
+        let class = path
+            .strip_prefix('/')
+            .and_then(|p| p.split('/').next())
+            .unwrap_or("");
         match request.method.as_str() {
             "GET" | "HEAD" if path == "/up" || path == "/alive" => return Ok(None),
             "POST" => {}
@@ -172,15 +191,25 @@
             _ => return Err(Refusal::NoPost),
         }
         let header = |name| request.headers.only(name);
-        let known = self.classes.iter().position(|c| c == class).ok_or(Refusal::UnknownClass)?;
+        let known = self
+            .classes
+            .iter()
+            .position(|c| c == class)
+            .ok_or(Refusal::UnknownClass)?;
         if header("x-lane")?.is_some_and(|lane| lane != class) {
             return Err(Refusal::OtherClass);
         }
         let class = known;
         // Whose message it is; without tenants in the settings nobody asks what the header says.
-        let tenant = if self.tenants.is_empty() { None } else { header("x-org")? };
+        let tenant = if self.tenants.is_empty() {
+            None
+        } else {
+            header("x-org")?
+        };
         let tenant = self.tenants.of(tenant)?;
-        let id = header("x-txn")?.filter(|id| is_word(id)).ok_or(Refusal::Id)?;
+        let id = header("x-txn")?
+            .filter(|id| is_word(id))
+            .ok_or(Refusal::Id)?;
         let left = header("x-remaining")?.and_then(remaining);
         let left = left.ok_or(Refusal::Remaining)?;
         let dest = header("x-addressing")?.and_then(destination);
@@ -190,8 +219,16 @@
             return Err(Refusal::Key);
         }
         let (id, class) = (id.to_string(), class as u16);
-        let envelope =
-            Envelope { front: self.front, id, key, class, dest, body, tenant, ..Envelope::default() };
+        let envelope = Envelope {
+            front: self.front,
+            id,
+            key,
+            class,
+            dest,
+            body,
+            tenant,
+            ..Envelope::default()
+        };
         if invocation::keyless(self.house.terms.current().class(class), &envelope) {
             return Err(Refusal::NoKey);
         }
@@ -201,7 +238,9 @@
 
 impl Serve for Ingress {
     async fn full(&self, socket: Async<TcpStream>, _: Why, wait: Duration) {
-        let Ok(mut stream) = Stream::new(socket) else { return };
+        let Ok(mut stream) = Stream::new(socket) else {
+            return;
+        };
         let _ = stream.send(&self.full_at_once(wait)).await;
         stream.part().await;
     }
@@ -219,13 +258,17 @@
     }
 
     async fn serve(self: Rc<Self>, socket: Async<TcpStream>, seat: Rc<Seat>) {
-        let Ok(mut stream) = Stream::new(socket) else { return };
+        let Ok(mut stream) = Stream::new(socket) else {
+            return;
+        };
         let client = seat.client();
         // Whether a message was taken on over it.
         let mut useful = false;
         loop {
             let read = self.read(&mut stream, &seat).await.and_then(|read| {
-                let Some((request, body)) = read else { return Ok(None) };
+                let Some((request, body)) = read else {
+                    return Ok(None);
+                };
                 let keep = request.keep_alive && !self.last_answers.get();
                 Ok(Some((self.message(&request, body)?, keep)))
             });
@@ -238,8 +281,9 @@
                     // Whoever else wants its seat need not wait for it to leave.
                     seat.begun();
                     let told = async {
-                        let _ =
-                            stream.send(head(refusal.status(), refusal.headers(), false).as_bytes()).await;
+                        let _ = stream
+                            .send(head(refusal.status(), refusal.headers(), false).as_bytes())
+                            .await;
                         stream.part().await;
                     };
                     self.house.wheel.limit(PARTING, told).await;
@@ -247,7 +291,12 @@
                 }
             };
             let (sender, back) = async_channel::bounded(1);
-            let answer = Answer { stream, keep, back: sender, wheel: self.house.wheel.clone() };
+            let answer = Answer {
+                stream,
+                keep,
+                back: sender,
+                wheel: self.house.wheel.clone(),
+            };
             match message {
                 Some((envelope, left)) => {
                     if envelope.tenant == NO_TENANT {
@@ -284,18 +333,25 @@
         None => (text.strip_suffix('u')?, 1),
     };
     let digits = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit());
-    let micros = number.parse::<u64>().ok().filter(|_| digits)?.checked_mul(micros)?;
+    let micros = number
+        .parse::<u64>()
+        .ok()
+        .filter(|_| digits)?
+        .checked_mul(micros)?;
     // Longer than a day is no time that a message is wanted for, and would overflow further on.
     (micros <= 86_400_000_000).then(|| Duration::from_micros(micros))
 }
 
 /// Reads the destination among the items of an address.
 pub fn destination(text: &str) -> Option<u16> {
-    let mut items = text.split([',', ';', ' ']).filter_map(|i| i.trim().split_once('='));
+    let mut items = text
+        .split([',', ';', ' '])
+        .filter_map(|i| i.trim().split_once('='));
     items.find(|(k, _)| *k == "dest")?.1.parse().ok()
 }
 
-/// The answer owed on a connection. Given, it hands the connection back, with its status; dropped, it closes it.
+/// The answer owed on a connection. Given, it hands the connection back, with its status; dropped,
+/// it closes it.
 struct Answer {
     stream: Stream,
     keep: bool,
@@ -306,7 +362,10 @@
 impl Answer {
     async fn give(mut self, status: u16, headers: &str) -> io::Result<()> {
         let head = head(status, headers, self.keep);
-        let sent = self.wheel.limit(STUCK, self.stream.send(head.as_bytes())).await;
+        let sent = self
+            .wheel
+            .limit(STUCK, self.stream.send(head.as_bytes()))
+            .await;
         sent.unwrap_or(Err(io::ErrorKind::TimedOut.into()))?;
         if self.keep {
             let _ = self.back.send((self.stream, status)).await;
@@ -338,7 +397,10 @@
 
 fn head(status: u16, headers: &str, keep: bool) -> String {
     let connection = if keep { "" } else { "Connection: close\r\n" };
-    format!("HTTP/1.1 {status} {}\r\nContent-Length: 0\r\n{headers}{connection}\r\n", reason(status))
+    format!(
+        "HTTP/1.1 {status} {}\r\nContent-Length: 0\r\n{headers}{connection}\r\n",
+        reason(status)
+    )
 }
 
 fn reason(status: u16) -> &'static str {
--- a/src/net/platform/list.rs
+++ b/src/net/platform/list.rs
@@ -44,7 +44,11 @@
         },
         rate: t.capacity_hint,
     });
-    Ok(News { rev: hosts.rev, whole: hosts.all, entries: entries.collect() })
+    Ok(News {
+        rev: hosts.rev,
+        whole: hosts.all,
+        entries: entries.collect(),
+    })
 }
 
 /// Longest object taken, in bytes.
@@ -70,7 +74,8 @@
     Object(Vec<u8>),
 }
 
-/// Finds the objects in the text of a watch, however it is cut into pieces. Each byte is looked at once.
+/// Finds the objects in the text of a watch, however it is cut into pieces. Each byte is looked at
+/// once.
 #[derive(Debug, Default)]
 pub struct Objects {
     /// The object that has begun.
@@ -84,7 +89,8 @@
 }
 
 impl Objects {
-    /// Takes from the front of `text` up to the end of what is said next; nothing, if that has not come whole.
+    /// Takes from the front of `text` up to the end of what is said next; nothing, if that has not
+    /// come whole.
     pub fn next(&mut self, text: &mut Vec<u8>) -> Result<Option<Said>, Spoilt> {
         let (mut said, mut taken) = (None, 0);
         while said.is_none() && taken < text.len() {
--- a/src/net/platform/notices.rs
+++ b/src/net/platform/notices.rs
@@ -35,7 +35,11 @@
 impl Notices {
     /// Nothing is sent until [`Notices::run`] runs.
     pub fn new(discovery: Rc<Discovery>, wheel: Rc<Wheel>) -> Rc<Self> {
-        Rc::new(Notices { queue: async_channel::unbounded(), discovery, wheel })
+        Rc::new(Notices {
+            queue: async_channel::unbounded(),
+            discovery,
+            wheel,
+        })
     }
 
     /// Notices that wait to be sent.
@@ -93,7 +97,9 @@
 
 impl Front for Notices {
     fn tell<'a>(&'a self, envelope: &'a Envelope, verdict: Verdict) -> Local<'a, ()> {
-        let Some(line) = line(&envelope.id, verdict) else { return async {}.boxed_local() };
+        let Some(line) = line(&envelope.id, verdict) else {
+            return async {}.boxed_local();
+        };
         let (heard, hears) = async_channel::bounded(1);
         async move {
             if self.queue.0.try_send(Notice { line, heard }).is_ok() {
@@ -110,7 +116,9 @@
         Verdict::Delivered => return None,
         Verdict::Undeliverable => json!({"id": id, "status": "undeliverable"}),
         Verdict::Deferred { again_ms: 0 } => json!({"id": id, "status": "deferred"}),
-        Verdict::Deferred { again_ms } => json!({"id": id, "status": "deferred", "again_ms": again_ms}),
+        Verdict::Deferred { again_ms } => {
+            json!({"id": id, "status": "deferred", "again_ms": again_ms})
+        }
     };
     Some(format!("{notice}\n"))
 }
--- a/src/net/platform/providers.rs
+++ b/src/net/platform/providers.rs
@@ -21,9 +21,21 @@
         Ok(None)
     }
 
-    fn request(&self, provider: &Provider, envelope: &Envelope, left: Duration) -> io::Result<Vec<u8>> {
-        let key = envelope.key.as_ref().map_or(String::new(), |k| format!("Idempotency-Key: {k}\r\n"));
-        let notes: String = envelope.notes.iter().map(|(n, v)| format!("X-Note-{n}: {v}\r\n")).collect();
+    fn request(
+        &self,
+        provider: &Provider,
+        envelope: &Envelope,
+        left: Duration,
+    ) -> io::Result<Vec<u8>> {
+        let key = envelope
+            .key
+            .as_ref()
+            .map_or(String::new(), |k| format!("Idempotency-Key: {k}\r\n"));
+        let notes: String = envelope
+            .notes
+            .iter()
+            .map(|(n, v)| format!("X-Note-{n}: {v}\r\n"))
+            .collect();
         let head = format!(
             "POST /hook HTTP/1.1\r\nHost: {}\r\nX-Txn: {}\r\n{key}{notes}X-Remaining: {}m\r\nContent-Length: {}\r\n\r\n",
             provider.entry.address,
@@ -60,18 +72,28 @@
             }
             http::read_body(stream, answer.body, MAX_BODY).await?;
         } else {
-            // Any other answer counts once it is whole: one that is cut short is spoilt, and its message may have run.
+            // Any other answer counts once it is whole: one that is cut short is spoilt, and its
+            // message may have run.
             http::read_body(stream, answer.body, MAX_BODY).await?;
             *known = Some(meaning);
         }
-        Ok(if answer.keep_alive { Read::Whole } else { Read::Last })
+        Ok(if answer.keep_alive {
+            Read::Whole
+        } else {
+            Read::Last
+        })
     }
 }
 
 /// What an answer means.
 fn report(answer: &Response, columns: &[String]) -> Report {
-    let told = answer.headers.get("x-ratelimit-wait-ms").and_then(|v| v.parse::<f64>().ok());
-    let wait = told.filter(|ms| (0.0..=86_400_000.0).contains(ms)).map_or(0, |ms| (ms * 1e6) as Time);
+    let told = answer
+        .headers
+        .get("x-ratelimit-wait-ms")
+        .and_then(|v| v.parse::<f64>().ok());
+    let wait = told
+        .filter(|ms| (0.0..=86_400_000.0).contains(ms))
+        .map_or(0, |ms| (ms * 1e6) as Time);
     let (outcome, over) = match answer.status {
         200 => (Outcome::Ok, true),
         410 => (Outcome::Moot, true),
@@ -80,7 +102,11 @@
         429 | 503 => (Outcome::Full { wait }, false),
         _ => (Outcome::Error, false),
     };
-    Report { outcome, over, load: load(answer.headers.get("x-pressure"), columns) }
+    Report {
+        outcome,
+        over,
+        load: load(answer.headers.get("x-pressure"), columns),
+    }
 }
 
 /// A load report by columns; nothing unless all are there.
@@ -89,9 +115,18 @@
         .unwrap_or("")
         .split(',')
         .filter_map(|i| i.trim().split_once('='))
-        .filter_map(|(k, v)| Some((k.trim(), v.trim().parse().ok().filter(|v: &f32| v.is_finite())?)))
+        .filter_map(|(k, v)| {
+            Some((
+                k.trim(),
+                v.trim().parse().ok().filter(|v: &f32| v.is_finite())?,
+            ))
+        })
         .collect();
-    columns.iter().map(|c| items.get(c.as_str()).copied()).collect::<Option<_>>().unwrap_or_default()
+    columns
+        .iter()
+        .map(|c| items.get(c.as_str()).copied())
+        .collect::<Option<_>>()
+        .unwrap_or_default()
 }
 
 #[cfg(test)]
@@ -102,7 +137,9 @@
 
     fn read(status: u16, headers: &str) -> Report {
         let text = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: 0\r\n\r\n");
-        let (answer, _) = http::response(text.as_bytes()).expect("valid").expect("whole");
+        let (answer, _) = http::response(text.as_bytes())
+            .expect("valid")
+            .expect("whole");
         report(&answer, &["x0".into(), "x1".into()])
     }
 
--- a/src/net/platform/watch.rs
+++ b/src/net/platform/watch.rs
@@ -76,7 +76,8 @@
         let began = Instant::now();
         let opened = self.wheel.limit(self.patience, self.open()).await;
         let (mut stream, body) = opened.ok_or(io::ErrorKind::TimedOut)??;
-        let (mut text, mut chunks, mut objects) = (Vec::new(), Chunks::default(), Objects::default());
+        let (mut text, mut chunks, mut objects) =
+            (Vec::new(), Chunks::default(), Objects::default());
         // Bytes alone are no word: what is said has to be whole by then.
         let (mut answered, mut due) = (false, began + self.patience);
         loop {
@@ -89,7 +90,8 @@
             };
             if self.take(&mut objects, &mut text, answered)? {
                 self.note_trust();
-                // Not at its head: whoever waits for a word would call by the old list until the new one is read.
+                // Not at its head: whoever waits for a word would call by the old list until the
+                // new one is read.
                 if !std::mem::replace(&mut answered, true) {
                     self.note(began.elapsed());
                 }
@@ -109,7 +111,8 @@
         }
     }
 
-    /// Takes in what has come whole; whether anything has. Empty lines that come together are one word.
+    /// Takes in what has come whole; whether anything has. Empty lines that come together are one
+    /// word.
     fn take(&self, objects: &mut Objects, text: &mut Vec<u8>, answered: bool) -> io::Result<bool> {
         let (mut any, mut no_change) = (false, false);
         while let Some(said) = objects.next(text).map_err(spoilt)? {
@@ -131,7 +134,9 @@
 
     /// Notes for the next process how long the list that it begins with may be trusted.
     fn note_trust(&self) {
-        let Some(trusted_for) = self.desk.list_trusted_for() else { return };
+        let Some(trusted_for) = self.desk.list_trusted_for() else {
+            return;
+        };
         let noted = earlier::trusted(&self.state, unix_ms(), trusted_for);
         let told_before = self.unnoted.replace(noted.is_err());
         if let Some(e) = noted.err().filter(|_| !told_before) {
@@ -143,7 +148,10 @@
     fn note(&self, took: Duration) {
         log::debug!("watch: answered after {took:?}");
         // What stood in a line is no measure of an ask.
-        let least = self.quickest.get().map_or(took, |quickest| quickest.min(took));
+        let least = self
+            .quickest
+            .get()
+            .map_or(took, |quickest| quickest.min(took));
         self.quickest.set(Some(least));
         let noted = earlier::asked(&self.state, unix_ms(), least);
         noted.unwrap_or_else(|e| log::warn!("state: ask not noted: {e}"));
@@ -152,7 +160,9 @@
     async fn open(&self) -> io::Result<(Stream, Body)> {
         let (address, since) = (self.discovery.address(), self.directory.rev().unwrap_or(0));
         let mut stream = Stream::connect(address).await?;
-        let ask = format!("GET /discovery/hosts?follow=1&since={since} HTTP/1.1\r\nHost: {address}\r\n\r\n");
+        let ask = format!(
+            "GET /discovery/hosts?follow=1&since={since} HTTP/1.1\r\nHost: {address}\r\n\r\n"
+        );
         stream.send(ask.as_bytes()).await?;
         let answer = http::read_response(&mut stream).await?;
         match answer.status {
@@ -183,7 +193,9 @@
             Err(_) if self.told.is_some_and(|at| at.elapsed() < TOLD_EVERY) => self.more += 1,
             Err(e) => {
                 let more = std::mem::take(&mut self.more);
-                log::error!("watch: an answer that cannot be read: {e} ({more} more since the last line)");
+                log::error!(
+                    "watch: an answer that cannot be read: {e} ({more} more since the last line)"
+                );
                 self.told = Some(Instant::now());
             }
         }
--- a/src/net/seats.rs
+++ b/src/net/seats.rs
@@ -1,9 +1,10 @@
-//! The connections that others may open to this process: each takes a place, and gives it back when it ends. Who gets
-//! one, and who has to go for it, is decided in [`crate::door::places`]; here it is done.
+//! The connections that others may open to this process: each takes a place, and gives it back when
+//! it ends. Who gets one, and who has to go for it, is decided in [`crate::door::places`]; here it
+//! is done.
 //!
-//! What finds no place waits a little in the lobby, and is then told that all is full. Who waits there without a request
-//! goes for the next that comes, so that one with a request is seen whatever number comes with none. One that is owed an
-//! answer never goes.
+//! What finds no place waits a little in the lobby, and is then told that all is full. Who waits
+//! there without a request goes for the next that comes, so that one with a request is seen
+//! whatever number comes with none. One that is owed an answer never goes.
 
 use crate::core::guests::{Client, Guests};
 use crate::core::wheel::Wheel;
@@ -29,28 +30,34 @@
 const LOOK: Duration = Duration::from_millis(10);
 /// What has waited in the lobby for so long is told that all is full.
 const LOBBY: Duration = Duration::from_millis(250);
-/// Connections that are told so at once, and how long each may take over it. Beyond them it is said without listening.
+/// Connections that are told so at once, and how long each may take over it. Beyond them it is said
+/// without listening.
 const FAREWELLS: (usize, Duration) = (8, Duration::from_millis(100));
 /// When those who find no place should come back, in the mean.
 const COME_BACK: Duration = Duration::from_millis(500);
-/// So much of what a connection brings is looked at before it has a place: a usual request or greeting.
+/// So much of what a connection brings is looked at before it has a place: a usual request or
+/// greeting.
 const LOOKED_AT: usize = 2048;
-/// Connections that wait to be accepted; more are turned away by the system, and come back only after a second.
+/// Connections that wait to be accepted; more are turned away by the system, and come back only
+/// after a second.
 const BACKLOG: i32 = 1024;
 
 /// What a port does with its connections.
 pub trait Serve {
-    /// Serves one connection to its end. Dropped before that, where its seat says that nothing is owed on it.
+    /// Serves one connection to its end. Dropped before that, where its seat says that nothing is
+    /// owed on it.
     fn serve(self: Rc<Self>, socket: Async<TcpStream>, seat: Rc<Seat>) -> impl Future<Output = ()>;
 
-    /// Tells a connection that there is no place for it, and when to come back. May be dropped at any time.
+    /// Tells a connection that there is no place for it, and when to come back. May be dropped at
+    /// any time.
     fn full(&self, socket: Async<TcpStream>, why: Why, wait: Duration) -> impl Future<Output = ()>;
 
     /// The same in one write, without listening; nothing, where the protocol has no such word.
     fn full_at_once(&self, wait: Duration) -> Vec<u8>;
 
-    /// What a connection brings, by its first bytes; they are not taken off it. Where a port does not tell a part from a
-    /// whole request, whatever has come counts as one: it must not be kept from the last places.
+    /// What a connection brings, by its first bytes; they are not taken off it. Where a port does
+    /// not tell a part from a whole request, whatever has come counts as one: it must not be kept
+    /// from the last places.
     fn brings(&self, first: &[u8]) -> Comes {
         if first.is_empty() {
             Comes::Silent
@@ -105,7 +112,10 @@
 
 impl Count {
     fn new(most: usize) -> Self {
-        Count { now: Rc::default(), most }
+        Count {
+            now: Rc::default(),
+            most,
+        }
     }
 
     fn one(&self) -> Option<Counted> {
@@ -135,7 +145,10 @@
 
 impl Seat {
     fn now(&self, what: Use) {
-        self.seats.places.borrow_mut().used(self.seats.start.elapsed(), self.no, what);
+        self.seats
+            .places
+            .borrow_mut()
+            .used(self.seats.start.elapsed(), self.no, what);
     }
 
     /// A request has begun to come.
@@ -158,14 +171,14 @@
         self.now(Use::Kept);
     }
 
-    /// Waits until this connection has to go. Where its protocol has a last word, this is the time for it; it ends as soon
-    /// as it next waits for anything.
+    /// Waits until this connection has to go. Where its protocol has a last word, this is the time
+    /// for it; it ends as soon as it next waits for anything.
     pub async fn gone(&self) {
         let _ = self.left.recv().await;
     }
 
-    /// Counts something that came over it, for the line that the log gets now and then. Only for words that are known beforehand: each
-    /// has its count for as long as the process lives.
+    /// Counts something that came over it, for the line that the log gets now and then. Only for
+    /// words that are known beforehand: each has its count for as long as the process lives.
     pub fn counts(&self, what: &str) {
         self.seats.count(what.into());
     }
@@ -174,7 +187,10 @@
     pub fn client(&self) -> Client {
         let address = self.seats.places.borrow().address(self.no);
         let name = address.map_or_else(|| "".into(), |a| a.to_string().into());
-        Client { name, known: self.is_known() }
+        Client {
+            name,
+            known: self.is_known(),
+        }
     }
 
     /// Whether it is one of the known clients.
@@ -232,7 +248,12 @@
         if let Err(e) = rustix::net::listen(&listener, BACKLOG) {
             log::warn!("listen: {e}");
         }
-        let hall = Rc::new(Hall { seats: self.clone(), port, wheel, executor });
+        let hall = Rc::new(Hall {
+            seats: self.clone(),
+            port,
+            wheel,
+            executor,
+        });
         let wheel = &hall.wheel;
         loop {
             while self.when_full == WhenFull::Queue && self.lobby.borrow().is_full() {
@@ -266,9 +287,21 @@
             wheel.sleep(every).await;
             let now = (self.told.borrow().clone(), guests.refused());
             if now != before {
-                let mut counts: Vec<String> = now.0.iter().map(|(what, n)| format!("{what} {n}")).collect();
-                counts.extend(now.1.iter().map(|(why, n)| format!("messages refused ({why}) {n}")));
-                log::info!("door: {}; {} places taken", counts.join(", "), self.places.borrow().len());
+                let mut counts: Vec<String> = now
+                    .0
+                    .iter()
+                    .map(|(what, n)| format!("{what} {n}"))
+                    .collect();
+                counts.extend(
+                    now.1
+                        .iter()
+                        .map(|(why, n)| format!("messages refused ({why}) {n}")),
+                );
+                log::info!(
+                    "door: {}; {} places taken",
+                    counts.join(", "),
+                    self.places.borrow().len()
+                );
                 before = now;
             }
         }
@@ -278,7 +311,8 @@
         *self.told.borrow_mut().entry(what).or_default() += 1;
     }
 
-    /// Counts one that is turned away, and spreads its time to come back over half to one and a half times its mean.
+    /// Counts one that is turned away, and spreads its time to come back over half to one and a
+    /// half times its mean.
     fn refused(&self, why: &str, wait: Duration) -> Duration {
         self.count(format!("refused ({why})"));
         wait.mul_f64(0.5 + self.rng.borrow_mut().f64())
@@ -286,22 +320,32 @@
 
     /// How one ranks in the lobby.
     fn rank(&self, from: IpAddr, comes: Comes) -> Rank {
-        Rank(comes == Comes::Known || self.places.borrow().knows(from), comes)
+        Rank(
+            comes == Comes::Known || self.places.borrow().knows(from),
+            comes,
+        )
     }
 
-    /// Takes a place for one that comes with this, or has one left for it. Where there is none, why, and when to come
-    /// back.
+    /// Takes a place for one that comes with this, or has one left for it. Where there is none,
+    /// why, and when to come back.
     fn seat(self: &Rc<Self>, from: IpAddr, comes: Comes) -> Result<Rc<Seat>, Why> {
         if self.lobby.borrow().is_ahead(self.rank(from, comes)) {
             return Err(Why::Places);
         }
-        let seating = self.places.borrow_mut().seat(self.start.elapsed(), from, comes);
+        let seating = self
+            .places
+            .borrow_mut()
+            .seat(self.start.elapsed(), from, comes);
         match seating {
             Seating::Seated(no) => {
                 self.count("admitted".into());
                 let (leave, left) = async_channel::bounded(1);
                 self.leave.borrow_mut().insert(no, leave);
-                Ok(Rc::new(Seat { seats: self.clone(), no, left }))
+                Ok(Rc::new(Seat {
+                    seats: self.clone(),
+                    no,
+                    left,
+                }))
             }
             Seating::After(no) => {
                 self.count("shed".into());
@@ -314,8 +358,8 @@
         }
     }
 
-    /// Accepts one with the descriptor that is held back, tells it that all is full, and holds that back again. False if
-    /// it could not.
+    /// Accepts one with the descriptor that is held back, tells it that all is full, and holds that
+    /// back again. False if it could not.
     fn without_descriptor<S: Serve>(&self, listener: &Async<TcpListener>, port: &S) -> bool {
         let given_up = self.held_back.borrow_mut().take().is_some();
         let accepted = listener.get_ref().accept();
@@ -366,7 +410,8 @@
     }
 }
 
-/// How one fares that asked for a place: it has it, or not, for a reason and with a time to come back.
+/// How one fares that asked for a place: it has it, or not, for a reason and with a time to come
+/// back.
 type Asked = Result<Rc<Seat>, (Why, Duration)>;
 
 impl<S: Serve + 'static> Hall<S> {
@@ -375,7 +420,10 @@
         // Listened for before anyone is told to leave, or that could have happened already.
         let freed = self.seats.freed.listen();
         match self.ask(from, comes) {
-            Ok(seat) => self.executor.spawn(hold(seat, self.port.clone(), socket)).detach(),
+            Ok(seat) => self
+                .executor
+                .spawn(hold(seat, self.port.clone(), socket))
+                .detach(),
             // A whole request has nothing more to say for itself.
             Err((why, wait)) if why != Why::Places && comes >= Comes::Whole => {
                 self.turn_away(socket, (why, wait));
@@ -405,7 +453,8 @@
         self.seats.seat(from, comes).map_err(|why| (why, COME_BACK))
     }
 
-    /// Has one wait in the lobby; where that is full, for the one there that brought least, if that is no more.
+    /// Has one wait in the lobby; where that is full, for the one there that brought least, if that
+    /// is no more.
     fn enter(
         &self,
         socket: Async<TcpStream>,
@@ -417,13 +466,25 @@
             let entered = seats.lobby.borrow_mut().enter(seats.start.elapsed(), rank);
             if let Some(no) = entered {
                 let (socket, (leave, left)) = (Rc::new(socket), async_channel::bounded(1));
-                seats.waiting.borrow_mut().insert(no, (socket.clone(), from, leave));
-                return Ok(Waiting { seats: seats.clone(), no, socket, left });
+                seats
+                    .waiting
+                    .borrow_mut()
+                    .insert(no, (socket.clone(), from, leave));
+                return Ok(Waiting {
+                    seats: seats.clone(),
+                    no,
+                    socket,
+                    left,
+                });
             }
             let mut lobby = seats.lobby.borrow_mut();
-            let Some(least) = lobby.least(rank) else { return Err(socket) };
+            let Some(least) = lobby.least(rank) else {
+                return Err(socket);
+            };
             let waiting = seats.waiting.borrow();
-            let Some((other, of, leave)) = waiting.get(&least) else { return Err(socket) };
+            let Some((other, of, leave)) = waiting.get(&least) else {
+                return Err(socket);
+            };
             match self.brings(other) {
                 // It may have a better reason to stay than was known.
                 more if more >= Comes::Whole && lobby.rank(least) < Some(seats.rank(*of, more)) => {
@@ -470,7 +531,11 @@
                 let _ = waiting.left.recv().await;
                 false
             };
-            let look = if too_often && comes == Comes::Silent { LOBBY } else { LOOK };
+            let look = if too_often && comes == Comes::Silent {
+                LOBBY
+            } else {
+                LOOK
+            };
             if self.wheel.limit(look, displaced.or(brings).or(place)).await == Some(false) {
                 let socket = waiting.leave();
                 return socket.into_iter().for_each(|s| self.tell(&s, why, wait));
@@ -479,7 +544,10 @@
             let more = self.brings(&waiting.socket);
             let asked = if more != comes {
                 comes = more;
-                seats.lobby.borrow_mut().brought(waiting.no, seats.rank(from, more));
+                seats
+                    .lobby
+                    .borrow_mut()
+                    .brought(waiting.no, seats.rank(from, more));
                 self.ask(from, comes)
             } else if too_often {
                 continue;
@@ -534,5 +602,8 @@
 
 /// Whether an error says that there is no descriptor.
 pub fn is_short(e: &io::Error) -> bool {
-    matches!(e.raw_os_error().map(Errno::from_raw_os_error), Some(Errno::MFILE | Errno::NFILE))
+    matches!(
+        e.raw_os_error().map(Errno::from_raw_os_error),
+        Some(Errno::MFILE | Errno::NFILE)
+    )
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -29,7 +29,10 @@
     pub fn new(socket: Async<TcpStream>) -> io::Result<Self> {
         // Each message is one write and waits for its answer: there is nothing to gather.
         socket.get_ref().set_nodelay(true)?;
-        Ok(Stream { socket: Rc::new(socket), buf: Vec::new() })
+        Ok(Stream {
+            socket: Rc::new(socket),
+            buf: Vec::new(),
+        })
     }
 
     /// Reads more; false at the end of what the other side sends.
@@ -45,10 +48,15 @@
         (&*self.socket).write_all(bytes).await
     }
 
-    /// A second hand on the connection, for writing while this one reads. What it writes goes whole; a write that is
-    /// stuck for `patience` ends the connection.
+    /// A second hand on the connection, for writing while this one reads. What it writes goes
+    /// whole; a write that is stuck for `patience` ends the connection.
     pub fn writer(&self, wheel: Rc<Wheel>, patience: Duration) -> Writer {
-        Writer { socket: self.socket.clone(), turn: Mutex::new(()), wheel, patience }
+        Writer {
+            socket: self.socket.clone(),
+            turn: Mutex::new(()),
+            wheel,
+            patience,
+        }
     }
 
     /// Writes a last word if the socket takes it at once; what does not go is not missed.
@@ -56,9 +64,9 @@
         let _ = self.socket.get_ref().write(bytes);
     }
 
-    /// Ends what this side sends and drops the rest as it comes, so that a last answer is read before the close: closed
-    /// on unread bytes, a connection is reset and the answer lost. Nothing of it is kept, and others have their turn
-    /// between any two reads, however fast it comes.
+    /// Ends what this side sends and drops the rest as it comes, so that a last answer is read
+    /// before the close: closed on unread bytes, a connection is reset and the answer lost. Nothing
+    /// of it is kept, and others have their turn between any two reads, however fast it comes.
     pub async fn part(self) {
         let _ = self.socket.get_ref().shutdown(Shutdown::Write);
         let (mut chunk, mut left) = (vec![0; 64 * 1024], LEFTOVERS);
@@ -71,7 +79,8 @@
         }
     }
 
-    /// Whether an idle connection can be used: still open, and with nothing on it that nobody asked for.
+    /// Whether an idle connection can be used: still open, and with nothing on it that nobody asked
+    /// for.
     pub fn is_quiet(&self) -> bool {
         let unread = self.socket.get_ref().peek(&mut [0]);
         self.buf.is_empty() && matches!(unread, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
@@ -91,11 +100,15 @@
     /// Writes all of it, after what was written before.
     pub async fn send(&self, bytes: &[u8]) -> io::Result<()> {
         let _turn = self.turn.lock().await;
-        let sent = self.wheel.limit(self.patience, (&*self.socket).write_all(bytes)).await;
-        sent.unwrap_or(Err(io::ErrorKind::TimedOut.into())).inspect_err(|_| {
-            // Part of it may have gone: whatever followed would be read as its rest.
-            let _ = self.socket.get_ref().shutdown(Shutdown::Both);
-        })
+        let sent = self
+            .wheel
+            .limit(self.patience, (&*self.socket).write_all(bytes))
+            .await;
+        sent.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
+            .inspect_err(|_| {
+                // Part of it may have gone: whatever followed would be read as its rest.
+                let _ = self.socket.get_ref().shutdown(Shutdown::Both);
+            })
     }
 
     /// Writes a last word if the socket takes it at once and nothing is half written.
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -16,7 +16,8 @@
 
 /// A keeper is waited for so long: a group without a leader has another one within 2 s.
 const ANSWER: Duration = Duration::from_secs(3);
-/// An order is tried at all keepers for so long: an election may lie between, and one may have to be found that hears.
+/// An order is tried at all keepers for so long: an election may lie between, and one may have to
+/// be found that hears.
 const PATIENCE: Duration = Duration::from_secs(8);
 /// Between two rounds over all keepers.
 const PAUSE: Duration = Duration::from_millis(200);
@@ -45,7 +46,8 @@
 
 #[derive(Subcommand)]
 enum What {
-    /// Tells who leads, which keepers vote, which senders hold a lease, and what is ordered of zones.
+    /// Tells who leads, which keepers vote, which senders hold a lease, and what is ordered of
+    /// zones.
     Status,
     /// Leaves a zone, returns to it, or lets evidence decide again. Ordered twice is ordered once.
     Zone {
@@ -53,7 +55,8 @@
         order: Order,
         /// The zone, as the directory names it.
         zone: String,
-        /// The word holds for so many seconds, then evidence decides again; without it, until another word.
+        /// The word holds for so many seconds, then evidence decides again; without it, until
+        /// another word.
         #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u64).range(0..=30 * 86_400))]
         for_s: u64,
     },
@@ -130,19 +133,32 @@
 }
 
 impl Orders {
-    /// Carries it out: 0 if it was done or stood so before, 1 if the keepers said no, 2 if none that leads could be asked.
+    /// Carries it out: 0 if it was done or stood so before, 1 if the keepers said no, 2 if none
+    /// that leads could be asked.
     pub fn run(self) -> Result<ExitCode, String> {
-        let site = Site(self.file.or_else(|| std::env::var_os("RAILDEAL_FLEET").map(PathBuf::from)));
+        let site = Site(
+            self.file
+                .or_else(|| std::env::var_os("RAILDEAL_FLEET").map(PathBuf::from)),
+        );
         let word = match self.what {
             What::Policy { what } => return what.run(&site, self.json),
             What::Table { what } => return what.run(&site, self.json),
             What::Site { what } => return what.run(&site, self.json),
             What::Status => FromPerson::Status,
-            What::Zone { order, zone, for_s } => FromPerson::Zone { zone, order: order.into(), for_s },
-            What::Keeper { change: Change::Add { keeper, at } } => {
-                FromPerson::Add { keeper, at: at.to_string() }
-            }
-            What::Keeper { change: Change::Remove { keeper } } => FromPerson::Remove { keeper },
+            What::Zone { order, zone, for_s } => FromPerson::Zone {
+                zone,
+                order: order.into(),
+                for_s,
+            },
+            What::Keeper {
+                change: Change::Add { keeper, at },
+            } => FromPerson::Add {
+                keeper,
+                at: at.to_string(),
+            },
+            What::Keeper {
+                change: Change::Remove { keeper },
+            } => FromPerson::Remove { keeper },
         };
         site.order(&word, self.json)
     }
@@ -198,7 +214,8 @@
     Err(NotDone::Unheard(last))
 }
 
-/// What the one that leads says, or the first where none does, with the trouble that each of them has.
+/// What the one that leads says, or the first where none does, with the trouble that each of them
+/// has.
 fn joined(mut told: Vec<Status>) -> Option<Status> {
     // The sort is stable.
     told.sort_by_key(|s| s.leader != s.keeper);
@@ -206,10 +223,14 @@
     let mut first = told.next()?;
     let each = |s: &Status| {
         let by = s.keeper;
-        let named = |(keeper, why): &(u64, String)| (*keeper, format!("{why}, as keeper {by} says"));
+        let named =
+            |(keeper, why): &(u64, String)| (*keeper, format!("{why}, as keeper {by} says"));
         s.trouble.iter().map(named).collect::<Vec<_>>()
     };
-    first.trouble = each(&first).into_iter().chain(told.flat_map(|s| each(&s))).collect();
+    first.trouble = each(&first)
+        .into_iter()
+        .chain(told.flat_map(|s| each(&s)))
+        .collect();
     first.trouble.sort();
     Some(first)
 }
@@ -218,7 +239,11 @@
     let mut stream = TcpStream::connect_timeout(&at, ANSWER)?;
     stream.set_read_timeout(Some(ANSWER))?;
     stream.set_write_timeout(Some(ANSWER))?;
-    let hello = Hello { version: VERSION, site: site.into(), who: Who::Person };
+    let hello = Hello {
+        version: VERSION,
+        site: site.into(),
+        who: Who::Person,
+    };
     frames::write_blocking(&mut stream, &hello, MOST)?;
     frames::write_blocking(&mut stream, word, MOST)?;
     frames::read_blocking(&mut stream, MOST)
@@ -226,9 +251,17 @@
 
 fn tell(answer: &ToPerson, json: bool) -> io::Result<ExitCode> {
     let refused = matches!(answer, ToPerson::Refused(_));
-    let text = if json { as_json(answer)? } else { as_text(answer) };
+    let text = if json {
+        as_json(answer)?
+    } else {
+        as_text(answer)
+    };
     io::Write::write_all(&mut io::stdout(), text.as_bytes())?;
-    Ok(if refused { ExitCode::from(REFUSED) } else { ExitCode::SUCCESS })
+    Ok(if refused {
+        ExitCode::from(REFUSED)
+    } else {
+        ExitCode::SUCCESS
+    })
 }
 
 fn as_json(answer: &ToPerson) -> io::Result<String> {
@@ -239,7 +272,9 @@
         ToPerson::Status(status) => serde_json::to_value(status)?,
         ToPerson::Policies(status) => policy::status_json(status),
         ToPerson::PastPolicies(past) => past.iter().map(policy::past_json).collect(),
-        ToPerson::Policy { number, text, .. } => serde_json::json!({"policy": number, "text": text}),
+        ToPerson::Policy { number, text, .. } => {
+            serde_json::json!({"policy": number, "text": text})
+        }
         ToPerson::Federation(status) => table::status_json(status),
         ToPerson::PastTables(past) => past.iter().map(table::past_json).collect(),
         ToPerson::Table { number, text, .. } => serde_json::json!({"table": number, "text": text}),
@@ -270,13 +305,27 @@
         n => format!("keeper {n} leads"),
     };
     let mut lines = vec![
-        format!("site {}: {leads} in term {}, version {} of the record", s.site, s.term, s.version),
+        format!(
+            "site {}: {leads} in term {}, version {} of the record",
+            s.site, s.term, s.version
+        ),
         format!("keepers that vote: {}", keepers.join(" ")),
-        format!("senders: {} with a lease, {behind} of them behind the record", s.senders.len()),
+        format!(
+            "senders: {} with a lease, {behind} of them behind the record",
+            s.senders.len()
+        ),
     ];
-    lines.extend(s.trouble.iter().map(|(keeper, why)| format!("keeper {keeper}: {why}")));
+    lines.extend(
+        s.trouble
+            .iter()
+            .map(|(keeper, why)| format!("keeper {keeper}: {why}")),
+    );
     lines.extend(s.lapsed.iter().map(|sender| format!("lapsed: {sender}")));
-    lines.extend(s.zones.iter().map(|(zone, ordered, why)| format!("zone {zone}: {ordered} ({why})")));
+    lines.extend(
+        s.zones
+            .iter()
+            .map(|(zone, ordered, why)| format!("zone {zone}: {ordered} ({why})")),
+    );
     lines
 }
 
@@ -296,9 +345,13 @@
         assert_eq!(joined(Vec::new()), None);
         let told = joined(vec![of(1, 2, 3, "not reached"), of(2, 2, 4, "no record")]).expect("two");
         assert_eq!((told.keeper, told.senders[0].1), (2, 2));
-        let said = [(3, "not reached, as keeper 1 says".into()), (4, "no record, as keeper 2 says".into())];
+        let said = [
+            (3, "not reached, as keeper 1 says".into()),
+            (4, "no record, as keeper 2 says".into()),
+        ];
         assert_eq!(told.trouble, said);
-        let alone = joined(vec![of(1, 0, 2, "not met yet"), of(3, 0, 2, "not met yet")]).expect("two");
+        let alone =
+            joined(vec![of(1, 0, 2, "not met yet"), of(3, 0, 2, "not met yet")]).expect("two");
         assert_eq!((alone.keeper, alone.trouble.len()), (1, 2));
         assert!(as_text(&ToPerson::Status(Box::new(alone))).contains("no keeper leads in term 0"));
     }
@@ -328,8 +381,16 @@
             assert!(text.contains(line), "{line}: {text}");
         }
         let json = as_json(&ToPerson::Status(Box::new(status))).expect("json");
-        assert!(json.contains("\"leader\":2") && json.ends_with('\n'), "{json}");
-        assert_eq!(as_text(&ToPerson::Refused("no such zone".into())), "refused: no such zone\n");
-        assert!(as_json(&ToPerson::Done(9)).expect("json").contains("\"done\":true"));
+        assert!(
+            json.contains("\"leader\":2") && json.ends_with('\n'),
+            "{json}"
+        );
+        assert_eq!(
+            as_text(&ToPerson::Refused("no such zone".into())),
+            "refused: no such zone\n"
+        );
+        assert!(as_json(&ToPerson::Done(9))
+            .expect("json")
+            .contains("\"done\":true"));
     }
 }
--- a/src/orders/policy.rs
+++ b/src/orders/policy.rs
@@ -12,7 +12,8 @@
 
 #[derive(Subcommand)]
 pub enum Policy {
-    /// Rolls a policy out, stage by stage; ends when the record has it. The same ordered twice while it runs is ordered once.
+    /// Rolls a policy out, stage by stage; ends when the record has it. The same ordered twice
+    /// while it runs is ordered once.
     Propose {
         /// The policy.
         #[arg(id = "policy", value_name = "FILE")]
@@ -64,12 +65,18 @@
         let word = match self {
             Policy::Propose { file, plan } => {
                 let (text, plan_text) = (read(&file)?, read(&plan)?);
-                let faults =
-                    [told(&file, Document::parse(&text)), told(&plan, Plan::parse(&plan_text))].concat();
+                let faults = [
+                    told(&file, Document::parse(&text)),
+                    told(&plan, Plan::parse(&plan_text)),
+                ]
+                .concat();
                 if !faults.is_empty() {
                     return refuse(&faults, json);
                 }
-                FromPerson::Propose { text, plan: plan_text }
+                FromPerson::Propose {
+                    text,
+                    plan: plan_text,
+                }
             }
             Policy::Check { file, plan } => return check(&file, plan.as_deref(), json),
             #[cfg(feature = "tools")]
@@ -80,7 +87,9 @@
             }
             Policy::Status => FromPerson::Policies,
             Policy::History => FromPerson::PastPolicies,
-            Policy::Halt { why } => FromPerson::Halt { why: why.unwrap_or_default() },
+            Policy::Halt { why } => FromPerson::Halt {
+                why: why.unwrap_or_default(),
+            },
             Policy::Resume => FromPerson::Resume,
             Policy::Back => FromPerson::Back,
         };
@@ -94,18 +103,25 @@
 
 pub(super) fn told<T>(file: &Path, read: Result<T, Vec<Fault>>) -> Vec<String> {
     let faults = read.err().unwrap_or_default();
-    faults.iter().map(|fault| format!("{}: {fault}", file.display())).collect()
+    faults
+        .iter()
+        .map(|fault| format!("{}: {fault}", file.display()))
+        .collect()
 }
 
 pub(super) fn print(text: &str) -> Result<ExitCode, String> {
-    std::io::Write::write_all(&mut std::io::stdout(), text.as_bytes()).map_err(|e| e.to_string())?;
+    std::io::Write::write_all(&mut std::io::stdout(), text.as_bytes())
+        .map_err(|e| e.to_string())?;
     Ok(ExitCode::SUCCESS)
 }
 
 pub(super) fn refuse(faults: &[String], json: bool) -> Result<ExitCode, String> {
     let text = match json {
         true => format!("{}\n", json!({"done": false, "why": faults.join("\n")})),
-        false => faults.iter().map(|fault| format!("refused: {fault}\n")).collect(),
+        false => faults
+            .iter()
+            .map(|fault| format!("refused: {fault}\n"))
+            .collect(),
     };
     print(&text)?;
     Ok(ExitCode::from(REFUSED))
@@ -113,7 +129,10 @@
 
 fn check(file: &Path, plan: Option<&Path>, json: bool) -> Result<ExitCode, String> {
     let document = Document::parse(&read(file)?);
-    let shown = document.as_ref().map(|d| HEXLOWER.encode(&d.print())).unwrap_or_default();
+    let shown = document
+        .as_ref()
+        .map(|d| HEXLOWER.encode(&d.print()))
+        .unwrap_or_default();
     let mut faults = told(file, document);
     if let Some(plan) = plan {
         faults.extend(told(plan, Plan::parse(&read(plan)?)));
@@ -128,7 +147,11 @@
 #[cfg(feature = "tools")]
 fn schema(plan: bool) -> Result<ExitCode, String> {
     use raildeal::keeper::policy::{document, plan as plans};
-    let schema = if plan { plans::schema() } else { document::schema() };
+    let schema = if plan {
+        plans::schema()
+    } else {
+        document::schema()
+    };
     print(&(serde_json::to_string_pretty(&schema).map_err(|e| e.to_string())? + "\n"))
 }
 
@@ -142,11 +165,17 @@
 fn named(site: &Site, name: &str) -> Result<Document, Unknown> {
     match name.parse::<u64>() {
         Ok(0) => Ok(Document::default()),
-        Ok(number) => match site.ask(&FromPerson::Policy { number }).map_err(Unknown::NotDone)? {
+        Ok(number) => match site
+            .ask(&FromPerson::Policy { number })
+            .map_err(Unknown::NotDone)?
+        {
             ToPerson::Policy { text, .. } => parsed(name, Document::parse(&text)),
             other => Err(answered(other)),
         },
-        Err(_) => parsed(name, Document::parse(&read(Path::new(name)).map_err(Unknown::Refused)?)),
+        Err(_) => parsed(
+            name,
+            Document::parse(&read(Path::new(name)).map_err(Unknown::Refused)?),
+        ),
     }
 }
 
@@ -167,7 +196,10 @@
 }
 
 /// Tells what is another, or why that is not known.
-pub(super) fn compared(changes: Result<Vec<Difference>, Unknown>, json: bool) -> Result<ExitCode, String> {
+pub(super) fn compared(
+    changes: Result<Vec<Difference>, Unknown>,
+    json: bool,
+) -> Result<ExitCode, String> {
     match changes {
         Ok(changes) => print(&diff(&changes, json)),
         Err(Unknown::Refused(why)) => refuse(&[why], json),
@@ -177,16 +209,21 @@
 
 fn diff(changes: &[Difference], json: bool) -> String {
     if json {
-        let read =
-            |told: &Option<String>| told.as_deref().and_then(|t| serde_json::from_str::<Value>(t).ok());
+        let read = |told: &Option<String>| {
+            told.as_deref()
+                .and_then(|t| serde_json::from_str::<Value>(t).ok())
+        };
         let lines: Vec<Value> = changes
             .iter()
-            .map(|(setting, was, is)| json!({"setting": setting, "from": read(was), "to": read(is)}))
+            .map(
+                |(setting, was, is)| json!({"setting": setting, "from": read(was), "to": read(is)}),
+            )
             .collect();
         return format!("{}\n", Value::from(lines));
     }
     let shown = |told: &Option<String>| told.clone().unwrap_or_else(|| "not said".into());
-    let line = |(setting, was, is): &Difference| format!("{setting}: {} -> {}\n", shown(was), shown(is));
+    let line =
+        |(setting, was, is): &Difference| format!("{setting}: {} -> {}\n", shown(was), shown(is));
     match changes.is_empty() {
         true => "they mean the same\n".into(),
         false => changes.iter().map(line).collect(),
@@ -198,10 +235,9 @@
 }
 
 pub fn status_json(status: &PolicyStatus) -> Value {
-    let zones = status
-        .zones
-        .iter()
-        .map(|z| json!({"zone": z.zone, "policy": z.number, "paused": z.paused, "senders": z.senders}));
+    let zones = status.zones.iter().map(
+        |z| json!({"zone": z.zone, "policy": z.number, "paused": z.paused, "senders": z.senders}),
+    );
     let rollout = status.rollout.as_ref().map(|r| {
         let stages = r.stages.iter().map(|(zones, senders)| json!({"zones": zones, "senders": senders}));
         let refused = r.refused.iter().map(|(sender, why)| json!({"sender": sender, "why": why}));
@@ -226,7 +262,11 @@
 
 fn some(names: &[String]) -> String {
     let more = names.len().saturating_sub(NAMES);
-    let rest = if more > 0 { format!(" and {more} more") } else { String::new() };
+    let rest = if more > 0 {
+        format!(" and {more} more")
+    } else {
+        String::new()
+    };
     format!("{}{rest}", names[..names.len().min(NAMES)].join(" "))
 }
 
@@ -242,15 +282,31 @@
     let mut lines = Vec::new();
     for z in &status.zones {
         let paused = if z.paused { ", paused" } else { "" };
-        lines.push(format!("zone {}: {}{paused} ({} senders)", z.zone, of(z.number), z.senders));
+        lines.push(format!(
+            "zone {}: {}{paused} ({} senders)",
+            z.zone,
+            of(z.number),
+            z.senders
+        ));
     }
     match &status.rollout {
         Some(r) => {
-            let back =
-                if r.back_of != 0 { format!(", back from policy {}", r.back_of) } else { String::new() };
-            let (zones, senders) = r.stages.get(r.stage as usize - 1).cloned().unwrap_or_default();
+            let back = if r.back_of != 0 {
+                format!(", back from policy {}", r.back_of)
+            } else {
+                String::new()
+            };
+            let (zones, senders) = r
+                .stages
+                .get(r.stage as usize - 1)
+                .cloned()
+                .unwrap_or_default();
             let all: u32 = r.stages.iter().map(|s| s.1).sum();
-            lines.push(format!("rollout of policy {}{back}: print {}", r.number, hex(&r.print)));
+            lines.push(format!(
+                "rollout of policy {}{back}: print {}",
+                r.number,
+                hex(&r.print)
+            ));
             lines.push(format!(
                 "stage {} of {}: zones {}, {senders} of {all} senders: {}",
                 r.stage,
@@ -259,9 +315,18 @@
                 r.step
             ));
             lines.extend(r.halted.iter().map(|why| format!("halted: {why}")));
-            lines.extend(Some(&r.seen).filter(|s| !s.is_empty()).map(|seen| format!("seen: {seen}")));
+            lines.extend(
+                Some(&r.seen)
+                    .filter(|s| !s.is_empty())
+                    .map(|seen| format!("seen: {seen}")),
+            );
             if !r.waits.is_empty() {
-                lines.push(format!("waits for {} {}: {}", r.waits.len(), r.waits_what, some(&r.waits)));
+                lines.push(format!(
+                    "waits for {} {}: {}",
+                    r.waits.len(),
+                    r.waits_what,
+                    some(&r.waits)
+                ));
             }
             for (sender, why) in &r.refused {
                 lines.extend(why.lines().map(|why| format!("refused by {sender}: {why}")));
@@ -269,13 +334,26 @@
         }
         None => lines.push("no rollout runs".into()),
     }
-    lines.extend(status.done.iter().map(|p| format!("last: {}", past_line(p))));
+    lines.extend(
+        status
+            .done
+            .iter()
+            .map(|p| format!("last: {}", past_line(p))),
+    );
     lines
 }
 
 pub fn past_line(p: &PolicyPast) -> String {
-    let back = if p.back_of != 0 { format!(", back from policy {}", p.back_of) } else { String::new() };
-    let halts = if p.halts > 0 { format!(", halted {} times", p.halts) } else { String::new() };
+    let back = if p.back_of != 0 {
+        format!(", back from policy {}", p.back_of)
+    } else {
+        String::new()
+    };
+    let halts = if p.halts > 0 {
+        format!(", halted {} times", p.halts)
+    } else {
+        String::new()
+    };
     let (number, s) = (p.number, p.took_ms / 1_000);
     format!(
         "policy {number}{back}: {} (in force in {} of {} stages, {s} s{halts})",
@@ -298,11 +376,24 @@
             halted: Some("stage 1 is worse".into()),
             waits_what: "to go by it".into(),
             waits: (0..30).map(|n| format!("n{n}")).collect(),
-            refused: vec![("n7".into(), "line 3: class.odd: no such class\nline 4: x".into())],
+            refused: vec![(
+                "n7".into(),
+                "line 3: class.odd: no such class\nline 4: x".into(),
+            )],
             ..PolicyRollout::default()
         };
-        let zones = vec![PolicyZone { zone: "a".into(), number: 3, paused: true, senders: 4 }];
-        let status = PolicyStatus { turn: 9, zones, rollout: Some(rollout), done: None };
+        let zones = vec![PolicyZone {
+            zone: "a".into(),
+            number: 3,
+            paused: true,
+            senders: 4,
+        }];
+        let status = PolicyStatus {
+            turn: 9,
+            zones,
+            rollout: Some(rollout),
+            done: None,
+        };
         let text = status_lines(&status).join("\n");
         for line in [
             "zone a: policy 3, paused (4 senders)",
@@ -320,9 +411,17 @@
     #[test]
     fn a_difference_is_told_by_setting() {
         let read = |text: &str| Document::parse(text).expect("good");
-        let (a, b) = (read("limits.slots = 3"), read("limits.slots = 4\nhook = ''"));
-        assert_eq!(diff(&a.diff(&b), false), "hook: not said -> \"\"\nlimits.slots: 3 -> 4\n");
+        let (a, b) = (
+            read("limits.slots = 3"),
+            read("limits.slots = 4\nhook = ''"),
+        );
+        assert_eq!(
+            diff(&a.diff(&b), false),
+            "hook: not said -> \"\"\nlimits.slots: 3 -> 4\n"
+        );
         assert_eq!(diff(&a.diff(&a), false), "they mean the same\n");
-        assert!(diff(&a.diff(&b), true).contains("{\"from\":3,\"setting\":\"limits.slots\",\"to\":4}"));
+        assert!(
+            diff(&a.diff(&b), true).contains("{\"from\":3,\"setting\":\"limits.slots\",\"to\":4}")
+        );
     }
 }
--- a/src/orders/table.rs
+++ b/src/orders/table.rs
@@ -1,4 +1,5 @@
-//! `raildeal fleet table` and `raildeal fleet site`: the routing table that all sites agree on, and who is counted in.
+//! `raildeal fleet table` and `raildeal fleet site`: the routing table that all sites agree on, and
+//! who is counted in.
 
 use super::policy::{answered, compared, parsed, print, read, refuse, told, Unknown};
 use super::{Site, NAMES};
@@ -7,14 +8,17 @@
 #[cfg(feature = "tools")]
 use raildeal::keeper::table::document::schema;
 use raildeal::keeper::table::document::Document;
-use raildeal::keeper::wire::{FederationStatus, FromPerson, Print, TableOrder, TablePast, ToPerson};
+use raildeal::keeper::wire::{
+    FederationStatus, FromPerson, Print, TableOrder, TablePast, ToPerson,
+};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
 pub enum Table {
-    /// Proposes a table to all sites; ends when the federation's record has the proposal. It is decided when all have accepted it.
+    /// Proposes a table to all sites; ends when the federation's record has the proposal. It is
+    /// decided when all have accepted it.
     Propose {
         /// The table.
         #[arg(id = "table", value_name = "FILE")]
@@ -23,7 +27,8 @@
         #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u32).range(1..=86_400))]
         within_s: u32,
     },
-    /// Tells which table is in force, which sites go by it, how the proposal stands, and who is waited for here.
+    /// Tells which table is in force, which sites go by it, how the proposal stands, and who is
+    /// waited for here.
     Status,
     /// Ends the proposal nowhere.
     Abort {
@@ -34,12 +39,14 @@
     History,
     /// Tells what is another in the second table.
     Diff {
-        /// A file, or the number of a table that is in force, was before, or is proposed; 0 for the list alone.
+        /// A file, or the number of a table that is in force, was before, or is proposed; 0 for the
+        /// list alone.
         from: String,
         /// The same.
         to: String,
     },
-    /// Checks a table without asking any keeper: all faults by line. What a sender lacks for it, only that sender knows.
+    /// Checks a table without asking any keeper: all faults by line. What a sender lacks for it,
+    /// only that sender knows.
     Check {
         /// The table.
         #[arg(id = "table", value_name = "FILE")]
@@ -52,7 +59,8 @@
 
 #[derive(Subcommand)]
 pub enum Sites {
-    /// Takes a site off the roster, once it can take nothing on any more; a proposal that runs ends.
+    /// Takes a site off the roster, once it can take nothing on any more; a proposal that runs
+    /// ends.
     Off {
         /// Its name.
         site: String,
@@ -81,7 +89,9 @@
                 TableOrder::Propose { text, within_s }
             }
             Table::Status => TableOrder::Status,
-            Table::Abort { why } => TableOrder::Abort { why: why.unwrap_or_default() },
+            Table::Abort { why } => TableOrder::Abort {
+                why: why.unwrap_or_default(),
+            },
             Table::History => TableOrder::History,
             Table::Check { file } => return check(&file, json),
             Table::Diff { from, to } => {
@@ -102,9 +112,11 @@
     pub fn run(self, site: &Site, json: bool) -> Result<ExitCode, String> {
         let order = match self {
             Sites::Off { site } => TableOrder::Off { site },
-            Sites::Join { site, number, at } => {
-                TableOrder::Join { site, number, at: at.iter().map(ToString::to_string).collect() }
-            }
+            Sites::Join { site, number, at } => TableOrder::Join {
+                site,
+                number,
+                at: at.iter().map(ToString::to_string).collect(),
+            },
         };
         site.order(&FromPerson::Table(order), json)
     }
@@ -112,7 +124,10 @@
 
 fn check(file: &Path, json: bool) -> Result<ExitCode, String> {
     let document = Document::parse(&read(file)?);
-    let shown = document.as_ref().map(|d| hex(&d.print())).unwrap_or_default();
+    let shown = document
+        .as_ref()
+        .map(|d| hex(&d.print()))
+        .unwrap_or_default();
     let faults = told(file, document);
     match faults.is_empty() {
         true if json => print(&format!("{}\n", json!({"done": true, "print": shown}))),
@@ -132,7 +147,10 @@
                 other => Err(answered(other)),
             }
         }
-        Err(_) => parsed(name, Document::parse(&read(Path::new(name)).map_err(Unknown::Refused)?)),
+        Err(_) => parsed(
+            name,
+            Document::parse(&read(Path::new(name)).map_err(Unknown::Refused)?),
+        ),
     }
 }
 
@@ -160,7 +178,10 @@
             "table": p.number, "print": hex(&p.print), "by": p.by, "left_ms": p.left_ms, "waits_for": p.waits,
         })
     });
-    let refused = s.refused.iter().map(|(sender, why)| json!({"sender": sender, "why": why}));
+    let refused = s
+        .refused
+        .iter()
+        .map(|(sender, why)| json!({"sender": sender, "why": why}));
     json!({
         "federation": s.federation, "site": s.site, "leader": s.leader, "lease_ms": s.lease_ms, "holds": s.holds,
         "table": s.table.0, "print": hex(&s.table.1), "sites": sites.collect::<Vec<_>>(), "proposal": proposal,
@@ -184,7 +205,11 @@
         format!("in force: {}, print {}", of(s.table.0), hex(&s.table.1)),
     ];
     for site in &s.sites {
-        let accepted = if site.accepted { ", has accepted the proposal" } else { "" };
+        let accepted = if site.accepted {
+            ", has accepted the proposal"
+        } else {
+            ""
+        };
         let heard = if site.heard { "" } else { ", not heard" };
         lines.push(format!(
             "site {} (number {}): goes by {}{accepted}{heard}",
@@ -207,8 +232,17 @@
     if !s.here.1.is_empty() {
         let names = &s.here.1[..s.here.1.len().min(NAMES)];
         let more = s.here.1.len() - names.len();
-        let rest = if more > 0 { format!(" and {more} more") } else { String::new() };
-        lines.push(format!("waits here for {} {}: {}{rest}", s.here.1.len(), s.here.0, names.join(" ")));
+        let rest = if more > 0 {
+            format!(" and {more} more")
+        } else {
+            String::new()
+        };
+        lines.push(format!(
+            "waits here for {} {}: {}{rest}",
+            s.here.1.len(),
+            s.here.0,
+            names.join(" ")
+        ));
     }
     for (sender, why) in &s.refused {
         lines.extend(why.lines().map(|why| format!("refused by {sender}: {why}")));
@@ -221,7 +255,10 @@
 }
 
 pub fn past_line(p: &TablePast) -> String {
-    format!("table {} by {}: {} after {} ms", p.number, p.by, p.end, p.took_ms)
+    format!(
+        "table {} by {}: {} after {} ms",
+        p.number, p.by, p.end, p.took_ms
+    )
 }
 
 #[cfg(test)]
@@ -231,8 +268,20 @@
 
     #[test]
     fn a_status_names_sites_and_senders_that_are_waited_for() {
-        let north = SiteStatus { site: "north".into(), number: 1, uses: 3, accepted: true, heard: true };
-        let south = SiteStatus { site: "south".into(), number: 2, uses: 2, accepted: false, heard: false };
+        let north = SiteStatus {
+            site: "north".into(),
+            number: 1,
+            uses: 3,
+            accepted: true,
+            heard: true,
+        };
+        let south = SiteStatus {
+            site: "south".into(),
+            number: 2,
+            uses: 2,
+            accepted: false,
+            heard: false,
+        };
         let proposal = ProposalStatus {
             number: 4,
             by: "north".into(),
@@ -248,7 +297,10 @@
             table: (3, [1; 32]),
             sites: vec![north, south],
             proposal: Some(proposal),
-            here: ("to check it".into(), (0..30).map(|n| format!("n{n}")).collect()),
+            here: (
+                "to check it".into(),
+                (0..30).map(|n| format!("n{n}")).collect(),
+            ),
             refused: vec![("n7".into(), "line 3: x\nline 4: y".into())],
             ..FederationStatus::default()
         };
--- a/src/pace.rs
+++ b/src/pace.rs
@@ -1,25 +1,29 @@
-//! When a destination, or a route of its own, is called again and how often: its pause and its pace, from what calls there came
-//! to. No I/O, no clock; the caller brings time and randomness.
+//! When a destination, or a route of its own, is called again and how often: its pause and its
+//! pace, from what calls there came to. No I/O, no clock; the caller brings time and randomness.
 
 use crate::fleet::Part;
 use crate::interface::Time;
 use crate::links::Reaper;
 use crate::measure::{mix, secs, to_secs, Meter, MS, RATE, SEC};
 
-/// Least own pause after a refusal, and what is guessed of a kind that has named no wait yet: about one call.
+/// Least own pause after a refusal, and what is guessed of a kind that has named no wait yet: about
+/// one call.
 const OWN_PAUSE: Time = 150 * MS;
-/// Growth of the pace per accepted call, at most per second, where calls are many and where they are rare.
+/// Growth of the pace per accepted call, at most per second, where calls are many and where they
+/// are rare.
 const GROWTH: (f64, f64) = (0.1, 0.5);
 /// Growth of the pace, beside that, per call that comes back with word of a limit that nobody uses.
 const ROOM_GROWTH: f64 = 3.0;
 /// Calls a second that the pace gains each second where the calls here tell enough.
 const PACE_CREEP: f64 = 0.1;
-/// Least pace after refusals, as a part of what comes in: all relays together stay under what is asked for.
+/// Least pace after refusals, as a part of what comes in: all relays together stay under what is
+/// asked for.
 const PACE_LEAST: f64 = 0.4;
-/// The same where the limit is known: a part of this relay's turn of it, or of what comes in here if more.
-/// A limit that refused calls use up recovers only while less is sent than it allows.
+/// The same where the limit is known: a part of this relay's turn of it, or of what comes in here
+/// if more. A limit that refused calls use up recovers only while less is sent than it allows.
 const JAM: (f64, f64) = (0.5, 0.15);
-/// Sends after a refusal that are refused again, for each that is accepted, from which on the pace is cut.
+/// Sends after a refusal that are refused again, for each that is accepted, from which on the pace
+/// is cut.
 const CROWD: f64 = 1.5;
 /// Where `known` is under this, a relay calls too rarely to judge by its own calls.
 pub const RARE: f64 = 0.5;
@@ -29,7 +33,8 @@
 const PACE_CUT: f64 = 0.6;
 /// Tokens left after a refusal.
 const RESUME_TOKENS: f64 = 0.5;
-/// Longest spread of the return after a pause: some seconds of worth, against a herd told the same moment.
+/// Longest spread of the return after a pause: some seconds of worth, against a herd told the same
+/// moment.
 const SPREAD: f64 = 0.5;
 /// Distance from the usual told wait, as a part of it, from which on a wait is not the limit's.
 const ODD_WAIT: f64 = 0.1;
@@ -43,7 +48,8 @@
     pub own_until: Time,
     /// Calls a second that the destination takes from this relay, once a refusal has shown a bound.
     pub pace: f64,
-    /// This relay's part of what is listed, where it is one of many: bounds the pace from the first call on.
+    /// This relay's part of what is listed, where it is one of many: bounds the pace from the first
+    /// call on.
     pub part: Option<Part>,
     /// Even parts that the relay may take, where it has one: a factor on the pace.
     pub parts: f64,
@@ -79,11 +85,13 @@
         }
     }
 
-    /// One of many senders begins at its part, with a part of a call saved up: all begin at the same moment. `clumped`: with
-    /// messages held, as others may that begin with it.
+    /// One of many senders begins at its part, with a part of a call saved up: all begin at the
+    /// same moment. `clumped`: with messages held, as others may that begin with it.
     pub fn open(&mut self, now: Time, part: Option<Part>, saved: f64, parts: f64, clumped: bool) {
         self.parts = if part.is_some() { parts } else { 1.0 };
-        let Some(p) = part.filter(|_| self.pace.is_infinite()) else { return };
+        let Some(p) = part.filter(|_| self.pace.is_infinite()) else {
+            return;
+        };
         (self.part, self.pace, self.tokens, self.at) = (part, p.opening(), saved, now);
         if clumped {
             self.stays_back(now);
@@ -120,7 +128,8 @@
         calls / (calls + 1.0)
     }
 
-    /// The pace grows by what was tried, not by time, or a rare caller forgets the limit between calls.
+    /// The pace grows by what was tried, not by time, or a rare caller forgets the limit between
+    /// calls.
     pub fn accept(&mut self, now: Time) {
         self.proven = self.proven.saturating_add(1);
         self.accepted.hit(now, RATE);
@@ -136,11 +145,17 @@
 
     /// When pause and pace allow the next call.
     pub fn next(&self, now: Time) -> Time {
-        let ahead = self.part.filter(|_| now >= self.ahead_from).map_or(0.0, Part::ahead);
+        let ahead = self
+            .part
+            .filter(|_| now >= self.ahead_from)
+            .map_or(0.0, Part::ahead);
         if self.tokens < 1.0 - ahead && self.pace.is_finite() {
             let due = now + MS + secs((1.0 - ahead - self.tokens) / self.rate());
-            let due =
-                if ahead > 0.0 || self.part.is_none() { due } else { due.min(self.ahead_from.max(now + MS)) };
+            let due = if ahead > 0.0 || self.part.is_none() {
+                due
+            } else {
+                due.min(self.ahead_from.max(now + MS))
+            };
             self.until().max(due)
         } else {
             self.until()
@@ -160,7 +175,8 @@
         }
     }
 
-    /// Counts a refusal of a call that was sent at `sent`; those of one burst count once. Whether it is the first in a row.
+    /// Counts a refusal of a call that was sent at `sent`; those of one burst count once. Whether
+    /// it is the first in a row.
     pub fn count(&mut self, sent: Time) -> bool {
         let begins = self.refusals == 0;
         self.refusals += u32::from(sent >= self.cut_at);
@@ -174,11 +190,18 @@
         match self.part {
             _ if r.sent < self.cut_at => {}
             Some(part) => {
-                (self.pace, self.tokens) = (part.refused(self.pace), self.tokens.min(RESUME_TOKENS));
+                (self.pace, self.tokens) =
+                    (part.refused(self.pace), self.tokens.min(RESUME_TOKENS));
             }
             None if r.spent || row > 1 && r.crowd > CROWD || r.known > RARE => {
-                let part = r.fair.map_or(PACE_LEAST * r.demand, |f| (JAM.0 * f).max(JAM.1 * r.demand));
-                let cut = if r.spent { part } else { PACE_CUT * self.pace.min(r.demand) };
+                let part = r
+                    .fair
+                    .map_or(PACE_LEAST * r.demand, |f| (JAM.0 * f).max(JAM.1 * r.demand));
+                let cut = if r.spent {
+                    part
+                } else {
+                    PACE_CUT * self.pace.min(r.demand)
+                };
                 let most = mix(r.known, self.accepted.rate(now).min(0.8 * self.pace), cut);
                 self.pace = most.max((1.0 - r.known) * part);
                 self.tokens = self.tokens.min(RESUME_TOKENS);
@@ -196,12 +219,17 @@
         // From the pause itself: the refusals of one burst would else add up their spreads.
         until = until.max(self.told_until);
         let age = to_secs(now.saturating_sub(self.last_ok));
-        let spread = age.min(r.cold.max(SPREAD * r.crowd * r.hint * f64::from(1u32 << row.min(5))));
-        self.own_until = self.own_until.max(until + secs(r.jitter * spread * (1.0 - r.known)));
+        let spread = age.min(
+            r.cold
+                .max(SPREAD * r.crowd * r.hint * f64::from(1u32 << row.min(5))),
+        );
+        self.own_until = self
+            .own_until
+            .max(until + secs(r.jitter * spread * (1.0 - r.known)));
     }
 
-    /// Takes a report of the share of the limit that is left, and of the limit in calls a second, of which `fair` is this relay's
-    /// even part.
+    /// Takes a report of the share of the limit that is left, and of the limit in calls a second,
+    /// of which `fair` is this relay's even part.
     pub fn reported(&mut self, now: Time, left: f64, limit: f64, fair: f64) {
         self.refill(now);
         if left < SPENT && now > self.cut_at + SEC {
@@ -238,13 +266,14 @@
     pub jitter: f64,
 }
 
-/// What the destinations of a kind usually do, as seen from all of them together: each alone is called too rarely.
+/// What the destinations of a kind usually do, as seen from all of them together: each alone is
+/// called too rarely.
 #[derive(Clone, Debug, Default)]
 pub struct Lore {
     /// Wait told, in seconds.
     pub told: f64,
-    /// Share of the calls next after a refusal that find room. Low where many wait, and where refused calls
-    /// use up the limit; there the return is spread out and the pace is cut.
+    /// Share of the calls next after a refusal that find room. Low where many wait, and where
+    /// refused calls use up the limit; there the return is spread out and the pace is cut.
     pub room: f64,
     /// Suspicion that its endpoints are out of connections.
     pub crowded: Reaper,
@@ -253,7 +282,11 @@
 impl Lore {
     /// A kind of which nothing is known.
     pub fn new() -> Self {
-        Lore { told: to_secs(OWN_PAUSE), room: 0.5, ..Lore::default() }
+        Lore {
+            told: to_secs(OWN_PAUSE),
+            room: 0.5,
+            ..Lore::default()
+        }
     }
 
     /// Learns whether the first call after a refusal found room.
@@ -261,8 +294,8 @@
         self.room += LORE_GAIN * (f64::from(u8::from(found)) - self.room);
     }
 
-    /// Learns from the wait of a refusal. The wait in seconds, or the usual one where none was told; and whether it is odd: not
-    /// the limit's.
+    /// Learns from the wait of a refusal. The wait in seconds, or the usual one where none was
+    /// told; and whether it is odd: not the limit's.
     pub fn waits(&mut self, wait: Time) -> (f64, bool) {
         let hint = if wait > 0 { to_secs(wait) } else { self.told };
         let odd = (hint - self.told).abs() > ODD_WAIT * self.told;
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,7 +1,8 @@
 //! Every decision of the relay. The types it takes and gives back are in `src/interface.rs`.
 //!
-//! Ordinary path (the post's dispatcher): a [`Dispatcher`] per destination serves one line, pauses all sends
-//! for the longest told wait, sends refused calls again first, bounds calls by a pool; `docs/design.md`.
+//! Ordinary path (the post's dispatcher): a [`Dispatcher`] per destination serves one line, pauses
+//! all sends for the longest told wait, sends refused calls again first, bounds calls by a pool;
+//! `docs/design.md`.
 
 use crate::asking::Asking;
 use crate::fleet::{lot, unseen, Part, Traffic};
@@ -16,13 +17,15 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// What a destination can do over what this relay saw it do, at least: limits leave room over mean traffic.
+/// What a destination can do over what this relay saw it do, at least: limits leave room over mean
+/// traffic.
 const HEADROOM: f64 = 1.5;
 /// Part of a rough listed rate that the destination takes at least: it may be half too high.
 const ROUGH: f64 = 1.0 / 1.5;
 /// Calls that all relays together may send in one overload window to what they know least of.
 const LEAST_TRIALS: f64 = 4.0;
-/// Suspicion that a kind is out of connections: where it closes after calls, and bound. Memory as above.
+/// Suspicion that a kind is out of connections: where it closes after calls, and bound. Memory as
+/// above.
 const CROWDED: (f64, f64) = (1.0, 8.0);
 /// A connection used this lately is not idle: about one call.
 const REAP_LEAST: Time = 250 * MS;
@@ -62,8 +65,8 @@
     /// Longest time that a message has.
     longest: Time,
     held: BTreeMap<MessageId, Held>,
-    /// Messages that are left of those held at the last change of terms, or fewer: none goes for want of room
-    /// under them.
+    /// Messages that are left of those held at the last change of terms, or fewer: none goes for
+    /// want of room under them.
     kept: usize,
     flights: BTreeMap<(MessageId, u16), Flight>,
     calls: BTreeMap<u64, Call>,
@@ -83,14 +86,20 @@
 }
 
 impl Relay {
-    /// A relay that knows nothing yet. The seed spreads its trials apart from those of its siblings.
+    /// A relay that knows nothing yet. The seed spreads its trials apart from those of its
+    /// siblings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let kinds = settings.kinds.len().max(1);
         Ok(Relay {
             tenant_rate: vec![Meter::default(); settings.tenants.len()],
             lore: vec![Lore::new(); kinds],
-            longest: settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0),
+            longest: settings
+                .classes
+                .iter()
+                .map(|c| c.deadline)
+                .max()
+                .unwrap_or(0),
             s: settings,
             random: Random::new(seed),
             salt: seed,
@@ -104,29 +113,48 @@
         let now = self.now;
         if self.start == 0 {
             (self.start, self.traffic) = (now, Traffic::new(now));
-            self.asking = self.s.ask_list.then(|| Asking::start(now, &self.s, || self.random.draw()));
+            self.asking = self
+                .s
+                .ask_list
+                .then(|| Asking::start(now, &self.s, || self.random.draw()));
             if let Some(told) = self.asking.as_ref().and_then(Asking::too_many) {
                 self.log(told);
             }
-            self.tenant_rate.iter_mut().for_each(|t| *t = Meter::new(now, RATE.0));
+            self.tenant_rate
+                .iter_mut()
+                .for_each(|t| *t = Meter::new(now, RATE.0));
         }
         for e in events {
-            self.asking.iter_mut().filter(|_| e.tells_list()).for_each(|a| a.heard(now));
+            self.asking
+                .iter_mut()
+                .filter(|_| e.tells_list())
+                .for_each(|a| a.heard(now));
             match e {
                 Event::List(l) | Event::CachedList(l) => self.list(now, l, true),
                 Event::ListChanges(l) | Event::Ordered(l) => self.list(now, l, false),
                 Event::ListFailed => {
-                    self.asking.iter_mut().for_each(|a| a.failed(now, || self.random.draw()));
+                    self.asking
+                        .iter_mut()
+                        .for_each(|a| a.failed(now, || self.random.draw()));
                 }
                 Event::ListMoved => {
-                    self.asking.iter_mut().for_each(|a| a.moved(now, || self.random.draw()));
+                    self.asking
+                        .iter_mut()
+                        .for_each(|a| a.moved(now, || self.random.draw()));
                 }
                 Event::Arrived(m) => self.arrived(now, *m, Held::default()),
                 Event::Resumed { message, past } => {
                     self.took_up = true;
                     self.arrived(now, *message, Held::resumed(now, past));
                 }
-                Event::Ended { id, attempt, outcome, took, finished, report } => {
+                Event::Ended {
+                    id,
+                    attempt,
+                    outcome,
+                    took,
+                    finished,
+                    report,
+                } => {
                     self.ended(now, (*id, *attempt), *outcome, *took, report);
                     if *finished {
                         self.forget(*id);
@@ -152,7 +180,8 @@
         self.asking.as_ref().is_some_and(|a| a.blind(now))
     }
 
-    /// How long the list may still be trusted, if nothing is heard; nothing where it is not asked for.
+    /// How long the list may still be trusted, if nothing is heard; nothing where it is not asked
+    /// for.
     pub fn list_trusted_for(&self, now: Time) -> Option<Time> {
         self.asking.as_ref().map(|a| a.trusted_for(now))
     }
@@ -170,7 +199,8 @@
         ]
     }
 
-    /// Pools that shrink let calls end, and room that shrinks lets messages: only what comes then has to fit.
+    /// Pools that shrink let calls end, and room that shrinks lets messages: only what comes then
+    /// has to fit.
     fn change(&mut self, terms: &Terms) {
         let starved = self.waiting.iter().filter(|_| terms.slots > self.s.slots);
         starved.for_each(|d| _ = self.dests.entry(*d).and_modify(|d| d.look_at = 0));
@@ -179,17 +209,35 @@
     }
 
     fn route(&mut self, routes: &Rc<Routes>) {
-        let before = std::mem::replace(&mut self.routes, (!routes.is_empty()).then(|| routes.clone()));
+        let before = std::mem::replace(
+            &mut self.routes,
+            (!routes.is_empty()).then(|| routes.clone()),
+        );
         if before.is_some() || self.routes.is_some() {
             // What is held may have another way now.
-            self.waiting.iter().for_each(|d| _ = self.dests.entry(*d).and_modify(|d| d.look_at = 0));
+            self.waiting
+                .iter()
+                .for_each(|d| _ = self.dests.entry(*d).and_modify(|d| d.look_at = 0));
         }
     }
 
     /// The way of a message, where there are routes.
     fn way<'a>(&self, routes: &'a Option<Rc<Routes>>, m: &Message) -> Option<Way<'a>> {
-        let Message { dest, class, tenant, id, .. } = *m;
-        routes.as_ref().map(|r| r.way(&Traveller { dest, class, tenant, lot: lot_of(self.salt, id) }))
+        let Message {
+            dest,
+            class,
+            tenant,
+            id,
+            ..
+        } = *m;
+        routes.as_ref().map(|r| {
+            r.way(&Traveller {
+                dest,
+                class,
+                tenant,
+                lot: lot_of(self.salt, id),
+            })
+        })
     }
 
     fn log(&mut self, text: String) {
@@ -206,7 +254,11 @@
             stale.extend(self.hosts.keys().copied());
         }
         for l in lines {
-            if self.hosts.get(&l.endpoint).is_some_and(|h| h.dest != l.dest) {
+            if self
+                .hosts
+                .get(&l.endpoint)
+                .is_some_and(|h| h.dest != l.dest)
+            {
                 self.drop_host(l.endpoint, true);
             }
             let d = self.dest(l.dest);
@@ -217,21 +269,33 @@
                 fresh.push(l.endpoint);
             }
             let taste = 1.0 - TASTE * self.random.draw();
-            let host = self.hosts.entry(l.endpoint).or_insert_with(|| Host { taste, ..Host::new(l, now) });
+            let host = self.hosts.entry(l.endpoint).or_insert_with(|| Host {
+                taste,
+                ..Host::new(l, now)
+            });
             host.ready = l.condition == Condition::Ready;
             (host.kind, host.listed) = (usize::from(l.kind).min(last_kind), f64::from(l.rate));
             stale.push(l.endpoint);
         }
-        self.traffic.list(self.hosts.values().filter(|h| h.ready).map(|h| h.listed));
-        // For rare callers an outage outlives its endpoints: what is new beside or after them is tried first.
+        self.traffic
+            .list(self.hosts.values().filter(|h| h.ready).map(|h| h.listed));
+        // For rare callers an outage outlives its endpoints: what is new beside or after them is
+        // tried first.
         for e in &fresh {
             let dest = self.hosts[e].dest;
-            let old = self.dests[&dest].hosts.iter().filter(|o| !fresh.contains(o)).map(|o| &self.hosts[o]);
+            let old = self.dests[&dest]
+                .hosts
+                .iter()
+                .filter(|o| !fresh.contains(o))
+                .map(|o| &self.hosts[o]);
             let rare = self.dests[&dest].demand.rate(now) * RATE.0 < 1.0;
-            let sick = self.dests[&dest].lost > 0.0 || old.clone().any(|h| h.health == Health::Sick);
+            let sick =
+                self.dests[&dest].lost > 0.0 || old.clone().any(|h| h.health == Health::Sick);
             if rare && sick {
                 let base = old.map(|h| h.base).fold(self.dests[&dest].lost, f64::max);
-                self.hosts.entry(*e).and_modify(|h| (h.health, h.base) = (Health::Sick, base));
+                self.hosts
+                    .entry(*e)
+                    .and_modify(|h| (h.health, h.base) = (Health::Sick, base));
                 self.by_lot(dest, e);
             }
         }
@@ -241,21 +305,38 @@
     }
 
     fn drop_host(&mut self, e: Endpoint, moved: bool) {
-        if !self.hosts.get(&e).is_some_and(|h| moved || !h.ready && h.calls == 0) {
+        if !self
+            .hosts
+            .get(&e)
+            .is_some_and(|h| moved || !h.ready && h.calls == 0)
+        {
             return;
         }
-        let Some(h) = self.hosts.remove(&e) else { return };
+        let Some(h) = self.hosts.remove(&e) else {
+            return;
+        };
         if let Some(d) = self.dests.get_mut(&h.dest) {
             d.hosts.remove(&e);
-            d.lost = if h.health == Health::Sick { h.base.max(f64::MIN_POSITIVE) } else { d.lost };
-            // A route's gate goes with it: endpoints are replaced for ever, and their names never come back.
-            d.proven = d.gates.remove(&Some(e)).map_or(d.proven, |g| d.proven.max(g.proven));
+            d.lost = if h.health == Health::Sick {
+                h.base.max(f64::MIN_POSITIVE)
+            } else {
+                d.lost
+            };
+            // A route's gate goes with it: endpoints are replaced for ever, and their names never
+            // come back.
+            d.proven = d
+                .gates
+                .remove(&Some(e))
+                .map_or(d.proven, |g| d.proven.max(g.proven));
         }
     }
 
     fn dest(&mut self, dest: DestId) -> &mut Dispatcher {
         let demand = Meter::new(self.start, RATE.0);
-        self.dests.entry(dest).or_insert_with(|| Dispatcher { demand, ..Dispatcher::default() })
+        self.dests.entry(dest).or_insert_with(|| Dispatcher {
+            demand,
+            ..Dispatcher::default()
+        })
     }
 
     fn class(&self, m: &Message) -> &Class {
@@ -271,7 +352,16 @@
         if in_order {
             self.keys.entry(m.key).or_default().turn.push_back(m.id);
         }
-        self.held.insert(m.id, Held { m, deadline, born, over_share, ..past });
+        self.held.insert(
+            m.id,
+            Held {
+                m,
+                deadline,
+                born,
+                over_share,
+                ..past
+            },
+        );
         let d = self.dest(m.dest);
         d.demand.hit(now, RATE);
         d.line.insert(m.id);
@@ -280,8 +370,8 @@
         self.make_room(now);
     }
 
-    /// Whether a tenant sends clearly more than its share of what all send here; one alone shows nothing.
-    /// What none of the tenants in the settings sends is within nobody's share.
+    /// Whether a tenant sends clearly more than its share of what all send here; one alone shows
+    /// nothing. What none of the tenants in the settings sends is within nobody's share.
     fn over_share(&mut self, now: Time, tenant: u16) -> bool {
         let i = usize::from(tenant);
         let Some(share) = self.s.tenants.get(i).map(|t| t.share.clamp(0.0, 1.0)) else {
@@ -292,30 +382,37 @@
         share < 1.0 && mine > 1.6 * share * others / (1.0 - share) + 1.0
     }
 
-    /// Keeps room, so that what comes next is judged here and not turned away unseen: the longest line pays.
+    /// Keeps room, so that what comes next is judged here and not turned away unseen: the longest
+    /// line pays.
     fn make_room(&mut self, now: Time) {
         self.kept = self.kept.min(self.held.len() - 1); // without the one that came
         let most = (self.s.room as usize * 9 / 10).max(1).max(self.kept);
         while self.held.len() > most {
-            let Some(&dest) = self.waiting.iter().max_by_key(|d| self.dests[d].line.len()) else { return };
+            let Some(&dest) = self.waiting.iter().max_by_key(|d| self.dests[d].line.len()) else {
+                return;
+            };
             let drain = self.drain_time(now, dest);
             let line = self.dests[&dest].line.iter();
             let worst = line.filter(|id| !self.held[id].out && self.may(&self.held[id], now).1);
             let worst = worst.map(|id| (self.worth_at(&self.held[id], now + drain / 2), *id));
-            let Some((_, id)) = worst.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))) else { return };
+            let Some((_, id)) = worst.min_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1))) else {
+                return;
+            };
             self.end(now, id, drain);
         }
     }
 
-    /// The one place that answers: may this message be sent again (to that zone), and may it be refused?
+    /// The one place that answers: may this message be sent again (to that zone), and may it be
+    /// refused?
     fn may(&self, h: &Held, now: Time) -> (bool, bool) {
         let class = self.class(&h.m);
         let more = h.attempts < self.s.bounds(h.m.class).attempts && !h.out;
         match (h.ran, class.effect) {
             (None, _) | (_, Effect::Pure) => (more, !h.out),
-            (Some((at, _)), Effect::Token) => {
-                (more && now < at + class.window, !h.out && class.scope == DedupScope::All)
-            }
+            (Some((at, _)), Effect::Token) => (
+                more && now < at + class.window,
+                !h.out && class.scope == DedupScope::All,
+            ),
             (Some(_), Effect::SideEffect) => (false, false),
         }
     }
@@ -323,15 +420,24 @@
     /// Ends a message: refused with the wait where that is safe, else failed.
     fn end(&mut self, now: Time, id: MessageId, wait: Time) {
         let Some(h) = self.held.get(&id) else { return };
-        let retry_after =
-            if self.s.tells_clients { wait.min(self.s.bounds(h.m.class).retry_after) } else { 0 };
+        let retry_after = if self.s.tells_clients {
+            wait.min(self.s.bounds(h.m.class).retry_after)
+        } else {
+            0
+        };
         let refuse = self.may(h, now).1;
-        self.out.push(if refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
+        self.out.push(if refuse {
+            Action::Refuse { id, retry_after }
+        } else {
+            Action::Fail { id }
+        });
         self.forget(id);
     }
 
     fn forget(&mut self, id: MessageId) {
-        let Some(h) = self.held.remove(&id) else { return };
+        let Some(h) = self.held.remove(&id) else {
+            return;
+        };
         if let Some(d) = self.dests.get_mut(&h.m.dest) {
             d.line.remove(&id);
             d.look_at = 0;
@@ -344,21 +450,30 @@
         }
     }
 
-    /// Ends at once what can't be delivered any more: no time, no attempt left, or a pause that outlasts it.
+    /// Ends at once what can't be delivered any more: no time, no attempt left, or a pause that
+    /// outlasts it.
     fn give_up(&mut self, now: Time) {
         let mut over = Vec::new();
         let lines = self.waiting.iter().map(|d| (*d, &self.dests[d]));
         for (dest, d) in lines.filter(|(_, d)| d.look_at <= now) {
             let told = |e: &Endpoint| d.gates.get(&self.gate_of(e)).map_or(0, |g| g.told_until);
             let all = d.hosts.iter().map(told).min().unwrap_or(0);
-            for (&id, h) in d.line.iter().map(|id| (id, &self.held[id])).filter(|(_, h)| !h.out) {
+            for (&id, h) in d
+                .line
+                .iter()
+                .map(|id| (id, &self.held[id]))
+                .filter(|(_, h)| !h.out)
+            {
                 let way = self.way(&self.routes, &h.m);
                 if way.is_some_and(|w| !w.leads()) && self.may(h, now).1 {
                     over.push((id, Time::MAX, dest)); // nobody is to serve it: its client hears it now
                     continue;
                 }
                 let led = |w: Way| {
-                    let hosts = d.hosts.iter().filter(|e| w.rank(self.hosts[*e].zone).is_some());
+                    let hosts = d
+                        .hosts
+                        .iter()
+                        .filter(|e| w.rank(self.hosts[*e].zone).is_some());
                     hosts.map(told).min().unwrap_or(0)
                 };
                 let until = way.map_or(all, led);
@@ -369,7 +484,11 @@
             }
         }
         for (id, wait, dest) in over {
-            let wait = if wait > 0 { wait } else { self.drain_time(now, dest) };
+            let wait = if wait > 0 {
+                wait
+            } else {
+                self.drain_time(now, dest)
+            };
             self.end(now, id, wait);
         }
     }
@@ -378,26 +497,48 @@
         if at >= h.deadline {
             return 0.0;
         }
-        let worth = self.class(&h.m).worth_after(at.saturating_sub(h.born), self.s.decay);
-        worth * if h.over_share { self.s.over_share_worth } else { 1.0 }
+        let worth = self
+            .class(&h.m)
+            .worth_after(at.saturating_sub(h.born), self.s.decay);
+        worth
+            * if h.over_share {
+                self.s.over_share_worth
+            } else {
+                1.0
+            }
     }
 
     /// Time until the line of a destination is empty at the pace seen.
     fn drain_time(&self, now: Time, dest: DestId) -> Time {
-        let Some(d) = self.dests.get(&dest) else { return 0 };
-        let rate: f64 = d.hosts.iter().map(|e| self.hosts[e].base).sum::<f64>().max(0.5);
-        let pause = d.gates.values().map(Gate::until).max().unwrap_or(0).saturating_sub(now);
+        let Some(d) = self.dests.get(&dest) else {
+            return 0;
+        };
+        let rate: f64 = d
+            .hosts
+            .iter()
+            .map(|e| self.hosts[e].base)
+            .sum::<f64>()
+            .max(0.5);
+        let pause = d
+            .gates
+            .values()
+            .map(Gate::until)
+            .max()
+            .unwrap_or(0)
+            .saturating_sub(now);
         pause + secs((d.line.len() as f64 / rate).min(60.0))
     }
 
-    /// Worth saved by sending now rather than when the line has drained; a little for worth as such.
+    /// Worth saved by sending now rather than when the line has drained; a little for worth as
+    /// such.
     fn urgency(&self, h: &Held, now: Time, horizon: Time) -> f64 {
         let soon = now + secs(LATENCY_GUESS);
         let v = self.worth_at(h, soon);
         v - self.worth_at(h, soon + horizon) + 0.05 * v
     }
 
-    /// Pause and pace are the destination's, or the endpoint's own where endpoints are routes apart.
+    /// Pause and pace are the destination's, or the endpoint's own where endpoints are routes
+    /// apart.
     fn gate_of(&self, e: &Endpoint) -> Option<Endpoint> {
         let kind = self.hosts.get(e).and_then(|h| self.s.kinds.get(h.kind));
         kind.is_some_and(|k| k.apart).then_some(*e)
@@ -405,30 +546,41 @@
 
     fn gate(&mut self, dest: DestId, e: &Endpoint) -> &mut Gate {
         let (of, start) = (self.gate_of(e), self.start);
-        self.dest(dest).gates.entry(of).or_insert_with(|| Gate::new(start))
+        self.dest(dest)
+            .gates
+            .entry(of)
+            .or_insert_with(|| Gate::new(start))
     }
 
-    /// What this relay may send to endpoints that are down or coming back: its part of what they can take
-    /// cold, times the factor, grown by the warm-up since the first success.
+    /// What this relay may send to endpoints that are down or coming back: its part of what they
+    /// can take cold, times the factor, grown by the warm-up since the first success.
     fn ramp(&mut self, now: Time, dest: DestId, e: &Endpoint) -> Ramp {
         let (gate, fair) = (self.gate_of(e), self.fair(dest, e));
         let (mut rate, mut growth) = (0.0, 0.0);
         let span = to_secs(self.s.overload_for).max(0.1);
         let relays = f64::from(self.s.relays.max(1));
         let warmed = |t: f64| t / to_secs(self.s.warm_after).max(0.1);
-        let parts = if gate.is_some() { 1 } else { self.dests[&dest].hosts.len() };
+        let parts = if gate.is_some() {
+            1
+        } else {
+            self.dests[&dest].hosts.len()
+        };
         for o in &self.dests[&dest].hosts {
             let h = &self.hosts[o];
             let warm = match h.health {
                 Health::Well => continue,
                 Health::Ramp => warmed(to_secs(now - h.since)),
-                // Not longer than an overload takes: the more senders, the longer since each of them tried.
+                // Not longer than an overload takes: the more senders, the longer since each of
+                // them tried.
                 Health::Sick => warmed(unseen(to_secs(now - h.failed_at), self.s.relays).min(span)),
             };
             if gate.is_none_or(|g| g == *o) {
                 let can = fair.map_or(HEADROOM * h.base, |f| f / parts as f64);
                 rate += self.s.overload_factor * warmth(self.s.cold_share, warm) * can;
-                growth += self.s.overload_factor * (1.0 - self.s.cold_share) * warmed(span).min(1.0) * can;
+                growth += self.s.overload_factor
+                    * (1.0 - self.s.cold_share)
+                    * warmed(span).min(1.0)
+                    * can;
             }
         }
         let all = span * relays;
@@ -445,7 +597,8 @@
         (g.budget, ramp.rate)
     }
 
-    /// Rare callers of a large fleet each come by less than a call: who may try first is drawn by lot.
+    /// Rare callers of a large fleet each come by less than a call: who may try first is drawn by
+    /// lot.
     fn by_lot(&mut self, dest: DestId, e: &Endpoint) {
         let (now, lot) = (self.now, self.random.draw());
         let needed = self.ramp(now, dest, e).needs_lot();
@@ -454,23 +607,40 @@
         (g.budget, g.budget_at) = (g.budget.min(mix(known, 1.0, lot)), now);
     }
 
-    fn ended(&mut self, now: Time, at: (MessageId, u16), outcome: Outcome, took: Time, report: &[f32]) {
-        let Some(f) = self.flights.remove(&at) else { return };
-        let unsure = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+    fn ended(
+        &mut self,
+        now: Time,
+        at: (MessageId, u16),
+        outcome: Outcome,
+        took: Time,
+        report: &[f32],
+    ) {
+        let Some(f) = self.flights.remove(&at) else {
+            return;
+        };
+        let unsure = matches!(
+            outcome,
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+        );
         if let Some(k) = self.keys.get_mut(&f.key).filter(|_| f.key != 0) {
             k.out = k.out.saturating_sub(1);
             if unsure {
                 (k.rest_until, k.rest_for) = (now + self.s.order_settle, at.0);
             }
         }
-        let Some(call) = self.calls.get_mut(&f.call) else { return };
+        let Some(call) = self.calls.get_mut(&f.call) else {
+            return;
+        };
         call.left -= 1;
-        let (first, trial, dest, host, sent) = (!call.counted, call.trial, call.dest, call.host, call.sent);
+        let (first, trial, dest, host, sent) =
+            (!call.counted, call.trial, call.dest, call.host, call.sent);
         let (idle, again) = (call.idle, call.again);
         call.counted = true;
         if call.left == 0 {
             self.calls.remove(&f.call);
-            self.hosts.entry(host).and_modify(|h| h.calls = h.calls.saturating_sub(1));
+            self.hosts
+                .entry(host)
+                .and_modify(|h| h.calls = h.calls.saturating_sub(1));
             if std::mem::take(&mut self.starved) {
                 for d in &self.waiting {
                     self.dests.entry(*d).and_modify(|d| d.look_at = 0);
@@ -510,22 +680,29 @@
         }
         self.drop_host(host, false);
         let jitter = self.random.draw();
-        let Some(h) = self.held.get_mut(&at.0) else { return };
+        let Some(h) = self.held.get_mut(&at.0) else {
+            return;
+        };
         h.out = false;
         if unsure || outcome == Outcome::Error {
             h.ran.get_or_insert((sent, f.zone));
         }
         h.refused |= matches!(outcome, Outcome::Full { .. } | Outcome::ConnectFailed);
-        if matches!(outcome, Outcome::Error | Outcome::Reset | Outcome::Moot | Outcome::ConnectFailed) {
+        if matches!(
+            outcome,
+            Outcome::Error | Outcome::Reset | Outcome::Moot | Outcome::ConnectFailed
+        ) {
             h.not_before = now + secs(0.1 * f64::from(1u32 << h.attempts.min(4)) * (0.5 + jitter));
         }
     }
 
-    /// Some endpoints take few connections, idle ones counted, held by hundreds of relays: where a kind's
-    /// endpoints turn connections away and answer soon after, none is kept idle there. Costs handshakes while
-    /// it lasts; one that is down turns them away too, but does not answer.
+    /// Some endpoints take few connections, idle ones counted, held by hundreds of relays: where a
+    /// kind's endpoints turn connections away and answer soon after, none is kept idle there. Costs
+    /// handshakes while it lasts; one that is down turns them away too, but does not answer.
     fn connected(&mut self, now: Time, e: Endpoint, outcome: Outcome) {
-        let Some(h) = self.hosts.get_mut(&e) else { return };
+        let Some(h) = self.hosts.get_mut(&e) else {
+            return;
+        };
         let (kind, free, turned) = (h.kind, h.calls == 0, h.turned_at.take());
         h.turned_at = (outcome == Outcome::ConnectFailed && h.streak == 0).then_some(now);
         let failed = outcome == Outcome::Ok && turned.is_some_and(|t| now < t + TRIAL_GAPS.1);
@@ -537,8 +714,14 @@
         }
         let mut idle: Vec<Endpoint> = Vec::from_iter(free.then_some(e));
         if was < CROWDED.0 {
-            let others = self.hosts.iter().filter(|(_, h)| h.kind == kind && h.calls == 0);
-            idle = others.filter(|(_, h)| h.used_at.is_some()).map(|(o, _)| *o).collect();
+            let others = self
+                .hosts
+                .iter()
+                .filter(|(_, h)| h.kind == kind && h.calls == 0);
+            idle = others
+                .filter(|(_, h)| h.used_at.is_some())
+                .map(|(o, _)| *o)
+                .collect();
         }
         for endpoint in idle {
             self.hosts.entry(endpoint).and_modify(|h| h.used_at = None);
@@ -554,25 +737,49 @@
 
     /// What the list says that an endpoint takes from all relays, 0 where it tells nothing.
     fn listed(&self, e: &Endpoint) -> f64 {
-        let told = self.hosts.get(e).filter(|_| self.s.listed != ListedRates::Silent);
+        let told = self
+            .hosts
+            .get(e)
+            .filter(|_| self.s.listed != ListedRates::Silent);
         told.map_or(0.0, |h| h.listed)
     }
 
     /// This relay's even part of a known limit: as reported, else as listed.
     fn fair(&mut self, dest: DestId, e: &Endpoint) -> Option<f64> {
-        let trust = if self.s.listed == ListedRates::Rough { ROUGH } else { 1.0 };
+        let trust = if self.s.listed == ListedRates::Rough {
+            ROUGH
+        } else {
+            1.0
+        };
         let limits = [self.gate(dest, e).limit, self.listed(e) * trust];
         let limit = limits.into_iter().find(|l| *l > 0.0 && l.is_finite());
         limit.map(|l| l / f64::from(self.s.relays.max(1)))
     }
 
     /// What one call, or probe, tells of an endpoint and its destination.
-    fn learn(&mut self, now: Time, e: Endpoint, end: Outcome, sent: Time, trial: bool, left: Option<f64>) {
+    fn learn(
+        &mut self,
+        now: Time,
+        e: Endpoint,
+        end: Outcome,
+        sent: Time,
+        trial: bool,
+        left: Option<f64>,
+    ) {
         let draw = self.random.draw();
-        let Some(dest) = self.hosts.get(&e).map(|h| h.dest) else { return };
+        let Some(dest) = self.hosts.get(&e).map(|h| h.dest) else {
+            return;
+        };
         let (known, fair) = (self.gate(dest, &e).known(now), self.fair(dest, &e));
-        let of = Came { sent, trial, known, draw };
-        let Some(host) = self.hosts.get_mut(&e) else { return };
+        let of = Came {
+            sent,
+            trial,
+            known,
+            draw,
+        };
+        let Some(host) = self.hosts.get_mut(&e) else {
+            return;
+        };
         let (was, kind) = (host.health, host.kind);
         if host.streak == 0 && end != Outcome::Ok && host.first_bad <= host.last_ok {
             host.first_bad = sent;
@@ -589,7 +796,9 @@
             Outcome::Full { wait } => {
                 let g = self.gate(dest, &e);
                 let (begins, row) = (g.count(sent), g.refusals);
-                let Some(host) = self.hosts.get_mut(&e) else { return };
+                let Some(host) = self.hosts.get_mut(&e) else {
+                    return;
+                };
                 host.refused(now, (row, wait), left, &of, &self.s);
                 let (hint, odd) = self.lore[kind].waits(wait);
                 let refusal = Refusal {
@@ -605,8 +814,12 @@
                     jitter: draw,
                 };
                 self.gate(dest, &e).refused(now, &refusal);
-                // Traffic is spread over routes by lot: where one is full, the others are not far from it.
-                self.dest(dest).gates.values_mut().for_each(|g| g.stays_back(now));
+                // Traffic is spread over routes by lot: where one is full, the others are not far
+                // from it.
+                self.dest(dest)
+                    .gates
+                    .values_mut()
+                    .for_each(|g| g.stays_back(now));
                 if begins {
                     self.log(format!("pause dest {dest}: full, told {} ms", wait / MS));
                 }
@@ -618,16 +831,25 @@
             }
             Outcome::Cancelled | Outcome::Moot => {}
         }
-        let Some(health) = self.hosts.get(&e).map(|h| h.health) else { return };
+        let Some(health) = self.hosts.get(&e).map(|h| h.health) else {
+            return;
+        };
         if was == Health::Well && health != Health::Well {
             self.by_lot(dest, &e);
         }
         if was != Health::Sick && health == Health::Sick {
-            // Most outages take all endpoints of a destination: those not heard from since need a trial too.
-            // A zone that stands behind by the routes is seldom heard from: its silence says nothing.
-            let (since, zone) = (self.hosts[&e].first_bad, self.routes.as_ref().map(|_| self.hosts[&e].zone));
+            // Most outages take all endpoints of a destination: those not heard from since need a
+            // trial too. A zone that stands behind by the routes is seldom heard from: its silence
+            // says nothing.
+            let (since, zone) = (
+                self.hosts[&e].first_bad,
+                self.routes.as_ref().map(|_| self.hosts[&e].zone),
+            );
             for o in self.dests[&dest].hosts.iter().filter(|o| **o != e) {
-                let h = self.hosts.get_mut(o).filter(|h| h.health == Health::Well && h.last_ok < since);
+                let h = self
+                    .hosts
+                    .get_mut(o)
+                    .filter(|h| h.health == Health::Well && h.last_ok < since);
                 let h = h.filter(|h| zone.is_none_or(|z| z == h.zone));
                 let Some(h) = h else { continue };
                 (h.health, h.trial_at, h.gap) = (Health::Sick, now, TRIAL_GAPS.0);
@@ -635,29 +857,42 @@
             }
         }
         if was != health {
-            self.log(format!("dest {dest} endpoint {:?}:{} {health:?} ({end:?})", e.addr, e.port));
+            self.log(format!(
+                "dest {dest} endpoint {:?}:{} {health:?} ({end:?})",
+                e.addr, e.port
+            ));
         }
     }
 
-    /// Calls a destination may hold: under 3/4 of the slots, half while it ails; few until it answers.
+    /// Calls a destination may hold: under 3/4 of the slots, half while it ails; few until it
+    /// answers.
     fn pool(&self, d: &Dispatcher, ailing: bool) -> u32 {
         let proven = d.gates.values().map(|g| g.proven).fold(d.proven, u32::max);
-        let most = if ailing { self.s.slots / 2 } else { (3 * self.s.slots - 1) / 4 };
+        let most = if ailing {
+            self.s.slots / 2
+        } else {
+            (3 * self.s.slots - 1) / 4
+        };
         most.max(1).min(2 + proven)
     }
 
-    /// Whether a destination fails or is slow, or is suspected to: a call is out far longer than usual.
+    /// Whether a destination fails or is slow, or is suspected to: a call is out far longer than
+    /// usual.
     fn ailing(&self, now: Time, d: &Dispatcher) -> bool {
         let late = |c: &Call| {
             let h = &self.hosts[&c.host];
             to_secs(now - c.sent) > (h.latency + 4.0 * h.spread).max(0.8) && h.last_ok < c.sent + MS
         };
         d.hosts.iter().any(|e| self.hosts[e].ails())
-            || self.calls.values().any(|c| d.hosts.contains(&c.host) && late(c))
+            || self
+                .calls
+                .values()
+                .any(|c| d.hosts.contains(&c.host) && late(c))
     }
 
-    /// What a route takes off the worth of each message; nothing where endpoints share one limit. It counts
-    /// in full while half the slots are free: a cheap but slower route holds the slot that the next needs.
+    /// What a route takes off the worth of each message; nothing where endpoints share one limit.
+    /// It counts in full while half the slots are free: a cheap but slower route holds the slot
+    /// that the next needs.
     fn fee(&self, h: &Host) -> f64 {
         let spare = 1.0 - self.calls.len() as f64 / f64::from(self.s.slots.max(1));
         let apart = self.s.kinds.get(h.kind).is_some_and(|k| k.apart);
@@ -665,7 +900,8 @@
         fee.map_or(0.0, |fee| fee * (2.0 * spare).clamp(0.0, 1.0))
     }
 
-    /// Best endpoint for a message now, and whether the send is a trial; else when time alone may open one.
+    /// Best endpoint for a message now, and whether the send is a trial; else when time alone may
+    /// open one.
     fn choose(
         &mut self,
         now: Time,
@@ -675,7 +911,11 @@
         way: Option<Way>,
     ) -> Result<(Endpoint, bool), Time> {
         let (mut best, mut later): (Option<Choice>, _) = (None, Time::MAX);
-        let seen = self.dests[&dest].hosts.iter().map(|e| &self.hosts[e]).filter(|h| h.base > 0.0);
+        let seen = self.dests[&dest]
+            .hosts
+            .iter()
+            .map(|e| &self.hosts[e])
+            .filter(|h| h.base > 0.0);
         let (n, sum) = seen.fold((0.0, 0.0), |(n, sum), h| (n + 1.0, sum + h.latency));
         let usual = if n > 0.0 { sum / n } else { LATENCY_GUESS };
         let parts = self.traffic.parts(now, self.s.relays);
@@ -684,17 +924,29 @@
             if !h.ready || zone.is_some_and(|z| z != h.zone) {
                 continue;
             }
-            let Some(rank) = way.map_or(Some(0), |w| w.rank(h.zone)) else { continue };
+            let Some(rank) = way.map_or(Some(0), |w| w.rank(h.zone)) else {
+                continue;
+            };
             // Calls that are lent there ask for all whether it is back.
             let rank = if h.listed >= f64::from(LENT) { 0 } else { rank };
             let cold = h.health != Health::Well;
-            let (budget, rate) = if cold { self.budget(now, dest, &e) } else { (1.0, 1.0) };
+            let (budget, rate) = if cold {
+                self.budget(now, dest, &e)
+            } else {
+                (1.0, 1.0)
+            };
             let listed = self.listed(&e);
             let part = Part::of(listed, self.s.relays, self.longest);
             let draw = part.map_or(0.0, |_| self.random.draw());
             let clumped = self.took_up;
             let gate = self.gate(dest, &e);
-            gate.open(now, part, part.map_or(draw, |p| p.saved(draw)), parts, clumped);
+            gate.open(
+                now,
+                part,
+                part.map_or(draw, |p| p.saved(draw)),
+                parts,
+                clumped,
+            );
             let (known, refusals) = (gate.known(now), f64::from(gate.refusals));
             gate.refill(now);
             let mut from = gate.next(now);
@@ -731,7 +983,8 @@
         best.map(|(_, e, t)| (e, t)).ok_or(later)
     }
 
-    /// Messages of a line that may go now, the most urgent first; refused ones go again before all others.
+    /// Messages of a line that may go now, the most urgent first; refused ones go again before all
+    /// others.
     fn eligible(&self, now: Time, dest: DestId) -> (Vec<(f64, MessageId)>, Time) {
         let horizon = self.drain_time(now, dest).max(SEC);
         let (mut list, mut later) = (Vec::new(), Time::MAX);
@@ -754,11 +1007,18 @@
                 let k = &self.keys[&h.m.key];
                 let resting = k.rest_until > now && k.rest_for != id;
                 if k.turn.front() != Some(&id) || k.out > 0 || resting {
-                    later = if resting { later.min(k.rest_until) } else { later };
+                    later = if resting {
+                        later.min(k.rest_until)
+                    } else {
+                        later
+                    };
                     continue;
                 }
             }
-            list.push((self.urgency(h, now, horizon) + if h.refused { 100.0 } else { 0.0 }, id));
+            list.push((
+                self.urgency(h, now, horizon) + if h.refused { 100.0 } else { 0.0 },
+                id,
+            ));
         }
         list.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
         (list, later)
@@ -773,7 +1033,11 @@
             }
             let (line, later) = self.eligible(now, dest);
             // Blind, it calls nobody: what is listed may have drained, and the next ask is not far.
-            let later = if blind { later.min(now + BLIND_LOOK) } else { later };
+            let later = if blind {
+                later.min(now + BLIND_LOOK)
+            } else {
+                later
+            };
             self.dest(dest).look_at = later.max(now + MS);
             if !blind && !line.is_empty() && !self.dests[&dest].hosts.is_empty() {
                 lines.insert(dest, line.into());
@@ -782,9 +1046,15 @@
         while (self.calls.len() as u32) < self.s.slots {
             let mut best: Option<(f64, DestId)> = None;
             for (&dest, line) in &lines {
-                let Some(&(u, _)) = line.front() else { continue };
+                let Some(&(u, _)) = line.front() else {
+                    continue;
+                };
                 let d = &self.dests[&dest];
-                let cost = d.hosts.iter().map(|e| self.hosts[e].latency).fold(f64::MAX, f64::min);
+                let cost = d
+                    .hosts
+                    .iter()
+                    .map(|e| self.hosts[e].latency)
+                    .fold(f64::MAX, f64::min);
                 let index = u / cost;
                 if best.is_none_or(|b| index > b.0) {
                     best = Some((index, dest));
@@ -800,12 +1070,22 @@
     }
 
     fn look_again(&mut self, dest: DestId, at: Time) {
-        self.dests.entry(dest).and_modify(|d| d.look_at = d.look_at.min(at));
+        self.dests
+            .entry(dest)
+            .and_modify(|d| d.look_at = d.look_at.min(at));
     }
 
-    /// Sends one call of a destination, with as many messages as it carries. False: nothing more goes now.
-    fn send_from(&mut self, now: Time, dest: DestId, line: &mut VecDeque<(f64, MessageId)>) -> bool {
-        let Some(&(_, first)) = line.front() else { return false };
+    /// Sends one call of a destination, with as many messages as it carries. False: nothing more
+    /// goes now.
+    fn send_from(
+        &mut self,
+        now: Time,
+        dest: DestId,
+        line: &mut VecDeque<(f64, MessageId)>,
+    ) -> bool {
+        let Some(&(_, first)) = line.front() else {
+            return false;
+        };
         let d = &self.dests[&dest];
         let ailing = self.ailing(now, d);
         if self.calls.values().filter(|c| c.dest == dest).count() as u32 >= self.pool(d, ailing) {
@@ -821,7 +1101,9 @@
         let h = &self.held[&first];
         let class = self.class(&h.m);
         let bound = |h: &Held, c: &Class| {
-            h.ran.map(|r| r.1).filter(|_| c.scope == DedupScope::Zone && c.effect == Effect::Token)
+            h.ran
+                .map(|r| r.1)
+                .filter(|_| c.scope == DedupScope::Zone && c.effect == Effect::Token)
         };
         let safe = class.effect != Effect::SideEffect;
         let zone = bound(h, class);
@@ -832,15 +1114,24 @@
             Err(later) => {
                 self.look_again(dest, later);
                 line.pop_front();
-                let Some(way) = way else { return !line.is_empty() && (zone.is_some() || !safe) };
+                let Some(way) = way else {
+                    return !line.is_empty() && (zone.is_some() || !safe);
+                };
                 if zone.is_none() && safe {
                     // None of the same route goes anywhere now; others may.
-                    line.retain(|(_, id)| self.way(&routes, &self.held[id].m).is_some_and(|w| !w.same(&way)));
+                    line.retain(|(_, id)| {
+                        self.way(&routes, &self.held[id].m)
+                            .is_some_and(|w| !w.same(&way))
+                    });
                 }
                 return !line.is_empty();
             }
         };
-        let batch = self.s.kinds.get(self.hosts[&e].kind).map_or(1, |k| k.batch.max(1)) as usize;
+        let batch = self
+            .s
+            .kinds
+            .get(self.hosts[&e].kind)
+            .map_or(1, |k| k.batch.max(1)) as usize;
         let (mut ids, mut keys) = (Vec::new(), BTreeSet::new());
         let host_zone = self.hosts[&e].zone;
         line.retain(|&(_, id)| {
@@ -848,7 +1139,9 @@
             let c = self.class(&h.m);
             let fits = ids.len() < batch
                 && bound(h, c).is_none_or(|z| z == host_zone)
-                && self.way(&routes, &h.m).is_none_or(|w| w.rank(host_zone).is_some())
+                && self
+                    .way(&routes, &h.m)
+                    .is_none_or(|w| w.rank(host_zone).is_some())
                 && (id == first || !(trial && c.effect == Effect::SideEffect))
                 && (!c.in_order || h.m.key == 0 || keys.insert(h.m.key));
             if fits {
@@ -859,8 +1152,13 @@
         let call = self.next_call;
         self.next_call += 1;
         let idle_close = self.s.idle_close;
-        let Some(host) = self.hosts.get_mut(&e) else { return false };
-        let age = host.used_at.filter(|_| host.calls == 0).map_or(0, |t| now.saturating_sub(t));
+        let Some(host) = self.hosts.get_mut(&e) else {
+            return false;
+        };
+        let age = host
+            .used_at
+            .filter(|_| host.calls == 0)
+            .map_or(0, |t| now.saturating_sub(t));
         let mut idle = age >= REAP_LEAST && (idle_close == 0 || age < idle_close);
         if host.doubt_link || idle && self.reaper.doubts(now) {
             self.out.push(Action::CloseIdle { endpoint: e });
@@ -879,24 +1177,51 @@
         g.spend();
         self.calls.insert(
             call,
-            Call { left: ids.len() as u32, dest, host: e, sent: now, counted: false, again, trial, idle },
+            Call {
+                left: ids.len() as u32,
+                dest,
+                host: e,
+                sent: now,
+                counted: false,
+                again,
+                trial,
+                idle,
+            },
         );
         for id in ids {
-            let Some(h) = self.held.get_mut(&id) else { continue };
+            let Some(h) = self.held.get_mut(&id) else {
+                continue;
+            };
             let class = &self.s.classes[usize::from(h.m.class).min(self.s.classes.len() - 1)];
             let key = if class.in_order { h.m.key } else { 0 };
             let left = h.deadline.saturating_sub(now).max(1);
             // A call that may never run again gains nothing by an early time-out.
-            let t = if class.effect == Effect::SideEffect { timeout * 2 } else { timeout };
-            self.out.push(Action::Send { id, endpoint: e, timeout: t.min(left) });
-            self.flights.insert((id, h.attempts as u16), Flight { call, zone: host_zone, key });
+            let t = if class.effect == Effect::SideEffect {
+                timeout * 2
+            } else {
+                timeout
+            };
+            self.out.push(Action::Send {
+                id,
+                endpoint: e,
+                timeout: t.min(left),
+            });
+            self.flights.insert(
+                (id, h.attempts as u16),
+                Flight {
+                    call,
+                    zone: host_zone,
+                    key,
+                },
+            );
             h.attempts += 1;
             h.out = true;
             if let Some(k) = self.keys.get_mut(&key).filter(|_| key != 0) {
                 k.out += 1;
             }
         }
-        // Further sends of this turn would join this call: the rest of a batching line waits for the next.
+        // Further sends of this turn would join this call: the rest of a batching line waits for
+        // the next.
         if batch > 1 && !line.is_empty() {
             self.look_again(dest, now + MS);
         }
@@ -907,16 +1232,20 @@
     fn arm(&mut self, now: Time) {
         if self.sweep_at <= now {
             self.sweep_at = now + SEC;
-            self.keys.retain(|_, k| !k.turn.is_empty() || k.out > 0 || k.rest_until > now);
+            self.keys
+                .retain(|_, k| !k.turn.is_empty() || k.out > 0 || k.rest_until > now);
         }
         let lines = self.waiting.iter().map(|d| self.dests[d].look_at);
-        let next = lines
-            .min()
-            .unwrap_or(Time::MAX)
-            .min(self.asking.as_ref().and_then(Asking::next).unwrap_or(Time::MAX));
+        let next = lines.min().unwrap_or(Time::MAX).min(
+            self.asking
+                .as_ref()
+                .and_then(Asking::next)
+                .unwrap_or(Time::MAX),
+        );
         let next = next.max(now + MS);
         if next < Time::MAX && (self.wake_at <= now || next < self.wake_at) {
-            // In whole milliseconds: a coarser clock would else wake a trifle early, and never again.
+            // In whole milliseconds: a coarser clock would else wake a trifle early, and never
+            // again.
             let span = (next - now).div_ceil(MS) * MS;
             self.wake_at = now + span;
             self.out.push(Action::WakeAfter(span));
