--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -1,4 +1,5 @@
-//! The real program under load, with a keeper that this test plays: from policy to policy without a restart.
+//! The real program under load, with a keeper that this test plays: from policy to policy without a
+//! restart.
 #![cfg(feature = "fleet")]
 
 #[path = "common/keeper.rs"]
@@ -26,7 +27,8 @@
     connections: u32,
 }
 
-/// Hands messages in on one connection, each as soon as the one before is answered and a moment has passed.
+/// Hands messages in on one connection, each as soon as the one before is answered and a moment has
+/// passed.
 fn client(at: SocketAddr, n: u32, stop: &AtomicBool, heard: &Record) -> Client {
     let mut seen = Client::default();
     let mut line: Option<BufReader<TcpStream>> = None;
@@ -44,15 +46,18 @@
             "POST /event HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {id}\r\nX-Lane: event\r\nX-Remaining: 16000m\r\n\
              Content-Length: 2\r\nX-Addressing: dest={dest}\r\n\r\nhi"
         );
-        let answer = stream.get_mut().write_all(request.as_bytes()).and_then(|()| {
-            let mut head = String::new();
-            while !head.ends_with("\r\n\r\n") {
-                if stream.read_line(&mut head)? == 0 {
-                    return Err(io::ErrorKind::UnexpectedEof.into());
+        let answer = stream
+            .get_mut()
+            .write_all(request.as_bytes())
+            .and_then(|()| {
+                let mut head = String::new();
+                while !head.ends_with("\r\n\r\n") {
+                    if stream.read_line(&mut head)? == 0 {
+                        return Err(io::ErrorKind::UnexpectedEof.into());
+                    }
                 }
-            }
-            Ok(head)
-        });
+                Ok(head)
+            });
         seen.longest = seen.longest.max(begun.elapsed());
         match answer {
             Ok(head) if head.starts_with("HTTP/1.1 202") => {
@@ -76,9 +81,12 @@
         target("b1", "b", 1, quick, &heard),
         target("s1", "b", 2, slow, &called),
     ];
-    targets.iter_mut().for_each(|t| t["capacity_hint"] = json!(500.0));
-    let lists = directory::Directory::start(Duration::from_millis(1), targets.clone(), heard.clone())
-        .expect("a port");
+    targets
+        .iter_mut()
+        .for_each(|t| t["capacity_hint"] = json!(500.0));
+    let lists =
+        directory::Directory::start(Duration::from_millis(1), targets.clone(), heard.clone())
+            .expect("a port");
     let keeper = Keeper::default();
     let keepers = [keeper.start(false), keeper.start(true)];
     let text = format!(
@@ -87,7 +95,8 @@
     );
     keeper.told().away = true;
     let program = Path::new(env!("CARGO_BIN_EXE_raildeal"));
-    let mut sender = Sender::new(program, "n0".into(), config(lists.address, &targets)).expect("a folder");
+    let mut sender =
+        Sender::new(program, "n0".into(), config(lists.address, &targets)).expect("a folder");
     sender.follows(&text).expect("written");
     sender.spawn().expect("started");
     sender.listens().expect("listens");
@@ -117,7 +126,9 @@
     let offer = |number: u64, text: String| {
         let print = Document::parse(&text).expect("usable").print();
         keeper.told().offer = Some((number, print, text));
-        wait("stored or refused", || keeper.told().stored.contains_key(&number));
+        wait("stored or refused", || {
+            keeper.told().stored.contains_key(&number)
+        });
         keeper.told().stored[&number].clone()
     };
     let (mut turn, last) = (1, 12);
@@ -140,32 +151,60 @@
     // One that this sender cannot go by is refused with all its faults, and changes nothing.
     let bad = "[limits]\nslots = 60000\n[class.other]\ndeadline_ms = 5\n";
     let refused = offer(last + 1, bad.into()).expect("refused");
-    assert!(refused.contains("class.other") && refused.contains("line 3"), "{refused}");
+    assert!(
+        refused.contains("class.other") && refused.contains("line 3"),
+        "{refused}"
+    );
     let refused = offer(last + 2, "[limits]\nslots = 60000\n".into()).expect("refused");
     assert!(refused.contains("descriptors"), "{refused}");
     thread::sleep(Duration::from_millis(300));
     stop.store(true, Ordering::Relaxed);
-    let clients: Vec<Client> = clients.into_iter().map(|c| c.join().expect("a client")).collect();
+    let clients: Vec<Client> = clients
+        .into_iter()
+        .map(|c| c.join().expect("a client"))
+        .collect();
     let longest = clients.iter().map(|c| c.longest).max().expect("some");
-    let (taken, away): (u32, u32) =
-        clients.iter().fold((0, 0), |sum, c| (sum.0 + c.taken_on, sum.1 + c.turned_away));
+    let (taken, away): (u32, u32) = clients
+        .iter()
+        .fold((0, 0), |sum, c| (sum.0 + c.taken_on, sum.1 + c.turned_away));
     println!("{last} changes, {taken} taken on, {away} turned away; longest gap of a client {longest:?}, longest change {paused:?}");
-    assert!(clients.iter().all(|c| c.connections == 1), "a connection was dropped");
-    assert!(taken > 400 && longest < Duration::from_millis(400), "{taken} {longest:?}");
+    assert!(
+        clients.iter().all(|c| c.connections == 1),
+        "a connection was dropped"
+    );
+    assert!(
+        taken > 400 && longest < Duration::from_millis(400),
+        "{taken} {longest:?}"
+    );
     heard.settle(Duration::from_secs(20));
     let verdict = heard.verdict();
     assert_eq!((verdict.lost, verdict.doubled), (0, 0));
     // Each is told once, under the policy that it was taken on under.
     let told = |of: fn(&Health) -> u32| -> u32 {
-        keeper.told().health.values().flatten().filter(|h| h.class == "event").map(of).sum()
+        keeper
+            .told()
+            .health
+            .values()
+            .flatten()
+            .filter(|h| h.class == "event")
+            .map(of)
+            .sum()
     };
-    wait("all told", || told(|h| h.delivered + h.late + h.refused + h.failed) == taken);
+    wait("all told", || {
+        told(|h| h.delivered + h.late + h.refused + h.failed) == taken
+    });
     assert_eq!(told(|h| h.taken), taken);
-    let policies: std::collections::BTreeSet<u64> =
-        keeper.told().health.values().flatten().map(|h| h.policy).collect();
+    let policies: std::collections::BTreeSet<u64> = keeper
+        .told()
+        .health
+        .values()
+        .flatten()
+        .map(|h| h.policy)
+        .collect();
     assert_eq!(policies, (0..=last).collect());
 
-    // Killed with a message that is held, and no keeper there: the next process ends it under its policy and takes nothing on.
+    // Killed with a message that is held, and no keeper there: the next process ends it under its
+    // policy and takes nothing on.
     assert!(sender.hand_in("held", 2, Duration::from_secs(16), &heard));
     wait("a call", || called.seen().lives.contains_key("held"));
     sender.kill();
@@ -178,10 +217,14 @@
     wait("its end", || log.said("hook: ended under 12"));
     // And on with the record's policy once a keeper is back.
     keeper.told().away = false;
-    wait("taken on", || sender.hand_in("again", 0, Duration::from_secs(16), &heard));
+    wait("taken on", || {
+        sender.hand_in("again", 0, Duration::from_secs(16), &heard)
+    });
     // A lease that lapses shuts the door, and nothing else.
     keeper.told().away = true;
-    wait("fenced", || !sender.hand_in("late", 0, Duration::from_secs(16), &heard));
+    wait("fenced", || {
+        !sender.hand_in("late", 0, Duration::from_secs(16), &heard)
+    });
     sender.tell_to_end();
     assert!(sender.ended_well());
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -10,7 +10,8 @@
     d
 }
 
-// ---- the post's dispatcher ------------------------------------------------------------------------------------
+// ---- the post's dispatcher
+// ------------------------------------------------------------------------------------
 
 #[test]
 fn a_told_wait_pauses_every_send_and_the_refused_call_goes_again_first() {
@@ -37,9 +38,15 @@
     // Found on a simulated overload day: only the first outcome of a call was read for its wait.
     let mut d = Driver::new(settings(), vec![line(1, 1, 1, Condition::Ready)]);
     d.warm_up(1);
-    let batch = [Event::Arrived(d.message(1, 0, 1)), Event::Arrived(d.message(2, 0, 1))];
+    let batch = [
+        Event::Arrived(d.message(1, 0, 1)),
+        Event::Arrived(d.message(2, 0, 1)),
+    ];
     assert_eq!(sends(&d.give_all(&batch)).len(), 2);
-    let ends = [d.ending(1, Outcome::Full { wait: 100 * MS }), d.ending(2, Outcome::Full { wait: 900 * MS })];
+    let ends = [
+        d.ending(1, Outcome::Full { wait: 100 * MS }),
+        d.ending(2, Outcome::Full { wait: 900 * MS }),
+    ];
     d.give_all(&ends);
     assert!(sends(&d.pass(890 * MS)).is_empty());
 }
@@ -48,7 +55,10 @@
 fn a_message_that_cannot_outlast_the_pause_is_refused_at_once_with_the_wait() {
     let mut d = one();
     d.arrive(1, 0, 1);
-    d.give(Event::Arrived(Message { ttl: 2 * SEC, ..d.message(2, 1, 1) }));
+    d.give(Event::Arrived(Message {
+        ttl: 2 * SEC,
+        ..d.message(2, 1, 1)
+    }));
     d.end(2, Outcome::Ok);
     let out = d.end(1, Outcome::Full { wait: 25 * SEC });
     assert_eq!(refused(&out), [(1, 25 * SEC)]);
@@ -57,8 +67,13 @@
 
 #[test]
 fn routes_apart_pause_each_for_itself() {
-    let mut d =
-        Driver::new(settings(), vec![line(1, 1, 2, Condition::Ready), line(2, 1, 2, Condition::Ready)]);
+    let mut d = Driver::new(
+        settings(),
+        vec![
+            line(1, 1, 2, Condition::Ready),
+            line(2, 1, 2, Condition::Ready),
+        ],
+    );
     d.warm_up(1);
     let first = targets(&d.arrive(1, 0, 1))[0];
     let then = targets(&d.end(1, Outcome::Full { wait: 5 * SEC }));
@@ -70,7 +85,13 @@
 #[test]
 fn the_pool_stays_under_three_quarters_of_the_slots() {
     for (slots, most) in [(3, 2), (4, 2), (8, 5), (9, 6)] {
-        let mut d = Driver::new(Settings { slots, ..settings() }, vec![ready(1, 1)]);
+        let mut d = Driver::new(
+            Settings {
+                slots,
+                ..settings()
+            },
+            vec![ready(1, 1)],
+        );
         d.warm_up(1);
         let mut out = Vec::new();
         for id in 0..20 {
@@ -92,7 +113,8 @@
     assert!(sends(&d.pass(SEC)).len() <= 1);
 }
 
-// ---- own pauses, outages, coming back ---------------------------------------------------------------------------
+// ---- own pauses, outages, coming back
+// ---------------------------------------------------------------------------
 
 #[test]
 fn a_refusal_without_a_wait_brings_a_growing_pause_of_our_own() {
@@ -115,20 +137,29 @@
         d.arrive(id, 0, 1);
     }
     d.pass(150 * MS);
-    let ends: Vec<Event> = (1..4).map(|id| d.ending(id, Outcome::ConnectFailed)).collect();
+    let ends: Vec<Event> = (1..4)
+        .map(|id| d.ending(id, Outcome::ConnectFailed))
+        .collect();
     d.give_all(&ends);
 }
 
 #[test]
 fn after_an_outage_one_trial_goes_first_and_then_a_cold_budget() {
     let mut d = one();
-    d.give_all(&(100..140).map(|id| Event::Arrived(d.message(id, 0, 1))).collect::<Vec<_>>());
+    d.give_all(
+        &(100..140)
+            .map(|id| Event::Arrived(d.message(id, 0, 1)))
+            .collect::<Vec<_>>(),
+    );
     let mut out = d.seen.clone();
     d.seen.clear();
     for _ in 0..60 {
         let ids = sends(&out);
         out = Vec::new();
-        let ends: Vec<Event> = ids.iter().map(|id| d.ending(*id, Outcome::ConnectFailed)).collect();
+        let ends: Vec<Event> = ids
+            .iter()
+            .map(|id| d.ending(*id, Outcome::ConnectFailed))
+            .collect();
         out.extend(d.give_all(&ends));
         out.extend(d.pass(100 * MS));
     }
@@ -153,8 +184,8 @@
 
 #[test]
 fn health_counters_do_not_run_into_debt_while_all_is_well() {
-    // Found on simulated standard days: the cold budget and the pace's tokens sank far below zero in healthy times,
-    // and an endpoint that came back was starved for tens of seconds.
+    // Found on simulated standard days: the cold budget and the pace's tokens sank far below zero
+    // in healthy times, and an endpoint that came back was starved for tens of seconds.
     let mut d = one();
     for id in 0..200 {
         d.arrive(id, 0, 1);
@@ -168,11 +199,18 @@
 
 #[test]
 fn a_long_told_wait_means_shut_and_the_return_is_tried_first() {
-    // Found on a simulated incident: every relay was told the same moment of opening and all went at once.
+    // Found on a simulated incident: every relay was told the same moment of opening and all went
+    // at once.
     let mut d = one();
-    d.give_all(&(1..20).map(|id| Event::Arrived(d.message(id, 0, 1))).collect::<Vec<_>>());
-    let ends: Vec<Event> =
-        sends(&d.seen).iter().map(|id| d.ending(*id, Outcome::Full { wait: 8 * SEC })).collect();
+    d.give_all(
+        &(1..20)
+            .map(|id| Event::Arrived(d.message(id, 0, 1)))
+            .collect::<Vec<_>>(),
+    );
+    let ends: Vec<Event> = sends(&d.seen)
+        .iter()
+        .map(|id| d.ending(*id, Outcome::Full { wait: 8 * SEC }))
+        .collect();
     d.give_all(&ends);
     assert!(sends(&d.pass(8 * SEC - 10 * MS)).is_empty());
     assert_eq!(sends(&d.pass(2 * SEC)).len(), 1);
@@ -191,7 +229,8 @@
 
 #[test]
 fn calls_lost_while_later_ones_are_answered_are_no_outage() {
-    // Found on a simulated incident: a third of all calls got lost everywhere, and every endpoint was called sick.
+    // Found on a simulated incident: a third of all calls got lost everywhere, and every endpoint
+    // was called sick.
     let mut d = one();
     let mut lost = 0;
     for id in 0..30 {
@@ -202,13 +241,25 @@
             d.end(answered, Outcome::Ok);
         }
         d.pass(50 * MS);
-        let Event::Ended { id, attempt, .. } = d.ending(3 * id, Outcome::Timeout) else { panic!() };
+        let Event::Ended { id, attempt, .. } = d.ending(3 * id, Outcome::Timeout) else {
+            panic!()
+        };
         let (outcome, took) = (Outcome::Timeout, 450 * MS);
-        let out = d.give(Event::Ended { id, attempt, outcome, took, finished: false, report: vec![] });
+        let out = d.give(Event::Ended {
+            id,
+            attempt,
+            outcome,
+            took,
+            finished: false,
+            report: vec![],
+        });
         lost += failed(&out).len();
     }
     assert_eq!(lost, 30);
-    assert!(!d.seen.iter().any(|a| matches!(a, Action::Log(t) if t.contains("Sick"))));
+    assert!(!d
+        .seen
+        .iter()
+        .any(|a| matches!(a, Action::Log(t) if t.contains("Sick"))));
 }
 
 #[test]
@@ -225,8 +276,15 @@
 
 #[test]
 fn an_outage_outlives_the_endpoint_for_rare_callers() {
-    // Found on a simulated big day: replacements of endpoints that were down got every held message at once.
-    let mut d = Driver::new(Settings { relays: 400, ..settings() }, vec![ready(1, 1)]);
+    // Found on a simulated big day: replacements of endpoints that were down got every held message
+    // at once.
+    let mut d = Driver::new(
+        Settings {
+            relays: 400,
+            ..settings()
+        },
+        vec![ready(1, 1)],
+    );
     d.pass(20 * SEC);
     d.arrive(1, 0, 1);
     d.end(1, Outcome::ConnectFailed);
@@ -242,12 +300,16 @@
 
 #[test]
 fn a_gate_counts_its_last_answer_from_the_start_of_the_relay() {
-    // Found on a simulated day of 208 relays: a first call refused with a long wait was followed at its very end by all.
+    // Found on a simulated day of 208 relays: a first call refused with a long wait was followed at
+    // its very end by all.
     let mut latest = 0;
     for seed in 1..30 {
         let mut d = Driver::new(settings(), vec![]);
         d.relay = Relay::new(
-            Settings { relays: 208, ..settings() },
+            Settings {
+                relays: 208,
+                ..settings()
+            },
             u64::wrapping_mul(seed, 0x09E3_779B_97F4_A7C1),
         )
         .expect("usable");
@@ -275,8 +337,19 @@
         for a in std::mem::take(&mut out) {
             if let Action::Send { id, endpoint, .. } = a {
                 let down = endpoint == at(1);
-                (bad, served) = if down { (bad + 1, served) } else { (bad, served + 1) };
-                ends.push(d.ending(id, if down { Outcome::ConnectFailed } else { Outcome::Ok }));
+                (bad, served) = if down {
+                    (bad + 1, served)
+                } else {
+                    (bad, served + 1)
+                };
+                ends.push(d.ending(
+                    id,
+                    if down {
+                        Outcome::ConnectFailed
+                    } else {
+                        Outcome::Ok
+                    },
+                ));
             }
         }
         out = d.give_all(&ends);
@@ -286,10 +359,17 @@
 
 #[test]
 fn idle_connections_are_closed_only_while_calls_on_them_get_lost() {
-    // Found on simulated later days of one deployment: connections dropped unseen after some idle time ate a time-out
-    // for nearly every call of a relay that calls rarely.
-    let mut d = Driver::new(settings(), (1..7).map(|n| ready(n, DestId::from(n))).collect());
-    let closes = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::CloseIdle { .. })).count();
+    // Found on simulated later days of one deployment: connections dropped unseen after some idle
+    // time ate a time-out for nearly every call of a relay that calls rarely.
+    let mut d = Driver::new(
+        settings(),
+        (1..7).map(|n| ready(n, DestId::from(n))).collect(),
+    );
+    let closes = |out: &[Action]| {
+        out.iter()
+            .filter(|a| matches!(a, Action::CloseIdle { .. }))
+            .count()
+    };
     for n in 1..7 {
         d.arrive(u32::from(n), 0, n);
         d.pass(100 * MS);
@@ -300,7 +380,11 @@
     d.pass(2 * SEC);
     let mut again = d.end(11, Outcome::Timeout);
     again.extend(d.pass(2 * SEC));
-    assert_eq!((sends(&again), closes(&again)), (vec![11], 1), "the retry takes a new connection");
+    assert_eq!(
+        (sends(&again), closes(&again)),
+        (vec![11], 1),
+        "the retry takes a new connection"
+    );
     d.end(11, Outcome::Ok);
     assert_eq!(closes(&d.arrive(12, 0, 2)), 1, "and so do calls to others");
     d.end(12, Outcome::Ok);
@@ -313,25 +397,50 @@
 
 #[test]
 fn no_connection_is_kept_idle_while_endpoints_of_the_kind_turn_connections_away() {
-    // Found on simulated days of 200 to 480 relays: idle connections held every place that an endpoint has, and a
-    // fifth of all attempts got none.
-    let mut d = Driver::new(settings(), vec![ready(1, 1), ready(2, 2), line(3, 3, 2, Condition::Ready)]);
+    // Found on simulated days of 200 to 480 relays: idle connections held every place that an
+    // endpoint has, and a fifth of all attempts got none.
+    let mut d = Driver::new(
+        settings(),
+        vec![ready(1, 1), ready(2, 2), line(3, 3, 2, Condition::Ready)],
+    );
     let closed = |out: &[Action]| -> Vec<Endpoint> {
-        let close = |a: &Action| if let Action::CloseIdle { endpoint } = a { Some(*endpoint) } else { None };
+        let close = |a: &Action| {
+            if let Action::CloseIdle { endpoint } = a {
+                Some(*endpoint)
+            } else {
+                None
+            }
+        };
         out.iter().filter_map(close).collect()
     };
     for n in 1..4 {
         d.warm_up(n);
     }
     d.arrive(1, 0, 2);
-    assert_eq!(closed(&d.end(1, Outcome::Ok)), [], "nothing speaks for it yet");
+    assert_eq!(
+        closed(&d.end(1, Outcome::Ok)),
+        [],
+        "nothing speaks for it yet"
+    );
     d.arrive(2, 0, 1);
-    assert_eq!(closed(&d.end(2, Outcome::ConnectFailed)), [], "it may be down");
+    assert_eq!(
+        closed(&d.end(2, Outcome::ConnectFailed)),
+        [],
+        "it may be down"
+    );
     assert_eq!(sends(&d.pass(SEC)), [2]);
-    assert_eq!(closed(&d.end(2, Outcome::Ok)), [at(1), at(2)], "it was not: the idle ones of that kind go");
+    assert_eq!(
+        closed(&d.end(2, Outcome::Ok)),
+        [at(1), at(2)],
+        "it was not: the idle ones of that kind go"
+    );
     d.arrive(3, 0, 2);
     d.arrive(4, 0, 2);
-    assert_eq!(closed(&d.end(3, Outcome::Ok)), [], "a call is still out on it");
+    assert_eq!(
+        closed(&d.end(3, Outcome::Ok)),
+        [],
+        "a call is still out on it"
+    );
     assert_eq!(closed(&d.end(4, Outcome::Ok)), [at(2)], "none is kept");
     d.arrive(5, 0, 3);
     assert_eq!(closed(&d.end(5, Outcome::Ok)), [], "another kind");
@@ -342,10 +451,18 @@
 
 #[test]
 fn a_kind_out_of_connections_is_not_down_unless_it_lasts() {
-    // Found on simulated days of 200 to 480 relays: one connection that was turned away made a rare caller believe in
-    // an outage, and its line waited for a cold budget until it was too late.
-    let s = Settings { relays: 300, listed: ListedRates::Rough, slots: 60, ..settings() };
-    let line = |n: u8| Listing { rate: 300.0, ..ready(n, DestId::from(n)) };
+    // Found on simulated days of 200 to 480 relays: one connection that was turned away made a rare
+    // caller believe in an outage, and its line waited for a cold budget until it was too late.
+    let s = Settings {
+        relays: 300,
+        listed: ListedRates::Rough,
+        slots: 60,
+        ..settings()
+    };
+    let line = |n: u8| Listing {
+        rate: 300.0,
+        ..ready(n, DestId::from(n))
+    };
     let mut d = Driver::new(s, (1..30).map(line).collect());
     for n in 1..30 {
         d.arrive(u32::from(n), 0, n);
@@ -354,11 +471,17 @@
     for id in sends(&d.seen.clone()) {
         d.end(id, Outcome::Ok);
     }
-    let sick = |out: &[Action]| out.iter().any(|a| matches!(a, Action::Log(t) if t.contains("Sick")));
+    let sick = |out: &[Action]| {
+        out.iter()
+            .any(|a| matches!(a, Action::Log(t) if t.contains("Sick")))
+    };
     let sent = |d: &mut Driver, id| (0..100).any(|_| sends(&d.pass(100 * MS)).contains(&id));
     d.pass(10 * SEC);
     d.arrive(101, 0, 1);
-    assert!(sick(&d.end(101, Outcome::ConnectFailed)), "one alone may be an outage");
+    assert!(
+        sick(&d.end(101, Outcome::ConnectFailed)),
+        "one alone may be an outage"
+    );
     // Others turn a connection away and answer the next.
     let learned = (2..30).find(|n| {
         let id = 100 + u32::from(*n);
@@ -374,16 +497,27 @@
     assert!(sends(&d.pass(SEC)).contains(&id), "it goes again soon");
     d.end(id, Outcome::ConnectFailed);
     d.pass(SEC);
-    assert!(sick(&d.end(id, Outcome::ConnectFailed)), "three in a row are an outage");
+    assert!(
+        sick(&d.end(id, Outcome::ConnectFailed)),
+        "three in a row are an outage"
+    );
 }
 
-/// A rare caller of a fleet of 300 whose only message is refused over and over, with this report. The seconds until
-/// each next send, and whether it took the endpoint for sick.
+/// A rare caller of a fleet of 300 whose only message is refused over and over, with this report.
+/// The seconds until each next send, and whether it took the endpoint for sick.
 fn refused_again_and_again(report: [f32; 2]) -> (Vec<f64>, bool) {
-    let s = Settings { relays: 300, report_left: Some(0), report_limit: Some(1), ..settings() };
+    let s = Settings {
+        relays: 300,
+        report_left: Some(0),
+        report_limit: Some(1),
+        ..settings()
+    };
     let mut d = Driver::new(s, vec![ready(1, 1)]);
     d.pass(10 * SEC);
-    d.give(Event::Arrived(Message { ttl: 90 * SEC, ..d.message(1, 0, 1) }));
+    d.give(Event::Arrived(Message {
+        ttl: 90 * SEC,
+        ..d.message(1, 0, 1)
+    }));
     let mut gaps = Vec::new();
     for _ in 0..if report[0] > 0.5 { 5 } else { 3 } {
         let mut out = d.end_with(1, Outcome::Full { wait: 0 }, report);
@@ -393,13 +527,19 @@
         }
         gaps.push((d.now - from) as f64 / SEC as f64);
     }
-    (gaps, d.seen.iter().any(|a| matches!(a, Action::Log(t) if t.contains("Sick"))))
+    (
+        gaps,
+        d.seen
+            .iter()
+            .any(|a| matches!(a, Action::Log(t) if t.contains("Sick"))),
+    )
 }
 
 #[test]
 fn a_refusal_by_a_limit_that_is_used_up_is_no_outage() {
-    // Found on a simulated day of 261 relays: a clump jammed a limit that refused calls use up; relays took that for
-    // an outage and sent a cold budget for the rest of the day, with hundreds of messages held.
+    // Found on a simulated day of 261 relays: a clump jammed a limit that refused calls use up;
+    // relays took that for an outage and sent a cold budget for the rest of the day, with hundreds
+    // of messages held.
     assert!(!refused_again_and_again([0.0, 30.0]).1);
     let (gaps, sick) = refused_again_and_again([0.8, 30.0]);
     assert!(sick, "refused with room left: shut; {gaps:?}");
@@ -407,12 +547,15 @@
 
 #[test]
 fn relays_do_not_all_take_the_same_endpoint_and_none_goes_unseen() {
-    // Found on a simulated day of 361 relays: nine tenths of all calls went to the first of three routes.
+    // Found on a simulated day of 361 relays: nine tenths of all calls went to the first of three
+    // routes.
     let mut firsts = [0; 3];
     for seed in 1..31 {
         let mut d = Driver::new(settings(), vec![]);
         d.relay = Relay::new(settings(), seed * 7919).expect("usable");
-        d.give(Event::CachedList((1..4).map(|n| line(n, 1, 2, Condition::Ready)).collect()));
+        d.give(Event::CachedList(
+            (1..4).map(|n| line(n, 1, 2, Condition::Ready)).collect(),
+        ));
         let to = targets(&d.arrive(1, 0, 1))[0];
         firsts[usize::from(to.addr[3]) - 1] += 1;
         d.end(1, Outcome::Full { wait: 0 });
@@ -425,10 +568,16 @@
 
 #[test]
 fn all_relays_together_keep_to_what_a_cold_destination_of_a_known_limit_bears() {
-    // Found on a simulated incident: 51 relays, each by the best throughput it had seen, sent a returning destination
-    // 3.2 times what it could do. Ten frequent callers of one limit of 20 a second here; the outage lasts five seconds.
+    // Found on a simulated incident: 51 relays, each by the best throughput it had seen, sent a
+    // returning destination 3.2 times what it could do. Ten frequent callers of one limit of 20 a
+    // second here; the outage lasts five seconds.
     let limit = 20.0;
-    let s = Settings { relays: 10, report_left: Some(0), report_limit: Some(1), ..settings() };
+    let s = Settings {
+        relays: 10,
+        report_left: Some(0),
+        report_limit: Some(1),
+        ..settings()
+    };
     let mut fleet: Vec<Driver> = (1..11)
         .map(|n| {
             let mut d = Driver::new(s.clone(), vec![ready(1, 1)]);
@@ -460,17 +609,35 @@
         }
     }
     let bears = s.overload_factor * f64::from(limit) * 1.5 * 1.2 * 0.4; // 1.5 s, some spare, the share by then
-    assert!((after as f64) < bears, "{after} calls in 1.5 s, {bears} at most");
+    assert!(
+        (after as f64) < bears,
+        "{after} calls in 1.5 s, {bears} at most"
+    );
 }
 
 #[test]
 fn odd_rates_in_the_list_and_in_reports_are_taken_for_none() {
     for rate in [0.0, -3.0, f32::NAN, f32::INFINITY, f32::NEG_INFINITY] {
-        for listed in [ListedRates::Silent, ListedRates::Nominal, ListedRates::Rough] {
-            let s =
-                Settings { relays: 40, listed, report_left: Some(0), report_limit: Some(1), ..settings() };
+        for listed in [
+            ListedRates::Silent,
+            ListedRates::Nominal,
+            ListedRates::Rough,
+        ] {
+            let s = Settings {
+                relays: 40,
+                listed,
+                report_left: Some(0),
+                report_limit: Some(1),
+                ..settings()
+            };
             let sent = |rate: f32| {
-                let mut d = Driver::new(s.clone(), vec![Listing { rate, ..ready(1, 1) }]);
+                let mut d = Driver::new(
+                    s.clone(),
+                    vec![Listing {
+                        rate,
+                        ..ready(1, 1)
+                    }],
+                );
                 d.warm_up(1);
                 d.arrive(1, 0, 1);
                 d.end_with(1, Outcome::Full { wait: 0 }, [rate, rate]);
@@ -481,34 +648,58 @@
                 sends(&d.seen)
             };
             let odd = sent(rate);
-            assert!(!odd.is_empty() && odd.len() < 10, "{rate} {listed:?}: {odd:?}");
-            assert_eq!(odd, sent(-1.0), "{rate} {listed:?}: as any other figure that is no rate");
+            assert!(
+                !odd.is_empty() && odd.len() < 10,
+                "{rate} {listed:?}: {odd:?}"
+            );
+            assert_eq!(
+                odd,
+                sent(-1.0),
+                "{rate} {listed:?}: as any other figure that is no rate"
+            );
         }
     }
 }
 
 #[test]
 fn a_rare_caller_refused_with_the_limit_unused_takes_the_destination_for_shut_at_once() {
-    // Found on a simulated overload day of 78 relays: a shut route was pushed over by those refused once or twice.
-    let s = Settings { relays: 300, report_left: Some(0), report_limit: Some(1), ..settings() };
+    // Found on a simulated overload day of 78 relays: a shut route was pushed over by those refused
+    // once or twice.
+    let s = Settings {
+        relays: 300,
+        report_left: Some(0),
+        report_limit: Some(1),
+        ..settings()
+    };
     for (left, sick) in [(1.0, true), (0.6, false), (0.0, false)] {
         let mut d = Driver::new(s.clone(), vec![ready(1, 1)]);
         d.pass(10 * SEC);
         d.arrive(1, 0, 1);
         let out = d.end_with(1, Outcome::Full { wait: 0 }, [left, 30.0]);
-        assert_eq!(out.iter().any(|a| matches!(a, Action::Log(t) if t.contains("Sick"))), sick, "{left}");
+        assert_eq!(
+            out.iter()
+                .any(|a| matches!(a, Action::Log(t) if t.contains("Sick"))),
+            sick,
+            "{left}"
+        );
     }
 }
 
 #[test]
 fn a_used_up_limit_brings_a_rare_caller_to_its_part_and_room_brings_it_back() {
-    // Found on the same day: all relays together sent as much as the limit allows, and refused calls used it up.
+    // Found on the same day: all relays together sent as much as the limit allows, and refused
+    // calls used it up.
     let (gaps, _) = refused_again_and_again([0.0, 30.0]);
     assert!(
         gaps.iter().all(|g| (5.0..25.0).contains(g)),
         "half a token at half of 30 / 300 a second: {gaps:?}"
     );
-    let s = Settings { relays: 300, report_left: Some(0), report_limit: Some(1), ..settings() };
+    let s = Settings {
+        relays: 300,
+        report_left: Some(0),
+        report_limit: Some(1),
+        ..settings()
+    };
     let mut d = Driver::new(s, vec![ready(1, 1)]);
     d.pass(10 * SEC);
     for id in 1..9 {
@@ -520,25 +711,45 @@
     for _ in 0..200 {
         for id in sends(&out) {
             served.push((id, d.now));
-            let outcome = if load[0] > 0.5 { Outcome::Ok } else { Outcome::Full { wait: 0 } };
+            let outcome = if load[0] > 0.5 {
+                Outcome::Ok
+            } else {
+                Outcome::Full { wait: 0 }
+            };
             out = d.end_with(id, outcome, load);
             load[0] = 0.9;
         }
         out.extend(d.pass(100 * MS));
         out.drain(..out.len().saturating_sub(3));
     }
-    assert!(served.len() >= 6, "word of room releases the line: {served:?}");
+    assert!(
+        served.len() >= 6,
+        "word of room releases the line: {served:?}"
+    );
 }
 
 #[test]
 fn a_wake_is_asked_for_in_whole_milliseconds_and_only_when_something_is_due() {
-    // Found on a simulated big day: a wake asked for in nanoseconds came a trifle early, and a message was lost.
+    // Found on a simulated big day: a wake asked for in nanoseconds came a trifle early, and a
+    // message was lost.
     let mut d = one();
     d.arrive(1, 0, 1);
     d.end(1, Outcome::Full { wait: 700 * MS });
-    let spans: Vec<Time> =
-        d.seen.iter().filter_map(|a| if let Action::WakeAfter(t) = a { Some(*t) } else { None }).collect();
-    assert!(spans.len() <= 2 && spans.iter().all(|t| t % MS == 0), "{spans:?}");
+    let spans: Vec<Time> = d
+        .seen
+        .iter()
+        .filter_map(|a| {
+            if let Action::WakeAfter(t) = a {
+                Some(*t)
+            } else {
+                None
+            }
+        })
+        .collect();
+    assert!(
+        spans.len() <= 2 && spans.iter().all(|t| t % MS == 0),
+        "{spans:?}"
+    );
 }
 
 #[test]
@@ -546,7 +757,14 @@
     let returns = |relays, rare: bool| {
         let mut all = Vec::new();
         for seed in 1..20 {
-            let mut relay = Relay::new(Settings { relays, ..settings() }, seed * 7919).expect("usable");
+            let mut relay = Relay::new(
+                Settings {
+                    relays,
+                    ..settings()
+                },
+                seed * 7919,
+            )
+            .expect("usable");
             let mut d = Driver::new(settings(), vec![]);
             std::mem::swap(&mut d.relay, &mut relay);
             d.give(Event::CachedList(vec![ready(1, 1)]));
@@ -555,7 +773,10 @@
             } else {
                 d.warm_up(1);
             }
-            let mut out = d.give(Event::Arrived(Message { ttl: 90 * SEC, ..d.message(1, 0, 1) }));
+            let mut out = d.give(Event::Arrived(Message {
+                ttl: 90 * SEC,
+                ..d.message(1, 0, 1)
+            }));
             for _ in 0..2 {
                 assert_eq!(sends(&out), [1]);
                 d.end(1, Outcome::Full { wait: SEC });
@@ -567,41 +788,64 @@
                 all.push(d.now - from);
             }
         }
-        assert!(all.iter().all(|t| *t >= SEC), "never before the wait is over");
+        assert!(
+            all.iter().all(|t| *t >= SEC),
+            "never before the wait is over"
+        );
         all.iter().max().unwrap_or(&0) - all.iter().min().unwrap_or(&0)
     };
     for relays in [40, 440] {
         let (rare, often) = (returns(relays, true), returns(relays, false));
-        assert!(rare > 600 * MS && often < rare / 2, "{relays} relays: rare {rare}, often {often}");
+        assert!(
+            rare > 600 * MS && often < rare / 2,
+            "{relays} relays: rare {rare}, often {often}"
+        );
     }
 }
 
-// ---- effects --------------------------------------------------------------------------------------------------
+// ---- effects
+// --------------------------------------------------------------------------------------------------
 
 #[test]
 fn the_refusals_of_one_burst_do_not_add_up_their_pauses() {
-    // Found on a day of the lab (seed 1012): an endpoint replaced while much was held got 19 calls at once, refused 17 of
-    // them, and was left alone for a minute, all of whose messages ran out of time.
+    // Found on a day of the lab (seed 1012): an endpoint replaced while much was held got 19 calls
+    // at once, refused 17 of them, and was left alone for a minute, all of whose messages ran out
+    // of time.
     let mut late = 0;
     for seed in 0..20 {
         let old = line(1, 1, 2, Condition::Ready);
         let mut d = Driver::new(settings(), vec![]);
-        d.relay = Relay::new(Settings { slots: 60, room: 60, ..settings() }, seed).expect("usable");
+        d.relay = Relay::new(
+            Settings {
+                slots: 60,
+                room: 60,
+                ..settings()
+            },
+            seed,
+        )
+        .expect("usable");
         d.give(Event::CachedList(vec![old]));
         d.warm_up(1);
         d.pass(30 * SEC);
-        d.give(Event::ListChanges(vec![line(2, 1, 2, Condition::Ready), line(1, 1, 2, Condition::Gone)]));
+        d.give(Event::ListChanges(vec![
+            line(2, 1, 2, Condition::Ready),
+            line(1, 1, 2, Condition::Gone),
+        ]));
         let mut out = Vec::new();
         for id in 1..=30 {
             out.extend(sends(&d.arrive(id, 0, 1)));
         }
         let sent = out.len();
         assert!(sent > 2, "{sent} calls are no burst");
-        out.into_iter().for_each(|id| drop(d.end(id, Outcome::Full { wait: 800 * MS })));
-        // A spread return lasts as long as a partner takes to warm up, at most: that is how long others may be at it.
+        out.into_iter()
+            .for_each(|id| drop(d.end(id, Outcome::Full { wait: 800 * MS })));
+        // A spread return lasts as long as a partner takes to warm up, at most: that is how long
+        // others may be at it.
         let (start, most) = (d.now, settings().warm_after + 2 * SEC);
         let mut id = 100;
-        while d.now < start + most && sends(&d.arrive(id, 0, 1)).is_empty() && sends(&d.pass(SEC)).is_empty()
+        while d.now < start + most
+            && sends(&d.arrive(id, 0, 1)).is_empty()
+            && sends(&d.pass(SEC)).is_empty()
         {
             id += 1;
         }
@@ -654,7 +898,16 @@
 fn a_token_of_one_zone_stays_in_that_zone_and_is_not_refused_once_it_may_have_run() {
     let mut s = settings();
     s.classes[1].scope = DedupScope::Zone;
-    let mut d = Driver::new(s, vec![ready(1, 1), Listing { zone: 1, ..ready(2, 1) }]);
+    let mut d = Driver::new(
+        s,
+        vec![
+            ready(1, 1),
+            Listing {
+                zone: 1,
+                ..ready(2, 1)
+            },
+        ],
+    );
     let first = targets(&d.arrive(1, 1, 1))[0];
     let mut out = d.end(1, Outcome::Error);
     out.extend(d.pass(3 * SEC));
@@ -681,7 +934,8 @@
     assert_eq!(refused(&d.seen).len(), 1);
 }
 
-// ---- one answer -----------------------------------------------------------------------------------------------
+// ---- one answer
+// -----------------------------------------------------------------------------------------------
 
 #[test]
 fn a_message_held_to_its_end_gets_one_answer_in_time() {
@@ -696,8 +950,13 @@
 #[test]
 fn a_time_out_at_the_deadline_is_answered_in_the_same_turn() {
     let mut d = one();
-    let out = d.give(Event::Arrived(Message { ttl: SEC, ..d.message(1, 2, 1) }));
-    let Some(Action::Send { timeout, .. }) = out.first() else { panic!("not sent") };
+    let out = d.give(Event::Arrived(Message {
+        ttl: SEC,
+        ..d.message(1, 2, 1)
+    }));
+    let Some(Action::Send { timeout, .. }) = out.first() else {
+        panic!("not sent")
+    };
     assert!(*timeout <= SEC);
     d.now += SEC;
     assert_eq!(failed(&d.end(1, Outcome::Timeout)), [1]);
@@ -736,12 +995,22 @@
         report: vec![f32::NAN; 4],
     };
     d.give_all(&[stray, Event::Withdrawn(5), Event::Woken, Event::ListFailed]);
-    d.give(Event::Probed { endpoint: at(9), outcome: Outcome::Timeout, report: Vec::new() });
-    d.give(Event::Arrived(Message { ttl: 0, class: 77, tenant: 77, ..d.message(1, 0, 500) }));
+    d.give(Event::Probed {
+        endpoint: at(9),
+        outcome: Outcome::Timeout,
+        report: Vec::new(),
+    });
+    d.give(Event::Arrived(Message {
+        ttl: 0,
+        class: 77,
+        tenant: 77,
+        ..d.message(1, 0, 500)
+    }));
     assert_eq!(refused(&d.seen).len() + failed(&d.seen).len(), 1);
 }
 
-// ---- the list ---------------------------------------------------------------------------------------------------
+// ---- the list
+// ---------------------------------------------------------------------------------------------------
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_endpoint() {
@@ -762,13 +1031,22 @@
     d.arrive(1, 0, 1);
     d.end(1, Outcome::Full { wait: 500 * MS });
     d.give(Event::List(vec![ready(7, 1)]));
-    assert!(sends(&d.pass(490 * MS)).is_empty(), "the wait binds the destination, not the endpoint");
+    assert!(
+        sends(&d.pass(490 * MS)).is_empty(),
+        "the wait binds the destination, not the endpoint"
+    );
     assert_eq!(targets(&d.pass(SEC)), [at(7)]);
 }
 
 #[test]
 fn the_list_is_asked_for_where_it_must_be_and_again_after_a_failure() {
-    let mut d = Driver::new(Settings { ask_list: true, ..settings() }, vec![ready(1, 1)]);
+    let mut d = Driver::new(
+        Settings {
+            ask_list: true,
+            ..settings()
+        },
+        vec![ready(1, 1)],
+    );
     assert!(d.seen.contains(&Action::WatchList));
     d.seen.clear();
     d.give(Event::ListFailed);
@@ -780,7 +1058,8 @@
     assert!(!d.seen.contains(&Action::WatchList));
 }
 
-// ---- order --------------------------------------------------------------------------------------------------
+// ---- order
+// --------------------------------------------------------------------------------------------------
 
 #[test]
 fn messages_of_one_key_go_one_at_a_time_in_the_order_taken() {
@@ -797,13 +1076,17 @@
     d.arrive_keyed(1, 5);
     d.arrive_keyed(2, 5);
     d.give(Event::Withdrawn(1));
-    assert!(sends(&d.pass(SEC)).is_empty(), "an attempt without an outcome holds the key");
+    assert!(
+        sends(&d.pass(SEC)).is_empty(),
+        "an attempt without an outcome holds the key"
+    );
     assert!(sends(&d.end(1, Outcome::Timeout)).is_empty());
     assert!(sends(&d.pass(290 * MS)).is_empty());
     assert_eq!(sends(&d.pass(100 * MS)), [2]);
 }
 
-// ---- sharing ------------------------------------------------------------------------------------------------
+// ---- sharing
+// ------------------------------------------------------------------------------------------------
 
 #[test]
 fn one_destinations_line_does_not_fill_the_room() {
@@ -821,14 +1104,22 @@
 fn over_share_traffic_goes_last() {
     let mut d = one();
     for id in 0..8 {
-        d.give(Event::Arrived(Message { tenant: 1, ..d.message(id, 0, 1) }));
+        d.give(Event::Arrived(Message {
+            tenant: 1,
+            ..d.message(id, 0, 1)
+        }));
         d.pass(200 * MS);
         d.end(id, Outcome::Ok);
     }
-    let flood: Vec<Event> = (100..130).map(|id| Event::Arrived(d.message(id, 0, 1))).collect();
+    let flood: Vec<Event> = (100..130)
+        .map(|id| Event::Arrived(d.message(id, 0, 1)))
+        .collect();
     d.seen.clear();
     d.give_all(&flood);
-    d.give(Event::Arrived(Message { tenant: 1, ..d.message(400, 0, 1) }));
+    d.give(Event::Arrived(Message {
+        tenant: 1,
+        ..d.message(400, 0, 1)
+    }));
     let out = d.end(*sends(&d.seen).first().expect("sent"), Outcome::Ok);
     let mut next = sends(&out);
     next.extend(sends(&d.pass(100 * MS)));
@@ -840,24 +1131,38 @@
 fn traffic_of_no_tenant_goes_last_where_there_are_tenants() {
     let first_of = |none: u16, some: u16| {
         let mut d = one();
-        let tells = |id| Event::Arrived(Message { tenant: none, ..d.message(id, 0, 1) });
+        let tells = |id| {
+            Event::Arrived(Message {
+                tenant: none,
+                ..d.message(id, 0, 1)
+            })
+        };
         let queue: Vec<Event> = (100..115).map(tells).collect();
         d.give_all(&queue);
-        d.give(Event::Arrived(Message { tenant: some, ..d.message(400, 0, 1) }));
+        d.give(Event::Arrived(Message {
+            tenant: some,
+            ..d.message(400, 0, 1)
+        }));
         let out = d.end(*sends(&d.seen).first().expect("sent"), Outcome::Ok);
         let mut next = sends(&out);
         next.extend(sends(&d.pass(100 * MS)));
         next.first().copied()
     };
     assert_eq!(first_of(NO_TENANT, 1), Some(400));
-    assert_ne!(first_of(NO_TENANT, NO_TENANT), Some(400), "none is within a share");
+    assert_ne!(
+        first_of(NO_TENANT, NO_TENANT),
+        Some(400),
+        "none is within a share"
+    );
 }
 
 #[test]
 fn a_call_carries_several_messages_where_the_kind_allows() {
     let mut d = Driver::new(settings(), vec![line(1, 1, 1, Condition::Ready)]);
     d.warm_up(1);
-    let many: Vec<Event> = (0..12).map(|id| Event::Arrived(d.message(id, 0, 1))).collect();
+    let many: Vec<Event> = (0..12)
+        .map(|id| Event::Arrived(d.message(id, 0, 1)))
+        .collect();
     assert_eq!(sends(&d.give_all(&many)).len(), 5);
 }
 
@@ -877,9 +1182,27 @@
 #[test]
 fn unusable_settings_are_told_by_name() {
     let name = |s| Relay::new(s, 1).expect_err("unusable").setting;
-    assert_eq!(name(Settings { classes: vec![], ..settings() }), "classes");
-    assert_eq!(name(Settings { slots: 0, ..settings() }), "slots");
-    assert_eq!(name(Settings { room: 0, ..settings() }), "room");
+    assert_eq!(
+        name(Settings {
+            classes: vec![],
+            ..settings()
+        }),
+        "classes"
+    );
+    assert_eq!(
+        name(Settings {
+            slots: 0,
+            ..settings()
+        }),
+        "slots"
+    );
+    assert_eq!(
+        name(Settings {
+            room: 0,
+            ..settings()
+        }),
+        "room"
+    );
     let mut s = settings();
     s.classes[0].deadline = 0;
     assert_eq!(name(s), "classes.deadline");
@@ -893,14 +1216,22 @@
     assert!(text.lines().all(|l| l.chars().count() <= 110));
 }
 
-// ---- fees ----------------------------------------------------------------------------------------------------------
+// ---- fees
+// ----------------------------------------------------------------------------------------------------------
 
 #[test]
 fn the_route_that_costs_less_goes_first_while_it_has_room() {
     // Found on the price lines of real days: routes were taken alike, whatever their zones' fees.
-    let s = Settings { zone_fees: vec![0.06, 0.0], ..settings() };
-    let routes =
-        |kind| (1..=2).map(move |n| Listing { zone: u16::from(n) - 1, ..line(n, 1, kind, Condition::Ready) });
+    let s = Settings {
+        zone_fees: vec![0.06, 0.0],
+        ..settings()
+    };
+    let routes = |kind| {
+        (1..=2).map(move |n| Listing {
+            zone: u16::from(n) - 1,
+            ..line(n, 1, kind, Condition::Ready)
+        })
+    };
     let mut d = Driver::new(s.clone(), routes(2).collect());
     d.warm_up(1);
     assert_eq!(targets(&d.arrive(1, 0, 1)), [at(2)]);
@@ -908,14 +1239,21 @@
     // Told to wait there, the other one serves.
     d.end(1, Outcome::Full { wait: 2 * SEC });
     assert_eq!(targets(&d.arrive(3, 0, 1)), [at(1)]);
-    // With few slots left, an idle one serves: the cheaper one, with calls out, would hold a slot for longer.
-    let wide = Settings { slots: 16, zone_fees: vec![0.02, 0.0], ..settings() };
+    // With few slots left, an idle one serves: the cheaper one, with calls out, would hold a slot
+    // for longer.
+    let wide = Settings {
+        slots: 16,
+        zone_fees: vec![0.02, 0.0],
+        ..settings()
+    };
     for (elsewhere, dear) in [(0, false), (11, true)] {
         let mut d = Driver::new(wide.clone(), routes(2).chain([ready(3, 2)]).collect());
         d.warm_up(1);
         d.warm_up(2);
         (0..elsewhere).for_each(|id| drop(d.arrive(100 + id, 0, 2)));
-        let to: Vec<_> = (1..=4).flat_map(|id| targets(&d.arrive(id, 0, 1))).collect();
+        let to: Vec<_> = (1..=4)
+            .flat_map(|id| targets(&d.arrive(id, 0, 1)))
+            .collect();
         assert_eq!(to.contains(&at(1)), dear, "{to:?}");
     }
     // Endpoints that share one limit have no fee: the idle one is taken.
@@ -925,24 +1263,36 @@
     assert!(both.contains(&at(1)) && both.contains(&at(2)));
 }
 
-// ---- the long day -----------------------------------------------------------------------------------------------
+// ---- the long day
+// -----------------------------------------------------------------------------------------------
 
 #[test]
 fn nothing_grows_with_endpoints_ever_listed() {
-    // Found on reading for the long day: the gate of a route that went stayed with its destination for ever.
+    // Found on reading for the long day: the gate of a route that went stayed with its destination
+    // for ever.
     let mut d = Driver::new(settings(), vec![line(0, 1, 2, Condition::Ready)]);
     d.warm_up(1);
     let size = |d: &Driver| format!("{:?}", d.relay).len();
     let mut early = 0;
     for n in 0..200u8 {
         // The next one is listed, the old one drains with a call out, is refused and goes.
-        d.give(Event::ListChanges(vec![line(n + 1, 1, 2, Condition::Ready)]));
+        d.give(Event::ListChanges(vec![line(
+            n + 1,
+            1,
+            2,
+            Condition::Ready,
+        )]));
         let id = 20_000 + MessageId::from(n);
         d.arrive(id, 0, 1);
         d.give(Event::ListChanges(vec![line(n, 1, 2, Condition::Draining)]));
         d.end(id, Outcome::Full { wait: 100 * MS });
         d.pass(300 * MS);
-        if d.seen.iter().filter(|a| matches!(a, Action::Send { id: i, .. } if *i == id)).count() > 1 {
+        if d.seen
+            .iter()
+            .filter(|a| matches!(a, Action::Send { id: i, .. } if *i == id))
+            .count()
+            > 1
+        {
             d.end(id, Outcome::Ok);
         }
         d.give(Event::Withdrawn(id));
@@ -953,14 +1303,20 @@
         }
     }
     let late = size(&d);
-    assert!(late < early + early / 5, "{early} bytes told of it early, {late} late");
+    assert!(
+        late < early + early / 5,
+        "{early} bytes told of it early, {late} late"
+    );
 }
 
 #[test]
 fn an_outage_is_not_taken_for_a_kind_out_of_connections() {
-    // Found on days of a hundred relays: an outage of 5 s closed every idle connection of its kind for 20 s more, and each
-    // call took a handshake.
-    let s = Settings { relays: 100, ..settings() };
+    // Found on days of a hundred relays: an outage of 5 s closed every idle connection of its kind
+    // for 20 s more, and each call took a handshake.
+    let s = Settings {
+        relays: 100,
+        ..settings()
+    };
     let mut d = Driver::new(s, (1..5).map(|n| ready(n, DestId::from(n))).collect());
     for n in 1..5 {
         d.arrive(u32::from(n), 0, n);
@@ -978,7 +1334,11 @@
         d.arrive(id, 0, 2);
         d.end(id, Outcome::Ok);
     }
-    assert!(!d.seen.iter().any(|a| matches!(a, Action::CloseIdle { .. })), "{:?}", d.seen);
+    assert!(
+        !d.seen.iter().any(|a| matches!(a, Action::CloseIdle { .. })),
+        "{:?}",
+        d.seen
+    );
 }
 
 #[test]
@@ -990,5 +1350,9 @@
         d.pass(5 * MS);
     }
     assert_eq!(refused(&d.seen).len(), 1);
-    assert!((240 * MS..=260 * MS).contains(&(over - d.now)), "{} ms left", (over - d.now) / MS);
+    assert!(
+        (240 * MS..=260 * MS).contains(&(over - d.now)),
+        "{} ms left",
+        (over - d.now) / MS
+    );
 }
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,4 +1,5 @@
-//! Random legal event sequences with a fixed seed, audited by the rules that show in events and actions alone.
+//! Random legal event sequences with a fixed seed, audited by the rules that show in events and
+//! actions alone.
 
 mod common;
 use common::*;
@@ -43,7 +44,17 @@
     fn new(s: Settings) -> Self {
         let (seen, told, gone, rest) = Default::default();
         let (calls, call_of) = Default::default();
-        Audit { s, now: 0, turn: 0, seen, told, gone, rest, calls, call_of }
+        Audit {
+            s,
+            now: 0,
+            turn: 0,
+            seen,
+            told,
+            gone,
+            rest,
+            calls,
+            call_of,
+        }
     }
 
     fn event(&mut self, e: &Event) {
@@ -51,19 +62,37 @@
             Event::Arrived(m) => {
                 let order = self.seen.len() as u64;
                 let due = self.now + m.ttl;
-                let seen = Seen { m: *m, over: false, out: false, attempts: 0, ran: None, due, order };
+                let seen = Seen {
+                    m: *m,
+                    over: false,
+                    out: false,
+                    attempts: 0,
+                    ran: None,
+                    due,
+                    order,
+                };
                 self.seen.insert(m.id, seen);
             }
-            Event::Ended { id, outcome, took, finished, .. } => {
+            Event::Ended {
+                id,
+                outcome,
+                took,
+                finished,
+                ..
+            } => {
                 let m = self.seen.get_mut(id).expect("known");
                 m.out = false;
                 m.over |= finished;
-                let unsure = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+                let unsure = matches!(
+                    outcome,
+                    Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+                );
                 if unsure || *outcome == Outcome::Error {
                     m.ran.get_or_insert(self.now - took);
                 }
                 if unsure {
-                    self.rest.insert(m.m.key, (self.now + self.s.order_settle, *id));
+                    self.rest
+                        .insert(m.m.key, (self.now + self.s.order_settle, *id));
                 }
                 if let Outcome::Full { wait } = outcome {
                     let told = self.told.entry(m.m.dest).or_insert(0);
@@ -92,7 +121,13 @@
     }
 
     fn action(&mut self, a: &Action) -> Result<(), String> {
-        let rule = |ok: bool, what: &str| if ok { Ok(()) } else { Err(format!("{what}: {a:?}")) };
+        let rule = |ok: bool, what: &str| {
+            if ok {
+                Ok(())
+            } else {
+                Err(format!("{what}: {a:?}"))
+            }
+        };
         let (Action::Send { id, .. } | Action::Refuse { id, .. } | Action::Fail { id }) = a else {
             return Ok(());
         };
@@ -100,12 +135,20 @@
         rule(!m.over, "one answer")?;
         let effect = self.s.classes[usize::from(m.m.class)].effect;
         match a {
-            Action::Send { endpoint, timeout, .. } => {
+            Action::Send {
+                endpoint, timeout, ..
+            } => {
                 rule(!m.out, "two attempts at once")?;
                 rule(m.attempts < self.s.max_attempts as u16, "attempt limit")?;
                 rule(!self.gone.contains(endpoint), "drain")?;
-                rule(self.told.get(&m.m.dest).is_none_or(|t| *t <= self.now), "wait")?;
-                rule(self.now + timeout <= m.due.max(self.now + 1), "time-out past the deadline")?;
+                rule(
+                    self.told.get(&m.m.dest).is_none_or(|t| *t <= self.now),
+                    "wait",
+                )?;
+                rule(
+                    self.now + timeout <= m.due.max(self.now + 1),
+                    "time-out past the deadline",
+                )?;
                 let window = self.s.classes[usize::from(m.m.class)].window;
                 rule(
                     match (effect, m.ran) {
@@ -116,23 +159,34 @@
                     "effect",
                 )?;
                 if self.s.classes[usize::from(m.m.class)].in_order && m.m.key != 0 {
-                    let blocks = |o: &Seen| o.m.key == m.m.key && o.order < m.order && (!o.over || o.out);
+                    let blocks =
+                        |o: &Seen| o.m.key == m.m.key && o.order < m.order && (!o.over || o.out);
                     rule(!self.seen.values().any(blocks), "order")?;
                     let rest = self.rest.get(&m.m.key);
-                    rule(rest.is_none_or(|(t, by)| *t <= self.now || by == id), "key rest")?;
+                    rule(
+                        rest.is_none_or(|(t, by)| *t <= self.now || by == id),
+                        "key rest",
+                    )?;
                 }
                 let call = (self.turn, *endpoint);
                 *self.calls.entry(call).or_insert(0) += 1;
                 self.call_of.insert(*id, call);
                 rule(self.calls.len() <= self.s.slots as usize, "slots")?;
                 let dest = m.m.dest;
-                let here = self.calls.keys().filter(|c| c.1.addr[3] as DestId / 4 == dest).count();
+                let here = self
+                    .calls
+                    .keys()
+                    .filter(|c| c.1.addr[3] as DestId / 4 == dest)
+                    .count();
                 rule(4 * here < 3 * self.s.slots as usize, "pool")?;
                 let m = self.seen.get_mut(id).expect("known");
                 (m.out, m.attempts) = (true, m.attempts + 1);
             }
             Action::Refuse { .. } => {
-                rule(!m.out && (effect != Effect::SideEffect || m.ran.is_none()), "refusal of an effect")?;
+                rule(
+                    !m.out && (effect != Effect::SideEffect || m.ran.is_none()),
+                    "refusal of an effect",
+                )?;
                 self.seen.get_mut(id).expect("known").over = true;
             }
             _ => self.seen.get_mut(id).expect("known").over = true,
@@ -141,7 +195,10 @@
     }
 
     fn overdue(&self) -> Option<MessageId> {
-        self.seen.iter().find(|(_, m)| !m.over && self.now > m.due + 30 * MS).map(|(id, _)| *id)
+        self.seen
+            .iter()
+            .find(|(_, m)| !m.over && self.now > m.due + 30 * MS)
+            .map(|(id, _)| *id)
     }
 }
 
@@ -149,8 +206,9 @@
 fn run(seed: u64, spoil: fn(&mut Vec<Action>, Time)) -> Result<usize, String> {
     let s = settings();
     let mut rng = Rng(seed);
-    let list: Vec<Listing> =
-        (0..8u8).map(|n| line(n, DestId::from(n / 4), u16::from(n / 4), Condition::Ready)).collect();
+    let list: Vec<Listing> = (0..8u8)
+        .map(|n| line(n, DestId::from(n / 4), u16::from(n / 4), Condition::Ready))
+        .collect();
     let mut relay = Relay::new(s.clone(), seed).map_err(|e| e.to_string())?;
     let mut audit = Audit::new(s);
     let (mut now, mut next, mut sends) = (SEC, 0, 0);
@@ -166,11 +224,27 @@
         let mut fate: BTreeMap<Endpoint, (Outcome, Time)> = BTreeMap::new();
         for a in &actions {
             audit.action(a).map_err(|e| format!("step {step}: {e}"))?;
-            let Action::Send { id, endpoint, timeout } = a else { continue };
+            let Action::Send {
+                id,
+                endpoint,
+                timeout,
+            } = a
+            else {
+                continue;
+            };
             sends += 1;
-            let well = if bad[usize::from(endpoint.addr[3] / 4)] { 1 } else { 8 };
+            let well = if bad[usize::from(endpoint.addr[3] / 4)] {
+                1
+            } else {
+                8
+            };
             let drawn = match rng.below(8 + 2 * well) {
-                0 => (Outcome::Full { wait: rng.below(3) * 400 * MS }, 40 * MS),
+                0 => (
+                    Outcome::Full {
+                        wait: rng.below(3) * 400 * MS,
+                    },
+                    40 * MS,
+                ),
                 1 => (Outcome::Error, 60 * MS),
                 2 => (Outcome::Reset, 90 * MS),
                 3 => (Outcome::ConnectFailed, 150 * MS),
@@ -178,8 +252,11 @@
                 _ => (Outcome::Ok, (30 + rng.below(400)) * MS),
             };
             let (outcome, took) = *fate.entry(*endpoint).or_insert(drawn);
-            let (outcome, took) =
-                if took >= *timeout { (Outcome::Timeout, *timeout) } else { (outcome, took) };
+            let (outcome, took) = if took >= *timeout {
+                (Outcome::Timeout, *timeout)
+            } else {
+                (outcome, took)
+            };
             flying.push((now + took, *id, audit.seen[id].attempts - 1, outcome, now));
         }
         now += 10 * MS;
@@ -188,11 +265,21 @@
         for f in flying.extract(|f| f.0 <= now) {
             let finished = f.3 == Outcome::Ok || audit.seen[&f.1].over;
             let (outcome, took) = (f.3, now - f.4);
-            events.push(Event::Ended { id: f.1, attempt: f.2, outcome, took, finished, report: vec![] });
+            events.push(Event::Ended {
+                id: f.1,
+                attempt: f.2,
+                outcome,
+                took,
+                finished,
+                report: vec![],
+            });
         }
         if rng.below(3) == 0 && step < 3_400 {
             let (class, dest) = (rng.below(4) as u16, rng.below(2) as DestId);
-            let (key, ttl) = (if class == 3 { 1 + rng.below(3) } else { 0 }, (1 + rng.below(5)) * SEC);
+            let (key, ttl) = (
+                if class == 3 { 1 + rng.below(3) } else { 0 },
+                (1 + rng.below(5)) * SEC,
+            );
             events.push(Event::Arrived(Message {
                 id: next,
                 tenant: rng.below(2) as u16,
@@ -211,8 +298,14 @@
         }
         if rng.below(300) == 0 {
             let n = rng.below(8) as u8;
-            let condition = [Condition::Ready, Condition::Draining, Condition::Gone][rng.below(3) as usize];
-            events.push(Event::ListChanges(vec![line(n, DestId::from(n / 4), u16::from(n / 4), condition)]));
+            let condition =
+                [Condition::Ready, Condition::Draining, Condition::Gone][rng.below(3) as usize];
+            events.push(Event::ListChanges(vec![line(
+                n,
+                DestId::from(n / 4),
+                u16::from(n / 4),
+                condition,
+            )]));
         }
         if rng.below(400) == 0 {
             bad[rng.below(2) as usize] ^= true;
@@ -249,13 +342,16 @@
 fn the_audit_sees_a_rule_broken_on_purpose() {
     let broken = |spoil: fn(&mut Vec<Action>, Time)| run(3, spoil).expect_err("a rule was broken");
     // Answers swallowed: messages are lost.
-    let e =
-        broken(|actions, _| actions.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail { .. })));
+    let e = broken(|actions, _| {
+        actions.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+    });
     assert!(e.contains("lost") || e.contains("order"), "{e}");
     // A second answer.
     let e = broken(|actions, _| {
-        if let Some(a) =
-            actions.iter().find(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).cloned()
+        if let Some(a) = actions
+            .iter()
+            .find(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+            .cloned()
         {
             actions.push(a);
         }
@@ -263,7 +359,11 @@
     assert!(e.contains("one answer"), "{e}");
     // A second attempt beside the first.
     let e = broken(|actions, _| {
-        if let Some(a) = actions.iter().find(|a| matches!(a, Action::Send { .. })).cloned() {
+        if let Some(a) = actions
+            .iter()
+            .find(|a| matches!(a, Action::Send { .. }))
+            .cloned()
+        {
             actions.push(a);
         }
     });
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -1,4 +1,5 @@
-//! Three senders' agents and a record whose words are lost, doubled, late and out of order: never two policies at once.
+//! Three senders' agents and a record whose words are lost, doubled, late and out of order: never
+//! two policies at once.
 #![cfg(feature = "fleet")]
 
 mod common;
@@ -26,9 +27,22 @@
     }
 }
 
-fn machine(n: usize, boot: u64, without: Without, stored: BTreeMap<u64, Print>, last: u64) -> Machine {
+fn machine(
+    n: usize,
+    boot: u64,
+    without: Without,
+    stored: BTreeMap<u64, Print>,
+    last: u64,
+) -> Machine {
     let (sender, zone, keepers) = (format!("n{n}"), "a".to_string(), vec![1]);
-    let terms = Terms { sender, boot, zone, keepers, report: 100 * MS, warm_after: SEC };
+    let terms = Terms {
+        sender,
+        boot,
+        zone,
+        keepers,
+        report: 100 * MS,
+        warm_after: SEC,
+    };
     Machine::new(terms, boot, 0).following(Register::new(Kind::Policy, without, stored, last))
 }
 
@@ -37,7 +51,11 @@
 }
 
 fn open(number: u64, until: Option<Time>) -> Entrance {
-    Entrance::Open { policy: Some(number), table: None, until }
+    Entrance::Open {
+        policy: Some(number),
+        table: None,
+        until,
+    }
 }
 
 /// A sender, by its own clock.
@@ -62,11 +80,11 @@
 
     fn takes_on(&self, now: Time) -> Option<u64> {
         match self.doorway {
-            Entrance::Open { policy: Some(number), until, .. }
-                if until.is_none_or(|until| self.now(now) < until) =>
-            {
-                Some(number)
-            }
+            Entrance::Open {
+                policy: Some(number),
+                until,
+                ..
+            } if until.is_none_or(|until| self.now(now) < until) => Some(number),
             _ => None,
         }
     }
@@ -149,7 +167,9 @@
         }
         let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.dice.usize(..8)];
         let most = if self.dice.u8(..10) == 0 { 3_000 } else { 30 };
-        (0..copies).map(|_| self.now + self.dice.u64(1..most) * MS).collect()
+        (0..copies)
+            .map(|_| self.now + self.dice.u64(1..most) * MS)
+            .collect()
     }
 
     fn say(&mut self, n: usize, word: ToAgent) {
@@ -182,8 +202,15 @@
                 Out::Admit(doorway) => {
                     let sender = &mut self.senders[n];
                     sender.doorway = doorway;
-                    if let Entrance::Open { policy: Some(number), .. } = doorway {
-                        assert!(number == 0 || sender.stored.contains_key(&number), "not written down");
+                    if let Entrance::Open {
+                        policy: Some(number),
+                        ..
+                    } = doorway
+                    {
+                        assert!(
+                            number == 0 || sender.stored.contains_key(&number),
+                            "not written down"
+                        );
                         sender.last = number;
                     }
                 }
@@ -202,39 +229,75 @@
         let own = live && self.sessions[n].line == line;
         match word {
             FromAgent::Open { boot, stored, .. } => {
-                // One that was said long ago by a process before this one, or on a connection before this one, is shut out.
+                // One that was said long ago by a process before this one, or on a connection
+                // before this one, is shut out.
                 if boot != self.senders[n].boot
                     || line < self.sessions[n].line && boot == self.sessions[n].boot
                 {
                     return;
                 }
                 let (until, turn) = (self.counted().max(self.sessions[n].until), 0);
-                self.sessions[n] = Session { boot, line, until, turn };
-                self.has[n] = stored.expect("it follows").into_iter().map(|(number, _)| number).collect();
+                self.sessions[n] = Session {
+                    boot,
+                    line,
+                    until,
+                    turn,
+                };
+                self.has[n] = stored
+                    .expect("it follows")
+                    .into_iter()
+                    .map(|(number, _)| number)
+                    .collect();
                 self.say_rule(n);
-                self.say(n, ToAgent::Renewed { report: 0, lease_ms: LEASE_MS });
+                self.say(
+                    n,
+                    ToAgent::Renewed {
+                        report: 0,
+                        lease_ms: LEASE_MS,
+                    },
+                );
             }
             FromAgent::Tell { report, .. } if own => {
                 self.sessions[n].until = self.sessions[n].until.max(self.counted());
-                self.say(n, ToAgent::Renewed { report, lease_ms: LEASE_MS });
+                self.say(
+                    n,
+                    ToAgent::Renewed {
+                        report,
+                        lease_ms: LEASE_MS,
+                    },
+                );
             }
             FromAgent::Tell { .. } => {
                 let unknown = (self.now + MS, n, line, ToAgent::Unknown);
                 self.to_agent.push(unknown);
             }
-            FromAgent::Stored { number, refused: None } if own => _ = self.has[n].insert(number),
-            FromAgent::Rules { turn } if own => self.sessions[n].turn = self.sessions[n].turn.max(turn),
+            FromAgent::Stored {
+                number,
+                refused: None,
+            } if own => _ = self.has[n].insert(number),
+            FromAgent::Rules { turn } if own => {
+                self.sessions[n].turn = self.sessions[n].turn.max(turn)
+            }
             _ => {}
         }
     }
 
     fn say_rule(&mut self, n: usize) {
         let (turn, number, paused) = self.rule;
-        self.say(n, ToAgent::Rule { turn, number, paused });
+        self.say(
+            n,
+            ToAgent::Rule {
+                turn,
+                number,
+                paused,
+            },
+        );
     }
 
     fn live(&self) -> Vec<usize> {
-        (0..3).filter(|n| self.sessions[*n].until > self.now).collect()
+        (0..3)
+            .filter(|n| self.sessions[*n].until > self.now)
+            .collect()
     }
 
     fn turn(&mut self, number: u64, paused: bool) {
@@ -245,15 +308,29 @@
     /// The record goes on: with the word of all that live, or back.
     fn keep(&mut self) {
         let live = self.live();
-        let behind: Vec<usize> =
-            live.iter().copied().filter(|n| self.sessions[*n].turn < self.rule.0).collect();
+        let behind: Vec<usize> = live
+            .iter()
+            .copied()
+            .filter(|n| self.sessions[*n].turn < self.rule.0)
+            .collect();
         if self.now % (100 * MS) == 0 {
             behind.iter().for_each(|n| self.say_rule(*n));
-            let offered = if let Change::Offered(number) = self.change { number } else { 0 };
+            let offered = if let Change::Offered(number) = self.change {
+                number
+            } else {
+                0
+            };
             for n in live.clone() {
                 for number in [self.rule.1, offered] {
                     if number > 0 && !self.has[n].contains(&number) {
-                        self.say(n, ToAgent::Offer { number, print: print(number), text: String::new() });
+                        self.say(
+                            n,
+                            ToAgent::Offer {
+                                number,
+                                print: print(number),
+                                text: String::new(),
+                            },
+                        );
                     }
                 }
             }
@@ -297,20 +374,31 @@
             if self.bad && self.dice.u32(..3_000) == 0 {
                 let sender = &mut self.senders[n];
                 sender.boot += 1;
-                sender.machine = machine(n, sender.boot, self.without, sender.stored.clone(), sender.last);
-                (sender.began, sender.doorway, sender.line, sender.said) = (self.now, Entrance::Fenced, 0, 0);
+                sender.machine = machine(
+                    n,
+                    sender.boot,
+                    self.without,
+                    sender.stored.clone(),
+                    sender.last,
+                );
+                (sender.began, sender.doorway, sender.line, sender.said) =
+                    (self.now, Entrance::Fenced, 0, 0);
                 self.to_agent.retain(|w| w.1 != n);
                 self.checks.retain(|c| c.1 != n);
             }
         }
         let due = |now, at: &Time| *at <= now;
-        let (words, later) =
-            std::mem::take(&mut self.to_keeper).into_iter().partition(|w| due(self.now, &w.0));
+        let (words, later) = std::mem::take(&mut self.to_keeper)
+            .into_iter()
+            .partition(|w| due(self.now, &w.0));
         self.to_keeper = later;
         let words: Vec<(Time, usize, u64, FromAgent)> = words;
-        words.into_iter().for_each(|(_, n, line, word)| self.keeper_hears(n, line, word));
-        let (words, later) =
-            std::mem::take(&mut self.to_agent).into_iter().partition(|w| due(self.now, &w.0));
+        words
+            .into_iter()
+            .for_each(|(_, n, line, word)| self.keeper_hears(n, line, word));
+        let (words, later) = std::mem::take(&mut self.to_agent)
+            .into_iter()
+            .partition(|w| due(self.now, &w.0));
         self.to_agent = later;
         let words: Vec<(Time, usize, u64, ToAgent)> = words;
         for (_, n, line, word) in words {
@@ -318,13 +406,17 @@
             self.senders[n].machine.hear(now, line, word, &mut out);
             self.act(n, out);
         }
-        let (checks, later) = std::mem::take(&mut self.checks).into_iter().partition(|c| due(self.now, &c.0));
+        let (checks, later) = std::mem::take(&mut self.checks)
+            .into_iter()
+            .partition(|c| due(self.now, &c.0));
         self.checks = later;
         let checks: Vec<(Time, usize, u64, Print)> = checks;
         for (_, n, number, print) in checks {
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
             self.senders[n].stored.insert(number, print);
-            self.senders[n].machine.checked(now, Kind::Policy, number, Ok(()), &mut out);
+            self.senders[n]
+                .machine
+                .checked(now, Kind::Policy, number, Ok(()), &mut out);
             self.act(n, out);
         }
         for n in 0..3 {
@@ -337,10 +429,24 @@
             self.act(n, out);
         }
         self.keep();
-        let taking: BTreeSet<u64> = self.senders.iter().filter_map(|s| s.takes_on(self.now)).collect();
-        assert!(taking.len() <= 1, "policies {taking:?} at once, rule {:?}", self.rule);
-        let acked = self.live().iter().all(|n| self.sessions[*n].turn == self.rule.0);
-        assert!(!(self.rule.2 && acked && !taking.is_empty()), "taken on while all are paused");
+        let taking: BTreeSet<u64> = self
+            .senders
+            .iter()
+            .filter_map(|s| s.takes_on(self.now))
+            .collect();
+        assert!(
+            taking.len() <= 1,
+            "policies {taking:?} at once, rule {:?}",
+            self.rule
+        );
+        let acked = self
+            .live()
+            .iter()
+            .all(|n| self.sessions[*n].turn == self.rule.0);
+        assert!(
+            !(self.rule.2 && acked && !taking.is_empty()),
+            "taken on while all are paused"
+        );
     }
 }
 
@@ -351,7 +457,11 @@
         let mut world = World::new(seed, Without::Hold);
         for _ in 0..8_000 {
             world.step();
-            open += world.senders.iter().filter(|s| s.takes_on(world.now).is_some()).count();
+            open += world
+                .senders
+                .iter()
+                .filter(|s| s.takes_on(world.now).is_some())
+                .count();
         }
         world.bad = false;
         (0..1_500).for_each(|_| world.step());
@@ -360,13 +470,23 @@
             world.step();
         }
         (0..100).for_each(|_| world.step());
-        let taking: Vec<_> = world.senders.iter().map(|s| s.takes_on(world.now)).collect();
-        assert!(world.rule.2 || taking == [Some(world.rule.1); 3], "seed {seed}: {taking:?}");
+        let taking: Vec<_> = world
+            .senders
+            .iter()
+            .map(|s| s.takes_on(world.now))
+            .collect();
+        assert!(
+            world.rule.2 || taking == [Some(world.rule.1); 3],
+            "seed {seed}: {taking:?}"
+        );
         (committed, taken_back) = (committed + world.committed, taken_back + world.taken_back);
     }
     // The histories have all of it in them.
     println!("{committed} committed, {taken_back} taken back, open in {open} steps of senders");
-    assert!(committed > 1_000 && taken_back > 300 && open > 1_000_000, "{committed} {taken_back} {open}");
+    assert!(
+        committed > 1_000 && taken_back > 300 && open > 1_000_000,
+        "{committed} {taken_back} {open}"
+    );
 }
 
 #[test]
@@ -376,7 +496,10 @@
             let mut world = World::new(seed, Without::Last);
             (0..8_000).for_each(|_| world.step());
         });
-        played.is_err_and(|e| e.downcast_ref::<String>().is_some_and(|why| why.contains("at once")))
+        played.is_err_and(|e| {
+            e.downcast_ref::<String>()
+                .is_some_and(|why| why.contains("at once"))
+        })
     };
     assert!((0..20).any(breaks), "what is checked for never happens");
 }
@@ -387,17 +510,48 @@
     let (mut agent, mut out) = (machine(0, 9, without, stored, 0), Vec::new());
     agent.tick(SEC, &Nothing, &mut out);
     let (turn, number, paused) = rule;
-    agent.hear(SEC, 1, ToAgent::Rule { turn, number, paused }, &mut out);
-    agent.hear(SEC, 1, ToAgent::Renewed { report: 0, lease_ms: LEASE_MS }, &mut out);
+    agent.hear(
+        SEC,
+        1,
+        ToAgent::Rule {
+            turn,
+            number,
+            paused,
+        },
+        &mut out,
+    );
+    agent.hear(
+        SEC,
+        1,
+        ToAgent::Renewed {
+            report: 0,
+            lease_ms: LEASE_MS,
+        },
+        &mut out,
+    );
     (agent, out)
 }
 
 fn doorways(out: &[Out]) -> Vec<Entrance> {
-    out.iter().filter_map(|o| if let Out::Admit(d) = o { Some(*d) } else { None }).collect()
+    out.iter()
+        .filter_map(|o| {
+            if let Out::Admit(d) = o {
+                Some(*d)
+            } else {
+                None
+            }
+        })
+        .collect()
 }
 
 fn rules(out: &[Out]) -> Vec<u64> {
-    let turn = |o: &Out| if let Out::Say(FromAgent::Rules { turn }) = o { Some(*turn) } else { None };
+    let turn = |o: &Out| {
+        if let Out::Say(FromAgent::Rules { turn }) = o {
+            Some(*turn)
+        } else {
+            None
+        }
+    };
     out.iter().filter_map(turn).collect()
 }
 
@@ -411,56 +565,153 @@
     assert!(stands < at(|o| matches!(o, Out::Say(FromAgent::Rules { turn: 4 }))));
     let mut hear = |turn, number, paused| {
         let mut out = Vec::new();
-        agent.hear(SEC + MS, 1, ToAgent::Rule { turn, number, paused }, &mut out);
+        agent.hear(
+            SEC + MS,
+            1,
+            ToAgent::Rule {
+                turn,
+                number,
+                paused,
+            },
+            &mut out,
+        );
         (doorways(&out), rules(&out))
     };
     assert_eq!(hear(4, 3, false), (vec![], vec![4]), "doubled");
     assert_eq!(hear(5, 3, true), (vec![Entrance::Paused], vec![5]));
     assert_eq!(hear(4, 3, false), (vec![], vec![]), "of before");
-    assert_eq!(hear(5, 3, false), (vec![], vec![5]), "one turn has one meaning");
+    assert_eq!(
+        hear(5, 3, false),
+        (vec![], vec![5]),
+        "one turn has one meaning"
+    );
     // A policy that is not written down is not gone by, and no word is given before it is.
     assert_eq!(hear(6, 7, false), (vec![Entrance::Fenced], vec![]));
     let mut out = Vec::new();
-    let offer = ToAgent::Offer { number: 7, print: print(7), text: "x".into() };
+    let offer = ToAgent::Offer {
+        number: 7,
+        print: print(7),
+        text: "x".into(),
+    };
     agent.hear(SEC + MS, 1, offer.clone(), &mut out);
     agent.hear(SEC + MS, 1, offer.clone(), &mut out);
     assert_eq!(out.len(), 1, "checked once: {out:?}");
     agent.checked(SEC + MS, Kind::Policy, 7, Ok(()), &mut out);
-    let stored = Out::Say(FromAgent::Stored { number: 7, refused: None });
+    let stored = Out::Say(FromAgent::Stored {
+        number: 7,
+        refused: None,
+    });
     assert!(out.contains(&stored) && rules(&out) == [6]);
     assert_eq!(doorways(&out), [open(7, until)]);
     out.clear();
     agent.hear(SEC + MS, 1, offer, &mut out);
     assert_eq!(out, [stored], "written down already");
-    let offer = ToAgent::Offer { number: 8, print: print(8), text: "x".into() };
+    let offer = ToAgent::Offer {
+        number: 8,
+        print: print(8),
+        text: "x".into(),
+    };
     agent.hear(SEC + MS, 1, offer, &mut out);
     out.clear();
-    agent.checked(SEC + MS, Kind::Policy, 8, Err("line 3: no".into()), &mut out);
-    assert!(out.contains(&Out::Say(FromAgent::Stored { number: 8, refused: Some("line 3: no".into()) })));
+    agent.checked(
+        SEC + MS,
+        Kind::Policy,
+        8,
+        Err("line 3: no".into()),
+        &mut out,
+    );
+    assert!(out.contains(&Out::Say(FromAgent::Stored {
+        number: 8,
+        refused: Some("line 3: no".into())
+    })));
 }
 
 #[test]
 fn a_lease_that_lapsed_takes_another_session_and_word() {
-    for (without, after) in [(Without::Hold, Entrance::Fenced), (Without::Last, open(3, None))] {
+    for (without, after) in [
+        (Without::Hold, Entrance::Fenced),
+        (Without::Last, open(3, None)),
+    ] {
         let (mut agent, _) = in_session(without, &[3], (4, 3, true));
         let mut out = Vec::new();
-        agent.hear(SEC + MS, 1, ToAgent::Rule { turn: 5, number: 3, paused: false }, &mut out);
-        agent.hear(SEC + MS, 1, ToAgent::Rule { turn: 6, number: 3, paused: true }, &mut out);
+        agent.hear(
+            SEC + MS,
+            1,
+            ToAgent::Rule {
+                turn: 5,
+                number: 3,
+                paused: false,
+            },
+            &mut out,
+        );
+        agent.hear(
+            SEC + MS,
+            1,
+            ToAgent::Rule {
+                turn: 6,
+                number: 3,
+                paused: true,
+            },
+            &mut out,
+        );
         out.clear();
-        // What comes on that connection after the lapse counts for nothing, though it was said before.
+        // What comes on that connection after the lapse counts for nothing, though it was said
+        // before.
         let late = agent.next().max(SEC + 2 * SEC);
-        agent.hear(late, 1, ToAgent::Rule { turn: 7, number: 3, paused: false }, &mut out);
-        agent.hear(late, 1, ToAgent::Renewed { report: 1, lease_ms: 60_000 }, &mut out);
+        agent.hear(
+            late,
+            1,
+            ToAgent::Rule {
+                turn: 7,
+                number: 3,
+                paused: false,
+            },
+            &mut out,
+        );
+        agent.hear(
+            late,
+            1,
+            ToAgent::Renewed {
+                report: 1,
+                lease_ms: 60_000,
+            },
+            &mut out,
+        );
         assert!(out.contains(&Out::HangUp), "{out:?}");
-        assert_eq!((doorways(&out), rules(&out)), (vec![after], vec![]), "{without:?}");
+        assert_eq!(
+            (doorways(&out), rules(&out)),
+            (vec![after], vec![]),
+            "{without:?}"
+        );
         out.clear();
         let now = late + 20 * MS;
         agent.tick(now, &Nothing, &mut out);
-        assert!(out.iter().any(|o| matches!(o, Out::Connect { line: 2, .. })), "{out:?}");
+        assert!(
+            out.iter()
+                .any(|o| matches!(o, Out::Connect { line: 2, .. })),
+            "{out:?}"
+        );
         out.clear();
-        agent.hear(now, 2, ToAgent::Renewed { report: 0, lease_ms: LEASE_MS }, &mut out);
+        agent.hear(
+            now,
+            2,
+            ToAgent::Renewed {
+                report: 0,
+                lease_ms: LEASE_MS,
+            },
+            &mut out,
+        );
         assert!(rules(&out).is_empty(), "not heard yet");
-        agent.hear(now, 2, ToAgent::Rule { turn: 9, number: 3, paused: false }, &mut out);
+        agent.hear(
+            now,
+            2,
+            ToAgent::Rule {
+                turn: 9,
+                number: 3,
+                paused: false,
+            },
+            &mut out,
+        );
         assert_eq!(rules(&out), [9]);
     }
 }
--- a/tests/resumed.rs
+++ b/tests/resumed.rs
@@ -9,13 +9,28 @@
 fn driver() -> Driver {
     let mut s = settings();
     s.classes[1].scope = DedupScope::Zone;
-    let mut d = Driver::new(s, vec![Listing { zone: 0, ..ready(1, 1) }, Listing { zone: 1, ..ready(2, 1) }]);
+    let mut d = Driver::new(
+        s,
+        vec![
+            Listing {
+                zone: 0,
+                ..ready(1, 1)
+            },
+            Listing {
+                zone: 1,
+                ..ready(2, 1)
+            },
+        ],
+    );
     d.now += 100 * SEC;
     d
 }
 
 fn resume(d: &mut Driver, ttl: Time, past: Past) -> Vec<Action> {
-    let message = Message { ttl, ..d.message(1, 1, 1) };
+    let message = Message {
+        ttl,
+        ..d.message(1, 1, 1)
+    };
     d.give(Event::Resumed { message, past })
 }
 
@@ -23,7 +38,14 @@
 fn one_that_may_have_run_stays_in_its_zone() {
     for zone in [0, 1] {
         let mut d = driver();
-        let actions = resume(&mut d, 10 * SEC, Past { attempts: 2, ran: Some((SEC, zone)) });
+        let actions = resume(
+            &mut d,
+            10 * SEC,
+            Past {
+                attempts: 2,
+                ran: Some((SEC, zone)),
+            },
+        );
         assert_eq!(targets(&actions), [at(zone as u8 + 1)]);
     }
 }
@@ -32,18 +54,45 @@
 fn one_whose_window_is_over_fails_and_is_not_refused() {
     let mut d = driver();
     let window = d.message(1, 1, 1).ttl;
-    let actions = resume(&mut d, 5 * SEC, Past { attempts: 1, ran: Some((window, 0)) });
-    assert_eq!((sends(&actions), failed(&actions), refused(&actions)), (vec![], vec![1], vec![]));
+    let actions = resume(
+        &mut d,
+        5 * SEC,
+        Past {
+            attempts: 1,
+            ran: Some((window, 0)),
+        },
+    );
+    assert_eq!(
+        (sends(&actions), failed(&actions), refused(&actions)),
+        (vec![], vec![1], vec![])
+    );
 }
 
 #[test]
 fn one_that_never_ran_goes_anywhere_and_may_be_refused() {
     let mut d = driver();
-    assert_eq!(sends(&resume(&mut d, 10 * SEC, Past { attempts: 2, ran: None })), [1]);
+    assert_eq!(
+        sends(&resume(
+            &mut d,
+            10 * SEC,
+            Past {
+                attempts: 2,
+                ran: None
+            }
+        )),
+        [1]
+    );
     // With all its attempts gone, or its time, it ends at once.
     for (ttl, attempts) in [(10 * SEC, 5), (0, 0)] {
         let mut d = driver();
-        let actions = resume(&mut d, ttl, Past { attempts, ran: None });
+        let actions = resume(
+            &mut d,
+            ttl,
+            Past {
+                attempts,
+                ran: None,
+            },
+        );
         assert_eq!((sends(&actions).len(), refused(&actions).len()), (0, 1));
     }
 }
@@ -51,7 +100,14 @@
 #[test]
 fn its_attempts_go_on_being_numbered() {
     let mut d = driver();
-    resume(&mut d, 10 * SEC, Past { attempts: 3, ran: None });
+    resume(
+        &mut d,
+        10 * SEC,
+        Past {
+            attempts: 3,
+            ran: None,
+        },
+    );
     let ended = |attempt| Event::Ended {
         id: 1,
         attempt,
@@ -73,8 +129,17 @@
     let mut d = driver();
     let mut actions = Vec::new();
     for id in 0..70 {
-        let message = Message { ttl: 10 * SEC, ..d.message(id, 1, 1) };
-        actions.extend(d.give(Event::Resumed { message, past: Past { attempts: 1, ran: Some((SEC, 0)) } }));
+        let message = Message {
+            ttl: 10 * SEC,
+            ..d.message(id, 1, 1)
+        };
+        actions.extend(d.give(Event::Resumed {
+            message,
+            past: Past {
+                attempts: 1,
+                ran: Some((SEC, 0)),
+            },
+        }));
     }
     assert!(refused(&actions).is_empty());
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,5 @@
-//! The module by a routing table: where messages go, what goes on to the next tier, and what nothing of it changes.
+//! The module by a routing table: where messages go, what goes on to the next tier, and what
+//! nothing of it changes.
 
 mod common;
 
@@ -11,20 +12,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Endpoint `n` of destination 1 in a zone; a route of its own, or one that carries five messages a call.
+/// Endpoint `n` of destination 1 in a zone; a route of its own, or one that carries five messages a
+/// call.
 fn stands(n: u8, zone: u16, kind: u16) -> Listing {
-    Listing { zone, ..line(n, 1, kind, Condition::Ready) }
+    Listing {
+        zone,
+        ..line(n, 1, kind, Condition::Ready)
+    }
 }
 
 /// A tier of zones with their shares.
 type Tier = Vec<(u32, Vec<String>)>;
 
 fn tier(parts: &[(u32, u16)]) -> Tier {
-    parts.iter().map(|(share, zone)| (*share, vec![zone.to_string()])).collect()
+    parts
+        .iter()
+        .map(|(share, zone)| (*share, vec![zone.to_string()]))
+        .collect()
 }
 
 fn all(tiers: &[&[(u32, u16)]]) -> Said {
-    Said { tiers: tiers.iter().map(|t| tier(t)).collect(), ..Said::default() }
+    Said {
+        tiers: tiers.iter().map(|t| tier(t)).collect(),
+        ..Said::default()
+    }
 }
 
 /// Routes for four classes, with zones that are named by their numbers.
@@ -49,7 +60,8 @@
     let mut went = Vec::new();
     for id in ids {
         let mut sent = d.arrive(id, 0, 1);
-        while let Some(Action::Send { endpoint, .. }) = sent.iter().find(|a| matches!(a, Action::Send { .. }))
+        while let Some(Action::Send { endpoint, .. }) =
+            sent.iter().find(|a| matches!(a, Action::Send { .. }))
         {
             let end = by(*endpoint);
             went.push(*endpoint);
@@ -58,7 +70,11 @@
             if end == Outcome::Ok {
                 break;
             }
-            sent.extend(if sends(&sent).is_empty() { d.pass(2 * SEC) } else { vec![] });
+            sent.extend(if sends(&sent).is_empty() {
+                d.pass(2 * SEC)
+            } else {
+                vec![]
+            });
         }
         d.pass(100 * MS);
     }
@@ -71,18 +87,31 @@
     let mut d = driver(list, vec![all(&[&[(1, 1)], &[(1, 2)]])]);
     let first = answered(&mut d, 1..30, |_| Outcome::Ok);
     assert!(first.iter().all(|e| *e == at(1)), "{first:?}");
-    // A told wait there: the same message goes on in the same turn, and all that come while it lasts.
+    // A told wait there: the same message goes on in the same turn, and all that come while it
+    // lasts.
     d.arrive(30, 0, 1);
-    assert_eq!(targets(&d.end(30, Outcome::Full { wait: 3 * SEC })), [at(2)]);
+    assert_eq!(
+        targets(&d.end(30, Outcome::Full { wait: 3 * SEC })),
+        [at(2)]
+    );
     d.end(30, Outcome::Ok);
     let waits = answered(&mut d, 31..40, |_| Outcome::Ok);
     assert!(waits.iter().all(|e| *e == at(2)), "{waits:?}");
     d.pass(3 * SEC);
     // An outage there: few calls ask for it, the others go on, and it serves again once it is back.
-    let down = |e| if e == at(1) { Outcome::Timeout } else { Outcome::Ok };
+    let down = |e| {
+        if e == at(1) {
+            Outcome::Timeout
+        } else {
+            Outcome::Ok
+        }
+    };
     let out = answered(&mut d, 40..140, down);
     let asked = out.iter().filter(|e| **e == at(1)).count();
-    assert!((2..40).contains(&asked) && out.iter().filter(|e| **e == at(2)).count() == 100, "{out:?}");
+    assert!(
+        (2..40).contains(&asked) && out.iter().filter(|e| **e == at(2)).count() == 100,
+        "{out:?}"
+    );
     d.pass(20 * SEC);
     answered(&mut d, 140..300, |_| Outcome::Ok);
     let back = answered(&mut d, 300..330, |_| Outcome::Ok);
@@ -95,40 +124,70 @@
     let mut d = driver(list, vec![all(&[&[(3, 1), (1, 2)], &[(1, 3)]])]);
     let went = answered(&mut d, 1..401, |_| Outcome::Ok);
     let first = went.iter().filter(|e| **e == at(1)).count();
-    assert!((260..340).contains(&first) && !went.contains(&at(3)), "{first}");
-    let down = answered(&mut d, 401..440, |e| if e == at(3) { Outcome::Ok } else { Outcome::ConnectFailed });
+    assert!(
+        (260..340).contains(&first) && !went.contains(&at(3)),
+        "{first}"
+    );
+    let down = answered(&mut d, 401..440, |e| {
+        if e == at(3) {
+            Outcome::Ok
+        } else {
+            Outcome::ConnectFailed
+        }
+    });
     // The third has never answered, and is not doubted for that: it takes several calls at once.
-    assert!(down.iter().filter(|e| **e == at(3)).count() >= 36, "{down:?}");
+    assert!(
+        down.iter().filter(|e| **e == at(3)).count() >= 36,
+        "{down:?}"
+    );
     let sent: Vec<Action> = (500..504).flat_map(|id| d.arrive(id, 0, 1)).collect();
-    assert!(targets(&sent).iter().filter(|e| **e == at(3)).count() >= 2, "{sent:?}");
+    assert!(
+        targets(&sent).iter().filter(|e| **e == at(3)).count() >= 2,
+        "{sent:?}"
+    );
 }
 
 #[test]
 fn only_told_waits_of_where_a_message_may_go_end_it_early() {
     let list = vec![stands(1, 1, 2), stands(2, 2, 2)];
-    let only = Said { classes: Some(vec![1]), ..all(&[&[(1, 2)]]) };
+    let only = Said {
+        classes: Some(vec![1]),
+        ..all(&[&[(1, 2)]])
+    };
     let mut d = driver(list, vec![all(&[&[(1, 1)]]), only]);
     d.arrive(1, 0, 1);
     // The whole of its time is told where it may go; the second zone is free, and not for it.
-    assert_eq!(refused(&d.end(1, Outcome::Full { wait: 25 * SEC })).len(), 1);
+    assert_eq!(
+        refused(&d.end(1, Outcome::Full { wait: 25 * SEC })).len(),
+        1
+    );
     assert_eq!(targets(&d.arrive(2, 1, 1)), [at(2)]);
     // One of the other class is not held up by one that waits before it.
     d.end(2, Outcome::Ok);
-    d.give(Event::Arrived(Message { ttl: 19 * SEC, ..d.message(3, 0, 1) }));
+    d.give(Event::Arrived(Message {
+        ttl: 19 * SEC,
+        ..d.message(3, 0, 1)
+    }));
     assert_eq!(refused(&d.seen).last().map(|r| r.0), Some(3));
 }
 
 #[test]
-fn the_first_of_a_line_that_can_go_nowhere_now_stops_none_behind_it_and_a_batch_takes_those_that_may() {
+fn the_first_of_a_line_that_can_go_nowhere_now_stops_none_behind_it_and_a_batch_takes_those_that_may(
+) {
     let list = vec![stands(1, 1, 2), stands(2, 2, 1)];
-    let only = Said { classes: Some(vec![1]), ..all(&[&[(1, 2)]]) };
+    let only = Said {
+        classes: Some(vec![1]),
+        ..all(&[&[(1, 2)]])
+    };
     let mut d = driver(list, vec![all(&[&[(1, 1)]]), only]);
     d.arrive(1, 0, 1);
     d.end(1, Outcome::Full { wait: 4 * SEC });
     // Refused ones go first, and wait for the first zone.
     let both = [2, 3].map(|id| Event::Arrived(d.message(id, 0, 1)));
     d.give_all(&both);
-    let others: Vec<Event> = (4..8).map(|id| Event::Arrived(d.message(id, (id % 2) as u16, 1))).collect();
+    let others: Vec<Event> = (4..8)
+        .map(|id| Event::Arrived(d.message(id, (id % 2) as u16, 1)))
+        .collect();
     let sent = d.give_all(&others);
     assert_eq!((sends(&sent), targets(&sent)), (vec![5, 7], vec![at(2); 2]));
     let later = d.pass(5 * SEC);
@@ -149,8 +208,17 @@
     d.end(1, Outcome::Ok);
     d.end(2, Outcome::Error);
     let nobody = d.give(Event::Routed(routes(vec![Said::default()])));
-    assert_eq!(refused(&nobody).iter().map(|r| r.0).collect::<Vec<_>>(), [2]);
-    assert_eq!(refused(&d.arrive(3, 0, 1)).iter().map(|r| r.0).collect::<Vec<_>>(), [3]);
+    assert_eq!(
+        refused(&nobody).iter().map(|r| r.0).collect::<Vec<_>>(),
+        [2]
+    );
+    assert_eq!(
+        refused(&d.arrive(3, 0, 1))
+            .iter()
+            .map(|r| r.0)
+            .collect::<Vec<_>>(),
+        [3]
+    );
     d.give(Event::Routed(Rc::default()));
     assert_eq!(sends(&d.arrive(4, 0, 1)), [4]);
 }
@@ -180,7 +248,14 @@
     let order = Just((0u16..5).collect::<Vec<_>>()).prop_shuffle();
     let tiers = vec((order, 1usize..4, 1u32..9), 0..3).prop_map(|tiers| {
         let tier = |(zones, n, share): (Vec<u16>, usize, u32)| {
-            tier(&zones.into_iter().take(n).zip([share, 2, 3]).map(|(z, s)| (s, z)).collect::<Vec<_>>())
+            tier(
+                &zones
+                    .into_iter()
+                    .take(n)
+                    .zip([share, 2, 3])
+                    .map(|(z, s)| (s, z))
+                    .collect::<Vec<_>>(),
+            )
         };
         tiers.into_iter().map(tier).collect::<Vec<Tier>>()
     });
@@ -197,7 +272,10 @@
 
 fn endpoint(n: u8) -> Listing {
     let kind = u16::from(n / 3);
-    Listing { zone: u16::from(n % 3), ..line(n + 1, 1 + u16::from(n / 3), kind, Condition::Ready) }
+    Listing {
+        zone: u16::from(n % 3),
+        ..line(n + 1, 1 + u16::from(n / 3), kind, Condition::Ready)
+    }
 }
 
 /// Plays it; gives all actions, turn by turn.
@@ -217,10 +295,18 @@
     let (mut out, mut current): (BTreeSet<MessageId>, Rc<Routes>) = Default::default();
     for step in steps {
         let event = match step {
-            Step::Arrives { class, dest, tenant } => {
+            Step::Arrives {
+                class,
+                dest,
+                tenant,
+            } => {
                 let id = messages.len() as MessageId + 1;
                 let key = u64::from(id % 3);
-                let message = Message { tenant: *tenant, key, ..d.message(id, *class, *dest) };
+                let message = Message {
+                    tenant: *tenant,
+                    key,
+                    ..d.message(id, *class, *dest)
+                };
                 messages.insert(id, message);
                 Event::Arrived(message)
             }
@@ -239,8 +325,15 @@
                 d.ending(id, all[*how])
             }
             Step::Lists { n, ready } => {
-                let condition = if *ready { Condition::Ready } else { Condition::Draining };
-                Event::ListChanges(vec![Listing { condition, ..endpoint(*n) }])
+                let condition = if *ready {
+                    Condition::Ready
+                } else {
+                    Condition::Draining
+                };
+                Event::ListChanges(vec![Listing {
+                    condition,
+                    ..endpoint(*n)
+                }])
             }
             Step::Routes(n) if told => {
                 current = tables[n % tables.len()].clone();
@@ -255,9 +348,25 @@
         let actions = d.give(event);
         for action in &actions {
             if let Action::Send { id, endpoint, .. } = action {
-                let Message { dest, class, tenant, .. } = messages[id];
-                let rank = current.rank(&Traveller { dest, class, tenant, lot: 0.0 }, zone_of[endpoint]);
-                assert!(rank.is_some(), "message {id} of class {class} goes to {endpoint:?}");
+                let Message {
+                    dest,
+                    class,
+                    tenant,
+                    ..
+                } = messages[id];
+                let rank = current.rank(
+                    &Traveller {
+                        dest,
+                        class,
+                        tenant,
+                        lot: 0.0,
+                    },
+                    zone_of[endpoint],
+                );
+                assert!(
+                    rank.is_some(),
+                    "message {id} of class {class} goes to {endpoint:?}"
+                );
                 out.insert(*id);
             }
         }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Calls of all senders together to an endpoint that is back cold, in sliding windows: 1 to 1,000 senders by the budget alone, up to
-//! a hundred with the whole module.
+//! Calls of all senders together to an endpoint that is back cold, in sliding windows: 1 to 1,000
+//! senders by the budget alone, up to a hundred with the whole module.
 
 mod common;
 
@@ -11,8 +11,8 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What topples an endpoint with budget `n`, as the standing test has it. Written anew here: the code under test is not to judge
-/// itself.
+/// What topples an endpoint with budget `n`, as the standing test has it. Written anew here: the
+/// code under test is not to judge itself.
 fn falls(calls: usize, n: f64) -> bool {
     let roots = if n < 30.0 { 3.0 } else { 2.0 };
     calls as f64 > n + roots * n.sqrt() + roots
@@ -22,8 +22,13 @@
     let rng_seed = RngSeed::Fixed(0x0071_da1d);
     // A smaller case of a failure by chance is no better to read.
     let max_shrink_iters = 0;
-    let config =
-        ProptestConfig { rng_seed, failure_persistence: None, cases, max_shrink_iters, ..Default::default() };
+    let config = ProptestConfig {
+        rng_seed,
+        failure_persistence: None,
+        cases,
+        max_shrink_iters,
+        ..Default::default()
+    };
     TestRunner::new(config)
 }
 
@@ -54,13 +59,25 @@
     (from.ln()..to.ln()).prop_map(f64::exp)
 }
 
-/// Calls in each step of so many windows, where all senders together may send `n(step)` in a window. The turns are drawn at first, as
-/// the relay draws them when an endpoint fails.
-fn calls(senders: u32, demand: Demand, seed: u64, windows: usize, n: impl Fn(usize) -> f64) -> Vec<usize> {
+/// Calls in each step of so many windows, where all senders together may send `n(step)` in a
+/// window. The turns are drawn at first, as the relay draws them when an endpoint fails.
+fn calls(
+    senders: u32,
+    demand: Demand,
+    seed: u64,
+    windows: usize,
+    n: impl Fn(usize) -> f64,
+) -> Vec<usize> {
     let mut random = fastrand::Rng::with_seed(seed);
     let growth = n(STEPS) - n(0);
     let first = Ramp::of(n(0), growth, 1.0, senders);
-    let drawn = |r: &mut fastrand::Rng| if first.needs_lot() { r.f64() } else { first.due(0.0, 1e9) };
+    let drawn = |r: &mut fastrand::Rng| {
+        if first.needs_lot() {
+            r.f64()
+        } else {
+            first.due(0.0, 1e9)
+        }
+    };
     let mut due: Vec<f64> = (0..senders).map(|_| drawn(&mut random)).collect();
     let mut waits = vec![false; senders as usize];
     (0..windows * STEPS)
@@ -87,14 +104,29 @@
 #[test]
 fn no_more_than_one_window_in_a_thousand_of_1_to_1000_senders_exceeds_the_bound_at_the_worst() {
     let (windows, over) = (Cell::new(0), Cell::new(0));
-    let of = (spread(1.0, 1_000.5), spread(0.2, 600.0), demand(), any::<u64>());
+    let of = (
+        spread(1.0, 1_000.5),
+        spread(0.2, 600.0),
+        demand(),
+        any::<u64>(),
+    );
     runner(300)
         .run(&of, |(senders, n, demand, seed)| {
             let senders = senders as u32;
-            // What many senders keep is the bound while messages wait at each of them, which is the most that they are asked for.
+            // What many senders keep is the bound while messages wait at each of them, which is the
+            // most that they are asked for.
             let few = !Ramp::of(n, 0.0, 1.0, senders).needs_lot();
-            let calls = calls(senders, if few { demand } else { Demand::Always }, seed, 100, |_| n);
-            let too_many = calls.windows(STEPS).filter(|w| falls(w.iter().sum(), n)).count();
+            let calls = calls(
+                senders,
+                if few { demand } else { Demand::Always },
+                seed,
+                100,
+                |_| n,
+            );
+            let too_many = calls
+                .windows(STEPS)
+                .filter(|w| falls(w.iter().sum(), n))
+                .count();
             prop_assert!(!few || too_many == 0, "{too_many} of few senders");
             windows.set(windows.get() + calls.len());
             over.set(over.get() + too_many);
@@ -102,42 +134,74 @@
         })
         .expect("few senders always keep the bound");
     println!("{} of {} windows", over.get(), windows.get());
-    assert!(over.get() * 1_000 <= windows.get(), "{} of {} windows", over.get(), windows.get());
+    assert!(
+        over.get() * 1_000 <= windows.get(),
+        "{} of {} windows",
+        over.get(),
+        windows.get()
+    );
 }
 
 #[test]
 fn at_most_one_return_in_a_hundred_of_1_to_1000_senders_exceeds_the_bound_in_any_sliding_window() {
     const RETURNS: u32 = 1_000;
     let over = Cell::new(0);
-    let of = (spread(1.0, 1_000.5), spread(0.5, 200.0), 0.05..0.6f64, 2..10usize, demand(), any::<u64>());
+    let of = (
+        spread(1.0, 1_000.5),
+        spread(0.5, 200.0),
+        0.05..0.6f64,
+        2..10usize,
+        demand(),
+        any::<u64>(),
+    );
     runner(RETURNS)
         .run(&of, |(senders, first, cold, long, demand, seed)| {
             let n = |step: usize| first / cold * warmth(cold, step as f64 / (long * STEPS) as f64);
-            let needs_lot = |step| Ramp::of(n(step), n(STEPS) - n(0), 1.0, senders as u32).needs_lot();
+            let needs_lot =
+                |step| Ramp::of(n(step), n(STEPS) - n(0), 1.0, senders as u32).needs_lot();
             let by_chance = (0..=long * STEPS).any(needs_lot);
             let demand = if by_chance { Demand::Always } else { demand };
             let calls = calls(senders as u32, demand, seed, long, n);
             let sum = |end: usize| calls[end.saturating_sub(STEPS)..end].iter().sum();
             let too_many = (1..=calls.len()).find(|end| falls(sum(*end), n(*end)));
-            prop_assert!(by_chance || too_many.is_none(), "few senders, by step {too_many:?}");
+            prop_assert!(
+                by_chance || too_many.is_none(),
+                "few senders, by step {too_many:?}"
+            );
             over.set(over.get() + u32::from(too_many.is_some()));
             Ok(())
         })
         .expect("few senders always keep the bound");
     println!("{} of {RETURNS} returns", over.get());
-    assert!(over.get() * 100 <= RETURNS, "{} of {RETURNS} returns", over.get());
+    assert!(
+        over.get() * 100 <= RETURNS,
+        "{} of {RETURNS} returns",
+        over.get()
+    );
 }
 
 #[test]
 fn the_budget_of_senders_is_no_slower_than_the_endpoint_bears() {
-    let part = |senders, n, growth| Ramp::of(n, growth, 3.0, senders).rate * 3.0 * f64::from(senders) / n;
+    let part =
+        |senders, n, growth| Ramp::of(n, growth, 3.0, senders).rate * 3.0 * f64::from(senders) / n;
     for senders in [1, 3, 10, 30, 100, 300, 1_000] {
         for n in [0.5, 2.0, 5.0, 14.0, 29.0, 30.0, 45.0, 100.0, 400.0] {
             // Where chance would exceed the bound: many senders that each make less than a call.
-            let least = if senders <= 30 || n < 20.0 { 1.0 - 1e-6 } else { 0.82 };
-            assert!((least..=1.000_001).contains(&part(senders, n, 0.0)), "{senders} senders, {n} calls");
-            // An endpoint that doubles what it bears within a window has the chance counted by that alone.
-            assert!(part(senders, n, n / 2.0) > 1.0 - 1e-6, "{senders} senders, {n} calls");
+            let least = if senders <= 30 || n < 20.0 {
+                1.0 - 1e-6
+            } else {
+                0.82
+            };
+            assert!(
+                (least..=1.000_001).contains(&part(senders, n, 0.0)),
+                "{senders} senders, {n} calls"
+            );
+            // An endpoint that doubles what it bears within a window has the chance counted by that
+            // alone.
+            assert!(
+                part(senders, n, n / 2.0) > 1.0 - 1e-6,
+                "{senders} senders, {n} calls"
+            );
         }
     }
 }
@@ -192,7 +256,10 @@
             max_attempts: 12,
             ..settings()
         };
-        let line = |n| Listing { rate: listed as f32, ..common::line(n, 1, 2, Condition::Ready) };
+        let line = |n| Listing {
+            rate: listed as f32,
+            ..common::line(n, 1, 2, Condition::Ready)
+        };
         let (now, list) = (5 * SEC, Vec::from_iter((1..=endpoints).map(line)));
         let relay = |i| {
             let mut relay = Relay::new(s.clone(), seed * 10_000 + i).expect("usable settings");
@@ -219,7 +286,8 @@
     /// What the endpoint may get in a window now, once it is back.
     fn budget(&self) -> Option<f64> {
         let warmed = (self.now - self.back?) as f64 / self.s.warm_after as f64;
-        let can = self.listed * warmth(self.s.cold_share, warmed) * self.s.overload_for as f64 / SEC as f64;
+        let can = self.listed * warmth(self.s.cold_share, warmed) * self.s.overload_for as f64
+            / SEC as f64;
         (warmed < 1.0).then_some(self.s.overload_factor * can)
     }
 
@@ -230,7 +298,9 @@
         if endpoint != common::at(1) {
             return (CALL.0, Outcome::Ok);
         }
-        let Some(n) = self.budget() else { return (CALL.0, Outcome::Ok) };
+        let Some(n) = self.budget() else {
+            return (CALL.0, Outcome::Ok);
+        };
         self.came.push_back(self.now);
         self.came.retain(|at| at + self.s.overload_for > self.now);
         let roots = if n < 30.0 { 3.0 } else { 2.0 };
@@ -245,7 +315,9 @@
         let mut actions = Vec::new();
         self.relays[relay].handle(self.now, &[event], &mut actions);
         for a in actions {
-            let Action::Send { id, endpoint, .. } = a else { continue };
+            let Action::Send { id, endpoint, .. } = a else {
+                continue;
+            };
             *self.attempts.entry(id).or_insert(0) += 1;
             let (took, outcome) = self.called(endpoint);
             self.out.insert((self.now + took, relay, id), outcome);
@@ -258,7 +330,14 @@
             self.now += STEP;
             if self.random.f64() < rate * STEP as f64 / SEC as f64 {
                 self.next += 1;
-                let m = Message { id: self.next, tenant: 0, class: 0, key: 0, ttl: TTL, dest: 1 };
+                let m = Message {
+                    id: self.next,
+                    tenant: 0,
+                    class: 0,
+                    key: 0,
+                    ttl: TTL,
+                    dest: 1,
+                };
                 let relay = self.random.usize(0..self.relays.len());
                 self.give(relay, Event::Arrived(m));
             }
@@ -267,8 +346,21 @@
             {
                 let outcome = self.out.remove(&(at, relay, id)).expect("there");
                 let finished = outcome == Outcome::Ok;
-                let (attempt, took) = (self.attempts[&id] - 1, if finished { CALL.0 } else { CALL.1 });
-                self.give(relay, Event::Ended { id, attempt, outcome, took, finished, report: Vec::new() });
+                let (attempt, took) = (
+                    self.attempts[&id] - 1,
+                    if finished { CALL.0 } else { CALL.1 },
+                );
+                self.give(
+                    relay,
+                    Event::Ended {
+                        id,
+                        attempt,
+                        outcome,
+                        took,
+                        finished,
+                        report: Vec::new(),
+                    },
+                );
             }
             (0..self.relays.len()).for_each(|r| self.give(r, Event::Woken));
         }
@@ -285,7 +377,8 @@
     }
 }
 
-/// The plays of 1 to 100 relays in which an endpoint that was down for so many seconds got more than it bears.
+/// The plays of 1 to 100 relays in which an endpoint that was down for so many seconds got more
+/// than it bears.
 fn over_the_bound(down: u64) -> Vec<String> {
     let loads = [(4.0, 0.8), (10.0, 0.8), (10.0, 2.5), (40.0, 1.5)];
     let mut over = Vec::new();
@@ -314,8 +407,9 @@
     }
 }
 
-/// What failed for less than one and a half windows (4.5 s here) is taken for chance or a slow spell and not for an outage (`brief` in
-/// src/health.rs): after that no budget is kept. Listed in KNOWN-RED.txt.
+/// What failed for less than one and a half windows (4.5 s here) is taken for chance or a slow
+/// spell and not for an outage (`brief` in src/health.rs): after that no budget is kept. Listed in
+/// KNOWN-RED.txt.
 #[test]
 fn relays_keep_the_bound_of_an_endpoint_that_returns_after_a_short_outage() {
     let over = over_the_bound(4);
--- a/tests/sockets/bad_clients.rs
+++ b/tests/sockets/bad_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that say nothing, never end or send too much: each is told or closed in time, and keeps nobody waiting.
+//! Clients that say nothing, never end or send too much: each is told or closed in time, and keeps
+//! nobody waiting.
 
 use crate::http::{answer, request, Http};
 use crate::mqtt::{connect, publish, read, send, Mqtt};
@@ -15,7 +16,9 @@
 /// Waits for the end of a connection, and gives what came before it.
 fn ended(stream: &mut TcpStream, by: Instant) -> Vec<u8> {
     let mut told = Vec::new();
-    stream.set_read_timeout(Some(by.saturating_duration_since(Instant::now()))).expect("a time-out");
+    stream
+        .set_read_timeout(Some(by.saturating_duration_since(Instant::now())))
+        .expect("a time-out");
     match stream.read_to_end(&mut told) {
         Ok(_) => told,
         Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => told,
@@ -23,7 +26,8 @@
     }
 }
 
-/// Far more silent clients than there are seats, and still each usual one is answered as soon as ever.
+/// Far more silent clients than there are seats, and still each usual one is answered as soon as
+/// ever.
 fn a_silent_crowd_keeps_nobody_waiting<W: Wire>() {
     let mut rig = Rig::<W>::start_narrow(&[("p", "a")], 64);
     let mut crowd = Vec::new();
@@ -34,7 +38,11 @@
         let asked = Instant::now();
         rig.client = W::client(rig.address);
         rig.take_on(&message(&id));
-        assert!(asked.elapsed() < Duration::from_millis(400), "{id} waited {:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_millis(400),
+            "{id} waited {:?}",
+            asked.elapsed()
+        );
         rig.call().answer(Answer::Delivered);
         if W::TELLS_DELIVERY {
             assert_eq!(rig.end(&id), End::Delivered);
@@ -82,14 +90,20 @@
     rig.finish(&["m1"]);
 }
 
-/// Closed on unread bytes the connection would be reset, and the answer lost to a client that writes first.
+/// Closed on unread bytes the connection would be reset, and the answer lost to a client that
+/// writes first.
 #[test]
 fn a_client_that_writes_60_mb_first_still_hears_why_not() {
     let rig = Rig::<Http>::start(&[("p", "a")]);
     let since = Instant::now();
     let mut stream = TcpStream::connect(rig.address).expect("connected");
     let body = vec![7; 60_000_000];
-    stream.write_all(&request(&Message { body, ..message("m1") })).expect("written");
+    stream
+        .write_all(&request(&Message {
+            body,
+            ..message("m1")
+        }))
+        .expect("written");
     assert_eq!(answer(&mut stream).expect("an answer").0, 413);
     assert!(since.elapsed() < Duration::from_secs(6));
     rig.finish(&[]);
@@ -101,7 +115,10 @@
     let mut rig = Rig::<Http>::start(&[("p", "a")]);
     rig.take_on(&message("m1"));
     let call = rig.call();
-    let other = Message { key: "another".into(), ..message("m1") };
+    let other = Message {
+        key: "another".into(),
+        ..message("m1")
+    };
     assert_eq!(rig.hand_in(&other), Heard::Failed);
     assert_eq!(rig.hand_in(&message("m1")), Heard::TakenOn);
     call.answer(Answer::Delivered);
@@ -113,7 +130,10 @@
 #[test]
 fn no_message_is_held_for_longer_than_its_class_allows() {
     let mut rig = Rig::<Http>::start(&[("p", "a")]);
-    rig.take_on(&Message { left: Duration::from_secs(80_000), ..message("m1") });
+    rig.take_on(&Message {
+        left: Duration::from_secs(80_000),
+        ..message("m1")
+    });
     let call = rig.call();
     call.answer(Answer::Full(Some(20_000)));
     assert!(matches!(rig.end("m1"), End::Deferred(_)));
@@ -125,9 +145,14 @@
     let rig = Rig::<Mqtt>::start(&[("p", "a")]);
     let mut stream = connect(rig.address);
     let topic_name = TopicName::try_from("event/8").expect("a topic");
-    let publish = Publish { topic_name, ..publish(&message("m1"), 5) };
+    let publish = Publish {
+        topic_name,
+        ..publish(&message("m1"), 5)
+    };
     send(&mut stream, &Packet::Publish(publish)).expect("written");
-    let Packet::Puback(ack) = read(&mut stream).expect("an answer") else { panic!("no PUBACK") };
+    let Packet::Puback(ack) = read(&mut stream).expect("an answer") else {
+        panic!("no PUBACK")
+    };
     assert_eq!(ack.reason_code, PubackReasonCode::QuotaExceeded);
     rig.finish(&[]);
 }
--- a/tests/sockets/discovery.rs
+++ b/tests/sockets/discovery.rs
@@ -37,7 +37,11 @@
     pub fn start_from(rev: u64, targets: Vec<Value>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let state = Arc::new(Mutex::new(State { rev, targets, ..State::default() }));
+        let state = Arc::new(Mutex::new(State {
+            rev,
+            targets,
+            ..State::default()
+        }));
         let (sender, notices) = channel();
         let shared = state.clone();
         thread::spawn(move || {
@@ -46,7 +50,11 @@
                 thread::spawn(move || serve(stream, &state, &sender));
             }
         });
-        Discovery { address, state, notices }
+        Discovery {
+            address,
+            state,
+            notices,
+        }
     }
 
     /// The whole list, as a configuration holds it.
@@ -125,7 +133,11 @@
                 let _ = notices.send(serde_json::from_str(line).expect("a notice in JSON"));
             }
         } else if head.starts_with("GET /discovery/hosts?follow=1&since=") {
-            let since = head.split("since=").nth(1).and_then(|s| s.split(' ').next()).expect("a version");
+            let since = head
+                .split("since=")
+                .nth(1)
+                .and_then(|s| s.split(' ').next())
+                .expect("a version");
             return watch(stream, since.parse().expect("a number"), state);
         } else {
             panic!("discovery was asked {head}");
@@ -150,7 +162,10 @@
         // Cut in the middle: lines and chunks need not agree.
         let (a, b) = line.split_at(line.len() / 2);
         for part in [a, b].into_iter().filter(|p| !p.is_empty()) {
-            if stream.write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes()).is_err() {
+            if stream
+                .write_all(format!("{:x}\r\n{part}\r\n", part.len()).as_bytes())
+                .is_err()
+            {
                 return;
             }
         }
--- a/tests/sockets/dns_only.rs
+++ b/tests/sockets/dns_only.rs
@@ -28,7 +28,10 @@
 }
 
 fn now() -> u32 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_secs() as u32
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("a time")
+        .as_secs() as u32
 }
 
 fn name(text: &str) -> Name {
@@ -41,11 +44,13 @@
 
 /// A zone with a host for each provider, and these of them listed.
 fn zone(serial: u32, listed: &[(&str, SocketAddr)]) -> String {
-    let lines =
-        listed.iter().map(|(host, at)| format!("_raildeal._tcp.7 60 IN SRV 0 0 {} {host}\n", at.port()));
+    let lines = listed
+        .iter()
+        .map(|(host, at)| format!("_raildeal._tcp.7 60 IN SRV 0 0 {} {host}\n", at.port()));
     let hosts = ["p", "q"].iter().zip(["a", "b"]);
-    let hosts =
-        hosts.map(|(h, z)| format!("{h} 60 IN A 127.0.0.1\n{h} 60 IN TXT zone={z} kind=broker rate=50\n"));
+    let hosts = hosts.map(|(h, z)| {
+        format!("{h} 60 IN A 127.0.0.1\n{h} 60 IN TXT zone={z} kind=broker rate=50\n")
+    });
     format!(
         "$ORIGIN x.example.\n@ 60 IN SOA ns mail {serial} 1 1 1 1\n{}{}",
         lines.collect::<String>(),
@@ -58,11 +63,25 @@
         let folder = TempDir::new().expect("a folder");
         let providers = Providers::new();
         let addresses = ["p", "q"].map(|uid| providers.start::<Mqtt>(uid));
-        fs::write(folder.path().join("zone"), zone(7, &[("p", addresses[0]), ("q", addresses[1])]))
-            .expect("written");
-        fs::write(folder.path().join("key"), data_encoding::BASE64.encode(SECRET)).expect("written");
+        fs::write(
+            folder.path().join("zone"),
+            zone(7, &[("p", addresses[0]), ("q", addresses[1])]),
+        )
+        .expect("written");
+        fs::write(
+            folder.path().join("key"),
+            data_encoding::BASE64.encode(SECRET),
+        )
+        .expect("written");
         let (program, client, updates) = begin(&folder);
-        Site { program, client, updates, providers, addresses, folder }
+        Site {
+            program,
+            client,
+            updates,
+            providers,
+            addresses,
+            folder,
+        }
     }
 
     fn file(&self) -> PathBuf {
@@ -77,10 +96,15 @@
 
     /// Asks for an update, signed, and checks that the answer is signed too.
     fn update(&self, mut update: Message) -> ResponseCode {
-        let verifier = update.finalize(&signer(SECRET, "key."), now()).expect("signed").expect("a verifier");
+        let verifier = update
+            .finalize(&signer(SECRET, "key."), now())
+            .expect("signed")
+            .expect("a verifier");
         let bytes = ask(self.updates, &update.to_vec().expect("encoded"));
         let mut verifier = verifier;
-        verifier(&bytes).expect("an answer that is signed").response_code()
+        verifier(&bytes)
+            .expect("an answer that is signed")
+            .response_code()
     }
 
     /// Hands messages in and tells which providers got them.
@@ -99,7 +123,9 @@
 }
 
 fn begin(folder: &TempDir) -> (Program, Mqtt, SocketAddr) {
-    let (file, path) = (folder.path().join("operator.toml"), |f: &str| folder.path().join(f));
+    let (file, path) = (folder.path().join("operator.toml"), |f: &str| {
+        folder.path().join(f)
+    });
     let text = format!(
         "name = \"zoned\"\nstate = {:?}\n[mqtt]\nlisten = \"127.0.0.1:0\"\n\
          [brokers]\nkinds = [\"broker\"]\ntopic = \"in/{{dest}}\"\n[dns]\nzone_file = {:?}\n\
@@ -117,7 +143,9 @@
 
 fn ask(address: SocketAddr, message: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).expect("connected");
-    stream.write_all(&(message.len() as u16).to_be_bytes()).expect("written");
+    stream
+        .write_all(&(message.len() as u16).to_be_bytes())
+        .expect("written");
     stream.write_all(message).expect("written");
     let mut length = [0; 2];
     stream.read_exact(&mut length).expect("an answer");
@@ -127,7 +155,9 @@
 }
 
 fn code(answer: &[u8]) -> ResponseCode {
-    Message::from_vec(answer).expect("a message").response_code()
+    Message::from_vec(answer)
+        .expect("a message")
+        .response_code()
 }
 
 #[test]
@@ -140,7 +170,10 @@
     assert_eq!(site.used(&["m1", "m2", "m3", "m4"]), ["q", "q", "q", "q"]);
     // It is on file, so the next start has it.
     let kept = fs::read_to_string(site.file()).expect("a file");
-    assert!(kept.contains(" 8 ") && !kept.contains(&format!("0 0 {} ", site.addresses[0].port())), "{kept}");
+    assert!(
+        kept.contains(" 8 ") && !kept.contains(&format!("0 0 {} ", site.addresses[0].port())),
+        "{kept}"
+    );
     site.program.terminate();
     assert!(site.program.ended().success());
     (site.program, site.client, site.updates) = begin(&site.folder);
@@ -150,7 +183,8 @@
     assert_eq!(site.update(back), ResponseCode::YXRRSet);
     let back = update_message::append(RecordSet::from(site.srv(0)), origin, true, false);
     assert_eq!(site.update(back), ResponseCode::NoError);
-    let out = update_message::delete_by_rdata(RecordSet::from(site.srv(1)), name("x.example."), false);
+    let out =
+        update_message::delete_by_rdata(RecordSet::from(site.srv(1)), name("x.example."), false);
     assert_eq!(site.update(out), ResponseCode::NoError);
     assert_eq!(site.used(&["m7", "m8"]), ["p", "p"]);
     site.providers.check();
@@ -159,9 +193,13 @@
 #[test]
 fn an_update_without_a_good_signature_changes_nothing() {
     let site = Site::start();
-    let update = || update_message::delete_by_rdata(RecordSet::from(site.srv(0)), name("x.example."), false);
+    let update =
+        || update_message::delete_by_rdata(RecordSet::from(site.srv(0)), name("x.example."), false);
     let before = fs::read(site.file()).expect("a file");
-    assert_eq!(code(&ask(site.updates, &update().to_vec().expect("encoded"))), ResponseCode::Refused);
+    assert_eq!(
+        code(&ask(site.updates, &update().to_vec().expect("encoded"))),
+        ResponseCode::Refused
+    );
     let other = b"another secret, as long as that one";
     for (key, at) in [
         (signer(other, "key."), now()),
@@ -171,16 +209,25 @@
     ] {
         let mut signed = update();
         signed.finalize(&key, at).expect("signed");
-        assert_eq!(code(&ask(site.updates, &signed.to_vec().expect("encoded"))), ResponseCode::NotAuth);
+        assert_eq!(
+            code(&ask(site.updates, &signed.to_vec().expect("encoded"))),
+            ResponseCode::NotAuth
+        );
     }
     // One bit of a signed message, anywhere: no longer what was signed, or no message.
     let mut signed = update();
-    signed.finalize(&signer(SECRET, "key."), now()).expect("signed");
+    signed
+        .finalize(&signer(SECRET, "key."), now())
+        .expect("signed");
     let signed = signed.to_vec().expect("encoded");
     for at in 12..signed.len() {
         let mut bytes = signed.clone();
         bytes[at] ^= 4;
-        assert_ne!(code(&ask(site.updates, &bytes)), ResponseCode::NoError, "byte {at}");
+        assert_ne!(
+            code(&ask(site.updates, &bytes)),
+            ResponseCode::NoError,
+            "byte {at}"
+        );
     }
     assert_eq!(fs::read(site.file()).expect("a file"), before);
 }
@@ -202,21 +249,32 @@
     site.program.kill();
     fs::write(site.file(), "$ORIGIN x.example.\nno zone at all\n").expect("written");
     let file = site.folder.path().join("operator.toml");
-    let out = Command::new(env!("CARGO_BIN_EXE_raildeal")).env("RUST_LOG", "off").arg(file).output();
+    let out = Command::new(env!("CARGO_BIN_EXE_raildeal"))
+        .env("RUST_LOG", "off")
+        .arg(file)
+        .output();
     let told = String::from_utf8_lossy(&out.expect("it runs").stderr).into_owned();
-    assert!(told.contains("dns.zone_file") && told.contains("line 2") && told.lines().count() == 1, "{told}");
+    assert!(
+        told.contains("dns.zone_file") && told.contains("line 2") && told.lines().count() == 1,
+        "{told}"
+    );
 }
 
 #[test]
 fn garbage_to_the_update_port_harms_nobody() {
     let mut site = Site::start();
-    for bytes in
-        [&[0, 0][..], &[0, 5, 1, 2, 3, 4, 5], &[0, 12, 1, 2, 0x28, 0, 0, 1, 0, 0, 0, 0, 0, 0], &[0xff; 600]]
-    {
+    for bytes in [
+        &[0, 0][..],
+        &[0, 5, 1, 2, 3, 4, 5],
+        &[0, 12, 1, 2, 0x28, 0, 0, 1, 0, 0, 0, 0, 0, 0],
+        &[0xff; 600],
+    ] {
         let mut stream = TcpStream::connect(site.updates).expect("connected");
         stream.write_all(bytes).expect("written");
         stream.shutdown(std::net::Shutdown::Write).expect("shut");
-        stream.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .expect("a time-out");
         match stream.read_to_end(&mut Vec::new()) {
             Ok(_) => {}
             Err(e) => assert_eq!(e.kind(), io::ErrorKind::ConnectionReset),
--- a/tests/sockets/door.rs
+++ b/tests/sockets/door.rs
@@ -1,7 +1,9 @@
-//! Floods at the door: one address that opens connections as fast as it can, thousands of addresses with one each, the
-//! known client's own address, a restart meanwhile, and no descriptors left. Known clients are served as without it.
+//! Floods at the door: one address that opens connections as fast as it can, thousands of addresses
+//! with one each, the known client's own address, a restart meanwhile, and no descriptors left.
+//! Known clients are served as without it.
 //!
-//! `FLOOD=100,1000,5000 cargo test --release --test floods floods_by_size -- --nocapture` prints the table of sizes.
+//! `FLOOD=100,1000,5000 cargo test --release --test floods floods_by_size -- --nocapture` prints
+//! the table of sizes.
 
 use crate::http::{answer, request, Http};
 use crate::mqtt::{publish, read, send, Mqtt};
@@ -27,7 +29,13 @@
 /// Connects from an address of the loopback range.
 pub fn connect_from(from: Ipv4Addr, to: SocketAddr) -> Option<TcpStream> {
     // Programs that other tests start must not hold it too.
-    let fd = socket_with(AddressFamily::INET, SocketType::STREAM, SocketFlags::CLOEXEC, None).ok()?;
+    let fd = socket_with(
+        AddressFamily::INET,
+        SocketType::STREAM,
+        SocketFlags::CLOEXEC,
+        None,
+    )
+    .ok()?;
     bind(&fd, &SocketAddr::new(IpAddr::V4(from), 0)).ok()?;
     connect(&fd, &to).ok()?;
     Some(TcpStream::from(fd))
@@ -37,8 +45,7 @@
 fn connect_on(mut stream: TcpStream, name: &str) -> Option<TcpStream> {
     stream.set_read_timeout(Some(400 * MS)).ok()?;
     send(&mut stream, &Packet::Connect(Connect::new(name.into(), 60))).ok()?;
-    let taken =
-        matches!(read(&mut stream), Ok(Packet::Connack(a)) if a.reason_code == ConnectReasonCode::Success);
+    let taken = matches!(read(&mut stream), Ok(Packet::Connack(a)) if a.reason_code == ConnectReasonCode::Success);
     taken.then_some(stream)
 }
 
@@ -67,8 +74,8 @@
     }
 }
 
-/// Who floods: what its connections do, how many there are at once, whether they speak MQTT, and whether they come from
-/// where the known client does.
+/// Who floods: what its connections do, how many there are at once, whether they speak MQTT, and
+/// whether they come from where the known client does.
 #[derive(Clone, Copy, Debug)]
 struct Flood {
     kind: Kind,
@@ -79,7 +86,12 @@
 
 impl Flood {
     fn new<W: Wire>(kind: Kind, size: usize, same: bool) -> Self {
-        Flood { kind, size, mqtt: W::PORT == "mqtt", same }
+        Flood {
+            kind,
+            size,
+            mqtt: W::PORT == "mqtt",
+            same,
+        }
     }
 
     /// Where the known client comes from.
@@ -91,8 +103,8 @@
         }
     }
 
-    /// One of eight parts of it: holds its connections open, and opens another for each that ends, until it is told to
-    /// stop.
+    /// One of eight parts of it: holds its connections open, and opens another for each that ends,
+    /// until it is told to stop.
     fn run(self, to: SocketAddr, from: usize, stop: &AtomicBool, opened: &AtomicUsize) {
         let mut held: Vec<TcpStream> = Vec::new();
         let most = self.size.div_ceil(8);
@@ -152,12 +164,20 @@
     fn p99(&self) -> Duration {
         let mut times = self.times.clone();
         times.sort();
-        times.get((times.len().max(1) - 1) * 99 / 100).copied().unwrap_or(Duration::MAX)
+        times
+            .get((times.len().max(1) - 1) * 99 / 100)
+            .copied()
+            .unwrap_or(Duration::MAX)
     }
 }
 
 /// One that hands a message in every few milliseconds, by a way that says whether it was taken on.
-fn hands_in(name: &str, count: usize, fares: &mut Fares, mut one: impl FnMut(usize, &Message) -> bool) {
+fn hands_in(
+    name: &str,
+    count: usize,
+    fares: &mut Fares,
+    mut one: impl FnMut(usize, &Message) -> bool,
+) {
     for n in 0..count {
         let begun = Instant::now();
         let taken_on = one(n, &message(&format!("{name}-{n}")));
@@ -169,7 +189,11 @@
 }
 
 /// Each on a new connection; waits 400 ms for its answer.
-fn hands_in_http(from: Ipv4Addr, address: SocketAddr, tries: usize) -> impl FnMut(usize, &Message) -> bool {
+fn hands_in_http(
+    from: Ipv4Addr,
+    address: SocketAddr,
+    tries: usize,
+) -> impl FnMut(usize, &Message) -> bool {
     let once = move |m: &Message| {
         connect_from(from, address).and_then(|mut s| {
             s.set_read_timeout(Some(400 * MS)).ok()?;
@@ -186,14 +210,25 @@
     hands_in(name, count, fares, hands_in_http(from, address, 1));
 }
 
-/// From the flood's own address, where nothing tells it from the flood before its request has come: on a slow machine that
-/// is later than its connection, and it is told "full". It comes again then, as clients do, three times.
-fn known_http_again(from: Ipv4Addr, address: SocketAddr, name: &str, count: usize, fares: &mut Fares) {
+/// From the flood's own address, where nothing tells it from the flood before its request has come:
+/// on a slow machine that is later than its connection, and it is told "full". It comes again then,
+/// as clients do, three times.
+fn known_http_again(
+    from: Ipv4Addr,
+    address: SocketAddr,
+    name: &str,
+    count: usize,
+    fares: &mut Fares,
+) {
     hands_in(name, count, fares, hands_in_http(from, address, 4));
 }
 
 /// With a connection for each ten messages.
-fn hands_in_mqtt(from: Ipv4Addr, address: SocketAddr, tries: usize) -> impl FnMut(usize, &Message) -> bool {
+fn hands_in_mqtt(
+    from: Ipv4Addr,
+    address: SocketAddr,
+    tries: usize,
+) -> impl FnMut(usize, &Message) -> bool {
     let mut stream = None;
     move |n, m| {
         if n % 10 == 0 || stream.is_none() {
@@ -216,13 +251,20 @@
 }
 
 /// From the flood's own address, where its name tells it from the flood: see [`known_http_again`].
-fn known_mqtt_again(from: Ipv4Addr, address: SocketAddr, name: &str, count: usize, fares: &mut Fares) {
+fn known_mqtt_again(
+    from: Ipv4Addr,
+    address: SocketAddr,
+    name: &str,
+    count: usize,
+    fares: &mut Fares,
+) {
     hands_in(name, count, fares, hands_in_mqtt(from, address, 4));
 }
 
 type Known = fn(Ipv4Addr, SocketAddr, &str, usize, &mut Fares);
 
-/// Known by its address, or by its name where the flood comes from there too; on HTTP only the address can be known.
+/// Known by its address, or by its name where the flood comes from there too; on HTTP only the
+/// address can be known.
 fn door(same: bool, mqtt: bool) -> String {
     let known = match (same, mqtt) {
         (false, _) => "known = [\"127.0.0.2\"]",
@@ -239,9 +281,18 @@
 /// Ticks of the processor that a process has used, and its descriptors and memory in KiB.
 fn uses(program: &Program) -> (u64, usize, usize) {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", program.pid())).expect("a process");
-    let fields: Vec<&str> = stat.rsplit(')').next().expect("fields").split_whitespace().collect();
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .expect("fields")
+        .split_whitespace()
+        .collect();
     let ticks = |n: usize| fields[n].parse::<u64>().expect("a number");
-    (ticks(11) + ticks(12), program.descriptors(), program.memory())
+    (
+        ticks(11) + ticks(12),
+        program.descriptors(),
+        program.memory(),
+    )
 }
 
 struct Seen {
@@ -260,8 +311,13 @@
     let providers = [("p", "a"), ("q", "a"), ("r", "a")];
     let mut rig = Rig::<W>::start_by(&providers, door(flood.same, flood.mqtt));
     let (calls, address, from) = (rig.providers.take_calls(), rig.address, flood.known());
-    let (stop, done, opened) = (AtomicBool::new(false), AtomicBool::new(false), AtomicUsize::new(0));
-    let (mut before, mut during, mut after) = (Fares::default(), Fares::default(), Fares::default());
+    let (stop, done, opened) = (
+        AtomicBool::new(false),
+        AtomicBool::new(false),
+        AtomicUsize::new(0),
+    );
+    let (mut before, mut during, mut after) =
+        (Fares::default(), Fares::default(), Fares::default());
     let (mut ticks, mut took, mut descriptors, mut memory) = (0, Duration::ZERO, 0, (0, 0));
     thread::scope(|scope| {
         let done = &done;
@@ -288,7 +344,16 @@
     });
     rig.program.says("door: ");
     rig.providers.check();
-    Seen { before, during, after, opened: opened.load(Ordering::Relaxed), ticks, took, descriptors, memory }
+    Seen {
+        before,
+        during,
+        after,
+        opened: opened.load(Ordering::Relaxed),
+        ticks,
+        took,
+        descriptors,
+        memory,
+    }
 }
 
 /// One flood at a time: several would measure each other.
@@ -297,7 +362,12 @@
 fn is_served<W: Wire>(kind: Kind, same: bool, known: Known) {
     let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
     let seen = under::<W>(Flood::new::<W>(kind, 400, same), 100, known);
-    let Seen { before, during, after, .. } = &seen;
+    let Seen {
+        before,
+        during,
+        after,
+        ..
+    } = &seen;
     eprintln!(
         "{kind:?}: before {}/{} p99 {:?}, during {}/{} p99 {:?}, after {}/{} p99 {:?}; {} connections, {} descriptors, \
          memory {:?}",
@@ -317,10 +387,18 @@
     assert!(seen.opened > 400, "no flood: {}", seen.opened);
     assert!(during.taken * 100 >= during.asked * 99, "{during:?}");
     // In a debug build; docs/door.md has what was measured in a release build.
-    assert!(during.p99() < Duration::from_millis(300), "{:?}", during.p99());
+    assert!(
+        during.p99() < Duration::from_millis(300),
+        "{:?}",
+        during.p99()
+    );
     assert!(after.taken * 100 >= after.asked * 99, "{after:?}");
     assert!(seen.descriptors <= 256, "{}", seen.descriptors);
-    assert!(seen.memory.1 < seen.memory.0 + 4096, "memory {:?}", seen.memory);
+    assert!(
+        seen.memory.1 < seen.memory.0 + 4096,
+        "memory {:?}",
+        seen.memory
+    );
 }
 
 #[test]
@@ -397,10 +475,14 @@
 fn one_that_finds_no_place_is_told_so_in_the_protocols_words_with_a_time_of_its_own() {
     let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
     let rig = Rig::<Http>::start_by(&[("p", "a")], door(false, false));
-    let mut held: Vec<TcpStream> = (0..20).filter_map(|_| connect_from(FLOOD, rig.address)).collect();
+    let mut held: Vec<TcpStream> = (0..20)
+        .filter_map(|_| connect_from(FLOOD, rig.address))
+        .collect();
     for stream in &mut held {
         // Owed an answer that its provider does not give: none of these can be spared.
-        stream.write_all(b"POST /event HTTP/1.1\r\nHost: a").expect("written");
+        stream
+            .write_all(b"POST /event HTTP/1.1\r\nHost: a")
+            .expect("written");
     }
     let mut waits = Vec::new();
     for _ in 0..6 {
@@ -408,8 +490,13 @@
         stream.write_all(&request(&message("m1"))).expect("written");
         let (status, head) = answer(&mut stream).expect("an answer");
         assert_eq!(status, 503);
-        let wait = crate::http::header(&head, "retry-after").expect("a time").to_string();
-        assert!((0.25..0.76).contains(&wait.parse::<f64>().expect("seconds")), "{wait}");
+        let wait = crate::http::header(&head, "retry-after")
+            .expect("a time")
+            .to_string();
+        assert!(
+            (0.25..0.76).contains(&wait.parse::<f64>().expect("seconds")),
+            "{wait}"
+        );
         assert_eq!(stream.read(&mut [0; 16]).expect("an end and no reset"), 0);
         waits.push(wait);
     }
@@ -417,11 +504,14 @@
     assert!(waits.len() > 3, "all come back together: {waits:?}");
     let mut mqtt = connect_from(FLOOD, rig.other).expect("connected");
     send(&mut mqtt, &Packet::Connect(Connect::new("c".into(), 9))).expect("written");
-    let Packet::Connack(ack) = read(&mut mqtt).expect("an answer") else { panic!("no CONNACK") };
+    let Packet::Connack(ack) = read(&mut mqtt).expect("an answer") else {
+        panic!("no CONNACK")
+    };
     assert_eq!(ack.reason_code as u8, 0x97);
     // One that speaks MQTT 3.1.1 is told so in its own words.
     let mut old = connect_from(FLOOD, rig.other).expect("connected");
-    old.write_all(b"\x10\x0d\x00\x04MQTT\x04\x02\x00\x3c\x00\x01o").expect("written");
+    old.write_all(b"\x10\x0d\x00\x04MQTT\x04\x02\x00\x3c\x00\x01o")
+        .expect("written");
     let mut told = [0; 4];
     old.read_exact(&mut told).expect("an answer");
     assert_eq!(told, [0x20, 2, 0, 3]);
@@ -438,13 +528,18 @@
     let first = rig.call();
     let now = rig.program.descriptors() as u64;
     let pid = Pid::from_raw(rig.program.pid() as i32);
-    let bound = |n| Rlimit { current: Some(n), ..getrlimit(Resource::Nofile) };
+    let bound = |n| Rlimit {
+        current: Some(n),
+        ..getrlimit(Resource::Nofile)
+    };
     rustix::process::prlimit(pid, Resource::Nofile, bound(now + 1)).expect("a bound");
     let mut held: Vec<TcpStream> = Vec::new();
     let mut full = 0;
     for n in 0..30 {
         let mut stream = TcpStream::connect(rig.address).expect("connected");
-        stream.write_all(&request(&message(&format!("x{n}")))).expect("written");
+        stream
+            .write_all(&request(&message(&format!("x{n}"))))
+            .expect("written");
         match answer(&mut stream) {
             Some((503, _)) | None => full += 1,
             Some((202, _)) => {}
@@ -460,23 +555,30 @@
     drop(held);
     let begun = Instant::now();
     while rig.client.ask(&request(&message("last"))).map(|a| a.0) != Some(202) {
-        assert!(begun.elapsed() < Duration::from_secs(1), "still not taken on");
+        assert!(
+            begun.elapsed() < Duration::from_secs(1),
+            "still not taken on"
+        );
     }
 }
 
-/// An MQTT session that is owed nothing goes for another client, those first that never were of use; one that is owed an
-/// answer stays, and has it.
+/// An MQTT session that is owed nothing goes for another client, those first that never were of
+/// use; one that is owed an answer stays, and has it.
 #[test]
 fn idle_sessions_make_room_and_one_that_is_owed_an_answer_stays() {
     let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
     let mut rig = Rig::<Mqtt>::start_by(
         &[("p", "a")],
-        format!("[limits]\nsockets = 128\n[door]\nwhen_full = \"refuse\"\n{}", settings(100)),
+        format!(
+            "[limits]\nsockets = 128\n[door]\nwhen_full = \"refuse\"\n{}",
+            settings(100)
+        ),
     );
     rig.take_on(&message("m1"));
     let out = rig.call();
     let taken = |n: usize| {
-        let stream = connect_from(Ipv4Addr::new(127, 0, 1, n as u8 + 1), rig.address).expect("connected");
+        let stream =
+            connect_from(Ipv4Addr::new(127, 0, 1, n as u8 + 1), rig.address).expect("connected");
         connect_on(stream, &format!("idle-{n}"))
     };
     let mut idle = Vec::new();
@@ -488,7 +590,9 @@
     // Those that came first had to go, and heard why.
     for stream in &mut idle[..20] {
         let told = read(stream).expect("a last word");
-        let Packet::Disconnect(gone) = told else { panic!("{told:?}") };
+        let Packet::Disconnect(gone) = told else {
+            panic!("{told:?}")
+        };
         assert_eq!(gone.reason_code as u8, 0x97);
     }
     out.answer(Answer::Delivered);
@@ -498,8 +602,8 @@
     rig.finish(&["m1", "m2"]);
 }
 
-/// How long a restarted program takes to deliver what it holds, and how a known client fares meanwhile, with or without
-/// a flood that begins as soon as there is a port.
+/// How long a restarted program takes to deliver what it holds, and how a known client fares
+/// meanwhile, with or without a flood that begins as soon as there is a port.
 fn restarted<W: Wire>(held: usize, flood: Option<Flood>, known: Known) -> (Duration, Fares) {
     let mqtt = W::PORT == "mqtt";
     let mut rig = Rig::<W>::start_by(&[("p", "a"), ("q", "a"), ("r", "a")], door(false, mqtt));
@@ -509,7 +613,11 @@
     }
     rig.program.kill();
     let calls = rig.providers.take_calls();
-    let (stop, done, opened) = (AtomicBool::new(false), AtomicBool::new(false), AtomicUsize::new(0));
+    let (stop, done, opened) = (
+        AtomicBool::new(false),
+        AtomicBool::new(false),
+        AtomicUsize::new(0),
+    );
     let (mut fares, mut took) = (Fares::default(), Duration::ZERO);
     thread::scope(|scope| {
         let (stop, done, opened, wanted) = (&stop, &done, &opened, &ids);
@@ -523,7 +631,9 @@
         scope.spawn(move || {
             let mut left: BTreeSet<&str> = wanted.iter().map(String::as_str).collect();
             while !done.load(Ordering::Relaxed) {
-                let Ok(call) = calls.recv_timeout(5 * MS) else { continue };
+                let Ok(call) = calls.recv_timeout(5 * MS) else {
+                    continue;
+                };
                 // What was out when the program was killed is answered to nobody.
                 call.answer(Answer::Delivered);
                 if call.at > begun && left.remove(call.message.id.as_str()) && left.is_empty() {
@@ -533,11 +643,16 @@
         });
         known(KNOWN, rig.address, "known", 100, &mut fares);
         // No message is held for longer than 16 s.
-        took = over.recv_timeout(Duration::from_secs(16)).expect("all that was held is delivered");
+        took = over
+            .recv_timeout(Duration::from_secs(16))
+            .expect("all that was held is delivered");
         stop.store(true, Ordering::Relaxed);
         done.store(true, Ordering::Relaxed);
     });
-    assert!(flood.is_none() || opened.load(Ordering::Relaxed) > 400, "no flood");
+    assert!(
+        flood.is_none() || opened.load(Ordering::Relaxed) > 400,
+        "no flood"
+    );
     rig.finish(&ids.iter().map(String::as_str).collect::<Vec<_>>());
     (took, fares)
 }
@@ -545,12 +660,18 @@
 fn a_restart_in_a_flood<W: Wire>(known: Known) {
     let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
     let (took, fares) = restarted::<W>(60, Some(Flood::new::<W>(Kind::Silent, 400, false)), known);
-    eprintln!("held delivered after {took:?}, known {}/{} p99 {:?}", fares.taken, fares.asked, fares.p99());
+    eprintln!(
+        "held delivered after {took:?}, known {}/{} p99 {:?}",
+        fares.taken,
+        fares.asked,
+        fares.p99()
+    );
     assert!(fares.taken * 100 >= fares.asked * 99, "{fares:?}");
 }
 
-/// The system allows far fewer descriptors than the file tells, a flood takes what it can of them, and sixty messages want
-/// calls of their own, as many at once as the module lets out: all of them find a descriptor.
+/// The system allows far fewer descriptors than the file tells, a flood takes what it can of them,
+/// and sixty messages want calls of their own, as many at once as the module lets out: all of them
+/// find a descriptor.
 fn calls_find_descriptors_in_a_flood<W: Wire>() {
     let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
     let providers = ["p", "q", "r", "s", "t", "u"].map(|uid| (uid, "a"));
@@ -585,7 +706,13 @@
             delivered += 1;
             call.answer(Answer::Delivered);
         });
-        while let Some(call) = rig.providers.calls.recv_timeout(3000 * MS).ok().filter(|_| delivered < 60) {
+        while let Some(call) = rig
+            .providers
+            .calls
+            .recv_timeout(3000 * MS)
+            .ok()
+            .filter(|_| delivered < 60)
+        {
             call.answer(Answer::Delivered);
             delivered += 1;
         }
@@ -659,10 +786,22 @@
 
 #[test]
 fn floods_by_size() {
-    let Ok(sizes) = std::env::var("FLOOD") else { return };
+    let Ok(sizes) = std::env::var("FLOOD") else {
+        return;
+    };
     let limit = getrlimit(Resource::Nofile);
-    setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum }).expect("a bound");
-    for size in sizes.split(',').map(|s| s.trim().parse::<usize>().expect("a number")) {
+    setrlimit(
+        Resource::Nofile,
+        Rlimit {
+            current: limit.maximum,
+            maximum: limit.maximum,
+        },
+    )
+    .expect("a bound");
+    for size in sizes
+        .split(',')
+        .map(|s| s.trim().parse::<usize>().expect("a number"))
+    {
         by_size::<Http>(size, known_http);
         by_size::<Mqtt>(size, known_mqtt);
     }
@@ -672,7 +811,10 @@
     let _alone = ALONE.lock().unwrap_or_else(|e| e.into_inner());
     let flood = Flood::new::<W>(Kind::Silent, 400, false);
     let mut rig = Rig::<W>::start_by(&[("p", "a")], door(false, flood.mqtt));
-    rig.take_on(&Message { left: Duration::from_secs(10), ..message("m1") });
+    rig.take_on(&Message {
+        left: Duration::from_secs(10),
+        ..message("m1")
+    });
     let out = rig.call();
     let (stop, opened, address) = (AtomicBool::new(false), AtomicUsize::new(0), rig.address);
     thread::scope(|scope| {
@@ -684,7 +826,11 @@
         let begun = Instant::now();
         rig.program.terminate();
         assert!(rig.program.ended().success());
-        assert!(begun.elapsed() < Duration::from_millis(3700), "{:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() < Duration::from_millis(3700),
+            "{:?}",
+            begun.elapsed()
+        );
         stop.store(true, Ordering::Relaxed);
     });
     drop(out);
--- a/tests/sockets/floods.rs
+++ b/tests/sockets/floods.rs
@@ -1,4 +1,5 @@
-//! Floods stand in a program of their own: they load the machine, and what else is timed must not run beside them.
+//! Floods stand in a program of their own: they load the machine, and what else is timed must not
+//! run beside them.
 
 // The rig has more than floods need.
 #![allow(dead_code)]
--- a/tests/sockets/http.rs
+++ b/tests/sockets/http.rs
@@ -22,13 +22,16 @@
 
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().filter_map(|l| l.split_once(':'));
-    lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim())
+    lines
+        .find(|(n, _)| n.eq_ignore_ascii_case(name))
+        .map(|(_, v)| v.trim())
 }
 
 /// Reads a request with its body.
 pub fn read_request(stream: &mut impl Read) -> Option<(String, Vec<u8>)> {
     let head = read_head(stream)?;
-    let mut body = vec![0; header(&head, "content-length").map_or(0, |l| l.parse().expect("a length"))];
+    let mut body =
+        vec![0; header(&head, "content-length").map_or(0, |l| l.parse().expect("a length"))];
     stream.read_exact(&mut body).ok()?;
     Some((head, body))
 }
@@ -48,7 +51,9 @@
 
 /// Status and headers of an answer.
 pub fn answer(stream: &mut TcpStream) -> Option<(u16, String)> {
-    stream.set_read_timeout(Some(crate::program::PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(crate::program::PATIENCE))
+        .expect("a time-out");
     let head = read_head(stream)?;
     Some((head.split(' ').nth(1)?.parse().ok()?, head))
 }
@@ -69,7 +74,12 @@
 
     fn client(address: SocketAddr) -> Self {
         let http = Http { address };
-        assert_eq!(http.ask(b"GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n").expect("an answer").0, 200);
+        assert_eq!(
+            http.ask(b"GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n")
+                .expect("an answer")
+                .0,
+            200
+        );
         http
     }
 
@@ -87,9 +97,9 @@
         let notice = discovery.notices.recv_timeout(within).ok()?;
         let end = match notice["status"].as_str() {
             Some("undeliverable") => End::Undeliverable,
-            Some("deferred") => {
-                End::Deferred(Duration::from_millis(notice["again_ms"].as_u64().unwrap_or(0)))
-            }
+            Some("deferred") => End::Deferred(Duration::from_millis(
+                notice["again_ms"].as_u64().unwrap_or(0),
+            )),
             other => panic!("a notice says {other:?}"),
         };
         Some((notice["id"].as_str().expect("an id").into(), end))
@@ -103,15 +113,27 @@
         let (head, body) = read_request(stream).ok_or(io::ErrorKind::UnexpectedEof)?;
         let text = |name| header(&head, name).expect("a header").to_string();
         assert!(head.starts_with("POST /hook HTTP/1.1\r\n"));
-        let left = text("x-remaining").strip_suffix('m').expect("milliseconds").parse().expect("a number");
+        let left = text("x-remaining")
+            .strip_suffix('m')
+            .expect("milliseconds")
+            .parse()
+            .expect("a number");
         let (id, key) = (text("x-txn"), text("idempotency-key"));
-        Ok(Message { id, key, body, left: Duration::from_millis(left) })
+        Ok(Message {
+            id,
+            key,
+            body,
+            left: Duration::from_millis(left),
+        })
     }
 
     fn answer(answer: Answer) -> Vec<u8> {
         let (status, more) = match answer {
             Answer::Delivered => ("200 OK", String::new()),
-            Answer::Full(Some(ms)) => ("429 Too Many Requests", format!("X-RateLimit-Wait-Ms: {ms}\r\n")),
+            Answer::Full(Some(ms)) => (
+                "429 Too Many Requests",
+                format!("X-RateLimit-Wait-Ms: {ms}\r\n"),
+            ),
             Answer::Full(None) => ("503 Service Unavailable", String::new()),
             Answer::Error => ("500 Internal Server Error", String::new()),
             Answer::Raw(bytes) => return bytes.to_vec(),
@@ -121,8 +143,19 @@
     }
 
     fn garbage() -> Vec<Vec<u8>> {
-        let long = [b"POST /event HTTP/1.1\r\n".as_slice(), &b"X-Long: 1\r\n".repeat(3000)].concat();
-        let big = request(&Message { body: vec![7; 64 * 1024 + 1], ..crate::rig::message("big") });
-        vec![b"\x16\x03\x01\x02\x00\x01\x00 this is not HTTP\r\n\r\n".to_vec(), long, big]
+        let long = [
+            b"POST /event HTTP/1.1\r\n".as_slice(),
+            &b"X-Long: 1\r\n".repeat(3000),
+        ]
+        .concat();
+        let big = request(&Message {
+            body: vec![7; 64 * 1024 + 1],
+            ..crate::rig::message("big")
+        });
+        vec![
+            b"\x16\x03\x01\x02\x00\x01\x00 this is not HTTP\r\n\r\n".to_vec(),
+            long,
+            big,
+        ]
     }
 }
--- a/tests/sockets/lists.rs
+++ b/tests/sockets/lists.rs
@@ -1,4 +1,5 @@
-//! What discovery writes on a watch, byte by byte: in pieces, indented, spoilt, without end, or not at all.
+//! What discovery writes on a watch, byte by byte: in pieces, indented, spoilt, without end, or not
+//! at all.
 
 use crate::http::{read_head, request, Http};
 use crate::platform_only::{config, platform_command};
@@ -37,8 +38,8 @@
     }
 }
 
-/// The program before a discovery that a test plays, with the providers `p` and `q`, of which `p` alone is in the list that it
-/// was started with.
+/// The program before a discovery that a test plays, with the providers `p` and `q`, of which `p`
+/// alone is in the list that it was started with.
 struct Play {
     program: Program,
     http: Http,
@@ -62,9 +63,18 @@
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
                 let at = Instant::now();
-                let Some(head) = read_head(&mut stream) else { continue };
-                let since = head.split("since=").nth(1).and_then(|s| s.split(' ').next()?.parse().ok());
-                let _ = sender.send(Ask { since: since.expect("a watch"), at, stream });
+                let Some(head) = read_head(&mut stream) else {
+                    continue;
+                };
+                let since = head
+                    .split("since=")
+                    .nth(1)
+                    .and_then(|s| s.split(' ').next()?.parse().ok());
+                let _ = sender.send(Ask {
+                    since: since.expect("a watch"),
+                    at,
+                    stream,
+                });
             }
         });
         let (providers, folder) = (Providers::new(), TempDir::new().expect("a folder"));
@@ -75,8 +85,18 @@
         told["settings"]["rules"] = json!({"mustAskIn": 10_000_000_000u64});
         let started = Instant::now();
         let mut program = Program::spawn(&mut platform_command(&folder, &told));
-        let http = Http { address: program.port("platform") };
-        Play { program, http, providers, at, asks, started, _folder: folder }
+        let http = Http {
+            address: program.port("platform"),
+        };
+        Play {
+            program,
+            http,
+            providers,
+            at,
+            asks,
+            started,
+            _folder: folder,
+        }
     }
 
     fn ask(&self) -> Ask {
@@ -85,11 +105,18 @@
 
     /// The list with `p` and `q` in these states.
     fn list(&self, rev: u64, states: [&str; 2]) -> Value {
-        list(rev, true, &[("p", self.at[0], states[0]), ("q", self.at[1], states[1])])
+        list(
+            rev,
+            true,
+            &[("p", self.at[0], states[0]), ("q", self.at[1], states[1])],
+        )
     }
 
     fn hand_in(&self, id: &str) {
-        assert_eq!(self.http.ask(&request(&message(id))).expect("an answer").0, 202);
+        assert_eq!(
+            self.http.ask(&request(&message(id))).expect("an answer").0,
+            202
+        );
     }
 
     fn call(&self) -> Call {
@@ -100,7 +127,10 @@
     fn serves(&self, id: &str, provider: &str) {
         self.hand_in(id);
         let call = self.call();
-        assert_eq!((call.provider.as_str(), call.message.id.as_str()), (provider, id));
+        assert_eq!(
+            (call.provider.as_str(), call.message.id.as_str()),
+            (provider, id)
+        );
         call.answer(Answer::Delivered);
     }
 }
@@ -120,13 +150,18 @@
     let text = serde_json::to_string_pretty(&play.list(5, ["leaving", "active"])).expect("text");
     let (begun, last) = text.split_at(text.len() - 1);
     ask.write(HEAD);
-    begun.split_inclusive(|_| true).for_each(|byte| ask.say(byte));
+    begun
+        .split_inclusive(|_| true)
+        .for_each(|byte| ask.say(byte));
     play.serves("m1", "p");
     ask.say(last);
     play.program.says("provider p ");
     play.serves("m2", "q");
     // A whole list in place of a change, indented too; `q` is listed no more.
-    ask.say(&format!("\n\n{:#}\n", list(6, true, &[("p", play.at[0], "active")])));
+    ask.say(&format!(
+        "\n\n{:#}\n",
+        list(6, true, &[("p", play.at[0], "active")])
+    ));
     play.program.says("provider q ");
     play.serves("m3", "p");
     assert!(!play.program.log().contains("cannot be read"));
@@ -156,7 +191,11 @@
     ask.write(HEAD);
     ask.say(&cut);
     drop(ask);
-    let long = [b"HTTP/1.1 200 OK\r\n".as_slice(), &b"X-Long: 1\r\n".repeat(3_000)].concat();
+    let long = [
+        b"HTTP/1.1 200 OK\r\n".as_slice(),
+        &b"X-Long: 1\r\n".repeat(3_000),
+    ]
+    .concat();
     for spoilt in [b"\x16\x03\x01 no HTTP\r\n\r\n".as_slice(), &long] {
         // The program may have hung up before the end of it.
         let _ = play.ask().stream.write_all(spoilt);
@@ -167,8 +206,15 @@
     ask.answer(&play.list(6, ["active", "leaving"]));
     play.program.says("provider q ");
     play.serves("m2", "p");
-    let told = play.program.log().matches("an answer that cannot be read").count() as u64;
-    assert!((1..=1 + play.started.elapsed().as_secs() / 10).contains(&told), "told {told} times");
+    let told = play
+        .program
+        .log()
+        .matches("an answer that cannot be read")
+        .count() as u64;
+    assert!(
+        (1..=1 + play.started.elapsed().as_secs() / 10).contains(&told),
+        "told {told} times"
+    );
 }
 
 #[test]
@@ -186,7 +232,11 @@
         }
         assert!(first.at.elapsed() < PATIENCE, "not asked again");
     };
-    assert!(second.at - first.at >= Duration::from_secs(3), "{:?}", second.at - first.at);
+    assert!(
+        second.at - first.at >= Duration::from_secs(3),
+        "{:?}",
+        second.at - first.at
+    );
     play.serves("m1", "p");
 }
 
@@ -200,7 +250,11 @@
     for n in 0..20 {
         let asked = Instant::now();
         play.serves(&format!("m{n}"), "p");
-        assert!(asked.elapsed() < Duration::from_secs(2), "m{n} waited {:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_secs(2),
+            "m{n} waited {:?}",
+            asked.elapsed()
+        );
     }
 }
 
@@ -210,7 +264,10 @@
     let play = Play::start();
     let mut next = Some(play.ask());
     // It had started when it asked.
-    let until = next.as_ref().map(|first| first.at + Duration::from_millis(6_100)).expect("asked");
+    let until = next
+        .as_ref()
+        .map(|first| first.at + Duration::from_millis(6_100))
+        .expect("asked");
     for n in 0.. {
         let Some(mut ask) = next else { break };
         // As one that stood in the directory's line.
@@ -219,13 +276,25 @@
         if play.started.elapsed() < Duration::from_secs(4) {
             play.serves(&format!("m{n}"), "p");
         }
-        next = play.asks.recv_timeout(until.saturating_duration_since(Instant::now())).ok();
+        next = play
+            .asks
+            .recv_timeout(until.saturating_duration_since(Instant::now()))
+            .ok();
     }
     play.hand_in("late");
-    assert!(play.providers.calls.recv_timeout(Duration::from_millis(500)).is_err(), "by the held list");
+    assert!(
+        play.providers
+            .calls
+            .recv_timeout(Duration::from_millis(500))
+            .is_err(),
+        "by the held list"
+    );
     play.ask().answer(&play.list(5, ["leaving", "active"]));
     let call = play.call();
-    assert_eq!((call.provider.as_str(), call.message.id.as_str()), ("q", "late"));
+    assert_eq!(
+        (call.provider.as_str(), call.message.id.as_str()),
+        ("q", "late")
+    );
     call.answer(Answer::Delivered);
 }
 
@@ -234,7 +303,13 @@
     let play = Play::told("automatic");
     let mut ask = play.ask();
     play.hand_in("m1");
-    assert!(play.providers.calls.recv_timeout(Duration::from_millis(500)).is_err(), "by the kept list");
+    assert!(
+        play.providers
+            .calls
+            .recv_timeout(Duration::from_millis(500))
+            .is_err(),
+        "by the kept list"
+    );
     ask.answer(&play.list(5, ["leaving", "active"]));
     let call = play.call();
     assert_eq!(call.provider, "q");
--- a/tests/sockets/long_day.rs
+++ b/tests/sockets/long_day.rs
@@ -1,4 +1,5 @@
-//! What a day without end brings: new clients, ids, keys and providers, and nothing that grows with them.
+//! What a day without end brings: new clients, ids, keys and providers, and nothing that grows with
+//! them.
 
 use crate::http::{answer, request, Http};
 use crate::rig::{message, Answer, Rig, Wire};
@@ -9,14 +10,20 @@
 /// The next line of the program that tells the size of each table.
 fn sizes(rig: &mut Rig<Http>) -> Vec<(String, usize)> {
     let line = rig.program.says("sizes: ");
-    let told = line.split("sizes: ").nth(1).expect("sizes").split(' ').map(|s| {
-        let (table, entries) = s.split_once('=').expect("a size");
-        (table.to_string(), entries.parse().expect("a number"))
-    });
+    let told = line
+        .split("sizes: ")
+        .nth(1)
+        .expect("sizes")
+        .split(' ')
+        .map(|s| {
+            let (table, entries) = s.split_once('=').expect("a size");
+            (table.to_string(), entries.parse().expect("a number"))
+        });
     told.collect()
 }
 
-/// Hands so many messages in, has them delivered and puts another machine at the provider's address.
+/// Hands so many messages in, has them delivered and puts another machine at the provider's
+/// address.
 fn round(rig: &mut Rig<Http>, round: usize, messages: usize, address: SocketAddr) -> Vec<String> {
     let ids: Vec<String> = (0..messages).map(|i| format!("m{round}-{i}")).collect();
     for id in &ids {
@@ -29,14 +36,25 @@
 
 /// Another machine takes over the address of a round's provider.
 fn replace(rig: &mut Rig<Http>, round: usize, address: SocketAddr) {
-    rig.discovery.list(&format!("p{round}"), address, "a", Http::KIND, "left");
-    rig.discovery.list(&format!("p{}", round + 1), address, "a", Http::KIND, "active");
+    rig.discovery
+        .list(&format!("p{round}"), address, "a", Http::KIND, "left");
+    rig.discovery.list(
+        &format!("p{}", round + 1),
+        address,
+        "a",
+        Http::KIND,
+        "active",
+    );
     rig.program.says(&format!("provider p{} ", round + 1));
 }
 
 /// Where the one provider listens.
 fn listed(rig: &Rig<Http>) -> SocketAddr {
-    rig.discovery.targets()[0]["endpoint"].as_str().expect("text").parse().expect("an address")
+    rig.discovery.targets()[0]["endpoint"]
+        .as_str()
+        .expect("text")
+        .parse()
+        .expect("an address")
 }
 
 #[test]
@@ -44,7 +62,9 @@
     const ROUNDS: usize = 12;
     let mut rig = Rig::<Http>::start(&[("p0", "a")]);
     let address = listed(&rig);
-    let ids: Vec<String> = (0..ROUNDS).flat_map(|r| round(&mut rig, r, 20, address)).collect();
+    let ids: Vec<String> = (0..ROUNDS)
+        .flat_map(|r| round(&mut rig, r, 20, address))
+        .collect();
     // One that was being written while the last round ended may be older.
     let _ = sizes(&mut rig);
     let told = sizes(&mut rig);
@@ -65,17 +85,28 @@
         ("notices", 0),
         ("sleepers", 20),
     ] {
-        let entries = told.iter().find(|(t, _)| t == table).unwrap_or_else(|| panic!("{table}: {told:?}")).1;
-        assert!(entries <= most, "{table} has {entries} after {ROUNDS} rounds: {told:?}");
+        let entries = told
+            .iter()
+            .find(|(t, _)| t == table)
+            .unwrap_or_else(|| panic!("{table}: {told:?}"))
+            .1;
+        assert!(
+            entries <= most,
+            "{table} has {entries} after {ROUNDS} rounds: {told:?}"
+        );
     }
     rig.finish(&ids.iter().map(String::as_str).collect::<Vec<_>>());
 }
 
-/// A soak: memory and the size of each table over time, as a table to read. `SOAK_S` seconds, 120 where it is not set.
+/// A soak: memory and the size of each table over time, as a table to read. `SOAK_S` seconds, 120
+/// where it is not set.
 #[test]
 #[ignore = "a table to read"]
 fn soak() {
-    let span = std::env::var("SOAK_S").ok().and_then(|s| s.parse().ok()).unwrap_or(120);
+    let span = std::env::var("SOAK_S")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(120);
     let (start, span) = (Instant::now(), Duration::from_secs(span));
     let mut rig = Rig::<Http>::start(&[("p0", "a")]);
     let address = listed(&rig);
@@ -107,7 +138,9 @@
         for i in 0..40 {
             // It asks once and keeps its connection.
             let mut stream = TcpStream::connect(rig.address).expect("connected");
-            stream.write_all(&request(&message(&format!("m{round}-{i}")))).expect("written");
+            stream
+                .write_all(&request(&message(&format!("m{round}-{i}"))))
+                .expect("written");
             assert_eq!(answer(&mut stream).expect("an answer").0, 202);
             kept.push(stream);
             rig.call().answer(Answer::Delivered);
@@ -121,7 +154,10 @@
         (of(|s| s.0), of(|s| s.1))
     };
     let (before, after) = (most(early), most(late));
-    assert!(after.0 <= before.0 + 4 && after.0 <= 128, "descriptors {seen:?}");
+    assert!(
+        after.0 <= before.0 + 4 && after.0 <= 128,
+        "descriptors {seen:?}"
+    );
     assert!(after.1 <= before.1 + 1024, "memory {seen:?}");
     rig.finish(&[]);
 }
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,5 +1,5 @@
-//! The program on real sockets, against stand-ins for clients, providers and discovery. Each scenario is written once
-//! and runs unchanged on every front.
+//! The program on real sockets, against stand-ins for clients, providers and discovery. Each
+//! scenario is written once and runs unchanged on every front.
 
 mod bad_clients;
 mod discovery;
--- a/tests/sockets/mqtt.rs
+++ b/tests/sockets/mqtt.rs
@@ -86,7 +86,10 @@
         let told = |name| property(&end.properties.user_properties, name);
         let id = told("id").expect("an id").to_string();
         assert_eq!(&*end.topic_name, REPLIES);
-        assert_eq!(end.properties.correlation_data.as_deref(), Some(format!("re {id}").as_bytes()));
+        assert_eq!(
+            end.properties.correlation_data.as_deref(),
+            Some(format!("re {id}").as_bytes())
+        );
         let again = told("again-ms").map_or(0, |ms| ms.parse().expect("ms"));
         Some(match told("status") {
             Some("delivered") => (id, End::Delivered),
@@ -122,15 +125,28 @@
                 }
             }
         });
-        Mqtt { stream, pid: 0, acks, ends }
+        Mqtt {
+            stream,
+            pid: 0,
+            acks,
+            ends,
+        }
     }
 
     fn hand_in(&mut self, message: &Message) -> Heard {
         self.pid += 1;
-        send(&mut self.stream, &Packet::Publish(publish(message, self.pid))).expect("written");
-        let ack = self.acks.recv_timeout(PATIENCE).expect("an acknowledgement");
+        send(
+            &mut self.stream,
+            &Packet::Publish(publish(message, self.pid)),
+        )
+        .expect("written");
+        let ack = self
+            .acks
+            .recv_timeout(PATIENCE)
+            .expect("an acknowledgement");
         assert_eq!(ack.pid.value(), self.pid);
-        let wait = property(&ack.properties.user_properties, "wait-ms").map_or(0, |w| w.parse().expect("ms"));
+        let wait = property(&ack.properties.user_properties, "wait-ms")
+            .map_or(0, |w| w.parse().expect("ms"));
         match ack.reason_code {
             PubackReasonCode::Success => Heard::TakenOn,
             PubackReasonCode::QuotaExceeded => Heard::Rejected(Duration::from_millis(wait)),
@@ -147,7 +163,10 @@
             Packet::Connect(connect) => assert!(connect.clean_start),
             other => panic!("{other:?}"),
         }
-        send(stream, &Packet::Connack(Connack::new(false, ConnectReasonCode::Success)))
+        send(
+            stream,
+            &Packet::Connack(Connack::new(false, ConnectReasonCode::Success)),
+        )
     }
 
     fn read_call(stream: &mut TcpStream) -> io::Result<Message> {
@@ -158,11 +177,23 @@
         };
         assert_eq!(&*publish.topic_name, "in/7");
         assert_eq!(publish.qos_pid.pid().map(Pid::value), Some(1));
-        let told = |name| property(&publish.properties.user_properties, name).expect("told").to_string();
+        let told = |name| {
+            property(&publish.properties.user_properties, name)
+                .expect("told")
+                .to_string()
+        };
         let left = Duration::from_millis(told("remaining-ms").parse().expect("ms"));
-        let expiry = publish.properties.message_expiry_interval.expect("an expiry");
+        let expiry = publish
+            .properties
+            .message_expiry_interval
+            .expect("an expiry");
         assert!(Duration::from_secs(expiry.into()) >= left);
-        Ok(Message { id: told("id"), key: told("key"), body: publish.payload.to_vec(), left })
+        Ok(Message {
+            id: told("id"),
+            key: told("key"),
+            body: publish.payload.to_vec(),
+            left,
+        })
     }
 
     fn answer(answer: Answer) -> Vec<u8> {
@@ -175,7 +206,9 @@
             Answer::Drop | Answer::Garbage => return vec![0xff; 64],
         };
         let mut ack = Puback::new(pid, code);
-        ack.properties.user_properties.extend(wait.map(|ms| user("wait-ms", ms.to_string())));
+        ack.properties
+            .user_properties
+            .extend(wait.map(|ms| user("wait-ms", ms.to_string())));
         encode(&Packet::Puback(ack)).expect("encoded")
     }
 
--- a/tests/sockets/mqtt_only.rs
+++ b/tests/sockets/mqtt_only.rs
@@ -31,9 +31,15 @@
     // Its client lost the connection before it saw the acknowledgement.
     for dup in [false, true] {
         let mut stream = connect(rig.address);
-        let again = Publish { dup, ..publish(&message("m1"), 5) };
+        let again = Publish {
+            dup,
+            ..publish(&message("m1"), 5)
+        };
         send(&mut stream, &Packet::Publish(again)).expect("written");
-        assert_eq!(acknowledged(&mut stream).reason_code, PubackReasonCode::Success);
+        assert_eq!(
+            acknowledged(&mut stream).reason_code,
+            PubackReasonCode::Success
+        );
     }
     rig.call().answer(Answer::Delivered);
     rig.quiet(std::time::Duration::from_millis(200));
@@ -43,10 +49,16 @@
 #[test]
 fn a_final_answer_waits_for_a_subscriber_and_for_its_acknowledgement() {
     let mut rig = Rig::<Mqtt>::start(&[("p", "a")]);
-    rig.client.stream.shutdown(std::net::Shutdown::Both).expect("shut");
+    rig.client
+        .stream
+        .shutdown(std::net::Shutdown::Both)
+        .expect("shut");
     let mut stream = connect(rig.address);
     send(&mut stream, &Packet::Publish(publish(&message("m1"), 5))).expect("written");
-    assert_eq!(acknowledged(&mut stream).reason_code, PubackReasonCode::Success);
+    assert_eq!(
+        acknowledged(&mut stream).reason_code,
+        PubackReasonCode::Success
+    );
     rig.call().answer(Answer::Delivered);
     rig.program.says("m1: p Ok");
     drop(stream);
@@ -58,7 +70,10 @@
     let mut second = connect(rig.address);
     subscribe(&mut second, QoS::Level1);
     let end = told(&mut second);
-    assert_eq!(end.properties.correlation_data.as_deref(), Some(b"re m1".as_slice()));
+    assert_eq!(
+        end.properties.correlation_data.as_deref(),
+        Some(b"re m1".as_slice())
+    );
     let ack = Puback::new_success(end.qos_pid.pid().expect("QoS 1"));
     send(&mut second, &Packet::Puback(ack)).expect("written");
     rig.program.terminate();
@@ -68,15 +83,24 @@
 #[test]
 fn a_subscriber_at_qos_0_is_told_once_and_acknowledges_nothing() {
     let rig = Rig::<Mqtt>::start(&[("p", "a")]);
-    rig.client.stream.shutdown(std::net::Shutdown::Both).expect("shut");
+    rig.client
+        .stream
+        .shutdown(std::net::Shutdown::Both)
+        .expect("shut");
     let mut stream = connect(rig.address);
     subscribe(&mut stream, QoS::Level0);
     assert!(matches!(read(&mut stream), Ok(Packet::Suback(_))));
     send(&mut stream, &Packet::Publish(publish(&message("m1"), 5))).expect("written");
-    assert_eq!(acknowledged(&mut stream).reason_code, PubackReasonCode::Success);
+    assert_eq!(
+        acknowledged(&mut stream).reason_code,
+        PubackReasonCode::Success
+    );
     rig.call().answer(Answer::Delivered);
     let end = told(&mut stream);
-    assert_eq!((end.payload.as_ref(), end.qos_pid), (b"delivered".as_slice(), QosPid::Level0));
+    assert_eq!(
+        (end.payload.as_ref(), end.qos_pid),
+        (b"delivered".as_slice(), QosPid::Level0)
+    );
     rig.program.terminate();
     let mut program = rig.program;
     program.says("ends with 0 messages");
@@ -88,7 +112,9 @@
     let named = || connect_as(rig.address, Connect::new("one".into(), 60));
     let (mut first, mut second) = (named(), named());
     match read(&mut first).expect("a last word") {
-        Packet::Disconnect(end) => assert_eq!(end.reason_code, DisconnectReasonCode::SessionTakenOver),
+        Packet::Disconnect(end) => {
+            assert_eq!(end.reason_code, DisconnectReasonCode::SessionTakenOver)
+        }
         other => panic!("{other:?}"),
     }
     assert!(read(&mut first).is_err());
@@ -107,7 +133,10 @@
         let mut m = publish(&message("m1"), 5);
         m.properties.user_properties.clear();
         send(&mut stream, &Packet::Publish(m)).expect("written");
-        assert_eq!(acknowledged(&mut stream).properties.reason_string.is_some(), told);
+        assert_eq!(
+            acknowledged(&mut stream).properties.reason_string.is_some(),
+            told
+        );
     }
     rig.finish(&[]);
 }
@@ -116,13 +145,17 @@
 fn what_could_not_be_promised_is_not_taken() {
     let rig = Rig::<Mqtt>::start(&[("p", "a")]);
     let mut old = TcpStream::connect(rig.address).expect("connected");
-    let connect_v3 = v3::Packet::Connect(v3::Connect::new("old".into(), 10)).encode().expect("encoded");
+    let connect_v3 = v3::Packet::Connect(v3::Connect::new("old".into(), 10))
+        .encode()
+        .expect("encoded");
     old.write_all(connect_v3.as_ref()).expect("written");
     // In the words of its own version, or it could not read them.
     let mut told = Vec::new();
     old.read_to_end(&mut told).expect("an answer and an end");
-    let refused =
-        v3::Packet::Connack(v3::Connack::new(false, v3::ConnectReturnCode::UnacceptableProtocolVersion));
+    let refused = v3::Packet::Connack(v3::Connack::new(
+        false,
+        v3::ConnectReturnCode::UnacceptableProtocolVersion,
+    ));
     assert_eq!(told, refused.encode().expect("encoded").as_ref());
     let cut_off = |publish: Publish| {
         let mut stream = connect(rig.address);
@@ -133,19 +166,34 @@
         }
     };
     let m = publish(&message("m1"), 5);
-    let at_most_once = Publish { qos_pid: QosPid::Level0, ..m.clone() };
+    let at_most_once = Publish {
+        qos_pid: QosPid::Level0,
+        ..m.clone()
+    };
     assert_eq!(cut_off(at_most_once), DisconnectReasonCode::QoSNotSupported);
-    assert_eq!(cut_off(Publish { retain: true, ..m.clone() }), DisconnectReasonCode::RetainNotSupported);
+    assert_eq!(
+        cut_off(Publish {
+            retain: true,
+            ..m.clone()
+        }),
+        DisconnectReasonCode::RetainNotSupported
+    );
     let mut stream = connect(rig.address);
     let mut refused = |publish: Publish| {
         send(&mut stream, &Packet::Publish(publish)).expect("written");
         acknowledged(&mut stream).reason_code
     };
-    let elsewhere = Publish { topic_name: "event/x".try_into().expect("a topic"), ..m.clone() };
+    let elsewhere = Publish {
+        topic_name: "event/x".try_into().expect("a topic"),
+        ..m.clone()
+    };
     assert_eq!(refused(elsewhere), PubackReasonCode::TopicNameInvalid);
     let mut nameless = m.clone();
     nameless.properties.user_properties.clear();
-    assert_eq!(refused(nameless), PubackReasonCode::ImplementationSpecificError);
+    assert_eq!(
+        refused(nameless),
+        PubackReasonCode::ImplementationSpecificError
+    );
     assert_eq!(refused(m), PubackReasonCode::Success);
     rig.call().answer(Answer::Delivered);
     rig.finish(&["m1"]);
--- a/tests/sockets/program.rs
+++ b/tests/sockets/program.rs
@@ -45,11 +45,18 @@
         Program::spawn(Command::new(program).arg(config))
     }
 
-    /// The same under a bound of the shell's `ulimit`: `-f` for its files, in blocks of 512 bytes, `-n` for descriptors.
+    /// The same under a bound of the shell's `ulimit`: `-f` for its files, in blocks of 512 bytes,
+    /// `-n` for descriptors.
     pub fn start_bounded(config: &Path, what: &str, most: u64) -> Self {
         let line = format!("ulimit -S {what} {most}; exec \"$0\" \"$1\"");
         let mut shell = Command::new("sh");
-        Program::spawn(shell.arg("-c").arg(line).arg(env!("CARGO_BIN_EXE_raildeal")).arg(config))
+        Program::spawn(
+            shell
+                .arg("-c")
+                .arg(line)
+                .arg(env!("CARGO_BIN_EXE_raildeal"))
+                .arg(config),
+        )
     }
 
     pub fn pid(&self) -> u32 {
@@ -57,19 +64,35 @@
     }
 
     pub fn spawn(command: &mut Command) -> Self {
-        let command = command.env("RUST_LOG", "debug").stdout(Stdio::null()).stderr(Stdio::piped());
+        let command = command
+            .env("RUST_LOG", "debug")
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut child = command.spawn().expect("the program starts");
         let (sender, lines) = channel();
         let gate = Arc::<Mutex<()>>::default();
         let stderr = BufReader::new(Gated(child.stderr.take().expect("stderr"), gate.clone()));
-        thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|l| sender.send(l)));
-        Program { child, lines, seen: Vec::new(), gate }
+        thread::spawn(move || {
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|l| sender.send(l))
+        });
+        Program {
+            child,
+            lines,
+            seen: Vec::new(),
+            gate,
+        }
     }
 
     /// Waits for a line of the log that holds some words.
     pub fn says(&mut self, words: &str) -> String {
         let end = Instant::now() + PATIENCE;
-        while let Ok(line) = self.lines.recv_timeout(end.saturating_duration_since(Instant::now())) {
+        while let Ok(line) = self
+            .lines
+            .recv_timeout(end.saturating_duration_since(Instant::now()))
+        {
             self.seen.push(line.clone());
             if line.contains(words) {
                 return line;
@@ -81,20 +104,38 @@
     /// Waits until it listens for some clients, and tells where.
     pub fn port(&mut self, who: &str) -> SocketAddr {
         let line = self.says(&format!("{who} at 127.0.0.1:"));
-        line.rsplit(' ').next().expect("an address").parse().expect("an address")
+        line.rsplit(' ')
+            .next()
+            .expect("an address")
+            .parse()
+            .expect("an address")
     }
 
     pub fn signal(&self, name: &str) {
-        let status = Command::new("sh").arg("-c").arg(format!("kill -{name} {}", self.child.id())).status();
+        let status = Command::new("sh")
+            .arg("-c")
+            .arg(format!("kill -{name} {}", self.child.id()))
+            .status();
         assert!(status.expect("a shell").success());
     }
 
-    /// Stops reading its log and leaves so many bytes of room for it: with the first line that does not fit it stands still. It
-    /// gives what tells how many bytes it has written since.
-    pub fn hold_log<'a>(&self, gate: &'a Mutex<()>, room: usize) -> (MutexGuard<'a, ()>, impl Fn() -> usize) {
+    /// Stops reading its log and leaves so many bytes of room for it: with the first line that does
+    /// not fit it stands still. It gives what tells how many bytes it has written since.
+    pub fn hold_log<'a>(
+        &self,
+        gate: &'a Mutex<()>,
+        room: usize,
+    ) -> (MutexGuard<'a, ()>, impl Fn() -> usize) {
         let held = gate.lock().expect("the gate");
-        let (log, no_wait) = (format!("/proc/{}/fd/2", self.child.id()), OFlags::NONBLOCK.bits() as i32);
-        let mut pipe = OpenOptions::new().write(true).custom_flags(no_wait).open(log).expect("its log");
+        let (log, no_wait) = (
+            format!("/proc/{}/fd/2", self.child.id()),
+            OFlags::NONBLOCK.bits() as i32,
+        );
+        let mut pipe = OpenOptions::new()
+            .write(true)
+            .custom_flags(no_wait)
+            .open(log)
+            .expect("its log");
         let unread = |pipe: &File| ioctl_fionread(pipe).expect("a pipe") as usize;
         // The reader takes one line more and stands before the gate.
         pipe.write_all(b"held\n").expect("room");
@@ -124,15 +165,23 @@
 
     /// Descriptors that it holds.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("a process").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("a process")
+            .count()
     }
 
     /// Memory that it holds, in KiB.
     pub fn memory(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.expect("a process");
-        let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("its memory");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmRSS:"))
+            .expect("its memory");
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .expect("a number")
     }
 
     pub fn terminate(&self) {
--- a/tests/sockets/reload.rs
+++ b/tests/sockets/reload.rs
@@ -23,13 +23,18 @@
         rig.discovery.be_deaf(usize::MAX);
         let next = Discovery::start_from(rig.discovery.rev() + 1, rig.discovery.targets());
         let (since, _old) = (Instant::now(), rig.move_discovery(next));
-        until("a watch at the new address", || rig.discovery.asked().len() == 1);
+        until("a watch at the new address", || {
+            rig.discovery.asked().len() == 1
+        });
         assert!(since.elapsed() < AT_ONCE, "{:?}", since.elapsed());
         let uid = format!("q{round}");
         rig.add_provider(&uid, "b");
         rig.program.says(&format!("provider {uid} "));
         let id = format!("m{round}");
-        rig.take_on(&Message { left: Duration::from_secs(2), ..message(&id) });
+        rig.take_on(&Message {
+            left: Duration::from_secs(2),
+            ..message(&id)
+        });
         let call = rig.call();
         call.answer(Answer::Full(Some(5000)));
         rig.drain(&call.provider);
@@ -44,7 +49,10 @@
 fn a_notice_that_is_on_its_way_goes_to_the_new_address() {
     let mut rig = Rig::<Http>::start(&[("p", "a")]);
     rig.discovery.be_deaf(usize::MAX);
-    rig.take_on(&Message { left: Duration::from_secs(2), ..message("m1") });
+    rig.take_on(&Message {
+        left: Duration::from_secs(2),
+        ..message("m1")
+    });
     rig.call().answer(Answer::Full(Some(5000)));
     rig.program.says("notices: answered 503");
     let next = Discovery::start_from(rig.discovery.rev() + 1, rig.discovery.targets());
@@ -64,7 +72,9 @@
     between.freeze(true);
     let _old = rig.move_discovery(between);
     let _between = rig.move_discovery(last);
-    until("a watch at the last address", || rig.discovery.asked().len() == 1);
+    until("a watch at the last address", || {
+        rig.discovery.asked().len() == 1
+    });
     rig.add_provider("q", "b");
     rig.program.says("provider q ");
     out.answer(Answer::Delivered);
@@ -83,11 +93,17 @@
     rig.start_again();
     let next = Discovery::start_from(rig.discovery.rev() + 1, rig.discovery.targets());
     let _old = rig.move_discovery(next);
-    until("a watch at the new address", || rig.discovery.asked().len() == 1);
+    until("a watch at the new address", || {
+        rig.discovery.asked().len() == 1
+    });
     let mut delivered = BTreeSet::new();
     while delivered.len() < ids.len() {
         let call = rig.call();
-        assert!(delivered.insert(call.message.id.clone()), "{} again", call.message.id);
+        assert!(
+            delivered.insert(call.message.id.clone()),
+            "{} again",
+            call.message.id
+        );
         call.answer(Answer::Delivered);
     }
     assert_eq!(delivered, ids);
@@ -112,10 +128,16 @@
     let mut rig = Rig::<Http>::start(&[("p", "a")]);
     let good = std::fs::read_to_string(rig.config_file()).expect("text");
     let elsewhere = good.replace(&rig.discovery.address.to_string(), "nowhere");
-    for (text, words) in [("name = ", "operator.toml"), (&elsewhere, "platform.discovery")] {
+    for (text, words) in [
+        ("name = ", "operator.toml"),
+        (&elsewhere, "platform.discovery"),
+    ] {
         std::fs::write(rig.config_file(), text).expect("a file");
         rig.program.signal("HUP");
-        assert!(rig.program.says("configuration not read again").contains(words));
+        assert!(rig
+            .program
+            .says("configuration not read again")
+            .contains(words));
     }
     std::fs::remove_file(rig.config_file()).expect("removed");
     rig.program.signal("HUP");
@@ -136,13 +158,20 @@
     let mut told = config(&folder, rig.discovery.whole());
     let mut command = platform_command(&folder, &told);
     let mut program = Program::spawn(command.env("NODE_DISCOVERY", "127.0.0.1:9"));
-    let http = Http { address: program.port("platform") };
+    let http = Http {
+        address: program.port("platform"),
+    };
     told["discovery"] = rig.discovery.address.to_string().into();
     platform_command(&folder, &told);
     assert_eq!(rig.discovery.asked().len(), 1);
     program.signal("HUP");
-    until("a watch at the new address", || rig.discovery.asked().len() == 2);
-    assert_eq!(http.ask(&request(&message("m1"))).expect("an answer").0, 202);
+    until("a watch at the new address", || {
+        rig.discovery.asked().len() == 2
+    });
+    assert_eq!(
+        http.ask(&request(&message("m1"))).expect("an answer").0,
+        202
+    );
     rig.call().answer(Answer::Delivered);
     program.says("m1: p Ok");
     rig.finish(&[]);
--- a/tests/sockets/rig.rs
+++ b/tests/sockets/rig.rs
@@ -23,7 +23,12 @@
 
 pub fn message(id: &str) -> Message {
     let body = [&[0, 255, b'\r', b'\n'], id.as_bytes()].concat();
-    Message { id: id.into(), key: format!("key-of-{id}"), body, left: Duration::from_secs(16) }
+    Message {
+        id: id.into(),
+        key: format!("key-of-{id}"),
+        body,
+        left: Duration::from_secs(16),
+    }
 }
 
 /// What a client hears at once.
@@ -73,7 +78,9 @@
 
     /// Waits until the caller hangs up.
     pub fn hung_up(&self) {
-        self.shut.recv_timeout(PATIENCE).expect("the caller hangs up");
+        self.shut
+            .recv_timeout(PATIENCE)
+            .expect("the caller hangs up");
     }
 }
 
@@ -117,7 +124,12 @@
 impl Providers {
     pub fn new() -> Self {
         let (sender, calls) = channel();
-        Providers { calls, sender, out: Out::default(), faults: Arc::default() }
+        Providers {
+            calls,
+            sender,
+            out: Out::default(),
+            faults: Arc::default(),
+        }
     }
 
     /// Starts one.
@@ -128,7 +140,8 @@
         let (out, faults) = (self.out.clone(), self.faults.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (uid, calls, out, faults) = (uid.clone(), calls.clone(), out.clone(), faults.clone());
+                let (uid, calls, out, faults) =
+                    (uid.clone(), calls.clone(), out.clone(), faults.clone());
                 // An error ends the connection, and that is all there is to say of it.
                 thread::spawn(move || drop(converse::<W>(stream, &uid, &calls, &out, &faults)));
             }
@@ -179,7 +192,10 @@
 
     /// The same with so many descriptors.
     pub fn start_narrow(providers: &[(&str, &str)], sockets: u32) -> Self {
-        Rig::start_by(providers, format!("[limits]\nsockets = {sockets}\n{}", settings(100)))
+        Rig::start_by(
+            providers,
+            format!("[limits]\nsockets = {sockets}\n{}", settings(100)),
+        )
     }
 
     /// The same with settings of one's own.
@@ -212,7 +228,8 @@
         self.start_into(|_| ());
     }
 
-    /// The same; told where its clients connect as soon as that is known, before it takes up what it held.
+    /// The same; told where its clients connect as soon as that is known, before it takes up what
+    /// it held.
     pub fn start_into(&mut self, met_by: impl FnOnce(SocketAddr)) {
         let file = config(&self.folder, &self.discovery, &self.settings);
         (self.program, [self.address, self.other]) =
@@ -223,8 +240,11 @@
     /// Starts it again under a bound, as [`Program::start_bounded`] says.
     pub fn start_bounded(&mut self, what: &str, most: u64) {
         let file = config(&self.folder, &self.discovery, &self.settings);
-        (self.program, [self.address, self.other]) =
-            ready::<W>(Program::start_bounded(&file, what, most), &self.discovery, |_| ());
+        (self.program, [self.address, self.other]) = ready::<W>(
+            Program::start_bounded(&file, what, most),
+            &self.discovery,
+            |_| (),
+        );
         self.client = W::client(self.address);
     }
 
@@ -233,8 +253,8 @@
         self.folder.path().join("state")
     }
 
-    /// Replaces the configuration by one that names another discovery, and tells the program to read it. Gives the old
-    /// discovery.
+    /// Replaces the configuration by one that names another discovery, and tells the program to
+    /// read it. Gives the old discovery.
     pub fn move_discovery(&mut self, to: Discovery) -> Discovery {
         config(&self.folder, &to, &self.settings);
         let old = std::mem::replace(&mut self.discovery, to);
@@ -249,16 +269,21 @@
 
     /// Lists one more provider.
     pub fn add_provider(&self, uid: &str, zone: &str) {
-        self.discovery.list(uid, self.providers.start::<W>(uid), zone, W::KIND, "active");
+        self.discovery
+            .list(uid, self.providers.start::<W>(uid), zone, W::KIND, "active");
     }
 
     /// Tells the program that a provider drains, and waits until it has heard.
     pub fn drain(&mut self, uid: &str) {
-        let target = self.discovery.whole()["targets"].as_array().cloned().unwrap_or_default();
+        let target = self.discovery.whole()["targets"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
         let line = target.iter().find(|t| t["uid"] == uid).expect("listed");
         let text = |field: &str| line[field].as_str().expect("text").to_string();
         let address = text("endpoint").parse().expect("an address");
-        self.discovery.list(uid, address, &text("az"), W::KIND, "leaving");
+        self.discovery
+            .list(uid, address, &text("az"), W::KIND, "leaving");
         self.program.says(&format!("provider {uid} "));
     }
 
@@ -299,7 +324,8 @@
 
     /// The final answer of a message that was not delivered.
     pub fn end(&mut self, id: &str) -> End {
-        self.end_within(id, PATIENCE).unwrap_or_else(|| panic!("{id} has no end"))
+        self.end_within(id, PATIENCE)
+            .unwrap_or_else(|| panic!("{id} has no end"))
     }
 
     pub fn end_within(&mut self, id: &str, within: Duration) -> Option<End> {
@@ -314,8 +340,8 @@
         }
     }
 
-    /// Ends the program as planned and checks that each message taken on had one end, and those that were delivered
-    /// the right one.
+    /// Ends the program as planned and checks that each message taken on had one end, and those
+    /// that were delivered the right one.
     pub fn finish(mut self, delivered: &[&str]) {
         if W::TELLS_DELIVERY {
             for id in delivered {
@@ -328,7 +354,12 @@
             self.ends.push(end);
         }
         for id in &self.taken_on {
-            let ends: Vec<_> = self.ends.iter().filter(|(i, _)| i == id).map(|(_, e)| *e).collect();
+            let ends: Vec<_> = self
+                .ends
+                .iter()
+                .filter(|(i, _)| i == id)
+                .map(|(_, e)| *e)
+                .collect();
             match delivered.contains(&id.as_str()) {
                 true if W::TELLS_DELIVERY => assert_eq!(ends, [End::Delivered], "{id}"),
                 true => assert_eq!(ends, [], "{id}"),
@@ -380,7 +411,11 @@
     )
 }
 
-fn begin<W: Wire>(folder: &TempDir, discovery: &Discovery, settings: &str) -> (Program, [SocketAddr; 2]) {
+fn begin<W: Wire>(
+    folder: &TempDir,
+    discovery: &Discovery,
+    settings: &str,
+) -> (Program, [SocketAddr; 2]) {
     let file = config(folder, discovery, settings);
     ready::<W>(Program::start(&file), discovery, |_| ())
 }
@@ -434,13 +469,23 @@
             let others = out.entry(id.clone()).or_default();
             others.retain(is_open);
             if !others.is_empty() {
-                faults.lock().expect("faults").push(format!("two calls out for {id}"));
+                faults
+                    .lock()
+                    .expect("faults")
+                    .push(format!("two calls out for {id}"));
             }
             others.push(stream.try_clone()?);
         }
         let ((reply, answers), (shut, shuts)) = (channel(), channel());
         let connection = stream.peer_addr()?;
-        let call = Call { provider: uid.into(), connection, message, at, reply, shut: shuts };
+        let call = Call {
+            provider: uid.into(),
+            connection,
+            message,
+            at,
+            reply,
+            shut: shuts,
+        };
         let _ = calls.send(call);
         let answer = loop {
             match answers.recv_timeout(Duration::from_millis(10)) {
@@ -471,6 +516,9 @@
     let _ = stream.set_read_timeout(None);
     match peeked {
         Ok(n) => n > 0,
-        Err(e) => matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut),
+        Err(e) => matches!(
+            e.kind(),
+            io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+        ),
     }
 }
