--- a/tests/sockets/scenarios.rs
+++ b/tests/sockets/scenarios.rs
@@ -14,7 +14,13 @@
     let m = message("m1");
     rig.take_on(&m);
     let call = rig.call();
-    assert_eq!(Message { left: m.left, ..call.message.clone() }, m);
+    assert_eq!(
+        Message {
+            left: m.left,
+            ..call.message.clone()
+        },
+        m
+    );
     assert!(call.message.left <= m.left && call.message.left > Duration::from_secs(1));
     call.answer(Answer::Delivered);
     // The connection is used again.
@@ -32,7 +38,11 @@
     rig.take_on(&message("m2"));
     let calls = [rig.call(), rig.call()];
     for call in &calls {
-        assert!(call.at - told >= 700 * MS, "{} came too early", call.message.id);
+        assert!(
+            call.at - told >= 700 * MS,
+            "{} came too early",
+            call.message.id
+        );
         call.answer(Answer::Delivered);
     }
     // The refused one goes first.
@@ -40,7 +50,8 @@
     rig.finish(&["m1", "m2"]);
 }
 
-/// After a first call that ends like this, the message may have run: it stays in that zone, and is delivered there.
+/// After a first call that ends like this, the message may have run: it stays in that zone, and is
+/// delivered there.
 fn it_may_have_run<W: Wire>(answer: Answer) {
     let mut rig = Rig::<W>::start(&[("p", "a"), ("q", "b")]);
     rig.take_on(&message("m1"));
@@ -68,7 +79,9 @@
 pub fn a_drop_before_the_last_byte_never_ran<W: Wire>() {
     let mut rig = Rig::<W>::start(&[]);
     // A port that nobody listens at.
-    let gone = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+    let gone = TcpListener::bind("127.0.0.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("a port");
     rig.discovery.list("gone", gone, "a", W::KIND, "active");
     rig.program.says("provider gone ");
     rig.take_on(&message("m1"));
@@ -84,8 +97,8 @@
     let started = Instant::now();
     rig.take_on(&message("m1"));
     let first = rig.call();
-    // Each attempt is given up before the next one goes (the provider's stand-in watches that), and stays in the
-    // zone that may have run it.
+    // Each attempt is given up before the next one goes (the provider's stand-in watches that), and
+    // stays in the zone that may have run it.
     first.hung_up();
     let mut calls = vec![first];
     let end = loop {
@@ -96,7 +109,10 @@
             assert_eq!(call.provider, calls[0].provider);
             calls.push(call);
         }
-        assert!(started.elapsed() < Duration::from_millis(16_300), "no end in time");
+        assert!(
+            started.elapsed() < Duration::from_millis(16_300),
+            "no end in time"
+        );
     };
     assert_eq!(end, End::Undeliverable);
     std::thread::sleep(Duration::from_millis(16_100).saturating_sub(started.elapsed()));
@@ -132,7 +148,13 @@
     // It may have run: only the same zone will do.
     let second = rig.call();
     assert_eq!(second.provider, first.provider);
-    assert_eq!(Message { left: first.message.left, ..second.message.clone() }, first.message);
+    assert_eq!(
+        Message {
+            left: first.message.left,
+            ..second.message.clone()
+        },
+        first.message
+    );
     second.answer(Answer::Delivered);
     rig.program.says("m1: final answer told");
     // Its line of life, from the logs of both processes.
@@ -152,7 +174,9 @@
         ["after", step::TOLD],
         ["", "m1: kept"],
     ] {
-        let at = step.iter().try_fold(rest, |rest, word| rest.split_once(word).map(|r| r.1));
+        let at = step
+            .iter()
+            .try_fold(rest, |rest, word| rest.split_once(word).map(|r| r.1));
         rest = at.unwrap_or_else(|| panic!("{step:?}:\n{life}"));
     }
     rig.finish(&["m1"]);
@@ -179,7 +203,10 @@
 
 pub fn a_message_out_of_time_at_the_start_ends_at_once<W: Wire>() {
     let mut rig = Rig::<W>::start(&[("p", "a")]);
-    rig.take_on(&Message { left: Duration::from_secs(1), ..message("m1") });
+    rig.take_on(&Message {
+        left: Duration::from_secs(1),
+        ..message("m1")
+    });
     let out = rig.call();
     rig.program.kill();
     std::thread::sleep(1100 * MS);
@@ -194,7 +221,9 @@
     rig.take_on(&message("m1"));
     let out = rig.call();
     for id in ["m2", "m3"] {
-        let Heard::Rejected(wait) = rig.hand_in(&message(id)) else { panic!("{id} not rejected") };
+        let Heard::Rejected(wait) = rig.hand_in(&message(id)) else {
+            panic!("{id} not rejected")
+        };
         assert!(wait > Duration::ZERO && wait <= Duration::from_secs(2));
     }
     out.answer(Answer::Delivered);
@@ -206,16 +235,27 @@
 
 pub fn a_message_given_up_is_answered_at_once<W: Wire>() {
     let mut rig = Rig::<W>::start(&[("p", "a")]);
-    rig.take_on(&Message { left: Duration::from_secs(2), ..message("m1") });
+    rig.take_on(&Message {
+        left: Duration::from_secs(2),
+        ..message("m1")
+    });
     let told = Instant::now();
     rig.call().answer(Answer::Full(Some(5000)));
     // The wait outlasts it: no reason to hold it to its deadline.
-    let End::Deferred(again) = rig.end("m1") else { panic!("not deferred") };
+    let End::Deferred(again) = rig.end("m1") else {
+        panic!("not deferred")
+    };
     assert!(told.elapsed() < Duration::from_millis(500));
-    assert_eq!(again, Duration::from_secs(2), "the wait, as far as clients heed one");
+    assert_eq!(
+        again,
+        Duration::from_secs(2),
+        "the wait, as far as clients heed one"
+    );
     // And one that cannot make it is turned away as it comes, with the time to come back.
-    let Heard::Rejected(wait) = rig.hand_in(&Message { left: Duration::from_secs(2), ..message("m2") })
-    else {
+    let Heard::Rejected(wait) = rig.hand_in(&Message {
+        left: Duration::from_secs(2),
+        ..message("m2")
+    }) else {
         panic!("not rejected");
     };
     assert!(wait > Duration::from_secs(1));
@@ -231,7 +271,9 @@
         let _ = stream.write_all(&bytes);
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).expect("an answer and an end, no reset");
+        stream
+            .read_to_end(&mut answer)
+            .expect("an answer and an end, no reset");
         assert!(!answer.is_empty());
     }
     rig.take_on(&message("m1"));
@@ -245,13 +287,17 @@
     if W::TELLS_DELIVERY {
         assert_eq!(rig.end("first"), End::Delivered);
     }
-    let big = |id: &str| Message { body: vec![7; 60_000], ..message(id) };
+    let big = |id: &str| Message {
+        body: vec![7; 60_000],
+        ..message(id)
+    };
     let mut held = Vec::new();
     for n in 0..4 {
         held.push(format!("m{n}"));
         rig.take_on(&big(&held[n]));
     }
-    // Less than a segment: none can be added, and the last part of those that are there cannot be written.
+    // Less than a segment: none can be added, and the last part of those that are there cannot be
+    // written.
     bound(&rig.program, Some(100_000));
     let wait = loop {
         let m = big(&format!("m{}", held.len()));
@@ -267,14 +313,18 @@
     };
     assert!(wait > Duration::ZERO, "with a time to come back");
     for n in 0..50 {
-        assert!(matches!(rig.hand_in(&big(&format!("more{n}"))), Heard::Rejected(_)));
+        assert!(matches!(
+            rig.hand_in(&big(&format!("more{n}"))),
+            Heard::Rejected(_)
+        ));
     }
     // A start without room succeeds and serves what it owes.
     rig.program.kill();
     rig.start_bounded("-f", (100_000) / 512);
     let mut left = held.clone();
     while !left.is_empty() {
-        // A call of the process before may still come out of its connection; answering that one ends nothing.
+        // A call of the process before may still come out of its connection; answering that one
+        // ends nothing.
         if let Ok(call) = rig.providers.calls.recv_timeout(50 * MS) {
             call.answer(Answer::Delivered);
         }
@@ -285,9 +335,16 @@
     std::thread::sleep(600 * MS);
     rig.serves(&["last"], "p");
     let log = rig.program.log();
-    let lines = log.lines().filter(|l| l.contains("takes nothing on")).count();
+    let lines = log
+        .lines()
+        .filter(|l| l.contains("takes nothing on"))
+        .count();
     assert!(lines <= 1, "one line at each change: {log}");
-    let all: Vec<&str> = held.iter().map(String::as_str).chain(["first", "last"]).collect();
+    let all: Vec<&str> = held
+        .iter()
+        .map(String::as_str)
+        .chain(["first", "last"])
+        .collect();
     rig.finish(&all);
 }
 
@@ -297,7 +354,9 @@
     for id in ["m1", "m2"] {
         rig.take_on(&message(id));
     }
-    let Heard::Rejected(wait) = rig.hand_in(&message("m3")) else { panic!("not rejected") };
+    let Heard::Rejected(wait) = rig.hand_in(&message("m3")) else {
+        panic!("not rejected")
+    };
     rig.program.says(&format!("m3: rejected, {why}"));
     assert!(wait >= 100 * MS, "{wait:?}");
     for _ in 0..2 {
@@ -328,15 +387,18 @@
     the_door_lets_two_in::<W>("messages_per_client = 1.0\nburst_s = 2.0", "client rate");
 }
 
-/// Where even the quickest delivery takes longer than the target, less is taken on than there is room for; where it is
-/// quick again, more.
+/// Where even the quickest delivery takes longer than the target, less is taken on than there is
+/// room for; where it is quick again, more.
 pub fn what_is_held_follows_what_is_delivered<W: Wire>() {
     let text = format!("[door]\ntarget_ms = 150\n{}", settings(40));
     let mut rig = Rig::<W>::start_by(&[("p", "a"), ("q", "a")], text);
     let (mut made, mut held, mut out) = (0, Vec::new(), Vec::new());
     let begun = Instant::now();
     let wait = loop {
-        assert!(begun.elapsed() < Duration::from_secs(10), "{made} taken on, and none rejected");
+        assert!(
+            begun.elapsed() < Duration::from_secs(10),
+            "{made} taken on, and none rejected"
+        );
         while held.len() < 12 {
             let id = format!("m{made}");
             match rig.hand_in(&message(&id)) {
@@ -359,7 +421,11 @@
             held.retain(|id| *id != call.message.id);
         }
     };
-    assert!(held.len() < 12 && wait >= 100 * MS, "{} held, {wait:?}", held.len());
+    assert!(
+        held.len() < 12 && wait >= 100 * MS,
+        "{} held, {wait:?}",
+        held.len()
+    );
     while let Some(id) = held.pop() {
         let call = rig.call();
         call.answer(Answer::Delivered);
--- a/tests/sockets/spoilt.rs
+++ b/tests/sockets/spoilt.rs
@@ -7,7 +7,8 @@
 const MORE: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// Hands two messages in, of which the first gets these bytes; gives whether the second came on the same connection.
+/// Hands two messages in, of which the first gets these bytes; gives whether the second came on the
+/// same connection.
 fn delivered_by(bytes: &'static [u8]) -> bool {
     let mut rig = Rig::<Http>::start(&[("p", "a")]);
     rig.take_on(&message("m1"));
@@ -15,7 +16,10 @@
     let since = Instant::now();
     first.answer(Answer::Raw(bytes));
     rig.program.says("m1: p Ok");
-    assert!(since.elapsed() < Duration::from_secs(1), "its slot was kept");
+    assert!(
+        since.elapsed() < Duration::from_secs(1),
+        "its slot was kept"
+    );
     rig.take_on(&message("m2"));
     let second = rig.call();
     // What the first answer left behind is not the second one's.
@@ -52,7 +56,8 @@
     }
 }
 
-/// It stays in the zone that may have run it, on another connection, well before the call's time-out of 2 s.
+/// It stays in the zone that may have run it, on another connection, well before the call's
+/// time-out of 2 s.
 fn may_have_run<W: Wire>(spoilt: &'static [u8]) {
     let mut rig = Rig::<W>::start(&[("p", "a"), ("q", "b")]);
     rig.take_on(&message("m1"));
@@ -61,7 +66,10 @@
     let second = rig.call();
     assert_eq!(second.provider, first.provider, "{spoilt:?}");
     assert_ne!(second.connection, first.connection, "{spoilt:?}");
-    assert!(second.at - first.at < Duration::from_millis(1500), "{spoilt:?}");
+    assert!(
+        second.at - first.at < Duration::from_millis(1500),
+        "{spoilt:?}"
+    );
     second.answer(Answer::Delivered);
     rig.finish(&["m1"]);
 }
@@ -81,19 +89,28 @@
 
 #[test]
 fn noise_from_a_broker_is_a_failed_attempt_that_may_have_run() {
-    for spoilt in [b"\xff\xff\xff\xff\xff\xff".as_slice(), b"\x40", b"\x40\xff\xff\x7f"] {
+    for spoilt in [
+        b"\xff\xff\xff\xff\xff\xff".as_slice(),
+        b"\x40",
+        b"\x40\xff\xff\x7f",
+    ] {
         may_have_run::<crate::mqtt::Mqtt>(spoilt);
     }
 }
 
-/// A machine that takes over an address is another provider, and a connection to the old one is none to it.
+/// A machine that takes over an address is another provider, and a connection to the old one is
+/// none to it.
 #[test]
 fn a_connection_put_back_late_is_not_another_provider_s() {
     let mut rig = Rig::<Http>::start(&[("p", "a")]);
     rig.take_on(&message("m1"));
     let first = rig.call();
     let line = rig.discovery.targets().remove(0);
-    let address = line["endpoint"].as_str().expect("text").parse().expect("an address");
+    let address = line["endpoint"]
+        .as_str()
+        .expect("text")
+        .parse()
+        .expect("an address");
     rig.discovery.list("p", address, "a", Http::KIND, "left");
     rig.program.says("Gone");
     rig.discovery.list("q", address, "a", Http::KIND, "active");
--- a/tests/sockets/tenants.rs
+++ b/tests/sockets/tenants.rs
@@ -1,5 +1,5 @@
-//! Whose message it is, as its client says: read, written down, gone by, and kept across a restart; and requests that can't be read, each
-//! of which ends its own connection alone.
+//! Whose message it is, as its client says: read, written down, gone by, and kept across a restart;
+//! and requests that can't be read, each of which ends its own connection alone.
 
 use crate::http::{answer, header, request, Http};
 use crate::mqtt::{connect, publish, read, send, Mqtt};
@@ -15,7 +15,8 @@
 fn with_tenants() -> String {
     let shares = settings(100).replace("maxCalls = 12", "maxCalls = 1");
     let shares = shares.replace("weights = ", "overShareWorth = 0.2\nweights = ");
-    let tenants = ["acme", "beta"].map(|n| format!("[[settings.accounts]]\nname = \"{n}\"\nshare = 0.5\n"));
+    let tenants =
+        ["acme", "beta"].map(|n| format!("[[settings.accounts]]\nname = \"{n}\"\nshare = 0.5\n"));
     format!("[door]\nlog_every_s = 0.05\n{shares}{}", tenants.concat())
 }
 
@@ -23,14 +24,21 @@
 fn with_lines(message: &Message, lines: &str) -> Vec<u8> {
     let head = format!("X-Lane: event\r\n{lines}");
     let whole = request(message);
-    let at = whole.windows(15).position(|w| w == b"X-Lane: event\r\n").expect("its class");
+    let at = whole
+        .windows(15)
+        .position(|w| w == b"X-Lane: event\r\n")
+        .expect("its class");
     [&whole[..at], head.as_bytes(), &whole[at + 15..]].concat()
 }
 
 /// What a client hears of a message with these lines more.
 fn hand_in<W: Wire>(rig: &Rig<W>, id: &str, lines: &str) -> u16 {
-    let http = Http { address: rig.address };
-    http.ask(&with_lines(&message(id), lines)).expect("an answer").0
+    let http = Http {
+        address: rig.address,
+    };
+    http.ask(&with_lines(&message(id), lines))
+        .expect("an answer")
+        .0
 }
 
 /// Tenants of what is held, by id.
@@ -61,13 +69,17 @@
     }
     // One is out, and the others wait for its answer.
     let _out = rig.call();
-    let tenants = [("m0", 1), ("m1", 1), ("m2", 0), ("m3", NO_TENANT)].map(|(id, n)| (id.to_string(), n));
+    let tenants =
+        [("m0", 1), ("m1", 1), ("m2", 0), ("m3", NO_TENANT)].map(|(id, n)| (id.to_string(), n));
     assert_eq!(held(&rig), tenants);
     // The same id of another tenant is another message.
     assert_eq!(hand_in(&rig, "m0", "X-Org: acme\r\n"), 500);
     assert_eq!(hand_in(&rig, "m0", "X-Org: beta\r\n"), 202);
     let told = rig.program.says("messages without a tenant 1");
-    assert!(told.contains("requests refused (no such tenant) 4"), "{told}");
+    assert!(
+        told.contains("requests refused (no such tenant) 4"),
+        "{told}"
+    );
     rig.program.kill();
     rig.start_again();
     assert_eq!(held(&rig), tenants);
@@ -80,7 +92,11 @@
 #[test]
 fn without_tenants_in_the_settings_the_header_is_nobody_s() {
     let rig = Rig::<Http>::start(&[("p", "a")]);
-    for (id, lines) in [("m0", "X-Org: gamma\r\n"), ("m1", "X-Org: a\r\nX-Org: b\r\n"), ("m2", "")] {
+    for (id, lines) in [
+        ("m0", "X-Org: gamma\r\n"),
+        ("m1", "X-Org: a\r\nX-Org: b\r\n"),
+        ("m2", ""),
+    ] {
         assert_eq!(hand_in(&rig, id, lines), 202, "{lines}");
     }
     let calls: Vec<_> = (0..3).map(|_| rig.call()).collect();
@@ -130,7 +146,10 @@
     let mut stream = connect(rig.address);
     let mut hear = |id: &str, orgs: &[&str]| {
         let mut publish: Publish = publish(&message(id), 5);
-        publish.properties.user_properties.extend(orgs.iter().map(|org| user("org", *org)));
+        publish
+            .properties
+            .user_properties
+            .extend(orgs.iter().map(|org| user("org", *org)));
         send(&mut stream, &Packet::Publish(publish)).expect("written");
         match read(&mut stream).expect("an answer") {
             Packet::Puback(ack) => ack.reason_code,
@@ -138,9 +157,16 @@
         }
     };
     for orgs in [&["gamma"][..], &[""], &["acme", "beta"]] {
-        assert_eq!(hear("n", orgs), PubackReasonCode::ImplementationSpecificError, "{orgs:?}");
+        assert_eq!(
+            hear("n", orgs),
+            PubackReasonCode::ImplementationSpecificError,
+            "{orgs:?}"
+        );
     }
-    assert_eq!([hear("m0", &["beta"]), hear("m1", &[])], [PubackReasonCode::Success; 2]);
+    assert_eq!(
+        [hear("m0", &["beta"]), hear("m1", &[])],
+        [PubackReasonCode::Success; 2]
+    );
     let first = rig.call();
     assert_eq!(held(&rig), [("m0".into(), 1), ("m1".into(), NO_TENANT)]);
     first.answer(Answer::Delivered);
@@ -148,12 +174,18 @@
     rig.finish(&[]);
 }
 
-/// Behind a good request on the same connection, so that its answer and its delivery are at stake, too.
+/// Behind a good request on the same connection, so that its answer and its delivery are at stake,
+/// too.
 #[test]
 fn what_cannot_be_read_ends_its_connection_and_nothing_else() {
     let mut rig = Rig::<Http>::start_by(&[("p", "a")], with_tenants());
-    let whole =
-        |body: Vec<u8>| String::from_utf8(request(&Message { body, ..message("bad") })).expect("text");
+    let whole = |body: Vec<u8>| {
+        String::from_utf8(request(&Message {
+            body,
+            ..message("bad")
+        }))
+        .expect("text")
+    };
     let small = whole(b"ok".to_vec());
     let length = |lines: &str| small.replace("Content-Length: 2", lines);
     let host = |lines: &str| small.replace("Host: app.svc", lines);
@@ -165,8 +197,14 @@
         (length("Content-Length: 2, 3").into(), 400),
         (length("Content-Length: 0x2").into(), 400),
         (length("Content-Length:").into(), 400),
-        (length("Content-Length: 2\r\nTransfer-Encoding: chunked").into(), 400),
-        (length("Transfer-Encoding: chunked\r\nContent-Length: 2").into(), 400),
+        (
+            length("Content-Length: 2\r\nTransfer-Encoding: chunked").into(),
+            400,
+        ),
+        (
+            length("Transfer-Encoding: chunked\r\nContent-Length: 2").into(),
+            400,
+        ),
         (length("Transfer-Encoding: chunked").into(), 411),
         (length("Content-Length : 2").into(), 400),
         (length("Content-Length: 2\r\n 3").into(), 400),
@@ -183,16 +221,30 @@
         let told = String::from_utf8_lossy(&bad[..bad.len().min(300)]).into_owned();
         let (good, other) = (message(&format!("m{n}")), message(&format!("o{n}")));
         let mut stream = TcpStream::connect(rig.address).expect("connected");
-        stream.write_all(&[request(&good), bad.clone()].concat()).expect("written");
+        stream
+            .write_all(&[request(&good), bad.clone()].concat())
+            .expect("written");
         assert_eq!(answer(&mut stream).expect("an answer").0, 202, "{told}");
         let (heard, head) = answer(&mut stream).unwrap_or_else(|| panic!("no answer to {told}"));
-        assert_eq!((heard, header(&head, "connection")), (*status, Some("close")), "{told}");
+        assert_eq!(
+            (heard, header(&head, "connection")),
+            (*status, Some("close")),
+            "{told}"
+        );
         assert_eq!(stream.read(&mut [0]).expect("closed in order"), 0, "{told}");
         bystander.write_all(&request(&other)).expect("written");
-        assert_eq!(answer(&mut bystander).expect("an answer").0, 202, "after {told}");
+        assert_eq!(
+            answer(&mut bystander).expect("an answer").0,
+            202,
+            "after {told}"
+        );
         for _ in 0..2 {
             let call = rig.call();
-            assert!([&good.id, &other.id].contains(&&call.message.id), "{} after {told}", call.message.id);
+            assert!(
+                [&good.id, &other.id].contains(&&call.message.id),
+                "{} after {told}",
+                call.message.id
+            );
             call.answer(Answer::Delivered);
         }
     }
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,6 +1,6 @@
-//! The store stopped at every operation of random histories, with each kind of fault, and checked afterwards against
-//! what was told and sent meanwhile. A failure names its seed, its fault and the operation; `STORE_SEEDS=n` runs n
-//! seeds instead of the few that a usual run has.
+//! The store stopped at every operation of random histories, with each kind of fault, and checked
+//! afterwards against what was told and sent meanwhile. A failure names its seed, its fault and the
+//! operation; `STORE_SEEDS=n` runs n seeds instead of the few that a usual run has.
 
 use raildeal::core::journal::{Durability, Journal, Record, Setup};
 use raildeal::core::{Envelope, Verdict};
@@ -35,7 +35,10 @@
 
 impl Truth {
     fn may_have_run(&self) -> Option<&'static str> {
-        self.calls.iter().find(|(_, may)| *may).map(|(zone, _)| *zone)
+        self.calls
+            .iter()
+            .find(|(_, may)| *may)
+            .map(|(zone, _)| *zone)
     }
 }
 
@@ -56,7 +59,8 @@
 
 fn open(disk: &Faulty, setup: Setup, time: &Rc<Cell<Duration>>) -> (Rc<Journal>, Vec<Record>) {
     let (disk, time) = (Arc::new(disk.clone()), time.clone());
-    Journal::on(disk, setup, None, Vec::new(), Box::new(move || time.get())).expect("a start succeeds")
+    Journal::on(disk, setup, None, Vec::new(), Box::new(move || time.get()))
+        .expect("a start succeeds")
 }
 
 impl World {
@@ -99,15 +103,27 @@
 
     fn take_on(&mut self) {
         let id = format!("m{}", self.truth.len());
-        let most = if self.rng.u32(..12) == 0 { self.sizes.0 } else { self.sizes.1 };
+        let most = if self.rng.u32(..12) == 0 {
+            self.sizes.0
+        } else {
+            self.sizes.1
+        };
         let size = self.rng.usize(..most);
-        let envelope = Envelope { id: id.clone(), body: vec![7; size], ..Envelope::default() };
-        let mut truth = Truth { size, ..Truth::default() };
+        let envelope = Envelope {
+            id: id.clone(),
+            body: vec![7; size],
+            ..Envelope::default()
+        };
+        let mut truth = Truth {
+            size,
+            ..Truth::default()
+        };
         match self.journal.take_on(envelope, LEFT, 0, 0) {
             Ok(record) => {
                 truth.promised = self.settle();
                 self.records.insert(id.clone(), record);
-                // A client that was not told hands it in again; what is done under this id does not count.
+                // A client that was not told hands it in again; what is done under this id does not
+                // count.
                 truth.closing = !truth.promised;
             }
             Err(_) => truth.refused = !self.disk.is_dead(),
@@ -136,7 +152,9 @@
             let verdict = match truth.may_have_run() {
                 Some(_) if self.rng.bool() => Verdict::Delivered,
                 Some(_) => Verdict::Undeliverable,
-                None => Verdict::Deferred { again_ms: self.rng.u64(..5000) },
+                None => Verdict::Deferred {
+                    again_ms: self.rng.u64(..5000),
+                },
             };
             let verdict = truth.deciding.unwrap_or(verdict);
             truth.deciding = Some(verdict);
@@ -182,26 +200,42 @@
         self.journal = journal;
         for record in records {
             let id = record.envelope().id.clone();
-            assert!(self.records.insert(id.clone(), record).is_none(), "{id} came back twice");
+            assert!(
+                self.records.insert(id.clone(), record).is_none(),
+                "{id} came back twice"
+            );
         }
         for (id, truth) in &mut self.truth {
             let Some(record) = self.records.get(id) else {
-                assert!(!truth.promised || truth.closed || truth.closing, "{id} is lost: {truth:?}");
+                assert!(
+                    !truth.promised || truth.closed || truth.closing,
+                    "{id} is lost: {truth:?}"
+                );
                 continue;
             };
             assert!(!truth.closed, "{id} was over: {truth:?}");
             assert!(!truth.refused, "{id} was refused: {truth:?}");
             let account = record.account();
             if let Some(told) = truth.verdict {
-                assert_eq!(account.verdict, Some(told), "{id} has another end: {truth:?}");
+                assert_eq!(
+                    account.verdict,
+                    Some(told),
+                    "{id} has another end: {truth:?}"
+                );
                 continue;
             }
-            assert!(account.verdict.is_none() || account.verdict == truth.deciding, "{id}: {account:?}");
+            assert!(
+                account.verdict.is_none() || account.verdict == truth.deciding,
+                "{id}: {account:?}"
+            );
             truth.verdict = account.verdict;
             if truth.verdict.is_some() {
                 continue;
             }
-            assert!(usize::from(account.attempts) >= truth.calls.len(), "{id}: {account:?} {truth:?}");
+            assert!(
+                usize::from(account.attempts) >= truth.calls.len(),
+                "{id}: {account:?} {truth:?}"
+            );
             let told = account.may_have_run().map(|s| s.zone.as_str());
             match truth.may_have_run() {
                 Some(zone) => assert_eq!(told, Some(zone), "{id} may have run there: {truth:?}"),
@@ -212,9 +246,12 @@
                         told.is_none() || told == last || told == truth.tried,
                         "{id}: {told:?} {truth:?}"
                     );
-                    truth.calls.extend(
-                        told.map(|zone| (ZONES[ZONES.iter().position(|z| *z == zone).expect("one")], true)),
-                    );
+                    truth.calls.extend(told.map(|zone| {
+                        (
+                            ZONES[ZONES.iter().position(|z| *z == zone).expect("one")],
+                            true,
+                        )
+                    }));
                 }
             }
             let whole = async_io::block_on(record.whole()).expect("its body");
@@ -230,7 +267,9 @@
     /// Everything that is held comes to its end.
     fn finish(&mut self) {
         for _ in 0..2_000 {
-            let Some(id) = self.records.keys().next().cloned() else { return };
+            let Some(id) = self.records.keys().next().cloned() else {
+                return;
+            };
             self.go_on(&id);
         }
         panic!("{} messages do not end", self.records.len());
@@ -238,11 +277,18 @@
 }
 
 fn setup(durability: Durability, bodies: u64) -> Setup {
-    Setup { durability, bodies, seed: 5, ..Setup::new(110_000) }
+    Setup {
+        durability,
+        bodies,
+        seed: 5,
+        ..Setup::new(110_000)
+    }
 }
 
 fn seeds(few: u64) -> std::ops::Range<u64> {
-    let told = std::env::var("STORE_SEEDS").ok().and_then(|n| n.parse().ok());
+    let told = std::env::var("STORE_SEEDS")
+        .ok()
+        .and_then(|n| n.parse().ok());
     0..told.unwrap_or(few)
 }
 
@@ -287,14 +333,22 @@
     operations
 }
 
-/// Operations of a history, each in a run of its own: one in so many in a usual run, all where `STORE_SEEDS` is set.
+/// Operations of a history, each in a run of its own: one in so many in a usual run, all where
+/// `STORE_SEEDS` is set.
 fn campaign(setup: Setup, few: u64, every: usize, faults: &[Fault]) {
-    let every = if std::env::var_os("STORE_SEEDS").is_some() { 1 } else { every };
+    let every = if std::env::var_os("STORE_SEEDS").is_some() {
+        1
+    } else {
+        every
+    };
     let (mut runs, mut operations) = (0, 0);
     for seed in seeds(few) {
         let all = run(seed, setup, None);
         operations += all;
-        for (nth, fault) in (0..all).flat_map(|at| faults.iter().map(move |f| (at, *f))).enumerate() {
+        for (nth, fault) in (0..all)
+            .flat_map(|at| faults.iter().map(move |f| (at, *f)))
+            .enumerate()
+        {
             if (nth + seed as usize) % every == 0 {
                 let told = std::panic::catch_unwind(|| run(seed, setup, Some(fault)));
                 assert!(told.is_ok(), "seed {seed}, {fault:?}, of {all}");
@@ -311,23 +365,43 @@
         setup(Durability::Process, u64::MAX),
         2,
         3,
-        &[Fault::Kill, Fault::Torn(3), Fault::Torn(13), Fault::Torn(16)],
+        &[
+            Fault::Kill,
+            Fault::Torn(3),
+            Fault::Torn(13),
+            Fault::Torn(16),
+        ],
     );
 }
 
 #[test]
 fn a_kill_while_bodies_are_away_loses_none() {
-    campaign(setup(Durability::Process, 3_000), 1, 3, &[Fault::Kill, Fault::Torn(8)]);
+    campaign(
+        setup(Durability::Process, 3_000),
+        1,
+        3,
+        &[Fault::Kill, Fault::Torn(8)],
+    );
 }
 
 #[test]
 fn a_failing_operation_is_not_ignored() {
-    campaign(setup(Durability::Process, u64::MAX), 2, 3, &[Fault::Io, Fault::NoSpace, Fault::Short]);
+    campaign(
+        setup(Durability::Process, u64::MAX),
+        2,
+        3,
+        &[Fault::Io, Fault::NoSpace, Fault::Short],
+    );
 }
 
 #[test]
 fn a_power_cut_at_any_operation_keeps_what_was_synced() {
-    campaign(setup(Durability::Machine, u64::MAX), 2, 5, &[Fault::Kill, Fault::Torn(7)]);
+    campaign(
+        setup(Durability::Machine, u64::MAX),
+        2,
+        5,
+        &[Fault::Kill, Fault::Torn(7)],
+    );
 }
 
 #[test]
@@ -341,15 +415,24 @@
         let mut world = World::new(seed, setup(Durability::Process, u64::MAX));
         if seed % 4 == 0 {
             // The longest bodies there are, in a folder of the size that they come with.
-            world = World::new(seed, Setup { limit: 3_000_000, ..world.setup });
+            world = World::new(
+                seed,
+                Setup {
+                    limit: 3_000_000,
+                    ..world.setup
+                },
+            );
             world.sizes = (65_536, 65_536);
         }
         for round in 0..30 {
             for _ in 0..60 {
                 world.step();
             }
-            // Filled to the last byte, and free again: neither stops what is held, and a start succeeds in between.
-            world.disk.quota((round % 3 != 2).then_some(world.disk.size()));
+            // Filled to the last byte, and free again: neither stops what is held, and a start
+            // succeeds in between.
+            world
+                .disk
+                .quota((round % 3 != 2).then_some(world.disk.size()));
             if round % 7 == 3 {
                 let (image, quota) = (world.disk.after_kill(), world.disk.size());
                 world.restart(image);
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -1,5 +1,6 @@
-//! One site of a federation: its leaders' machine, its record and three senders' agents, over lost, doubled and late words, clocks that run
-//! apart, restarts, and a federation that is not heard for longer than its lease.
+//! One site of a federation: its leaders' machine, its record and three senders' agents, over lost,
+//! doubled and late words, clocks that run apart, restarts, and a federation that is not heard for
+//! longer than its lease.
 #![cfg(feature = "fleet")]
 
 mod common;
@@ -23,7 +24,8 @@
 /// A sender's lease, and the site's.
 const LEASE_MS: u32 = 1_500;
 const SITE_LEASE: Time = 5 * SEC;
-/// Behind the site's lease those of its senders may still run, and what a leader needs to see it and agree on it.
+/// Behind the site's lease those of its senders may still run, and what a leader needs to see it
+/// and agree on it.
 const FENCE: Time = 2_200 * MS;
 
 struct Nothing;
@@ -55,7 +57,14 @@
 
 fn machine(n: usize, boot: u64, stored: BTreeMap<u64, Print>, last: u64) -> Machine {
     let (sender, zone, keepers) = (format!("n{n}"), "a".to_string(), vec![1]);
-    let terms = Terms { sender, boot, zone, keepers, report: 100 * MS, warm_after: SEC };
+    let terms = Terms {
+        sender,
+        boot,
+        zone,
+        keepers,
+        report: 100 * MS,
+        warm_after: SEC,
+    };
     Machine::new(terms, boot, 0).following(Register::new(Kind::Table, Without::Hold, stored, last))
 }
 
@@ -93,11 +102,11 @@
 impl Sender {
     fn takes_on(&self, now: Time) -> Option<u64> {
         match self.entrance {
-            Entrance::Open { table: Some(number), until, .. }
-                if until.is_none_or(|until| self.clock.at(now) < until) =>
-            {
-                Some(number)
-            }
+            Entrance::Open {
+                table: Some(number),
+                until,
+                ..
+            } if until.is_none_or(|until| self.clock.at(now) < until) => Some(number),
             _ => None,
         }
     }
@@ -122,8 +131,9 @@
 struct World {
     dice: fastrand::Rng,
     fault: Fault,
-    /// Words of a line come in the order in which they were said, or are lost with all that come after: as they do over sockets. Only
-    /// then is anything said of what is beyond the site's lease.
+    /// Words of a line come in the order in which they were said, or are lost with all that come
+    /// after: as they do over sockets. Only then is anything said of what is beyond the site's
+    /// lease.
     fifo: bool,
     bad: bool,
     now: Time,
@@ -164,7 +174,10 @@
             Sender {
                 machine: machine(n, boot, BTreeMap::new(), 0),
                 boot,
-                clock: Clock { began: SEC, off: [-99, 0, 99][n] },
+                clock: Clock {
+                    began: SEC,
+                    off: [-99, 0, 99][n],
+                },
                 line: 0,
                 entrance: Entrance::Fenced,
                 stored: BTreeMap::new(),
@@ -177,7 +190,10 @@
         });
         let mut federation = Federation::default();
         for (index, site) in [1, 2].into_iter().enumerate() {
-            let join = federation::Command::Join { site, name: format!("s{site}") };
+            let join = federation::Command::Join {
+                site,
+                name: format!("s{site}"),
+            };
             federation.apply(index as u64 + 1, &join);
         }
         World {
@@ -221,7 +237,9 @@
         let most = if self.dice.u8(..10) == 0 { 3_000 } else { 30 };
         let late = self.now + self.dice.u64(1..most) * MS;
         if !self.fifo {
-            return (0..copies).map(|_| self.now + self.dice.u64(1..most) * MS).collect();
+            return (0..copies)
+                .map(|_| self.now + self.dice.u64(1..most) * MS)
+                .collect();
         }
         let sender = &mut self.senders[n];
         sender.broken |= self.dice.u8(..50) == 0;
@@ -256,20 +274,38 @@
                     if let FromAgent::Open { .. } = word {
                         self.senders[n].opened.clone_from(&at);
                     }
-                    self.to_keeper.extend(at.into_iter().map(|at| (at, n, line, word.clone())));
+                    self.to_keeper
+                        .extend(at.into_iter().map(|at| (at, n, line, word.clone())));
                 }
-                Out::Check { kind, number, print, .. } => {
+                Out::Check {
+                    kind,
+                    number,
+                    print,
+                    ..
+                } => {
                     assert_eq!(kind, Kind::Table);
                     let at = self.now + self.dice.u64(1..300) * MS;
-                    let runs = self.record.tables.offered.as_ref().is_some_and(|o| !o.accepted);
+                    let runs = self
+                        .record
+                        .tables
+                        .offered
+                        .as_ref()
+                        .is_some_and(|o| !o.accepted);
                     let fits = !self.bad || !runs || self.dice.u8(..40) > 0;
                     self.checks.push((at, n, number, print, fits));
                 }
                 Out::Admit(entrance) => {
                     let sender = &mut self.senders[n];
                     sender.entrance = entrance;
-                    if let Entrance::Open { table: Some(number), .. } = entrance {
-                        assert!(number == 0 || sender.stored.contains_key(&number), "not written down");
+                    if let Entrance::Open {
+                        table: Some(number),
+                        ..
+                    } = entrance
+                    {
+                        assert!(
+                            number == 0 || sender.stored.contains_key(&number),
+                            "not written down"
+                        );
                         sender.last = number;
                     }
                 }
@@ -287,30 +323,57 @@
         let (now, sender) = (self.now, format!("n{n}"));
         let Ok(leader) = &mut self.leader else { return };
         let session = &mut self.sessions[n];
-        let own = session.until > now && session.line == line && session.boot == self.senders[n].boot;
+        let own =
+            session.until > now && session.line == line && session.boot == self.senders[n].boot;
         match word {
             FromAgent::Open { boot, .. } => {
                 if boot != self.senders[n].boot || line < session.line && boot == session.boot {
                     return;
                 }
-                let live = self.record.roster.get(&sender).is_some_and(|m| m.live && m.boot == boot);
-                *session = Session { boot, line, until: session.until };
+                let live = self
+                    .record
+                    .roster
+                    .get(&sender)
+                    .is_some_and(|m| m.live && m.boot == boot);
+                *session = Session {
+                    boot,
+                    line,
+                    until: session.until,
+                };
                 leader.switch.meet(&sender, boot);
                 if !live {
-                    self.apply(record::Command::Join { sender, boot, zone: "a".into() });
+                    self.apply(record::Command::Join {
+                        sender,
+                        boot,
+                        zone: "a".into(),
+                    });
                 }
                 self.sessions[n].until = self.counted().max(self.sessions[n].until);
-                self.say(n, ToAgent::Renewed { report: 0, lease_ms: LEASE_MS });
+                self.say(
+                    n,
+                    ToAgent::Renewed {
+                        report: 0,
+                        lease_ms: LEASE_MS,
+                    },
+                );
             }
             FromAgent::Tell { report, .. } if own => {
                 leader.switch.reports(&sender);
                 self.sessions[n].until = self.sessions[n].until.max(self.counted());
-                self.say(n, ToAgent::Renewed { report, lease_ms: LEASE_MS });
+                self.say(
+                    n,
+                    ToAgent::Renewed {
+                        report,
+                        lease_ms: LEASE_MS,
+                    },
+                );
             }
             FromAgent::Tell { .. } => self.to_agent.push((now + MS, n, line, ToAgent::Unknown)),
             FromAgent::Table(word) if own => {
                 let (at, mut out) = (leader.clock.at(now), Vec::new());
-                leader.switch.hear(at, &sender, &word, &self.record, &mut out);
+                leader
+                    .switch
+                    .hear(at, &sender, &word, &self.record, &mut out);
                 self.carry_out(out);
                 self.tell(n);
             }
@@ -325,8 +388,11 @@
         }
         let (at, mut said) = (leader.clock.at(self.now), Vec::new());
         let (mut offers, say) = (OFFERS, &mut |word| said.push(word));
-        leader.switch.say(at, &format!("n{n}"), &self.record, &mut offers, say);
-        said.into_iter().for_each(|word| self.say(n, ToAgent::Table(word)));
+        leader
+            .switch
+            .say(at, &format!("n{n}"), &self.record, &mut offers, say);
+        said.into_iter()
+            .for_each(|word| self.say(n, ToAgent::Table(word)));
     }
 
     fn carry_out(&mut self, out: Vec<switch::Out>) {
@@ -341,14 +407,18 @@
                     self.lived.insert(base + 1, live);
                     let then = match (&change, self.fault) {
                         (Change::Pause, Fault::CommitUnheard) => Some(Change::Commit),
-                        (Change::Offer { table }, Fault::AcceptUnstored) => {
-                            Some(Change::Accept { number: table.number })
-                        }
+                        (Change::Offer { table }, Fault::AcceptUnstored) => Some(Change::Accept {
+                            number: table.number,
+                        }),
                         _ => None,
                     };
-                    let table = |base, change| record::Command::Table { base, change: Box::new(change) };
+                    let table = |base, change| record::Command::Table {
+                        base,
+                        change: Box::new(change),
+                    };
                     self.pending.push((soon, table(base, change)));
-                    self.pending.extend(then.map(|change| (soon + MS, table(base + 1, change))));
+                    self.pending
+                        .extend(then.map(|change| (soon + MS, table(base + 1, change))));
                 }
                 switch::Out::Federation(command) => {
                     let lost = self.cut > self.now || self.bad && self.dice.u8(..5) == 0;
@@ -373,9 +443,13 @@
         if let record::Command::Beat { .. } = command {
             self.led = self.now;
         }
-        let record::Command::Table { change, .. } = &command else { return };
+        let record::Command::Table { change, .. } = &command else {
+            return;
+        };
         if let Ok(leader) = &mut self.leader {
-            leader.switch.applied(leader.clock.at(self.now), self.index, change, &self.record);
+            leader
+                .switch
+                .applied(leader.clock.at(self.now), self.index, change, &self.record);
         }
         if self.record.tables.turn == before {
             return;
@@ -393,7 +467,8 @@
         (0..3).for_each(|n| self.tell(n));
     }
 
-    /// All that lived when this was proposed, and do still, have a table or refuse it. Who came since finds the record as it stands.
+    /// All that lived when this was proposed, and do still, have a table or refuse it. Who came
+    /// since finds the record as it stands.
     fn all_have(&self, base: u64, number: u64) {
         for (n, boot) in &self.lived[&base] {
             let sender = &self.senders[*n];
@@ -406,35 +481,60 @@
     /// The federation goes on, with the site where it can, and without it where that is fenced.
     fn federate(&mut self) {
         use federation::Command;
-        let (words, later) = std::mem::take(&mut self.words).into_iter().partition(|w| w.0 <= self.now);
+        let (words, later) = std::mem::take(&mut self.words)
+            .into_iter()
+            .partition(|w| w.0 <= self.now);
         self.words = later;
         let words: Vec<(Time, Command)> = words;
         let mut commands: Vec<Command> = words.into_iter().map(|w| w.1).collect();
         if self.now % (100 * MS) == 0 {
-            commands.push(Command::Beat { term: 1, beat: 1, ms: 100 });
+            commands.push(Command::Beat {
+                term: 1,
+                beat: 1,
+                ms: 100,
+            });
             let federation = &self.federation;
             let quiet = !self.bad && federation.table.number == 0;
             if (self.bad || quiet) && federation.may_propose("").is_ok() && self.dice.u8(..5) == 0 {
                 self.key += 1;
                 let (by, key, text) = ("s2".into(), self.key, format!("# {}", self.key));
                 let print = [self.key as u8; 32];
-                commands.push(Command::Propose { by, key, text, print, within_ms: 8_000 });
+                commands.push(Command::Propose {
+                    by,
+                    key,
+                    text,
+                    print,
+                    within_ms: 8_000,
+                });
             }
             if let Some(p) = federation.proposal.as_ref().map(|p| p.table.number) {
                 commands.push(match self.bad && self.dice.u8(..200) == 0 {
-                    true => Command::Abort { number: p, why: "a word".into() },
+                    true => Command::Abort {
+                        number: p,
+                        why: "a word".into(),
+                    },
                     false => Command::Accept { site: 2, number: p },
                 });
             }
-            commands.push(Command::Switched { site: 2, number: federation.table.number });
+            commands.push(Command::Switched {
+                site: 2,
+                number: federation.table.number,
+            });
             let gone = self.now > self.counted_in + FENCE;
-            if self.fifo && gone && federation.sites.contains_key(&self.me) && self.dice.u8(..5) == 0 {
+            if self.fifo
+                && gone
+                && federation.sites.contains_key(&self.me)
+                && self.dice.u8(..5) == 0
+            {
                 self.off += 1;
                 commands.push(Command::Off { site: self.me });
             }
             if self.now > self.cut && !federation.sites.contains_key(&self.me) {
                 self.me += 10;
-                commands.push(Command::Join { site: self.me, name: "s1".into() });
+                commands.push(Command::Join {
+                    site: self.me,
+                    name: "s1".into(),
+                });
             }
         }
         for command in commands {
@@ -462,20 +562,32 @@
             if self.now < *until {
                 return;
             }
-            let clock = Clock { began: 0, off: self.dice.i64(-99..=99) };
+            let clock = Clock {
+                began: 0,
+                off: self.dice.i64(-99..=99),
+            };
             let at = clock.at(self.now);
             let saw = self.dice.u8(..10) > 0;
             let led = match self.fault {
                 Fault::AllCounted => Some(at),
                 _ => saw.then(|| clock.at(self.led)),
             };
-            self.leader = Ok(Leader { switch: Switch::new(at, led), clock, counted: at, lease: None });
+            self.leader = Ok(Leader {
+                switch: Switch::new(at, led),
+                clock,
+                counted: at,
+                lease: None,
+            });
             // All leases of the record count from now on.
             let until = self.counted() + SEC;
             for n in 0..3 {
                 let m = self.record.roster.get(&format!("n{n}"));
                 if let Some(m) = m.filter(|m| m.live) {
-                    self.sessions[n] = Session { boot: m.boot, line: self.sessions[n].line, until };
+                    self.sessions[n] = Session {
+                        boot: m.boot,
+                        line: self.sessions[n].line,
+                        until,
+                    };
                 }
                 let (line, at) = (self.senders[n].line, self.senders[n].clock.at(self.now));
                 self.senders[n].machine.lost(at, line);
@@ -493,7 +605,9 @@
             }
             return;
         }
-        let (due, later) = std::mem::take(&mut self.pending).into_iter().partition(|p| p.0 <= self.now);
+        let (due, later) = std::mem::take(&mut self.pending)
+            .into_iter()
+            .partition(|p| p.0 <= self.now);
         self.pending = later;
         let due: Vec<(Time, record::Command)> = due;
         due.into_iter().for_each(|(_, command)| self.apply(command));
@@ -501,7 +615,10 @@
             let (sender, session) = (format!("n{n}"), self.sessions[n]);
             let m = self.record.roster.get(&sender);
             if m.is_some_and(|m| m.live) && session.until <= self.now {
-                self.apply(record::Command::Lapse { sender: sender.clone(), boot: session.boot });
+                self.apply(record::Command::Lapse {
+                    sender: sender.clone(),
+                    boot: session.boot,
+                });
                 self.leader.iter_mut().for_each(|l| l.switch.part(&sender));
             }
         }
@@ -510,7 +627,14 @@
         if at >= leader.counted + 500 * MS {
             let ms = ((at - leader.counted) / MS) as u32;
             leader.counted += Time::from(ms) * MS;
-            self.pending.push((self.now + 5 * MS, record::Command::Beat { term: 1, beat: 1, ms }));
+            self.pending.push((
+                self.now + 5 * MS,
+                record::Command::Beat {
+                    term: 1,
+                    beat: 1,
+                    ms,
+                },
+            ));
         }
         if turn {
             let known = Known {
@@ -541,19 +665,24 @@
                 let sender = &mut self.senders[n];
                 sender.boot += 1;
                 sender.machine = machine(n, sender.boot, sender.stored.clone(), sender.last);
-                (sender.clock.began, sender.entrance, sender.line) = (self.now, Entrance::Fenced, 0);
+                (sender.clock.began, sender.entrance, sender.line) =
+                    (self.now, Entrance::Fenced, 0);
                 self.to_agent.retain(|w| w.1 != n);
                 self.checks.retain(|c| c.1 != n);
             }
         }
         let due = |now, at: &Time| *at <= now;
-        let (mut words, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.to_keeper).into_iter().partition(|w| due(self.now, &w.0));
+        let (mut words, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.to_keeper)
+            .into_iter()
+            .partition(|w| due(self.now, &w.0));
         self.to_keeper = later;
         words.sort_by_key(|w| w.0);
-        words.into_iter().for_each(|(_, n, line, word)| self.keeper_hears(n, line, word));
-        let (mut words, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.to_agent).into_iter().partition(|w| due(self.now, &w.0));
+        words
+            .into_iter()
+            .for_each(|(_, n, line, word)| self.keeper_hears(n, line, word));
+        let (mut words, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.to_agent)
+            .into_iter()
+            .partition(|w| due(self.now, &w.0));
         self.to_agent = later;
         words.sort_by_key(|w| w.0);
         for (_, n, line, word) in words {
@@ -561,15 +690,20 @@
             self.senders[n].machine.hear(now, line, word, &mut out);
             self.act(n, out);
         }
-        let (checks, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.checks).into_iter().partition(|c| due(self.now, &c.0));
+        let (checks, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.checks)
+            .into_iter()
+            .partition(|c| due(self.now, &c.0));
         self.checks = later;
         for (_, n, number, print, fits) in checks {
             let (mut out, sender) = (Vec::new(), &mut self.senders[n]);
             let now = sender.clock.at(self.now);
             let needs = sender.machine.needs(Kind::Table);
             // Three are kept, as on a sender's shelf.
-            let oldest = sender.stored.keys().copied().find(|n| !needs.contains(n) && *n != sender.last);
+            let oldest = sender
+                .stored
+                .keys()
+                .copied()
+                .find(|n| !needs.contains(n) && *n != sender.last);
             let oldest = oldest.filter(|_| sender.stored.len() >= 3 && fits);
             if let Some(oldest) = oldest {
                 sender.stored.remove(&oldest);
@@ -585,7 +719,9 @@
             } else {
                 sender.refused.insert(number);
             }
-            sender.machine.checked(now, Kind::Table, number, result, &mut out);
+            sender
+                .machine
+                .checked(now, Kind::Table, number, result, &mut out);
             self.act(n, out);
         }
         for n in 0..3 {
@@ -599,15 +735,25 @@
         }
         self.federate();
         self.lead();
-        let taking: BTreeSet<u64> = self.senders.iter().filter_map(|s| s.takes_on(self.now)).collect();
+        let taking: BTreeSet<u64> = self
+            .senders
+            .iter()
+            .filter_map(|s| s.takes_on(self.now))
+            .collect();
         let register = self.record.tables.register;
         assert!(taking.len() <= 1, "tables {taking:?} at once, {register:?}");
         if self.fifo {
             let (table, before) = (self.federation.table.number, self.federation.before.number);
             let beyond = self.now > self.counted_in + FENCE;
-            assert!(!beyond || taking.is_empty(), "taken on beyond the lease: {taking:?}, {register:?}");
+            assert!(
+                !beyond || taking.is_empty(),
+                "taken on beyond the lease: {taking:?}, {register:?}"
+            );
             let of = taking.iter().all(|t| [table, before].contains(t));
-            assert!(of, "by {taking:?} while the federation goes by {before} and {table}, {register:?}");
+            assert!(
+                of,
+                "by {taking:?} while the federation goes by {before} and {table}, {register:?}"
+            );
         }
     }
 
@@ -617,27 +763,42 @@
 }
 
 #[test]
-fn a_site_goes_over_whole_or_not_at_all_and_takes_nothing_on_that_its_federation_does_not_count_on() {
+fn a_site_goes_over_whole_or_not_at_all_and_takes_nothing_on_that_its_federation_does_not_count_on()
+{
     let (mut switched, mut taken_back, mut held, mut off, mut open) = (0, 0, 0, 0, 0);
     for seed in 0..100 {
         let mut world = World::new(seed, Fault::None);
         for _ in 0..8_000 {
             world.step();
-            open += world.senders.iter().filter(|s| s.takes_on(world.now).is_some()).count();
+            open += world
+                .senders
+                .iter()
+                .filter(|s| s.takes_on(world.now).is_some())
+                .count();
         }
         (world.bad, world.cut) = (false, 0);
         let end = world.now + 120 * SEC;
         let done = |w: &World| {
             let table = w.federation.table.number;
             let all = w.senders.iter().all(|s| s.takes_on(w.now) == Some(table));
-            all && w.federation.proposal.is_none() && w.federation.sites.values().all(|s| s.uses == table)
+            all && w.federation.proposal.is_none()
+                && w.federation.sites.values().all(|s| s.uses == table)
         };
         while !done(&world) {
             world.step();
-            assert!(world.now < end, "seed {seed}: {:?} {:?}", world.record.tables, world.federation);
+            assert!(
+                world.now < end,
+                "seed {seed}: {:?} {:?}",
+                world.record.tables,
+                world.federation
+            );
         }
         switched += world.switched;
-        (taken_back, held, off) = (taken_back + world.taken_back, held + world.held, off + world.off);
+        (taken_back, held, off) = (
+            taken_back + world.taken_back,
+            held + world.held,
+            off + world.off,
+        );
     }
     println!(
         "{switched} switches, {taken_back} taken back, {held} holds, {off} times off, open in {open} steps"
@@ -649,7 +810,9 @@
 fn each_fault_that_is_put_in_is_found() {
     let said = |fault: Fault, seed: u64| {
         let played = std::panic::catch_unwind(|| World::new(seed, fault).play(8_000));
-        played.err().and_then(|e| e.downcast_ref::<String>().cloned())
+        played
+            .err()
+            .and_then(|e| e.downcast_ref::<String>().cloned())
     };
     for (fault, wanted) in [
         (Fault::CommitUnheard, "at once"),
@@ -663,7 +826,8 @@
     }
 }
 
-/// A leader whose commands come into its record at once, and a federation whose other site agrees to all.
+/// A leader whose commands come into its record at once, and a federation whose other site agrees
+/// to all.
 struct Site {
     duties: LeaderDuties,
     record: Record,
@@ -681,13 +845,28 @@
     fn new() -> Site {
         let mut federation = Federation::default();
         for site in [1, 2] {
-            federation.apply(site, &federation::Command::Join { site, name: format!("s{site}") });
+            federation.apply(
+                site,
+                &federation::Command::Join {
+                    site,
+                    name: format!("s{site}"),
+                },
+            );
         }
         let (record, now) = (Record::default(), SEC);
         let duties = LeaderDuties::new(Rules::default(), 1, now, &record).led(now, Some(now));
         let (said, answers) = (Vec::new(), Vec::new());
-        let mut site =
-            Site { duties, record, index: 0, now, federation, linked: true, lease: None, said, answers };
+        let mut site = Site {
+            duties,
+            record,
+            index: 0,
+            now,
+            federation,
+            linked: true,
+            lease: None,
+            said,
+            answers,
+        };
         site.pass(SEC / 10);
         site
     }
@@ -699,7 +878,8 @@
                 leader::Out::Propose(command) => {
                     self.index += 1;
                     self.record.apply(self.index, &command);
-                    self.duties.applied(self.now, self.index, &command, &self.record, &mut more);
+                    self.duties
+                        .applied(self.now, self.index, &command, &self.record, &mut more);
                 }
                 leader::Out::Say(line, word) => self.said.push((line, word)),
                 leader::Out::Answer(_, word) => self.answers.push(word),
@@ -720,8 +900,14 @@
             if self.linked {
                 self.lease = Some(self.now + 5 * SEC);
                 for command in [
-                    federation::Command::Accept { site: 2, number: self.federation.given },
-                    federation::Command::Switched { site: 2, number: self.federation.table.number },
+                    federation::Command::Accept {
+                        site: 2,
+                        number: self.federation.given,
+                    },
+                    federation::Command::Switched {
+                        site: 2,
+                        number: self.federation.table.number,
+                    },
                 ] {
                     let version = self.federation.version + 1;
                     self.federation.apply(version, &command);
@@ -737,7 +923,8 @@
                 holds: true,
             };
             let mut out = Vec::new();
-            self.duties.federation(self.now, Some(known), &self.record, &mut out);
+            self.duties
+                .federation(self.now, Some(known), &self.record, &mut out);
             self.carry_out(out);
             let mut out = Vec::new();
             self.duties.tick(self.now, &self.record, &mut out);
@@ -749,7 +936,9 @@
         let mut out = Vec::new();
         self.said.clear();
         // What comes together comes before the record has anything of it.
-        words.iter().for_each(|w| self.duties.hear(self.now, line, w, &self.record, &mut out));
+        words
+            .iter()
+            .for_each(|w| self.duties.hear(self.now, line, w, &self.record, &mut out));
         self.carry_out(out);
         self.said.iter().map(|(_, word)| word.clone()).collect()
     }
@@ -757,11 +946,18 @@
     fn order(&mut self, word: TableOrder) {
         let mut out = Vec::new();
         self.answers.clear();
-        self.duties.order(self.now, 99, &FromPerson::Table(word), &self.record, &mut out);
+        self.duties.order(
+            self.now,
+            99,
+            &FromPerson::Table(word),
+            &self.record,
+            &mut out,
+        );
         self.carry_out(out);
     }
 
-    /// Time passes while the senders on these lines report, write all down that they are offered, and go by all that they hear.
+    /// Time passes while the senders on these lines report, write all down that they are offered,
+    /// and go by all that they hear.
     fn serve(&mut self, lines: &[u64], time: Time) {
         for _ in 0..time / (50 * MS) {
             self.said.clear();
@@ -770,24 +966,42 @@
                 let ToAgent::Table(word) = word else { continue };
                 let answer = match word {
                     _ if !lines.contains(&line) => continue,
-                    ToSender::Offer { number, .. } => FromSender::Stored { number, refused: None },
+                    ToSender::Offer { number, .. } => FromSender::Stored {
+                        number,
+                        refused: None,
+                    },
                     ToSender::Rule { turn, .. } => FromSender::Rules { turn },
                 };
                 let before = std::mem::take(&mut self.said);
                 self.hear(line, &[FromAgent::Table(answer)]);
                 self.said.extend(before);
             }
-            lines.iter().for_each(|line| _ = self.hear(*line, &[tell(self.now / MS)]));
+            lines
+                .iter()
+                .for_each(|line| _ = self.hear(*line, &[tell(self.now / MS)]));
         }
     }
 }
 
 fn opens(sender: &str) -> FromAgent {
-    FromAgent::Open { sender: sender.into(), boot: 7, zone: "a".into(), has: 0, stored: None }
+    FromAgent::Open {
+        sender: sender.into(),
+        boot: 7,
+        zone: "a".into(),
+        has: 0,
+        stored: None,
+    }
 }
 
 fn tell(report: u64) -> FromAgent {
-    FromAgent::Tell { report, has: 0, seen: vec![], listed: None, wants: vec![], health: vec![] }
+    FromAgent::Tell {
+        report,
+        has: 0,
+        seen: vec![],
+        listed: None,
+        wants: vec![],
+        health: vec![],
+    }
 }
 
 fn has(tables: &[(u64, Print)]) -> FromAgent {
@@ -807,15 +1021,25 @@
     let mut site = Site::new();
     let said = site.hear(1, &[opens("n1"), has(&[])]);
     assert_eq!(rules(&said), [(0, Stance::Open)], "{said:?}");
-    assert!(!said.contains(&ToAgent::Unknown), "what it has comes before its session: {said:?}");
+    assert!(
+        !said.contains(&ToAgent::Unknown),
+        "what it has comes before its session: {said:?}"
+    );
     site.serve(&[1], SEC);
     let text = "list_alone = true\n".to_string();
-    site.order(TableOrder::Propose { text: "[[route]]\ntiers = 3\n".into(), within_s: 0 });
+    site.order(TableOrder::Propose {
+        text: "[[route]]\ntiers = 3\n".into(),
+        within_s: 0,
+    });
     assert!(matches!(&site.answers[..], [ToPerson::Refused(why)] if why.contains("line 2")));
     let propose = TableOrder::Propose { text, within_s: 10 };
     site.order(propose.clone());
     site.serve(&[1], 3 * SEC);
-    assert!(matches!(site.answers[..], [ToPerson::Done(_)]), "{:?}", site.answers);
+    assert!(
+        matches!(site.answers[..], [ToPerson::Done(_)]),
+        "{:?}",
+        site.answers
+    );
     let register = site.record.tables.register;
     assert_eq!((register.number, register.stance), (1, Stance::Open));
     assert_eq!(site.federation.sites[&1].uses, 1);
@@ -827,13 +1051,23 @@
         matches!(&site.answers[..], [ToPerson::Refused(why)] if why.contains("n2") && why.contains("[table]"))
     );
     let (by, text, print) = ("s2".to_string(), "list_alone = true\n".to_string(), [1; 32]);
-    let command = federation::Command::Propose { by, key: 1, text, print, within_ms: 60_000 };
+    let command = federation::Command::Propose {
+        by,
+        key: 1,
+        text,
+        print,
+        within_ms: 60_000,
+    };
     site.federation.apply(900, &command);
     site.serve(&[1], SEC);
     let end = site.federation.past.back().expect("over").end.clone();
-    assert!(site.federation.proposal.is_none() && end.contains("refused by s1: n2"), "{end}");
+    assert!(
+        site.federation.proposal.is_none() && end.contains("refused by s1: n2"),
+        "{end}"
+    );
     site.hear(2, &[FromAgent::Leave]);
-    // Nobody is heard for longer than the lease: nothing is taken on, and nobody hears otherwise, also from the next leader.
+    // Nobody is heard for longer than the lease: nothing is taken on, and nobody hears otherwise,
+    // also from the next leader.
     site.linked = false;
     site.serve(&[1], 7 * SEC);
     assert_eq!(site.record.tables.register.stance, Stance::Held);
@@ -842,14 +1076,21 @@
         site.order(TableOrder::Status);
         site.answers.pop()
     };
-    let Some(ToPerson::Federation(status)) = sees(&mut site) else { panic!("no status") };
-    assert_eq!((status.lease_ms, status.table.0, status.sites.len()), (0, 1, 2));
+    let Some(ToPerson::Federation(status)) = sees(&mut site) else {
+        panic!("no status")
+    };
+    assert_eq!(
+        (status.lease_ms, status.table.0, status.sites.len()),
+        (0, 1, 2)
+    );
     site.linked = true;
     site.serve(&[1], 2 * SEC);
     assert_eq!(site.record.tables.register.stance, Stance::Open);
-    // A leader that does not know for how long nobody led believes nothing of the lease in the record: no sender hears of an open door.
+    // A leader that does not know for how long nobody led believes nothing of the lease in the
+    // record: no sender hears of an open door.
     (site.linked, site.lease) = (false, None);
-    site.duties = LeaderDuties::new(Rules::default(), 2, site.now, &site.record).led(site.now, None);
+    site.duties =
+        LeaderDuties::new(Rules::default(), 2, site.now, &site.record).led(site.now, None);
     let known = Known {
         name: "f".into(),
         me: 1,
@@ -860,13 +1101,17 @@
         holds: true,
     };
     let mut out = Vec::new();
-    site.duties.federation(site.now, Some(known), &site.record, &mut out);
+    site.duties
+        .federation(site.now, Some(known), &site.record, &mut out);
     // The word to hold is not in the record yet.
     let mut held = Vec::new();
     std::mem::swap(&mut held, &mut out);
     let said = site.hear(3, &[opens("n3"), has(&[])]);
     assert_eq!(rules(&said), [], "{said:?}");
-    assert!(!said.iter().any(|w| matches!(w, ToAgent::Renewed { .. })), "{said:?}");
+    assert!(
+        !said.iter().any(|w| matches!(w, ToAgent::Renewed { .. })),
+        "{said:?}"
+    );
     site.said.clear();
     site.carry_out(held);
     let said: Vec<ToAgent> = site.said.iter().map(|(_, word)| word.clone()).collect();
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -10,7 +10,10 @@
     let lines = b"accounts.count=3\naccounts.0.name=acme\naccounts.1.name=Rede__Sul\naccounts.2.share=0.1\n";
     for deployment in [from_json(&nested), from_lines(lines)] {
         let tenants = deployment.expect("usable").tenants;
-        assert_eq!(["acme", "Rede, Sul"].map(|name| tenants.of(Some(name))), [Ok(0), Ok(1)]);
+        assert_eq!(
+            ["acme", "Rede, Sul"].map(|name| tenants.of(Some(name))),
+            [Ok(0), Ok(1)]
+        );
         assert_eq!(tenants.of(None), Ok(NO_TENANT));
         for name in ["", "Acme", "acme2", "acm"] {
             assert_eq!(tenants.of(Some(name)), Err(UnknownTenant), "{name}");
@@ -22,7 +25,10 @@
 fn without_tenants_in_the_settings_every_message_is_the_first_one_s() {
     for settings in [json!({}), json!({"accounts": []})] {
         let tenants = from_json(&settings).expect("usable").tenants;
-        assert_eq!([None, Some("acme"), Some("")].map(|name| tenants.of(name)), [Ok(0); 3]);
+        assert_eq!(
+            [None, Some("acme"), Some("")].map(|name| tenants.of(name)),
+            [Ok(0); 3]
+        );
     }
 }
 
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -1,4 +1,5 @@
-//! The module goes on under changed terms: calls that are out, told waits, what is held and what was learned stay.
+//! The module goes on under changed terms: calls that are out, told waits, what is held and what
+//! was learned stay.
 
 mod common;
 
@@ -8,9 +9,17 @@
 
 /// Terms that say what these settings do.
 fn terms(s: &Settings) -> Terms {
-    let bounds = Bounds { attempts: s.max_attempts, retry_after: s.max_retry_after };
+    let bounds = Bounds {
+        attempts: s.max_attempts,
+        retry_after: s.max_retry_after,
+    };
     let bounds = s.classes.iter().map(|_| bounds).collect();
-    Terms { classes: s.classes.clone(), bounds, slots: s.slots, room: s.room }
+    Terms {
+        classes: s.classes.clone(),
+        bounds,
+        slots: s.slots,
+        room: s.room,
+    }
 }
 
 fn change(driver: &mut Driver, terms: Terms) -> Vec<Action> {
@@ -28,14 +37,27 @@
 #[test]
 fn slots_that_shrink_let_calls_end_and_begin_none_before_there_is_room() {
     let mut driver = warm(settings());
-    let out: Vec<MessageId> =
-        (1..=8).flat_map(|id| sends(&driver.arrive(id, 0, (id % 4 + 1) as u16))).collect();
+    let out: Vec<MessageId> = (1..=8)
+        .flat_map(|id| sends(&driver.arrive(id, 0, (id % 4 + 1) as u16)))
+        .collect();
     assert_eq!(out.len(), 8);
-    assert!(sends(&change(&mut driver, Terms { slots: 3, ..terms(&settings()) })).is_empty());
+    assert!(sends(&change(
+        &mut driver,
+        Terms {
+            slots: 3,
+            ..terms(&settings())
+        }
+    ))
+    .is_empty());
     (11..=18).for_each(|id| assert!(sends(&driver.arrive(id, 0, (id % 4 + 1) as u16)).is_empty()));
     for (ended, id) in out.iter().enumerate() {
         let began = sends(&driver.end(*id, Outcome::Ok)).len();
-        assert_eq!(began, usize::from(8 - ended <= 3), "after {} of 8 ended", ended + 1);
+        assert_eq!(
+            began,
+            usize::from(8 - ended <= 3),
+            "after {} of 8 ended",
+            ended + 1
+        );
     }
     assert!(failed(&driver.seen).is_empty() && refused(&driver.seen).is_empty());
     // And grow again, at once.
@@ -44,12 +66,21 @@
 
 #[test]
 fn room_that_shrinks_gives_up_none_that_is_held() {
-    let few = Settings { slots: 1, ..settings() };
+    let few = Settings {
+        slots: 1,
+        ..settings()
+    };
     let mut driver = warm(few.clone());
     (1..=50).for_each(|id| drop(driver.arrive(id, 0, (id % 4 + 1) as u16)));
     let gone = |d: &Driver| refused(&d.seen).len() + failed(&d.seen).len();
     assert_eq!(gone(&driver), 0);
-    change(&mut driver, Terms { room: 10, ..terms(&few) });
+    change(
+        &mut driver,
+        Terms {
+            room: 10,
+            ..terms(&few)
+        },
+    );
     driver.pass(100 * MS);
     assert_eq!(gone(&driver), 0);
     // What comes beyond it goes in place of the least, one for one, as ever.
@@ -59,9 +90,13 @@
 
 #[test]
 fn a_message_ends_under_the_terms_that_it_was_taken_on_under() {
-    // Side by side: those of before, with five attempts, and those of now, with two and a shorter wait for clients.
+    // Side by side: those of before, with five attempts, and those of now, with two and a shorter
+    // wait for clients.
     let old = terms(&settings());
-    let bound = Bounds { attempts: 2, retry_after: SEC };
+    let bound = Bounds {
+        attempts: 2,
+        retry_after: SEC,
+    };
     let both = Terms {
         classes: [&old.classes[..], &old.classes[..]].concat(),
         bounds: [&old.bounds[..], &[bound; 4][..]].concat(),
@@ -74,13 +109,16 @@
     let attempts = |driver: &mut Driver, id: MessageId| {
         for n in 1..20 {
             driver.end(id, Outcome::Error);
-            if failed(&driver.seen).contains(&id) || refused(&driver.seen).iter().any(|r| r.0 == id) {
+            if failed(&driver.seen).contains(&id) || refused(&driver.seen).iter().any(|r| r.0 == id)
+            {
                 return n;
             }
             let mut waited = 0;
             while !sends(&driver.pass(50 * MS)).contains(&id) {
                 waited += 1;
-                if failed(&driver.seen).contains(&id) || refused(&driver.seen).iter().any(|r| r.0 == id) {
+                if failed(&driver.seen).contains(&id)
+                    || refused(&driver.seen).iter().any(|r| r.0 == id)
+                {
                     return n;
                 }
                 assert!(waited < 400, "message {id} after {n} attempts");
@@ -90,23 +128,53 @@
     };
     assert_eq!((attempts(&mut driver, 2), attempts(&mut driver, 1)), (2, 5));
     // So does one that an earlier process took on, by the place of its class.
-    let of_before = Message { id: 3, class: 0, ttl: 20 * SEC, dest: 3, ..Message::default() };
-    let past = Past { attempts: 3, ran: None };
-    driver.give(Event::Resumed { message: of_before, past });
-    driver.give(Event::Resumed { message: Message { id: 4, class: 4, dest: 4, ..of_before }, past });
+    let of_before = Message {
+        id: 3,
+        class: 0,
+        ttl: 20 * SEC,
+        dest: 3,
+        ..Message::default()
+    };
+    let past = Past {
+        attempts: 3,
+        ran: None,
+    };
+    driver.give(Event::Resumed {
+        message: of_before,
+        past,
+    });
+    driver.give(Event::Resumed {
+        message: Message {
+            id: 4,
+            class: 4,
+            dest: 4,
+            ..of_before
+        },
+        past,
+    });
     driver.pass(50 * MS);
     assert!(
-        !refused(&driver.seen).iter().any(|r| r.0 == 3) && refused(&driver.seen).iter().any(|r| r.0 == 4)
+        !refused(&driver.seen).iter().any(|r| r.0 == 3)
+            && refused(&driver.seen).iter().any(|r| r.0 == 4)
     );
     // And a client is told a wait by its own terms.
     driver.give(Event::ListChanges(vec![]));
     let told = |driver: &mut Driver, id, class| {
-        driver.give(Event::Arrived(Message { id, class, ttl: 5 * SEC, dest: 3, ..Message::default() }));
+        driver.give(Event::Arrived(Message {
+            id,
+            class,
+            ttl: 5 * SEC,
+            dest: 3,
+            ..Message::default()
+        }));
         driver.pass(10 * MS);
         if sends(&driver.seen).contains(&id) {
             driver.end(id, Outcome::Full { wait: 60 * SEC });
         }
-        refused(&driver.seen).iter().find(|r| r.0 == id).map(|r| r.1)
+        refused(&driver.seen)
+            .iter()
+            .find(|r| r.0 == id)
+            .map(|r| r.1)
     };
     assert!(told(&mut driver, 5, 0) > Some(20 * SEC));
     assert_eq!(told(&mut driver, 6, 4), Some(SEC));
@@ -116,17 +184,33 @@
 fn terms_that_no_relay_can_work_by_change_nothing() {
     let mut driver = warm(settings());
     for bad in [
-        Terms { slots: 0, ..terms(&settings()) },
-        Terms { room: 0, ..terms(&settings()) },
-        Terms { classes: vec![], ..terms(&settings()) },
-        Terms { classes: vec![Class { deadline: 0, ..class(Effect::Pure) }], ..terms(&settings()) },
+        Terms {
+            slots: 0,
+            ..terms(&settings())
+        },
+        Terms {
+            room: 0,
+            ..terms(&settings())
+        },
+        Terms {
+            classes: vec![],
+            ..terms(&settings())
+        },
+        Terms {
+            classes: vec![Class {
+                deadline: 0,
+                ..class(Effect::Pure)
+            }],
+            ..terms(&settings())
+        },
     ] {
         change(&mut driver, bad);
     }
     assert_eq!(sends(&driver.arrive(1, 3, 1)), [1]);
 }
 
-/// A seeded day with outages, told waits, cold returns and lost calls; `between` is given before each event.
+/// A seeded day with outages, told waits, cold returns and lost calls; `between` is given before
+/// each event.
 fn day(seed: u64, between: impl Fn() -> Event) -> Vec<Action> {
     let mut dice = fastrand::Rng::with_seed(seed);
     let mut driver = warm(settings());
@@ -147,7 +231,9 @@
             let ended = out.remove(dice.usize(..out.len()));
             let outcome = match dice.u8(..10) {
                 _ if down => Outcome::Timeout,
-                0 => Outcome::Full { wait: dice.u64(..3) * SEC },
+                0 => Outcome::Full {
+                    wait: dice.u64(..3) * SEC,
+                },
                 1 => Outcome::Reset,
                 2 => Outcome::Error,
                 _ => Outcome::Ok,
@@ -164,20 +250,34 @@
 fn a_change_that_changes_nothing_moves_no_call_whatever_is_told_cold_or_out() {
     for seed in 0..40 {
         let same = terms(&settings());
-        let (plain, changed) =
-            (day(seed, || Event::Woken), day(seed, || Event::Changed(Box::new(same.clone()))));
-        let calls = plain.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        let (plain, changed) = (
+            day(seed, || Event::Woken),
+            day(seed, || Event::Changed(Box::new(same.clone()))),
+        );
+        let calls = plain
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count();
         assert!(calls > 300, "{calls}");
         let apart = plain.iter().zip(&changed).position(|(a, b)| a != b);
-        assert!(apart.is_none() && plain.len() == changed.len(), "seed {seed}, action {apart:?}");
+        assert!(
+            apart.is_none() && plain.len() == changed.len(),
+            "seed {seed}, action {apart:?}"
+        );
     }
 }
 
 /// The bound of 2 ms is for a release build; this one holds on a machine with much else to do, too.
 #[test]
 fn a_change_is_a_short_turn_with_two_thousand_messages_held() {
-    let many = Settings { room: 4_000, slots: 64, ..settings() };
-    let list = (0..40).map(|n| common::ready(n + 1, u16::from(n))).collect();
+    let many = Settings {
+        room: 4_000,
+        slots: 64,
+        ..settings()
+    };
+    let list = (0..40)
+        .map(|n| common::ready(n + 1, u16::from(n)))
+        .collect();
     let mut driver = Driver::new(many.clone(), list);
     for id in 0..2_000 {
         driver.arrive(id, (id % 3) as u16, (id % 40) as u16);
@@ -186,7 +286,13 @@
     let series = (0..10).map(|_| {
         let turn = |n: u32| {
             let begun = Instant::now();
-            change(&mut driver, Terms { slots: 64 - n % 3, ..terms(&many) });
+            change(
+                &mut driver,
+                Terms {
+                    slots: 64 - n % 3,
+                    ..terms(&many)
+                },
+            );
             driver.now += 10 * MS;
             begun.elapsed()
         };
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter on bytes built by hand: good frames, and malformed ones that must end with a plain message.
+//! The adapter on bytes built by hand: good frames, and malformed ones that must end with a plain
+//! message.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -25,7 +26,8 @@
     f
 }
 
-const ENV: &str = "categories.count=1\ncategories.0.deadline=20000000000\ncategories.0.promise=2000000000\n\
+const ENV: &str =
+    "categories.count=1\ncategories.0.deadline=20000000000\ncategories.0.promise=2000000000\n\
     categories.0.effect=pure\nfamilyInfo.maxCalls=8\nlimits.openCap=50\nlimits.maxAttempts=5\n\
     kinds=a\nfamilyInfo.kindBatch=1\nfamilyInfo.kindApart=false\nsome.new.key=7\n";
 
@@ -71,7 +73,13 @@
 }
 
 fn start(n: u16) -> Vec<u8> {
-    [instance(n), born(ENV.as_bytes()), inventory(0, 1), fleet(2, 0)].concat()
+    [
+        instance(n),
+        born(ENV.as_bytes()),
+        inventory(0, 1),
+        fleet(2, 0),
+    ]
+    .concat()
 }
 
 fn dispatch(id: u32, host: u8) -> Vec<u8> {
@@ -113,7 +121,14 @@
 
 #[test]
 fn a_list_number_used_twice_in_a_batch_means_the_list_of_its_moment() {
-    let records = [start(3), inventory(0, 9), instance(4), born(ENV.as_bytes()), fleet(2, 0)].concat();
+    let records = [
+        start(3),
+        inventory(0, 9),
+        instance(4),
+        born(ENV.as_bytes()),
+        fleet(2, 0),
+    ]
+    .concat();
     let records = [records, work(5, 3.0), instance(3), work(6, 3.0)].concat();
     let out = run(&frame(1, 1_000_000_000, &records));
     assert!(out.status.success());
@@ -136,20 +151,48 @@
     faulty(&frame(1, 0, &[1, 2, 3])[..17], &["batch", "input ended"]);
     faulty(&frame(1, 0, &[99]), &["record code", "99", "byte 8"]);
     faulty(&frame(1, 0, &[12, 0]), &["INSTANCE", "byte 9"]);
-    faulty(&frame(1, 0, &[instance(1), fleet(1, 5)].concat()), &["FLEET", "list 5", "byte 11"]);
+    faulty(
+        &frame(1, 0, &[instance(1), fleet(1, 5)].concat()),
+        &["FLEET", "list 5", "byte 11"],
+    );
     faulty(&frame(1, 0, &work(1, 3.0)), &["before any INSTANCE"]);
-    faulty(&frame(1, 0, &[instance(1), work(1, 3.0)].concat()), &["instance 1", "not running"]);
-    faulty(&frame(1, 0, &[start(1), work(1, f32::NAN)].concat()), &["WORK_ITEM", "farEnd"]);
+    faulty(
+        &frame(1, 0, &[instance(1), work(1, 3.0)].concat()),
+        &["instance 1", "not running"],
+    );
+    faulty(
+        &frame(1, 0, &[start(1), work(1, f32::NAN)].concat()),
+        &["WORK_ITEM", "farEnd"],
+    );
     // A count far beyond the frame must not be believed.
-    faulty(&frame(1, 0, &[11, 0, 0, 0xff, 0xff, 0xff, 0xff]), &["INVENTORY"]);
-    faulty(&frame(1, 0, &[instance(1), born(&[0xff, 0xfe])].concat()), &["BORN", "UTF-8"]);
-    faulty(&frame(1, 0, &[instance(1), born(b"no equals sign")].concat()), &["BORN", "line 1"]);
+    faulty(
+        &frame(1, 0, &[11, 0, 0, 0xff, 0xff, 0xff, 0xff]),
+        &["INVENTORY"],
+    );
+    faulty(
+        &frame(1, 0, &[instance(1), born(&[0xff, 0xfe])].concat()),
+        &["BORN", "UTF-8"],
+    );
+    faulty(
+        &frame(1, 0, &[instance(1), born(b"no equals sign")].concat()),
+        &["BORN", "line 1"],
+    );
     let bad = ENV.replace("maxCalls=8", "maxCalls=eight");
-    faulty(&frame(1, 0, &[instance(1), born(bad.as_bytes())].concat()), &["maxCalls", "eight"]);
+    faulty(
+        &frame(1, 0, &[instance(1), born(bad.as_bytes())].concat()),
+        &["maxCalls", "eight"],
+    );
     let none = ENV.replace("maxCalls=8", "maxCalls=0");
-    faulty(&frame(1, 0, &[instance(1), born(none.as_bytes())].concat()), &["slots"]);
     faulty(
-        &frame(1, 0, &[instance(1), born(b"categories.count=4000000000\n")].concat()),
+        &frame(1, 0, &[instance(1), born(none.as_bytes())].concat()),
+        &["slots"],
+    );
+    faulty(
+        &frame(
+            1,
+            0,
+            &[instance(1), born(b"categories.count=4000000000\n")].concat(),
+        ),
         &["categories.count"],
     );
 }
--- a/tests/zone.rs
+++ b/tests/zone.rs
@@ -14,11 +14,17 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::from_ascii(text).and_then(|n| n.append_domain(&zone().origin)).expect("a name")
+    Name::from_ascii(text)
+        .and_then(|n| n.append_domain(&zone().origin))
+        .expect("a name")
 }
 
 fn srv(port: u16, host: &str) -> Record {
-    Record::from_rdata(name("_raildeal._tcp.7"), 60, RData::SRV(SRV::new(0, 0, port, name(host))))
+    Record::from_rdata(
+        name("_raildeal._tcp.7"),
+        60,
+        RData::SRV(SRV::new(0, 0, port, name(host))),
+    )
 }
 
 fn text(host: &str, words: &[&str]) -> Record {
@@ -28,7 +34,8 @@
 
 /// An update with these prerequisites and changes.
 fn update(wanted: &[Record], changes: &[Record]) -> Message {
-    let mut message = update_message::append(RecordSet::from(srv(1, "x")), zone().origin, false, false);
+    let mut message =
+        update_message::append(RecordSet::from(srv(1, "x")), zone().origin, false, false);
     message.take_answers();
     message.take_name_servers();
     message.add_answers(wanted.iter().cloned());
@@ -47,11 +54,18 @@
 }
 
 fn changed(changes: &[Record]) -> Zone {
-    apply(&zone(), &update(&[], changes)).expect("done").expect("a change")
+    apply(&zone(), &update(&[], changes))
+        .expect("done")
+        .expect("a change")
 }
 
 fn ports(zone: &Zone) -> Vec<u16> {
-    let mut ports: Vec<u16> = zone.providers().expect("providers").iter().map(|e| e.address.port()).collect();
+    let mut ports: Vec<u16> = zone
+        .providers()
+        .expect("providers")
+        .iter()
+        .map(|e| e.address.port())
+        .collect();
     ports.sort_unstable();
     ports
 }
@@ -61,8 +75,14 @@
     let mut providers = zone().providers().expect("providers");
     providers.sort_by_key(|e| e.address.port());
     let first = &providers[0];
-    assert_eq!((first.uid.as_str(), first.dest), ("7/oviedo-1.partners.oviedo.example:1884", 7));
-    assert_eq!((first.zone.as_str(), first.kind.as_str(), first.rate), ("edificio-a", "municipal", 4.0));
+    assert_eq!(
+        (first.uid.as_str(), first.dest),
+        ("7/oviedo-1.partners.oviedo.example:1884", 7)
+    );
+    assert_eq!(
+        (first.zone.as_str(), first.kind.as_str(), first.rate),
+        ("edificio-a", "municipal", 4.0)
+    );
     assert_eq!((first.condition, providers.len()), (Condition::Ready, 2));
 }
 
@@ -78,52 +98,106 @@
 
 #[test]
 fn a_bad_zone_is_told_by_line_or_name() {
-    let with = |line: &str| Zone::read(&format!("{EXAMPLE}{line}\n"), None).expect_err("a bad zone");
+    let with =
+        |line: &str| Zone::read(&format!("{EXAMPLE}{line}\n"), None).expect_err("a bad zone");
     let last = EXAMPLE.lines().count() + 1;
-    for bad in ["oviedo-3 IN A 127.0.0.300", "oviedo-3 IN WHAT x", "oviedo-3 IN TXT \"open", "$WHAT x"] {
-        assert!(with(bad).starts_with(&format!("line {last}:")), "{bad}: {}", with(bad));
+    for bad in [
+        "oviedo-3 IN A 127.0.0.300",
+        "oviedo-3 IN WHAT x",
+        "oviedo-3 IN TXT \"open",
+        "$WHAT x",
+    ] {
+        assert!(
+            with(bad).starts_with(&format!("line {last}:")),
+            "{bad}: {}",
+            with(bad)
+        );
     }
     assert!(with("oviedo-3 IN MX 1 x").contains("oviedo-3"));
     assert!(with("_raildeal._tcp.7 IN SRV 0 0 1 nowhere").contains("nowhere"));
     assert!(with("oviedo-1 IN TXT \"state=gone\"").contains("gone"));
     assert!(with("elsewhere. IN A 127.0.0.1").contains("elsewhere"));
     let rate = EXAMPLE.replace("\"rate=4\"", "\"rate=lots\"");
-    assert!(Zone::read(&rate, None).expect_err("a bad rate").contains("rate"));
-    assert!(Zone::read("$ORIGIN x.\nx. 60 IN A 127.0.0.1\n", None).expect_err("no SOA").contains("SOA"));
+    assert!(Zone::read(&rate, None)
+        .expect_err("a bad rate")
+        .contains("rate"));
+    assert!(Zone::read("$ORIGIN x.\nx. 60 IN A 127.0.0.1\n", None)
+        .expect_err("no SOA")
+        .contains("SOA"));
 }
 
 #[test]
 fn changes_are_made_and_the_serial_rises() {
     let gone = changed(&[of_class(srv(1885, "oviedo-2"), DNSClass::NONE)]);
-    assert_eq!((ports(&gone), gone.serial()), (vec![1884], zone().serial() + 1));
+    assert_eq!(
+        (ports(&gone), gone.serial()),
+        (vec![1884], zone().serial() + 1)
+    );
     let more = changed(&[srv(1886, "oviedo-1")]);
     assert_eq!(ports(&more), [1884, 1885, 1886]);
     let none = changed(&[empty("_raildeal._tcp.7", RecordType::SRV, DNSClass::ANY)]);
     assert_eq!(ports(&none), [0u16; 0]);
-    let draining = text("oviedo-2", &["zone=edificio-b", "kind=municipal", "rate=4", "state=draining"]);
+    let draining = text(
+        "oviedo-2",
+        &[
+            "zone=edificio-b",
+            "kind=municipal",
+            "rate=4",
+            "state=draining",
+        ],
+    );
     let set = changed(&[empty("oviedo-2", RecordType::TXT, DNSClass::ANY), draining]);
-    let conditions: Vec<_> = set.providers().expect("providers").iter().map(|e| e.condition).collect();
+    let conditions: Vec<_> = set
+        .providers()
+        .expect("providers")
+        .iter()
+        .map(|e| e.condition)
+        .collect();
     assert!(conditions.contains(&Condition::Draining) && conditions.contains(&Condition::Ready));
     // What is there already changes nothing, and the serial stays.
-    assert!(apply(&zone(), &update(&[], &[srv(1884, "oviedo-1")])).expect("done").is_none());
+    assert!(apply(&zone(), &update(&[], &[srv(1884, "oviedo-1")]))
+        .expect("done")
+        .is_none());
 }
 
 #[test]
 fn the_apex_keeps_its_soa_and_its_last_name_server() {
-    let apex = [RecordType::ANY, RecordType::SOA, RecordType::NS].map(|k| empty(".", k, DNSClass::ANY));
+    let apex =
+        [RecordType::ANY, RecordType::SOA, RecordType::NS].map(|k| empty(".", k, DNSClass::ANY));
     let apex = apex.map(|mut r| r.set_name(zone().origin).clone());
     let zone = zone();
-    let ns = zone.records.iter().find(|r| r.record_type() == RecordType::NS).expect("one").clone();
-    let soa = zone.records.iter().find(|r| r.record_type() == RecordType::SOA).expect("one").clone();
+    let ns = zone
+        .records
+        .iter()
+        .find(|r| r.record_type() == RecordType::NS)
+        .expect("one")
+        .clone();
+    let soa = zone
+        .records
+        .iter()
+        .find(|r| r.record_type() == RecordType::SOA)
+        .expect("one")
+        .clone();
     let by_value = [ns, soa].map(|r| of_class(r, DNSClass::NONE));
-    assert!(apply(&zone, &update(&[], &[&apex[..], &by_value].concat())).expect("done").is_none());
+    assert!(apply(&zone, &update(&[], &[&apex[..], &by_value].concat()))
+        .expect("done")
+        .is_none());
     // A serial that an update names counts if it is newer, and only then.
     let soa = |serial| {
         let (ns, mail) = (name("ns"), name("hostmaster"));
-        Record::from_rdata(zone.origin.clone(), 60, RData::SOA(SOA::new(ns, mail, serial, 1, 1, 1, 1)))
+        Record::from_rdata(
+            zone.origin.clone(),
+            60,
+            RData::SOA(SOA::new(ns, mail, serial, 1, 1, 1, 1)),
+        )
     };
-    assert_eq!(changed(&[soa(zone.serial() + 9)]).serial(), zone.serial() + 9);
-    assert!(apply(&zone, &update(&[], &[soa(zone.serial() - 9)])).expect("done").is_none());
+    assert_eq!(
+        changed(&[soa(zone.serial() + 9)]).serial(),
+        zone.serial() + 9
+    );
+    assert!(apply(&zone, &update(&[], &[soa(zone.serial() - 9)]))
+        .expect("done")
+        .is_none());
     assert!(is_newer(5, u32::MAX - 5) && !is_newer(u32::MAX - 5, 5) && !is_newer(7, 7));
 }
 
@@ -135,28 +209,70 @@
     let holds = |wanted: &[Record]| apply(&zone(), &update(wanted, &change)).map(|z| z.is_some());
     assert_eq!(holds(&whole), Ok(true));
     assert_eq!(holds(&whole[..1]), Err(NXRRSet), "a set is told whole");
-    assert_eq!(holds(&[empty("oviedo-1", RecordType::ANY, DNSClass::ANY)]), Ok(true));
-    assert_eq!(holds(&[empty("oviedo-9", RecordType::ANY, DNSClass::ANY)]), Err(NXDomain));
-    assert_eq!(holds(&[empty("oviedo-1", RecordType::SRV, DNSClass::ANY)]), Err(NXRRSet));
-    assert_eq!(holds(&[empty("oviedo-9", RecordType::ANY, DNSClass::NONE)]), Ok(true));
-    assert_eq!(holds(&[empty("oviedo-1", RecordType::ANY, DNSClass::NONE)]), Err(YXDomain));
-    assert_eq!(holds(&[empty("oviedo-1", RecordType::TXT, DNSClass::NONE)]), Err(YXRRSet));
+    assert_eq!(
+        holds(&[empty("oviedo-1", RecordType::ANY, DNSClass::ANY)]),
+        Ok(true)
+    );
+    assert_eq!(
+        holds(&[empty("oviedo-9", RecordType::ANY, DNSClass::ANY)]),
+        Err(NXDomain)
+    );
+    assert_eq!(
+        holds(&[empty("oviedo-1", RecordType::SRV, DNSClass::ANY)]),
+        Err(NXRRSet)
+    );
+    assert_eq!(
+        holds(&[empty("oviedo-9", RecordType::ANY, DNSClass::NONE)]),
+        Ok(true)
+    );
+    assert_eq!(
+        holds(&[empty("oviedo-1", RecordType::ANY, DNSClass::NONE)]),
+        Err(YXDomain)
+    );
+    assert_eq!(
+        holds(&[empty("oviedo-1", RecordType::TXT, DNSClass::NONE)]),
+        Err(YXRRSet)
+    );
     let mut elsewhere = empty("x", RecordType::ANY, DNSClass::ANY);
     elsewhere.set_name(Name::from_ascii("other.example.").expect("a name"));
     assert_eq!(holds(&[elsewhere.clone()]), Err(NotZone));
-    assert_eq!(holds(&[srv(1884, "oviedo-1")]), Err(FormErr), "a time to live is not asked");
-    assert_eq!(apply(&zone(), &update(&[], &[elsewhere])).map(|_| ()), Err(NotZone));
+    assert_eq!(
+        holds(&[srv(1884, "oviedo-1")]),
+        Err(FormErr),
+        "a time to live is not asked"
+    );
+    assert_eq!(
+        apply(&zone(), &update(&[], &[elsewhere])).map(|_| ()),
+        Err(NotZone)
+    );
 }
 
 #[test]
 fn an_update_that_breaks_the_directory_is_refused() {
-    let refused = |r: Record| apply(&zone(), &update(&[], &[r])).map(|_| ()).expect_err("refused");
+    let refused = |r: Record| {
+        apply(&zone(), &update(&[], &[r]))
+            .map(|_| ())
+            .expect_err("refused")
+    };
     assert_eq!(refused(srv(1886, "nowhere")), ResponseCode::Refused);
-    assert_eq!(refused(empty("oviedo-1", RecordType::A, DNSClass::ANY)), ResponseCode::Refused);
-    assert_eq!(refused(text("oviedo-1", &["state=gone"])), ResponseCode::Refused);
-    let mail = Record::from_rdata(name("oviedo-1"), 60, RData::MX(MX::new(1, name("oviedo-2"))));
+    assert_eq!(
+        refused(empty("oviedo-1", RecordType::A, DNSClass::ANY)),
+        ResponseCode::Refused
+    );
+    assert_eq!(
+        refused(text("oviedo-1", &["state=gone"])),
+        ResponseCode::Refused
+    );
+    let mail = Record::from_rdata(
+        name("oviedo-1"),
+        60,
+        RData::MX(MX::new(1, name("oviedo-2"))),
+    );
     assert_eq!(refused(mail), ResponseCode::Refused);
     let mut other = update(&[], &[srv(1886, "oviedo-1")]);
     other.queries_mut()[0].set_name(Name::from_ascii("other.example.").expect("a name"));
-    assert_eq!(apply(&zone(), &other).map(|_| ()), Err(ResponseCode::NotAuth));
+    assert_eq!(
+        apply(&zone(), &other).map(|_| ()),
+        Err(ResponseCode::NotAuth)
+    );
 }
