--- a/simulator/src/check.rs
+++ b/simulator/src/check.rs
@@ -2,13 +2,13 @@
 
 use crate::log::{Fact, See, Verdict};
 use crate::partner::{in_seconds, SECOND};
-use raildeal::{Class, DedupScope, DestId, Effect, Outcome, Settings, Time};
+use raildeal::{Class, DedupScope, DestinationId, Effect, Nanos, Outcome, Settings};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 /// Nothing new goes to an endpoint for longer than this after its sender heard that it drains.
-const DRAIN: Time = SECOND / 4;
+const DRAIN: Nanos = SECOND / 4;
 /// A partner is toppled by the senders if this part of what pushed it came from those that had seen
 /// it fail.
 const WARNED: f64 = 2.0 / 3.0;
@@ -60,30 +60,30 @@
 /// A message that is held.
 struct Held {
     sender: u16,
-    dest: DestId,
+    dest: DestinationId,
     class: u16,
-    by: Time,
-    out: Option<(Time, u16)>,
+    by: Nanos,
+    out: Option<(Nanos, u16)>,
     calls: u32,
     /// The first attempt that may have run: when it was sent, and in which building.
-    ran: Option<(Time, u16)>,
+    ran: Option<(Nanos, u16)>,
 }
 
 /// Follows a day and notes each breach of a rule.
 pub struct Checker {
     classes: Vec<Class>,
     most: u32,
-    patience: Time,
+    patience: Nanos,
     held: FxHashMap<u32, Held>,
     /// Messages that are neither over nor held: with their clients, or on the way.
-    abroad: FxHashMap<u32, DestId>,
-    waits: FxHashMap<(u16, DestId, Option<u32>), Time>,
-    gone: FxHashMap<(u16, u32), Time>,
+    abroad: FxHashMap<u32, DestinationId>,
+    waits: FxHashMap<(u16, DestinationId, Option<u32>), Nanos>,
+    gone: FxHashMap<(u16, u32), Nanos>,
     /// Senders that run.
     up: BTreeSet<u16>,
     /// Partners that came back and senders that did not call them since: when, and when such a
     /// sender first took a message on for them after that.
-    back: BTreeMap<(DestId, u16), (Time, Option<Time>)>,
+    back: BTreeMap<(DestinationId, u16), (Nanos, Option<Nanos>)>,
     counts: BTreeMap<Rule, u64>,
     told: Vec<String>,
 }
@@ -125,7 +125,7 @@
     }
 
     /// The day is over.
-    pub fn finish(&mut self, now: Time) {
+    pub fn finish(&mut self, now: Nanos) {
         let mut left: Vec<(u32, u16)> = self.held.iter().map(|(m, h)| (*m, h.sender)).collect();
         left.sort();
         for (message, sender) in left {
@@ -144,11 +144,11 @@
                 format!("message {message} was due and is nowhere"),
             );
         }
-        let late: Vec<(DestId, u16)> = self.back.keys().copied().collect();
+        let late: Vec<(DestinationId, u16)> = self.back.keys().copied().collect();
         late.into_iter().for_each(|at| self.fail_back(now, at));
     }
 
-    fn breach(&mut self, now: Time, rule: Rule, what: String) {
+    fn breach(&mut self, now: Nanos, rule: Rule, what: String) {
         *self.counts.entry(rule).or_default() += 1;
         if self.told.len() < KEPT {
             self.told
@@ -157,7 +157,7 @@
     }
 
     /// A message that is held has its final answer.
-    fn over(&mut self, now: Time, message: u32) {
+    fn over(&mut self, now: Nanos, message: u32) {
         let Some(held) = self.held.remove(&message) else {
             return;
         };
@@ -173,11 +173,11 @@
 
     fn call(
         &mut self,
-        now: Time,
+        now: Nanos,
         message: u32,
         sender: u16,
         endpoint: u32,
-        dest: DestId,
+        dest: DestinationId,
         zone: u16,
     ) {
         let mut breaches = Vec::new();
@@ -234,7 +234,7 @@
         self.back.remove(&(dest, sender));
     }
 
-    fn fail_back(&mut self, now: Time, (dest, sender): (DestId, u16)) {
+    fn fail_back(&mut self, now: Nanos, (dest, sender): (DestinationId, u16)) {
         let Some((at, Some(due))) = self.back.get(&(dest, sender)).copied() else {
             return;
         };
@@ -250,7 +250,7 @@
 }
 
 impl See for Checker {
-    fn see(&mut self, now: Time, fact: &Fact) {
+    fn see(&mut self, now: Nanos, fact: &Fact) {
         match *fact {
             Fact::TakenOn {
                 message,
@@ -324,7 +324,10 @@
                     let out = held.out.take();
                     let never = matches!(
                         outcome,
-                        Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Moot | Outcome::Ok
+                        Outcome::Rejected { .. }
+                            | Outcome::ConnectFailed
+                            | Outcome::NotSent
+                            | Outcome::Delivered
                     );
                     if !never && held.ran.is_none() {
                         held.ran = out;
--- a/simulator/src/due.rs
+++ b/simulator/src/due.rs
@@ -1,11 +1,11 @@
 //! What is to happen at a time, in the order of times; of one time, in the order in which it was
 //! put in.
 
-use raildeal::Time;
+use raildeal::Nanos;
 use std::cmp::Ordering;
 
 /// When, its number, and what.
-pub(crate) struct At<E>(pub Time, pub u64, pub E);
+pub(crate) struct At<E>(pub Nanos, pub u64, pub E);
 
 impl<E> PartialEq for At<E> {
     fn eq(&self, other: &Self) -> bool {
--- a/simulator/src/load/clients.rs
+++ b/simulator/src/load/clients.rs
@@ -20,11 +20,11 @@
     Connect, Packet, Puback, PubackReasonCode, Publish, Subscribe, SubscriptionOptions,
 };
 use mqtt_proto::{Pid, QoS, QosPid, TopicFilter, TopicName};
-use raildeal::delivery::timer_wheel::Wheel;
+use raildeal::delivery::timer_wheel::TimerWheel;
 use raildeal::net::mqtt::packets::{self, encode, property, user};
 use raildeal::net::platform::http;
 use raildeal::net::stream::{Stream, Writer};
-use raildeal::{DestId, Time};
+use raildeal::{DestinationId, Nanos};
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::Entry;
@@ -107,10 +107,10 @@
 
 /// What is due, by the model.
 #[derive(Default)]
-struct Arrivals(Vec<(Time, DestId, u16)>);
+struct Arrivals(Vec<(Nanos, DestinationId, u16)>);
 
 impl See for Arrivals {
-    fn see(&mut self, now: Time, fact: &Fact) {
+    fn see(&mut self, now: Nanos, fact: &Fact) {
         if let Fact::Due { dest, class, .. } = fact {
             self.0.push((now, *dest, *class));
         }
@@ -202,7 +202,7 @@
 struct Message {
     id: String,
     class: String,
-    dest: DestId,
+    dest: DestinationId,
     left: Duration,
     body: Vec<u8>,
 }
@@ -275,7 +275,7 @@
     most: usize,
     name: String,
     made: Cell<usize>,
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
     run: Rc<LocalExecutor<'static>>,
     tally: Shared,
 }
@@ -598,7 +598,7 @@
         programs.push(Some(start(n)?));
     }
     let run: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
-    let wheel = Wheel::new();
+    let wheel = TimerWheel::new();
     let turning = wheel.clone();
     run.spawn(async move { turning.turn().await }).detach();
     let histogram =
@@ -756,7 +756,7 @@
 
 fn sum(
     plan: &Plan,
-    arrivals: &[(Time, DestId, u16)],
+    arrivals: &[(Nanos, DestinationId, u16)],
     tally: &Tally,
     notices: &Notices,
     partners: Seen,
--- a/simulator/src/load/partners.rs
+++ b/simulator/src/load/partners.rs
@@ -13,7 +13,7 @@
 use raildeal::net::mqtt::packets::{self, encode, property, user};
 use raildeal::net::platform::http;
 use raildeal::net::stream::Stream;
-use raildeal::{DestId, Time};
+use raildeal::{DestinationId, Nanos};
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -27,13 +27,13 @@
 #[serde(rename_all = "snake_case")]
 pub enum Order {
     /// These refuse all.
-    Shut(Vec<DestId>),
+    Shut(Vec<DestinationId>),
     /// These answer nothing.
-    Hang(Vec<DestId>),
+    Hang(Vec<DestinationId>),
     /// These fail a part of their calls.
-    Fail(Vec<DestId>, f64),
+    Fail(Vec<DestinationId>, f64),
     /// These are well again, and cold.
-    Back(Vec<DestId>),
+    Back(Vec<DestinationId>),
 }
 
 /// What the partners saw.
@@ -159,7 +159,7 @@
 }
 
 /// A told wait in whole milliseconds.
-fn in_ms(wait: Time) -> u64 {
+fn in_ms(wait: Nanos) -> u64 {
     wait.div_ceil(1_000_000).min(3_600_000)
 }
 
--- a/simulator/src/log.rs
+++ b/simulator/src/log.rs
@@ -1,6 +1,6 @@
 //! What happened in a day, as checkers, tallies and files get it.
 
-use raildeal::{DestId, Outcome, Time};
+use raildeal::{DestinationId, Nanos, Outcome};
 use serde::Serialize;
 
 /// How a message ended.
@@ -26,7 +26,7 @@
         /// Its class.
         class: u16,
         /// Its destination.
-        dest: DestId,
+        dest: DestinationId,
     },
     /// A sender took a message on, to be over by a time.
     TakenOn {
@@ -37,7 +37,7 @@
         /// Its class.
         class: u16,
         /// When it has to be over.
-        by: Time,
+        by: Nanos,
     },
     /// A message was not taken on.
     TurnedAway {
@@ -71,7 +71,7 @@
         /// To whom.
         endpoint: u32,
         /// Whose endpoint it is.
-        dest: DestId,
+        dest: DestinationId,
         /// In which building.
         zone: u16,
     },
@@ -92,11 +92,11 @@
         /// Who.
         sender: u16,
         /// For whom: a destination, or an endpoint of it.
-        dest: DestId,
+        dest: DestinationId,
         /// That endpoint, where endpoints are limited apart.
         endpoint: Option<u32>,
         /// Until when.
-        until: Time,
+        until: Nanos,
     },
     /// A sender hears that an endpoint is wanted, or not any more.
     Listed {
@@ -120,12 +120,12 @@
     /// A partner comes back cold.
     Back {
         /// Who.
-        dest: DestId,
+        dest: DestinationId,
     },
     /// A partner that came back was pushed over.
     Toppled {
         /// Who.
-        dest: DestId,
+        dest: DestinationId,
         /// By senders that had seen it fail, as a part.
         warned: f64,
     },
@@ -145,17 +145,17 @@
 /// Gets all that happens, in order.
 pub trait See {
     /// This happened.
-    fn see(&mut self, now: Time, fact: &Fact);
+    fn see(&mut self, now: Nanos, fact: &Fact);
 }
 
 /// A fact as a line of a log.
-pub fn line(now: Time, fact: &Fact) -> String {
+pub fn line(now: Nanos, fact: &Fact) -> String {
     let fact = serde_json::to_string(fact).expect("a fact has a form");
     format!("{{\"at\":{now},{}", &fact[1..])
 }
 
-impl See for Vec<(Time, Fact)> {
-    fn see(&mut self, now: Time, fact: &Fact) {
+impl See for Vec<(Nanos, Fact)> {
+    fn see(&mut self, now: Nanos, fact: &Fact) {
         self.push((now, fact.clone()));
     }
 }
--- a/simulator/src/main.rs
+++ b/simulator/src/main.rs
@@ -259,7 +259,7 @@
 struct Lines(BufWriter<File>, Option<std::io::Error>);
 
 impl See for Lines {
-    fn see(&mut self, now: raildeal::Time, fact: &Fact) {
+    fn see(&mut self, now: raildeal::Nanos, fact: &Fact) {
         if self.1.is_none() {
             self.1 = writeln!(self.0, "{}", line(now, fact)).err();
         }
--- a/simulator/src/partner.rs
+++ b/simulator/src/partner.rs
@@ -3,20 +3,20 @@
 
 use crate::dice::Dice;
 use crate::range::Range;
-use raildeal::Time;
+use raildeal::Nanos;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 /// A second.
-pub const SECOND: Time = 1_000_000_000;
+pub const SECOND: Nanos = 1_000_000_000;
 
 /// Seconds as a time.
-pub fn seconds(s: f64) -> Time {
-    (s.max(0.0) * SECOND as f64) as Time
+pub fn seconds(s: f64) -> Nanos {
+    (s.max(0.0) * SECOND as f64) as Nanos
 }
 
 /// A time as seconds.
-pub fn in_seconds(t: Time) -> f64 {
+pub fn in_seconds(t: Nanos) -> f64 {
     t as f64 / SECOND as f64
 }
 
@@ -26,15 +26,15 @@
     /// Share of its capacity that one starts with after an outage.
     pub cold_share: f64,
     /// And has all of it after this time.
-    pub warm_after: Time,
+    pub warm_after: Nanos,
     /// Multiple of what it can do at the moment that pushes it over...
     pub overload_factor: f64,
     /// ...when kept up for so long.
-    pub overload_for: Time,
+    pub overload_for: Nanos,
 }
 
 /// One that falls over stays down for so long.
-const DOWN: Time = 30 * SECOND;
+const DOWN: Nanos = 30 * SECOND;
 /// What one that is cold bears beyond its budget: so many standard deviations of chance. And what
 /// any bears in a window, in calls; with less the module topples small partners here and not on the
 /// operators' simulator.
@@ -48,11 +48,11 @@
 pub enum Counts {
     /// Calls begin at even distances (the generic cell rate algorithm); the next could at this
     /// time.
-    Paced(Time),
+    Paced(Nanos),
     /// So many in each window of this length: which window it is, and how many came.
-    Window(Time, u64, u64),
+    Window(Nanos, u64, u64),
     /// Workers that take one call each; when each is free.
-    Workers(BinaryHeap<Reverse<Time>>),
+    Workers(BinaryHeap<Reverse<Nanos>>),
 }
 
 impl Counts {
@@ -68,12 +68,12 @@
     /// Calls a second; where workers count, only what is listed of them.
     pub rate: f64,
     /// Calls wait for so long at most before they are refused.
-    pub queue: Time,
+    pub queue: Nanos,
     counts: Counts,
     /// Refuses all until then.
-    shut: Time,
+    shut: Nanos,
     /// Was refusing, failing or silent until then, and comes back cold from there.
-    back: Option<Time>,
+    back: Option<Nanos>,
     /// What has come in each of the last steps, and how much of it from senders that had seen it
     /// fail.
     came: [(u32, u32); STEPS],
@@ -84,16 +84,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Comes {
     /// It begins at this time.
-    Begins(Time),
+    Begins(Nanos),
     /// It is refused; there is room again at this time.
-    Full(Time),
+    Full(Nanos),
     /// It is refused, and nobody knows until when.
     Shut,
 }
 
 impl Limit {
     /// Nothing has come yet.
-    pub fn new(rate: f64, queue: Time, counts: Counts) -> Self {
+    pub fn new(rate: f64, queue: Nanos, counts: Counts) -> Self {
         Limit {
             rate,
             queue,
@@ -106,23 +106,23 @@
     }
 
     /// Refuses all until then, and comes back cold.
-    pub fn shut(&mut self, until: Time) {
+    pub fn shut(&mut self, until: Nanos) {
         self.shut = self.shut.max(until);
         self.back = Some(self.shut);
     }
 
     /// Opens at this time, and is cold.
-    pub fn open(&mut self, now: Time) {
+    pub fn open(&mut self, now: Nanos) {
         (self.shut, self.back) = (0, Some(now));
     }
 
     /// Whether it refuses all.
-    pub fn is_shut(&self, now: Time) -> bool {
+    pub fn is_shut(&self, now: Nanos) -> bool {
         now < self.shut
     }
 
     /// Share of its capacity that it has.
-    pub fn warmth(&self, now: Time, rules: &Rules) -> f64 {
+    pub fn warmth(&self, now: Nanos, rules: &Rules) -> f64 {
         match self.back {
             Some(back) if now < back + rules.warm_after => {
                 let part = now.saturating_sub(back) as f64 / rules.warm_after.max(1) as f64;
@@ -138,7 +138,7 @@
     }
 
     /// Whether it comes back from an outage, and is not warm yet.
-    pub fn is_cold(&self, now: Time, rules: &Rules) -> bool {
+    pub fn is_cold(&self, now: Nanos, rules: &Rules) -> bool {
         self.back
             .is_some_and(|back| now >= back && now < back + rules.warm_after)
     }
@@ -147,10 +147,10 @@
     /// what pushed it came from senders that had seen it fail.
     pub fn come(
         &mut self,
-        now: Time,
+        now: Nanos,
         rules: &Rules,
         warned: bool,
-        took: Time,
+        took: Nanos,
     ) -> (Comes, Option<f64>) {
         let fell = self.count(now, rules, warned);
         if fell.is_some() {
@@ -166,7 +166,7 @@
                 if begins - now > self.queue {
                     Comes::Full(begins - self.queue)
                 } else {
-                    *next = begins + (SECOND as f64 / (self.rate * warmth).max(1e-3)) as Time;
+                    *next = begins + (SECOND as f64 / (self.rate * warmth).max(1e-3)) as Nanos;
                     Comes::Begins(begins)
                 }
             }
@@ -190,7 +190,7 @@
                 } else {
                     free.pop();
                     // A cold one is as much slower.
-                    free.push(Reverse(first + (took as f64 / warmth.max(1e-3)) as Time));
+                    free.push(Reverse(first + (took as f64 / warmth.max(1e-3)) as Nanos));
                     Comes::Begins(first)
                 }
             }
@@ -200,7 +200,7 @@
 
     /// Counts what comes. One that is cold, and gets more than its multiple for long enough, falls
     /// over.
-    fn count(&mut self, now: Time, rules: &Rules, warned: bool) -> Option<f64> {
+    fn count(&mut self, now: Nanos, rules: &Rules, warned: bool) -> Option<f64> {
         if !self.is_cold(now, rules) {
             return None;
         }
@@ -253,7 +253,7 @@
 
 impl Manners {
     /// Draws the time of a call.
-    fn took(&self, dice: &mut Dice) -> Time {
+    fn took(&self, dice: &mut Dice) -> Nanos {
         seconds(match self.shape {
             Shape::LogNormal(sigma) => dice.spread(self.median, sigma),
             Shape::Exponential => dice.gap(self.median / std::f64::consts::LN_2),
@@ -269,7 +269,7 @@
     /// It failed.
     Error,
     /// Refused; the told wait, or 0 for none.
-    Full(Time),
+    Full(Nanos),
 }
 
 /// Answers a call that comes now: what, when, and whether the partner falls over by it (see
@@ -279,9 +279,9 @@
     manners: &Manners,
     errors: f64,
     rules: &Rules,
-    (now, warned): (Time, bool),
+    (now, warned): (Nanos, bool),
     dice: &mut Dice,
-) -> (Said, Time, Option<f64>) {
+) -> (Said, Nanos, Option<f64>) {
     let took = manners.took(dice);
     let fails = dice.is(errors);
     // One that fails does so quickly.
@@ -314,7 +314,7 @@
     };
 
     /// Calls at this rate for so long from a time on: those that began, and whether it fell over.
-    fn calls(limit: &mut Limit, from: Time, rate: f64, for_s: f64) -> (usize, bool) {
+    fn calls(limit: &mut Limit, from: Nanos, rate: f64, for_s: f64) -> (usize, bool) {
         let gap = seconds(1.0 / rate);
         let (mut began, mut fell) = (0, false);
         for n in 0..(rate * for_s) as u64 {
--- a/simulator/src/policies.rs
+++ b/simulator/src/policies.rs
@@ -9,8 +9,8 @@
 use crate::dice::{Dice, For};
 use crate::partner::{in_seconds, seconds, SECOND};
 use raildeal::{
-    Action, Condition, DedupScope, DestId, Effect, Endpoint, Event, Listing, Message, MessageId,
-    Outcome, Past, Relay, Settings, Time,
+    Action, Condition, DedupScope, DestinationId, Dispatcher, Effect, EndpointAddress, Event,
+    Listing, Message, MessageId, Nanos, Outcome, Past, Settings,
 };
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -19,12 +19,12 @@
 /// Decides what becomes of messages.
 pub trait Decides {
     /// One turn: what happened, and what is to be done about it.
-    fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>);
+    fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>);
 }
 
-impl Decides for Relay {
-    fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        Relay::handle(self, now, &[event], actions);
+impl Decides for Dispatcher {
+    fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
+        Dispatcher::handle(self, now, &[event], actions);
     }
 }
 
@@ -68,7 +68,7 @@
     pub fn begin(self, settings: &Settings, seed: u64) -> Box<dyn Decides> {
         match self {
             Policy::Module => Box::new(
-                Relay::new(settings.clone(), seed)
+                Dispatcher::new(settings.clone(), seed)
                     .expect("settings were checked before a day begins"),
             ),
             policy => Box::new(Textbook::new(policy, settings.clone(), seed)),
@@ -77,29 +77,29 @@
 }
 
 /// The fixed pause.
-const PAUSE: Time = SECOND / 2;
+const PAUSE: Nanos = SECOND / 2;
 /// Bound of the first random pause, and of all, in seconds.
 const JITTER: (f64, f64) = (0.2, 10.0);
 /// Longest that one attempt may take.
-const TIMEOUT: Time = 8 * SECOND;
+const TIMEOUT: Nanos = 8 * SECOND;
 /// Kept for the answer to travel.
-const LAST_CALL: Time = SECOND / 8;
+const LAST_CALL: Nanos = SECOND / 8;
 /// A message for which nobody may be called now looks again after this time.
-const LOOK: Time = SECOND / 10;
+const LOOK: Nanos = SECOND / 10;
 /// Failures in a row that open a circuit, and how long it stays open before one call tries it.
-const CIRCUIT: (u32, Time) = (5, 5 * SECOND);
+const CIRCUIT: (u32, Nanos) = (5, 5 * SECOND);
 /// Retries that a message earns, the least of them a second, and what may be saved up; a tenth of
 /// that is there at first.
 const BUDGET: (f64, f64, f64) = (0.2, 1.0, 100.0);
 /// Advice to a client whose message was not taken on.
-const COME_BACK: Time = SECOND;
+const COME_BACK: Nanos = SECOND;
 
 /// An endpoint, as a policy sees it.
 struct Peer {
     listing: Listing,
     out: u32,
     /// Failures in a row, and when the last was.
-    failures: (u32, Time),
+    failures: (u32, Nanos),
     /// A call tries whether an open circuit may close.
     trial: bool,
 }
@@ -107,12 +107,12 @@
 /// A message that is held.
 struct Held {
     message: Message,
-    by: Time,
+    by: Nanos,
     calls: u32,
-    out: Option<Endpoint>,
+    out: Option<EndpointAddress>,
     /// First attempt that may have run.
-    ran: Option<(Time, u16)>,
-    due: Time,
+    ran: Option<(Nanos, u16)>,
+    due: Nanos,
 }
 
 /// A policy from a textbook.
@@ -120,17 +120,17 @@
     policy: Policy,
     settings: Settings,
     dice: Dice,
-    peers: BTreeMap<Endpoint, Peer>,
-    by_dest: FxHashMap<DestId, Vec<Endpoint>>,
+    peers: BTreeMap<EndpointAddress, Peer>,
+    by_dest: FxHashMap<DestinationId, Vec<EndpointAddress>>,
     held: FxHashMap<MessageId, Held>,
-    due: BTreeSet<(Time, MessageId)>,
+    due: BTreeSet<(Nanos, MessageId)>,
     /// When each has to be over, but for those that are out.
-    ends: BTreeSet<(Time, MessageId)>,
+    ends: BTreeSet<(Nanos, MessageId)>,
     out: u32,
     /// Tokens of a destination and when they were counted.
-    buckets: FxHashMap<DestId, (f64, Time)>,
+    buckets: FxHashMap<DestinationId, (f64, Nanos)>,
     /// Retries that may be made, and when they were counted.
-    budget: Option<(f64, Time)>,
+    budget: Option<(f64, Nanos)>,
 }
 
 impl Textbook {
@@ -152,7 +152,7 @@
 
     fn list(&mut self, lines: Vec<Listing>, whole: bool) {
         if whole {
-            let named: BTreeSet<Endpoint> = lines.iter().map(|l| l.endpoint).collect();
+            let named: BTreeSet<EndpointAddress> = lines.iter().map(|l| l.endpoint).collect();
             for peer in self
                 .peers
                 .values_mut()
@@ -176,7 +176,7 @@
         }
     }
 
-    fn hold(&mut self, now: Time, message: Message, past: Past) {
+    fn hold(&mut self, now: Nanos, message: Message, past: Past) {
         let ran = past.ran.map(|(ago, zone)| (now.saturating_sub(ago), zone));
         let by = now + message.ttl;
         let calls = u32::from(past.attempts);
@@ -194,7 +194,7 @@
     }
 
     /// It is looked at again at this time.
-    fn put(&mut self, id: MessageId, due: Time) {
+    fn put(&mut self, id: MessageId, due: Nanos) {
         if let Some(held) = self.held.get_mut(&id) {
             held.due = due;
             self.due.insert((due, id));
@@ -221,7 +221,7 @@
         });
     }
 
-    fn pause(&mut self, calls: u32) -> Time {
+    fn pause(&mut self, calls: u32) -> Nanos {
         match self.policy {
             Policy::FixedBackoff => PAUSE,
             _ => {
@@ -232,7 +232,7 @@
     }
 
     /// Tokens that are there now, of a bucket that fills at a rate up to a size.
-    fn fill((tokens, at): (f64, Time), now: Time, rate: f64, size: f64) -> (f64, Time) {
+    fn fill((tokens, at): (f64, Nanos), now: Nanos, rate: f64, size: f64) -> (f64, Nanos) {
         (
             (tokens + rate * in_seconds(now.saturating_sub(at))).min(size),
             now,
@@ -240,7 +240,7 @@
     }
 
     /// Takes a token of a destination; says how long to wait if there is none.
-    fn token(&mut self, now: Time, dest: DestId) -> Result<(), Time> {
+    fn token(&mut self, now: Nanos, dest: DestinationId) -> Result<(), Nanos> {
         let ready = self
             .by_dest
             .get(&dest)
@@ -270,14 +270,14 @@
     }
 
     /// Retries that may be made now.
-    fn budget(&mut self, now: Time) -> &mut f64 {
+    fn budget(&mut self, now: Nanos) -> &mut f64 {
         let budget = self.budget.get_or_insert((BUDGET.2 / 10.0, now));
         *budget = Self::fill(*budget, now, BUDGET.1, BUDGET.2);
         &mut budget.0
     }
 
     /// Takes a retry from the budget.
-    fn retry(&mut self, now: Time) -> bool {
+    fn retry(&mut self, now: Nanos) -> bool {
         let left = self.budget(now);
         let has = *left >= 1.0;
         *left -= f64::from(u8::from(has));
@@ -285,7 +285,7 @@
     }
 
     /// Where a message may go.
-    fn choose(&mut self, now: Time, id: MessageId) -> Option<Endpoint> {
+    fn choose(&mut self, now: Nanos, id: MessageId) -> Option<EndpointAddress> {
         let held = &self.held[&id];
         let class = &self.settings.classes[usize::from(held.message.class)];
         let may = |p: &Peer| match (class.effect, held.ran) {
@@ -308,7 +308,7 @@
             .filter(|p| may(p) && closed(p))
             .collect();
         let least = may.iter().map(|p| p.out).min()?;
-        let may: Vec<Endpoint> = may
+        let may: Vec<EndpointAddress> = may
             .into_iter()
             .filter(|p| self.policy != Policy::LeastOutstanding || p.out == least)
             .map(|p| p.listing.endpoint)
@@ -318,7 +318,7 @@
     }
 
     /// A message's time has come: it is sent, put off or given up.
-    fn look(&mut self, now: Time, id: MessageId, actions: &mut Vec<Action>) {
+    fn look(&mut self, now: Nanos, id: MessageId, actions: &mut Vec<Action>) {
         let held = &self.held[&id];
         if now + LAST_CALL >= held.by || held.calls >= self.settings.max_attempts {
             return self.end(id, actions);
@@ -353,10 +353,10 @@
 
     fn ended(
         &mut self,
-        now: Time,
+        now: Nanos,
         id: MessageId,
         outcome: Outcome,
-        took: Time,
+        took: Nanos,
         actions: &mut Vec<Action>,
     ) {
         let Some(held) = self.held.get_mut(&id) else {
@@ -372,22 +372,22 @@
             peer.trial = false;
             zone = peer.listing.zone;
             match outcome {
-                Outcome::Ok => peer.failures.0 = 0,
-                Outcome::Moot => {}
+                Outcome::Delivered => peer.failures.0 = 0,
+                Outcome::NotSent => {}
                 _ => peer.failures = (peer.failures.0 + 1, now),
             }
         }
         let wait = match outcome {
-            Outcome::Ok => {
+            Outcome::Delivered => {
                 self.held.remove(&id);
                 return;
             }
-            Outcome::Moot => {
+            Outcome::NotSent => {
                 // Nothing was sent, so it does not count.
                 held.calls -= 1;
                 return self.put(id, now + LOOK);
             }
-            Outcome::Full { wait } => wait,
+            Outcome::Rejected { wait } => wait,
             Outcome::ConnectFailed => 0,
             Outcome::Error | Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
                 held.ran.get_or_insert((now - took, zone));
@@ -404,7 +404,7 @@
 }
 
 impl Decides for Textbook {
-    fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+    fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::List(lines) | Event::CachedList(lines) => self.list(lines, true),
             Event::ListChanges(lines) | Event::Ordered(lines) => self.list(lines, false),
@@ -496,7 +496,7 @@
     }
 
     fn peer(n: u8, zone: u16) -> Listing {
-        let endpoint = Endpoint {
+        let endpoint = EndpointAddress {
             addr: [0, 0, 0, n],
             port: 443,
         };
@@ -520,13 +520,13 @@
             desk
         }
 
-        fn turn(&mut self, now: Time, event: Event) -> Vec<Action> {
+        fn turn(&mut self, now: Nanos, event: Event) -> Vec<Action> {
             let mut actions = Vec::new();
             self.0.handle(now, event, &mut actions);
             actions
         }
 
-        fn arrives(&mut self, now: Time, id: MessageId) -> Vec<Action> {
+        fn arrives(&mut self, now: Nanos, id: MessageId) -> Vec<Action> {
             self.turn(
                 now,
                 Event::Arrived(Message {
@@ -540,12 +540,12 @@
 
         fn ends(
             &mut self,
-            now: Time,
+            now: Nanos,
             id: MessageId,
             attempt: u16,
             outcome: Outcome,
         ) -> Vec<Action> {
-            let finished = outcome == Outcome::Ok;
+            let finished = outcome == Outcome::Delivered;
             self.turn(
                 now,
                 Event::Ended {
@@ -560,7 +560,7 @@
         }
     }
 
-    fn sends(actions: &[Action]) -> Vec<Endpoint> {
+    fn sends(actions: &[Action]) -> Vec<EndpointAddress> {
         let sent = actions.iter().filter_map(|a| match a {
             Action::Send { endpoint, .. } => Some(*endpoint),
             _ => None,
@@ -568,7 +568,7 @@
         sent.collect()
     }
 
-    fn wake(actions: &[Action]) -> Time {
+    fn wake(actions: &[Action]) -> Nanos {
         actions
             .iter()
             .find_map(|a| {
@@ -586,7 +586,7 @@
         for policy in ALL.into_iter().skip(1) {
             let mut desk = Desk::new(policy);
             assert_eq!(sends(&desk.arrives(0, 1)).len(), 1, "{policy:?}");
-            let after = desk.ends(SECOND, 1, 0, Outcome::Full { wait: 0 });
+            let after = desk.ends(SECOND, 1, 0, Outcome::Rejected { wait: 0 });
             if policy == Policy::OneTry {
                 assert_eq!(
                     after,
@@ -604,7 +604,7 @@
                     1,
                     "{policy:?} {attempt}"
                 );
-                now += wake(&desk.ends(now, 1, attempt, Outcome::Full { wait: SECOND })).max(1);
+                now += wake(&desk.ends(now, 1, attempt, Outcome::Rejected { wait: SECOND })).max(1);
             }
             assert_eq!(
                 desk.turn(now, Event::Woken),
@@ -642,12 +642,12 @@
     fn a_told_wait_is_waited_for_and_a_bucket_holds_back_what_its_rate_does_not_give() {
         let mut desk = Desk::new(Policy::FullJitter);
         desk.arrives(0, 1);
-        assert!(wake(&desk.ends(1, 1, 0, Outcome::Full { wait: 9 * SECOND })) >= 9 * SECOND);
+        assert!(wake(&desk.ends(1, 1, 0, Outcome::Rejected { wait: 9 * SECOND })) >= 9 * SECOND);
         let mut desk = Desk::new(Policy::TokenBucket);
         // Two endpoints of two a second, apart: four at once, and then one each quarter of a
         // second.
         let sent: usize = (1..=4).map(|id| sends(&desk.arrives(0, id)).len()).sum();
-        (1..=4).for_each(|id| drop(desk.ends(0, id, 0, Outcome::Ok)));
+        (1..=4).for_each(|id| drop(desk.ends(0, id, 0, Outcome::Delivered)));
         let held_back = desk.arrives(0, 5);
         assert_eq!(
             (sent, sends(&held_back).len(), wake(&held_back)),
@@ -682,7 +682,7 @@
         let mut desk = Desk::new(Policy::LeastOutstanding);
         let (one, two) = (sends(&desk.arrives(0, 1))[0], sends(&desk.arrives(0, 2))[0]);
         assert_ne!(one, two);
-        (1..=2).for_each(|id| drop(desk.ends(0, id, 0, Outcome::Ok)));
+        (1..=2).for_each(|id| drop(desk.ends(0, id, 0, Outcome::Delivered)));
         // Ten retries are there at first, and 51 messages earn ten, and a second one more.
         let more = Settings {
             room: 99,
@@ -693,7 +693,7 @@
         desk.turn(0, Event::List(vec![peer(1, 0)]));
         for id in 1..=51 {
             desk.arrives(0, id);
-            desk.ends(0, id, 0, Outcome::Full { wait: 0 });
+            desk.ends(0, id, 0, Outcome::Rejected { wait: 0 });
         }
         assert_eq!(sends(&desk.turn(SECOND, Event::Woken)).len(), 21);
     }
--- a/simulator/src/policy.rs
+++ b/simulator/src/policy.rs
@@ -8,7 +8,7 @@
 use raildeal::coordination::messages::{FromAgent, FromPerson, Health, Print, ToAgent, ToPerson};
 use raildeal::coordination::policy_rollout::register::{Change, Step};
 use raildeal::coordination::record::{Command, Record};
-use raildeal::Time;
+use raildeal::Nanos;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Binomial, Distribution};
 use rand_pcg::Pcg64Mcg;
@@ -16,28 +16,28 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 /// A millisecond of the play's time.
-pub const MS: Time = 1_000_000;
+pub const MS: Nanos = 1_000_000;
 /// A second of it.
-pub const SECOND: Time = 1_000 * MS;
+pub const SECOND: Nanos = 1_000 * MS;
 /// Agents report this often; where there are a thousand or more, less often, for the play's own
 /// sake.
-const REPORT: [Time; 2] = [200 * MS, SECOND];
+const REPORT: [Nanos; 2] = [200 * MS, SECOND];
 /// One way between agents and keepers.
-const WAY: Time = 3 * MS;
+const WAY: Nanos = 3 * MS;
 /// Until the record has what is proposed.
-const COMMIT: Time = 15 * MS;
+const COMMIT: Nanos = 15 * MS;
 /// The driver tells the leader the time this often.
-const TICK: Time = 50 * MS;
+const TICK: Nanos = 50 * MS;
 /// A sender checks a policy and writes it down.
-const CHECK: Time = 8 * MS;
+const CHECK: Nanos = 8 * MS;
 /// The policy is proposed then: the fleet has met its keepers.
-const PROPOSED: Time = 2 * SECOND;
+const PROPOSED: Nanos = 2 * SECOND;
 /// Messages a second of each sender.
 const TRAFFIC: f64 = 10.0;
 /// Classes and their parts of the traffic; one has a twentieth.
 const CLASSES: [(&str, f64); 3] = [("quick", 0.65), ("bulk", 0.30), ("rare", 0.05)];
 /// How long messages are under way until they are delivered, late, and given up.
-const TAKES: [Time; 3] = [400 * MS, 5 * SECOND, 12 * SECOND];
+const TAKES: [Nanos; 3] = [400 * MS, 5 * SECOND, 12 * SECOND];
 /// In each zone for itself: a second of this many in which what is refused comes in heaps, and how
 /// many times as much.
 const HEAPS: (f64, f64) = (20.0, 8.0);
@@ -73,11 +73,11 @@
     /// All zones refuse two in five, or no more.
     Outage(bool),
     /// The leader dies, and another one is in office so much later.
-    Leader(Time),
+    Leader(Nanos),
     /// A sender dies without a word, and is back so much later, if it is.
-    Dies(usize, Option<Time>),
+    Dies(usize, Option<Nanos>),
     /// A sender's line is silent for so long, both ways.
-    Silent(usize, Time),
+    Silent(usize, Nanos),
     /// An operator says so.
     Person(FromPerson),
 }
@@ -86,9 +86,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum When {
     /// At this time.
-    At(Time),
+    At(Nanos),
     /// This much after a stage (from 0) is in this step for the first time.
-    Step(u32, Step, Time),
+    Step(u32, Step, Nanos),
 }
 
 /// What a play is made of.
@@ -110,10 +110,10 @@
     /// Lines of the plan, beside its stages.
     pub plan: String,
     /// The play ends then, at the latest.
-    pub lasts: Time,
+    pub lasts: Nanos,
 }
 
-fn report(play: &Play) -> Time {
+fn report(play: &Play) -> Nanos {
     REPORT[usize::from(play.senders >= 1_000)]
 }
 
@@ -151,18 +151,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Played {
     /// What the record has of policies, when each was there.
-    pub changes: Vec<(Time, Change)>,
+    pub changes: Vec<(Nanos, Change)>,
     /// When the first stage was in force.
-    pub in_force: Option<Time>,
+    pub in_force: Option<Nanos>,
     /// When it halted first, at which stage from 1, and why.
-    pub halted: Option<(Time, u32, String)>,
+    pub halted: Option<(Nanos, u32, String)>,
     /// When it was rolled out.
-    pub done: Option<Time>,
+    pub done: Option<Nanos>,
     /// How it ended, where it did.
     pub end: Option<String>,
     /// Longest time that a sender took nothing on, of pauses that became changes, and the one in
     /// the middle.
-    pub gaps: Vec<Time>,
+    pub gaps: Vec<Nanos>,
     /// Moments at which two senders of a zone took messages on under two policies.
     pub two: u32,
     /// Senders that went by a policy that they had not checked.
@@ -182,22 +182,22 @@
     boot: u64,
     line: ConnectionId,
     alive: bool,
-    silent_until: Time,
+    silent_until: Nanos,
     open: bool,
     /// It goes by its register: it was heard since its last start.
     heard: bool,
     turn: u64,
     number: u64,
     paused: bool,
-    paused_at: Time,
-    since: Time,
+    paused_at: Nanos,
+    since: Nanos,
     stored: BTreeMap<u64, Print>,
     report: u64,
     /// What ends at a later report: by report, policy and class, as late, refused and failed, and
     /// delivered.
     coming: BTreeMap<(u64, u64, usize), [u32; 4]>,
     /// It counts on its lease so long, as agents do: 98 in 100 from when it spoke last.
-    lease_until: Time,
+    lease_until: Nanos,
 }
 
 enum Event {
@@ -214,20 +214,20 @@
 struct World {
     play: Play,
     rng: Pcg64Mcg,
-    now: Time,
+    now: Nanos,
     events: BinaryHeap<Reverse<At<Event>>>,
     number: u64,
     senders: Vec<Sender>,
     of_line: BTreeMap<ConnectionId, usize>,
     next_line: ConnectionId,
     /// How bad each zone is by itself, and until when what is refused comes in a heap.
-    zones: Vec<(f64, Time)>,
+    zones: Vec<(f64, Nanos)>,
     outage: bool,
     record: Record,
     duties: Option<LeaderDuties>,
     term: u64,
     index: u64,
-    led: Time,
+    led: Nanos,
     steps: Vec<(u32, Step)>,
     played: Played,
 }
@@ -294,7 +294,7 @@
 }
 
 impl World {
-    fn at(&mut self, at: Time, event: Event) {
+    fn at(&mut self, at: Nanos, event: Event) {
         self.number += 1;
         self.events.push(Reverse(At(at, self.number, event)));
     }
@@ -484,7 +484,7 @@
         self.next_line += 1;
     }
 
-    fn say(&mut self, n: usize, after: Time, word: FromAgent) {
+    fn say(&mut self, n: usize, after: Nanos, word: FromAgent) {
         if self.now >= self.senders[n].silent_until {
             let line = self.senders[n].line;
             self.at(self.now + after + WAY, Event::ToLeader(line, word));
@@ -512,7 +512,7 @@
         match word {
             ToAgent::Renewed { lease_ms, .. } => {
                 self.senders[n].open = true;
-                self.senders[n].lease_until = now - 2 * WAY + Time::from(lease_ms) * MS / 100 * 98;
+                self.senders[n].lease_until = now - 2 * WAY + Nanos::from(lease_ms) * MS / 100 * 98;
             }
             // These senders follow no tables.
             ToAgent::Table(_) => {}
--- a/simulator/src/run.rs
+++ b/simulator/src/run.rs
@@ -7,7 +7,7 @@
 use crate::sender::Fault;
 use crate::sim::Sim;
 use crate::tally::{Second, Sum, Tally};
-use raildeal::Time;
+use raildeal::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -49,7 +49,7 @@
 }
 
 impl See for All<'_> {
-    fn see(&mut self, now: Time, fact: &Fact) {
+    fn see(&mut self, now: Nanos, fact: &Fact) {
         self.checker.see(now, fact);
         self.tally.see(now, fact);
         if let Fact::Trouble { number, begins } = fact {
--- a/simulator/src/sender.rs
+++ b/simulator/src/sender.rs
@@ -9,14 +9,14 @@
 use raildeal::admission_control::descriptor_budget::Budget;
 use raildeal::admission_control::message_limits::{Kept, Limits, Messages};
 use raildeal::store::plan::{self, Ask, Shape, View};
-use raildeal::{Action, Event, MessageId, Settings, Time};
+use raildeal::{Action, Event, MessageId, Nanos, Settings};
 use rustc_hash::FxHashMap;
 use std::net::{IpAddr, Ipv4Addr};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// The module's clock when a day begins: what is told of an earlier life lies before it.
-const EPOCH: Time = 30 * 86_400 * 1_000_000_000;
+const EPOCH: Nanos = 30 * 86_400 * 1_000_000_000;
 /// What the store keeps of a message beside its body.
 const OVER_BODY: u64 = 576;
 
@@ -30,9 +30,9 @@
     /// The call that is out.
     pub out: Option<u32>,
     /// The first attempt that may have run: when, and in which building.
-    pub ran: Option<(Time, u16)>,
+    pub ran: Option<(Nanos, u16)>,
     /// Since when it is held.
-    pub since: Time,
+    pub since: Nanos,
     /// Its bytes in the store.
     pub size: u64,
     /// Who handed it in.
@@ -72,14 +72,14 @@
     /// Those that rest, and since when the last one does.
     pub idle: u32,
     /// See above.
-    pub since: Time,
+    pub since: Nanos,
     /// Those that carry a call.
     pub out: u32,
 }
 
 impl Conns {
     /// Whether one rests that was not closed for its idleness.
-    pub fn rests(&self, now: Time, idle_close: Time) -> bool {
+    pub fn rests(&self, now: Nanos, idle_close: Nanos) -> bool {
         self.idle > 0 && (idle_close == 0 || now < self.since + idle_close)
     }
 }
@@ -91,7 +91,7 @@
     /// See above.
     pub life: u32,
     /// Since when it is down.
-    pub down: Time,
+    pub down: Nanos,
     decides: Box<dyn Decides>,
     policy: Policy,
     settings: Settings,
@@ -113,15 +113,15 @@
     /// Endpoints that it was told are not wanted.
     pub gone: FxHashMap<u32, ()>,
     /// Waits that it was told, by partner or endpoint.
-    pub waits: FxHashMap<(u16, Option<u32>), Time>,
+    pub waits: FxHashMap<(u16, Option<u32>), Nanos>,
     /// Partners, or endpoints that are limited apart, that it saw fail in an outage.
-    pub warned: FxHashMap<(u16, Option<u32>), Time>,
+    pub warned: FxHashMap<(u16, Option<u32>), Nanos>,
     /// Its connections, by endpoint.
     pub conns: FxHashMap<u32, Conns>,
     /// When its core is free.
-    pub free: Time,
+    pub free: Nanos,
     /// When who decides wants to be woken.
-    pub wake: Option<Time>,
+    pub wake: Option<Nanos>,
     /// What the door for messages knows services by.
     names: Rc<[String]>,
 }
@@ -171,7 +171,7 @@
     }
 
     /// Its process ends: all that is left is what the store has.
-    pub fn die(&mut self, now: Time) {
+    pub fn die(&mut self, now: Nanos) {
         (self.up, self.down) = (false, now);
         self.life += 1;
         self.places = Places::new(self.places_rules.clone());
@@ -193,7 +193,7 @@
     }
 
     /// One turn of the module.
-    pub fn turn(&mut self, now: Time, event: Event) -> Vec<Action> {
+    pub fn turn(&mut self, now: Nanos, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.decides.handle(EPOCH + now, event, &mut actions);
         actions
@@ -207,7 +207,7 @@
 
     /// A place for a connection of a service; nothing if there is none, even after another has
     /// left.
-    pub fn seat(&mut self, now: Time, from: IpAddr, comes: Comes) -> Option<u64> {
+    pub fn seat(&mut self, now: Nanos, from: IpAddr, comes: Comes) -> Option<u64> {
         let now = Duration::from_nanos(now);
         self.places.come(now, from, comes).ok()?;
         // One that is told to leave does so at once here.
@@ -224,11 +224,11 @@
     /// Whether the doors for messages let one in; why not, and when to come back.
     pub fn ask(
         &mut self,
-        now: Time,
+        now: Nanos,
         service: u16,
         class: u16,
         body: u64,
-    ) -> Result<u64, (&'static str, Time)> {
+    ) -> Result<u64, (&'static str, Nanos)> {
         if self.held.len() >= self.settings.room as usize {
             return Err(("no room", 500_000_000));
         }
@@ -247,7 +247,7 @@
                 Kept::Known => "known room",
                 Kept::Slow => "slow delivery",
             };
-            (why, wait.as_nanos() as Time)
+            (why, wait.as_nanos() as Nanos)
         })?;
         loop {
             match self.store.ask(at, &self.view, size).0 {
@@ -256,7 +256,7 @@
                     self.view.segments += 1;
                     self.store.grew(at, None);
                 }
-                Ask::No(_) => return Err(("store", self.store.come_back().as_nanos() as Time)),
+                Ask::No(_) => return Err(("store", self.store.come_back().as_nanos() as Nanos)),
             }
         }
     }
@@ -270,7 +270,7 @@
     }
 
     /// A message is over.
-    pub fn let_go(&mut self, now: Time, id: MessageId, delivered: bool) -> Option<Held> {
+    pub fn let_go(&mut self, now: Nanos, id: MessageId, delivered: bool) -> Option<Held> {
         let held = self.held.remove(&id)?;
         let stayed = Duration::from_nanos(now - held.since);
         self.guests.over(
@@ -290,7 +290,7 @@
     }
 
     /// Its open connections to an endpoint.
-    pub fn connections(&self, now: Time, route: u32, idle_close: Time) -> u32 {
+    pub fn connections(&self, now: Nanos, route: u32, idle_close: Nanos) -> u32 {
         let conns = self.conns.get(&route).copied().unwrap_or_default();
         conns.out
             + if conns.rests(now, idle_close) {
@@ -308,7 +308,7 @@
     }
 
     /// Whether a call may begin, as the program looks once more before the first byte.
-    pub fn admits(&self, now: Time, world: &World, route: u32) -> bool {
+    pub fn admits(&self, now: Nanos, world: &World, route: u32) -> bool {
         let r = &world.routes[route as usize];
         let waits = |gate| {
             self.waits
--- a/simulator/src/sim.rs
+++ b/simulator/src/sim.rs
@@ -10,7 +10,7 @@
 use raildeal::admission_control::accept_queue;
 use raildeal::config::platform_settings::Deployment;
 use raildeal::{
-    Action, Condition, DestId, Event, Message, MessageId, Outcome, Past, Settings, Time,
+    Action, Condition, DestinationId, Event, Message, MessageId, Nanos, Outcome, Past, Settings,
 };
 use rustc_hash::FxHashSet;
 use std::cmp::Reverse;
@@ -19,12 +19,12 @@
 
 /// After the last message was due, a day goes on for the longest time that one may be held, and
 /// this.
-const AFTER: Time = 2 * SECOND;
+const AFTER: Nanos = 2 * SECOND;
 /// A client waits so long for the answer to a hand-in that never comes, and then turns to another
 /// sender.
-const UNHEARD: Time = SECOND;
+const UNHEARD: Nanos = SECOND;
 /// A silent connection of a flood is held for so long.
-const FLOOD_HOLDS: Time = SECOND;
+const FLOOD_HOLDS: Nanos = SECOND;
 /// The directory is asked again after so long, in seconds, where it could not be.
 const ASK_AGAIN: Range = Range {
     low: 0.5,
@@ -32,7 +32,7 @@
 };
 
 /// A sender that was broken for it calls again after this time.
-const PUSH: Time = SECOND / 20;
+const PUSH: Nanos = SECOND / 20;
 
 #[derive(Clone, Copy, Debug)]
 enum Ev {
@@ -47,7 +47,7 @@
     Wake {
         sender: u16,
         life: u32,
-        at: Time,
+        at: Nanos,
     },
     /// News of the list reach a sender, up to this change.
     News {
@@ -77,7 +77,7 @@
     /// A sender dies.
     Die {
         sender: u16,
-        down: Time,
+        down: Nanos,
     },
     /// It begins again.
     Begin {
@@ -116,12 +116,12 @@
 /// A message, as its client knows it.
 #[derive(Clone, Debug)]
 struct Wanted {
-    dest: DestId,
+    dest: DestinationId,
     class: u16,
     service: u16,
     tries: u8,
     body: u32,
-    by: Time,
+    by: Nanos,
 }
 
 /// A call that is out.
@@ -132,8 +132,8 @@
     id: MessageId,
     message: u32,
     route: u32,
-    sent: Time,
-    timeout: Time,
+    sent: Nanos,
+    timeout: Nanos,
     attempt: u16,
     /// The module does not know of it: one that a broken sender makes.
     stray: bool,
@@ -144,8 +144,8 @@
     day: &'a Day,
     settings: Settings,
     world: World,
-    now: Time,
-    queue: BinaryHeap<Reverse<(Time, u64, Item)>>,
+    now: Nanos,
+    queue: BinaryHeap<Reverse<(Nanos, u64, Item)>>,
     made: u64,
     senders: Vec<Sender>,
     messages: Vec<Wanted>,
@@ -154,14 +154,14 @@
     /// Changes of the list, in order.
     changes: Vec<(u32, Condition)>,
     /// How much later than usual the directory tells, and whether it can be asked.
-    behind: Time,
+    behind: Nanos,
     down: bool,
     /// Messages that a surge adds, as a part of all, and for whom.
-    surges: Vec<(f64, Vec<DestId>)>,
+    surges: Vec<(f64, Vec<DestinationId>)>,
     /// Whether a flood runs, by trouble.
     floods: Vec<bool>,
     /// Whom each trouble hits, while it lasts.
-    struck: Vec<Vec<DestId>>,
+    struck: Vec<Vec<DestinationId>>,
     turn: usize,
     dice: Streams,
     fault: Option<Fault>,
@@ -203,7 +203,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Ran {
     /// Virtual time.
-    pub time: Time,
+    pub time: Nanos,
     /// Events.
     pub events: u64,
 }
@@ -221,7 +221,7 @@
         let names: Rc<[String]> = (0..day.clients.services)
             .map(|n| format!("service-{n}"))
             .collect();
-        raildeal::Relay::new(settings.clone(), 0).map_err(|e| Bad::Setting {
+        raildeal::Dispatcher::new(settings.clone(), 0).map_err(|e| Bad::Setting {
             setting: "settings".into(),
             what: e.to_string(),
         })?;
@@ -316,7 +316,7 @@
         }
     }
 
-    fn at(&mut self, at: Time, event: Ev) {
+    fn at(&mut self, at: Nanos, event: Ev) {
         self.made += 1;
         self.queue
             .push(Reverse((at.max(self.now), self.made, Item(event))));
@@ -412,7 +412,7 @@
     }
 
     /// A message is due for the first time.
-    fn wanted(&mut self, dest: DestId, see: &mut dyn See) {
+    fn wanted(&mut self, dest: DestinationId, see: &mut dyn See) {
         let message = self.messages.len() as u32;
         let class = self.dice.arrivals.below(self.settings.classes.len()) as u16;
         let by = self.now + self.settings.classes[usize::from(class)].deadline;
@@ -438,7 +438,7 @@
     }
 
     /// The front layer passes a message to the next sender that it does not know to be dead.
-    fn front(&mut self, message: u32, after: Time) {
+    fn front(&mut self, message: u32, after: Nanos) {
         let at = self.now + after;
         let blind = seconds(self.dice.clients.from(self.day.clients.blind_s));
         for _ in 0..self.senders.len() {
@@ -467,7 +467,7 @@
             let after = seconds(self.dice.clients.from(self.day.clients.pause_s)).max(1);
             return self.front(message, after);
         }
-        let cost = (self.day.senders.cpu_us * 1e3) as Time;
+        let cost = (self.day.senders.cpu_us * 1e3) as Nanos;
         if s.free > self.now + UNHEARD {
             return self.turned_away(message, sender, ("unheard", 0), see);
         }
@@ -516,7 +516,7 @@
         &mut self,
         message: u32,
         sender: u16,
-        (why, wait): (&'static str, Time),
+        (why, wait): (&'static str, Nanos),
         see: &mut dyn See,
     ) {
         see.see(
@@ -530,7 +530,7 @@
         self.again(message, wait, see);
     }
 
-    fn again(&mut self, message: u32, wait: Time, see: &mut dyn See) {
+    fn again(&mut self, message: u32, wait: Nanos, see: &mut dyn See) {
         let pause = seconds(self.dice.clients.from(self.day.clients.pause_s)).max(1);
         let wanted = &mut self.messages[message as usize];
         let after = if wait > 0 { wait } else { pause };
@@ -614,7 +614,7 @@
         sender: u16,
         id: MessageId,
         verdict: Verdict,
-        wait: Time,
+        wait: Nanos,
         see: &mut dyn See,
     ) {
         match self.fault {
@@ -642,7 +642,7 @@
         sender: u16,
         id: MessageId,
         verdict: Verdict,
-        wait: Time,
+        wait: Nanos,
         see: &mut dyn See,
     ) {
         let s = &mut self.senders[usize::from(sender)];
@@ -664,7 +664,7 @@
         }
     }
 
-    fn send(&mut self, sender: u16, id: MessageId, route: u32, timeout: Time, see: &mut dyn See) {
+    fn send(&mut self, sender: u16, id: MessageId, route: u32, timeout: Nanos, see: &mut dyn See) {
         let Some(held) = self.senders[usize::from(sender)].held.get(&id) else {
             return;
         };
@@ -689,7 +689,7 @@
         sender: u16,
         (id, message, attempt): (MessageId, u32, u16),
         route: u32,
-        timeout: Time,
+        timeout: Nanos,
         stray: bool,
         see: &mut dyn See,
     ) {
@@ -736,7 +736,7 @@
                 self.now,
                 Ev::Over {
                     call: no,
-                    outcome: Outcome::Moot,
+                    outcome: Outcome::NotSent,
                 },
             );
         }
@@ -750,7 +750,7 @@
                 zone,
             },
         );
-        let cost = (self.day.senders.cpu_us * 1e3) as Time;
+        let cost = (self.day.senders.cpu_us * 1e3) as Nanos;
         let idle_close = self.settings.idle_close;
         let conns = s.conns.entry(route).or_default();
         conns.out += 1;
@@ -803,7 +803,7 @@
         if !self.is_of(sender, life) {
             return;
         }
-        if outcome != Outcome::Moot {
+        if outcome != Outcome::NotSent {
             see.see(
                 self.now,
                 &Fact::Answer {
@@ -819,7 +819,7 @@
                 .or_default();
             conns.out = conns.out.saturating_sub(1);
         }
-        if self.fault == Some(Fault::Pushes) && matches!(outcome, Outcome::Full { .. }) {
+        if self.fault == Some(Fault::Pushes) && matches!(outcome, Outcome::Rejected { .. }) {
             self.at(
                 self.now + PUSH,
                 Ev::Push {
@@ -850,16 +850,21 @@
                 held.ran.get_or_insert((sent, zone));
             }
         }
-        if !matches!(outcome, Outcome::Ok | Outcome::Moot) && self.world.is_out(route, self.now) {
+        if !matches!(outcome, Outcome::Delivered | Outcome::NotSent)
+            && self.world.is_out(route, self.now)
+        {
             s.warned
                 .insert((dest, apart.then_some(route)), self.now + cold);
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Full { .. } | Outcome::Error) {
+        if matches!(
+            outcome,
+            Outcome::Delivered | Outcome::Rejected { .. } | Outcome::Error
+        ) {
             let conns = s.conns.entry(route).or_default();
             (conns.idle, conns.since) = (conns.idle + 1, self.now);
         }
         let mut heard = outcome;
-        if let Outcome::Full { wait } = outcome {
+        if let Outcome::Rejected { wait } = outcome {
             if wait > 0 {
                 let endpoint = apart.then_some(route);
                 let until = self.now + wait;
@@ -876,11 +881,11 @@
                 );
             }
             if self.fault == Some(Fault::Waits) {
-                heard = Outcome::Full { wait: 0 };
+                heard = Outcome::Rejected { wait: 0 };
             }
         }
         let known = self.senders[usize::from(sender)].held.contains_key(&id);
-        let finished = outcome == Outcome::Ok;
+        let finished = outcome == Outcome::Delivered;
         if known && finished {
             self.answer(sender, id, Verdict::Delivered, 0, see);
         }
@@ -908,7 +913,7 @@
     // Partners.
 
     /// One way between a sender and a building.
-    fn way(&mut self, sender: u16, zone: u16) -> Time {
+    fn way(&mut self, sender: u16, zone: u16) -> Nanos {
         let network = &self.day.network;
         let home = self.world.homes[usize::from(sender)];
         let range = if home == zone {
@@ -970,9 +975,9 @@
             );
         }
         let outcome = match said {
-            Said::Ok => Outcome::Ok,
+            Said::Ok => Outcome::Delivered,
             Said::Error => Outcome::Error,
-            Said::Full(wait) => Outcome::Full { wait },
+            Said::Full(wait) => Outcome::Rejected { wait },
         };
         let heard = at + back;
         if heard < gives_up {
@@ -984,7 +989,7 @@
 
     // The directory.
 
-    fn lateness(&mut self) -> Time {
+    fn lateness(&mut self) -> Nanos {
         seconds(self.dice.directory.from(self.day.directory.late_s)) + self.behind
     }
 
@@ -1135,17 +1140,17 @@
             }
             (What::PartnersFail { share: of, calls }, true) => {
                 let (hit, calls) = (share(self, of), self.dice.troubles.from(calls));
-                self.each_route(&hit, |r, _| r.fails = (Time::MAX, calls));
+                self.each_route(&hit, |r, _| r.fails = (Nanos::MAX, calls));
                 self.struck[number] = hit;
             }
             (What::PartnersHang { share: of }, true) => {
                 let hit = share(self, of);
-                self.each_route(&hit, |r, _| r.hangs = Time::MAX);
+                self.each_route(&hit, |r, _| r.hangs = Nanos::MAX);
                 self.struck[number] = hit;
             }
             (What::PartnersShut { share: of }, true) => {
                 let hit = share(self, of);
-                self.each_route(&hit, |_, limit| limit.shut(Time::MAX / 2));
+                self.each_route(&hit, |_, limit| limit.shut(Nanos::MAX / 2));
                 self.struck[number] = hit;
             }
             (
@@ -1175,7 +1180,7 @@
                         continue;
                     }
                     if begins {
-                        self.world.limits[limit].shut(Time::MAX / 2);
+                        self.world.limits[limit].shut(Nanos::MAX / 2);
                     } else {
                         self.world.limits[limit].open(now);
                     }
@@ -1216,7 +1221,7 @@
 
     fn each_route(
         &mut self,
-        hit: &[DestId],
+        hit: &[DestinationId],
         mut what: impl FnMut(&mut crate::world::Route, &mut crate::partner::Limit),
     ) {
         for dest in hit {
@@ -1228,7 +1233,7 @@
     }
 
     /// An endpoint drains, and another takes its place.
-    fn replace(&mut self, old: u32, after: Time) {
+    fn replace(&mut self, old: u32, after: Nanos) {
         if self.world.routes[old as usize].condition != Condition::Ready {
             return;
         }
@@ -1247,7 +1252,7 @@
         self.at(self.now + after, Ev::Remove { route: old });
     }
 
-    fn die(&mut self, sender: u16, down: Time, see: &mut dyn See) {
+    fn die(&mut self, sender: u16, down: Nanos, see: &mut dyn See) {
         let s = &mut self.senders[usize::from(sender)];
         if !s.up {
             return;
--- a/simulator/src/tables.rs
+++ b/simulator/src/tables.rs
@@ -11,48 +11,48 @@
 use raildeal::coordination::routing_table::federation::{self, Federation};
 use raildeal::coordination::routing_table::tables::Change;
 use raildeal::coordination::sender_registry::OFFERS;
-use raildeal::Time;
+use raildeal::Nanos;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
 
-const MS: Time = 1_000_000;
-const SECOND: Time = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MS;
 /// One way between sites; a round trip is two.
-const WAY: Time = 15 * MS;
+const WAY: Nanos = 15 * MS;
 /// One way between senders and keepers of a site.
-const NEAR: Time = 3 * MS;
+const NEAR: Nanos = 3 * MS;
 /// Until a site's record has what is proposed.
-const COMMIT: Time = 15 * MS;
+const COMMIT: Nanos = 15 * MS;
 /// A sender checks a table and writes it down.
-const CHECK: Time = 8 * MS;
+const CHECK: Nanos = 8 * MS;
 /// A leader is told the time this often.
-const TICK: Time = 50 * MS;
+const TICK: Nanos = 50 * MS;
 /// A voice asks for its site's lease this often, and that runs so long.
-const ASKS: Time = SECOND;
+const ASKS: Nanos = SECOND;
 /// See above.
-const LEASE: Time = 10 * SECOND;
+const LEASE: Nanos = 10 * SECOND;
 /// A sender's lease at its keeper, and the word of it.
-const SENDER_LEASE: Time = 3 * SECOND;
+const SENDER_LEASE: Nanos = 3 * SECOND;
 /// See above.
-const REPORT: Time = 200 * MS;
+const REPORT: Nanos = 200 * MS;
 /// Until another keeper leads, from when one died.
-const ELECTION: Time = 2 * SECOND;
+const ELECTION: Nanos = 2 * SECOND;
 /// The first proposal; those that follow come when the last one is in use everywhere, as much
 /// later.
-const PROPOSED: Time = 2 * SECOND;
+const PROPOSED: Nanos = 2 * SECOND;
 /// A play without an end of its own ends so long after the last trouble.
-const MOST: Time = 120 * SECOND;
+const MOST: Nanos = 120 * SECOND;
 /// Beyond a site's lease its senders' have to be over after this.
-const FENCE: Time = 8 * SECOND;
+const FENCE: Nanos = 8 * SECOND;
 
 /// What happens to a site, and when.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
     /// It is cut off from the other sites for so long.
-    Cut(usize, Time),
+    Cut(usize, Nanos),
     /// Its leading keeper dies.
     Dies(usize),
 }
@@ -71,18 +71,18 @@
     /// A sender of the last site refuses all of them.
     pub refuses: bool,
     /// What happens.
-    pub troubles: Vec<(Time, Trouble)>,
+    pub troubles: Vec<(Nanos, Trouble)>,
 }
 
 /// What a play shows.
 #[derive(Clone, Debug, Default)]
 pub struct Played {
     /// From the word of a person to the decision.
-    pub decided: Vec<Time>,
+    pub decided: Vec<Nanos>,
     /// From there until all senders of all sites go by it.
-    pub switched: Vec<Time>,
+    pub switched: Vec<Nanos>,
     /// How long senders took nothing on between two tables, each time.
-    pub pauses: Vec<Time>,
+    pub pauses: Vec<Nanos>,
     /// Pauses that were taken back.
     pub taken_back: u64,
     /// Senders that were held for their site's lease, each time.
@@ -103,11 +103,11 @@
     /// Counts its lines; a word of an earlier one is not heard.
     line: u64,
     open: bool,
-    lease: Time,
+    lease: Nanos,
     heard: Option<(u64, Stance)>,
     turn: u64,
     stored: BTreeMap<u64, Print>,
-    paused: Option<Time>,
+    paused: Option<Nanos>,
     /// The table that it takes messages on by.
     takes: Option<u64>,
 }
@@ -118,15 +118,15 @@
     /// The leader's, by term; nobody leads where there is none.
     switch: Option<Switch>,
     term: u64,
-    led: Time,
-    beat: Time,
-    cut: Time,
+    led: Nanos,
+    beat: Nanos,
+    cut: Nanos,
     known: Arc<Federation>,
-    lease: Option<Time>,
-    counted: Time,
+    lease: Option<Nanos>,
+    counted: Nanos,
     senders: Vec<usize>,
     /// What is said to the federation and not agreed yet, and when.
-    said: Vec<(federation::Command, Time)>,
+    said: Vec<(federation::Command, Nanos)>,
 }
 
 enum Event {
@@ -138,7 +138,7 @@
     Applies(usize, u64, Command),
     Agrees(federation::Command),
     Hears(usize, u64),
-    Granted(usize, u64, Time),
+    Granted(usize, u64, Nanos),
     Leads(usize, u64),
     Happens(Trouble),
     Propose,
@@ -147,7 +147,7 @@
 struct World {
     play: Play,
     rng: Pcg64Mcg,
-    now: Time,
+    now: Nanos,
     events: BinaryHeap<Reverse<At<Event>>>,
     number: u64,
     federation: Federation,
@@ -158,10 +158,10 @@
     /// Senders by the table that they take messages on by.
     uses: BTreeMap<u64, usize>,
     decided: Vec<u64>,
-    proposed: Time,
-    decision: Time,
+    proposed: Nanos,
+    decision: Nanos,
     asked: u64,
-    asks: Time,
+    asks: Nanos,
     waits: bool,
     played: Played,
 }
@@ -223,7 +223,7 @@
 }
 
 impl World {
-    fn at(&mut self, at: Time, event: Event) {
+    fn at(&mut self, at: Nanos, event: Event) {
         self.number += 1;
         self.events.push(Reverse(At(at, self.number, event)));
     }
@@ -348,7 +348,7 @@
         }
         if !matches!(command, federation::Command::Propose { .. }) {
             let again =
-                |(c, at): &(federation::Command, Time)| *c == command && self.now < *at + SECOND;
+                |(c, at): &(federation::Command, Nanos)| *c == command && self.now < *at + SECOND;
             if site.said.iter().any(again) {
                 return;
             }
@@ -738,7 +738,7 @@
     pub why: Vec<String>,
 }
 
-fn two(times: &[Time]) -> [Time; 2] {
+fn two(times: &[Nanos]) -> [Nanos; 2] {
     let mut times = times.to_vec();
     times.sort_unstable();
     [
--- a/simulator/src/tally.rs
+++ b/simulator/src/tally.rs
@@ -3,7 +3,7 @@
 use crate::log::{Fact, See, Verdict};
 use crate::partner::{in_seconds, SECOND};
 use hdrhistogram::Histogram;
-use raildeal::{DestId, Outcome, Settings, Time};
+use raildeal::{DestinationId, Nanos, Outcome, Settings};
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -36,10 +36,10 @@
 pub struct Tally {
     settings: Settings,
     /// When each message that is not over was first due, and its class.
-    due: FxHashMap<u32, (Time, u16)>,
+    due: FxHashMap<u32, (Nanos, u16)>,
     seconds: Vec<Second>,
     /// Until when partners are cold.
-    cold: FxHashMap<DestId, Time>,
+    cold: FxHashMap<DestinationId, Nanos>,
     ages: Histogram<u64>,
     counts: BTreeMap<&'static str, u64>,
 }
@@ -81,7 +81,7 @@
         &self.seconds
     }
 
-    fn second(&mut self, at: Time) -> &mut Second {
+    fn second(&mut self, at: Nanos) -> &mut Second {
         let n = (at / SECOND) as usize;
         if self.seconds.len() <= n {
             self.seconds.resize_with(n + 1, Second::default);
@@ -135,7 +135,7 @@
 }
 
 impl See for Tally {
-    fn see(&mut self, now: Time, fact: &Fact) {
+    fn see(&mut self, now: Nanos, fact: &Fact) {
         match *fact {
             Fact::Due { message, class, .. } => {
                 self.count("due");
@@ -183,15 +183,15 @@
             Fact::Back { dest } => drop(self.cold.insert(dest, now + self.settings.warm_after)),
             Fact::Answer { outcome, .. } => {
                 self.count(match outcome {
-                    Outcome::Ok => "answered",
-                    Outcome::Full { .. } => "full",
+                    Outcome::Delivered => "answered",
+                    Outcome::Rejected { .. } => "full",
                     Outcome::Error => "errors",
                     Outcome::Timeout => "time-outs",
                     Outcome::ConnectFailed => "no connection",
                     Outcome::Reset | Outcome::Cancelled => "resets",
-                    Outcome::Moot => "called off",
+                    Outcome::NotSent => "called off",
                 });
-                if let Outcome::Full { .. } = outcome {
+                if let Outcome::Rejected { .. } = outcome {
                     self.second(now).full += 1;
                 }
             }
--- a/simulator/src/world.rs
+++ b/simulator/src/world.rs
@@ -5,7 +5,7 @@
 use crate::partner::{answer, seconds, Counts, Limit, Manners, Rules, Said, Shape};
 use crate::range::Range;
 use raildeal::config::platform_settings::Deployment;
-use raildeal::{Condition, DestId, Listing, Time};
+use raildeal::{Condition, DestinationId, Listing, Nanos};
 
 /// A partner.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Whose it is.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// Its building.
     pub zone: u16,
     /// Its kind, as the settings number it.
@@ -40,9 +40,9 @@
     /// What the directory says of its rate.
     pub listed: f32,
     /// It answers nothing until then.
-    pub hangs: Time,
+    pub hangs: Nanos,
     /// It fails this part of its calls until then.
-    pub fails: (Time, f64),
+    pub fails: (Nanos, f64),
 }
 
 /// The world of a day.
@@ -76,8 +76,12 @@
             let count = dice.count(group.count);
             groups.extend(std::iter::repeat_n(group, count));
         }
-        if groups.len() > usize::from(DestId::MAX) {
-            let what = format!("{} partners are more than {}", groups.len(), DestId::MAX);
+        if groups.len() > usize::from(DestinationId::MAX) {
+            let what = format!(
+                "{} partners are more than {}",
+                groups.len(),
+                DestinationId::MAX
+            );
             return Err(Bad::Setting {
                 setting: "partners.count".into(),
                 what,
@@ -132,7 +136,7 @@
                 }
                 endpoints.push(routes.len() as u32);
                 routes.push(Route {
-                    dest: n as DestId,
+                    dest: n as DestinationId,
                     zone: ((first + at) % usize::from(zones)) as u16,
                     kind: kind as u16,
                     limit: limits.len() as u32 - 1,
@@ -187,11 +191,11 @@
     }
 
     /// Draws the partner of a message.
-    pub fn dest(&self, dice: &mut Dice) -> DestId {
+    pub fn dest(&self, dice: &mut Dice) -> DestinationId {
         let at = dice.part() * self.upto.last().copied().unwrap_or(0.0);
         self.upto
             .partition_point(|upto| *upto < at)
-            .min(self.dests.len() - 1) as DestId
+            .min(self.dests.len() - 1) as DestinationId
     }
 
     /// An endpoint's answer to a call that comes now, perhaps from one that saw it fail; nothing if
@@ -199,10 +203,10 @@
     pub fn call(
         &mut self,
         route: u32,
-        now: Time,
+        now: Nanos,
         warned: bool,
         dice: &mut Dice,
-    ) -> Option<(Said, Time, Option<f64>)> {
+    ) -> Option<(Said, Nanos, Option<f64>)> {
         let r = &self.routes[route as usize];
         if now < r.hangs {
             return None;
@@ -225,15 +229,15 @@
     }
 
     /// Whether an endpoint is out: it refuses all, answers nothing, or fails most calls.
-    pub fn is_out(&self, route: u32, now: Time) -> bool {
+    pub fn is_out(&self, route: u32, now: Nanos) -> bool {
         let r = &self.routes[route as usize];
         let fails = now < r.fails.0 && Limit::is_outage(r.fails.1);
         fails || now < r.hangs || self.limits[r.limit as usize].is_shut(now)
     }
 
     /// Partners with about this part of the traffic, in any order.
-    pub fn share(&self, dice: &mut Dice, share: f64) -> Vec<DestId> {
-        let mut order: Vec<DestId> = (0..self.dests.len() as DestId).collect();
+    pub fn share(&self, dice: &mut Dice, share: f64) -> Vec<DestinationId> {
+        let mut order: Vec<DestinationId> = (0..self.dests.len() as DestinationId).collect();
         dice.shuffle(&mut order);
         let mut left = share;
         order.retain(|dest| {
@@ -247,10 +251,10 @@
     }
 
     /// The largest partners.
-    pub fn largest(&self, count: usize) -> Vec<DestId> {
-        let mut order: Vec<DestId> = (0..self.dests.len() as DestId).collect();
+    pub fn largest(&self, count: usize) -> Vec<DestinationId> {
+        let mut order: Vec<DestinationId> = (0..self.dests.len() as DestinationId).collect();
         order.sort_by(|a, b| {
-            let part = |d: &DestId| self.dests[usize::from(*d)].part;
+            let part = |d: &DestinationId| self.dests[usize::from(*d)].part;
             part(b).total_cmp(&part(a))
         });
         order.truncate(count);
@@ -272,14 +276,14 @@
 }
 
 /// What the decision module knows an endpoint by.
-pub fn endpoint(route: u32) -> raildeal::Endpoint {
-    raildeal::Endpoint {
+pub fn endpoint(route: u32) -> raildeal::EndpointAddress {
+    raildeal::EndpointAddress {
         addr: route.to_be_bytes(),
         port: 443,
     }
 }
 
 /// And back.
-pub fn route(endpoint: raildeal::Endpoint) -> u32 {
+pub fn route(endpoint: raildeal::EndpointAddress) -> u32 {
     u32::from_be_bytes(endpoint.addr)
 }
--- a/simulator/src/zones.rs
+++ b/simulator/src/zones.rs
@@ -9,31 +9,31 @@
     lot, Counts, FromAgent, FromPerson, Grant, Listed, Seen, ToAgent, ToPerson, View, Want,
 };
 use raildeal::coordination::record::{Command, Phase, Record};
-use raildeal::Time;
+use raildeal::Nanos;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 /// A millisecond of the play's time.
-pub const MS: Time = 1_000_000;
+pub const MS: Nanos = 1_000_000;
 /// A second of it.
-pub const SECOND: Time = 1_000 * MS;
+pub const SECOND: Nanos = 1_000 * MS;
 /// Agents report this often.
-const REPORT: Time = 200 * MS;
+const REPORT: Nanos = 200 * MS;
 /// One way between agents and keepers.
-const WAY: Time = 3 * MS;
+const WAY: Nanos = 3 * MS;
 /// Until the record has what is proposed.
-const COMMIT: Time = 15 * MS;
+const COMMIT: Nanos = 15 * MS;
 /// The driver tells the leader the time this often.
-const TICK: Time = 50 * MS;
+const TICK: Nanos = 50 * MS;
 /// A call that is not answered by then timed out.
-const PATIENCE: Time = 2_500 * MS;
+const PATIENCE: Nanos = 2_500 * MS;
 /// A call that takes longer than this hangs: a few times what calls usually take.
-const HANGS: Time = 250 * MS;
+const HANGS: Nanos = 250 * MS;
 /// Granted calls are asked for so many seconds ahead, as the program's agents do; a message takes
 /// one that is there and waits for none.
 const AHEAD: f64 = 3.0;
 /// An endpoint that fell over is down for so long.
-const DOWN: Time = 5 * SECOND;
+const DOWN: Nanos = 5 * SECOND;
 /// Steps of the count of what comes to a cold endpoint.
 const STEPS: u64 = 10;
 
@@ -55,13 +55,13 @@
     /// Messages a second, over all.
     pub traffic: f64,
     /// For so long.
-    pub lasts: Time,
+    pub lasts: Nanos,
     /// The leader's rules.
     pub rules: Rules,
     /// For all that is drawn.
     pub seed: u64,
     /// What happens, in order of time.
-    pub troubles: Vec<(Time, Trouble)>,
+    pub troubles: Vec<(Nanos, Trouble)>,
 }
 
 /// How endpoints are.
@@ -111,7 +111,7 @@
 }
 
 /// When an order was in the record, of which zone, what, who is out, and why.
-pub type Ordered = (Time, String, Phase, Vec<(u16, f32)>, String);
+pub type Ordered = (Nanos, String, Phase, Vec<(u16, f32)>, String);
 
 /// What a play shows.
 #[derive(Clone, Debug, Default)]
@@ -119,9 +119,9 @@
     /// When each order was in the record, what, and why.
     pub orders: Vec<Ordered>,
     /// When the last of the senders that live and are not cut off had heard of an order, by epoch.
-    pub heard: BTreeMap<u64, Time>,
+    pub heard: BTreeMap<u64, Nanos>,
     /// When calls to a zone failed first, or were told to hang, by zone and since it was well last.
-    pub evidence: BTreeMap<String, Time>,
+    pub evidence: BTreeMap<String, Nanos>,
     /// Endpoints that fell over.
     pub toppled: u32,
     /// Calls, and those that were taken.
@@ -139,7 +139,7 @@
     /// Moments at which a destination had no route left.
     pub stranded: u32,
     /// Answers to operators.
-    pub answers: Vec<(Time, ToPerson)>,
+    pub answers: Vec<(Nanos, ToPerson)>,
     /// Commands in the record.
     pub commands: u64,
     /// Longest time that one look of the leader took, of the machine's own time.
@@ -148,7 +148,7 @@
 
 impl Played {
     /// When a zone had this order first, from a time on.
-    pub fn when(&self, zone: &str, phase: Phase, from: Time) -> Option<Time> {
+    pub fn when(&self, zone: &str, phase: Phase, from: Nanos) -> Option<Nanos> {
         self.orders
             .iter()
             .find(|(at, z, p, ..)| *at >= from && z == zone && *p == phase)
@@ -157,15 +157,15 @@
 
     /// From when a zone was back until it took nine tenths of what it did before it died, in a
     /// window of two seconds.
-    pub fn full(&self, zone: &str, dies: Time, back: Time) -> Option<Time> {
-        let tenth = |at: Time| (at / (SECOND / 10)) as usize;
+    pub fn full(&self, zone: &str, dies: Nanos, back: Nanos) -> Option<Nanos> {
+        let tenth = |at: Nanos| (at / (SECOND / 10)) as usize;
         let flow = self.flow.get(zone)?;
         let sum = |from: usize, to: usize| f64::from(flow.iter().take(to).skip(from).sum::<u32>());
         let before = sum(tenth(dies) - 40, tenth(dies)) / 2.0;
         let found =
             (tenth(back)..flow.len().saturating_sub(20)).find(|n| sum(*n, n + 20) >= 0.9 * before);
         // It does so from the middle of that window on.
-        found.map(|n| (n as Time + 10) * SECOND / 10 - back)
+        found.map(|n| (n as Nanos + 10) * SECOND / 10 - back)
     }
 
     /// Leaves that the record has.
@@ -207,8 +207,8 @@
 #[derive(Clone, Debug)]
 struct Endpoint {
     state: State,
-    back: Option<Time>,
-    down_until: Time,
+    back: Option<Nanos>,
+    down_until: Nanos,
     came: [u32; STEPS as usize],
     step: u64,
     /// Calls of this second.
@@ -227,7 +227,7 @@
 #[derive(Clone, Debug, Default)]
 struct Care {
     row: u32,
-    until: Time,
+    until: Nanos,
 }
 
 /// Calls that were granted.
@@ -237,7 +237,7 @@
     dest: u16,
     epoch: u64,
     calls: u32,
-    until: Time,
+    until: Nanos,
 }
 
 struct Sender {
@@ -247,16 +247,16 @@
     line: ConnectionId,
     open: bool,
     report: u64,
-    sent: BTreeMap<u64, Time>,
+    sent: BTreeMap<u64, Nanos>,
     has: u64,
     view: View,
     counts: BTreeMap<(usize, u16), Counts>,
-    out: Vec<(Time, usize, u16)>,
+    out: Vec<(Nanos, usize, u16)>,
     care: BTreeMap<(usize, u16), Care>,
     lent: Vec<Lent>,
     told_list: bool,
-    heard_at: Time,
-    next: Time,
+    heard_at: Nanos,
+    next: Nanos,
 }
 
 enum Event {
@@ -267,7 +267,7 @@
         boot: u64,
         zone: usize,
         dest: u16,
-        begun: Time,
+        begun: Nanos,
         came: Came,
         tries: u32,
     },
@@ -285,7 +285,7 @@
 struct World {
     plan: Plan,
     draw: Draw,
-    now: Time,
+    now: Nanos,
     events: BinaryHeap<Reverse<At<Event>>>,
     number: u64,
     senders: Vec<Sender>,
@@ -326,7 +326,7 @@
         lent: Vec::new(),
         told_list: false,
         heard_at: 0,
-        next: (draw.unit() * REPORT as f64) as Time,
+        next: (draw.unit() * REPORT as f64) as Nanos,
     });
     let senders: Vec<Sender> = senders.collect();
     let calm = Endpoint {
@@ -379,7 +379,7 @@
 }
 
 impl World {
-    fn at(&mut self, at: Time, event: Event) {
+    fn at(&mut self, at: Nanos, event: Event) {
         self.number += 1;
         self.events.push(Reverse(At(at, self.number, event)));
     }
@@ -412,7 +412,7 @@
         match event {
             Event::Message => {
                 let gap = -(1.0 - self.draw.unit()).ln() / self.traffic.max(1e-9);
-                self.at(self.now + (gap * SECOND as f64) as Time, Event::Message);
+                self.at(self.now + (gap * SECOND as f64) as Nanos, Event::Message);
                 let sender = self.draw.under(self.senders.len());
                 let dest = self.draw.under(usize::from(self.plan.dests)) as u16;
                 self.message(sender, dest, 0, None);
@@ -660,8 +660,8 @@
         self.senders[n].out.push((now, zone, dest));
         let (own, boot) = (self.senders[n].own, self.senders[n].boot);
         let e = self.draw.under(self.plan.endpoints as usize) as u32;
-        let quick = 20 * MS + (self.draw.unit() * 60.0) as Time * MS;
-        let slow = 200 * MS + (self.draw.unit() * 800.0) as Time * MS;
+        let quick = 20 * MS + (self.draw.unit() * 60.0) as Nanos * MS;
+        let slow = 200 * MS + (self.draw.unit() * 800.0) as Nanos * MS;
         let (came, took) = if self.cut.contains(&own) || self.links.contains(&(own, zone)) {
             (Came::Unconnected, 5 * MS)
         } else {
@@ -696,8 +696,8 @@
             return State::Down;
         }
         let (warm, long) = (
-            Time::from(rules.warm_after_ms) * MS,
-            Time::from(rules.overload_for_ms) * MS,
+            Nanos::from(rules.warm_after_ms) * MS,
+            Nanos::from(rules.overload_for_ms) * MS,
         );
         let cold = endpoint.back.filter(|back| now < back + warm && long > 0);
         if let Some(back) = cold.filter(|_| endpoint.state == State::Well) {
@@ -738,7 +738,7 @@
         (n, boot): (usize, u64),
         zone: usize,
         dest: u16,
-        begun: Time,
+        begun: Nanos,
         came: Came,
         tries: u32,
     ) {
@@ -897,7 +897,7 @@
                     .copied()
                     .unwrap_or(0);
                 let stands = self.is_out(n, zone, grant.dest) == Some((grant.epoch, true));
-                let until = sent + Time::from(grant.within_ms) * MS;
+                let until = sent + Nanos::from(grant.within_ms) * MS;
                 if stands && now < until {
                     let Grant {
                         dest, epoch, calls, ..
--- a/simulator/tests/days.rs
+++ b/simulator/tests/days.rs
@@ -1,6 +1,6 @@
 //! Days replay, rules hold on them, and each checker notices a sender that was broken for it.
 
-use raildeal::Time;
+use raildeal::Nanos;
 use raildeal_simulator::day::Day;
 use raildeal_simulator::done::Done;
 use raildeal_simulator::log::{Fact, See};
@@ -22,10 +22,10 @@
 
 /// What is due and when.
 #[derive(Default)]
-struct Due(Vec<(Time, u32, u16)>);
+struct Due(Vec<(Nanos, u32, u16)>);
 
 impl See for Due {
-    fn see(&mut self, now: Time, fact: &Fact) {
+    fn see(&mut self, now: Nanos, fact: &Fact) {
         if let Fact::Due { message, dest, .. } = fact {
             self.0.push((now, *message, *dest));
         }
--- a/src/agent/call_statistics.rs
+++ b/src/agent/call_statistics.rs
@@ -2,9 +2,9 @@
 //! clock.
 
 use crate::coordination::messages::{Counts, Health, Seen};
-use crate::delivery::Life;
+use crate::delivery::LifecycleEvent;
 use crate::dispatch::state::{secs, to_secs, Meter, MS};
-use crate::{Outcome, Time};
+use crate::{Nanos, Outcome};
 use std::collections::BTreeMap;
 
 /// Zones and destinations that are counted: with names of [`NAME`] bytes all of them fit one word,
@@ -17,7 +17,7 @@
 pub const NAME: usize = 64;
 /// A call hangs once it is out for longer than this, two reports, and than so many times what calls
 /// usually take there. Who judges zones waits for a silence besides.
-const HANGS: (Time, f64) = (400 * MS, 4.0);
+const HANGS: (Nanos, f64) = (400 * MS, 4.0);
 /// What calls are taken to need before one has ended anywhere, in seconds, and the weight of the
 /// newest where there are many.
 const USUAL: (f64, f64) = (0.4, 0.1);
@@ -54,7 +54,7 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     groups: BTreeMap<(String, u16), Tally>,
-    out: BTreeMap<u64, ((String, u16), Time)>,
+    out: BTreeMap<u64, ((String, u16), Nanos)>,
     rates: BTreeMap<u16, Meter>,
     /// What calls take anywhere: for where none has ended yet, as few of one sender go to each zone
     /// and destination.
@@ -66,7 +66,7 @@
 
 impl Ledger {
     /// This became of a message. Its owner tells each end once.
-    pub fn life(&mut self, policy: u64, class: &str, tenant: u16, life: Life) {
+    pub fn life(&mut self, policy: u64, class: &str, tenant: u16, life: LifecycleEvent) {
         let group = (policy, class.to_string(), tenant);
         if class.len() > NAME || self.fates.len() >= FATES && !self.fates.contains_key(&group) {
             return;
@@ -79,12 +79,12 @@
         };
         let health = self.fates.entry(group).or_insert_with(fresh);
         let count = match life {
-            Life::TurnedAway => &mut health.turned_away,
-            Life::Taken => &mut health.taken,
-            Life::Delivered => &mut health.delivered,
-            Life::Late => &mut health.late,
-            Life::Refused => &mut health.refused,
-            Life::Failed => &mut health.failed,
+            LifecycleEvent::TurnedAway => &mut health.turned_away,
+            LifecycleEvent::Taken => &mut health.taken,
+            LifecycleEvent::Delivered => &mut health.delivered,
+            LifecycleEvent::Late => &mut health.late,
+            LifecycleEvent::Refused => &mut health.refused,
+            LifecycleEvent::Failed => &mut health.failed,
         };
         *count = count.saturating_add(1);
     }
@@ -95,7 +95,7 @@
     }
 
     /// A call is out to a zone and destination. Its name is for [`Ledger::back`].
-    pub fn out(&mut self, now: Time, zone: &str, dest: u16) -> u64 {
+    pub fn out(&mut self, now: Nanos, zone: &str, dest: u16) -> u64 {
         self.next += 1;
         self.out.insert(self.next, ((zone.to_string(), dest), now));
         if self.rates.len() >= GROUPS && !self.rates.contains_key(&dest) {
@@ -114,28 +114,28 @@
     }
 
     /// A call there ended so. What was called off or never sent counts for nothing.
-    pub fn ended(&mut self, zone: &str, dest: u16, outcome: Outcome, took: Time) {
+    pub fn ended(&mut self, zone: &str, dest: u16, outcome: Outcome, took: Nanos) {
         let Some(tally) = self.tally(zone, dest) else {
             return;
         };
         let counts = &mut tally.counts;
         let count = match outcome {
-            Outcome::Ok => &mut counts.ok,
-            Outcome::Full { .. } => &mut counts.refused,
+            Outcome::Delivered => &mut counts.ok,
+            Outcome::Rejected { .. } => &mut counts.refused,
             Outcome::Error | Outcome::Reset => &mut counts.failed,
             Outcome::Timeout => &mut counts.late,
             Outcome::ConnectFailed => &mut counts.unconnected,
-            Outcome::Cancelled | Outcome::Moot => return,
+            Outcome::Cancelled | Outcome::NotSent => return,
         };
         *count = count.saturating_add(1);
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Delivered {
             tally.usual.learn(to_secs(took));
             self.usual.learn(to_secs(took));
         }
     }
 
     /// Takes what was counted since it was last taken, and how many calls hang now.
-    pub fn take(&mut self, now: Time) -> Vec<Seen> {
+    pub fn take(&mut self, now: Nanos) -> Vec<Seen> {
         let mut hanging: BTreeMap<(String, u16), u32> = BTreeMap::new();
         for (group, since) in self.out.values() {
             let usual = self
@@ -170,7 +170,7 @@
     }
 
     /// Calls a second that a destination gets of this sender.
-    pub fn rate(&self, now: Time, dest: u16) -> f64 {
+    pub fn rate(&self, now: Nanos, dest: u16) -> f64 {
         self.rates.get(&dest).map_or(0.0, |r| r.rate(now))
     }
 
--- a/src/agent/call_statistics/tests.rs
+++ b/src/agent/call_statistics/tests.rs
@@ -33,7 +33,7 @@
         })
     );
     assert_eq!(ledger.take(3 * SEC), []);
-    ledger.ended("a", 1, Outcome::Moot, 0);
+    ledger.ended("a", 1, Outcome::NotSent, 0);
     assert_eq!(ledger.take(3 * SEC), []);
 }
 
@@ -47,7 +47,7 @@
             .map(|s| s.counts.hanging)
             .sum::<u32>()
     };
-    ledger.ended("a", 1, Outcome::Ok, 50 * MS);
+    ledger.ended("a", 1, Outcome::Delivered, 50 * MS);
     let quick = ledger.out(SEC, "b", 2);
     assert_eq!(
         (hang(&mut ledger, 1_400 * MS), hang(&mut ledger, 1_401 * MS)),
@@ -55,7 +55,7 @@
     );
     ledger.back(quick);
     // One answer tells that this one is slow, whatever others are.
-    ledger.ended("b", 3, Outcome::Ok, 500 * MS);
+    ledger.ended("b", 3, Outcome::Delivered, 500 * MS);
     ledger.out(2 * SEC, "b", 3);
     assert_eq!(
         (hang(&mut ledger, 4 * SEC), hang(&mut ledger, 4_001 * MS)),
@@ -67,14 +67,14 @@
 fn the_table_is_bounded_and_loses_nothing_that_is_untold() {
     let mut ledger = Ledger::default();
     for dest in 0..3_000 {
-        ledger.ended("a", dest, Outcome::Ok, SEC);
+        ledger.ended("a", dest, Outcome::Delivered, SEC);
     }
-    ledger.ended(&"z".repeat(NAME + 1), 1, Outcome::Ok, SEC);
+    ledger.ended(&"z".repeat(NAME + 1), 1, Outcome::Delivered, SEC);
     let seen = ledger.take(0);
     assert_eq!(
         (seen.len(), seen.iter().map(|s| s.counts.ok).sum::<u32>()),
         (GROUPS, GROUPS as u32)
     );
-    ledger.ended("b", 1, Outcome::Ok, SEC);
+    ledger.ended("b", 1, Outcome::Delivered, SEC);
     assert_eq!(ledger.take(0).len(), 1, "there is room again");
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -15,14 +15,14 @@
 use crate::coordination::framing::{self, Broken};
 use crate::coordination::messages::{FromAgent, Hello, Listed, Print, ToAgent, Who, MOST, VERSION};
 use crate::delivery::admission::Door;
-use crate::delivery::endpoint_directory::Provider;
+use crate::delivery::endpoint_directory::Endpoint;
 use crate::delivery::evacuation::{Lease, Order};
-use crate::delivery::message::House;
+use crate::delivery::message::DeliveryContext;
 use crate::delivery::policies::Terms as Policies;
 use crate::delivery::routing_tables::Tables;
-use crate::delivery::timer_wheel::Wheel;
-use crate::delivery::{span, Life, Witness};
-use crate::{Outcome, Time};
+use crate::delivery::timer_wheel::TimerWheel;
+use crate::delivery::{span, DeliveryObserver, LifecycleEvent};
+use crate::{Nanos, Outcome};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -67,9 +67,9 @@
     /// Drawn for this process.
     pub seed: u64,
     /// What was left and is ordered no more comes back over this time.
-    pub warm_after: Time,
+    pub warm_after: Nanos,
     /// The house: its desk, its list, its timers, what it takes messages on under.
-    pub house: Rc<House>,
+    pub house: Rc<DeliveryContext>,
     /// The policies that are written down, where it follows them.
     pub policies: Option<Shelf<Policies>>,
     /// The same of routing tables.
@@ -124,8 +124,8 @@
 /// What the desk tells of calls.
 struct Eye(Rc<Agent>);
 
-impl Witness for Eye {
-    fn out(&self, provider: &Rc<Provider>) -> Box<dyn Any> {
+impl DeliveryObserver for Eye {
+    fn out(&self, provider: &Rc<Endpoint>) -> Box<dyn Any> {
         let (now, entry) = (self.0.now(), &provider.entry);
         let name = self
             .0
@@ -139,8 +139,8 @@
         })
     }
 
-    fn ended(&self, provider: &Provider, outcome: Outcome, took: Duration) {
-        let (entry, took) = (&provider.entry, took.as_nanos() as Time);
+    fn ended(&self, provider: &Endpoint, outcome: Outcome, took: Duration) {
+        let (entry, took) = (&provider.entry, took.as_nanos() as Nanos);
         self.0
             .machine
             .borrow_mut()
@@ -148,7 +148,7 @@
             .ended(&entry.zone, entry.dest, outcome, took);
     }
 
-    fn life(&self, policy: u64, class: u16, tenant: u16, life: Life) {
+    fn life(&self, policy: u64, class: u16, tenant: u16, life: LifecycleEvent) {
         let class = self
             .0
             .parts
@@ -173,7 +173,7 @@
             boot: parts.seed,
             zone: file.zone.clone(),
             keepers: file.keepers.keys().copied().collect(),
-            report: file.report.as_nanos() as Time,
+            report: file.report.as_nanos() as Nanos,
             warm_after: parts.warm_after,
         };
         let last = (
@@ -259,11 +259,11 @@
         self.parts.house.wheel.limit(LAST_WORD, written).await;
     }
 
-    fn now(&self) -> Time {
-        self.start.elapsed().as_nanos() as Time
+    fn now(&self) -> Nanos {
+        self.start.elapsed().as_nanos() as Nanos
     }
 
-    fn at(&self, time: Time) -> Instant {
+    fn at(&self, time: Nanos) -> Instant {
         self.start + span(time)
     }
 
@@ -534,7 +534,7 @@
     line: u64,
     said: Receiver<FromAgent>,
     heard: &Sender<Named>,
-    wheel: &Rc<Wheel>,
+    wheel: &Rc<TimerWheel>,
 ) -> Result<(), Broken> {
     let connected = wheel.limit(CONNECT, Async::<TcpStream>::connect(at)).await;
     let stream = connected.ok_or(io::Error::from(io::ErrorKind::TimedOut))??;
--- a/src/agent/register.rs
+++ b/src/agent/register.rs
@@ -14,7 +14,7 @@
 //! lease, and what it takes on under is written down.
 
 use crate::coordination::messages::{Print, Stance, ToSender};
-use crate::Time;
+use crate::Nanos;
 use std::collections::BTreeMap;
 
 /// Texts that are checked at once; what is offered beside them is offered again.
@@ -82,7 +82,7 @@
         /// Under this.
         number: u64,
         /// Until when.
-        until: Option<Time>,
+        until: Option<Nanos>,
     },
     /// Nobody, for a moment.
     Paused,
@@ -263,7 +263,7 @@
 
     /// Orders what follows from what was heard and from the lease, which is believed until then if
     /// there is one.
-    pub fn settle(&mut self, now: Time, lease: Option<Time>, out: &mut Vec<Out>) {
+    pub fn settle(&mut self, now: Nanos, lease: Option<Nanos>, out: &mut Vec<Out>) {
         let holds = lease.filter(|until| now < *until);
         self.held |= holds.is_some();
         let rule = self.rule.filter(|_| self.sure && holds.is_some());
--- a/src/agent/session.rs
+++ b/src/agent/session.rs
@@ -22,7 +22,7 @@
     View, Want, ZoneOrder,
 };
 use crate::dispatch::state::{secs, Random, MS, SEC};
-use crate::Time;
+use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Part of a lease that is believed: both clocks may be 1 % off.
@@ -31,14 +31,14 @@
 /// is alone, whatever it was told.
 const LEASE_MOST: u32 = 60_000;
 /// A sender that starts is told to be alone where nobody has answered for so long.
-const START: Time = 3 * SEC;
+const START: Nanos = 3 * SEC;
 /// A keeper that has not answered for so long, or for so many reports, is given up.
-const SILENT: (Time, u64) = (SEC, 4);
+const SILENT: (Nanos, u64) = (SEC, 4);
 /// First and longest wait after a keeper that could not be asked; it doubles with each failure in a
 /// row, and half of it is drawn.
-const AGAIN: (Time, Time) = (100 * MS, 2 * SEC);
+const AGAIN: (Nanos, Nanos) = (100 * MS, 2 * SEC);
 /// Two words of a leader, or of a session that is not known, are followed within this time, drawn.
-const HOP: Time = 20 * MS;
+const HOP: Nanos = 20 * MS;
 /// Reports of which it is known when they were sent.
 const SENT: usize = 32;
 /// Zones of which it is known what was ordered last.
@@ -62,9 +62,9 @@
     /// Numbers of the keepers, one at least.
     pub keepers: Vec<u64>,
     /// Between two reports.
-    pub report: Time,
+    pub report: Nanos,
     /// What was left and is ordered no more comes back over this time.
-    pub warm_after: Time,
+    pub warm_after: Nanos,
 }
 
 /// Leaves a destination's endpoints in a zone aside.
@@ -77,7 +77,7 @@
     /// The order; 0 where nobody orders it any more.
     pub epoch: u64,
     /// When it ends by itself, if it does.
-    pub until: Option<Time>,
+    pub until: Option<Nanos>,
 }
 
 /// What is to be done, in this order.
@@ -108,7 +108,7 @@
         /// How many.
         calls: u32,
         /// By when they have to be begun.
-        until: Time,
+        until: Nanos,
     },
     /// Check this and write it down; [`Machine::checked`] says what came of it.
     Check {
@@ -137,7 +137,7 @@
         /// By this routing table, where it follows any.
         table: Option<u64>,
         /// Until when.
-        until: Option<Time>,
+        until: Option<Nanos>,
     },
     /// Nobody, for a moment.
     Paused,
@@ -210,9 +210,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Line {
     /// Nobody, until then.
-    None(Time),
+    None(Nanos),
     /// A keeper that has not answered, since then.
-    Asked(Time),
+    Asked(Nanos),
     /// A keeper that has renewed.
     Session,
 }
@@ -221,7 +221,7 @@
 #[derive(Debug)]
 struct Sent {
     number: u64,
-    first: Time,
+    first: Nanos,
     /// The connections that it was sent on: its grants come by these alone, whatever another
     /// process was granted.
     lines: (u64, u64),
@@ -235,7 +235,7 @@
     seen: Vec<Seen>,
     health: Vec<Health>,
     /// When it was sent on the connection that stands, if it was.
-    sent: Option<Time>,
+    sent: Option<Nanos>,
 }
 
 /// One agent.
@@ -243,7 +243,7 @@
 pub struct Machine {
     terms: Terms,
     random: Random,
-    start: Time,
+    start: Nanos,
     /// What calls came to.
     pub ledger: Ledger,
     /// What messages are taken on under, where it follows policies.
@@ -258,13 +258,13 @@
     line: Line,
     lines: u64,
     /// When the connection that stands was asked for.
-    opened: Time,
+    opened: Nanos,
     /// Failures in a row, and how often it was sent on to another keeper since the last session.
     failures: u32,
     hops: u32,
-    lease: Option<Time>,
+    lease: Option<Nanos>,
     /// It goes by its own calls, since then.
-    alone: Option<Time>,
+    alone: Option<Nanos>,
     told_alone: bool,
     /// On this connection the record was told, or known to be as it is here.
     current: bool,
@@ -273,7 +273,7 @@
     obeyed: Vec<(String, u64, bool)>,
     epochs: BTreeMap<String, u64>,
     reports: u64,
-    reported: Time,
+    reported: Nanos,
     pending: Option<Pending>,
     sent: VecDeque<Sent>,
     listed: Vec<Listed>,
@@ -283,7 +283,7 @@
 
 impl Machine {
     /// An agent that starts. The seed keeps it out of step with others.
-    pub fn new(terms: Terms, seed: u64, now: Time) -> Machine {
+    pub fn new(terms: Terms, seed: u64, now: Nanos) -> Machine {
         let mut random = Random::new(seed);
         let keeper = (random.draw() * terms.keepers.len() as f64) as usize;
         let first = now + secs(random.draw() * crate::dispatch::state::to_secs(terms.report));
@@ -357,11 +357,11 @@
         if self.line == Line::Session {
             out.push(Out::Say(FromAgent::Leave));
         }
-        self.line = Line::None(Time::MAX);
+        self.line = Line::None(Nanos::MAX);
     }
 
     /// When it has to be asked again, at the latest.
-    pub fn next(&self) -> Time {
+    pub fn next(&self) -> Nanos {
         let line = match self.line {
             Line::None(at) => at,
             Line::Asked(since) => since + self.silent(),
@@ -379,12 +379,12 @@
                 .any(Register::holds);
         let lapse = self.lease.filter(|_| counts);
         let start = (self.alone.is_some() && !self.told_alone).then_some(self.start + START);
-        line.min(lapse.unwrap_or(Time::MAX))
-            .min(start.unwrap_or(Time::MAX))
+        line.min(lapse.unwrap_or(Nanos::MAX))
+            .min(start.unwrap_or(Nanos::MAX))
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Time, needs: &dyn Needs, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: Nanos, needs: &dyn Needs, out: &mut Vec<Out>) {
         self.look(now, out);
         self.go_on(now, needs, out);
         self.settle(now, out);
@@ -392,7 +392,7 @@
 
     /// Sees before all else whether the lease has lapsed: the register is then heard anew on
     /// another connection, whatever the one that stands still brings.
-    fn look(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn look(&mut self, now: Nanos, out: &mut Vec<Out>) {
         let holds = self.holds(now);
         // Each of them is to see it.
         let lapsed = self
@@ -415,7 +415,7 @@
     /// What came of a check: it is written down, or cannot be gone by.
     pub fn checked(
         &mut self,
-        now: Time,
+        now: Nanos,
         kind: Kind,
         number: u64,
         result: Result<(), String>,
@@ -437,7 +437,7 @@
 
     /// Does what the registers say by the lease as it stands: the door first, then what is said of
     /// it.
-    fn settle(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn settle(&mut self, now: Nanos, out: &mut Vec<Out>) {
         let lease = self.lease;
         let mut said = Vec::new();
         for kind in [Kind::Policy, Kind::Table] {
@@ -486,7 +486,7 @@
         }));
     }
 
-    fn go_on(&mut self, now: Time, needs: &dyn Needs, out: &mut Vec<Out>) {
+    fn go_on(&mut self, now: Nanos, needs: &dyn Needs, out: &mut Vec<Out>) {
         if self.alone.is_none() && !self.holds(now) {
             (self.alone, self.told_alone) = (Some(now), false);
             self.obeyed.clear();
@@ -519,14 +519,14 @@
     }
 
     /// The connection of that name is gone.
-    pub fn lost(&mut self, now: Time, line: u64) {
+    pub fn lost(&mut self, now: Nanos, line: u64) {
         if line == self.lines && !matches!(self.line, Line::None(_)) {
             self.next_keeper(now);
         }
     }
 
     /// A keeper said something on the connection of that name.
-    pub fn hear(&mut self, now: Time, line: u64, word: ToAgent, out: &mut Vec<Out>) {
+    pub fn hear(&mut self, now: Nanos, line: u64, word: ToAgent, out: &mut Vec<Out>) {
         self.look(now, out);
         if line == self.lines && !matches!(self.line, Line::None(_)) {
             self.take_in(now, line, word, out);
@@ -534,7 +534,7 @@
         self.settle(now, out);
     }
 
-    fn take_in(&mut self, now: Time, line: u64, word: ToAgent, out: &mut Vec<Out>) {
+    fn take_in(&mut self, now: Nanos, line: u64, word: ToAgent, out: &mut Vec<Out>) {
         match word {
             ToAgent::Elsewhere(leader) => {
                 let known = leader.and_then(|l| self.terms.keepers.iter().position(|k| *k == l));
@@ -592,7 +592,7 @@
     }
 
     /// Whether it holds a lease.
-    pub fn holds(&self, now: Time) -> bool {
+    pub fn holds(&self, now: Nanos) -> bool {
         self.lease.is_some_and(|until| now < until)
     }
 
@@ -606,11 +606,11 @@
         self.view.version
     }
 
-    fn silent(&self) -> Time {
+    fn silent(&self) -> Nanos {
         SILENT.0.max(SILENT.1 * self.terms.report)
     }
 
-    fn open(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn open(&mut self, now: Nanos, out: &mut Vec<Out>) {
         if !self.holds(now) {
             self.registers().for_each(Register::begins);
         }
@@ -651,30 +651,30 @@
 
     /// Hangs up and asks another keeper at once, or the same one anew, unless that goes round and
     /// round.
-    fn hop(&mut self, now: Time, keeper: usize, out: &mut Vec<Out>) {
+    fn hop(&mut self, now: Nanos, keeper: usize, out: &mut Vec<Out>) {
         self.hops += 1;
         if self.hops as usize > self.terms.keepers.len() + 1 {
             return self.give_up(now, out);
         }
         out.push(Out::HangUp);
         self.keeper = keeper;
-        self.line = Line::None(now + (self.random.draw() * HOP as f64) as Time);
+        self.line = Line::None(now + (self.random.draw() * HOP as f64) as Nanos);
     }
 
-    fn give_up(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn give_up(&mut self, now: Nanos, out: &mut Vec<Out>) {
         out.push(Out::HangUp);
         self.next_keeper(now);
     }
 
-    fn next_keeper(&mut self, now: Time) {
+    fn next_keeper(&mut self, now: Nanos) {
         self.keeper = (self.keeper + 1) % self.terms.keepers.len();
         self.hops = 0;
         let wait = (AGAIN.0 << self.failures.min(8)).min(AGAIN.1) as f64;
         self.failures = self.failures.saturating_add(1);
-        self.line = Line::None(now + (wait * (0.5 + 0.5 * self.random.draw())) as Time);
+        self.line = Line::None(now + (wait * (0.5 + 0.5 * self.random.draw())) as Nanos);
     }
 
-    fn tell(&mut self, now: Time, needs: &dyn Needs, out: &mut Vec<Out>) {
+    fn tell(&mut self, now: Nanos, needs: &dyn Needs, out: &mut Vec<Out>) {
         let pending = match self.pending.take() {
             // What was not answered goes as it was: what has happened since is told with the next
             // one.
@@ -726,7 +726,7 @@
     /// Calls that could go where only calls that are lent may: what waits and what usually comes,
     /// less what is lent already. Of many senders that a message reaches now and then few ask at a
     /// time, by lot, and leave the budget to those where some wait.
-    fn wants(&mut self, now: Time, needs: &dyn Needs) -> Vec<Want> {
+    fn wants(&mut self, now: Nanos, needs: &dyn Needs) -> Vec<Want> {
         let draw = self.random.draw();
         let returning = self
             .view
@@ -748,7 +748,7 @@
         wants.filter(|w| w.calls > 0).take(GROUPS).collect()
     }
 
-    fn renewed(&mut self, now: Time, report: u64, lease_ms: u32, out: &mut Vec<Out>) {
+    fn renewed(&mut self, now: Nanos, report: u64, lease_ms: u32, out: &mut Vec<Out>) {
         let asked = match report {
             0 => Some(self.opened),
             n => self.sent.iter().find(|s| s.number == n).map(|s| s.first),
@@ -761,7 +761,7 @@
         {
             self.pending = None;
         }
-        let lease = asked + (f64::from(lease_ms.min(LEASE_MOST)) * BELIEVED * MS as f64) as Time;
+        let lease = asked + (f64::from(lease_ms.min(LEASE_MOST)) * BELIEVED * MS as f64) as Nanos;
         self.lease = self.lease.max(Some(lease));
         if self.line != Line::Session {
             (self.line, self.failures, self.hops) = (Line::Session, 0, 0);
@@ -777,14 +777,14 @@
     }
 
     /// Goes by the record again, where it has a lease and knows that its record is no old one.
-    fn join(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn join(&mut self, now: Nanos, out: &mut Vec<Out>) {
         if self.alone.is_some() && self.current && self.line == Line::Session && self.holds(now) {
             self.alone = None;
             self.obey(now, out);
         }
     }
 
-    fn follow(&mut self, now: Time, mut view: View, out: &mut Vec<Out>) {
+    fn follow(&mut self, now: Nanos, mut view: View, out: &mut Vec<Out>) {
         if view.version <= self.view.version {
             return;
         }
@@ -813,7 +813,7 @@
     }
 
     /// Goes by what is ordered, and tells what is new of it.
-    fn obey(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn obey(&mut self, now: Nanos, out: &mut Vec<Out>) {
         for (zone, epoch, _) in self
             .obeyed
             .iter()
@@ -843,7 +843,7 @@
         out.push(Out::Stand(self.orders(now)));
     }
 
-    fn granted(&mut self, now: Time, line: u64, grant: Grant, out: &mut Vec<Out>) {
+    fn granted(&mut self, now: Nanos, line: u64, grant: Grant, out: &mut Vec<Out>) {
         let Grant {
             report,
             zone,
@@ -864,7 +864,7 @@
             return;
         };
         let until =
-            sent.first + (f64::from(within_ms.min(LEASE_MOST)) * BELIEVED * MS as f64) as Time;
+            sent.first + (f64::from(within_ms.min(LEASE_MOST)) * BELIEVED * MS as f64) as Nanos;
         // What comes twice was granted once.
         if now < until && sent.granted.insert((zone.clone(), dest)) {
             out.push(Out::Lend {
@@ -887,7 +887,7 @@
     }
 
     /// What is left aside, as things stand.
-    fn orders(&self, now: Time) -> Vec<Aside> {
+    fn orders(&self, now: Nanos) -> Vec<Aside> {
         let mut orders: BTreeMap<(String, u16), Aside> = BTreeMap::new();
         for order in &self.view.zones {
             for (dest, part) in self.ours(order) {
@@ -897,7 +897,7 @@
                 let over = f64::from(own) * self.terms.warm_after.max(SEC) as f64;
                 let (epoch, until) = match self.alone {
                     None => (order.epoch, None),
-                    Some(since) => (0, Some(since + over as Time)),
+                    Some(since) => (0, Some(since + over as Nanos)),
                 };
                 if until.is_none_or(|until| now < until) {
                     orders.insert(
--- a/src/bin/raildeal-drill/frame.rs
+++ b/src/bin/raildeal-drill/frame.rs
@@ -1,6 +1,6 @@
 //! Codec of the wire: big-endian frames in, big-endian replies out. No decision is made here.
 
-use raildeal::{Condition, Endpoint, Listing, Message, Outcome};
+use raildeal::{Condition, EndpointAddress, Listing, Message, Outcome};
 use std::fmt;
 
 /// Longest frame taken; a batch may be megabytes, never gigabytes.
@@ -51,7 +51,7 @@
     Vanished(u32),
     Exit,
     StatusBack {
-        endpoint: Endpoint,
+        endpoint: EndpointAddress,
         outcome: Outcome,
         report: Vec<f32>,
     },
@@ -136,8 +136,8 @@
         Ok(f32::from_be_bytes(self.array()?))
     }
 
-    fn endpoint(&mut self) -> Result<Endpoint, WireError> {
-        Ok(Endpoint {
+    fn endpoint(&mut self) -> Result<EndpointAddress, WireError> {
+        Ok(EndpointAddress {
             addr: self.array()?,
             port: self.u16()?,
         })
@@ -150,16 +150,16 @@
 
     fn outcome(&mut self, code: u8, note: u32) -> Result<Outcome, WireError> {
         Ok(match code {
-            0 => Outcome::Ok,
+            0 => Outcome::Delivered,
             1 => Outcome::Error,
-            2 => Outcome::Full {
+            2 => Outcome::Rejected {
                 wait: u64::from(note) * NANOS_PER_MILLI,
             },
             3 => Outcome::Timeout,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
             6 => Outcome::Cancelled,
-            7 => Outcome::Moot,
+            7 => Outcome::NotSent,
             _ => return self.err(format_args!("unknown outcome {code}")),
         })
     }
@@ -321,7 +321,7 @@
         Writer { out, relay: None }
     }
 
-    fn endpoint(&mut self, e: Endpoint) {
+    fn endpoint(&mut self, e: EndpointAddress) {
         self.out.extend(e.addr);
         self.out.extend(e.port.to_be_bytes());
     }
--- a/src/bin/raildeal-drill/main.rs
+++ b/src/bin/raildeal-drill/main.rs
@@ -5,13 +5,13 @@
 
 use frame::{body_len, Reader, Record, WireError, Writer};
 use raildeal::config::platform_settings;
-use raildeal::{Event, Listing, Relay, Time};
+use raildeal::{Dispatcher, Event, Listing, Nanos};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind, Read, Write};
 
 #[derive(Default)]
 struct Host {
-    relays: BTreeMap<u16, Relay>,
+    relays: BTreeMap<u16, Dispatcher>,
     lists: BTreeMap<u16, Vec<Listing>>,
     pending: BTreeMap<u16, Vec<Event>>,
 }
@@ -40,7 +40,7 @@
                     let n = at.ok_or_else(|| fault("BORN before any INSTANCE".into()))?;
                     let settings = platform_settings::from_lines(env)
                         .map_err(|e| fault(format!("BORN: {e}")))?;
-                    let relay = Relay::new(settings.settings, seed)
+                    let relay = Dispatcher::new(settings.settings, seed)
                         .map_err(|e| fault(format!("BORN: {e}")))?;
                     self.relays.insert(n, relay);
                     self.pending.insert(n, Vec::new());
@@ -104,7 +104,7 @@
         Ok(self.decide(now, seq))
     }
 
-    fn decide(&mut self, now: Time, seq: [u8; 4]) -> Vec<u8> {
+    fn decide(&mut self, now: Nanos, seq: [u8; 4]) -> Vec<u8> {
         let mut writer = Writer::new(seq);
         let mut actions = Vec::new();
         for (n, events) in std::mem::take(&mut self.pending) {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -187,7 +187,7 @@
     let faults = match Config::from_toml(&text) {
         Ok(config) => {
             let mut faults = config.faults_of_files();
-            let module = raildeal::Relay::new(config.deployment.settings.clone(), config.seed);
+            let module = raildeal::Dispatcher::new(config.deployment.settings.clone(), config.seed);
             faults.extend(module.err().map(|e| e.to_string()));
             faults
         }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -13,7 +13,7 @@
 use crate::net::connection_listener::WhenFull;
 use crate::net::dns::server::Zones;
 use crate::net::platform::list;
-use crate::{Bounds, Condition, DestId, Settings};
+use crate::{Bounds, Condition, DestinationId, Settings};
 use data_encoding::BASE64;
 use hickory_proto::dnssec::rdata::tsig::TsigAlgorithm;
 use hickory_proto::dnssec::tsig::TSigner;
@@ -433,7 +433,7 @@
 struct FileProvider {
     uid: String,
     address: SocketAddr,
-    dest: DestId,
+    dest: DestinationId,
     #[serde(default)]
     zone: String,
     #[serde(default)]
--- a/src/config/platform_settings.rs
+++ b/src/config/platform_settings.rs
@@ -2,7 +2,7 @@
 //! JSON with the same names. Unknown keys are skipped; no decision is made here.
 
 use crate::{
-    Class, Decay, DedupScope, Effect, Kind, ListedRates, Settings, Tenant, Time, NO_TENANT,
+    Class, Decay, DedupScope, Effect, Kind, ListedRates, Nanos, Settings, Tenant, NO_TENANT,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
     /// Names of the zones.
     pub zones: Vec<String>,
     /// A connection not made within this time is given up.
-    pub connect_timeout: Time,
+    pub connect_timeout: Nanos,
 }
 
 /// Names of the tenants, by position.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -28,7 +28,7 @@
 use crate::coordination::zones::ms;
 use crate::coordination::zones::recovery_ramp::Cold;
 use crate::coordination::zones::spare_capacity::Lists;
-use crate::Time;
+use crate::Nanos;
 
 use orders::policy;
 use sessions::view;
@@ -45,10 +45,10 @@
 pub use rules::Rules;
 
 /// Zones are judged this often.
-const LOOK: Time = 100_000_000;
+const LOOK: Nanos = 100_000_000;
 /// What is proposed and does not come within this time may be proposed again: ten times what a slow
 /// disk takes.
-const AGAIN: Time = 1_000_000_000;
+const AGAIN: Nanos = 1_000_000_000;
 /// What a person hears whose order the record did not have in five times that.
 const UNAGREED: &str = "the keepers did not agree in 5 s; look at the status and say it again";
 
@@ -73,14 +73,14 @@
     id: u32,
     boot: u64,
     connection: Option<ConnectionId>,
-    until: Time,
+    until: Nanos,
     /// The highest report that was counted.
     report: u64,
     /// A word that is not answered yet, as the leader is not sure of itself.
     owed: Option<u64>,
     has: u64,
     /// The version of the last view that was said over this connection, and when.
-    told: (u64, Time),
+    told: (u64, Nanos),
     /// Its lapse is proposed.
     lapsing: bool,
 }
@@ -90,7 +90,7 @@
     boot: u64,
     connection: ConnectionId,
     has: u64,
-    at: Time,
+    at: Nanos,
     stored: Option<Vec<(u64, Print)>>,
     /// Routing tables that it has, once it has said so.
     tables: Option<Vec<(u64, Print)>>,
@@ -103,7 +103,7 @@
 struct PendingTableOrder {
     connection: ConnectionId,
     command: federation::Command,
-    at: Time,
+    at: Nanos,
 }
 
 /// An order on policies that is not in the record yet.
@@ -114,7 +114,7 @@
     /// The turn that it was proposed on, and as what.
     base: u64,
     change: Change,
-    at: Time,
+    at: Nanos,
 }
 
 /// The leader of one term.
@@ -126,7 +126,7 @@
     names: BTreeMap<u32, String>,
     connections: BTreeMap<ConnectionId, String>,
     joining: BTreeMap<String, Joining>,
-    pending_orders: VecDeque<(ConnectionId, Command, Time)>,
+    pending_orders: VecDeque<(ConnectionId, Command, Nanos)>,
     pending_policy_orders: Vec<PendingPolicyOrder>,
     pending_table_orders: Vec<PendingTableOrder>,
     roll: Roll,
@@ -138,21 +138,21 @@
     cold: Cold,
     verdicts: BTreeMap<String, Verdict>,
     /// The decision that is out: the epoch it was based on, and when it was proposed.
-    deciding: Option<(u64, Time)>,
+    deciding: Option<(u64, Nanos)>,
     next_id: u32,
-    looked: Time,
-    beats: VecDeque<(u64, Time)>,
+    looked: Nanos,
+    beats: VecDeque<(u64, Nanos)>,
     beat: u64,
-    counted: Time,
+    counted: Nanos,
     /// Nobody here knows for how long nobody counted before this term.
     unknown_gap: bool,
-    sure_until: Time,
+    sure_until: Nanos,
 }
 
 impl LeaderDuties {
     /// Begins with nothing but the record. Leases that an earlier term gave may still run: all of
     /// them count as renewed now.
-    pub fn new(rules: Rules, term: u64, now: Time, record: &Record) -> LeaderDuties {
+    pub fn new(rules: Rules, term: u64, now: Nanos, record: &Record) -> LeaderDuties {
         let mut duties = LeaderDuties {
             term,
             sessions: BTreeMap::new(),
@@ -189,7 +189,7 @@
 
     /// Tells when this keeper saw a leader in office last, before it took over itself; nothing,
     /// where it never did.
-    pub fn led(mut self, now: Time, at: Option<Time>) -> LeaderDuties {
+    pub fn led(mut self, now: Nanos, at: Option<Nanos>) -> LeaderDuties {
         (self.roll, self.switch) = (Roll::new(now, at), Switch::new(now, at));
         // The first beat counts the time between: nobody else does.
         (self.counted, self.unknown_gap) = (at.unwrap_or(now), at.is_none());
@@ -199,7 +199,7 @@
     /// A command was applied to the record, which stands as given.
     pub fn applied(
         &mut self,
-        now: Time,
+        now: Nanos,
         index: u64,
         command: &Command,
         record: &Record,
@@ -276,7 +276,7 @@
     }
 
     /// Time has passed; to be told some ten times a second.
-    pub fn tick(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         self.beat(now, record, out);
         for (sender, s) in &mut self.sessions {
             if now >= s.until {
@@ -326,7 +326,7 @@
         self.send_grants(now, out);
     }
 
-    fn beat(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    fn beat(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         let first = self.beat == 0;
         if !first && now < self.counted + ms(self.rules.beat_ms) {
             return;
@@ -334,7 +334,7 @@
         self.beat += 1;
         let passed = ((now - self.counted) / 1_000_000).min(u64::from(u32::MAX)) as u32;
         // What is left of a millisecond counts with the next.
-        self.counted += Time::from(passed) * 1_000_000;
+        self.counted += Nanos::from(passed) * 1_000_000;
         if self.beats.len() >= 64 {
             self.beats.pop_front();
         }
@@ -357,6 +357,6 @@
 }
 
 /// So many milliseconds, counted longer than any other clock counts them.
-fn leader_side_lease(ms: u32) -> Time {
-    Time::from(ms) * 1_020_000
+fn leader_side_lease(ms: u32) -> Nanos {
+    Nanos::from(ms) * 1_020_000
 }
--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -6,14 +6,14 @@
 use crate::coordination::routing_table::cutover::{Known, Switch};
 use crate::coordination::routing_table::{switch, tables};
 use crate::coordination::sender_registry::OFFERS;
-use crate::Time;
+use crate::Nanos;
 
 impl LeaderDuties {
     /// What a sender says of tables. What it has it says right behind its first word, before the
     /// record has its session.
     pub(super) fn hear_tables(
         &mut self,
-        now: Time,
+        now: Nanos,
         connection: ConnectionId,
         word: &FromSender,
         record: &Record,
@@ -44,7 +44,7 @@
     /// site is in none.
     pub fn federation(
         &mut self,
-        now: Time,
+        now: Nanos,
         known: Option<Known>,
         record: &Record,
         out: &mut Vec<Out>,
@@ -53,7 +53,7 @@
         self.tick_tables(now, record, out);
     }
 
-    pub(super) fn tick_tables(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    pub(super) fn tick_tables(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         let mut said = Vec::new();
         self.switch
             .tick(now, record, self.known.as_ref(), &mut said);
@@ -77,7 +77,7 @@
     /// Says to a sender what concerns policies; `offers` bounds the long words.
     pub(super) fn say_policies(
         &mut self,
-        now: Time,
+        now: Nanos,
         sender: &str,
         record: &Record,
         offers: &mut usize,
@@ -96,7 +96,7 @@
     /// The same of tables.
     pub(super) fn say_tables(
         &mut self,
-        now: Time,
+        now: Nanos,
         sender: &str,
         record: &Record,
         offers: &mut usize,
@@ -117,11 +117,11 @@
         }
     }
 
-    pub(super) fn say_all_tables(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    pub(super) fn say_all_tables(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         self.each(|duties, sender, offers| duties.say_tables(now, sender, record, offers, out));
     }
 
-    pub(super) fn say_all_policies(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    pub(super) fn say_all_policies(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         self.each(|duties, sender, offers| duties.say_policies(now, sender, record, offers, out));
     }
 }
--- a/src/coordination/leader/decide.rs
+++ b/src/coordination/leader/decide.rs
@@ -7,7 +7,7 @@
 use crate::coordination::record::{Command, Phase, Record, Wish, Zone};
 use crate::coordination::zones::evidence::Verdict;
 use crate::coordination::zones::recovery_ramp::{Share, Step};
-use crate::Time;
+use crate::Nanos;
 use std::collections::BTreeMap;
 
 /// Destinations of which the log tells why they are not left by all, at the most.
@@ -17,7 +17,7 @@
 type Next = (String, Phase, Vec<(u16, f32)>, u32, String);
 
 impl LeaderDuties {
-    pub(super) fn follow(&mut self, now: Time, record: &Record) {
+    pub(super) fn follow(&mut self, now: Nanos, record: &Record) {
         let back = record
             .zones
             .iter()
@@ -33,7 +33,7 @@
         self.cold.follow(now, back);
     }
 
-    pub(super) fn reserve(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    pub(super) fn reserve(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         for (zone, z) in record
             .zones
             .iter()
@@ -67,7 +67,7 @@
     }
 
     /// Looks at the evidence and at what people wish, and proposes one order at the most.
-    pub(super) fn decide(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    pub(super) fn decide(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         self.looked = now;
         self.evidence.age(now);
         self.lists.settle();
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -8,7 +8,7 @@
 use crate::coordination::policy_rollout::rollout::Roll;
 use crate::coordination::record::{Command, Phase, Record, Wish};
 use crate::coordination::routing_table::cutover::Switch;
-use crate::Time;
+use crate::Nanos;
 
 /// Orders of people that wait for the record, at the most.
 const MOST_WAITING: usize = 100;
@@ -19,7 +19,7 @@
     /// in.
     pub fn order(
         &mut self,
-        now: Time,
+        now: Nanos,
         connection: ConnectionId,
         word: &FromPerson,
         record: &Record,
@@ -126,7 +126,7 @@
     /// An order on policies, given first at some time: proposed on the turn that stands.
     fn order_policy(
         &mut self,
-        at: Time,
+        at: Nanos,
         connection: ConnectionId,
         word: &FromPerson,
         record: &Record,
@@ -158,7 +158,7 @@
     /// shows it.
     fn order_table(
         &mut self,
-        now: Time,
+        now: Nanos,
         connection: ConnectionId,
         word: &TableOrder,
         record: &Record,
@@ -203,7 +203,7 @@
     /// A change of policies was applied, or was void.
     pub(super) fn changed_policies(
         &mut self,
-        now: Time,
+        now: Nanos,
         index: u64,
         change: &Change,
         record: &Record,
--- a/src/coordination/leader/sessions.rs
+++ b/src/coordination/leader/sessions.rs
@@ -11,7 +11,7 @@
 };
 use crate::coordination::record::{Command, Record};
 use crate::coordination::sender_registry::OFFERS;
-use crate::Time;
+use crate::Nanos;
 
 /// Counts of a report that are read, at the most: 50 zones with 80 destinations.
 const MOST_SEEN: usize = 4_000;
@@ -49,7 +49,7 @@
         boot: u64,
         own: &str,
         connection: Option<ConnectionId>,
-        until: Time,
+        until: Nanos,
         has: u64,
     ) {
         self.remove_session(sender);
@@ -84,7 +84,7 @@
     /// An agent says something over a connection.
     pub fn hear(
         &mut self,
-        now: Time,
+        now: Nanos,
         connection: ConnectionId,
         word: &FromAgent,
         record: &Record,
@@ -153,7 +153,7 @@
     /// An agent reports: its session is renewed, whatever the report is; what it saw counts once.
     fn report(
         &mut self,
-        now: Time,
+        now: Nanos,
         connection: ConnectionId,
         report: &Report<'_>,
         record: &Record,
@@ -189,7 +189,7 @@
     }
 
     /// Counts what a sender saw, has listed and wants.
-    fn count(&mut self, now: Time, id: u32, report: &Report<'_>) {
+    fn count(&mut self, now: Nanos, id: u32, report: &Report<'_>) {
         let seen = &report.seen[..report.seen.len().min(MOST_SEEN)];
         let even = UNEVEN / self.sessions.len().max(1) as f32;
         let lists = &self.lists;
@@ -216,7 +216,7 @@
     }
 
     /// An agent ends its session.
-    fn leave(&mut self, now: Time, connection: ConnectionId, out: &mut Vec<Out>) {
+    fn leave(&mut self, now: Nanos, connection: ConnectionId, out: &mut Vec<Out>) {
         let name = self.connections.remove(&connection);
         let session = name.as_ref().and_then(|name| self.sessions.get_mut(name));
         if let (Some(sender), Some(session)) = (name.clone(), session) {
@@ -231,7 +231,7 @@
     /// The record has a sender's session, or has no room for it.
     pub(super) fn joined(
         &mut self,
-        now: Time,
+        now: Nanos,
         (sender, boot, own): (&String, u64, &str),
         record: &Record,
         out: &mut Vec<Out>,
@@ -271,7 +271,7 @@
     /// Speaks to a sender whose session the record has by now.
     fn begin_session(
         &mut self,
-        now: Time,
+        now: Nanos,
         sender: &String,
         joining: Joining,
         record: &Record,
@@ -324,7 +324,7 @@
 
     fn open(
         &mut self,
-        now: Time,
+        now: Nanos,
         connection: ConnectionId,
         opens: Opens<'_>,
         record: &Record,
@@ -401,7 +401,7 @@
     /// Renews a session, or owes it until the leader is sure of itself.
     pub(super) fn renew(
         &mut self,
-        now: Time,
+        now: Nanos,
         connection: ConnectionId,
         report: u64,
         record: &Record,
@@ -429,7 +429,7 @@
         view(now, session, record, out);
     }
 
-    pub(super) fn send_grants(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub(super) fn send_grants(&mut self, now: Nanos, out: &mut Vec<Out>) {
         let (names, sessions) = (&self.names, &self.sessions);
         self.cold.grant(now, |id, grant: Grant| {
             let session = names
@@ -460,7 +460,7 @@
     }
 
     /// Answers what was owed until the leader is sure of itself.
-    pub(super) fn renew_owed(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    pub(super) fn renew_owed(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         if now >= self.sure_until {
             return;
         }
@@ -475,7 +475,7 @@
 
 /// Says the record to a sender that lacks some of it; once, and again where it does not come to
 /// have it in half a second.
-pub(super) fn view(now: Time, session: &mut Session, record: &Record, out: &mut Vec<Out>) {
+pub(super) fn view(now: Nanos, session: &mut Session, record: &Record, out: &mut Vec<Out>) {
     let (told, at) = session.told;
     let again = told < record.changed || told == 0 || now >= at + AGAIN / 2;
     if let Some(connection) = session
--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -8,7 +8,7 @@
 use crate::coordination::messages::Print;
 use crate::delivery::script_hook::Hook;
 use crate::dispatch::state::MS;
-use crate::{Class, DedupScope, Effect, Relay, Settings};
+use crate::{Class, DedupScope, Dispatcher, Effect, Settings};
 use garde::Validate;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -398,7 +398,7 @@
                     .push(self.fault(&format!("class.{name}"), "this sender has no such class")),
             }
         }
-        if let Err(e) = Relay::new(settings.clone(), 0) {
+        if let Err(e) = Dispatcher::new(settings.clone(), 0) {
             let setting = match e.setting.split_once('.') {
                 Some(("classes", term)) => format!("class.{term}"),
                 _ => format!("limits.{}", e.setting),
--- a/src/coordination/policy_rollout/health.rs
+++ b/src/coordination/policy_rollout/health.rs
@@ -26,7 +26,7 @@
 
 use crate::coordination::messages;
 use crate::coordination::policy_rollout::plan::{Bounds, Plan};
-use crate::Time;
+use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// An equal policy is taken for worse in one of so many stages, at the most, over all that is
@@ -36,7 +36,7 @@
 /// it.
 const DRAWN: f64 = 2.0;
 /// Length of a span.
-pub const SPAN: Time = 2_000_000_000;
+pub const SPAN: Nanos = 2_000_000_000;
 /// Spans that are held: the longest that is looked at, and as many before it.
 const SPANS: usize = 64;
 /// Spans that are looked at, beside all since the change, and spans of the time before.
@@ -212,7 +212,7 @@
 
     /// A sender that stands in this stage reports. In stages that went over only what was taken on
     /// under the policy counts.
-    pub fn hear(&mut self, now: Time, stage: usize, only: Option<u64>, told: &[messages::Health]) {
+    pub fn hear(&mut self, now: Nanos, stage: usize, only: Option<u64>, told: &[messages::Health]) {
         let span = now / SPAN;
         let told = told
             .iter()
@@ -236,7 +236,7 @@
 
     /// A stage goes over to its policy, or is looked at anew: what was before is what it is
     /// compared with.
-    pub fn change(&mut self, now: Time, anew: bool) {
+    pub fn change(&mut self, now: Nanos, anew: bool) {
         let span = now / SPAN;
         if !anew {
             let first = span.saturating_sub(LOOKS[1]);
@@ -281,7 +281,7 @@
     }
 
     /// Judges a stage that went over.
-    pub fn judge(&self, now: Time, stage: usize, plan: &Plan) -> Verdict {
+    pub fn judge(&self, now: Nanos, stage: usize, plan: &Plan) -> Verdict {
         let looks = plan.most_soak() as f64 / (SPAN as f64 / 1e9) + 1.0;
         let groups: BTreeSet<&Group> = self.rings.keys().map(|(_, group)| group).collect();
         let tests = groups.len().max(1) as f64 * (SHARES * (LOOKS.len() + 1)) as f64 * looks;
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -18,60 +18,60 @@
 use crate::coordination::policy_rollout::register::{Change, Rollout, Step};
 use crate::coordination::record::{Member, Record, MOST_ZONES};
 use crate::coordination::sender_registry::{names, Ears, Known, Live};
-use crate::Time;
+use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-const MS: Time = 1_000_000;
-const SECOND: Time = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MS;
 /// A decision that does not come into the record within this time may be proposed again, as in the
 /// office.
-const DECIDED: Time = SECOND;
+const DECIDED: Nanos = SECOND;
 /// Between two looks at what senders report.
-const LOOK: Time = SECOND;
+const LOOK: Nanos = SECOND;
 /// First and longest time between a pause that was taken back and the next one; it doubles.
-const RETRY: (Time, Time) = (SECOND, 60 * SECOND);
+const RETRY: (Nanos, Nanos) = (SECOND, 60 * SECOND);
 /// After a pause for a routing table comes none of a stage for so long: what waited at doors is let
 /// in between.
-pub(crate) const APART: Time = SECOND / 2;
+pub(crate) const APART: Nanos = SECOND / 2;
 /// So many pauses of a stage are taken back before it halts.
 const MOST_TRIES: u32 = 10;
 /// What is missing from a stage has to be missing for so long: a sender that is started anew is
 /// there again.
-const GONE: Time = 10 * SECOND;
+const GONE: Nanos = 10 * SECOND;
 /// Nobody led for longer than this: what senders did meanwhile nobody saw. Five elections.
-const UNLED: Time = 10 * SECOND;
+const UNLED: Nanos = 10 * SECOND;
 
 /// What a leader does with policies.
 #[derive(Clone, Debug)]
 pub struct Roll {
-    begun: Time,
+    begun: Nanos,
     ears: Ears,
     health: Health,
     /// The decision that is out: the turn it was based on, and when it was proposed.
-    deciding: Option<(u64, Time)>,
+    deciding: Option<(u64, Nanos)>,
     /// When this leader saw the step that runs begin: its place in the log.
-    step: (u64, Time),
+    step: (u64, Nanos),
     /// Senders that a pause still waits for, as far as is known.
     waits: Option<BTreeSet<String>>,
     /// Those that the last pause was taken back for.
     silent: BTreeSet<String>,
     /// What a stage misses, and since when.
-    missing: Option<(String, Time)>,
-    looked: Time,
+    missing: Option<(String, Nanos)>,
+    looked: Nanos,
     /// Since when this leader watches the zones of the stage that is next.
-    watched: Time,
+    watched: Nanos,
     /// What the last look said.
     verdict: Option<Verdict>,
     /// For how long nobody led, as far as that is known.
     unled: bool,
     /// When a pause for a routing table was last seen.
-    tables: Option<Time>,
+    tables: Option<Nanos>,
 }
 
 impl Roll {
     /// Begins with nothing. `led` is when this keeper saw another leader, or itself, in office
     /// last; nothing, where it never did.
-    pub fn new(now: Time, led: Option<Time>) -> Roll {
+    pub fn new(now: Nanos, led: Option<Nanos>) -> Roll {
         Roll {
             begun: now,
             ears: Ears::default(),
@@ -115,7 +115,13 @@
     }
 
     /// It goes by a turn. Where it was the last one that a pause waited for, that goes on at once.
-    pub fn rules(&mut self, now: Time, sender: &str, turn: u64, record: &Record) -> Option<Change> {
+    pub fn rules(
+        &mut self,
+        now: Nanos,
+        sender: &str,
+        turn: u64,
+        record: &Record,
+    ) -> Option<Change> {
         // Nobody can go by what is not yet.
         if turn > record.policies.turn || !self.ears.goes_by(sender, turn) {
             return None;
@@ -128,7 +134,7 @@
     }
 
     /// It reports what became of messages.
-    pub fn hear(&mut self, now: Time, zone: &str, told: &[messages::Health], record: &Record) {
+    pub fn hear(&mut self, now: Nanos, zone: &str, told: &[messages::Health], record: &Record) {
         let Some(r) = &record.policies.rollout else {
             return;
         };
@@ -140,7 +146,7 @@
     }
 
     /// A change of policies was applied.
-    pub fn applied(&mut self, now: Time, index: u64, change: &Change, record: &Record) {
+    pub fn applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
         let policies = &record.policies;
         self.deciding = self.deciding.filter(|(base, _)| *base >= policies.turn);
         if policies.at != index {
@@ -208,7 +214,7 @@
     }
 
     /// Time has passed: what is to be changed, if anything is.
-    pub fn tick(&mut self, now: Time, record: &Record) -> Option<Change> {
+    pub fn tick(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         // Whom a pause waits for is counted anew: some may have joined or lapsed.
         self.waits = None;
         if record.tables.register.stance == Stance::Paused {
@@ -221,7 +227,7 @@
     /// policies that it lacks.
     pub fn say(
         &mut self,
-        now: Time,
+        now: Nanos,
         sender: &str,
         zone: &str,
         record: &Record,
@@ -314,7 +320,7 @@
     }
 
     /// What the stage lacks now, if that has been so for long enough.
-    fn missed(&mut self, now: Time, record: &Record, r: &Rollout) -> Option<String> {
+    fn missed(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<String> {
         let told = match Roll::empty(record, r.zones()) {
             Some(zone) => Some(format!("zone {zone}: none of its senders holds a lease")),
             None if r.step == Step::Soaking && r.back_of == 0 => {
@@ -347,7 +353,7 @@
     }
 
     /// One decision at a time.
-    fn decide(&mut self, now: Time, record: &Record) -> Option<Change> {
+    fn decide(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         let turn = record.policies.turn;
         self.deciding = self
             .deciding
@@ -374,7 +380,7 @@
         change
     }
 
-    fn next(&mut self, now: Time, record: &Record, r: &Rollout) -> Option<Change> {
+    fn next(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<Change> {
         let halt = |why: String| Some(Change::Halt { why });
         if self.unled {
             return halt(format!(
@@ -408,7 +414,7 @@
                 }
                 let unstored = self.unstored(record, r, &all);
                 if !unstored.is_empty() {
-                    let late = passed >= Time::from(r.plan.offer_s) * SECOND;
+                    let late = passed >= Nanos::from(r.plan.offer_s) * SECOND;
                     return match late {
                         true => end(format!("no answer to the offer from {}", names(&unstored))),
                         false => None,
@@ -428,14 +434,14 @@
                     .any(|name| self.silent.contains(name));
                 let first = RETRY.0 << r.tries.saturating_sub(1).min(10);
                 let rested = r.tries == 0 || passed >= first.min(RETRY.1);
-                let watch = Time::from(r.plan.watch_s) * SECOND;
+                let watch = Nanos::from(r.plan.watch_s) * SECOND;
                 let watched = r.back_of != 0 || now >= self.watched + watch;
                 let empty = Roll::empty(record, r.zones()).is_some();
                 let apart = self.tables.is_none_or(|at| now >= at + APART);
                 (!silent && rested && watched && !empty && apart).then_some(Change::Pause)
             }
             Step::Paused => {
-                let over = passed >= Time::from(r.plan.pause_ms) * MS;
+                let over = passed >= Nanos::from(r.plan.pause_ms) * MS;
                 if !over && self.waits.as_ref().is_some_and(|waits| !waits.is_empty()) {
                     return None;
                 }
@@ -485,7 +491,7 @@
                         ))
                     }
                     Verdict::Well
-                        if passed >= Time::from(r.plan.soak_s) * SECOND
+                        if passed >= Nanos::from(r.plan.soak_s) * SECOND
                             && self.missing.is_none()
                             && done(self) =>
                     {
@@ -602,7 +608,7 @@
     }
 
     /// How things stand.
-    pub fn status(&self, now: Time, record: &Record) -> messages::PolicyStatus {
+    pub fn status(&self, now: Nanos, record: &Record) -> messages::PolicyStatus {
         let p = &record.policies;
         let mut zones: BTreeMap<&String, (u64, bool, usize)> = BTreeMap::new();
         let live = record.roster.values().filter(|m| m.live);
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -12,9 +12,9 @@
 use crate::coordination::raft_group::Group;
 use crate::coordination::raft_log::{Keep, Piece, Unsaved};
 use crate::coordination::routing_table::member::Voice;
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::timer_wheel::TimerWheel;
 use crate::store::worker::Lent;
-use crate::Time;
+use crate::Nanos;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use conflicts::Conflict;
@@ -88,7 +88,7 @@
 #[derive(Clone)]
 struct Context {
     inbox: Sender<Incoming>,
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
     site: Rc<str>,
     keeper: u64,
     incarnation: u64,
@@ -112,7 +112,7 @@
     stage: Stage,
     duties: Option<LeaderDuties>,
     /// When a leader's beat was seen in the record last, while there was a leader.
-    led: Option<Time>,
+    led: Option<Nanos>,
     /// Lent to its thread while that writes.
     keep: Lent<Keep, Piece, Result<(), Unsaved>>,
     /// Nothing is acknowledged since then: what is to be written finds no room.
@@ -145,8 +145,8 @@
 }
 
 impl Replica {
-    fn now(&self) -> Time {
-        self.start.elapsed().as_nanos() as Time
+    fn now(&self) -> Nanos {
+        self.start.elapsed().as_nanos() as Nanos
     }
 
     fn who(&self) -> String {
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -9,7 +9,7 @@
 use crate::coordination::replica::peers::send;
 use crate::coordination::replica::{Incoming, Replica, Stage, RESOURCE_RETRY_DELAY};
 use crate::coordination::routing_table::member::{self, Voice};
-use crate::Time;
+use crate::Nanos;
 use async_channel::Receiver;
 use futures_lite::FutureExt;
 use std::time::{Duration, Instant};
@@ -176,7 +176,7 @@
     }
 
     /// Something happened in the group.
-    fn event(&mut self, now: Time, event: Event, effects: &mut Effects) {
+    fn event(&mut self, now: Nanos, event: Event, effects: &mut Effects) {
         let Stage::Takes(group) = &self.stage else {
             return;
         };
@@ -216,7 +216,7 @@
     }
 
     /// A command was applied to the record.
-    fn applied(&mut self, now: Time, index: u64, command: &Command, effects: &mut Effects) {
+    fn applied(&mut self, now: Nanos, index: u64, command: &Command, effects: &mut Effects) {
         let Stage::Takes(group) = &self.stage else {
             return;
         };
@@ -255,7 +255,7 @@
 
     /// Begins the leader duties where this keeper leads by now, and ends them where it leads no
     /// more.
-    fn begin_or_end_duties(&mut self, now: Time, effects: &mut Effects) {
+    fn begin_or_end_duties(&mut self, now: Nanos, effects: &mut Effects) {
         let Stage::Takes(group) = &self.stage else {
             return;
         };
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -6,7 +6,7 @@
 use crate::coordination::raft_log::{Base, Identity, Keep, Unusable};
 use crate::coordination::replica::accept::Acceptor;
 use crate::coordination::replica::{draw, sites, Context, Incoming, Replica, Stage};
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::timer_wheel::TimerWheel;
 use crate::store::disk::Folder;
 use crate::store::worker::{Lent, Worker};
 use async_channel::Sender;
@@ -119,7 +119,7 @@
     let mut ending =
         Signals::new([Signal::Term, Signal::Int]).map_err(|e| format!("signals: {e}"))?;
     let listener = listen(&config)?;
-    let wheel = Wheel::new();
+    let wheel = TimerWheel::new();
     let (inbox, coming) = async_channel::bounded(INBOX);
     let mut replica = Replica::new(config, keep, base, (inbox, wheel.clone()), executor.clone())?;
     executor.spawn(async move { wheel.turn().await }).detach();
@@ -156,7 +156,7 @@
         config: Config,
         keep: Keep,
         base: Base,
-        (inbox, wheel): (Sender<Incoming>, Rc<Wheel>),
+        (inbox, wheel): (Sender<Incoming>, Rc<TimerWheel>),
         executor: Rc<LocalExecutor<'static>>,
     ) -> Result<Replica, String> {
         let context = Context {
--- a/src/coordination/replica/transport.rs
+++ b/src/coordination/replica/transport.rs
@@ -3,7 +3,7 @@
 
 use crate::coordination::framing::{self, Broken};
 use crate::coordination::replica::{Context, Incoming, CONFLICT_LASTS};
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::timer_wheel::TimerWheel;
 use async_channel::Receiver;
 use async_io::Async;
 use futures_lite::io::split;
@@ -54,7 +54,7 @@
 
 /// Work that has to be done in time.
 pub(super) async fn with_timeout<T>(
-    wheel: &Rc<Wheel>,
+    wheel: &Rc<TimerWheel>,
     time: Duration,
     work: impl std::future::Future<Output = Result<T, Broken>>,
 ) -> Result<T, Broken> {
--- a/src/coordination/routing_table/cutover.rs
+++ b/src/coordination/routing_table/cutover.rs
@@ -32,29 +32,29 @@
 use crate::coordination::routing_table::federation::{Command, Federation, Table, DECIDED};
 use crate::coordination::routing_table::tables::Change;
 use crate::coordination::sender_registry::{names, Ears, Known as Ear};
-use crate::Time;
+use crate::Nanos;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-const MS: Time = 1_000_000;
-const SECOND: Time = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MS;
 /// A change that does not come into the record within this time may be proposed again; a word to
 /// the federation that its record does not show is said again after it.
-const AGAIN: Time = SECOND;
+const AGAIN: Nanos = SECOND;
 /// A pause lasts so long at the most: clients wait 300 ms at the door, and hang up after 400.
-const PAUSE: Time = 150 * MS;
+const PAUSE: Nanos = 150 * MS;
 /// First and longest time between a pause that was taken back and the next one; it doubles.
-const RETRY: (Time, Time) = (SECOND, 60 * SECOND);
+const RETRY: (Nanos, Nanos) = (SECOND, 60 * SECOND);
 /// A sender that cannot go by a table that was decided is asked again after this time: what its
 /// list lacks may come.
-const ASK_AGAIN: Time = 10 * SECOND;
+const ASK_AGAIN: Nanos = 10 * SECOND;
 /// The record's clock is up to a beat behind, and its word on the lease takes a moment to be
 /// agreed.
-pub const LATE: Time = SECOND;
+pub const LATE: Nanos = SECOND;
 /// Who leads hears within this time how the federation stands, or the site is in none.
-const SOON: Time = SECOND;
+const SOON: Nanos = SECOND;
 /// A site that is in no federation any more goes on after this time.
-const NONE: Time = 10 * SECOND;
+const NONE: Nanos = 10 * SECOND;
 /// Names of senders in a status, at the most, and of those that refuse.
 const MOST_NAMES: (usize, usize) = (1_000, 100);
 /// Longest time that a proposal may have, in seconds.
@@ -76,7 +76,7 @@
     pub heard: BTreeSet<u64>,
     /// Until when it counts this site in, on the clock of the caller; nothing where this voice was
     /// never told.
-    pub lease: Option<Time>,
+    pub lease: Option<Nanos>,
     /// Beyond its lease the site takes nothing new on; else it gives the promise up and goes on by
     /// its last table.
     pub holds: bool,
@@ -110,45 +110,45 @@
 /// What a leader does with tables.
 #[derive(Clone, Debug)]
 pub struct Switch {
-    begun: Time,
+    begun: Nanos,
     /// For how long nobody counted on the record's clock before this leader began; nothing where
     /// that is not known.
-    uncounted: Option<Time>,
+    uncounted: Option<Nanos>,
     ears: Ears,
     /// The change that is out: the turn it was based on, and when it was proposed.
-    deciding: Option<(u64, Time)>,
+    deciding: Option<(u64, Nanos)>,
     /// When this leader saw what stands begin: its place in the log.
-    step: (u64, Time),
+    step: (u64, Nanos),
     /// Senders that a pause still waits for, as far as is known.
     waits: Option<BTreeSet<String>>,
     /// Those that the last pause was taken back for.
     silent: BTreeSet<String>,
     /// Until when the site is counted in: what the record says, counted since this leader began,
     /// and what the voice was told.
-    recorded: Option<Option<Time>>,
-    told: Option<Time>,
+    recorded: Option<Option<Nanos>>,
+    told: Option<Nanos>,
     /// When that was proposed to the record last.
-    leased: Option<Time>,
+    leased: Option<Nanos>,
     /// Whether the site holds beyond its lease; nothing where it is in no federation, as far as is
     /// known.
     holds: Option<bool>,
     /// Whether nobody may hear of an open door, as of the last look.
     shut: bool,
     /// What was said to the federation last, and when.
-    said: Option<(Command, Time)>,
+    said: Option<(Command, Nanos)>,
     /// What the last change left: whether the site takes on, and the table that all senders go by.
     stance: Stance,
     gone_by: u64,
     /// When a pause of rules was last seen.
-    rules: Option<Time>,
+    rules: Option<Nanos>,
     /// When those that refuse what was decided were asked last.
-    asked: Time,
+    asked: Nanos,
 }
 
 impl Switch {
     /// Begins with nothing. `led` is when this keeper saw another leader, or itself, in office
     /// last; nothing, where it never did.
-    pub fn new(now: Time, led: Option<Time>) -> Switch {
+    pub fn new(now: Nanos, led: Option<Nanos>) -> Switch {
         Switch {
             begun: now,
             uncounted: led.map(|at| now.saturating_sub(at)),
@@ -189,7 +189,7 @@
     /// A sender says something of tables.
     pub fn hear(
         &mut self,
-        now: Time,
+        now: Nanos,
         sender: &str,
         word: &FromSender,
         record: &Record,
@@ -228,7 +228,7 @@
     }
 
     /// A change of tables was applied, or was void.
-    pub fn applied(&mut self, now: Time, index: u64, change: &Change, record: &Record) {
+    pub fn applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
         let tables = &record.tables;
         self.deciding = self.deciding.filter(|(base, _)| *base >= tables.turn);
         if tables.at != index || matches!(change, Change::Lease { .. }) {
@@ -267,7 +267,7 @@
     }
 
     /// Time has passed, or the federation is known to stand otherwise.
-    pub fn tick(&mut self, now: Time, record: &Record, known: Option<&Known>, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: Nanos, record: &Record, known: Option<&Known>, out: &mut Vec<Out>) {
         // Whom a pause waits for is counted anew: some may have joined or lapsed.
         self.waits = None;
         self.stance = record.tables.register.stance;
@@ -289,13 +289,13 @@
     }
 
     /// Until when the site may count itself in.
-    fn counted(&self) -> Option<Time> {
+    fn counted(&self) -> Option<Nanos> {
         self.recorded.flatten().max(self.told)
     }
 
     /// Whether the site may go by a table: its lease runs, or it gives the promise up, or has been
     /// in no federation for long enough.
-    fn may(&self, now: Time) -> bool {
+    fn may(&self, now: Nanos) -> bool {
         let runs = self.counted().is_some_and(|until| now < until);
         match self.holds {
             Some(holds) => runs || !holds,
@@ -305,12 +305,12 @@
 
     /// Whether this voice itself was told that the site is counted in: then what it knows is no
     /// older than that.
-    fn is_told(&self, now: Time) -> bool {
+    fn is_told(&self, now: Nanos) -> bool {
         self.told.is_some_and(|until| now < until)
     }
 
     /// Why the site can have no part in its federation: it goes by what that never knew.
-    fn stranger(&self, now: Time, record: &Record, known: &Known) -> Option<String> {
+    fn stranger(&self, now: Nanos, record: &Record, known: &Known) -> Option<String> {
         let (tables, federation) = (&record.tables, &known.record);
         let has = tables
             .next
@@ -329,7 +329,7 @@
     }
 
     /// Looks at the lease, and writes down what is left of it.
-    fn lease(&mut self, now: Time, record: &Record, known: Option<&Known>, out: &mut Vec<Out>) {
+    fn lease(&mut self, now: Nanos, record: &Record, known: Option<&Known>, out: &mut Vec<Out>) {
         let tables = &record.tables;
         if self.recorded.is_none() {
             let left = tables
@@ -370,7 +370,7 @@
     /// One change at a time.
     fn decide(
         &mut self,
-        now: Time,
+        now: Nanos,
         record: &Record,
         next: impl FnOnce(&mut Switch) -> Option<Change>,
         out: &mut Vec<Out>,
@@ -393,7 +393,7 @@
         }
     }
 
-    fn next(&mut self, now: Time, record: &Record, known: Option<&Known>) -> Option<Change> {
+    fn next(&mut self, now: Nanos, record: &Record, known: Option<&Known>) -> Option<Change> {
         let tables = &record.tables;
         let stance = tables.register.stance;
         if known.is_some() && self.shut && stance != Stance::Held {
@@ -428,7 +428,7 @@
     }
 
     /// A pause goes on to its end or is taken back.
-    fn paused(&mut self, now: Time, record: &Record) -> Option<Change> {
+    fn paused(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         let over = now >= self.step.1 + PAUSE;
         if !over && self.waits.as_ref().is_some_and(|waits| !waits.is_empty()) {
             return None;
@@ -505,7 +505,7 @@
     }
 
     /// Says to the federation what its record does not show yet.
-    fn tell(&mut self, now: Time, record: &Record, known: Option<&Known>, out: &mut Vec<Out>) {
+    fn tell(&mut self, now: Nanos, record: &Record, known: Option<&Known>, out: &mut Vec<Out>) {
         let Some(known) = known else { return };
         let (tables, site) = (&record.tables, known.me);
         let strange = self.stranger(now, record, known);
@@ -540,7 +540,7 @@
             (late && unheard.count() == 0).then_some(Command::Switched { site, number })
         };
         let Some(command) = command else { return };
-        let same = |said: &(Command, Time)| kind(&said.0) == kind(&command);
+        let same = |said: &(Command, Nanos)| kind(&said.0) == kind(&command);
         let first = !self.said.as_ref().is_some_and(same);
         if !first && self.said.as_ref().is_some_and(|(_, at)| now < at + AGAIN) {
             return;
@@ -563,7 +563,7 @@
     /// tables that it lacks, while `offers` last.
     pub fn say(
         &mut self,
-        now: Time,
+        now: Nanos,
         sender: &str,
         record: &Record,
         offers: &mut usize,
@@ -754,7 +754,7 @@
     }
 
     /// How things stand.
-    pub fn status(&self, now: Time, record: &Record, known: &Known) -> FederationStatus {
+    pub fn status(&self, now: Nanos, record: &Record, known: &Known) -> FederationStatus {
         let (tables, federation) = (&record.tables, &known.record);
         let sites = federation.sites.iter().map(|(number, site)| SiteStatus {
             site: site.name.clone(),
--- a/src/coordination/routing_table/member.rs
+++ b/src/coordination/routing_table/member.rs
@@ -32,7 +32,7 @@
 use crate::coordination::record::{self, Record};
 use crate::coordination::routing_table::cutover::Known;
 use crate::coordination::routing_table::federation::{Command, Federation, DECIDED, SURE_MS};
-use crate::Time;
+use crate::Nanos;
 use protobuf::Message as _;
 use raft::eraftpb::MessageType;
 use serde::{Deserialize, Serialize};
@@ -45,20 +45,20 @@
 
 /// What is proposed and does not come within this time is proposed again: ten times what a slow
 /// disk takes.
-const AGAIN: Time = 1_000_000_000;
+const AGAIN: Nanos = 1_000_000_000;
 /// The same where it was refused, as too much waited.
-const SOON: Time = 100_000_000;
+const SOON: Nanos = 100_000_000;
 /// The site that leads shows the record that it does this often.
 const BEAT_MS: u32 = 1_000;
 /// A lease is asked for this often, or three times in its length; and more often where a third of
 /// it is gone.
-const ASK: (Time, Time) = (1_000_000_000, 250_000_000);
+const ASK: (Nanos, Nanos) = (1_000_000_000, 250_000_000);
 /// Words that ask and are not answered, at the most.
 const ASKS: usize = 16;
 /// A site counts as heard for so long after a word or a sign of life.
-const HEARD: Time = 3_000_000_000;
+const HEARD: Nanos = 3_000_000_000;
 /// Orders of people that wait for the site that leads, at the most, and for how long.
-const ORDERS: (usize, Time) = (100, 5_000_000_000);
+const ORDERS: (usize, Nanos) = (100, 5_000_000_000);
 
 /// Another site, as the file names it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -176,7 +176,7 @@
 /// A change of the roster.
 struct Doing {
     asker: Asker,
-    since: Time,
+    since: Nanos,
     site: u64,
     name: String,
     step: Step,
@@ -198,19 +198,19 @@
 /// What the site that leads does beyond the group.
 struct Lead {
     term: u64,
-    beats: VecDeque<(u64, Time)>,
+    beats: VecDeque<(u64, Nanos)>,
     beat: u64,
-    counted: Time,
-    sure_until: Time,
+    counted: Nanos,
+    sure_until: Nanos,
     /// Until when the leases run that were given, as this leader counts, and all that earlier ones
     /// gave.
-    leases: BTreeMap<u64, Time>,
-    before: Time,
+    leases: BTreeMap<u64, Nanos>,
+    before: Nanos,
     /// Sites that are given none, and until when.
-    stopped: BTreeMap<u64, Time>,
+    stopped: BTreeMap<u64, Nanos>,
     doing: Option<Doing>,
     /// When what the roster lacks was proposed last.
-    tended: Time,
+    tended: Nanos,
 }
 
 /// What the log was told of the record.
@@ -232,35 +232,35 @@
     /// is to be made again.
     number: u64,
     saving: Option<Piece>,
-    again: Time,
-    ticked: Time,
-    heard: BTreeMap<u64, Time>,
+    again: Nanos,
+    ticked: Nanos,
+    heard: BTreeMap<u64, Nanos>,
     /// Words that asked for a lease, the site that was asked, and when.
-    asks: VecDeque<(u64, u64, Time)>,
+    asks: VecDeque<(u64, u64, Nanos)>,
     ask: u64,
-    asked: Time,
+    asked: Nanos,
     /// Leases that were given by a record that is not here yet: its version, and until when they
     /// run.
-    given: VecDeque<(u64, Time)>,
+    given: VecDeque<(u64, Nanos)>,
     lead: Option<Lead>,
     /// Orders that were handed on.
-    orders: BTreeMap<u64, (ConnectionId, Time)>,
+    orders: BTreeMap<u64, (ConnectionId, Nanos)>,
     order: u64,
     known: Known,
     told: Option<Told>,
 }
 
-fn ms(ms: u32) -> Time {
-    Time::from(ms) * 1_000_000
+fn ms(ms: u32) -> Nanos {
+    Nanos::from(ms) * 1_000_000
 }
 
 /// As the one that gives it counts.
-fn longer(time: Time) -> Time {
+fn longer(time: Nanos) -> Nanos {
     time / 100 * 102
 }
 
 /// As the one that has it counts.
-fn shorter(time: Time) -> Time {
+fn shorter(time: Nanos) -> Nanos {
     time / 100 * 98
 }
 
@@ -284,7 +284,7 @@
 impl Voice {
     /// The voice of a site's leader, in its term at the site; it speaks when the record has its
     /// fence.
-    pub fn new(settings: Settings, term: u64, now: Time, record: &Record, seed: u64) -> Voice {
+    pub fn new(settings: Settings, term: u64, now: Nanos, record: &Record, seed: u64) -> Voice {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (ask, order) = (rng.u64(..) >> 1, rng.u64(..) >> 1);
         let base = record.written.base.as_deref();
@@ -444,7 +444,7 @@
 
     // ---- What the site's record has.
 
-    fn propose(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn propose(&mut self, now: Nanos, out: &mut Vec<Out>) {
         self.again = now + AGAIN;
         let term = self.term;
         match (&self.stage, &self.saving) {
@@ -462,11 +462,11 @@
     }
 
     /// What was to be proposed to the site's record was refused.
-    pub fn refused(&mut self, now: Time) {
+    pub fn refused(&mut self, now: Nanos) {
         self.again = self.again.min(now + SOON);
     }
 
-    fn write(&mut self, now: Time, piece: Piece, out: &mut Vec<Out>) {
+    fn write(&mut self, now: Nanos, piece: Piece, out: &mut Vec<Out>) {
         self.number += 1;
         self.saving = Some(piece);
         self.propose(now, out);
@@ -475,7 +475,7 @@
     /// A command of a voice was applied to the site's record, which stands as given.
     pub fn applied(
         &mut self,
-        now: Time,
+        now: Nanos,
         command: &record::Command,
         record: &Record,
         out: &mut Vec<Out>,
@@ -500,7 +500,7 @@
     }
 
     /// Goes on from what the record holds.
-    fn begin(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    fn begin(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         let (name, number) = (self.settings.name.to_string(), self.settings.number);
         let held = record.written.base.as_ref().map(|base| &base.identity);
         if let Some(Err(why)) = held.map(|id| self.settings.fits(id)) {
@@ -528,7 +528,7 @@
         }
     }
 
-    fn start(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    fn start(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         let Some(base) = record.written.base.as_deref() else {
             return;
         };
@@ -564,7 +564,7 @@
     }
 
     /// The record has the piece that was written.
-    fn saved(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    fn saved(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         match &mut self.stage {
             Stage::Fences => self.start(now, record, out),
             Stage::Begins(_) => {
@@ -590,7 +590,7 @@
     }
 
     /// A first start: writes down whom it knows, and begins when nobody is missing.
-    fn tend_begin(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    fn tend_begin(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         let Stage::Begins(begin) = &self.stage else {
             return;
         };
@@ -611,7 +611,7 @@
     /// Another site's voice came, and tells its incarnation.
     pub fn came(
         &mut self,
-        now: Time,
+        now: Nanos,
         site: u64,
         incarnation: u64,
         record: &Record,
@@ -649,7 +649,7 @@
     /// Another site's voice answered that it knows this one, and with its incarnation.
     pub fn answered(
         &mut self,
-        now: Time,
+        now: Nanos,
         site: u64,
         incarnation: u64,
         record: &Record,
@@ -666,7 +666,7 @@
     }
 
     /// A site gave a sign of life.
-    pub fn lives(&mut self, now: Time, site: u64) {
+    pub fn lives(&mut self, now: Nanos, site: u64) {
         self.heard.insert(site, now);
     }
 
@@ -687,7 +687,7 @@
     /// No voice says so: its line is to be ended.
     pub fn hear(
         &mut self,
-        now: Time,
+        now: Nanos,
         site: u64,
         word: Word,
         out: &mut Vec<Out>,
@@ -743,7 +743,7 @@
 
     /// Time has passed; to be told some ten times a second, and before words that came in after the
     /// voice stood still.
-    pub fn tick(&mut self, now: Time, record: &Record, out: &mut Vec<Out>) {
+    pub fn tick(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
         if now >= self.again && (self.saving.is_some() || matches!(self.stage, Stage::Fences)) {
             self.propose(now, out);
         }
@@ -779,7 +779,7 @@
     }
 
     /// Goes on until nothing more is to be done.
-    fn work(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn work(&mut self, now: Nanos, out: &mut Vec<Out>) {
         loop {
             let Stage::Takes(group) = &mut self.stage else {
                 return;
@@ -888,7 +888,7 @@
     }
 
     /// Takes office, or gives it up.
-    fn leads(&mut self, now: Time) {
+    fn leads(&mut self, now: Nanos) {
         let Stage::Takes(group) = &self.stage else {
             return;
         };
@@ -968,7 +968,7 @@
 
     // ---- Its lease, and what it wants of the site that leads.
 
-    fn has_lease(&mut self, asked: Time, lease_ms: u32, version: u64) {
+    fn has_lease(&mut self, asked: Nanos, lease_ms: u32, version: u64) {
         if self.given.len() >= ASKS {
             self.given.pop_front();
         }
@@ -990,7 +990,7 @@
     }
 
     /// Asks for a lease, when that is due.
-    fn ask(&mut self, now: Time, out: &mut Vec<Out>) {
+    fn ask(&mut self, now: Nanos, out: &mut Vec<Out>) {
         let lease = ms(self.settings.lease_ms);
         let fresh = self
             .known
@@ -1018,7 +1018,7 @@
 
     /// Brings a command before the federation's record, here or at the site that leads. It may be
     /// lost.
-    pub fn command(&mut self, now: Time, command: Command, out: &mut Vec<Out>) {
+    pub fn command(&mut self, now: Nanos, command: Command, out: &mut Vec<Out>) {
         let leader = self.known.leader;
         let Stage::Takes(group) = &mut self.stage else {
             return;
@@ -1036,7 +1036,13 @@
     // ---- The roster.
 
     /// A person's order on the roster: carried out here or at the site that leads.
-    pub fn order(&mut self, now: Time, line: ConnectionId, order: &TableOrder, out: &mut Vec<Out>) {
+    pub fn order(
+        &mut self,
+        now: Nanos,
+        line: ConnectionId,
+        order: &TableOrder,
+        out: &mut Vec<Out>,
+    ) {
         if self.lead.is_some() {
             self.do_order(now, Asker::Here(line), order, out);
             return self.work(now, out);
--- a/src/coordination/routing_table/member/lead.rs
+++ b/src/coordination/routing_table/member/lead.rs
@@ -6,22 +6,22 @@
 use crate::coordination::routing_table::member::{
     longer, ms, Asker, Doing, Out, Stage, Step, Voice, Word, AGAIN, BEAT_MS, MOST_AT,
 };
-use crate::Time;
+use crate::Nanos;
 use std::net::SocketAddr;
 
 /// An order that a change of sites waits for so long, where nothing else ends it.
-const CHANGE: Time = 20_000_000_000;
+const CHANGE: Nanos = 20_000_000_000;
 /// A site that is ordered off is given no lease until the order is so old, and 30 s longer than it
 /// needs.
-const STOPPED: Time = 60_000_000_000;
+const STOPPED: Nanos = 60_000_000_000;
 
 /// In words, to the next second.
-fn seconds(time: Time) -> String {
+fn seconds(time: Nanos) -> String {
     format!("{} s", time.div_ceil(1_000_000_000))
 }
 
 impl Voice {
-    pub(super) fn lead(&mut self, now: Time, out: &mut Vec<Out>) {
+    pub(super) fn lead(&mut self, now: Nanos, out: &mut Vec<Out>) {
         let Some(lead) = &mut self.lead else { return };
         let Stage::Takes(group) = &mut self.stage else {
             return;
@@ -29,7 +29,7 @@
         if lead.beat == 0 || now >= lead.counted + ms(BEAT_MS) {
             lead.beat += 1;
             let passed = ((now - lead.counted) / 1_000_000).min(u64::from(u32::MAX)) as u32;
-            lead.counted += Time::from(passed) * 1_000_000;
+            lead.counted += Nanos::from(passed) * 1_000_000;
             if lead.beats.len() >= 64 {
                 lead.beats.pop_front();
             }
@@ -92,7 +92,7 @@
     }
 
     /// Gives a site a lease, where that may be: how long, and by which version of the record.
-    pub(super) fn grant(&mut self, now: Time, site: u64) -> Option<(u32, u64)> {
+    pub(super) fn grant(&mut self, now: Nanos, site: u64) -> Option<(u32, u64)> {
         let lead = self.lead.as_mut()?;
         let Stage::Takes(group) = &self.stage else {
             return None;
@@ -111,7 +111,7 @@
 
     pub(super) fn do_order(
         &mut self,
-        now: Time,
+        now: Nanos,
         asker: Asker,
         order: &TableOrder,
         out: &mut Vec<Out>,
@@ -126,7 +126,7 @@
         }
     }
 
-    fn off(&mut self, now: Time, asker: Asker, name: &str) -> Result<(), String> {
+    fn off(&mut self, now: Nanos, asker: Asker, name: &str) -> Result<(), String> {
         let (Some(lead), Stage::Takes(group)) = (&mut self.lead, &mut self.stage) else {
             return Err("this site does not lead the federation".into());
         };
@@ -181,7 +181,7 @@
 
     fn join(
         &mut self,
-        now: Time,
+        now: Nanos,
         asker: Asker,
         name: &str,
         site: u64,
@@ -240,7 +240,7 @@
     }
 
     /// What a site that was asked for its incarnation answered.
-    pub fn met(&mut self, now: Time, site: u64, folder: Result<u64, String>, out: &mut Vec<Out>) {
+    pub fn met(&mut self, now: Nanos, site: u64, folder: Result<u64, String>, out: &mut Vec<Out>) {
         let (Some(lead), Stage::Takes(group)) = (&mut self.lead, &mut self.stage) else {
             return;
         };
--- a/src/coordination/sender_registry.rs
+++ b/src/coordination/sender_registry.rs
@@ -8,15 +8,15 @@
 use crate::coordination::cut;
 use crate::coordination::messages::Print;
 use crate::coordination::record::{Member, Record};
-use crate::Time;
+use crate::Nanos;
 use std::collections::BTreeMap;
 
-const SECOND: Time = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 /// What is said and not answered is said again after this time.
-const AGAIN: Time = SECOND / 2;
+const AGAIN: Nanos = SECOND / 2;
 /// A text that is offered and not answered is offered again after this time: a sender checks and
 /// writes it first.
-const OFFER_AGAIN: Time = SECOND;
+const OFFER_AGAIN: Nanos = SECOND;
 /// Offers of one kind in one turn of the office: what is sent at once is a few megabytes, and three
 /// thousand senders have theirs in 6 s.
 pub const OFFERS: usize = 50;
@@ -40,8 +40,8 @@
     /// The turn that it goes by.
     heard: u64,
     /// The turn that was said on its line, and when.
-    told: Option<(u64, Time)>,
-    offered: BTreeMap<u64, Time>,
+    told: Option<(u64, Nanos)>,
+    offered: BTreeMap<u64, Nanos>,
 }
 
 impl Known {
@@ -163,7 +163,7 @@
 
     /// Whether a sender is to be told now what its register says, that changed last by this turn.
     /// It counts as told.
-    pub fn is_due(&mut self, now: Time, sender: &str, changed: u64, turn: u64) -> bool {
+    pub fn is_due(&mut self, now: Nanos, sender: &str, changed: u64, turn: u64) -> bool {
         let Some(known) = self.senders.get_mut(sender) else {
             return false;
         };
@@ -180,7 +180,7 @@
     /// Whether a sender is to be offered this now, while `offers` last. It counts as offered.
     pub fn lacks(
         &mut self,
-        now: Time,
+        now: Nanos,
         sender: &str,
         number: u64,
         print: &Print,
--- a/src/coordination/zones/evidence.rs
+++ b/src/coordination/zones/evidence.rs
@@ -19,7 +19,7 @@
 
 use crate::coordination::messages::{Counts, Seen};
 use crate::coordination::zones::{ms, Rules};
-use crate::Time;
+use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A value that says how many calls hang is one for so long: five reports.
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Sight {
-    at: Time,
+    at: Nanos,
     id: Id,
     dest: u16,
     taken: f32,
@@ -64,9 +64,9 @@
 #[derive(Clone, Debug, Default)]
 struct Sighted {
     sights: VecDeque<Sight>,
-    hanging: BTreeMap<(Id, u16), (Time, f32)>,
+    hanging: BTreeMap<(Id, u16), (Nanos, f32)>,
     load: BTreeMap<u16, Load>,
-    failing_since: Option<Time>,
+    failing_since: Option<Nanos>,
 }
 
 /// What a zone is judged to be.
@@ -133,7 +133,7 @@
     zones: BTreeMap<String, Sighted>,
     groups: Vec<String>,
     own: BTreeMap<Id, u16>,
-    heard: BTreeMap<Id, Time>,
+    heard: BTreeMap<Id, Nanos>,
     kept: usize,
 }
 
@@ -181,7 +181,7 @@
     /// one report count as its load.
     pub fn hear(
         &mut self,
-        now: Time,
+        now: Nanos,
         id: Id,
         seen: &[Seen],
         most: impl Fn(&str, u16) -> Option<f32>,
@@ -238,7 +238,7 @@
     }
 
     /// Lets go of what is too old to tell anything.
-    pub fn age(&mut self, now: Time) {
+    pub fn age(&mut self, now: Nanos) {
         let longest = self
             .rules
             .windows_ms
@@ -275,7 +275,7 @@
     }
 
     /// What became of calls to a zone in its last `span_ms`, by destination.
-    pub fn lately(&self, zone: &str, now: Time, span_ms: u32) -> BTreeMap<u16, Lately> {
+    pub fn lately(&self, zone: &str, now: Nanos, span_ms: u32) -> BTreeMap<u16, Lately> {
         let most = self.rules.most_weight;
         let window = self
             .zones
@@ -290,7 +290,7 @@
     /// elsewhere, too.
     pub fn judge(
         &mut self,
-        now: Time,
+        now: Nanos,
         live: usize,
         listed: impl Fn(&str) -> usize,
         is_out: impl Fn(&str) -> bool,
@@ -327,7 +327,7 @@
 
     fn judge_window(
         &self,
-        now: Time,
+        now: Nanos,
         span: u32,
         listed: &impl Fn(&str) -> usize,
         is_out: &impl Fn(&str) -> bool,
@@ -513,7 +513,7 @@
 }
 
 /// What is seen in a window; calls that hang count where none is answered any more.
-fn window(zone: &Sighted, now: Time, span: u32, hanging: Option<u32>, most: f64) -> Window {
+fn window(zone: &Sighted, now: Nanos, span: u32, hanging: Option<u32>, most: f64) -> Window {
     let mut window = Window::new();
     for s in zone
         .sights
--- a/src/coordination/zones/mod.rs
+++ b/src/coordination/zones/mod.rs
@@ -190,8 +190,8 @@
 }
 
 /// Milliseconds as time.
-pub(super) fn ms(ms: u32) -> crate::Time {
-    crate::Time::from(ms) * 1_000_000
+pub(super) fn ms(ms: u32) -> crate::Nanos {
+    crate::Nanos::from(ms) * 1_000_000
 }
 
 #[cfg(test)]
--- a/src/coordination/zones/recovery_ramp.rs
+++ b/src/coordination/zones/recovery_ramp.rs
@@ -46,7 +46,7 @@
 #[cfg(doc)]
 use crate::dispatch::slow_start::bound;
 use crate::dispatch::slow_start::{self, Ramp};
-use crate::Time;
+use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Senders that wait for calls of one zone and destination, at the most; more ask again with their
@@ -112,7 +112,7 @@
     /// For so long before that answer the zone had been back, and no call failed here.
     ahead_ms: f64,
     /// When a call failed here last.
-    failed: Time,
+    failed: Nanos,
     credit: f64,
     taken: f64,
     refused: f64,
@@ -126,14 +126,14 @@
 struct Waiting {
     id: u32,
     report: u64,
-    heard: Time,
+    heard: Nanos,
     calls: u32,
 }
 
 #[derive(Clone, Debug)]
 struct Slice {
     number: u64,
-    begun: Time,
+    begun: Nanos,
     /// By destination: what there is, and what is left of it.
     calls: BTreeMap<u16, (u32, u32)>,
     stands: bool,
@@ -154,21 +154,21 @@
 #[derive(Clone, Debug)]
 struct Return {
     epoch: u64,
-    since: Time,
-    counted: Time,
-    used: Time,
+    since: Nanos,
+    counted: Nanos,
+    used: Nanos,
     dests: BTreeMap<u16, Dest>,
     slice: Option<Slice>,
     /// Something of the zone has answered since this return began, or began anew.
     answers: bool,
     /// When two had told of answers.
-    begun: Option<Time>,
+    begun: Option<Nanos>,
     /// Nothing is granted before this, as nothing answers.
-    knock_at: Time,
+    knock_at: Nanos,
     /// The destination that was asked last while nothing answered.
     knocked: Option<u16>,
     /// Calls whose results are not told yet, by sender.
-    owed: BTreeMap<u32, (u32, Time)>,
+    owed: BTreeMap<u32, (u32, Nanos)>,
     /// Senders that were granted any, that told of an answer, and that told of a failure; a few of
     /// each.
     granted: BTreeSet<u32>,
@@ -191,9 +191,9 @@
 #[derive(Clone, Debug)]
 pub struct Cold {
     rules: Rules,
-    fresh: Time,
+    fresh: Nanos,
     returns: BTreeMap<String, Return>,
-    over: BTreeMap<String, Time>,
+    over: BTreeMap<String, Nanos>,
     number: u64,
 }
 
@@ -213,7 +213,7 @@
 
 impl Cold {
     /// Hands out nothing before all that earlier leaders could have handed out is over.
-    pub fn new(rules: Rules, now: Time) -> Cold {
+    pub fn new(rules: Rules, now: Nanos) -> Cold {
         let over = f64::from(rules.slice_ms + rules.within_ms) * (1.0 + 2.0 * rules.drift);
         let fresh = now + ms(over.ceil() as u32);
         Cold {
@@ -229,7 +229,7 @@
     /// and how warm the record has it. What belongs to others is let go.
     pub fn follow<'a>(
         &mut self,
-        now: Time,
+        now: Nanos,
         zones: impl Iterator<Item = (&'a str, u64, Vec<u16>, &'a [(u16, u32)])>,
     ) {
         let mut gone: BTreeSet<String> = self.returns.keys().cloned().collect();
@@ -283,7 +283,7 @@
     }
 
     /// A sender wants cold calls.
-    pub fn want(&mut self, now: Time, id: u32, report: u64, wants: &[Want]) {
+    pub fn want(&mut self, now: Nanos, id: u32, report: u64, wants: &[Want]) {
         for want in wants.iter().filter(|w| w.calls > 0) {
             let Some(back) = self.returns.get_mut(&want.zone) else {
                 continue;
@@ -310,7 +310,7 @@
 
     /// A sender tells what came of calls to a zone. Counts up to what it was granted; the others
     /// are not of this return.
-    pub fn saw(&mut self, now: Time, id: u32, zone: &str, dest: u16, counts: &Counts) {
+    pub fn saw(&mut self, now: Nanos, id: u32, zone: &str, dest: u16, counts: &Counts) {
         let Some(back) = self.returns.get_mut(zone) else {
             return;
         };
@@ -372,7 +372,7 @@
 
     /// Time goes on for a zone's return: its destinations warm up where they bear it. Held: nothing
     /// warms and nothing fails.
-    pub fn step(&mut self, now: Time, zone: &str, held: bool) -> Step {
+    pub fn step(&mut self, now: Nanos, zone: &str, held: bool) -> Step {
         let Some(back) = self.returns.get_mut(zone) else {
             return Step::On;
         };
@@ -432,7 +432,7 @@
     }
 
     /// For how long a zone's return has begun, in milliseconds.
-    pub fn begun_ms(&self, zone: &str, now: Time) -> Option<u64> {
+    pub fn begun_ms(&self, zone: &str, now: Nanos) -> Option<u64> {
         Some(now.saturating_sub(self.returns.get(zone)?.begun?) / 1_000_000)
     }
 
@@ -448,7 +448,7 @@
     /// is for each destination.
     pub fn reserve(
         &mut self,
-        now: Time,
+        now: Nanos,
         zone: &str,
         listed: impl Fn(u16) -> Share,
     ) -> Option<Reserve> {
@@ -539,7 +539,7 @@
 
     /// Hands out what may be begun now: a slice's calls come evenly over its time, to those that
     /// wait longest first.
-    pub fn grant(&mut self, now: Time, mut to: impl FnMut(u32, Grant)) {
+    pub fn grant(&mut self, now: Nanos, mut to: impl FnMut(u32, Grant)) {
         let long = ms(self.rules.slice_ms);
         for (zone, back) in &mut self.returns {
             let Some(slice) = back
--- a/src/delivery/admission.rs
+++ b/src/delivery/admission.rs
@@ -4,7 +4,7 @@
 //! Between two policies nothing is taken on for a moment: what comes then waits, in order, for less
 //! than its client does. For nothing else does anybody wait here.
 
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::timer_wheel::TimerWheel;
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     /// It may not be taken on.
-    pub async fn enter(self: &Rc<Self>, wheel: &Rc<Wheel>, most: usize) -> Result<bool, Shut> {
+    pub async fn enter(self: &Rc<Self>, wheel: &Rc<TimerWheel>, most: usize) -> Result<bool, Shut> {
         match self.look() {
             Ok(()) if self.line.borrow().is_empty() => return Ok(false),
             Ok(()) | Err(Shut::Paused) => {}
@@ -184,7 +184,7 @@
     ) -> (Vec<(usize, String)>, Duration) {
         let (executor, wheel, admission) = (
             LocalExecutor::new(),
-            Wheel::new(),
+            TimerWheel::new(),
             Rc::new(Admission::default()),
         );
         admission.set(door);
--- a/src/delivery/client_quota.rs
+++ b/src/delivery/client_quota.rs
@@ -19,7 +19,7 @@
 const EARLIER: &str = "an earlier process";
 
 /// Owner of the count.
-pub struct Guests {
+pub struct ClientQuotas {
     messages: RefCell<Messages>,
     start: Instant,
     /// How many were refused, by reason.
@@ -28,17 +28,17 @@
 
 /// One message that is held; dropped, it is over.
 pub struct Guest {
-    guests: Rc<Guests>,
+    guests: Rc<ClientQuotas>,
     client: Rc<str>,
     since: Instant,
     delivered: Cell<bool>,
 }
 
-impl Guests {
+impl ClientQuotas {
     /// Nobody yet.
     pub fn new(limits: Limits) -> Rc<Self> {
         let messages = RefCell::new(Messages::new(limits));
-        Rc::new(Guests {
+        Rc::new(ClientQuotas {
             messages,
             start: Instant::now(),
             refused: RefCell::default(),
--- a/src/delivery/driver.rs
+++ b/src/delivery/driver.rs
@@ -2,13 +2,14 @@
 //! actions come out at the messages and providers that they are for. Sole owner of the relay and of
 //! message ids.
 
-use crate::delivery::endpoint_directory::{Directory, News, Provider};
+use crate::delivery::endpoint_directory::{Directory, Endpoint, News};
 use crate::delivery::evacuation::{Lease, Order as Aside};
-use crate::delivery::timer_wheel::Wheel;
-use crate::delivery::{span, Life, Report, Witness};
+use crate::delivery::timer_wheel::TimerWheel;
+use crate::delivery::{span, DeliveryObserver, LifecycleEvent, Report};
 use crate::dispatch::routing::Routes;
 use crate::{
-    Action, DestId, Endpoint, Event, Message, MessageId, Outcome, Past, Relay, Terms, Time,
+    Action, DestinationId, Dispatcher, EndpointAddress, Event, Message, MessageId, Nanos, Outcome,
+    Past, Terms,
 };
 use async_channel::{Receiver, Sender};
 use futures_lite::{future, FutureExt};
@@ -28,23 +29,23 @@
     /// Call a provider.
     Call {
         /// The provider.
-        endpoint: Endpoint,
+        endpoint: EndpointAddress,
         /// Time-out of the call.
-        timeout: Time,
+        timeout: Nanos,
     },
     /// The message is over; its client may hand it in again after this time (0: nothing advised).
     Reject {
         /// The advised wait.
-        retry_after: Time,
+        retry_after: Nanos,
     },
     /// The message is over, failed.
     Fail,
 }
 
 /// What the module wants done that is about no message.
-pub trait Hands {
+pub trait DriverEffects {
     /// Close the connections to a provider that carry no call.
-    fn close_idle(&self, provider: &Provider);
+    fn close_idle(&self, provider: &Endpoint);
     /// Ask the directory for changes.
     fn watch_list(&self);
 }
@@ -52,13 +53,13 @@
 /// A message that is held.
 struct Place {
     orders: Sender<Order>,
-    dest: DestId,
+    dest: DestinationId,
     /// A call is out.
     out: bool,
 }
 
 struct Inner {
-    relay: Relay,
+    relay: Dispatcher,
     next_id: MessageId,
     tickets: HashMap<MessageId, Place>,
     actions: Vec<Action>,
@@ -66,24 +67,24 @@
 }
 
 /// The desk.
-pub struct Desk {
+pub struct DispatcherDriver {
     inner: RefCell<Inner>,
     start: Instant,
     alarm: (Sender<()>, Receiver<()>),
     directory: Rc<Directory>,
-    hands: Rc<dyn Hands>,
+    hands: Rc<dyn DriverEffects>,
     halted: Cell<bool>,
     calls: Cell<usize>,
     idle: (Sender<()>, Receiver<()>),
-    witness: OnceCell<Rc<dyn Witness>>,
+    witness: OnceCell<Rc<dyn DeliveryObserver>>,
     /// Woken where the list has changed.
     listed: event_listener::Event,
 }
 
 /// One call that is about to begin, or out; dropped, it is neither.
 pub struct Permit {
-    desk: Rc<Desk>,
-    provider: Rc<Provider>,
+    desk: Rc<DispatcherDriver>,
+    provider: Rc<Endpoint>,
     /// The order that it is under until it has begun.
     under: Cell<Option<u64>>,
     since: Instant,
@@ -119,11 +120,15 @@
     }
 }
 
-impl Desk {
+impl DispatcherDriver {
     /// A desk over a fresh relay.
-    pub fn new(relay: Relay, directory: Rc<Directory>, hands: Rc<dyn Hands>) -> Rc<Self> {
+    pub fn new(
+        relay: Dispatcher,
+        directory: Rc<Directory>,
+        hands: Rc<dyn DriverEffects>,
+    ) -> Rc<Self> {
         let (tickets, actions) = (HashMap::new(), Vec::new());
-        Rc::new(Desk {
+        Rc::new(DispatcherDriver {
             inner: RefCell::new(Inner {
                 relay,
                 next_id: 0,
@@ -144,12 +149,12 @@
     }
 
     /// Somebody sees what becomes of calls from now on; the first one who is told of does.
-    pub fn seen_by(&self, witness: Rc<dyn Witness>) {
+    pub fn seen_by(&self, witness: Rc<dyn DeliveryObserver>) {
         let _ = self.witness.set(witness);
     }
 
     /// Tells whoever sees it what became of a message.
-    pub fn saw(&self, policy: u64, class: u16, tenant: u16, life: Life) {
+    pub fn saw(&self, policy: u64, class: u16, tenant: u16, life: LifecycleEvent) {
         if let Some(witness) = self.witness.get() {
             witness.life(policy, class, tenant, life);
         }
@@ -169,7 +174,7 @@
 
     /// A call is about to go to a provider. Nothing where an order leaves that aside, and no call
     /// that was lent is left.
-    pub fn permit(self: &Rc<Self>, provider: &Rc<Provider>) -> Option<Permit> {
+    pub fn permit(self: &Rc<Self>, provider: &Rc<Endpoint>) -> Option<Permit> {
         let under = self.directory.about(provider).ok()?;
         if under.is_some() {
             self.settle();
@@ -190,7 +195,7 @@
     }
 
     /// Lends calls to the order of that number, if it stands.
-    pub fn lend(&self, zone: &str, dest: DestId, number: u64, lease: Lease) {
+    pub fn lend(&self, zone: &str, dest: DestinationId, number: u64, lease: Lease) {
         self.directory.lend(zone, dest, number, lease);
         self.settle();
     }
@@ -204,7 +209,7 @@
     }
 
     /// Messages for a destination that wait for a call.
-    pub fn waiting(&self, dest: DestId) -> usize {
+    pub fn waiting(&self, dest: DestinationId) -> usize {
         self.inner
             .borrow()
             .tickets
@@ -219,7 +224,7 @@
     }
 
     /// Wakes the module when it asked for it; runs for ever.
-    pub async fn keep_time(&self, wheel: &Rc<Wheel>) {
+    pub async fn keep_time(&self, wheel: &Rc<TimerWheel>) {
         loop {
             let at = self.inner.borrow().wake_at;
             let due = async {
@@ -293,7 +298,7 @@
     }
 
     /// Brings a message before the module. Its orders come to the ticket, the first ones at once.
-    pub fn enter(self: &Rc<Self>, message: Message, past: Option<Past>) -> Ticket {
+    pub fn enter(self: &Rc<Self>, message: Message, past: Option<Past>) -> MessageHandle {
         let (sender, orders) = async_channel::unbounded();
         let id = {
             let mut inner = self.inner.borrow_mut();
@@ -321,7 +326,7 @@
             Some(past) => Event::Resumed { message, past },
         });
         let attempts = past.unwrap_or_default().attempts;
-        Ticket {
+        MessageHandle {
             desk: self.clone(),
             id,
             orders,
@@ -343,8 +348,8 @@
         }
     }
 
-    fn now(&self) -> Time {
-        (EPOCH + self.start.elapsed()).as_nanos() as Time
+    fn now(&self) -> Nanos {
+        (EPOCH + self.start.elapsed()).as_nanos() as Nanos
     }
 
     /// One turn of the module. Orders are only laid out here; their invocations act on them later,
@@ -399,8 +404,8 @@
 }
 
 /// A message's place at the desk; dropped, it is given back and the module forgets the message.
-pub struct Ticket {
-    desk: Rc<Desk>,
+pub struct MessageHandle {
+    desk: Rc<DispatcherDriver>,
     id: MessageId,
     orders: Receiver<Order>,
     attempts: u16,
@@ -409,7 +414,7 @@
     over: bool,
 }
 
-impl Ticket {
+impl MessageHandle {
     /// The next order, if it is there already.
     pub fn ready(&mut self) -> Option<Order> {
         let order = self.orders.try_recv().ok()?;
@@ -458,14 +463,14 @@
             id: self.id,
             attempt,
             outcome: report.outcome,
-            took: sent.elapsed().as_nanos() as Time,
+            took: sent.elapsed().as_nanos() as Nanos,
             finished: report.over,
             report: report.load,
         });
     }
 }
 
-impl Drop for Ticket {
+impl Drop for MessageHandle {
     fn drop(&mut self) {
         if !self.over {
             self.desk.turn(Event::Withdrawn(self.id));
@@ -474,7 +479,7 @@
         while self.out.is_none() && self.ready().is_some() {}
         self.report(Report {
             over: true,
-            ..Outcome::Moot.into()
+            ..Outcome::NotSent.into()
         });
         self.desk.inner.borrow_mut().tickets.remove(&self.id);
     }
--- a/src/delivery/endpoint_directory.rs
+++ b/src/delivery/endpoint_directory.rs
@@ -2,7 +2,7 @@
 
 use crate::delivery::evacuation::{Aside, Lease, Order, Standing, Taken};
 use crate::dispatch::routing::{Routes, Way};
-use crate::{Condition, DestId, Endpoint, Event, Kind, Listing, LENT};
+use crate::{Condition, DestinationId, EndpointAddress, Event, Kind, Listing, LENT};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     /// Its kind, by name.
     pub kind: String,
     /// Its destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// Its condition.
     pub condition: Condition,
     /// Calls a second that it takes, as far as the settings say.
@@ -41,9 +41,9 @@
 
 /// A provider, as listed.
 #[derive(Clone, Debug)]
-pub struct Provider {
+pub struct Endpoint {
     /// The module's name for it.
-    pub endpoint: Endpoint,
+    pub endpoint: EndpointAddress,
     /// The line of the list.
     pub entry: Entry,
     /// Zone, by number.
@@ -55,8 +55,8 @@
 /// Whom a told wait binds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Gate {
-    Provider(Endpoint),
-    Destination(DestId),
+    Endpoint(EndpointAddress),
+    Destination(DestinationId),
 }
 
 /// Owner of the list.
@@ -65,10 +65,10 @@
     /// The next whole list comes from another place, which may count its versions anew.
     moved: Cell<bool>,
     /// Destinations that were ever listed.
-    dests: RefCell<BTreeSet<DestId>>,
-    handles: RefCell<HashMap<String, Endpoint>>,
+    dests: RefCell<BTreeSet<DestinationId>>,
+    handles: RefCell<HashMap<String, EndpointAddress>>,
     named: Cell<u32>,
-    providers: RefCell<BTreeMap<Endpoint, Rc<Provider>>>,
+    providers: RefCell<BTreeMap<EndpointAddress, Rc<Endpoint>>>,
     waits: RefCell<BTreeMap<Gate, Instant>>,
     zones: RefCell<Vec<String>>,
     kinds: Vec<String>,
@@ -76,13 +76,13 @@
     /// What is left aside though the list wants it called.
     aside: RefCell<Aside>,
     /// What the module was told otherwise than the list says.
-    otherwise: RefCell<BTreeMap<Endpoint, Otherwise>>,
+    otherwise: RefCell<BTreeMap<EndpointAddress, Otherwise>>,
     /// Destinations that orders leave no other route: there the list alone counts.
-    last: RefCell<BTreeSet<DestId>>,
+    last: RefCell<BTreeSet<DestinationId>>,
     /// Where messages may go, by the numbers of zones.
     routes: RefCell<Rc<Routes>>,
     /// Destinations that were told to have no route.
-    routeless: RefCell<BTreeSet<DestId>>,
+    routeless: RefCell<BTreeSet<DestinationId>>,
 }
 
 /// What the module was told of an endpoint that is under an order.
@@ -100,7 +100,7 @@
     /// The zone.
     pub zone: String,
     /// The destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// Endpoints that want calls.
     pub endpoints: u32,
     /// Calls a second that they take together.
@@ -108,7 +108,7 @@
 }
 
 /// What the module is to be told, and providers whose connections are wanted no more.
-type Told = (Event, Vec<Rc<Provider>>);
+type Told = (Event, Vec<Rc<Endpoint>>);
 
 impl Directory {
     /// An empty list; zones and kinds are numbered as in the settings.
@@ -144,7 +144,7 @@
 
     /// Whether a destination has, or had, providers, as far as any list tells. One that lost its
     /// last provider may get another one; one that nobody ever listed is a mistake.
-    pub fn serves(&self, dest: DestId) -> bool {
+    pub fn serves(&self, dest: DestinationId) -> bool {
         self.rev.get().is_none() || self.dests.borrow().contains(&dest)
     }
 
@@ -166,9 +166,10 @@
         }
         let first = self.rev.replace(Some(news.rev)).is_none();
         let mut providers = self.providers.borrow_mut();
-        let mut left: Vec<Rc<Provider>> = Vec::new();
+        let mut left: Vec<Rc<Endpoint>> = Vec::new();
         if news.whole {
-            let listed: Vec<Endpoint> = news.entries.iter().map(|e| self.handle(&e.uid)).collect();
+            let listed: Vec<EndpointAddress> =
+                news.entries.iter().map(|e| self.handle(&e.uid)).collect();
             left.extend(
                 providers
                     .iter()
@@ -191,7 +192,7 @@
             .extend(news.entries.iter().map(|e| e.dest));
         for entry in &news.entries {
             let endpoint = self.handle(&entry.uid);
-            let provider = Rc::new(Provider {
+            let provider = Rc::new(Endpoint {
                 endpoint,
                 zone: self.zone(&entry.zone),
                 kind: self.kind(&entry.kind),
@@ -290,7 +291,7 @@
         if routes.is_empty() {
             return;
         }
-        let mut listed: BTreeMap<DestId, BTreeSet<u16>> = BTreeMap::new();
+        let mut listed: BTreeMap<DestinationId, BTreeSet<u16>> = BTreeMap::new();
         for p in self
             .providers
             .borrow()
@@ -319,12 +320,12 @@
     }
 
     /// Lends calls to the order of that number, if it stands.
-    pub fn lend(&self, zone: &str, dest: DestId, number: u64, lease: Lease) {
+    pub fn lend(&self, zone: &str, dest: DestinationId, number: u64, lease: Lease) {
         self.aside.borrow_mut().lend(zone, dest, number, lease);
     }
 
     /// Calls that are lent for a zone and destination and not begun.
-    pub fn left(&self, zone: &str, dest: DestId) -> u32 {
+    pub fn left(&self, zone: &str, dest: DestinationId) -> u32 {
         self.aside.borrow().left(zone, dest, Instant::now())
     }
 
@@ -339,7 +340,7 @@
         *self.last.borrow_mut() = self.without_others(now);
         let mut before = std::mem::take(&mut *self.otherwise.borrow_mut());
         let (mut lines, mut left) = (Vec::new(), Vec::new());
-        let all: Vec<Rc<Provider>> = self.providers.borrow().values().cloned().collect();
+        let all: Vec<Rc<Endpoint>> = self.providers.borrow().values().cloned().collect();
         for p in all.iter().filter(|p| p.entry.condition == Condition::Ready) {
             let was = before.remove(&p.endpoint);
             let standing = self.standing(p, now);
@@ -379,7 +380,7 @@
     }
 
     /// Destinations that are kept in use in spite of orders, as they have no other route.
-    pub fn kept(&self) -> BTreeSet<DestId> {
+    pub fn kept(&self) -> BTreeSet<DestinationId> {
         self.last.borrow().clone()
     }
 
@@ -388,7 +389,7 @@
     ///
     /// # Errors
     /// Others will take up all that is lent.
-    pub fn about(&self, p: &Provider) -> Result<Option<u64>, Taken> {
+    pub fn about(&self, p: &Endpoint) -> Result<Option<u64>, Taken> {
         match self.exempt(p) {
             true => Ok(None),
             false => self.aside.borrow_mut().about(p, Instant::now()),
@@ -396,18 +397,18 @@
     }
 
     /// It begins now. Not where an order stands and nothing that was lent is left.
-    pub fn begin(&self, p: &Provider) -> bool {
+    pub fn begin(&self, p: &Endpoint) -> bool {
         self.exempt(p) || self.aside.borrow_mut().begin(p, Instant::now())
     }
 
     /// It is not about to begin any more: it has begun, or will not.
-    pub fn done(&self, p: &Provider, number: u64) {
+    pub fn done(&self, p: &Endpoint, number: u64) {
         self.aside.borrow_mut().done(p, number);
     }
 
     /// What zones and destinations have to offer, whatever is ordered.
     pub fn offers(&self) -> Vec<Offer> {
-        let mut offers: BTreeMap<(String, DestId), (u32, f32)> = BTreeMap::new();
+        let mut offers: BTreeMap<(String, DestinationId), (u32, f32)> = BTreeMap::new();
         for p in self
             .providers
             .borrow()
@@ -441,7 +442,7 @@
             .collect()
     }
 
-    fn standing(&self, p: &Provider, now: Instant) -> Standing {
+    fn standing(&self, p: &Endpoint, now: Instant) -> Standing {
         match self.last.borrow().contains(&p.entry.dest) {
             true => Standing::Free,
             false => self
@@ -451,17 +452,17 @@
         }
     }
 
-    fn exempt(&self, p: &Provider) -> bool {
+    fn exempt(&self, p: &Endpoint) -> bool {
         self.last.borrow().contains(&p.entry.dest)
     }
 
     /// Destinations that orders leave nothing that wants calls, or nothing that the routes allow to
     /// some of their messages.
-    fn without_others(&self, now: Instant) -> BTreeSet<DestId> {
+    fn without_others(&self, now: Instant) -> BTreeSet<DestinationId> {
         let (aside, routes) = (self.aside.borrow(), self.routes.borrow());
         let (mut rest, mut hit): (
-            BTreeMap<DestId, BTreeSet<u16>>,
-            BTreeMap<DestId, BTreeSet<u16>>,
+            BTreeMap<DestinationId, BTreeSet<u16>>,
+            BTreeMap<DestinationId, BTreeSet<u16>>,
         ) = Default::default();
         for p in self
             .providers
@@ -475,7 +476,7 @@
             };
             all.entry(p.entry.dest).or_default().insert(p.zone);
         }
-        let keeps = |dest: &DestId, hit: &BTreeSet<u16>| {
+        let keeps = |dest: &DestinationId, hit: &BTreeSet<u16>| {
             let Some(rest) = rest.get(dest) else {
                 return true;
             };
@@ -496,10 +497,10 @@
     }
 
     /// The same provider under another name of the module's.
-    fn anew(&self, p: &Provider) -> Rc<Provider> {
+    fn anew(&self, p: &Endpoint) -> Rc<Endpoint> {
         self.handles.borrow_mut().remove(&p.entry.uid);
         let endpoint = self.handle(&p.entry.uid);
-        let again = Rc::new(Provider {
+        let again = Rc::new(Endpoint {
             endpoint,
             ..p.clone()
         });
@@ -524,12 +525,12 @@
     }
 
     /// The provider that the module means.
-    pub fn provider(&self, endpoint: Endpoint) -> Option<Rc<Provider>> {
+    pub fn provider(&self, endpoint: EndpointAddress) -> Option<Rc<Endpoint>> {
         self.providers.borrow().get(&endpoint).cloned()
     }
 
     /// Notes a wait that a provider told.
-    pub fn told_wait(&self, provider: &Provider, until: Instant) {
+    pub fn told_wait(&self, provider: &Endpoint, until: Instant) {
         let mut waits = self.waits.borrow_mut();
         waits.retain(|_, until| *until > Instant::now());
         let wait = waits.entry(self.gate(provider)).or_insert(until);
@@ -539,7 +540,7 @@
     /// Whether a call may start now: the provider is still wanted, no wait that it told is running,
     /// and no order keeps it aside. Asked right before the first byte, because all of these may
     /// change while a connection comes up.
-    pub fn admits(&self, endpoint: Endpoint, now: Instant) -> bool {
+    pub fn admits(&self, endpoint: EndpointAddress, now: Instant) -> bool {
         let Some(p) = self.provider(endpoint) else {
             return false;
         };
@@ -562,16 +563,16 @@
         at as u16
     }
 
-    fn is_apart(&self, p: &Provider) -> bool {
+    fn is_apart(&self, p: &Endpoint) -> bool {
         self.apart
             .get(usize::from(p.kind))
             .copied()
             .unwrap_or(false)
     }
 
-    fn gate(&self, p: &Provider) -> Gate {
+    fn gate(&self, p: &Endpoint) -> Gate {
         if self.is_apart(p) {
-            Gate::Provider(p.endpoint)
+            Gate::Endpoint(p.endpoint)
         } else {
             Gate::Destination(p.entry.dest)
         }
@@ -585,11 +586,11 @@
 
     /// A name of the module's own for each uid: addresses may be used again by a machine that
     /// replaces another.
-    fn handle(&self, uid: &str) -> Endpoint {
+    fn handle(&self, uid: &str) -> EndpointAddress {
         let mut handles = self.handles.borrow_mut();
         *handles.entry(uid.to_string()).or_insert_with(|| {
             self.named.set(self.named.get() + 1);
-            Endpoint {
+            EndpointAddress {
                 addr: self.named.get().to_be_bytes(),
                 port: 0,
             }
@@ -598,7 +599,7 @@
 }
 
 /// A provider's line, with another condition or rate than the list has.
-fn line(p: &Provider, condition: Condition, rate: f32) -> Listing {
+fn line(p: &Endpoint, condition: Condition, rate: f32) -> Listing {
     Listing {
         endpoint: p.endpoint,
         zone: p.zone,
