--- a/src/delivery/evacuation.rs
+++ b/src/delivery/evacuation.rs
@@ -2,8 +2,8 @@
 //! the few calls that may go there meanwhile. Who gives the orders is not known here. No I/O, no
 //! clock; the caller brings the time.
 
-use crate::delivery::endpoint_directory::Provider;
-use crate::DestId;
+use crate::delivery::endpoint_directory::Endpoint;
+use crate::DestinationId;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
@@ -17,7 +17,7 @@
     /// The zone.
     pub zone: String,
     /// The destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// What tells one order from the next: leases of another one are void.
     pub number: u64,
     /// When it ends by itself, if it does.
@@ -76,7 +76,7 @@
 /// Owner of the orders.
 #[derive(Debug, Default)]
 pub struct Aside {
-    groups: BTreeMap<DestId, Vec<Group>>,
+    groups: BTreeMap<DestinationId, Vec<Group>>,
 }
 
 impl Aside {
@@ -103,7 +103,7 @@
     }
 
     /// Lends calls to the order of that number, if it stands.
-    pub fn lend(&mut self, zone: &str, dest: DestId, number: u64, lease: Lease) {
+    pub fn lend(&mut self, zone: &str, dest: DestinationId, number: u64, lease: Lease) {
         let Some(group) = self.group(zone, dest).filter(|g| g.order.number == number) else {
             return;
         };
@@ -120,7 +120,7 @@
     }
 
     /// How things stand for a zone and destination.
-    pub fn standing(&self, zone: &str, dest: DestId, now: Instant) -> Standing {
+    pub fn standing(&self, zone: &str, dest: DestinationId, now: Instant) -> Standing {
         let Some(group) = self.seen(zone, dest).filter(|g| g.runs(now)) else {
             return Standing::Free;
         };
@@ -132,7 +132,7 @@
     }
 
     /// Whether a call that is about to begin may do so.
-    pub fn admits(&self, zone: &str, dest: DestId, now: Instant) -> bool {
+    pub fn admits(&self, zone: &str, dest: DestinationId, now: Instant) -> bool {
         self.seen(zone, dest)
             .filter(|g| g.runs(now))
             .is_none_or(|g| g.left(now) > 0)
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     /// Others will take up all that is lent.
-    pub fn about(&mut self, p: &Provider, now: Instant) -> Result<Option<u64>, Taken> {
+    pub fn about(&mut self, p: &Endpoint, now: Instant) -> Result<Option<u64>, Taken> {
         let Some(group) = self
             .group(&p.entry.zone, p.entry.dest)
             .filter(|g| g.runs(now))
@@ -158,7 +158,7 @@
     }
 
     /// It begins now: takes one of the calls that are lent. Not where none is left.
-    pub fn begin(&mut self, p: &Provider, now: Instant) -> bool {
+    pub fn begin(&mut self, p: &Endpoint, now: Instant) -> bool {
         let Some(group) = self
             .group(&p.entry.zone, p.entry.dest)
             .filter(|g| g.runs(now))
@@ -173,7 +173,7 @@
     }
 
     /// It is not about to begin any more: it has begun, or will not.
-    pub fn done(&mut self, p: &Provider, number: u64) {
+    pub fn done(&mut self, p: &Endpoint, number: u64) {
         let group = self
             .group(&p.entry.zone, p.entry.dest)
             .filter(|g| g.order.number == number);
@@ -183,7 +183,7 @@
     }
 
     /// Calls that are lent and not begun.
-    pub fn left(&self, zone: &str, dest: DestId, now: Instant) -> u32 {
+    pub fn left(&self, zone: &str, dest: DestinationId, now: Instant) -> u32 {
         self.seen(zone, dest).map_or(0, |g| g.left(now))
     }
 
@@ -206,14 +206,14 @@
         self.groups.values().map(Vec::len).sum()
     }
 
-    fn seen(&self, zone: &str, dest: DestId) -> Option<&Group> {
+    fn seen(&self, zone: &str, dest: DestinationId) -> Option<&Group> {
         self.groups
             .get(&dest)?
             .iter()
             .find(|g| g.order.zone == zone)
     }
 
-    fn group(&mut self, zone: &str, dest: DestId) -> Option<&mut Group> {
+    fn group(&mut self, zone: &str, dest: DestinationId) -> Option<&mut Group> {
         self.groups
             .get_mut(&dest)?
             .iter_mut()
--- a/src/delivery/journal/mod.rs
+++ b/src/delivery/journal/mod.rs
@@ -10,7 +10,7 @@
 pub mod restart_state;
 pub mod wall_clock;
 
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{unix_ms, Envelope, Verdict};
 use crate::store::disk::{Disk, Folder};
 use crate::store::log::{Done, Items, Legacy, Log, Options, Refused, Unsynced};
@@ -166,7 +166,7 @@
 }
 
 /// Time since any start, that the store's decisions go by.
-pub type Time = Box<dyn Fn() -> Duration>;
+pub type MonotonicClock = Box<dyn Fn() -> Duration>;
 
 /// Replays a store into accounts.
 pub(super) struct Replayed {
@@ -296,7 +296,7 @@
     _locks: Vec<File>,
     book: RefCell<Book>,
     setup: Setup,
-    time: Time,
+    time: MonotonicClock,
     clock: Clock,
     worker: Option<Worker>,
     /// How far it is synced, how many syncs failed, and who wants to know.
@@ -331,7 +331,7 @@
         setup: Setup,
         old: Option<Vec<u8>>,
         locks: Vec<File>,
-        time: Time,
+        time: MonotonicClock,
     ) -> io::Result<(Rc<Self>, Vec<Record>)> {
         let mut replayed = Replayed::new(setup.bodies);
         let legacy = old
@@ -449,7 +449,7 @@
     }
 
     /// Keeps the store clean and writes what could not be written before; runs for ever.
-    pub async fn tend(self: Rc<Self>, wheel: Rc<Wheel>) {
+    pub async fn tend(self: Rc<Self>, wheel: Rc<TimerWheel>) {
         loop {
             let rest = if self.tend_once() { TEND.0 } else { TEND.1 };
             wheel.sleep(rest).await;
--- a/src/delivery/journal/restart_state.rs
+++ b/src/delivery/journal/restart_state.rs
@@ -5,7 +5,7 @@
 //! is.
 
 use crate::dispatch::list_polling;
-use crate::{Earlier, Time};
+use crate::{Earlier, Nanos};
 use std::io::Write;
 use std::path::Path;
 use std::time::Duration;
@@ -98,10 +98,10 @@
 }
 
 /// How long the list of the process before may still be trusted; nothing, where there was none.
-fn trusted_for(file: &Path, now_ms: u64) -> io::Result<Option<Time>> {
+fn trusted_for(file: &Path, now_ms: u64) -> io::Result<Option<Nanos>> {
     let until_ms = read(file, 2, now_ms, u64::MAX)?;
     let left = |until: u64| Duration::from_millis(until.saturating_sub(now_ms));
-    Ok(until_ms.map(|until| left(until).as_nanos().try_into().unwrap_or(Time::MAX)))
+    Ok(until_ms.map(|until| left(until).as_nanos().try_into().unwrap_or(Nanos::MAX)))
 }
 
 /// The last of a note's numbers, the first of which is when it was written; nothing where it is not
@@ -174,7 +174,7 @@
 
     #[test]
     fn a_list_is_trusted_as_long_as_was_noted_and_not_at_all_by_a_spoilt_note() {
-        const MS: Time = 1_000_000;
+        const MS: Nanos = 1_000_000;
         let folder = tempfile::tempdir().expect("a folder");
         let left = |now| look(folder.path(), now).0.trusted_for;
         assert_eq!(left(5), None, "no process was before");
--- a/src/delivery/message.rs
+++ b/src/delivery/message.rs
@@ -2,17 +2,20 @@
 //! called, reported, answered, closed.
 
 use crate::delivery::admission::{Admission, Shut};
-use crate::delivery::client_quota::{Client, Guest, Guests};
-use crate::delivery::driver::{Desk, Order, Ticket};
+use crate::delivery::client_quota::{Client, ClientQuotas, Guest};
+use crate::delivery::driver::{DispatcherDriver, MessageHandle, Order};
 use crate::delivery::endpoint_directory::Directory;
 use crate::delivery::journal::{Journal, Record, AGAIN};
 use crate::delivery::policies::{Hold, Policy, Terms};
 use crate::delivery::routing_tables::Tables;
 use crate::delivery::script_hook::Ruling;
-use crate::delivery::timer_wheel::Wheel;
-use crate::delivery::{span, Envelope, Front, Invoker, InvokerCall, Life, Local, Report, Verdict};
+use crate::delivery::timer_wheel::TimerWheel;
+use crate::delivery::{
+    span, AttemptRequest, EndpointClient, Envelope, Frontend, LifecycleEvent, Local, Report,
+    Verdict,
+};
 use crate::message_trace::step;
-use crate::{Class, Condition, Effect, Endpoint, Message, Outcome, Past, Time};
+use crate::{Class, Condition, Effect, EndpointAddress, Message, Nanos, Outcome, Past};
 use event_listener::Event as Bell;
 use std::any::Any;
 use std::cell::{Cell, RefCell};
@@ -40,7 +43,7 @@
 }
 
 /// What invocations work with.
-pub struct House {
+pub struct DeliveryContext {
     /// What messages are taken on and end under.
     pub terms: Rc<Terms>,
     /// What messages are routed by.
@@ -50,19 +53,19 @@
     /// Names of the classes.
     pub classes: Vec<String>,
     /// The module's desk.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<DispatcherDriver>,
     /// The journal.
     pub journal: Rc<Journal>,
     /// Whose messages are held.
-    pub guests: Rc<Guests>,
+    pub guests: Rc<ClientQuotas>,
     /// The list of providers.
     pub directory: Rc<Directory>,
     /// Makes the calls.
-    pub invoker: Rc<dyn Invoker>,
+    pub invoker: Rc<dyn EndpointClient>,
     /// Those that messages come from, by [`Envelope::front`].
-    pub fronts: BTreeMap<u8, Rc<dyn Front>>,
+    pub fronts: BTreeMap<u8, Rc<dyn Frontend>>,
     /// The timers.
-    pub wheel: Rc<Wheel>,
+    pub wheel: Rc<TimerWheel>,
     /// Front and id of what is held.
     pub names: RefCell<HashMap<(u8, String), Known>>,
 }
@@ -95,7 +98,7 @@
 
 /// A held message's name; dropped, it may be handed in again.
 struct Named {
-    house: Rc<House>,
+    house: Rc<DeliveryContext>,
     name: (u8, String),
     decided: Rc<Decided>,
     /// What its front holds for it.
@@ -104,7 +107,7 @@
 
 impl Named {
     /// Nothing, where a message of this name is held already.
-    fn new(house: &Rc<House>, envelope: &Envelope) -> Option<Self> {
+    fn new(house: &Rc<DeliveryContext>, envelope: &Envelope) -> Option<Self> {
         let name = (envelope.front, envelope.id.clone());
         if house.names.borrow().contains_key(&name) {
             return None;
@@ -149,7 +152,7 @@
 
 /// Serves a message that was just handed in.
 pub async fn serve(
-    house: Rc<House>,
+    house: Rc<DeliveryContext>,
     client: Client,
     mut envelope: Envelope,
     left: Duration,
@@ -174,7 +177,7 @@
     let turned_away = |class| {
         house
             .desk
-            .saw(policy.number, class, tenant, Life::TurnedAway)
+            .saw(policy.number, class, tenant, LifecycleEvent::TurnedAway)
     };
     // No message is held for longer than its class may be, whatever its client says.
     let left = policy
@@ -289,7 +292,9 @@
     }
     log::debug!("{id}: {}", step::HEARD);
     named.decided.is(true);
-    house.desk.saw(policy.number, class, tenant, Life::Taken);
+    house
+        .desk
+        .saw(policy.number, class, tenant, LifecycleEvent::Taken);
     deliver(
         &house,
         envelope,
@@ -317,7 +322,7 @@
 }
 
 /// Takes up a message that an earlier process took on.
-pub async fn resume(house: Rc<House>, record: Record) {
+pub async fn resume(house: Rc<DeliveryContext>, record: Record) {
     let account = record.account();
     let envelope = account.envelope.clone();
     let named = Named::new(&house, &envelope);
@@ -336,7 +341,7 @@
     // How long ago a first call went; where that is not known, longer than any repeat of it is
     // dropped.
     let unknown = class.map_or(0, |c| c.window) + 1;
-    let ago = |age: Option<Duration>| age.map_or(unknown, |age| age.as_nanos() as Time);
+    let ago = |age: Option<Duration>| age.map_or(unknown, |age| age.as_nanos() as Nanos);
     let ran = record
         .ran()
         .map(|(zone, age)| (ago(age), house.directory.zone(&zone)));
@@ -369,11 +374,11 @@
 
 /// Calls as the module orders until the message is over, then gives the final answer.
 async fn deliver(
-    house: &House,
+    house: &DeliveryContext,
     envelope: Rc<Envelope>,
     record: Record,
     held: &Hold,
-    (mut ticket, guest): (Ticket, Guest),
+    (mut ticket, guest): (MessageHandle, Guest),
     mut first: Option<Order>,
     deadline: Instant,
 ) {
@@ -395,7 +400,7 @@
                 )
                 .await;
                 let over = report.over;
-                let delivered = report.outcome == Outcome::Ok;
+                let delivered = report.outcome == Outcome::Delivered;
                 ticket.report(report);
                 if delivered {
                     guest.delivered();
@@ -444,30 +449,30 @@
 
 /// One invoker call, with its lines in the journal.
 async fn call(
-    house: &House,
+    house: &DeliveryContext,
     envelope: &Envelope,
     record: &Record,
     held: &Hold,
-    endpoint: Endpoint,
+    endpoint: EndpointAddress,
     timeout: Duration,
     deadline: Instant,
 ) -> Report {
     let Some(provider) = house.directory.provider(endpoint) else {
-        return Outcome::Moot.into();
+        return Outcome::NotSent.into();
     };
     let body = match record.whole().await {
         Ok(whole) => whole,
         Err(e) => {
             log::error!("{}: its body cannot be read: {e}", envelope.id);
             return Report {
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 over: false,
                 load: Vec::new(),
             };
         }
     };
     let Some(permit) = house.desk.permit(&provider) else {
-        return Outcome::Moot.into();
+        return Outcome::NotSent.into();
     };
     let went = Cell::new(false);
     let allowed = || {
@@ -485,12 +490,12 @@
     // too late to wait.
     if record.settles() {
         if !allowed() || record.sent(&provider.entry.zone).is_err() {
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
         went.set(true);
         if record.settled().await.is_err() {
             record.back(false);
-            return Outcome::Moot.into();
+            return Outcome::NotSent.into();
         }
     }
     let began = Cell::new(false);
@@ -515,7 +520,7 @@
     };
     let report = house
         .invoker
-        .call(InvokerCall {
+        .call(AttemptRequest {
             provider: provider.clone(),
             envelope: &body,
             timeout,
@@ -532,7 +537,7 @@
     {
         house.invoker.close_idle(&provider);
     }
-    if let Outcome::Full { wait } = report.outcome {
+    if let Outcome::Rejected { wait } = report.outcome {
         house
             .directory
             .told_wait(&provider, Instant::now() + span(wait));
@@ -542,7 +547,7 @@
         // to another zone.
         let never = matches!(
             report.outcome,
-            Outcome::Full { .. } | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent
         );
         record.back(began.get() && !never);
     }
@@ -556,7 +561,7 @@
 }
 
 /// Passes the final answer on and closes the record.
-async fn answer(house: &House, envelope: &Envelope, record: Record, verdict: Verdict) {
+async fn answer(house: &DeliveryContext, envelope: &Envelope, record: Record, verdict: Verdict) {
     match house.fronts.get(&envelope.front) {
         Some(front) => {
             front.tell(envelope, verdict).await;
@@ -572,7 +577,7 @@
 }
 
 fn message(envelope: &Envelope, held: &Hold, left: Duration) -> Message {
-    let ttl = left.as_nanos() as Time;
+    let ttl = left.as_nanos() as Nanos;
     let Envelope { dest, tenant, .. } = *envelope;
     Message {
         class: held.class(envelope.class),
@@ -589,10 +594,10 @@
 }
 
 /// How a message ended, now.
-fn end(held: &Hold, envelope: &Envelope, verdict: Verdict, deadline: Instant) -> Life {
+fn end(held: &Hold, envelope: &Envelope, verdict: Verdict, deadline: Instant) -> LifecycleEvent {
     match verdict {
-        Verdict::Deferred { .. } => Life::Refused,
-        Verdict::Undeliverable => Life::Failed,
+        Verdict::Deferred { .. } => LifecycleEvent::Refused,
+        Verdict::Undeliverable => LifecycleEvent::Failed,
         Verdict::Delivered => {
             let rest = deadline.saturating_duration_since(Instant::now());
             let age = |c: &Class| span(c.deadline).saturating_sub(rest);
@@ -601,15 +606,15 @@
                 .class(envelope.class)
                 .is_some_and(|c| age(c) > span(c.aim));
             if late {
-                Life::Late
+                LifecycleEvent::Late
             } else {
-                Life::Delivered
+                LifecycleEvent::Delivered
             }
         }
     }
 }
 
-impl House {
+impl DeliveryContext {
     /// Waits until every message has had its end, and that was heard.
     pub async fn emptied(&self) {
         while !self.names.borrow().is_empty() {
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -1,8 +1,8 @@
 //! The sender without a wire: what is taken on, asked of the module, called, answered and
 //! remembered.
 //!
-//! A front hands messages in ([`message::Reply`]) and passes final answers on ([`Front`]); an
-//! [`Invoker`] makes one call to one provider. Nothing here names a protocol.
+//! A front hands messages in ([`message::Reply`]) and passes final answers on ([`Frontend`]); an
+//! [`EndpointClient`] makes one call to one provider. Nothing here names a protocol.
 
 pub mod admission;
 pub mod client_quota;
@@ -16,8 +16,8 @@
 pub mod script_hook;
 pub mod timer_wheel;
 
-use crate::{Outcome, Time};
-use endpoint_directory::Provider;
+use crate::{Nanos, Outcome};
+use endpoint_directory::Endpoint;
 use futures_lite::Future;
 use serde::{Deserialize, Serialize};
 use std::any::Any;
@@ -34,7 +34,7 @@
 /// A message as it was handed in; passed on unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Which front it came by, as a position in [`message::House::fronts`].
+    /// Which front it came by, as a position in [`message::DeliveryContext::fronts`].
     pub front: u8,
     /// The id that its client gave it.
     pub id: String,
@@ -83,7 +83,7 @@
 }
 
 /// Passes final answers on to those who handed messages in.
-pub trait Front {
+pub trait Frontend {
     /// Tells the verdict, as often as it takes; done once it is known to have arrived or is owed no
     /// more.
     fn tell<'a>(&'a self, envelope: &'a Envelope, verdict: Verdict) -> Local<'a, ()>;
@@ -110,7 +110,7 @@
     fn from(outcome: Outcome) -> Self {
         Report {
             outcome,
-            over: outcome == Outcome::Ok,
+            over: outcome == Outcome::Delivered,
             load: Vec::new(),
         }
     }
@@ -118,7 +118,7 @@
 
 /// What became of a message, as the owner of its life tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum LifecycleEvent {
     /// Turned away at the door, or by the module, before it was taken on.
     TurnedAway,
     /// Taken on, and its client has heard so.
@@ -134,20 +134,20 @@
 }
 
 /// Sees what becomes of invoker calls, and of messages.
-pub trait Witness {
+pub trait DeliveryObserver {
     /// This became of a message of such a class and tenant under such a policy. One that was taken
     /// on here has one end.
-    fn life(&self, _policy: u64, _class: u16, _tenant: u16, _life: Life) {}
+    fn life(&self, _policy: u64, _class: u16, _tenant: u16, _life: LifecycleEvent) {}
     /// A call is out from now on; what this gives is dropped when it is no longer.
-    fn out(&self, provider: &Rc<Provider>) -> Box<dyn Any>;
+    fn out(&self, provider: &Rc<Endpoint>) -> Box<dyn Any>;
     /// A call has ended so, after such a time.
-    fn ended(&self, provider: &Provider, outcome: Outcome, took: Duration);
+    fn ended(&self, provider: &Endpoint, outcome: Outcome, took: Duration);
 }
 
 /// One attempt to deliver a message.
-pub struct InvokerCall<'a> {
+pub struct AttemptRequest<'a> {
     /// Where to.
-    pub provider: Rc<Provider>,
+    pub provider: Rc<Endpoint>,
     /// What.
     pub envelope: &'a Envelope,
     /// How long its answer is waited for.
@@ -158,13 +158,13 @@
 }
 
 /// Makes invoker calls over connections that it owns.
-pub trait Invoker {
+pub trait EndpointClient {
     /// Makes a call. When this returns, or is dropped, the provider can see that the call is no
     /// longer out.
-    fn call<'a>(&'a self, call: InvokerCall<'a>) -> Local<'a, Report>;
+    fn call<'a>(&'a self, call: AttemptRequest<'a>) -> Local<'a, Report>;
 
     /// Closes the connections to a provider that carry no call.
-    fn close_idle(&self, provider: &Provider);
+    fn close_idle(&self, provider: &Endpoint);
 }
 
 /// Whether a text can be an id or a key: it travels in header lines and user properties, where
@@ -182,6 +182,6 @@
 }
 
 /// A span of the module's.
-pub fn span(t: Time) -> Duration {
+pub fn span(t: Nanos) -> Duration {
     Duration::from_nanos(t)
 }
--- a/src/delivery/timer_wheel.rs
+++ b/src/delivery/timer_wheel.rs
@@ -77,21 +77,21 @@
 }
 
 /// Owner of all sleeps.
-pub struct Wheel {
+pub struct TimerWheel {
     start: Instant,
     slots: RefCell<Slots>,
     sooner: (Sender<()>, Receiver<()>),
 }
 
-impl Wheel {
-    /// A wheel that stands still until [`Wheel::turn`] runs.
+impl TimerWheel {
+    /// A wheel that stands still until [`TimerWheel::turn`] runs.
     pub fn new() -> Rc<Self> {
         let ring = (0..SLOTS).map(|_| Vec::new()).collect();
         let slots = RefCell::new(Slots {
             ring,
             ..Slots::default()
         });
-        Rc::new(Wheel {
+        Rc::new(TimerWheel {
             start: Instant::now(),
             slots,
             sooner: async_channel::bounded(1),
@@ -159,7 +159,7 @@
 
 /// One sleep; dropped, it leaves the wheel.
 pub struct Sleep {
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
     tick: u64,
     key: Option<u64>,
 }
@@ -202,7 +202,7 @@
 mod tests {
     use super::*;
 
-    fn on_wheel<T>(work: impl Future<Output = T>, wheel: &Wheel) -> T {
+    fn on_wheel<T>(work: impl Future<Output = T>, wheel: &TimerWheel) -> T {
         let turning = async {
             wheel.turn().await;
             unreachable!("the wheel turns for ever")
@@ -212,7 +212,7 @@
 
     #[test]
     fn sleeps_end_in_order_and_never_early() {
-        let wheel = Wheel::new();
+        let wheel = TimerWheel::new();
         let start = Instant::now();
         let slept = |ms: u64| {
             let sleep = wheel.sleep(Duration::from_millis(ms));
@@ -265,7 +265,7 @@
 
     #[test]
     fn a_dropped_sleep_leaves_the_wheel() {
-        let wheel = Wheel::new();
+        let wheel = TimerWheel::new();
         on_wheel(wheel.limit(Duration::from_secs(60), async {}), &wheel).expect("work ends first");
         assert_eq!(wheel.slots.borrow().ahead(), None);
     }
--- a/src/dispatch/api.rs
+++ b/src/dispatch/api.rs
@@ -7,15 +7,15 @@
 
 /// A point in time or a span, in nanoseconds. The clock of the embedding program may start
 /// anywhere.
-pub type Time = u64;
+pub type Nanos = u64;
 /// Id of a message, chosen by the embedding relay; never used twice in one life of a relay.
 pub type MessageId = u32;
 /// Number of a destination. One destination has one or more endpoints.
-pub type DestId = u16;
+pub type DestinationId = u16;
 
 /// Address of one endpoint; compared as a whole, never read for meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Endpoint {
+pub struct EndpointAddress {
     /// Four bytes of address.
     pub addr: [u8; 4],
     /// The port.
@@ -56,15 +56,15 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// Wanted within this time for its full worth.
-    pub aim: Time,
+    pub aim: Nanos,
     /// Given up after this time.
-    pub deadline: Time,
+    pub deadline: Nanos,
     /// Effect of a repeat.
     pub effect: Effect,
     /// Where repeats are dropped.
     pub scope: DedupScope,
     /// How long repeats are dropped.
-    pub window: Time,
+    pub window: Nanos,
     /// Worth in time.
     pub worth: f64,
     /// Share of the worth left at the deadline.
@@ -75,7 +75,7 @@
 
 impl Class {
     /// Worth of a message delivered this long after it was first handed in, before its deadline.
-    pub fn worth_after(&self, age: Time, decay: Decay) -> f64 {
+    pub fn worth_after(&self, age: Nanos, decay: Decay) -> f64 {
         let late = age.saturating_sub(self.aim) as f64;
         let part = match decay {
             _ if late == 0.0 => 1.0,
@@ -128,7 +128,7 @@
     pub cost: Option<f64>,
     /// How long the list that the process before had may still be trusted; nothing where none was
     /// before.
-    pub trusted_for: Option<Time>,
+    pub trusted_for: Option<Nanos>,
 }
 
 /// What a relay is told when it starts.
@@ -163,28 +163,28 @@
     /// what it has counts as told from the first moment of a process.
     pub pushed: bool,
     /// Longest time without asking for it: then its changes count as told (0: no bound).
-    pub ask_within: Time,
+    pub ask_within: Nanos,
     /// A watch says something at least this often, also where nothing changes (0: it tells changes
     /// alone, and its silence says nothing).
-    pub watch_beat: Time,
+    pub watch_beat: Nanos,
     /// Endpoints may be probed.
     pub probes: bool,
     /// Waits told with a refusal reach the client.
     pub tells_clients: bool,
     /// Longest wait a client heeds.
-    pub max_retry_after: Time,
+    pub max_retry_after: Nanos,
     /// After an outage a destination has this share of its capacity, or more.
     pub cold_share: f64,
     /// And all of it after this time.
-    pub warm_after: Time,
+    pub warm_after: Nanos,
     /// Multiple of its present capacity that pushes it over...
     pub overload_factor: f64,
     /// ...when kept up this long.
-    pub overload_for: Time,
+    pub overload_for: Nanos,
     /// Rest of a key after an attempt that may still run.
-    pub order_settle: Time,
+    pub order_settle: Nanos,
     /// The transport closes a connection that was not used for this long (0: never).
-    pub idle_close: Time,
+    pub idle_close: Nanos,
     /// What [`Listing::rate`] is worth.
     pub listed: ListedRates,
     /// What a message costs that a route in a zone takes on, by zone and in worth; may be empty.
@@ -201,7 +201,7 @@
     /// Attempts allowed.
     pub attempts: u32,
     /// Longest wait that its client heeds.
-    pub retry_after: Time,
+    pub retry_after: Nanos,
 }
 
 /// What may change while a relay runs. Messages that it holds name classes by position: those keep
@@ -306,13 +306,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Listing {
     /// The endpoint.
-    pub endpoint: Endpoint,
+    pub endpoint: EndpointAddress,
     /// Its zone.
     pub zone: u16,
     /// Its kind, as a position in [`Settings::kinds`].
     pub kind: u16,
     /// Its destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
     /// Its condition.
     pub condition: Condition,
     /// Calls a second that its destination (or the endpoint, where routes are apart) takes from all
@@ -337,9 +337,9 @@
     /// What it is about, for classes in order; 0 for none.
     pub key: u64,
     /// Time left until it is given up.
-    pub ttl: Time,
+    pub ttl: Nanos,
     /// Its destination.
-    pub dest: DestId,
+    pub dest: DestinationId,
 }
 
 /// What an earlier life of a relay did for a message.
@@ -349,20 +349,20 @@
     pub attempts: u16,
     /// How long ago the first attempt that may have run was sent, and its zone. The embedding
     /// relay's clock must have started further back than that.
-    pub ran: Option<(Time, u16)>,
+    pub ran: Option<(Nanos, u16)>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Delivered.
-    Ok,
+    Delivered,
     /// Answered with an error; may have taken effect.
     Error,
-    /// Turned away unseen, with the wait it told (0: none).
-    Full {
+    /// Rejected unseen, with the wait it told (0: none).
+    Rejected {
         /// The wait.
-        wait: Time,
+        wait: Nanos,
     },
     /// No answer in time; may have taken effect.
     Timeout,
@@ -373,7 +373,7 @@
     /// Called off; may have taken effect.
     Cancelled,
     /// Not sent at all.
-    Moot,
+    NotSent,
 }
 
 /// What happened. All events of one call of the module happen at the same time, in this order.
@@ -415,7 +415,7 @@
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        took: Time,
+        took: Nanos,
         /// The message is over, by this outcome or before.
         finished: bool,
         /// Load report, or nothing.
@@ -426,7 +426,7 @@
     /// A probe ended.
     Probed {
         /// The endpoint.
-        endpoint: Endpoint,
+        endpoint: EndpointAddress,
         /// How it ended.
         outcome: Outcome,
         /// Load report, or nothing.
@@ -454,16 +454,16 @@
         /// The message.
         id: MessageId,
         /// Where to.
-        endpoint: Endpoint,
+        endpoint: EndpointAddress,
         /// Time-out of the attempt.
-        timeout: Time,
+        timeout: Nanos,
     },
     /// End a message undelivered; the client may safely try again.
     Refuse {
         /// The message.
         id: MessageId,
         /// How long the client is advised to stay away; 0 for no advice.
-        retry_after: Time,
+        retry_after: Nanos,
     },
     /// End a message as failed; nothing is said of its effect.
     Fail {
@@ -473,18 +473,18 @@
     /// Probe an endpoint.
     Probe {
         /// The endpoint.
-        endpoint: Endpoint,
+        endpoint: EndpointAddress,
     },
     /// Close the connections to an endpoint that carry no call now, so that the next send opens a
     /// new one.
     CloseIdle {
         /// The endpoint.
-        endpoint: Endpoint,
+        endpoint: EndpointAddress,
     },
     /// Follow changes of the list from now on.
     WatchList,
     /// Hand in [`Event::Woken`] after this time, rounded up as the clock allows.
-    WakeAfter(Time),
+    WakeAfter(Nanos),
     /// A line for the operators.
     Log(String),
 }
--- a/src/dispatch/dispatcher.rs
+++ b/src/dispatch/dispatcher.rs
@@ -1,6 +1,6 @@
 //! Every decision of the relay. The types it takes and gives back are in `src/interface.rs`.
 //!
-//! Ordinary path (the post's dispatcher): a [`Dispatcher`] per destination serves one line, pauses
+//! Ordinary path (the post's dispatcher): a [`DestinationQueue`] per destination serves one line, pauses
 //! all sends for the longest told wait, sends refused calls again first, bounds calls by a pool;
 //! `docs/design.md`.
 
@@ -28,7 +28,7 @@
 /// above.
 const CROWDED: (f64, f64) = (1.0, 8.0);
 /// A connection used this lately is not idle: about one call.
-const REAP_LEAST: Time = 250 * MS;
+const REAP_LEAST: Nanos = 250 * MS;
 /// How far a relay prefers an endpoint to its siblings by lot: else all would take the first one.
 const TASTE: f64 = 0.3;
 /// Weight of each further message in a call, as a part of a call: work and time grow with them.
@@ -39,31 +39,31 @@
 const TRIAL_LAST: f64 = 100.0;
 const LOG_LINES: u32 = 150;
 /// Time kept for the answer to travel: a message with less left is given up.
-const LAST_CALL: Time = 250 * MS;
+const LAST_CALL: Nanos = 250 * MS;
 /// How often a sender that counts as told of what it does not know looks whether it still does.
-const BLIND_LOOK: Time = 50 * MS;
+const BLIND_LOOK: Nanos = 50 * MS;
 
 /// An endpoint by its rank and cost, and whether the send is a trial.
-type Choice = ((u16, f64), Endpoint, bool);
+type Choice = ((u16, f64), EndpointAddress, bool);
 
 /// One relay: settings, seed and what it has seen.
 #[derive(Debug, Default)]
-pub struct Relay {
+pub struct Dispatcher {
     s: Settings,
     random: Random,
     /// Spreads messages over routes apart from siblings that began in the same moment.
     salt: u64,
     /// Where messages may go, if not all wherever the list says.
     routes: Option<Rc<Routes>>,
-    hosts: BTreeMap<Endpoint, Host>,
-    dests: BTreeMap<DestId, Dispatcher>,
-    waiting: BTreeSet<DestId>,
+    hosts: BTreeMap<EndpointAddress, Host>,
+    dests: BTreeMap<DestinationId, DestinationQueue>,
+    waiting: BTreeSet<DestinationId>,
     /// A line found no slot: the next call that ends serves it.
     starved: bool,
     /// It began with messages of an earlier life.
     took_up: bool,
     /// Longest time that a message has.
-    longest: Time,
+    longest: Nanos,
     held: BTreeMap<MessageId, Held>,
     /// Messages that are left of those held at the last change of terms, or fewer: none goes for
     /// want of room under them.
@@ -76,22 +76,22 @@
     tenant_rate: Vec<Meter>,
     traffic: Traffic,
     next_call: u64,
-    start: Time,
-    now: Time,
-    wake_at: Time,
-    sweep_at: Time,
+    start: Nanos,
+    now: Nanos,
+    wake_at: Nanos,
+    sweep_at: Nanos,
     asking: Option<Asking>,
     logs: u32,
     out: Vec<Action>,
 }
 
-impl Relay {
+impl Dispatcher {
     /// A relay that knows nothing yet. The seed spreads its trials apart from those of its
     /// siblings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let kinds = settings.kinds.len().max(1);
-        Ok(Relay {
+        Ok(Dispatcher {
             tenant_rate: vec![Meter::default(); settings.tenants.len()],
             lore: vec![Lore::new(); kinds],
             longest: settings
@@ -103,12 +103,12 @@
             s: settings,
             random: Random::new(seed),
             salt: seed,
-            ..Relay::default()
+            ..Dispatcher::default()
         })
     }
 
     /// Takes what happened at `now` and appends what to do.
-    pub fn handle(&mut self, now: Time, events: &[Event], out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Nanos, events: &[Event], out: &mut Vec<Action>) {
         self.now = self.now.max(now); // a clock that steps back must not make spans negative
         let now = self.now;
         if self.start == 0 {
@@ -176,13 +176,13 @@
     }
 
     /// Whether nothing may be called, as whatever has changed counts as told ([`Asking::blind`]).
-    pub fn is_blind(&self, now: Time) -> bool {
+    pub fn is_blind(&self, now: Nanos) -> bool {
         self.asking.as_ref().is_some_and(|a| a.blind(now))
     }
 
     /// How long the list may still be trusted, if nothing is heard; nothing where it is not asked
     /// for.
-    pub fn list_trusted_for(&self, now: Time) -> Option<Time> {
+    pub fn list_trusted_for(&self, now: Nanos) -> Option<Nanos> {
         self.asking.as_ref().map(|a| a.trusted_for(now))
     }
 
@@ -247,7 +247,7 @@
         }
     }
 
-    fn list(&mut self, now: Time, lines: &[Listing], whole: bool) {
+    fn list(&mut self, now: Nanos, lines: &[Listing], whole: bool) {
         let (mut stale, mut fresh, last_kind) = (Vec::new(), Vec::new(), self.lore.len() - 1);
         if whole {
             self.hosts.values_mut().for_each(|h| h.ready = false);
@@ -304,7 +304,7 @@
         }
     }
 
-    fn drop_host(&mut self, e: Endpoint, moved: bool) {
+    fn drop_host(&mut self, e: EndpointAddress, moved: bool) {
         if !self
             .hosts
             .get(&e)
@@ -331,11 +331,11 @@
         }
     }
 
-    fn dest(&mut self, dest: DestId) -> &mut Dispatcher {
+    fn dest(&mut self, dest: DestinationId) -> &mut DestinationQueue {
         let demand = Meter::new(self.start, RATE.0);
-        self.dests.entry(dest).or_insert_with(|| Dispatcher {
+        self.dests.entry(dest).or_insert_with(|| DestinationQueue {
             demand,
-            ..Dispatcher::default()
+            ..DestinationQueue::default()
         })
     }
 
@@ -343,7 +343,7 @@
         &self.s.classes[usize::from(m.class).min(self.s.classes.len() - 1)]
     }
 
-    fn arrived(&mut self, now: Time, m: Message, past: Held) {
+    fn arrived(&mut self, now: Nanos, m: Message, past: Held) {
         let class = self.class(&m);
         let (deadline, in_order) = (now.saturating_add(m.ttl), class.in_order && m.key != 0);
         let born = deadline.saturating_sub(class.deadline);
@@ -372,7 +372,7 @@
 
     /// Whether a tenant sends clearly more than its share of what all send here; one alone shows
     /// nothing. What none of the tenants in the settings sends is within nobody's share.
-    fn over_share(&mut self, now: Time, tenant: u16) -> bool {
+    fn over_share(&mut self, now: Nanos, tenant: u16) -> bool {
         let i = usize::from(tenant);
         let Some(share) = self.s.tenants.get(i).map(|t| t.share.clamp(0.0, 1.0)) else {
             return !self.s.tenants.is_empty();
@@ -384,7 +384,7 @@
 
     /// Keeps room, so that what comes next is judged here and not turned away unseen: the longest
     /// line pays.
-    fn make_room(&mut self, now: Time) {
+    fn make_room(&mut self, now: Nanos) {
         self.kept = self.kept.min(self.held.len() - 1); // without the one that came
         let most = (self.s.room as usize * 9 / 10).max(1).max(self.kept);
         while self.held.len() > most {
@@ -404,7 +404,7 @@
 
     /// The one place that answers: may this message be sent again (to that zone), and may it be
     /// refused?
-    fn may(&self, h: &Held, now: Time) -> (bool, bool) {
+    fn may(&self, h: &Held, now: Nanos) -> (bool, bool) {
         let class = self.class(&h.m);
         let more = h.attempts < self.s.bounds(h.m.class).attempts && !h.out;
         match (h.ran, class.effect) {
@@ -418,7 +418,7 @@
     }
 
     /// Ends a message: refused with the wait where that is safe, else failed.
-    fn end(&mut self, now: Time, id: MessageId, wait: Time) {
+    fn end(&mut self, now: Nanos, id: MessageId, wait: Nanos) {
         let Some(h) = self.held.get(&id) else { return };
         let retry_after = if self.s.tells_clients {
             wait.min(self.s.bounds(h.m.class).retry_after)
@@ -452,11 +452,12 @@
 
     /// Ends at once what can't be delivered any more: no time, no attempt left, or a pause that
     /// outlasts it.
-    fn give_up(&mut self, now: Time) {
+    fn give_up(&mut self, now: Nanos) {
         let mut over = Vec::new();
         let lines = self.waiting.iter().map(|d| (*d, &self.dests[d]));
         for (dest, d) in lines.filter(|(_, d)| d.look_at <= now) {
-            let told = |e: &Endpoint| d.gates.get(&self.gate_of(e)).map_or(0, |g| g.told_until);
+            let told =
+                |e: &EndpointAddress| d.gates.get(&self.gate_of(e)).map_or(0, |g| g.told_until);
             let all = d.hosts.iter().map(told).min().unwrap_or(0);
             for (&id, h) in d
                 .line
@@ -466,7 +467,7 @@
             {
                 let way = self.way(&self.routes, &h.m);
                 if way.is_some_and(|w| !w.leads()) && self.may(h, now).1 {
-                    over.push((id, Time::MAX, dest)); // nobody is to serve it: its client hears it now
+                    over.push((id, Nanos::MAX, dest)); // nobody is to serve it: its client hears it now
                     continue;
                 }
                 let led = |w: Way| {
@@ -493,7 +494,7 @@
         }
     }
 
-    fn worth_at(&self, h: &Held, at: Time) -> f64 {
+    fn worth_at(&self, h: &Held, at: Nanos) -> f64 {
         if at >= h.deadline {
             return 0.0;
         }
@@ -509,7 +510,7 @@
     }
 
     /// Time until the line of a destination is empty at the pace seen.
-    fn drain_time(&self, now: Time, dest: DestId) -> Time {
+    fn drain_time(&self, now: Nanos, dest: DestinationId) -> Nanos {
         let Some(d) = self.dests.get(&dest) else {
             return 0;
         };
@@ -531,7 +532,7 @@
 
     /// Worth saved by sending now rather than when the line has drained; a little for worth as
     /// such.
-    fn urgency(&self, h: &Held, now: Time, horizon: Time) -> f64 {
+    fn urgency(&self, h: &Held, now: Nanos, horizon: Nanos) -> f64 {
         let soon = now + secs(LATENCY_GUESS);
         let v = self.worth_at(h, soon);
         v - self.worth_at(h, soon + horizon) + 0.05 * v
@@ -539,12 +540,12 @@
 
     /// Pause and pace are the destination's, or the endpoint's own where endpoints are routes
     /// apart.
-    fn gate_of(&self, e: &Endpoint) -> Option<Endpoint> {
+    fn gate_of(&self, e: &EndpointAddress) -> Option<EndpointAddress> {
         let kind = self.hosts.get(e).and_then(|h| self.s.kinds.get(h.kind));
         kind.is_some_and(|k| k.apart).then_some(*e)
     }
 
-    fn gate(&mut self, dest: DestId, e: &Endpoint) -> &mut Gate {
+    fn gate(&mut self, dest: DestinationId, e: &EndpointAddress) -> &mut Gate {
         let (of, start) = (self.gate_of(e), self.start);
         self.dest(dest)
             .gates
@@ -554,7 +555,7 @@
 
     /// What this relay may send to endpoints that are down or coming back: its part of what they
     /// can take cold, times the factor, grown by the warm-up since the first success.
-    fn ramp(&mut self, now: Time, dest: DestId, e: &Endpoint) -> Ramp {
+    fn ramp(&mut self, now: Nanos, dest: DestinationId, e: &EndpointAddress) -> Ramp {
         let (gate, fair) = (self.gate_of(e), self.fair(dest, e));
         let (mut rate, mut growth) = (0.0, 0.0);
         let span = to_secs(self.s.overload_for).max(0.1);
@@ -589,7 +590,7 @@
     }
 
     /// Refills and returns the budget of such calls, and its rate.
-    fn budget(&mut self, now: Time, dest: DestId, e: &Endpoint) -> (f64, f64) {
+    fn budget(&mut self, now: Nanos, dest: DestinationId, e: &EndpointAddress) -> (f64, f64) {
         let ramp = self.ramp(now, dest, e);
         let g = self.gate(dest, e);
         g.budget = ramp.due(g.budget, to_secs(now - g.budget_at));
@@ -599,7 +600,7 @@
 
     /// Rare callers of a large fleet each come by less than a call: who may try first is drawn by
     /// lot.
-    fn by_lot(&mut self, dest: DestId, e: &Endpoint) {
+    fn by_lot(&mut self, dest: DestinationId, e: &EndpointAddress) {
         let (now, lot) = (self.now, self.random.draw());
         let needed = self.ramp(now, dest, e).needs_lot();
         let g = self.gate(dest, e);
@@ -609,10 +610,10 @@
 
     fn ended(
         &mut self,
-        now: Time,
+        now: Nanos,
         at: (MessageId, u16),
         outcome: Outcome,
-        took: Time,
+        took: Nanos,
         report: &[f32],
     ) {
         let Some(f) = self.flights.remove(&at) else {
@@ -647,13 +648,13 @@
                 }
             }
         }
-        if first && again && matches!(outcome, Outcome::Ok | Outcome::Full { .. }) {
+        if first && again && matches!(outcome, Outcome::Delivered | Outcome::Rejected { .. }) {
             let kind = self.hosts.get(&host).map_or(0, |h| h.kind);
-            self.lore[kind].tried(outcome == Outcome::Ok);
+            self.lore[kind].tried(outcome == Outcome::Delivered);
         }
         if first {
             let lost = matches!(outcome, Outcome::Timeout | Outcome::Reset);
-            if (lost || outcome == Outcome::Ok) && !trial {
+            if (lost || outcome == Outcome::Delivered) && !trial {
                 self.reaper.learn(now, idle, lost);
             }
             if let Some(h) = self.hosts.get_mut(&host) {
@@ -674,7 +675,7 @@
             }
         }
         self.look_again(dest, 0);
-        if let Outcome::Full { wait } = outcome {
+        if let Outcome::Rejected { wait } = outcome {
             let g = self.gate(dest, &host);
             g.told_until = g.told_until.max(now + wait);
         }
@@ -687,10 +688,10 @@
         if unsure || outcome == Outcome::Error {
             h.ran.get_or_insert((sent, f.zone));
         }
-        h.refused |= matches!(outcome, Outcome::Full { .. } | Outcome::ConnectFailed);
+        h.refused |= matches!(outcome, Outcome::Rejected { .. } | Outcome::ConnectFailed);
         if matches!(
             outcome,
-            Outcome::Error | Outcome::Reset | Outcome::Moot | Outcome::ConnectFailed
+            Outcome::Error | Outcome::Reset | Outcome::NotSent | Outcome::ConnectFailed
         ) {
             h.not_before = now + secs(0.1 * f64::from(1u32 << h.attempts.min(4)) * (0.5 + jitter));
         }
@@ -699,20 +700,21 @@
     /// Some endpoints take few connections, idle ones counted, held by hundreds of relays: where a
     /// kind's endpoints turn connections away and answer soon after, none is kept idle there. Costs
     /// handshakes while it lasts; one that is down turns them away too, but does not answer.
-    fn connected(&mut self, now: Time, e: Endpoint, outcome: Outcome) {
+    fn connected(&mut self, now: Nanos, e: EndpointAddress, outcome: Outcome) {
         let Some(h) = self.hosts.get_mut(&e) else {
             return;
         };
         let (kind, free, turned) = (h.kind, h.calls == 0, h.turned_at.take());
         h.turned_at = (outcome == Outcome::ConnectFailed && h.streak == 0).then_some(now);
-        let failed = outcome == Outcome::Ok && turned.is_some_and(|t| now < t + TRIAL_GAPS.1);
+        let failed =
+            outcome == Outcome::Delivered && turned.is_some_and(|t| now < t + TRIAL_GAPS.1);
         let was = self.lore[kind].crowded.level(now);
         let level = (was + f64::from(u8::from(failed))).min(CROWDED.1);
         self.lore[kind].crowded = Reaper { level, at: now };
         if level < CROWDED.0 {
             return;
         }
-        let mut idle: Vec<Endpoint> = Vec::from_iter(free.then_some(e));
+        let mut idle: Vec<EndpointAddress> = Vec::from_iter(free.then_some(e));
         if was < CROWDED.0 {
             let others = self
                 .hosts
@@ -736,7 +738,7 @@
     }
 
     /// What the list says that an endpoint takes from all relays, 0 where it tells nothing.
-    fn listed(&self, e: &Endpoint) -> f64 {
+    fn listed(&self, e: &EndpointAddress) -> f64 {
         let told = self
             .hosts
             .get(e)
@@ -745,7 +747,7 @@
     }
 
     /// This relay's even part of a known limit: as reported, else as listed.
-    fn fair(&mut self, dest: DestId, e: &Endpoint) -> Option<f64> {
+    fn fair(&mut self, dest: DestinationId, e: &EndpointAddress) -> Option<f64> {
         let trust = if self.s.listed == ListedRates::Rough {
             ROUGH
         } else {
@@ -759,10 +761,10 @@
     /// What one call, or probe, tells of an endpoint and its destination.
     fn learn(
         &mut self,
-        now: Time,
-        e: Endpoint,
+        now: Nanos,
+        e: EndpointAddress,
         end: Outcome,
-        sent: Time,
+        sent: Nanos,
         trial: bool,
         left: Option<f64>,
     ) {
@@ -781,19 +783,22 @@
             return;
         };
         let (was, kind) = (host.health, host.kind);
-        if host.streak == 0 && end != Outcome::Ok && host.first_bad <= host.last_ok {
+        if host.streak == 0 && end != Outcome::Delivered && host.first_bad <= host.last_ok {
             host.first_bad = sent;
         }
-        if !matches!(end, Outcome::Ok | Outcome::Cancelled | Outcome::Moot) {
+        if !matches!(
+            end,
+            Outcome::Delivered | Outcome::Cancelled | Outcome::NotSent
+        ) {
             host.failed_at = now; // a refusal too: one that is shut was not back yet
         }
         match end {
-            Outcome::Ok => {
+            Outcome::Delivered => {
                 host.answered(now, &of, &self.s);
                 self.gate(dest, &e).accept(now);
                 self.dest(dest).lost = 0.0;
             }
-            Outcome::Full { wait } => {
+            Outcome::Rejected { wait } => {
                 let g = self.gate(dest, &e);
                 let (begins, row) = (g.count(sent), g.refusals);
                 let Some(host) = self.hosts.get_mut(&e) else {
@@ -829,7 +834,7 @@
                 let crowded = out && self.lore[kind].crowded.level(now) > CROWDED.0;
                 host.failed(now, end, crowded, &of, &self.s);
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
         }
         let Some(health) = self.hosts.get(&e).map(|h| h.health) else {
             return;
@@ -866,7 +871,7 @@
 
     /// Calls a destination may hold: under 3/4 of the slots, half while it ails; few until it
     /// answers.
-    fn pool(&self, d: &Dispatcher, ailing: bool) -> u32 {
+    fn pool(&self, d: &DestinationQueue, ailing: bool) -> u32 {
         let proven = d.gates.values().map(|g| g.proven).fold(d.proven, u32::max);
         let most = if ailing {
             self.s.slots / 2
@@ -878,7 +883,7 @@
 
     /// Whether a destination fails or is slow, or is suspected to: a call is out far longer than
     /// usual.
-    fn ailing(&self, now: Time, d: &Dispatcher) -> bool {
+    fn ailing(&self, now: Nanos, d: &DestinationQueue) -> bool {
         let late = |c: &Call| {
             let h = &self.hosts[&c.host];
             to_secs(now - c.sent) > (h.latency + 4.0 * h.spread).max(0.8) && h.last_ok < c.sent + MS
@@ -904,13 +909,13 @@
     /// open one.
     fn choose(
         &mut self,
-        now: Time,
-        dest: DestId,
+        now: Nanos,
+        dest: DestinationId,
         zone: Option<u16>,
         safe: bool,
         way: Option<Way>,
-    ) -> Result<(Endpoint, bool), Time> {
-        let (mut best, mut later): (Option<Choice>, _) = (None, Time::MAX);
+    ) -> Result<(EndpointAddress, bool), Nanos> {
+        let (mut best, mut later): (Option<Choice>, _) = (None, Nanos::MAX);
         let seen = self.dests[&dest]
             .hosts
             .iter()
@@ -985,9 +990,9 @@
 
     /// Messages of a line that may go now, the most urgent first; refused ones go again before all
     /// others.
-    fn eligible(&self, now: Time, dest: DestId) -> (Vec<(f64, MessageId)>, Time) {
+    fn eligible(&self, now: Nanos, dest: DestinationId) -> (Vec<(f64, MessageId)>, Nanos) {
         let horizon = self.drain_time(now, dest).max(SEC);
-        let (mut list, mut later) = (Vec::new(), Time::MAX);
+        let (mut list, mut later) = (Vec::new(), Nanos::MAX);
         for &id in &self.dests[&dest].line {
             let h = &self.held[&id];
             if h.out {
@@ -1024,8 +1029,8 @@
         (list, later)
     }
 
-    fn pump(&mut self, now: Time) {
-        let mut lines: BTreeMap<DestId, VecDeque<_>> = BTreeMap::new();
+    fn pump(&mut self, now: Nanos) {
+        let mut lines: BTreeMap<DestinationId, VecDeque<_>> = BTreeMap::new();
         let blind = self.is_blind(now);
         for dest in self.waiting.clone() {
             if self.dests[&dest].look_at > now {
@@ -1044,7 +1049,7 @@
             }
         }
         while (self.calls.len() as u32) < self.s.slots {
-            let mut best: Option<(f64, DestId)> = None;
+            let mut best: Option<(f64, DestinationId)> = None;
             for (&dest, line) in &lines {
                 let Some(&(u, _)) = line.front() else {
                     continue;
@@ -1069,7 +1074,7 @@
         self.starved |= lines.values().any(|l| !l.is_empty());
     }
 
-    fn look_again(&mut self, dest: DestId, at: Time) {
+    fn look_again(&mut self, dest: DestinationId, at: Nanos) {
         self.dests
             .entry(dest)
             .and_modify(|d| d.look_at = d.look_at.min(at));
@@ -1079,8 +1084,8 @@
     /// goes now.
     fn send_from(
         &mut self,
-        now: Time,
-        dest: DestId,
+        now: Nanos,
+        dest: DestinationId,
         line: &mut VecDeque<(f64, MessageId)>,
     ) -> bool {
         let Some(&(_, first)) = line.front() else {
@@ -1229,21 +1234,21 @@
     }
 
     /// Asks to be woken when time alone makes something due.
-    fn arm(&mut self, now: Time) {
+    fn arm(&mut self, now: Nanos) {
         if self.sweep_at <= now {
             self.sweep_at = now + SEC;
             self.keys
                 .retain(|_, k| !k.turn.is_empty() || k.out > 0 || k.rest_until > now);
         }
         let lines = self.waiting.iter().map(|d| self.dests[d].look_at);
-        let next = lines.min().unwrap_or(Time::MAX).min(
+        let next = lines.min().unwrap_or(Nanos::MAX).min(
             self.asking
                 .as_ref()
                 .and_then(Asking::next)
-                .unwrap_or(Time::MAX),
+                .unwrap_or(Nanos::MAX),
         );
         let next = next.max(now + MS);
-        if next < Time::MAX && (self.wake_at <= now || next < self.wake_at) {
+        if next < Nanos::MAX && (self.wake_at <= now || next < self.wake_at) {
             // In whole milliseconds: a coarser clock would else wake a trifle early, and never
             // again.
             let span = (next - now).div_ceil(MS) * MS;
--- a/src/dispatch/endpoint_health.rs
+++ b/src/dispatch/endpoint_health.rs
@@ -1,17 +1,17 @@
 //! How an endpoint is doing, from what this relay's calls there came to. No I/O, no clock; the
 //! caller brings time and randomness.
 
-use crate::dispatch::api::{DestId, Listing, Outcome, Settings, Time};
+use crate::dispatch::api::{DestinationId, Listing, Nanos, Outcome, Settings};
 use crate::dispatch::rate_control::{RARE, SPENT};
 use crate::dispatch::rate_quota::unseen;
 use crate::dispatch::statistics::{secs, to_secs, Meter, MS, RATE, SEC};
 
 /// First and longest gap between trials of a sick endpoint; an outage's seconds deserve a few calls
 /// each.
-pub const TRIAL_GAPS: (Time, Time) = (300 * MS, 1_500 * MS);
+pub const TRIAL_GAPS: (Nanos, Nanos) = (300 * MS, 1_500 * MS);
 /// Attempt time-outs: over a slow handshake and call, and short enough that a hang does not keep
 /// the slot.
-const TIMEOUT: (Time, Time) = (2 * SEC, 8 * SEC);
+const TIMEOUT: (Nanos, Nanos) = (2 * SEC, 8 * SEC);
 /// Latency assumed before any is seen, in seconds.
 pub const LATENCY_GUESS: f64 = 0.4;
 /// How a time-out widens the spread: all may just have become slower.
@@ -39,7 +39,7 @@
 /// What is known of one endpoint, from this relay's own calls alone.
 #[derive(Debug, Default)]
 pub struct Host {
-    pub dest: DestId,
+    pub dest: DestinationId,
     pub zone: u16,
     pub kind: usize,
     pub ready: bool,
@@ -49,18 +49,18 @@
     pub listed: f64,
     pub health: Health,
     /// When a sick endpoint may be tried next, and the gap after that.
-    pub trial_at: Time,
-    pub gap: Time,
+    pub trial_at: Nanos,
+    pub gap: Nanos,
     /// When a returning endpoint first answered, or last failed.
-    pub since: Time,
+    pub since: Nanos,
     pub streak: u32,
     pub fails: f64,
-    pub last_ok: Time,
+    pub last_ok: Nanos,
     /// When a call last failed or was refused here, or it was taken for down with its siblings; at
     /// first when it was listed.
-    pub failed_at: Time,
+    pub failed_at: Nanos,
     /// Send time of the first call of the present row of failures.
-    pub first_bad: Time,
+    pub first_bad: Nanos,
     pub latency: f64,
     pub spread: f64,
     pub rate: Meter,
@@ -68,16 +68,16 @@
     pub base: f64,
     pub calls: u32,
     /// When a call here last ended; its connection is idle since.
-    pub used_at: Option<Time>,
+    pub used_at: Option<Nanos>,
     /// When a connection failed here, where the next call will tell whether it was down.
-    pub turned_at: Option<Time>,
+    pub turned_at: Option<Nanos>,
     /// A call got lost here: the next goes on a new connection.
     pub doubt_link: bool,
 }
 
 /// What is known of a call that has ended, beside how.
 pub struct Came {
-    pub sent: Time,
+    pub sent: Nanos,
     /// It was a trial of an endpoint that was down.
     pub trial: bool,
     /// How far the relay's own calls told what is taken there, before this one.
@@ -88,7 +88,7 @@
 
 impl Host {
     /// One that has just been listed.
-    pub fn new(l: &Listing, now: Time) -> Self {
+    pub fn new(l: &Listing, now: Nanos) -> Self {
         Host {
             dest: l.dest,
             zone: l.zone,
@@ -102,12 +102,12 @@
     }
 
     /// Time-out of a call of this weight.
-    pub fn timeout(&self, weight: f64) -> Time {
+    pub fn timeout(&self, weight: f64) -> Nanos {
         secs((self.latency + 6.0 * self.spread) * weight).clamp(TIMEOUT.0, TIMEOUT.1)
     }
 
     /// It is taken for down.
-    pub fn fall(&mut self, now: Time, jitter: f64) {
+    pub fn fall(&mut self, now: Nanos, jitter: f64) {
         let grown = (self.gap * 3 / 2).min(TRIAL_GAPS.1);
         self.gap = if self.health == Health::Sick {
             grown
@@ -119,7 +119,7 @@
     }
 
     /// A call is answered.
-    pub fn answered(&mut self, now: Time, of: &Came, s: &Settings) {
+    pub fn answered(&mut self, now: Nanos, of: &Came, s: &Settings) {
         let brief = now.saturating_sub(self.first_bad) < s.overload_for * 3 / 2;
         (self.streak, self.last_ok) = (0, now);
         self.fails *= 0.8;
@@ -144,8 +144,8 @@
     /// limit left, by a report.
     pub fn refused(
         &mut self,
-        now: Time,
-        (row, wait): (u32, Time),
+        now: Nanos,
+        (row, wait): (u32, Nanos),
         left: Option<f64>,
         of: &Came,
         s: &Settings,
@@ -162,7 +162,7 @@
 
     /// A call came to nothing. `crowded`: it got no connection, and its kind is suspected to be out
     /// of them.
-    pub fn failed(&mut self, now: Time, end: Outcome, crowded: bool, of: &Came, s: &Settings) {
+    pub fn failed(&mut self, now: Nanos, end: Outcome, crowded: bool, of: &Came, s: &Settings) {
         // Calls lost while others sent later were answered tell of loss on the way, not of an
         // outage.
         let alone = self.last_ok <= of.sent;
--- a/src/dispatch/list_polling.rs
+++ b/src/dispatch/list_polling.rs
@@ -8,7 +8,7 @@
 
 use crate::dispatch::rate_quota::MANY;
 use crate::dispatch::statistics::{secs, to_secs, SEC};
-use crate::{Settings, Time};
+use crate::{Nanos, Settings};
 use std::time::Duration;
 
 /// What one ask costs the directory until an answer has shown more, in seconds: 55 ms seen.
@@ -32,18 +32,18 @@
 const GAPS: (f64, f64) = (0.5, 4.0);
 /// How many times longer a list counts as true after an ask that failed than after none, by the
 /// settings' page.
-const FAILED: Time = 4;
+const FAILED: Nanos = 4;
 /// What changes counts as told so long after a move of the directory, by the operators' page on new
 /// configurations; asking does not change that.
-const MOVED: Time = 4 * SEC;
+const MOVED: Nanos = 4 * SEC;
 /// A watch that has a beat tells within so many beats, whatever the settings say: the one that is
 /// silent for longer is given up.
-const WATCHED: Time = 2;
+const WATCHED: Nanos = 2;
 /// A change counts as told so long after the directory had it and could be reached, by the
 /// operators' page: whatever became of asks, and whether or not anything was asked.
-const CHANGE_COUNTS: Time = 6 * SEC;
+const CHANGE_COUNTS: Nanos = 6 * SEC;
 /// A watch that ended so long after its next word was due had fallen silent: what holds a word up.
-const NO_WORD: Time = SEC;
+const NO_WORD: Nanos = SEC;
 /// How long the answer to an ask is waited for, in seconds: least, and most where many ask. The
 /// directory gives up after 3 s and says so: an ask that is given up later than that has met
 /// silence and no line.
@@ -103,28 +103,28 @@
     /// more.
     together: u32,
     /// Longest time without an ask or a watch (0: no bound), by the settings.
-    within: Time,
+    within: Nanos,
     /// How often a watch says something at the least (0: it tells changes alone).
-    beat: Time,
+    beat: Nanos,
     /// What an ask costs the directory, as far as seen (s).
     cost: f64,
     /// Failures in a row, since the last answer.
     failures: i32,
     /// When to ask next.
-    next: Option<Time>,
+    next: Option<Nanos>,
     /// When the ask that is out began.
-    asked: Option<Time>,
+    asked: Option<Nanos>,
     /// The list is told as it changes.
     watching: bool,
     /// When the last word came over the watch; each is one that nothing else has changed until
     /// then.
-    word: Time,
+    word: Nanos,
     /// From when on what has changed counts as told, though nobody told it.
-    told_at: Option<Time>,
+    told_at: Option<Nanos>,
     /// When a change that nobody told begins to count: [`CHANGE_COUNTS`] after the last word or,
     /// while the directory is known to be down (or, one of many, was refused by it), after the next
     /// ask. No ask changes it before it has ended.
-    changes_count_at: Time,
+    changes_count_at: Nanos,
     /// The directory was there after its last word, and may have had something to tell, as an ask
     /// that was not answered in its time shows; where many ask, only one that was never answered.
     missed: bool,
@@ -132,7 +132,7 @@
 
 impl Asking {
     /// A sender that starts at `now`. `draw` gives a number evenly from 0 to 1.
-    pub fn start(now: Time, settings: &Settings, draw: impl FnOnce() -> f64) -> Self {
+    pub fn start(now: Nanos, settings: &Settings, draw: impl FnOnce() -> f64) -> Self {
         let earlier = settings.earlier;
         // The clock for silence runs also where the settings need no time for asking.
         let within = if settings.pushed && settings.ask_within == 0 {
@@ -166,7 +166,7 @@
 
     /// The directory is at another place from now on; whoever has a watch at the old one has lost
     /// it.
-    pub fn moved(&mut self, now: Time, draw: impl FnOnce() -> f64) {
+    pub fn moved(&mut self, now: Nanos, draw: impl FnOnce() -> f64) {
         // All are told of it in the same moment.
         (self.together, self.watching, self.asked, self.failures) = (self.relays, false, None, 0);
         self.next = Some(now + self.spread(draw));
@@ -184,19 +184,19 @@
         })
     }
 
-    fn spread(&self, draw: impl FnOnce() -> f64) -> Time {
+    fn spread(&self, draw: impl FnOnce() -> f64) -> Nanos {
         match span(self.together, self.cost) {
             0.0 => 0,
             span => secs(draw() * span),
         }
     }
 
-    fn counts_from(&mut self, now: Time, times: Time) {
+    fn counts_from(&mut self, now: Nanos, times: Nanos) {
         self.told_at = (self.within > 0).then(|| now + times * self.within);
     }
 
     /// Whether an ask is due; it is out from then on.
-    pub fn due(&mut self, now: Time) -> bool {
+    pub fn due(&mut self, now: Nanos) -> bool {
         let due = self.next.take_if(|t| *t <= now).is_some();
         if due {
             // Asking counts, but what is too old already is no truer before the answer.
@@ -210,7 +210,7 @@
 
     /// The directory answered, or said over the watch that there is a change, or none. A list that
     /// was there from the start is no word of it.
-    pub fn heard(&mut self, now: Time) {
+    pub fn heard(&mut self, now: Nanos) {
         if let Some(asked) = self.asked.take() {
             let took = to_secs(now - asked);
             self.cost = self.cost.min(took).max(COSTS.0);
@@ -223,7 +223,7 @@
     }
 
     /// An ask failed, or a watch ended.
-    pub fn failed(&mut self, now: Time, draw: impl FnOnce() -> f64) {
+    pub fn failed(&mut self, now: Nanos, draw: impl FnOnce() -> f64) {
         let (asked, together) = (self.asked.take(), self.together);
         if asked.is_none() && self.next.is_some() {
             return; // nothing was out, and the next ask is settled
@@ -279,18 +279,18 @@
     }
 
     /// How long the list may still be trusted, if nothing is heard.
-    pub fn trusted_for(&self, now: Time) -> Time {
+    pub fn trusted_for(&self, now: Nanos) -> Nanos {
         self.changes_count_at.saturating_sub(now)
     }
 
     /// When the next ask is due.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next(&self) -> Option<Nanos> {
         self.next
     }
 
     /// Whether the list has gone without a word for so long that whatever changed counts as told.
     /// What may be called is not known then, and nothing new is called.
-    pub fn blind(&self, now: Time) -> bool {
+    pub fn blind(&self, now: Nanos) -> bool {
         match self.watching {
             // Whatever stood still, this machine or the directory: a watch that has a beat is as
             // good as its last word.
--- a/src/dispatch/rate_control.rs
+++ b/src/dispatch/rate_control.rs
@@ -1,14 +1,14 @@
 //! When a destination, or a route of its own, is called again and how often: its pause and its
 //! pace, from what calls there came to. No I/O, no clock; the caller brings time and randomness.
 
-use crate::dispatch::api::Time;
+use crate::dispatch::api::Nanos;
 use crate::dispatch::rate_quota::Part;
 use crate::dispatch::stale_connections::Reaper;
 use crate::dispatch::statistics::{mix, secs, to_secs, Meter, MS, RATE, SEC};
 
 /// Least own pause after a refusal, and what is guessed of a kind that has named no wait yet: about
 /// one call.
-const OWN_PAUSE: Time = 150 * MS;
+const OWN_PAUSE: Nanos = 150 * MS;
 /// Growth of the pace per accepted call, at most per second, where calls are many and where they
 /// are rare.
 const GROWTH: (f64, f64) = (0.1, 0.5);
@@ -44,8 +44,8 @@
 /// Pause and pace: one per destination, or per route where routes are apart.
 #[derive(Debug, Default)]
 pub struct Gate {
-    pub told_until: Time,
-    pub own_until: Time,
+    pub told_until: Nanos,
+    pub own_until: Nanos,
     /// Calls a second that the destination takes from this relay, once a refusal has shown a bound.
     pub pace: f64,
     /// This relay's part of what is listed, where it is one of many: bounds the pace from the first
@@ -55,23 +55,23 @@
     pub parts: f64,
     pub tokens: f64,
     /// From when on it may be ahead of its pace, where the part allows that.
-    pub ahead_from: Time,
+    pub ahead_from: Nanos,
     pub accepted: Meter,
-    pub at: Time,
-    pub last_ok: Time,
-    pub cut_at: Time,
+    pub at: Nanos,
+    pub last_ok: Nanos,
+    pub cut_at: Nanos,
     pub refusals: u32,
     /// Limit in calls a second as last reported; 0: none.
     pub limit: f64,
     pub proven: u32,
     /// Calls that endpoints which are down or coming back may be sent now; trials spend it too.
     pub budget: f64,
-    pub budget_at: Time,
+    pub budget_at: Nanos,
 }
 
 impl Gate {
     /// Nothing seen since `now`.
-    pub fn new(now: Time) -> Self {
+    pub fn new(now: Nanos) -> Self {
         let (accepted, pace) = (Meter::new(now, RATE.0), f64::INFINITY);
         Gate {
             pace,
@@ -87,7 +87,7 @@
 
     /// One of many senders begins at its part, with a part of a call saved up: all begin at the
     /// same moment. `clumped`: with messages held, as others may that begin with it.
-    pub fn open(&mut self, now: Time, part: Option<Part>, saved: f64, parts: f64, clumped: bool) {
+    pub fn open(&mut self, now: Nanos, part: Option<Part>, saved: f64, parts: f64, clumped: bool) {
         self.parts = if part.is_some() { parts } else { 1.0 };
         let Some(p) = part.filter(|_| self.pace.is_infinite()) else {
             return;
@@ -99,7 +99,7 @@
     }
 
     /// When its pause ends.
-    pub fn until(&self) -> Time {
+    pub fn until(&self) -> Nanos {
         self.told_until.max(self.own_until)
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Brings pace and tokens up to now.
-    pub fn refill(&mut self, now: Time) {
+    pub fn refill(&mut self, now: Nanos) {
         let dt = to_secs(now.saturating_sub(self.at));
         self.at = self.at.max(now);
         if self.pace.is_finite() {
@@ -123,14 +123,14 @@
     }
 
     /// How far this relay's own calls tell what the gate takes, from 0 (a call now and then) to 1.
-    pub fn known(&self, now: Time) -> f64 {
+    pub fn known(&self, now: Nanos) -> f64 {
         let calls = self.accepted.rate(now) * RATE.0;
         calls / (calls + 1.0)
     }
 
     /// The pace grows by what was tried, not by time, or a rare caller forgets the limit between
     /// calls.
-    pub fn accept(&mut self, now: Time) {
+    pub fn accept(&mut self, now: Nanos) {
         self.proven = self.proven.saturating_add(1);
         self.accepted.hit(now, RATE);
         self.pace = match self.part {
@@ -144,7 +144,7 @@
     }
 
     /// When pause and pace allow the next call.
-    pub fn next(&self, now: Time) -> Time {
+    pub fn next(&self, now: Nanos) -> Nanos {
         let ahead = self
             .part
             .filter(|_| now >= self.ahead_from)
@@ -163,7 +163,7 @@
     }
 
     /// It is not ahead of its pace for a turn: a call to this destination was refused.
-    pub fn stays_back(&mut self, now: Time) {
+    pub fn stays_back(&mut self, now: Nanos) {
         let turn = self.part.filter(|p| p.ahead() > 0.0).map_or(0, Part::turn);
         self.ahead_from = self.ahead_from.max(now + turn);
     }
@@ -177,14 +177,14 @@
 
     /// Counts a refusal of a call that was sent at `sent`; those of one burst count once. Whether
     /// it is the first in a row.
-    pub fn count(&mut self, sent: Time) -> bool {
+    pub fn count(&mut self, sent: Nanos) -> bool {
         let begins = self.refusals == 0;
         self.refusals += u32::from(sent >= self.cut_at);
         begins
     }
 
     /// Cuts the pace and sets the pause, after a refusal that is counted.
-    pub fn refused(&mut self, now: Time, r: &Refusal) {
+    pub fn refused(&mut self, now: Nanos, r: &Refusal) {
         self.refill(now);
         let row = self.refusals;
         match self.part {
@@ -230,7 +230,7 @@
 
     /// Takes a report of the share of the limit that is left, and of the limit in calls a second,
     /// of which `fair` is this relay's even part.
-    pub fn reported(&mut self, now: Time, left: f64, limit: f64, fair: f64) {
+    pub fn reported(&mut self, now: Nanos, left: f64, limit: f64, fair: f64) {
         self.refill(now);
         if left < SPENT && now > self.cut_at + SEC {
             self.cut_at = now;
@@ -245,9 +245,9 @@
 /// What is known of a refusal, beside the gate that it came to.
 pub struct Refusal {
     /// When the refused call was sent.
-    pub sent: Time,
+    pub sent: Nanos,
     /// The wait it told; 0: none.
-    pub wait: Time,
+    pub wait: Nanos,
     /// The wait it told or, where none is, the usual one, in seconds.
     pub hint: f64,
     /// Seconds over which to spread the return at least, where the partner may come back cold.
@@ -296,7 +296,7 @@
 
     /// Learns from the wait of a refusal. The wait in seconds, or the usual one where none was
     /// told; and whether it is odd: not the limit's.
-    pub fn waits(&mut self, wait: Time) -> (f64, bool) {
+    pub fn waits(&mut self, wait: Nanos) -> (f64, bool) {
         let hint = if wait > 0 { to_secs(wait) } else { self.told };
         let odd = (hint - self.told).abs() > ODD_WAIT * self.told;
         self.told += if wait > 0 { LORE_GAIN } else { 0.0 } * (hint - self.told);
--- a/src/dispatch/rate_quota.rs
+++ b/src/dispatch/rate_quota.rs
@@ -8,7 +8,7 @@
 //! randomness.
 
 use crate::dispatch::statistics::{secs, to_secs, Meter};
-use crate::{Time, LENT};
+use crate::{Nanos, LENT};
 
 /// Senders from which on one sees too little of a route: its own calls are a tenth or less of those
 /// that the route gets.
@@ -58,7 +58,7 @@
     /// The even part of a listed rate (calls a second). None where there are few senders, who learn
     /// by themselves, or where nothing useful is listed. `longest` is the longest time that a
     /// message has.
-    pub fn of(listed: f64, relays: u32, longest: Time) -> Option<Self> {
+    pub fn of(listed: f64, relays: u32, longest: Nanos) -> Option<Self> {
         let told = relays >= MANY && listed > 0.0 && listed.is_finite();
         let rate = (listed / f64::from(relays)).max(LEAST_PART);
         let (lent, rare) = (listed >= f64::from(LENT), rate * to_secs(longest) < 1.0);
@@ -81,7 +81,7 @@
     /// How long a sender that was refused, or that starts with messages held, is no call ahead:
     /// others may have been in the same moment, and openings of all that are spread over a turn
     /// come at the listed rate.
-    pub fn turn(self) -> Time {
+    pub fn turn(self) -> Nanos {
         secs(1.0 / self.rate)
     }
 
@@ -147,7 +147,7 @@
 
 impl Traffic {
     /// Nothing seen and nothing listed yet.
-    pub fn new(now: Time) -> Self {
+    pub fn new(now: Nanos) -> Self {
         Traffic {
             first: Meter::new(now, BEFORE),
             listed: 0.0,
@@ -160,7 +160,7 @@
     }
 
     /// Counts a message that may be delivered for `left`, in a class that gives it `whole`.
-    pub fn handed_in(&mut self, now: Time, left: Time, whole: Time) {
+    pub fn handed_in(&mut self, now: Nanos, left: Nanos, whole: Nanos) {
         if left as f64 >= FIRST * whole as f64 {
             self.first.hit(now, MEMORY);
         }
@@ -169,7 +169,7 @@
     /// Even parts that this sender may take of each route: as many as it is handed of what the
     /// routes take, one at least. What one takes over one part others leave, as far as the list is
     /// right about all routes together.
-    pub fn parts(&self, now: Time, relays: u32) -> f64 {
+    pub fn parts(&self, now: Nanos, relays: u32) -> f64 {
         if relays < MANY || self.listed <= 0.0 {
             return 1.0;
         }
@@ -188,7 +188,7 @@
     use super::*;
 
     /// Time that a message has.
-    const TIME: Time = 12 * crate::dispatch::statistics::SEC;
+    const TIME: Nanos = 12 * crate::dispatch::statistics::SEC;
 
     #[test]
     fn who_is_called_on_within_the_time_of_a_message_waits_for_its_turn() {
@@ -231,7 +231,7 @@
 
     #[test]
     fn a_sender_that_is_handed_more_than_others_takes_more_parts_and_repeats_count_for_none() {
-        const SEC: Time = crate::dispatch::statistics::SEC;
+        const SEC: Nanos = crate::dispatch::statistics::SEC;
         let seen = |first: u64, again: u64, relays| {
             let mut traffic = Traffic::new(0);
             traffic.list([60.0, 40.0, f64::NAN].into_iter());
--- a/src/dispatch/stale_connections.rs
+++ b/src/dispatch/stale_connections.rs
@@ -2,7 +2,7 @@
 //! I/O, no clock.
 
 use crate::dispatch::statistics::to_secs;
-use crate::Time;
+use crate::Nanos;
 
 /// Suspicion of idle connections: where it closes them (one lost call: they cost little), bound,
 /// memory in s.
@@ -16,22 +16,22 @@
     /// The suspicion when it was last learnt of.
     pub level: f64,
     /// When that was.
-    pub at: Time,
+    pub at: Nanos,
 }
 
 impl Reaper {
     /// The suspicion now: it fades.
-    pub fn level(&self, now: Time) -> f64 {
+    pub fn level(&self, now: Nanos) -> f64 {
         self.level * (-to_secs(now.saturating_sub(self.at)) / REAP.2).exp()
     }
 
     /// Whether idle connections are to be closed rather than used.
-    pub fn doubts(&self, now: Time) -> bool {
+    pub fn doubts(&self, now: Nanos) -> bool {
         self.level(now) > REAP.0
     }
 
     /// Learns from a call that took an idle connection or a new one, and was lost or answered.
-    pub fn learn(&mut self, now: Time, idle: bool, lost: bool) {
+    pub fn learn(&mut self, now: Nanos, idle: bool, lost: bool) {
         let level = self.level(now);
         self.at = now;
         self.level = match (idle, lost) {
--- a/src/dispatch/state.rs
+++ b/src/dispatch/state.rs
@@ -8,14 +8,14 @@
 
 /// One destination: its endpoints, its line, its gates.
 #[derive(Debug, Default)]
-pub struct Dispatcher {
-    pub hosts: BTreeSet<Endpoint>,
+pub struct DestinationQueue {
+    pub hosts: BTreeSet<EndpointAddress>,
     /// Messages that came in.
     pub demand: Meter,
     pub line: BTreeSet<MessageId>,
-    pub gates: BTreeMap<Option<Endpoint>, Gate>,
+    pub gates: BTreeMap<Option<EndpointAddress>, Gate>,
     /// When the line is looked at next if nothing happens here before; 0: in this turn.
-    pub look_at: Time,
+    pub look_at: Nanos,
     /// Highest throughput of endpoints that went, until another answers.
     pub lost: f64,
     /// Most calls that a gate which went had accepted.
@@ -25,20 +25,20 @@
 #[derive(Debug, Default)]
 pub struct Held {
     pub m: Message,
-    pub deadline: Time,
-    pub born: Time,
+    pub deadline: Nanos,
+    pub born: Nanos,
     pub attempts: u32,
     pub out: bool,
     /// Send time and zone of the first attempt that may have run.
-    pub ran: Option<(Time, u16)>,
+    pub ran: Option<(Nanos, u16)>,
     pub refused: bool,
-    pub not_before: Time,
+    pub not_before: Nanos,
     pub over_share: bool,
 }
 
 impl Held {
     /// What an earlier life left of a message.
-    pub fn resumed(now: Time, past: &Past) -> Self {
+    pub fn resumed(now: Nanos, past: &Past) -> Self {
         let ran = past.ran.map(|(ago, zone)| (now.saturating_sub(ago), zone));
         Held {
             attempts: u32::from(past.attempts),
@@ -58,9 +58,9 @@
 #[derive(Debug)]
 pub struct Call {
     pub left: u32,
-    pub dest: DestId,
-    pub host: Endpoint,
-    pub sent: Time,
+    pub dest: DestinationId,
+    pub host: EndpointAddress,
+    pub sent: Nanos,
     pub counted: bool,
     /// Sent after a refusal with nothing accepted since.
     pub again: bool,
@@ -73,6 +73,6 @@
 pub struct KeyLine {
     pub turn: VecDeque<MessageId>,
     pub out: u32,
-    pub rest_until: Time,
+    pub rest_until: Nanos,
     pub rest_for: MessageId,
 }
--- a/src/dispatch/statistics.rs
+++ b/src/dispatch/statistics.rs
@@ -1,11 +1,11 @@
 //! Spans of time, rates and draws: plain helpers that every decision stands on. No I/O, no clock.
 
-use crate::Time;
+use crate::Nanos;
 
 /// A millisecond.
-pub const MS: Time = 1_000_000;
+pub const MS: Nanos = 1_000_000;
 /// A second.
-pub const SEC: Time = 1_000 * MS;
+pub const SEC: Nanos = 1_000 * MS;
 /// Memory of a rate: seconds (less than an outage), and the part that one more event leaves: some
 /// ten.
 pub const RATE: (f64, f64) = (2.0, 0.9);
@@ -16,12 +16,12 @@
 pub struct Meter {
     pub count: f64,
     pub span: f64,
-    pub at: Time,
+    pub at: Nanos,
 }
 
 impl Meter {
     /// Nothing seen, for `span` seconds.
-    pub fn new(now: Time, span: f64) -> Self {
+    pub fn new(now: Nanos, span: f64) -> Self {
         Meter {
             count: 0.0,
             span,
@@ -29,13 +29,13 @@
         }
     }
 
-    pub fn rate(&self, now: Time) -> f64 {
+    pub fn rate(&self, now: Nanos) -> f64 {
         self.count / (self.span + to_secs(now.saturating_sub(self.at)))
     }
 
     /// Counts an event. What came before fades within `tau` seconds, but keeps the part `keep` at
     /// least.
-    pub fn hit(&mut self, now: Time, (tau, keep): (f64, f64)) -> f64 {
+    pub fn hit(&mut self, now: Nanos, (tau, keep): (f64, f64)) -> f64 {
         let gap = to_secs(now.saturating_sub(self.at));
         let keep = (-gap / tau).exp().max(keep);
         (self.count, self.span, self.at) = (self.count * keep + 1.0, (self.span + gap) * keep, now);
@@ -61,7 +61,7 @@
     }
 }
 
-pub fn to_secs(t: Time) -> f64 {
+pub fn to_secs(t: Nanos) -> f64 {
     t as f64 / SEC as f64
 }
 
@@ -70,6 +70,6 @@
     part * much + (1.0 - part) * little
 }
 
-pub fn secs(t: f64) -> Time {
-    (t * SEC as f64) as Time
+pub fn secs(t: f64) -> Nanos {
+    (t * SEC as f64) as Nanos
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod store;
 
 pub use dispatch::api::*;
-pub use dispatch::dispatcher::Relay;
+pub use dispatch::dispatcher::Dispatcher;
 
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
--- a/src/main.rs
+++ b/src/main.rs
@@ -13,22 +13,22 @@
 use raildeal::admission_control::connection_slots::Rules;
 use raildeal::admission_control::descriptor_budget::Budget;
 use raildeal::config::{script, Config, Updates};
-use raildeal::delivery::client_quota::Guests;
-use raildeal::delivery::driver::{Desk, Hands};
-use raildeal::delivery::endpoint_directory::{Directory, Provider};
+use raildeal::delivery::client_quota::ClientQuotas;
+use raildeal::delivery::driver::{DispatcherDriver, DriverEffects};
+use raildeal::delivery::endpoint_directory::{Directory, Endpoint};
 use raildeal::delivery::journal::restart_state;
 use raildeal::delivery::journal::{Journal, Setup};
-use raildeal::delivery::message::{self, House};
+use raildeal::delivery::message::{self, DeliveryContext};
 use raildeal::delivery::policies::Terms;
 #[cfg(feature = "fleet")]
 use raildeal::delivery::routing_tables::Tables;
-use raildeal::delivery::timer_wheel::Wheel;
-use raildeal::delivery::{span, unix_ms, Front, Invoker as _};
+use raildeal::delivery::timer_wheel::TimerWheel;
+use raildeal::delivery::{span, unix_ms, EndpointClient as _, Frontend};
 use raildeal::dispatch::list_polling;
 use raildeal::loop_latency::Turns;
 use raildeal::net::by_kind::ByKind;
 use raildeal::net::calls::Calls;
-use raildeal::net::connection_listener::{Seats, WhenFull};
+use raildeal::net::connection_listener::{ConnectionListener, WhenFull};
 use raildeal::net::dns::server::{UpdatePort, Zones};
 use raildeal::net::mqtt::brokers::Publisher;
 use raildeal::net::mqtt::ingress::Port;
@@ -39,7 +39,7 @@
 use raildeal::net::platform::providers::Poster;
 use raildeal::net::platform::watch::{Watch, BEAT};
 use raildeal::net::{MQTT, PLATFORM};
-use raildeal::{Earlier, Relay, Settings};
+use raildeal::{Dispatcher, Earlier, Settings};
 use rustix::process::{getrlimit, Resource};
 use std::cell::Cell;
 use std::collections::hash_map::RandomState;
@@ -68,8 +68,8 @@
     watch: Sender<()>,
 }
 
-impl Hands for Wishes {
-    fn close_idle(&self, provider: &Provider) {
+impl DriverEffects for Wishes {
+    fn close_idle(&self, provider: &Endpoint) {
         self.invoker.close_idle(provider);
     }
 
@@ -182,7 +182,7 @@
 }
 
 /// Those who call providers, by the wire that they speak.
-fn providers(config: &Config, budget: &Budget, wheel: &Rc<Wheel>) -> Rc<ByKind> {
+fn providers(config: &Config, budget: &Budget, wheel: &Rc<TimerWheel>) -> Rc<ByKind> {
     let deployment = &config.deployment;
     // Both wires together keep what the budget has for it.
     let most = budget.kept / if config.brokers.is_some() { 2 } else { 1 };
@@ -216,7 +216,12 @@
 
 /// Tells how long each table is, and how long work took between two looks at the sockets, for as
 /// long as the process lives.
-async fn sizes(house: Rc<House>, invoker: Rc<ByKind>, notices: Option<Rc<Notices>>, turns: Turns) {
+async fn sizes(
+    house: Rc<DeliveryContext>,
+    invoker: Rc<ByKind>,
+    notices: Option<Rc<Notices>>,
+    turns: Turns,
+) {
     loop {
         house.wheel.sleep(SIZES_EVERY).await;
         let mut all = house.desk.sizes();
@@ -253,8 +258,8 @@
     config: &'a Config,
     settings: &'a Settings,
     budget: &'a Budget,
-    house: &'a Rc<House>,
-    seats: &'a Rc<Seats>,
+    house: &'a Rc<DeliveryContext>,
+    seats: &'a Rc<ConnectionListener>,
     invoker: &'a Rc<ByKind>,
     executor: &'a Rc<LocalExecutor<'static>>,
 }
@@ -342,7 +347,7 @@
         let policies = policies.transpose().map_err(told)?;
         let tenants = settings.tenants.len();
         let tables = tables.then(|| {
-            let list = move |house: &House, offers| {
+            let list = move |house: &DeliveryContext, offers| {
                 let classes = house.classes.clone();
                 document_store::List {
                     classes,
@@ -438,7 +443,7 @@
     let _bounds = signals(&[Signal::Xfsz])?;
 
     // Each part, with its one owner.
-    let wheel = Wheel::new();
+    let wheel = TimerWheel::new();
     let directory = Rc::new(Directory::new(
         &deployment.zones,
         &deployment.kinds,
@@ -460,9 +465,9 @@
     let (tended, synced, ended) = (journal.clone(), journal.clone(), journal.clone());
     let budget = budget(&config);
     let invoker = providers(&config, &budget, &wheel);
-    let relay = Relay::new(settings.clone(), config.seed).map_err(|e| e.to_string())?;
+    let relay = Dispatcher::new(settings.clone(), config.seed).map_err(|e| e.to_string())?;
     let (watch, asked) = async_channel::bounded(1);
-    let desk = Desk::new(
+    let desk = DispatcherDriver::new(
         relay,
         directory.clone(),
         Rc::new(Wishes {
@@ -484,9 +489,9 @@
         .mqtt
         .as_ref()
         .map(|m| Sessions::new(wheel.clone(), m.keep_answers()));
-    let mut fronts: BTreeMap<u8, Rc<dyn Front>> = BTreeMap::new();
-    fronts.extend(notices.clone().map(|n| (PLATFORM, n as Rc<dyn Front>)));
-    fronts.extend(sessions.clone().map(|s| (MQTT, s as Rc<dyn Front>)));
+    let mut fronts: BTreeMap<u8, Rc<dyn Frontend>> = BTreeMap::new();
+    fronts.extend(notices.clone().map(|n| (PLATFORM, n as Rc<dyn Frontend>)));
+    fronts.extend(sessions.clone().map(|s| (MQTT, s as Rc<dyn Frontend>)));
     let hook = config.hook.as_deref().map(script).transpose()?;
     let terms =
         Terms::new(
@@ -494,14 +499,14 @@
                 .door
                 .policy(0, &settings, &deployment.classes, budget.clients, hook),
         );
-    let house = Rc::new(House {
+    let house = Rc::new(DeliveryContext {
         terms,
         tables: Default::default(),
         admission: Default::default(),
         classes: deployment.classes.clone(),
         desk: desk.clone(),
         journal,
-        guests: Guests::new(
+        guests: ClientQuotas::new(
             config
                 .door
                 .limits(settings.room as usize, &deployment.classes),
@@ -571,7 +576,7 @@
         keep(&executor, async move { watch.run(asked).await });
     }
     let door = &config.door;
-    let seats = Seats::new(
+    let seats = ConnectionListener::new(
         door.rules(budget.clients),
         budget.lobby,
         door.when_full,
@@ -617,7 +622,7 @@
             signer,
             wheel: wheel.clone(),
         });
-        let seats = Seats::new(Rules::open(UPDATERS), 1, WhenFull::Queue, config.seed);
+        let seats = ConnectionListener::new(Rules::open(UPDATERS), 1, WhenFull::Queue, config.seed);
         listening.push(executor.spawn(seats.listen(listener, updates, wheel.clone(), run)));
     }
     let reloading = desk.clone();
--- a/src/net/by_kind.rs
+++ b/src/net/by_kind.rs
@@ -3,8 +3,8 @@
 use super::calls::Calls;
 use super::mqtt::brokers::Publisher;
 use super::platform::providers::Poster;
-use crate::delivery::endpoint_directory::Provider;
-use crate::delivery::{Invoker, InvokerCall, Local, Report};
+use crate::delivery::endpoint_directory::Endpoint;
+use crate::delivery::{AttemptRequest, EndpointClient, Local, Report};
 use futures_lite::FutureExt;
 use std::rc::Rc;
 
@@ -46,7 +46,7 @@
         }
     }
 
-    fn invoker(&self, provider: &Provider) -> &dyn Invoker {
+    fn invoker(&self, provider: &Endpoint) -> &dyn EndpointClient {
         match &self.brokers {
             Some((brokers, kinds)) if kinds.contains(&provider.entry.kind) => &**brokers,
             _ => &*self.posters,
@@ -54,12 +54,12 @@
     }
 }
 
-impl Invoker for ByKind {
-    fn call<'a>(&'a self, call: InvokerCall<'a>) -> Local<'a, Report> {
+impl EndpointClient for ByKind {
+    fn call<'a>(&'a self, call: AttemptRequest<'a>) -> Local<'a, Report> {
         self.invoker(&call.provider).call(call)
     }
 
-    fn close_idle(&self, provider: &Provider) {
+    fn close_idle(&self, provider: &Endpoint) {
         self.invoker(provider).close_idle(provider);
     }
 }
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,12 +1,12 @@
 //! Invoker calls over kept connections, the same for every wire: connect, ask once more, one write,
 //! one answer. A [`Dialect`] supplies the words.
 
-use crate::delivery::endpoint_directory::Provider;
-use crate::delivery::timer_wheel::Wheel;
-use crate::delivery::{Envelope, Invoker, InvokerCall, Local, Report};
+use crate::delivery::endpoint_directory::Endpoint;
+use crate::delivery::timer_wheel::TimerWheel;
+use crate::delivery::{AttemptRequest, EndpointClient, Envelope, Local, Report};
 use crate::net::connection_listener::is_short;
 use crate::net::stream::Stream;
-use crate::{Endpoint, Outcome};
+use crate::{EndpointAddress, Outcome};
 use futures_lite::{Future, FutureExt};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -45,7 +45,7 @@
     /// The bytes of a call, for one write.
     fn request(
         &self,
-        provider: &Provider,
+        provider: &Endpoint,
         envelope: &Envelope,
         left: Duration,
     ) -> io::Result<Vec<u8>>;
@@ -81,10 +81,10 @@
 pub struct Calls<D> {
     dialect: D,
     /// By provider and not by address: another machine may have taken over the address since.
-    idle: RefCell<HashMap<Endpoint, Vec<Link>>>,
+    idle: RefCell<HashMap<EndpointAddress, Vec<Link>>>,
     /// Most of them.
     most: Cell<usize>,
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
     connect_timeout: Duration,
     idle_most: Duration,
 }
@@ -94,7 +94,7 @@
     /// so many are kept idle at the most.
     pub fn new(
         dialect: D,
-        wheel: Rc<Wheel>,
+        wheel: Rc<TimerWheel>,
         connect_timeout: Duration,
         idle_close: Duration,
         most: usize,
@@ -144,7 +144,7 @@
     }
 
     /// The connection used last of those that still stand.
-    async fn kept(&self, provider: Endpoint) -> Option<Link> {
+    async fn kept(&self, provider: EndpointAddress) -> Option<Link> {
         loop {
             let link = self
                 .idle
@@ -173,7 +173,7 @@
             .is_some()
     }
 
-    fn keep(&self, provider: Endpoint, link: Link) {
+    fn keep(&self, provider: EndpointAddress, link: Link) {
         while self.idle() >= self.most.get() {
             if !self.give_up_oldest() {
                 return link.stream.try_send(self.dialect.farewell());
@@ -201,8 +201,8 @@
         })
     }
 
-    async fn exchange(&self, call: InvokerCall<'_>) -> Report {
-        let InvokerCall {
+    async fn exchange(&self, call: AttemptRequest<'_>) -> Report {
+        let AttemptRequest {
             provider,
             envelope,
             timeout,
@@ -231,7 +231,7 @@
             Ok(bytes) if go() => bytes,
             _ => {
                 self.keep(provider.endpoint, link);
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             }
         };
         if !matches!(
@@ -274,14 +274,14 @@
     }
 }
 
-impl<D: Dialect> Invoker for Calls<D> {
-    fn call<'a>(&'a self, call: InvokerCall<'a>) -> Local<'a, Report> {
+impl<D: Dialect> EndpointClient for Calls<D> {
+    fn call<'a>(&'a self, call: AttemptRequest<'a>) -> Local<'a, Report> {
         // The connection lives in the exchange: whatever ends that has closed it, or put it back,
         // before its report.
         self.exchange(call).boxed_local()
     }
 
-    fn close_idle(&self, provider: &Provider) {
+    fn close_idle(&self, provider: &Endpoint) {
         let links = self.idle.borrow_mut().remove(&provider.endpoint);
         links
             .iter()
--- a/src/net/connection_listener.rs
+++ b/src/net/connection_listener.rs
@@ -8,8 +8,8 @@
 
 use crate::admission_control::accept_queue::{Comes, Lobby, Rank};
 use crate::admission_control::connection_slots::{Places, Rules, Seating, Use, Why};
-use crate::delivery::client_quota::{Client, Guests};
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::client_quota::{Client, ClientQuotas};
+use crate::delivery::timer_wheel::TimerWheel;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -80,7 +80,7 @@
 }
 
 /// Owner of the places.
-pub struct Seats {
+pub struct ConnectionListener {
     places: RefCell<Places>,
     /// Closed for a connection that has to go, by place.
     leave: RefCell<BTreeMap<u64, Sender<()>>>,
@@ -137,7 +137,7 @@
 
 /// One connection's place; dropped, it is free again.
 pub struct Seat {
-    seats: Rc<Seats>,
+    seats: Rc<ConnectionListener>,
     no: u64,
     /// Closed when its connection has to go.
     left: Receiver<()>,
@@ -212,10 +212,10 @@
     }
 }
 
-impl Seats {
+impl ConnectionListener {
     /// Places by these rules, with so many in the lobby at most.
     pub fn new(rules: Rules, lobby: usize, when_full: WhenFull, seed: u64) -> Rc<Self> {
-        Rc::new(Seats {
+        Rc::new(ConnectionListener {
             places: RefCell::new(Places::new(rules)),
             leave: RefCell::default(),
             freed: Event::new(),
@@ -242,13 +242,13 @@
         self: Rc<Self>,
         listener: Async<TcpListener>,
         port: Rc<S>,
-        wheel: Rc<Wheel>,
+        wheel: Rc<TimerWheel>,
         executor: Rc<LocalExecutor<'static>>,
     ) {
         if let Err(e) = rustix::net::listen(&listener, BACKLOG) {
             log::warn!("listen: {e}");
         }
-        let hall = Rc::new(Hall {
+        let hall = Rc::new(AcceptQueue {
             seats: self.clone(),
             port,
             wheel,
@@ -281,7 +281,12 @@
     }
 
     /// Tells the log now and then what the door did with connections and messages; runs for ever.
-    pub async fn tell(self: Rc<Self>, guests: Rc<Guests>, every: Duration, wheel: Rc<Wheel>) {
+    pub async fn tell(
+        self: Rc<Self>,
+        guests: Rc<ClientQuotas>,
+        every: Duration,
+        wheel: Rc<TimerWheel>,
+    ) {
         let mut before = (BTreeMap::new(), BTreeMap::new());
         loop {
             wheel.sleep(every).await;
@@ -377,16 +382,16 @@
 }
 
 /// One port's way to the places.
-struct Hall<S> {
-    seats: Rc<Seats>,
+struct AcceptQueue<S> {
+    seats: Rc<ConnectionListener>,
     port: Rc<S>,
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
 /// One in the lobby; dropped, its place there is free.
 struct Waiting {
-    seats: Rc<Seats>,
+    seats: Rc<ConnectionListener>,
     no: u64,
     socket: Rc<Async<TcpStream>>,
     /// Closed when it has to go for another.
@@ -414,7 +419,7 @@
 /// back.
 type Asked = Result<Rc<Seat>, (Why, Duration)>;
 
-impl<S: Serve + 'static> Hall<S> {
+impl<S: Serve + 'static> AcceptQueue<S> {
     fn arrive(self: &Rc<Self>, socket: Async<TcpStream>, from: IpAddr) {
         let comes = self.brings(&socket);
         // Listened for before anyone is told to leave, or that could have happened already.
--- a/src/net/dns/server.rs
+++ b/src/net/dns/server.rs
@@ -4,9 +4,9 @@
 use super::update::{self, is_newer};
 use super::zone::Zone;
 use crate::admission_control::connection_slots::Why;
-use crate::delivery::driver::Desk;
+use crate::delivery::driver::DispatcherDriver;
 use crate::delivery::endpoint_directory::News;
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::unix_ms;
 use crate::net::connection_listener::{Seat, Serve};
 use crate::net::stream::Stream;
@@ -59,7 +59,7 @@
     }
 
     /// Reads the file again. One that is wrong, or not newer by its serial, changes nothing.
-    pub fn reload(&self, desk: &Desk) {
+    pub fn reload(&self, desk: &DispatcherDriver) {
         match load(&self.path) {
             Ok(zone) if is_newer(zone.serial(), self.zone.borrow().serial()) => {
                 self.tell(zone, desk)
@@ -73,7 +73,7 @@
     }
 
     /// Carries an update out: on file first, then for all to see.
-    fn update(&self, message: &Message, desk: &Desk) -> Result<(), ResponseCode> {
+    fn update(&self, message: &Message, desk: &DispatcherDriver) -> Result<(), ResponseCode> {
         let next = update::apply(&self.zone.borrow(), message)?;
         if let Some(zone) = next {
             self.persist(&zone).map_err(|e| {
@@ -97,7 +97,7 @@
         fs::rename(&next, &self.path)
     }
 
-    fn tell(&self, zone: Zone, desk: &Desk) {
+    fn tell(&self, zone: Zone, desk: &DispatcherDriver) {
         log::info!("dns: zone {} at serial {}", zone.origin, zone.serial());
         *self.zone.borrow_mut() = zone;
         self.rev.set(self.rev.get() + 1);
@@ -116,11 +116,11 @@
     /// The zone.
     pub zones: Rc<Zones>,
     /// Told of changes.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<DispatcherDriver>,
     /// Signs and checks.
     pub signer: TSigner,
     /// The timers.
-    pub wheel: Rc<Wheel>,
+    pub wheel: Rc<TimerWheel>,
 }
 
 impl UpdatePort {
--- a/src/net/mqtt/brokers.rs
+++ b/src/net/mqtt/brokers.rs
@@ -1,11 +1,11 @@
 //! Brokers as providers: a message goes out as one PUBLISH at QoS 1, and its PUBACK is the answer.
 
 use super::packets::{encode, property, read, user};
-use crate::delivery::endpoint_directory::Provider;
+use crate::delivery::endpoint_directory::Endpoint;
 use crate::delivery::{Envelope, Report};
 use crate::net::calls::{Dialect, Read};
 use crate::net::stream::Stream;
-use crate::{Outcome, Time};
+use crate::{Nanos, Outcome};
 use mqtt_proto::v5::{
     Connect, ConnectReasonCode, Packet, Puback, PubackReasonCode, Publish, PublishProperties,
 };
@@ -93,7 +93,7 @@
         }
     }
 
-    fn request(&self, _: &Provider, envelope: &Envelope, left: Duration) -> io::Result<Vec<u8>> {
+    fn request(&self, _: &Endpoint, envelope: &Envelope, left: Duration) -> io::Result<Vec<u8>> {
         let mut properties = vec![user("id", &envelope.id)];
         properties.extend(envelope.key.as_ref().map(|k| user("key", k)));
         properties.extend(
@@ -141,12 +141,12 @@
 /// What an acknowledgement means.
 fn report(ack: &Puback) -> Outcome {
     match ack.reason_code {
-        PubackReasonCode::Success => Outcome::Ok,
+        PubackReasonCode::Success => Outcome::Delivered,
         PubackReasonCode::QuotaExceeded => {
             let told = property(&ack.properties.user_properties, "wait-ms")
                 .and_then(|v| v.parse::<u64>().ok());
-            Outcome::Full {
-                wait: told.filter(|ms| *ms <= 86_400_000).unwrap_or(0) * 1_000_000 as Time,
+            Outcome::Rejected {
+                wait: told.filter(|ms| *ms <= 86_400_000).unwrap_or(0) * 1_000_000 as Nanos,
             }
         }
         // No subscriber took it, say: it may be anywhere but there.
--- a/src/net/mqtt/ingress.rs
+++ b/src/net/mqtt/ingress.rs
@@ -6,7 +6,7 @@
 use crate::admission_control::accept_queue::Comes;
 use crate::admission_control::connection_slots::Why;
 use crate::config::platform_settings::{Deployment, Tenants};
-use crate::delivery::message::{self, House, Reply};
+use crate::delivery::message::{self, DeliveryContext, Reply};
 use crate::delivery::{is_word, span, Envelope, Local, MAX_BODY};
 use crate::net::connection_listener::{Seat, Serve, WITHOUT_TENANT};
 use crate::net::stream::{Stream, Writer};
@@ -39,7 +39,7 @@
 
 /// The port for MQTT clients.
 pub struct Port {
-    house: Rc<House>,
+    house: Rc<DeliveryContext>,
     sessions: Rc<Sessions>,
     classes: Vec<String>,
     tenants: Tenants,
@@ -51,7 +51,7 @@
 impl Port {
     /// A port that has not begun to listen.
     pub fn new(
-        house: Rc<House>,
+        house: Rc<DeliveryContext>,
         sessions: Rc<Sessions>,
         deployment: &Deployment,
         front: u8,
--- a/src/net/mqtt/sessions.rs
+++ b/src/net/mqtt/sessions.rs
@@ -5,8 +5,8 @@
 
 use super::packets::{encode, user};
 use crate::delivery::client_quota::Client;
-use crate::delivery::timer_wheel::Wheel;
-use crate::delivery::{Envelope, Front, Local, Verdict};
+use crate::delivery::timer_wheel::TimerWheel;
+use crate::delivery::{Envelope, Frontend, Local, Verdict};
 use crate::net::connection_listener::Seat;
 use crate::net::stream::Writer;
 use async_channel::{Receiver, Sender};
@@ -248,7 +248,7 @@
     made: Cell<u64>,
     subscribed: Event,
     keep_answers: Duration,
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
 }
 
 /// A session among the others; dropped, it has ended.
@@ -266,7 +266,7 @@
 
 impl Sessions {
     /// No sessions yet; a final answer that nobody subscribes to is kept so long.
-    pub fn new(wheel: Rc<Wheel>, keep_answers: Duration) -> Rc<Self> {
+    pub fn new(wheel: Rc<TimerWheel>, keep_answers: Duration) -> Rc<Self> {
         let (open, owed, made, subscribed) =
             (Rc::default(), Rc::default(), Cell::new(0), Event::new());
         Rc::new(Sessions {
@@ -409,7 +409,7 @@
     }
 }
 
-impl Front for Sessions {
+impl Frontend for Sessions {
     fn owes(&self, envelope: &Envelope) -> Option<Box<dyn Any>> {
         let topic = postcard::from_bytes::<ReplyTo>(&envelope.reply_to)
             .ok()?
--- a/src/net/platform/ingress.rs
+++ b/src/net/platform/ingress.rs
@@ -4,8 +4,8 @@
 use crate::admission_control::accept_queue::Comes;
 use crate::admission_control::connection_slots::Why;
 use crate::config::platform_settings::{Deployment, Tenants, UnknownTenant};
-use crate::delivery::message::{self, House, Reply};
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::message::{self, DeliveryContext, Reply};
+use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{is_word, Envelope, Local};
 use crate::net::connection_listener::{Seat, Serve, WITHOUT_TENANT};
 use crate::net::stream::Stream;
@@ -80,7 +80,7 @@
 
 /// The port for clients.
 pub struct Ingress {
-    house: Rc<House>,
+    house: Rc<DeliveryContext>,
     classes: Vec<String>,
     tenants: Tenants,
     /// This front, as messages name it.
@@ -94,7 +94,7 @@
 impl Ingress {
     /// A port that has not begun to listen.
     pub fn new(
-        house: Rc<House>,
+        house: Rc<DeliveryContext>,
         deployment: &Deployment,
         front: u8,
         executor: Rc<LocalExecutor<'static>>,
@@ -356,7 +356,7 @@
     stream: Stream,
     keep: bool,
     back: Sender<(Stream, u16)>,
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
 }
 
 impl Answer {
--- a/src/net/platform/notices.rs
+++ b/src/net/platform/notices.rs
@@ -2,8 +2,8 @@
 
 use super::discovery::Discovery;
 use super::http;
-use crate::delivery::timer_wheel::Wheel;
-use crate::delivery::{Envelope, Front, Local, Verdict, MAX_BODY};
+use crate::delivery::timer_wheel::TimerWheel;
+use crate::delivery::{Envelope, Frontend, Local, Verdict, MAX_BODY};
 use crate::net::stream::Stream;
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
@@ -29,12 +29,12 @@
 pub struct Notices {
     queue: (Sender<Notice>, Receiver<Notice>),
     discovery: Rc<Discovery>,
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
 }
 
 impl Notices {
     /// Nothing is sent until [`Notices::run`] runs.
-    pub fn new(discovery: Rc<Discovery>, wheel: Rc<Wheel>) -> Rc<Self> {
+    pub fn new(discovery: Rc<Discovery>, wheel: Rc<TimerWheel>) -> Rc<Self> {
         Rc::new(Notices {
             queue: async_channel::unbounded(),
             discovery,
@@ -95,7 +95,7 @@
     }
 }
 
-impl Front for Notices {
+impl Frontend for Notices {
     fn tell<'a>(&'a self, envelope: &'a Envelope, verdict: Verdict) -> Local<'a, ()> {
         let Some(line) = line(&envelope.id, verdict) else {
             return async {}.boxed_local();
--- a/src/net/platform/providers.rs
+++ b/src/net/platform/providers.rs
@@ -1,11 +1,11 @@
 //! Calls to providers in the platform's protocol.
 
 use super::http::{self, Body, Response};
-use crate::delivery::endpoint_directory::Provider;
+use crate::delivery::endpoint_directory::Endpoint;
 use crate::delivery::{Envelope, Report, MAX_BODY};
 use crate::net::calls::{Dialect, Read};
 use crate::net::stream::Stream;
-use crate::{Outcome, Time};
+use crate::{Nanos, Outcome};
 use std::collections::HashMap;
 use std::io;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
     fn request(
         &self,
-        provider: &Provider,
+        provider: &Endpoint,
         envelope: &Envelope,
         left: Duration,
     ) -> io::Result<Vec<u8>> {
@@ -50,7 +50,7 @@
         let answer = loop {
             // A first line with 200 is true, whatever becomes of what follows it.
             if http::status(&stream.buf) == Some(200) {
-                *known = Some(Outcome::Ok.into());
+                *known = Some(Outcome::Delivered.into());
             }
             match http::response(&stream.buf)? {
                 Some((answer, len)) => {
@@ -65,7 +65,7 @@
             return Ok(Read::Interim);
         }
         let meaning = report(&answer, &self.columns);
-        if meaning.outcome == Outcome::Ok || answer.body == Body::ToEnd {
+        if meaning.outcome == Outcome::Delivered || answer.body == Body::ToEnd {
             *known = Some(meaning);
             if !answer.keep_alive {
                 return Ok(Read::Last);
@@ -93,13 +93,13 @@
         .and_then(|v| v.parse::<f64>().ok());
     let wait = told
         .filter(|ms| (0.0..=86_400_000.0).contains(ms))
-        .map_or(0, |ms| (ms * 1e6) as Time);
+        .map_or(0, |ms| (ms * 1e6) as Nanos);
     let (outcome, over) = match answer.status {
-        200 => (Outcome::Ok, true),
-        410 => (Outcome::Moot, true),
-        504 => (Outcome::Moot, false),
-        503 if answer.headers.get("x-over-slots") == Some("1") => (Outcome::Moot, false),
-        429 | 503 => (Outcome::Full { wait }, false),
+        200 => (Outcome::Delivered, true),
+        410 => (Outcome::NotSent, true),
+        504 => (Outcome::NotSent, false),
+        503 if answer.headers.get("x-over-slots") == Some("1") => (Outcome::NotSent, false),
+        429 | 503 => (Outcome::Rejected { wait }, false),
         _ => (Outcome::Error, false),
     };
     Report {
@@ -133,7 +133,7 @@
 mod tests {
     use super::*;
 
-    const MS: Time = 1_000_000;
+    const MS: Nanos = 1_000_000;
 
     fn read(status: u16, headers: &str) -> Report {
         let text = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: 0\r\n\r\n");
@@ -145,9 +145,9 @@
 
     #[test]
     fn answers_mean_what_the_protocol_says() {
-        let full = |wait| (Outcome::Full { wait }, false);
+        let full = |wait| (Outcome::Rejected { wait }, false);
         for (status, headers, outcome) in [
-            (200, "", (Outcome::Ok, true)),
+            (200, "", (Outcome::Delivered, true)),
             (500, "", (Outcome::Error, false)),
             (418, "", (Outcome::Error, false)),
             (429, "X-RateLimit-Wait-Ms: 1200\r\n", full(1200 * MS)),
@@ -157,10 +157,10 @@
             (429, "X-RateLimit-Wait-Ms: 1e300\r\n", full(0)),
             (503, "", full(0)),
             // Not sent at all: no word on the provider.
-            (503, "X-Over-Slots: 1\r\n", (Outcome::Moot, false)),
-            (504, "", (Outcome::Moot, false)),
+            (503, "X-Over-Slots: 1\r\n", (Outcome::NotSent, false)),
+            (504, "", (Outcome::NotSent, false)),
             // Over, and nothing more is owed.
-            (410, "", (Outcome::Moot, true)),
+            (410, "", (Outcome::NotSent, true)),
         ] {
             let report = read(status, headers);
             assert_eq!((report.outcome, report.over), outcome, "{status} {headers}");
--- a/src/net/platform/watch.rs
+++ b/src/net/platform/watch.rs
@@ -3,10 +3,10 @@
 use super::discovery::Discovery;
 use super::http::{self, Body, Chunks};
 use super::list::{self, Objects, Said};
-use crate::delivery::driver::Desk;
+use crate::delivery::driver::DispatcherDriver;
 use crate::delivery::endpoint_directory::Directory;
 use crate::delivery::journal::restart_state;
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::unix_ms;
 use crate::net::stream::Stream;
 use async_channel::Receiver;
@@ -29,11 +29,11 @@
     /// Where the directory is.
     pub discovery: Rc<Discovery>,
     /// Told of changes.
-    pub desk: Rc<Desk>,
+    pub desk: Rc<DispatcherDriver>,
     /// Holds the version to go on from.
     pub directory: Rc<Directory>,
     /// The timers.
-    pub wheel: Rc<Wheel>,
+    pub wheel: Rc<TimerWheel>,
     /// The answer to a watch may wait behind other calls for so long.
     pub patience: Duration,
     /// The folder that lasts, for a note of what asks took and of how long the list may be trusted.
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,6 +1,6 @@
 //! A socket with what was read from it and not yet used.
 
-use crate::delivery::timer_wheel::Wheel;
+use crate::delivery::timer_wheel::TimerWheel;
 use async_io::Async;
 use async_lock::Mutex;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -50,7 +50,7 @@
 
     /// A second hand on the connection, for writing while this one reads. What it writes goes
     /// whole; a write that is stuck for `patience` ends the connection.
-    pub fn writer(&self, wheel: Rc<Wheel>, patience: Duration) -> Writer {
+    pub fn writer(&self, wheel: Rc<TimerWheel>, patience: Duration) -> Writer {
         Writer {
             socket: self.socket.clone(),
             turn: Mutex::new(()),
@@ -92,7 +92,7 @@
     socket: Rc<Async<TcpStream>>,
     /// One write at a time, or they would cut into each other.
     turn: Mutex<()>,
-    wheel: Rc<Wheel>,
+    wheel: Rc<TimerWheel>,
     patience: Duration,
 }
 
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -9,7 +9,7 @@
 use common::{settings, Driver, MS, SEC};
 use raildeal::agent::session::{Machine, Needs, Out, Terms};
 use raildeal::coordination::messages::*;
-use raildeal::delivery::endpoint_directory::{Directory, Entry, News, Provider};
+use raildeal::delivery::endpoint_directory::{Directory, Endpoint, Entry, News};
 use raildeal::delivery::evacuation::{Aside, Lease, Order, Standing, Taken};
 use raildeal::*;
 use raildeal_test_harness::{directory, record::Record, sender::Sender};
@@ -61,17 +61,17 @@
 /// and reorder.
 struct World {
     dice: fastrand::Rng,
-    now: Time,
+    now: Nanos,
     agent: Machine,
     line: u64,
-    to_keeper: Vec<(Time, u64, FromAgent)>,
-    to_agent: Vec<(Time, u64, ToAgent)>,
+    to_keeper: Vec<(Nanos, u64, FromAgent)>,
+    to_agent: Vec<(Nanos, u64, ToAgent)>,
     /// When the keeper takes the lease for over, in true time.
-    lapses: Time,
+    lapses: Nanos,
     reports: BTreeMap<u64, u32>,
     view: View,
     /// By epoch and report: calls and when they are lost, in true time.
-    granted: BTreeMap<(u64, u64), (u32, Time)>,
+    granted: BTreeMap<(u64, u64), (u32, Nanos)>,
     aside: Aside,
     begun: u32,
     base: Instant,
@@ -79,7 +79,7 @@
 }
 
 /// The agent's clock is 1 % slow and the keeper's 1 % fast: the worst that is allowed.
-fn by_agent(true_time: Time) -> Time {
+fn by_agent(true_time: Nanos) -> Nanos {
     true_time / 100 * 99
 }
 
@@ -111,7 +111,7 @@
     }
 
     /// When something said now arrives, none, once or twice.
-    fn arrivals(&mut self) -> Vec<Time> {
+    fn arrivals(&mut self) -> Vec<Nanos> {
         if !self.bad {
             return vec![self.now + MS];
         }
@@ -181,7 +181,7 @@
         };
         self.lapses = self
             .lapses
-            .max(self.now + Time::from(LEASE_MS) * MS * 100 / 101);
+            .max(self.now + Nanos::from(LEASE_MS) * MS * 100 / 101);
         self.say(
             line,
             ToAgent::Renewed {
@@ -198,7 +198,7 @@
             .map(|z| z.epoch);
         if let (Some(epoch), FromAgent::Tell { report, wants, .. }) = (returning, word) {
             let calls = wants.first().map_or(0, |w| w.calls.min(2));
-            let over = self.now + Time::from(GRANT_MS) * MS * 100 / 101;
+            let over = self.now + Nanos::from(GRANT_MS) * MS * 100 / 101;
             let first = !self.granted.contains_key(&(epoch, report));
             if calls > 0 && first {
                 self.granted.insert((epoch, report), (calls, over));
@@ -261,7 +261,7 @@
         self.try_to_call(now);
     }
 
-    fn try_to_call(&mut self, now: Time) {
+    fn try_to_call(&mut self, now: Nanos) {
         let (at, p) = (self.base + Duration::from_nanos(now), provider("a", 1));
         if let Standing::Lent = self.aside.standing("a", 1, at) {
             let number = self.aside.about(&p, at).expect("lent");
@@ -280,7 +280,7 @@
     }
 }
 
-fn provider(zone: &str, dest: u16) -> Provider {
+fn provider(zone: &str, dest: u16) -> Endpoint {
     let address = "127.0.0.1:9000".parse().expect("an address");
     let (uid, zone) = (format!("{zone}{dest}"), zone.to_string());
     let entry = Entry {
@@ -292,7 +292,7 @@
         condition: Condition::Ready,
         rate: 9.0,
     };
-    Provider {
+    Endpoint {
         endpoint: common::at(1),
         entry,
         zone: 0,
@@ -315,7 +315,10 @@
                 };
             }
             if world.dice.u8(..20) == 0 {
-                world.agent.ledger.ended("a", 1, Outcome::Ok, 100 * MS);
+                world
+                    .agent
+                    .ledger
+                    .ended("a", 1, Outcome::Delivered, 100 * MS);
                 ended += 1;
             }
             world.step();
@@ -415,7 +418,7 @@
 
 #[test]
 fn leaders_are_followed_and_three_hundred_agents_do_not_come_in_step() {
-    let mut first: Vec<Time> = (0..300)
+    let mut first: Vec<Nanos> = (0..300)
         .map(|n| Machine::new(terms(), n, 0).next())
         .collect();
     first.sort_unstable();
@@ -508,10 +511,10 @@
 
 /// What the module believes of each endpoint, by what it was told.
 #[derive(Default)]
-struct Module(BTreeMap<Endpoint, (Condition, u16, u16)>);
+struct Module(BTreeMap<EndpointAddress, (Condition, u16, u16)>);
 
 impl Module {
-    fn hear(&mut self, told: Option<(Event, Vec<Rc<Provider>>)>) -> usize {
+    fn hear(&mut self, told: Option<(Event, Vec<Rc<Endpoint>>)>) -> usize {
         let Some((event, _)) = told else { return 0 };
         let (Event::CachedList(lines)
         | Event::List(lines)
@@ -726,7 +729,7 @@
             driver.give(Event::Ordered(vec![line(9, Condition::Draining, 60.0)]));
             common::sends(&actions)
                 .into_iter()
-                .for_each(|id| drop(driver.end(id, Outcome::Ok)));
+                .for_each(|id| drop(driver.end(id, Outcome::Delivered)));
         }
         used
     };
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -2,23 +2,23 @@
 //! them before one directory.
 
 use raildeal::dispatch::list_polling::{patience, Asking};
-use raildeal::{Earlier, Settings, Time};
+use raildeal::{Earlier, Nanos, Settings};
 use std::collections::VecDeque;
 
-const MS: Time = 1_000_000;
-const SEC: Time = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const SEC: Nanos = 1_000 * MS;
 /// What an ask costs the directory, in seconds.
 const COST: f64 = 0.055;
 
-fn secs(s: f64) -> Time {
-    (s * SEC as f64) as Time
+fn secs(s: f64) -> Nanos {
+    (s * SEC as f64) as Nanos
 }
 
-fn to_secs(t: Time) -> f64 {
+fn to_secs(t: Nanos) -> f64 {
     t as f64 / SEC as f64
 }
 
-fn start(now: Time, relays: u32, ask_within: Time, draw: impl FnOnce() -> f64) -> Asking {
+fn start(now: Nanos, relays: u32, ask_within: Nanos, draw: impl FnOnce() -> f64) -> Asking {
     let settings = Settings {
         relays,
         ask_within,
@@ -446,7 +446,7 @@
 /// So many of `relays` senders start at once, before a directory that works asks off one after
 /// another and fails those that waited for 3 s, working them off all the same.
 fn restart(of: u32, relays: u32, planned: bool, seed: u64) -> Told {
-    const STEP: Time = 5 * MS;
+    const STEP: Nanos = 5 * MS;
     let mut random = fastrand::Rng::with_seed(seed);
     let earlier = Earlier {
         planned,
@@ -462,7 +462,7 @@
     let mut senders: Vec<(Asking, bool, u32)> = (0..of)
         .map(|_| (Asking::start(0, &settings, || random.f64()), false, 0))
         .collect();
-    let (mut line, mut free_at, mut told) = (VecDeque::<(Time, usize)>::new(), 0, Told::default());
+    let (mut line, mut free_at, mut told) = (VecDeque::<(Nanos, usize)>::new(), 0, Told::default());
     let mut times = Vec::new();
     for now in (0..300 * SEC).step_by(STEP as usize) {
         for (i, (asking, watches, blind)) in senders.iter_mut().enumerate() {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use raildeal::*;
 
-pub const MS: Time = 1_000_000;
-pub const SEC: Time = 1_000 * MS;
+pub const MS: Nanos = 1_000_000;
+pub const SEC: Nanos = 1_000 * MS;
 
 pub fn class(effect: Effect) -> Class {
     Class {
@@ -74,14 +74,14 @@
     }
 }
 
-pub fn at(n: u8) -> Endpoint {
-    Endpoint {
+pub fn at(n: u8) -> EndpointAddress {
+    EndpointAddress {
         addr: [10, 0, 0, n],
         port: 80,
     }
 }
 
-pub fn line(n: u8, dest: DestId, kind: u16, condition: Condition) -> Listing {
+pub fn line(n: u8, dest: DestinationId, kind: u16, condition: Condition) -> Listing {
     Listing {
         endpoint: at(n),
         zone: 0,
@@ -92,20 +92,20 @@
     }
 }
 
-pub fn ready(n: u8, dest: DestId) -> Listing {
+pub fn ready(n: u8, dest: DestinationId) -> Listing {
     line(n, dest, 0, Condition::Ready)
 }
 
 pub struct Driver {
-    pub relay: Relay,
-    pub now: Time,
+    pub relay: Dispatcher,
+    pub now: Nanos,
     pub seen: Vec<Action>,
     attempts: std::collections::BTreeMap<MessageId, u16>,
 }
 
 impl Driver {
     pub fn new(settings: Settings, list: Vec<Listing>) -> Self {
-        let relay = Relay::new(settings, 7).expect("usable settings");
+        let relay = Dispatcher::new(settings, 7).expect("usable settings");
         let mut d = Driver {
             relay,
             now: 5 * SEC,
@@ -133,7 +133,7 @@
     }
 
     /// Lets time pass in ticks; returns all actions.
-    pub fn pass(&mut self, span: Time) -> Vec<Action> {
+    pub fn pass(&mut self, span: Nanos) -> Vec<Action> {
         let end = self.now + span;
         let mut out = Vec::new();
         while self.now < end {
@@ -143,7 +143,7 @@
         out
     }
 
-    pub fn message(&self, id: MessageId, class: u16, dest: DestId) -> Message {
+    pub fn message(&self, id: MessageId, class: u16, dest: DestinationId) -> Message {
         Message {
             id,
             tenant: 0,
@@ -154,7 +154,7 @@
         }
     }
 
-    pub fn arrive(&mut self, id: MessageId, class: u16, dest: DestId) -> Vec<Action> {
+    pub fn arrive(&mut self, id: MessageId, class: u16, dest: DestinationId) -> Vec<Action> {
         self.give(Event::Arrived(self.message(id, class, dest)))
     }
 
@@ -173,7 +173,7 @@
 
     pub fn ending(&self, id: MessageId, outcome: Outcome) -> Event {
         let attempt = self.attempts[&id] - 1;
-        let finished = outcome == Outcome::Ok;
+        let finished = outcome == Outcome::Delivered;
         Event::Ended {
             id,
             attempt,
@@ -194,12 +194,12 @@
     }
 
     /// Delivers some messages, so that the destination is known and its pool open.
-    pub fn warm_up(&mut self, dest: DestId) {
+    pub fn warm_up(&mut self, dest: DestinationId) {
         for id in 10_000..10_016 {
             let id = id + 100 * MessageId::from(dest);
             self.arrive(id, 0, dest);
             self.pass(100 * MS);
-            self.end(id, Outcome::Ok);
+            self.end(id, Outcome::Delivered);
         }
         self.seen.clear();
     }
@@ -218,7 +218,7 @@
         .collect()
 }
 
-pub fn targets(actions: &[Action]) -> Vec<Endpoint> {
+pub fn targets(actions: &[Action]) -> Vec<EndpointAddress> {
     let to = |a: &Action| {
         if let Action::Send { endpoint, .. } = a {
             Some(*endpoint)
@@ -229,7 +229,7 @@
     actions.iter().filter_map(to).collect()
 }
 
-pub fn refused(actions: &[Action]) -> Vec<(MessageId, Time)> {
+pub fn refused(actions: &[Action]) -> Vec<(MessageId, Nanos)> {
     let of = |a: &Action| {
         if let Action::Refuse { id, retry_after } = a {
             Some((*id, *retry_after))
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, VecDeque};
 
 /// Time that a call takes.
-const CALL: Time = 200 * MS;
+const CALL: Nanos = 200 * MS;
 /// Time that a message has: that of its class, which shows that it is handed in for the first time.
-const TTL: Time = 20 * SEC;
+const TTL: Nanos = 20 * SEC;
 /// Step of the model.
-const STEP: Time = 10 * MS;
+const STEP: Nanos = 10 * MS;
 /// Span in which a route counts its calls.
-const WINDOW: Time = 2 * SEC;
+const WINDOW: Nanos = 2 * SEC;
 
 /// A route that takes so many calls in each window. Those that it refuses are taken off the next
 /// window, down to a half.
@@ -28,11 +28,11 @@
 }
 
 struct Fleet {
-    relays: Vec<Relay>,
-    now: Time,
-    routes: BTreeMap<Endpoint, Route>,
+    relays: Vec<Dispatcher>,
+    now: Nanos,
+    routes: BTreeMap<EndpointAddress, Route>,
     /// Calls out: when each ends, whose it is, and how.
-    out: BTreeMap<(Time, usize, MessageId), Outcome>,
+    out: BTreeMap<(Nanos, usize, MessageId), Outcome>,
     attempts: BTreeMap<(usize, MessageId), u16>,
     delivered: u32,
     next: MessageId,
@@ -59,7 +59,7 @@
         let now = 5 * SEC;
         let relays = (0..relays).map(|i| {
             let mut relay =
-                Relay::new(of_fleet.clone(), 1000 + u64::from(i)).expect("usable settings");
+                Dispatcher::new(of_fleet.clone(), 1000 + u64::from(i)).expect("usable settings");
             relay.handle(now, &[Event::CachedList(list.clone())], &mut Vec::new());
             relay
         });
@@ -104,10 +104,10 @@
             } else if route.left > 0 {
                 route.left -= 1;
                 *taken.expect("a window") += 1;
-                (self.now + CALL, Outcome::Ok)
+                (self.now + CALL, Outcome::Delivered)
             } else {
                 *refused.expect("a window") += 1;
-                (self.now + STEP, Outcome::Full { wait: 0 })
+                (self.now + STEP, Outcome::Rejected { wait: 0 })
             };
             self.out.insert((end, relay, id), outcome);
         }
@@ -141,7 +141,7 @@
                 self.out.first_key_value().filter(|(k, _)| k.0 <= self.now)
             {
                 self.out.remove(&(at, relay, id));
-                let finished = outcome == Outcome::Ok;
+                let finished = outcome == Outcome::Delivered;
                 self.delivered += u32::from(finished);
                 let attempt = self.attempts[&(relay, id)] - 1;
                 let took = if finished { CALL } else { STEP };
@@ -262,7 +262,7 @@
 #[derive(Debug, Default, PartialEq)]
 struct Told {
     /// When the last was told, after all began (ms).
-    last: Time,
+    last: Nanos,
     asks: u32,
     /// Asks that failed, though the directory was there.
     wasted: u32,
@@ -271,20 +271,21 @@
 /// A fleet whose first so many senders begin at once, by a start or by the loss of their watches,
 /// after which the directory is not there for a while. It works off asks one after another in `ask`
 /// each, also those that it fails after 3 s.
-fn told(relays: u32, begin: u32, lost: bool, ask: Time, down: Time) -> Told {
-    const FAILS: Time = 3 * SEC;
+fn told(relays: u32, begin: u32, lost: bool, ask: Nanos, down: Nanos) -> Told {
+    const FAILS: Nanos = 3 * SEC;
     let asks = Settings {
         relays,
         ask_list: true,
         ask_within: 10 * SEC,
         ..settings()
     };
-    let relay = |i| Relay::new(asks.clone(), 1000 + u64::from(i)).expect("usable settings");
-    let mut relays: Vec<Relay> = (0..begin).map(relay).collect();
-    let (mut queue, mut free_at, mut told) = (VecDeque::<(Time, usize)>::new(), 0, Told::default());
+    let relay = |i| Dispatcher::new(asks.clone(), 1000 + u64::from(i)).expect("usable settings");
+    let mut relays: Vec<Dispatcher> = (0..begin).map(relay).collect();
+    let (mut queue, mut free_at, mut told) =
+        (VecDeque::<(Nanos, usize)>::new(), 0, Told::default());
     let mut start = 5 * SEC;
     let mut events = vec![vec![Event::CachedList(Vec::new())]; relays.len()];
-    let mut wake = vec![Time::MAX; relays.len()];
+    let mut wake = vec![Nanos::MAX; relays.len()];
     if lost {
         for relay in &mut relays {
             relay.handle(start, &[Event::Woken], &mut Vec::new());
@@ -310,7 +311,7 @@
                 Action::WakeAfter(after) => Some(now + after),
                 _ => None,
             });
-            wake[i] = again.unwrap_or(if wake[i] <= now { Time::MAX } else { wake[i] });
+            wake[i] = again.unwrap_or(if wake[i] <= now { Nanos::MAX } else { wake[i] });
             if actions.contains(&Action::WatchList) {
                 assert!(!watching[i], "asked while it watches");
                 if now < start + down {
@@ -394,7 +395,7 @@
 /// In which seconds after a start a sender of 300 calls, with a message a second, where its first
 /// ask comes at some time and the directory answers nothing until `silent`; and in which second it
 /// is told.
-fn calls_of_one(asks_after: bool, silent: Time) -> (Vec<u32>, u32) {
+fn calls_of_one(asks_after: bool, silent: Nanos) -> (Vec<u32>, u32) {
     let asks = Settings {
         relays: 300,
         ask_list: true,
@@ -408,7 +409,7 @@
     };
     let first_ask = |seed| {
         let mut d = common::Driver::new(asks.clone(), Vec::new());
-        d.relay = Relay::new(asks.clone(), seed).expect("usable settings");
+        d.relay = Dispatcher::new(asks.clone(), seed).expect("usable settings");
         (0..20)
             .find(|_| d.pass(SEC).contains(&Action::WatchList))
             .expect("asks")
@@ -421,7 +422,7 @@
         }
     });
     let mut d = common::Driver::new(asks.clone(), Vec::new());
-    d.relay = Relay::new(asks.clone(), seed.expect("one of them")).expect("usable settings");
+    d.relay = Dispatcher::new(asks.clone(), seed.expect("one of them")).expect("usable settings");
     d.give(Event::CachedList(vec![line]));
     let (mut called, mut asked, mut watching) = (Vec::new(), None, None);
     for second in 0..PLAYED {
@@ -441,14 +442,15 @@
                 seen.extend(d.give(Event::ListFailed));
                 asked = None;
             }
-            if asked.is_some() && Time::from(second) * SEC >= silent {
+            if asked.is_some() && Nanos::from(second) * SEC >= silent {
                 seen.extend(d.give(Event::ListChanges(Vec::new())));
                 (asked, watching) = (None, Some(second));
             }
             seen.retain(|a| *a != Action::WatchList);
         }
         let sent = common::sends(&seen);
-        sent.iter().for_each(|id| drop(d.end(*id, Outcome::Ok)));
+        sent.iter()
+            .for_each(|id| drop(d.end(*id, Outcome::Delivered)));
         called.extend((!sent.is_empty()).then_some(second));
     }
     (called, watching.expect("told"))
@@ -542,7 +544,7 @@
     d.pass(2 * SEC);
     d.end(
         1,
-        Outcome::Full {
+        Outcome::Rejected {
             wait: 2 * of_fleet.overload_for,
         },
     );
@@ -558,12 +560,14 @@
         }
         d.arrive(id, 0, 1);
         let sent = common::sends(&d.pass(100 * MS));
-        sent.iter().for_each(|id| drop(d.end(*id, Outcome::Ok)));
+        sent.iter()
+            .for_each(|id| drop(d.end(*id, Outcome::Delivered)));
         calls += sent.len();
     }
     for _ in 0..30 {
         let sent = common::sends(&d.pass(100 * MS));
-        sent.iter().for_each(|id| drop(d.end(*id, Outcome::Ok)));
+        sent.iter()
+            .for_each(|id| drop(d.end(*id, Outcome::Delivered)));
         calls += sent.len();
     }
     assert!(
--- a/tests/invocation.rs
+++ b/tests/invocation.rs
@@ -6,17 +6,19 @@
 use raildeal::admission_control::message_limits::Limits;
 use raildeal::config::Door;
 use raildeal::delivery::admission::Door as Gate;
-use raildeal::delivery::client_quota::{Client, Guests};
-use raildeal::delivery::driver::{Desk, Hands};
-use raildeal::delivery::endpoint_directory::{Directory, Entry, News, Provider};
+use raildeal::delivery::client_quota::{Client, ClientQuotas};
+use raildeal::delivery::driver::{DispatcherDriver, DriverEffects};
+use raildeal::delivery::endpoint_directory::{Directory, Endpoint, Entry, News};
 use raildeal::delivery::journal::{Account, Durability, Journal, Record, Setup};
-use raildeal::delivery::message::{resume, serve, House, Reply};
+use raildeal::delivery::message::{resume, serve, DeliveryContext, Reply};
 use raildeal::delivery::policies::Terms;
-use raildeal::delivery::timer_wheel::Wheel;
-use raildeal::delivery::{Envelope, Front, Invoker, InvokerCall, Local, Report, Verdict};
+use raildeal::delivery::timer_wheel::TimerWheel;
+use raildeal::delivery::{
+    AttemptRequest, EndpointClient, Envelope, Frontend, Local, Report, Verdict,
+};
 use raildeal::dispatch::routing::{Routes, Said};
 use raildeal::store::faulty::Faulty;
-use raildeal::{Class, Condition, DedupScope, Effect, Kind, Outcome, Relay, Settings};
+use raildeal::{Class, Condition, DedupScope, Dispatcher, Effect, Kind, Outcome, Settings};
 use std::any::Any;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -30,8 +32,8 @@
 const SEC: u64 = 1_000_000_000;
 
 /// What happens while the first connection comes up.
-type Meanwhile = fn(&Desk, &Directory, &Provider);
-type Happens = Box<dyn Fn(&Desk, &Directory, &Provider)>;
+type Meanwhile = fn(&DispatcherDriver, &Directory, &Endpoint);
+type Happens = Box<dyn Fn(&DispatcherDriver, &Directory, &Endpoint)>;
 
 /// Answers calls from a list.
 struct Answers {
@@ -39,12 +41,12 @@
     /// Zone of each call, and whether it was let go.
     went: RefCell<Vec<(String, bool)>>,
     meanwhile: RefCell<Option<Happens>>,
-    desk: Rc<Desk>,
+    desk: Rc<DispatcherDriver>,
     directory: Rc<Directory>,
 }
 
-impl Invoker for Answers {
-    fn call<'a>(&'a self, call: InvokerCall<'a>) -> Local<'a, Report> {
+impl EndpointClient for Answers {
+    fn call<'a>(&'a self, call: AttemptRequest<'a>) -> Local<'a, Report> {
         Box::pin(async move {
             if let Some(meanwhile) = self.meanwhile.borrow_mut().take() {
                 meanwhile(&self.desk, &self.directory, &call.provider);
@@ -56,19 +58,19 @@
             let outcome = if went {
                 self.left.borrow_mut().pop_front()
             } else {
-                Some(Outcome::Moot)
+                Some(Outcome::NotSent)
             };
             outcome.expect("no more calls than answers").into()
         })
     }
 
-    fn close_idle(&self, _: &Provider) {}
+    fn close_idle(&self, _: &Endpoint) {}
 }
 
 struct Idle;
 
-impl Hands for Idle {
-    fn close_idle(&self, _: &Provider) {}
+impl DriverEffects for Idle {
+    fn close_idle(&self, _: &Endpoint) {}
     fn watch_list(&self) {}
 }
 
@@ -77,7 +79,7 @@
 #[derive(Default)]
 struct Told(RefCell<Vec<Verdict>>, RefCell<Option<Box<dyn Fn()>>>);
 
-impl Front for Told {
+impl Frontend for Told {
     fn tell<'a>(&'a self, _: &'a Envelope, verdict: Verdict) -> Local<'a, ()> {
         self.0.borrow_mut().push(verdict);
         Box::pin(async {})
@@ -154,7 +156,7 @@
     answers: &[Outcome],
     meanwhile: Option<Meanwhile>,
     executor: &LocalExecutor<'static>,
-) -> (Rc<House>, Rc<Answers>, Rc<Told>) {
+) -> (Rc<DeliveryContext>, Rc<Answers>, Rc<Told>) {
     let (house, invoker, front, _) = house_again(folder, setup, answers, meanwhile, executor);
     (house, invoker, front)
 }
@@ -166,11 +168,11 @@
     answers: &[Outcome],
     meanwhile: Option<Meanwhile>,
     executor: &LocalExecutor<'static>,
-) -> (Rc<House>, Rc<Answers>, Rc<Told>, Vec<Record>) {
+) -> (Rc<DeliveryContext>, Rc<Answers>, Rc<Told>, Vec<Record>) {
     let (journal, records) = Journal::open(folder.path(), setup).expect("opened");
     let directory = Rc::new(Directory::new(&[], &["k".into()], &settings().kinds));
-    let desk = Desk::new(
-        Relay::new(settings(), 3).expect("usable"),
+    let desk = DispatcherDriver::new(
+        Dispatcher::new(settings(), 3).expect("usable"),
         directory.clone(),
         Rc::new(Idle),
     );
@@ -199,21 +201,21 @@
         directory: directory.clone(),
     });
     let front = Rc::new(Told::default());
-    let wheel = Wheel::new();
-    let house = Rc::new(House {
+    let wheel = TimerWheel::new();
+    let house = Rc::new(DeliveryContext {
         terms: Terms::new(Door::default().policy(0, &settings(), &["event".into()], 9, None)),
         tables: Default::default(),
         admission: Default::default(),
         classes: vec!["event".into()],
         desk: desk.clone(),
         journal: journal.clone(),
-        guests: Guests::new(Limits {
+        guests: ClientQuotas::new(Limits {
             room: 20,
             ..Limits::default()
         }),
         directory,
         invoker: invoker.clone(),
-        fronts: [(0, front.clone() as Rc<dyn Front>)].into(),
+        fronts: [(0, front.clone() as Rc<dyn Frontend>)].into(),
         wheel: wheel.clone(),
         names: RefCell::default(),
     });
@@ -227,7 +229,7 @@
 }
 
 /// Knows tables 1 and 2, which lead to one zone each.
-fn with_tables(house: &House) {
+fn with_tables(house: &DeliveryContext) {
     for (number, zone) in [(1, "a"), (2, "b")] {
         let tiers = vec![vec![(1, vec![zone.to_string()])]];
         assert!(house.tables.add(
@@ -308,15 +310,15 @@
 #[test]
 fn no_end_of_the_process_makes_a_message_forget_that_it_may_have_run() {
     for last in [
-        Outcome::Ok,
+        Outcome::Delivered,
         Outcome::Error,
         Outcome::Timeout,
         Outcome::Reset,
     ] {
-        let answers = [Outcome::Full { wait: 0 }, last, Outcome::Ok];
+        let answers = [Outcome::Rejected { wait: 0 }, last, Outcome::Delivered];
         let (went, told, journal) = run(&answers, None);
         assert_eq!(told, [Verdict::Delivered]);
-        let calls = 2 + usize::from(last != Outcome::Ok);
+        let calls = 2 + usize::from(last != Outcome::Delivered);
         assert_eq!(went.len(), calls);
         let mut most = 0;
         let end = journal.iter().rposition(|b| *b != 0).expect("lines") + 9;
@@ -342,9 +344,9 @@
 fn what_may_have_run_stays_in_its_zone() {
     let answers = [
         Outcome::Error,
-        Outcome::Full { wait: SEC / 5 },
+        Outcome::Rejected { wait: SEC / 5 },
         Outcome::Reset,
-        Outcome::Ok,
+        Outcome::Delivered,
     ];
     let (went, told, _) = run(&answers, None);
     assert_eq!(told, [Verdict::Delivered]);
@@ -369,7 +371,7 @@
         });
     };
     for meanwhile in [wait, drain] {
-        let (went, told, _) = run(&[Outcome::Ok], Some(meanwhile));
+        let (went, told, _) = run(&[Outcome::Delivered], Some(meanwhile));
         assert_eq!(told, [Verdict::Delivered]);
         let stopped = went.iter().filter(|(_, went)| !went).count();
         assert_eq!((stopped > 0, went.len() - stopped), (true, 1), "{went:?}");
@@ -379,12 +381,12 @@
 #[test]
 fn what_is_held_goes_by_the_next_table_at_its_next_attempt_and_keeps_the_number_of_its_own() {
     // By the first table it would wait for the first zone for most of its time.
-    let full = Outcome::Full { wait: 12 * SEC };
+    let full = Outcome::Rejected { wait: 12 * SEC };
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
     let (house, invoker, front) = house(
         &folder,
         Setup::new(1_000_000),
-        &[full, Outcome::Ok],
+        &[full, Outcome::Delivered],
         None,
         &executor,
     );
@@ -422,7 +424,7 @@
     let (house, invoker, front) = house(
         &folder,
         Setup::new(1_000_000),
-        &[Outcome::Ok],
+        &[Outcome::Delivered],
         None,
         &executor,
     );
@@ -442,7 +444,7 @@
 #[test]
 fn a_later_process_sends_what_was_held_by_its_table_and_not_by_that_of_before() {
     let folder = TempDir::new().expect("a folder");
-    let full = Outcome::Full { wait: 12 * SEC };
+    let full = Outcome::Rejected { wait: 12 * SEC };
     {
         let executor = LocalExecutor::new();
         let (house, invoker, _) = house(&folder, Setup::new(1_000_000), &[full], None, &executor);
@@ -461,7 +463,7 @@
     let (house, invoker, front, records) = house_again(
         &folder,
         Setup::new(1_000_000),
-        &[Outcome::Ok],
+        &[Outcome::Delivered],
         None,
         &executor,
     );
@@ -487,7 +489,7 @@
     let folder = TempDir::new().expect("a folder");
     {
         let executor = LocalExecutor::new();
-        let full = Outcome::Full { wait: 12 * SEC };
+        let full = Outcome::Rejected { wait: 12 * SEC };
         let (house, invoker, _) = house(&folder, Setup::new(1_000_000), &[full], None, &executor);
         assert!(house.tables.add(1, routes.clone()) && house.route_by(1));
         let (client, envelope, left) = message();
@@ -513,7 +515,7 @@
     let (house, invoker, front, records) = house_again(
         &folder,
         Setup::new(1_000_000),
-        &[Outcome::Ok],
+        &[Outcome::Delivered],
         None,
         &executor,
     );
@@ -572,7 +574,7 @@
             durability: Durability::Machine,
             ..Setup::new(1_000_000)
         };
-        let (house, invoker, _) = house(&folder, setup, &[Outcome::Ok], None, &executor);
+        let (house, invoker, _) = house(&folder, setup, &[Outcome::Delivered], None, &executor);
         house.admission.set(Gate::Open { until: None });
         let heard = Rc::<RefCell<Vec<&'static str>>>::default();
         let hand_in = || {
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -10,10 +10,10 @@
 
 /// Step of the model, time of a call, time that a message has, and span in which an endpoint counts
 /// its calls.
-const STEP: Time = 5 * MS;
-const CALL: Time = 20 * MS;
-const TTL: Time = 12 * SEC;
-const WINDOW: Time = 2 * SEC;
+const STEP: Nanos = 5 * MS;
+const CALL: Nanos = 20 * MS;
+const TTL: Nanos = 12 * SEC;
+const WINDOW: Nanos = 2 * SEC;
 /// Destinations, endpoints of each, and calls a second that the list tells of each endpoint.
 const DESTS: u16 = 10;
 const EACH: u8 = 3;
@@ -104,7 +104,7 @@
             classes,
             ..settings()
         };
-        let at = |d: u16, n: u8| Endpoint {
+        let at = |d: u16, n: u8| EndpointAddress {
             addr: [10, 0, d as u8, n],
             port: 80,
         };
@@ -132,13 +132,13 @@
         }
         let start = 5 * SEC;
         let mut seed = self.seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-        let mut relays: Vec<Relay> = (0..self.senders)
-            .map(|i| Relay::new(s.clone(), self.seed * 10_000 + u64::from(i)).expect("usable"))
+        let mut relays: Vec<Dispatcher> = (0..self.senders)
+            .map(|i| Dispatcher::new(s.clone(), self.seed * 10_000 + u64::from(i)).expect("usable"))
             .collect();
-        let mut wake = vec![Time::MAX; relays.len()];
-        let mut due: BinaryHeap<Reverse<(Time, usize)>> = BinaryHeap::new();
-        let mut out: BTreeMap<(Time, usize, MessageId), Outcome> = BTreeMap::new();
-        let mut tries: HashMap<MessageId, (u16, Time)> = HashMap::new();
+        let mut wake = vec![Nanos::MAX; relays.len()];
+        let mut due: BinaryHeap<Reverse<(Nanos, usize)>> = BinaryHeap::new();
+        let mut out: BTreeMap<(Nanos, usize, MessageId), Outcome> = BTreeMap::new();
+        let mut tries: HashMap<MessageId, (u16, Nanos)> = HashMap::new();
         let mut came = Came::default();
         let mut next: MessageId = 0;
         let (end, last) = (start + self.span * SEC, start + self.span * SEC + TTL + SEC);
@@ -157,7 +157,7 @@
             let first = now == start;
             let mut count = if first { self.held * self.senders } else { 0 };
             while coming <= now && coming < end {
-                coming += (-(1.0 - draw(&mut seed)).ln() / self.traffic * SEC as f64) as Time;
+                coming += (-(1.0 - draw(&mut seed)).ln() / self.traffic * SEC as f64) as Nanos;
                 count += 1;
             }
             for i in 0..count {
@@ -201,7 +201,7 @@
                 out.first_key_value().filter(|(k, _)| k.0 <= now)
             {
                 out.remove(&(at, relay, id));
-                let finished = outcome == Outcome::Ok;
+                let finished = outcome == Outcome::Delivered;
                 let (tried, born) = tries[&id];
                 if finished {
                     came.delivered += 1;
@@ -225,7 +225,7 @@
                     break;
                 };
                 if wake[relay] == at {
-                    wake[relay] = Time::MAX;
+                    wake[relay] = Nanos::MAX;
                     events.push((relay, Event::Woken));
                 }
             }
@@ -246,13 +246,13 @@
                                 .expect("listed");
                             let (at, outcome) = if r.left > 0 {
                                 r.left -= 1;
-                                (now + CALL, Outcome::Ok)
+                                (now + CALL, Outcome::Delivered)
                             } else {
                                 r.refused += 1;
                                 came.refused += 1;
                                 (
                                     now + STEP,
-                                    Outcome::Full {
+                                    Outcome::Rejected {
                                         wait: WINDOW - (now - start) % WINDOW,
                                     },
                                 )
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -17,7 +17,7 @@
 fn a_told_wait_pauses_every_send_and_the_refused_call_goes_again_first() {
     let mut d = one();
     d.arrive(1, 0, 1);
-    assert!(sends(&d.end(1, Outcome::Full { wait: 700 * MS })).is_empty());
+    assert!(sends(&d.end(1, Outcome::Rejected { wait: 700 * MS })).is_empty());
     assert!(sends(&d.arrive(2, 0, 1)).is_empty());
     assert!(sends(&d.pass(690 * MS)).is_empty());
     assert_eq!(sends(&d.pass(2 * SEC))[0], 1);
@@ -28,8 +28,8 @@
     let mut d = one();
     d.arrive(1, 0, 1);
     d.arrive(2, 0, 1);
-    d.end(1, Outcome::Full { wait: 900 * MS });
-    d.end(2, Outcome::Full { wait: 200 * MS });
+    d.end(1, Outcome::Rejected { wait: 900 * MS });
+    d.end(2, Outcome::Rejected { wait: 200 * MS });
     assert!(sends(&d.pass(890 * MS)).is_empty());
 }
 
@@ -44,8 +44,8 @@
     ];
     assert_eq!(sends(&d.give_all(&batch)).len(), 2);
     let ends = [
-        d.ending(1, Outcome::Full { wait: 100 * MS }),
-        d.ending(2, Outcome::Full { wait: 900 * MS }),
+        d.ending(1, Outcome::Rejected { wait: 100 * MS }),
+        d.ending(2, Outcome::Rejected { wait: 900 * MS }),
     ];
     d.give_all(&ends);
     assert!(sends(&d.pass(890 * MS)).is_empty());
@@ -59,8 +59,8 @@
         ttl: 2 * SEC,
         ..d.message(2, 1, 1)
     }));
-    d.end(2, Outcome::Ok);
-    let out = d.end(1, Outcome::Full { wait: 25 * SEC });
+    d.end(2, Outcome::Delivered);
+    let out = d.end(1, Outcome::Rejected { wait: 25 * SEC });
     assert_eq!(refused(&out), [(1, 25 * SEC)]);
     assert_eq!(refused(&d.arrive(3, 0, 1)), [(3, 25 * SEC)]);
 }
@@ -76,7 +76,7 @@
     );
     d.warm_up(1);
     let first = targets(&d.arrive(1, 0, 1))[0];
-    let then = targets(&d.end(1, Outcome::Full { wait: 5 * SEC }));
+    let then = targets(&d.end(1, Outcome::Rejected { wait: 5 * SEC }));
     assert!(!then.is_empty() && then.iter().all(|e| *e != first));
     d.arrive(2, 0, 1);
     assert!(targets(&d.pass(SEC)).iter().all(|e| *e != first));
@@ -123,7 +123,7 @@
     let mut gaps = Vec::new();
     for _ in 0..3 {
         let start = d.now;
-        d.end(1, Outcome::Full { wait: 0 });
+        d.end(1, Outcome::Rejected { wait: 0 });
         while sends(&d.pass(10 * MS)).is_empty() {
             assert!(d.now < start + 10 * SEC);
         }
@@ -175,7 +175,10 @@
     while d.now < back + 2 * SEC {
         let ids = sends(&out);
         sent += ids.len();
-        let ends: Vec<Event> = ids.iter().map(|id| d.ending(*id, Outcome::Ok)).collect();
+        let ends: Vec<Event> = ids
+            .iter()
+            .map(|id| d.ending(*id, Outcome::Delivered))
+            .collect();
         out = d.give_all(&ends);
         out.extend(d.pass(10 * MS));
     }
@@ -190,10 +193,10 @@
     for id in 0..200 {
         d.arrive(id, 0, 1);
         d.pass(20 * MS);
-        d.end(id, Outcome::Ok);
+        d.end(id, Outcome::Delivered);
     }
     d.arrive(300, 0, 1);
-    d.end(300, Outcome::Full { wait: 200 * MS });
+    d.end(300, Outcome::Rejected { wait: 200 * MS });
     assert_eq!(sends(&d.pass(SEC)), [300]);
 }
 
@@ -209,7 +212,7 @@
     );
     let ends: Vec<Event> = sends(&d.seen)
         .iter()
-        .map(|id| d.ending(*id, Outcome::Full { wait: 8 * SEC }))
+        .map(|id| d.ending(*id, Outcome::Rejected { wait: 8 * SEC }))
         .collect();
     d.give_all(&ends);
     assert!(sends(&d.pass(8 * SEC - 10 * MS)).is_empty());
@@ -222,7 +225,7 @@
     take_down(&mut d);
     let out = d.pass(SEC);
     assert_eq!(sends(&out).len(), 1);
-    let mut all = d.end(sends(&out)[0], Outcome::Ok);
+    let mut all = d.end(sends(&out)[0], Outcome::Delivered);
     all.extend(d.pass(100 * MS));
     assert!(sends(&all).len() >= 2, "all go on at once: {all:?}");
 }
@@ -238,7 +241,7 @@
         for answered in [3 * id + 1, 3 * id + 2] {
             d.arrive(answered, 0, 1);
             d.pass(200 * MS);
-            d.end(answered, Outcome::Ok);
+            d.end(answered, Outcome::Delivered);
         }
         d.pass(50 * MS);
         let Event::Ended { id, attempt, .. } = d.ending(3 * id, Outcome::Timeout) else {
@@ -305,7 +308,7 @@
     let mut latest = 0;
     for seed in 1..30 {
         let mut d = Driver::new(settings(), vec![]);
-        d.relay = Relay::new(
+        d.relay = Dispatcher::new(
             Settings {
                 relays: 208,
                 ..settings()
@@ -316,7 +319,7 @@
         d.give(Event::CachedList(vec![ready(1, 1)]));
         d.pass(20 * SEC);
         d.arrive(1, 0, 1);
-        d.end(1, Outcome::Full { wait: 2 * SEC });
+        d.end(1, Outcome::Rejected { wait: 2 * SEC });
         let from = d.now;
         while sends(&d.pass(10 * MS)).is_empty() && d.now < from + 19 * SEC {}
         latest = latest.max(d.now - from);
@@ -347,7 +350,7 @@
                     if down {
                         Outcome::ConnectFailed
                     } else {
-                        Outcome::Ok
+                        Outcome::Delivered
                     },
                 ));
             }
@@ -363,7 +366,7 @@
     // time ate a time-out for nearly every call of a relay that calls rarely.
     let mut d = Driver::new(
         settings(),
-        (1..7).map(|n| ready(n, DestId::from(n))).collect(),
+        (1..7).map(|n| ready(n, DestinationId::from(n))).collect(),
     );
     let closes = |out: &[Action]| {
         out.iter()
@@ -373,7 +376,7 @@
     for n in 1..7 {
         d.arrive(u32::from(n), 0, n);
         d.pass(100 * MS);
-        d.end(u32::from(n), Outcome::Ok);
+        d.end(u32::from(n), Outcome::Delivered);
     }
     d.pass(2 * SEC);
     assert_eq!(closes(&d.arrive(11, 0, 1)), 0, "nothing speaks for it yet");
@@ -385,12 +388,12 @@
         (vec![11], 1),
         "the retry takes a new connection"
     );
-    d.end(11, Outcome::Ok);
+    d.end(11, Outcome::Delivered);
     assert_eq!(closes(&d.arrive(12, 0, 2)), 1, "and so do calls to others");
-    d.end(12, Outcome::Ok);
+    d.end(12, Outcome::Delivered);
     d.pass(60 * SEC);
     d.arrive(13, 0, 3);
-    d.end(13, Outcome::Ok);
+    d.end(13, Outcome::Delivered);
     d.pass(2 * SEC);
     assert_eq!(closes(&d.arrive(14, 0, 3)), 0, "the suspicion fades");
 }
@@ -403,7 +406,7 @@
         settings(),
         vec![ready(1, 1), ready(2, 2), line(3, 3, 2, Condition::Ready)],
     );
-    let closed = |out: &[Action]| -> Vec<Endpoint> {
+    let closed = |out: &[Action]| -> Vec<EndpointAddress> {
         let close = |a: &Action| {
             if let Action::CloseIdle { endpoint } = a {
                 Some(*endpoint)
@@ -418,7 +421,7 @@
     }
     d.arrive(1, 0, 2);
     assert_eq!(
-        closed(&d.end(1, Outcome::Ok)),
+        closed(&d.end(1, Outcome::Delivered)),
         [],
         "nothing speaks for it yet"
     );
@@ -430,23 +433,31 @@
     );
     assert_eq!(sends(&d.pass(SEC)), [2]);
     assert_eq!(
-        closed(&d.end(2, Outcome::Ok)),
+        closed(&d.end(2, Outcome::Delivered)),
         [at(1), at(2)],
         "it was not: the idle ones of that kind go"
     );
     d.arrive(3, 0, 2);
     d.arrive(4, 0, 2);
     assert_eq!(
-        closed(&d.end(3, Outcome::Ok)),
+        closed(&d.end(3, Outcome::Delivered)),
         [],
         "a call is still out on it"
     );
-    assert_eq!(closed(&d.end(4, Outcome::Ok)), [at(2)], "none is kept");
+    assert_eq!(
+        closed(&d.end(4, Outcome::Delivered)),
+        [at(2)],
+        "none is kept"
+    );
     d.arrive(5, 0, 3);
-    assert_eq!(closed(&d.end(5, Outcome::Ok)), [], "another kind");
+    assert_eq!(closed(&d.end(5, Outcome::Delivered)), [], "another kind");
     d.pass(60 * SEC);
     d.arrive(6, 0, 2);
-    assert_eq!(closed(&d.end(6, Outcome::Ok)), [], "the suspicion fades");
+    assert_eq!(
+        closed(&d.end(6, Outcome::Delivered)),
+        [],
+        "the suspicion fades"
+    );
 }
 
 #[test]
@@ -461,7 +472,7 @@
     };
     let line = |n: u8| Listing {
         rate: 300.0,
-        ..ready(n, DestId::from(n))
+        ..ready(n, DestinationId::from(n))
     };
     let mut d = Driver::new(s, (1..30).map(line).collect());
     for n in 1..30 {
@@ -469,7 +480,7 @@
     }
     d.pass(2 * SEC);
     for id in sends(&d.seen.clone()) {
-        d.end(id, Outcome::Ok);
+        d.end(id, Outcome::Delivered);
     }
     let sick = |out: &[Action]| {
         out.iter()
@@ -489,7 +500,7 @@
         let taken_for_down = sick(&d.end(id, Outcome::ConnectFailed));
         if taken_for_down {
             assert!(sent(&mut d, id));
-            d.end(id, Outcome::Ok);
+            d.end(id, Outcome::Delivered);
         }
         !taken_for_down
     });
@@ -520,7 +531,7 @@
     }));
     let mut gaps = Vec::new();
     for _ in 0..if report[0] > 0.5 { 5 } else { 3 } {
-        let mut out = d.end_with(1, Outcome::Full { wait: 0 }, report);
+        let mut out = d.end_with(1, Outcome::Rejected { wait: 0 }, report);
         let from = d.now;
         while sends(&out).is_empty() && d.now < from + 60 * SEC {
             out = d.pass(50 * MS);
@@ -552,13 +563,13 @@
     let mut firsts = [0; 3];
     for seed in 1..31 {
         let mut d = Driver::new(settings(), vec![]);
-        d.relay = Relay::new(settings(), seed * 7919).expect("usable");
+        d.relay = Dispatcher::new(settings(), seed * 7919).expect("usable");
         d.give(Event::CachedList(
             (1..4).map(|n| line(n, 1, 2, Condition::Ready)).collect(),
         ));
         let to = targets(&d.arrive(1, 0, 1))[0];
         firsts[usize::from(to.addr[3]) - 1] += 1;
-        d.end(1, Outcome::Full { wait: 0 });
+        d.end(1, Outcome::Rejected { wait: 0 });
         d.pass(100 * MS);
         let second = targets(&d.seen)[1];
         assert_ne!(second, to, "a refused call goes on to another route");
@@ -581,12 +592,12 @@
     let mut fleet: Vec<Driver> = (1..11)
         .map(|n| {
             let mut d = Driver::new(s.clone(), vec![ready(1, 1)]);
-            d.relay = Relay::new(s.clone(), n * 104_729).expect("usable");
+            d.relay = Dispatcher::new(s.clone(), n * 104_729).expect("usable");
             d.give(Event::CachedList(vec![ready(1, 1)]));
             for id in 100..140 {
                 d.arrive(id, 0, 1);
                 d.pass(50 * MS);
-                d.end_with(id, Outcome::Ok, [0.9, limit]);
+                d.end_with(id, Outcome::Delivered, [0.9, limit]);
             }
             d
         })
@@ -602,7 +613,11 @@
             let open: Vec<MessageId> = sends(&out);
             after += if back { open.len() } else { 0 };
             for id in open {
-                let outcome = if back { Outcome::Ok } else { Outcome::Timeout };
+                let outcome = if back {
+                    Outcome::Delivered
+                } else {
+                    Outcome::Timeout
+                };
                 d.end_with(id, outcome, [0.9, limit]);
             }
             d.pass(50 * MS);
@@ -640,7 +655,7 @@
                 );
                 d.warm_up(1);
                 d.arrive(1, 0, 1);
-                d.end_with(1, Outcome::Full { wait: 0 }, [rate, rate]);
+                d.end_with(1, Outcome::Rejected { wait: 0 }, [rate, rate]);
                 for id in 2..9 {
                     d.arrive(id, 0, 1);
                 }
@@ -675,7 +690,7 @@
         let mut d = Driver::new(s.clone(), vec![ready(1, 1)]);
         d.pass(10 * SEC);
         d.arrive(1, 0, 1);
-        let out = d.end_with(1, Outcome::Full { wait: 0 }, [left, 30.0]);
+        let out = d.end_with(1, Outcome::Rejected { wait: 0 }, [left, 30.0]);
         assert_eq!(
             out.iter()
                 .any(|a| matches!(a, Action::Log(t) if t.contains("Sick"))),
@@ -712,9 +727,9 @@
         for id in sends(&out) {
             served.push((id, d.now));
             let outcome = if load[0] > 0.5 {
-                Outcome::Ok
+                Outcome::Delivered
             } else {
-                Outcome::Full { wait: 0 }
+                Outcome::Rejected { wait: 0 }
             };
             out = d.end_with(id, outcome, load);
             load[0] = 0.9;
@@ -734,8 +749,8 @@
     // message was lost.
     let mut d = one();
     d.arrive(1, 0, 1);
-    d.end(1, Outcome::Full { wait: 700 * MS });
-    let spans: Vec<Time> = d
+    d.end(1, Outcome::Rejected { wait: 700 * MS });
+    let spans: Vec<Nanos> = d
         .seen
         .iter()
         .filter_map(|a| {
@@ -757,7 +772,7 @@
     let returns = |relays, rare: bool| {
         let mut all = Vec::new();
         for seed in 1..20 {
-            let mut relay = Relay::new(
+            let mut relay = Dispatcher::new(
                 Settings {
                     relays,
                     ..settings()
@@ -779,7 +794,7 @@
             }));
             for _ in 0..2 {
                 assert_eq!(sends(&out), [1]);
-                d.end(1, Outcome::Full { wait: SEC });
+                d.end(1, Outcome::Rejected { wait: SEC });
                 out = Vec::new();
                 let from = d.now;
                 while sends(&out).is_empty() && d.now < from + 60 * SEC {
@@ -815,7 +830,7 @@
     for seed in 0..20 {
         let old = line(1, 1, 2, Condition::Ready);
         let mut d = Driver::new(settings(), vec![]);
-        d.relay = Relay::new(
+        d.relay = Dispatcher::new(
             Settings {
                 slots: 60,
                 room: 60,
@@ -838,7 +853,7 @@
         let sent = out.len();
         assert!(sent > 2, "{sent} calls are no burst");
         out.into_iter()
-            .for_each(|id| drop(d.end(id, Outcome::Full { wait: 800 * MS })));
+            .for_each(|id| drop(d.end(id, Outcome::Rejected { wait: 800 * MS })));
         // A spread return lasts as long as a partner takes to warm up, at most: that is how long
         // others may be at it.
         let (start, most) = (d.now, settings().warm_after + 2 * SEC);
@@ -858,8 +873,8 @@
 fn a_side_effect_goes_again_only_when_it_never_ran() {
     for (outcome, again) in [
         (Outcome::ConnectFailed, true),
-        (Outcome::Full { wait: 0 }, true),
-        (Outcome::Moot, true),
+        (Outcome::Rejected { wait: 0 }, true),
+        (Outcome::NotSent, true),
         (Outcome::Error, false),
         (Outcome::Timeout, false),
         (Outcome::Reset, false),
@@ -968,7 +983,7 @@
     d.arrive(1, 0, 1);
     d.now -= SEC;
     d.arrive(2, 0, 1);
-    d.end(1, Outcome::Full { wait: 0 });
+    d.end(1, Outcome::Rejected { wait: 0 });
     d.pass(3 * SEC);
     assert!(sends(&d.seen).contains(&2));
 }
@@ -989,7 +1004,7 @@
     let stray = Event::Ended {
         id: 99,
         attempt: 3,
-        outcome: Outcome::Ok,
+        outcome: Outcome::Delivered,
         took: 0,
         finished: true,
         report: vec![f32::NAN; 4],
@@ -1029,7 +1044,7 @@
 fn a_whole_list_replaces_the_old_one_and_all_endpoints_may_change_during_a_pause() {
     let mut d = one();
     d.arrive(1, 0, 1);
-    d.end(1, Outcome::Full { wait: 500 * MS });
+    d.end(1, Outcome::Rejected { wait: 500 * MS });
     d.give(Event::List(vec![ready(7, 1)]));
     assert!(
         sends(&d.pass(490 * MS)).is_empty(),
@@ -1067,7 +1082,7 @@
     assert_eq!(sends(&d.arrive_keyed(1, 5)), [1]);
     assert!(sends(&d.arrive_keyed(2, 5)).is_empty());
     assert_eq!(sends(&d.arrive_keyed(3, 6)), [3]);
-    assert_eq!(sends(&d.end(1, Outcome::Ok)), [2]);
+    assert_eq!(sends(&d.end(1, Outcome::Delivered)), [2]);
 }
 
 #[test]
@@ -1109,7 +1124,7 @@
             ..d.message(id, 0, 1)
         }));
         d.pass(200 * MS);
-        d.end(id, Outcome::Ok);
+        d.end(id, Outcome::Delivered);
     }
     let flood: Vec<Event> = (100..130)
         .map(|id| Event::Arrived(d.message(id, 0, 1)))
@@ -1120,7 +1135,7 @@
         tenant: 1,
         ..d.message(400, 0, 1)
     }));
-    let out = d.end(*sends(&d.seen).first().expect("sent"), Outcome::Ok);
+    let out = d.end(*sends(&d.seen).first().expect("sent"), Outcome::Delivered);
     let mut next = sends(&out);
     next.extend(sends(&d.pass(100 * MS)));
     assert_eq!(next.first(), Some(&400));
@@ -1143,7 +1158,7 @@
             tenant: some,
             ..d.message(400, 0, 1)
         }));
-        let out = d.end(*sends(&d.seen).first().expect("sent"), Outcome::Ok);
+        let out = d.end(*sends(&d.seen).first().expect("sent"), Outcome::Delivered);
         let mut next = sends(&out);
         next.extend(sends(&d.pass(100 * MS)));
         next.first().copied()
@@ -1181,7 +1196,7 @@
 
 #[test]
 fn unusable_settings_are_told_by_name() {
-    let name = |s| Relay::new(s, 1).expect_err("unusable").setting;
+    let name = |s| Dispatcher::new(s, 1).expect_err("unusable").setting;
     assert_eq!(
         name(Settings {
             classes: vec![],
@@ -1237,7 +1252,7 @@
     assert_eq!(targets(&d.arrive(1, 0, 1)), [at(2)]);
     assert_eq!(targets(&d.arrive(2, 0, 1)), [at(2)]);
     // Told to wait there, the other one serves.
-    d.end(1, Outcome::Full { wait: 2 * SEC });
+    d.end(1, Outcome::Rejected { wait: 2 * SEC });
     assert_eq!(targets(&d.arrive(3, 0, 1)), [at(1)]);
     // With few slots left, an idle one serves: the cheaper one, with calls out, would hold a slot
     // for longer.
@@ -1285,7 +1300,7 @@
         let id = 20_000 + MessageId::from(n);
         d.arrive(id, 0, 1);
         d.give(Event::ListChanges(vec![line(n, 1, 2, Condition::Draining)]));
-        d.end(id, Outcome::Full { wait: 100 * MS });
+        d.end(id, Outcome::Rejected { wait: 100 * MS });
         d.pass(300 * MS);
         if d.seen
             .iter()
@@ -1293,7 +1308,7 @@
             .count()
             > 1
         {
-            d.end(id, Outcome::Ok);
+            d.end(id, Outcome::Delivered);
         }
         d.give(Event::Withdrawn(id));
         d.give(Event::ListChanges(vec![line(n, 1, 2, Condition::Gone)]));
@@ -1317,10 +1332,13 @@
         relays: 100,
         ..settings()
     };
-    let mut d = Driver::new(s, (1..5).map(|n| ready(n, DestId::from(n))).collect());
+    let mut d = Driver::new(
+        s,
+        (1..5).map(|n| ready(n, DestinationId::from(n))).collect(),
+    );
     for n in 1..5 {
         d.arrive(u32::from(n), 0, n);
-        d.end(u32::from(n), Outcome::Ok);
+        d.end(u32::from(n), Outcome::Delivered);
     }
     d.seen.clear();
     let mut sent = sends(&d.arrive(11, 0, 1));
@@ -1332,7 +1350,7 @@
     }
     for id in 12..15 {
         d.arrive(id, 0, 2);
-        d.end(id, Outcome::Ok);
+        d.end(id, Outcome::Delivered);
     }
     assert!(
         !d.seen.iter().any(|a| matches!(a, Action::CloseIdle { .. })),
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -22,22 +22,22 @@
     over: bool,
     out: bool,
     attempts: u16,
-    ran: Option<Time>,
-    due: Time,
+    ran: Option<Nanos>,
+    due: Nanos,
     order: u64,
 }
 
 /// Follows events and actions and tells the first rule broken.
 struct Audit {
     s: Settings,
-    now: Time,
+    now: Nanos,
     turn: u64,
     seen: BTreeMap<MessageId, Seen>,
-    told: BTreeMap<DestId, Time>,
-    gone: BTreeSet<Endpoint>,
-    rest: BTreeMap<u64, (Time, MessageId)>,
-    calls: BTreeMap<(u64, Endpoint), u32>,
-    call_of: BTreeMap<MessageId, (u64, Endpoint)>,
+    told: BTreeMap<DestinationId, Nanos>,
+    gone: BTreeSet<EndpointAddress>,
+    rest: BTreeMap<u64, (Nanos, MessageId)>,
+    calls: BTreeMap<(u64, EndpointAddress), u32>,
+    call_of: BTreeMap<MessageId, (u64, EndpointAddress)>,
 }
 
 impl Audit {
@@ -94,7 +94,7 @@
                     self.rest
                         .insert(m.m.key, (self.now + self.s.order_settle, *id));
                 }
-                if let Outcome::Full { wait } = outcome {
+                if let Outcome::Rejected { wait } = outcome {
                     let told = self.told.entry(m.m.dest).or_insert(0);
                     *told = (*told).max(self.now + wait);
                 }
@@ -176,7 +176,7 @@
                 let here = self
                     .calls
                     .keys()
-                    .filter(|c| c.1.addr[3] as DestId / 4 == dest)
+                    .filter(|c| c.1.addr[3] as DestinationId / 4 == dest)
                     .count();
                 rule(4 * here < 3 * self.s.slots as usize, "pool")?;
                 let m = self.seen.get_mut(id).expect("known");
@@ -203,17 +203,24 @@
 }
 
 /// Endpoint n belongs to destination n / 4; destination 1 takes batches.
-fn run(seed: u64, spoil: fn(&mut Vec<Action>, Time)) -> Result<usize, String> {
+fn run(seed: u64, spoil: fn(&mut Vec<Action>, Nanos)) -> Result<usize, String> {
     let s = settings();
     let mut rng = Rng(seed);
     let list: Vec<Listing> = (0..8u8)
-        .map(|n| line(n, DestId::from(n / 4), u16::from(n / 4), Condition::Ready))
+        .map(|n| {
+            line(
+                n,
+                DestinationId::from(n / 4),
+                u16::from(n / 4),
+                Condition::Ready,
+            )
+        })
         .collect();
-    let mut relay = Relay::new(s.clone(), seed).map_err(|e| e.to_string())?;
+    let mut relay = Dispatcher::new(s.clone(), seed).map_err(|e| e.to_string())?;
     let mut audit = Audit::new(s);
     let (mut now, mut next, mut sends) = (SEC, 0, 0);
     // (due, message, attempt, call, outcome, sent)
-    let mut flying: Vec<(Time, MessageId, u16, Outcome, Time)> = Vec::new();
+    let mut flying: Vec<(Nanos, MessageId, u16, Outcome, Nanos)> = Vec::new();
     let mut events = vec![Event::CachedList(list)];
     let mut bad = [false; 2];
     for step in 0..4_000u64 {
@@ -221,7 +228,7 @@
         audit.turn = step;
         relay.handle(now, &events, &mut actions);
         spoil(&mut actions, now);
-        let mut fate: BTreeMap<Endpoint, (Outcome, Time)> = BTreeMap::new();
+        let mut fate: BTreeMap<EndpointAddress, (Outcome, Nanos)> = BTreeMap::new();
         for a in &actions {
             audit.action(a).map_err(|e| format!("step {step}: {e}"))?;
             let Action::Send {
@@ -240,7 +247,7 @@
             };
             let drawn = match rng.below(8 + 2 * well) {
                 0 => (
-                    Outcome::Full {
+                    Outcome::Rejected {
                         wait: rng.below(3) * 400 * MS,
                     },
                     40 * MS,
@@ -249,7 +256,7 @@
                 2 => (Outcome::Reset, 90 * MS),
                 3 => (Outcome::ConnectFailed, 150 * MS),
                 4..=7 => (Outcome::Timeout, *timeout),
-                _ => (Outcome::Ok, (30 + rng.below(400)) * MS),
+                _ => (Outcome::Delivered, (30 + rng.below(400)) * MS),
             };
             let (outcome, took) = *fate.entry(*endpoint).or_insert(drawn);
             let (outcome, took) = if took >= *timeout {
@@ -263,7 +270,7 @@
         audit.now = now;
         events = vec![Event::Woken];
         for f in flying.extract(|f| f.0 <= now) {
-            let finished = f.3 == Outcome::Ok || audit.seen[&f.1].over;
+            let finished = f.3 == Outcome::Delivered || audit.seen[&f.1].over;
             let (outcome, took) = (f.3, now - f.4);
             events.push(Event::Ended {
                 id: f.1,
@@ -275,7 +282,7 @@
             });
         }
         if rng.below(3) == 0 && step < 3_400 {
-            let (class, dest) = (rng.below(4) as u16, rng.below(2) as DestId);
+            let (class, dest) = (rng.below(4) as u16, rng.below(2) as DestinationId);
             let (key, ttl) = (
                 if class == 3 { 1 + rng.below(3) } else { 0 },
                 (1 + rng.below(5)) * SEC,
@@ -302,7 +309,7 @@
                 [Condition::Ready, Condition::Draining, Condition::Gone][rng.below(3) as usize];
             events.push(Event::ListChanges(vec![line(
                 n,
-                DestId::from(n / 4),
+                DestinationId::from(n / 4),
                 u16::from(n / 4),
                 condition,
             )]));
@@ -340,7 +347,7 @@
 
 #[test]
 fn the_audit_sees_a_rule_broken_on_purpose() {
-    let broken = |spoil: fn(&mut Vec<Action>, Time)| run(3, spoil).expect_err("a rule was broken");
+    let broken = |spoil: fn(&mut Vec<Action>, Nanos)| run(3, spoil).expect_err("a rule was broken");
     // Answers swallowed: messages are lost.
     let e = broken(|actions, _| {
         actions.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -8,12 +8,12 @@
 use raildeal::agent::register::{Kind, Register, Without};
 use raildeal::agent::session::{Entrance, Machine, Needs, Out, Terms};
 use raildeal::coordination::messages::{FromAgent, Print, ToAgent};
-use raildeal::Time;
+use raildeal::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
 const LEASE_MS: u32 = 1_500;
 /// A pause is taken back after this time.
-const PAUSE: Time = 400 * MS;
+const PAUSE: Nanos = 400 * MS;
 
 struct Nothing;
 
@@ -50,7 +50,7 @@
     [number as u8; 32]
 }
 
-fn open(number: u64, until: Option<Time>) -> Entrance {
+fn open(number: u64, until: Option<Nanos>) -> Entrance {
     Entrance::Open {
         policy: Some(number),
         table: None,
@@ -63,7 +63,7 @@
     machine: Machine,
     boot: u64,
     /// Its clock began at this true time, and runs so many parts in 10,000 wrong.
-    began: Time,
+    began: Nanos,
     off: i64,
     line: u64,
     doorway: Entrance,
@@ -73,12 +73,12 @@
 }
 
 impl Sender {
-    fn now(&self, now: Time) -> Time {
+    fn now(&self, now: Nanos) -> Nanos {
         let true_time = (now - self.began) as i64;
-        (true_time + true_time / 10_000 * self.off) as Time
+        (true_time + true_time / 10_000 * self.off) as Nanos
     }
 
-    fn takes_on(&self, now: Time) -> Option<u64> {
+    fn takes_on(&self, now: Nanos) -> Option<u64> {
         match self.doorway {
             Entrance::Open {
                 policy: Some(number),
@@ -95,7 +95,7 @@
 struct Session {
     boot: u64,
     line: u64,
-    until: Time,
+    until: Nanos,
     turn: u64,
 }
 
@@ -104,19 +104,19 @@
 enum Change {
     None,
     Offered(u64),
-    Paused(u64, Time),
+    Paused(u64, Nanos),
 }
 
 struct World {
     dice: fastrand::Rng,
     without: Without,
-    now: Time,
+    now: Nanos,
     senders: Vec<Sender>,
     sessions: Vec<Session>,
     has: Vec<BTreeSet<u64>>,
-    to_keeper: Vec<(Time, usize, u64, FromAgent)>,
-    to_agent: Vec<(Time, usize, u64, ToAgent)>,
-    checks: Vec<(Time, usize, u64, Print)>,
+    to_keeper: Vec<(Nanos, usize, u64, FromAgent)>,
+    to_agent: Vec<(Nanos, usize, u64, ToAgent)>,
+    checks: Vec<(Nanos, usize, u64, Print)>,
     rule: (u64, u64, bool),
     change: Change,
     proposed: u64,
@@ -161,7 +161,7 @@
         }
     }
 
-    fn arrivals(&mut self) -> Vec<Time> {
+    fn arrivals(&mut self) -> Vec<Nanos> {
         if !self.bad {
             return vec![self.now + MS];
         }
@@ -220,8 +220,8 @@
     }
 
     /// The longest that a lease of this sender may be believed, from now on.
-    fn counted(&self) -> Time {
-        self.now + Time::from(LEASE_MS) * MS * 102 / 101
+    fn counted(&self) -> Nanos {
+        self.now + Nanos::from(LEASE_MS) * MS * 102 / 101
     }
 
     fn keeper_hears(&mut self, n: usize, line: u64, word: FromAgent) {
@@ -387,12 +387,12 @@
                 self.checks.retain(|c| c.1 != n);
             }
         }
-        let due = |now, at: &Time| *at <= now;
+        let due = |now, at: &Nanos| *at <= now;
         let (words, later) = std::mem::take(&mut self.to_keeper)
             .into_iter()
             .partition(|w| due(self.now, &w.0));
         self.to_keeper = later;
-        let words: Vec<(Time, usize, u64, FromAgent)> = words;
+        let words: Vec<(Nanos, usize, u64, FromAgent)> = words;
         words
             .into_iter()
             .for_each(|(_, n, line, word)| self.keeper_hears(n, line, word));
@@ -400,7 +400,7 @@
             .into_iter()
             .partition(|w| due(self.now, &w.0));
         self.to_agent = later;
-        let words: Vec<(Time, usize, u64, ToAgent)> = words;
+        let words: Vec<(Nanos, usize, u64, ToAgent)> = words;
         for (_, n, line, word) in words {
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
             self.senders[n].machine.hear(now, line, word, &mut out);
@@ -410,7 +410,7 @@
             .into_iter()
             .partition(|c| due(self.now, &c.0));
         self.checks = later;
-        let checks: Vec<(Time, usize, u64, Print)> = checks;
+        let checks: Vec<(Nanos, usize, u64, Print)> = checks;
         for (_, n, number, print) in checks {
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
             self.senders[n].stored.insert(number, print);
@@ -557,7 +557,7 @@
 
 #[test]
 fn a_sender_goes_by_the_highest_turn_says_so_after_it_is_so_and_answers_doubled_words() {
-    let until = Some(SEC + Time::from(LEASE_MS) * MS * 98 / 100);
+    let until = Some(SEC + Nanos::from(LEASE_MS) * MS * 98 / 100);
     let (mut agent, out) = in_session(Without::Hold, &[3], (4, 3, false));
     assert_eq!(doorways(&out), [Entrance::Fenced, open(3, until)]);
     let at = |wanted: fn(&Out) -> bool| out.iter().position(wanted).expect("there");
--- a/tests/resumed.rs
+++ b/tests/resumed.rs
@@ -26,7 +26,7 @@
     d
 }
 
-fn resume(d: &mut Driver, ttl: Time, past: Past) -> Vec<Action> {
+fn resume(d: &mut Driver, ttl: Nanos, past: Past) -> Vec<Action> {
     let message = Message {
         ttl,
         ..d.message(1, 1, 1)
@@ -111,7 +111,7 @@
     let ended = |attempt| Event::Ended {
         id: 1,
         attempt,
-        outcome: Outcome::Full { wait: 0 },
+        outcome: Outcome::Rejected { wait: 0 },
         took: MS,
         finished: false,
         report: Vec::new(),
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -55,8 +55,8 @@
 fn answered(
     d: &mut Driver,
     ids: std::ops::Range<MessageId>,
-    by: impl Fn(Endpoint) -> Outcome,
-) -> Vec<Endpoint> {
+    by: impl Fn(EndpointAddress) -> Outcome,
+) -> Vec<EndpointAddress> {
     let mut went = Vec::new();
     for id in ids {
         let mut sent = d.arrive(id, 0, 1);
@@ -67,7 +67,7 @@
             went.push(*endpoint);
             d.now += 100 * MS;
             sent = d.end(id, end);
-            if end == Outcome::Ok {
+            if end == Outcome::Delivered {
                 break;
             }
             sent.extend(if sends(&sent).is_empty() {
@@ -85,17 +85,17 @@
 fn what_the_first_tier_cannot_take_goes_to_the_next_at_once_and_comes_back() {
     let list = vec![stands(1, 1, 2), stands(2, 2, 2), stands(3, 3, 2)];
     let mut d = driver(list, vec![all(&[&[(1, 1)], &[(1, 2)]])]);
-    let first = answered(&mut d, 1..30, |_| Outcome::Ok);
+    let first = answered(&mut d, 1..30, |_| Outcome::Delivered);
     assert!(first.iter().all(|e| *e == at(1)), "{first:?}");
     // A told wait there: the same message goes on in the same turn, and all that come while it
     // lasts.
     d.arrive(30, 0, 1);
     assert_eq!(
-        targets(&d.end(30, Outcome::Full { wait: 3 * SEC })),
+        targets(&d.end(30, Outcome::Rejected { wait: 3 * SEC })),
         [at(2)]
     );
-    d.end(30, Outcome::Ok);
-    let waits = answered(&mut d, 31..40, |_| Outcome::Ok);
+    d.end(30, Outcome::Delivered);
+    let waits = answered(&mut d, 31..40, |_| Outcome::Delivered);
     assert!(waits.iter().all(|e| *e == at(2)), "{waits:?}");
     d.pass(3 * SEC);
     // An outage there: few calls ask for it, the others go on, and it serves again once it is back.
@@ -103,7 +103,7 @@
         if e == at(1) {
             Outcome::Timeout
         } else {
-            Outcome::Ok
+            Outcome::Delivered
         }
     };
     let out = answered(&mut d, 40..140, down);
@@ -113,8 +113,8 @@
         "{out:?}"
     );
     d.pass(20 * SEC);
-    answered(&mut d, 140..300, |_| Outcome::Ok);
-    let back = answered(&mut d, 300..330, |_| Outcome::Ok);
+    answered(&mut d, 140..300, |_| Outcome::Delivered);
+    let back = answered(&mut d, 300..330, |_| Outcome::Delivered);
     assert!(back.iter().all(|e| *e == at(1)), "{back:?}");
 }
 
@@ -122,7 +122,7 @@
 fn shares_draw_the_first_zone_and_a_sick_one_says_nothing_of_others_that_are_seldom_heard() {
     let list = vec![stands(1, 1, 2), stands(2, 2, 2), stands(3, 3, 2)];
     let mut d = driver(list, vec![all(&[&[(3, 1), (1, 2)], &[(1, 3)]])]);
-    let went = answered(&mut d, 1..401, |_| Outcome::Ok);
+    let went = answered(&mut d, 1..401, |_| Outcome::Delivered);
     let first = went.iter().filter(|e| **e == at(1)).count();
     assert!(
         (260..340).contains(&first) && !went.contains(&at(3)),
@@ -130,7 +130,7 @@
     );
     let down = answered(&mut d, 401..440, |e| {
         if e == at(3) {
-            Outcome::Ok
+            Outcome::Delivered
         } else {
             Outcome::ConnectFailed
         }
@@ -158,12 +158,12 @@
     d.arrive(1, 0, 1);
     // The whole of its time is told where it may go; the second zone is free, and not for it.
     assert_eq!(
-        refused(&d.end(1, Outcome::Full { wait: 25 * SEC })).len(),
+        refused(&d.end(1, Outcome::Rejected { wait: 25 * SEC })).len(),
         1
     );
     assert_eq!(targets(&d.arrive(2, 1, 1)), [at(2)]);
     // One of the other class is not held up by one that waits before it.
-    d.end(2, Outcome::Ok);
+    d.end(2, Outcome::Delivered);
     d.give(Event::Arrived(Message {
         ttl: 19 * SEC,
         ..d.message(3, 0, 1)
@@ -181,7 +181,7 @@
     };
     let mut d = driver(list, vec![all(&[&[(1, 1)]]), only]);
     d.arrive(1, 0, 1);
-    d.end(1, Outcome::Full { wait: 4 * SEC });
+    d.end(1, Outcome::Rejected { wait: 4 * SEC });
     // Refused ones go first, and wait for the first zone.
     let both = [2, 3].map(|id| Event::Arrived(d.message(id, 0, 1)));
     d.give_all(&both);
@@ -199,13 +199,13 @@
     let list = vec![stands(1, 1, 2), stands(2, 2, 2)];
     let mut d = driver(list, vec![all(&[&[(1, 1)]])]);
     d.arrive(1, 0, 1);
-    d.end(1, Outcome::Full { wait: 8 * SEC });
+    d.end(1, Outcome::Rejected { wait: 8 * SEC });
     d.arrive(2, 0, 1);
     assert!(sends(&d.pass(SEC)).is_empty());
     // A call that is out ends as it would have.
     let sent = d.give(Event::Routed(routes(vec![all(&[&[(1, 2)]])])));
     assert_eq!((sends(&sent).len(), targets(&sent)), (2, vec![at(2); 2]));
-    d.end(1, Outcome::Ok);
+    d.end(1, Outcome::Delivered);
     d.end(2, Outcome::Error);
     let nobody = d.give(Event::Routed(routes(vec![Said::default()])));
     assert_eq!(
@@ -288,7 +288,8 @@
         room: own.room,
     };
     let list: Vec<Listing> = (0..9).map(endpoint).collect();
-    let zone_of: BTreeMap<Endpoint, u16> = list.iter().map(|l| (l.endpoint, l.zone)).collect();
+    let zone_of: BTreeMap<EndpointAddress, u16> =
+        list.iter().map(|l| (l.endpoint, l.zone)).collect();
     let (mut d, mut turns) = (Driver::new(own, list), Vec::new());
     turns.push(d.give(Event::Changed(Box::new(twice))));
     let mut messages: BTreeMap<MessageId, Message> = BTreeMap::new();
@@ -313,10 +314,10 @@
             Step::Ends { which, how } if !out.is_empty() => {
                 let id = *out.iter().nth(which % out.len()).expect("some are out");
                 out.remove(&id);
-                let full = Outcome::Full { wait: 700 * MS };
+                let full = Outcome::Rejected { wait: 700 * MS };
                 let all = [
-                    Outcome::Ok,
-                    Outcome::Ok,
+                    Outcome::Delivered,
+                    Outcome::Delivered,
                     full,
                     Outcome::Timeout,
                     Outcome::ConnectFailed,
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -217,27 +217,27 @@
 }
 
 /// Time that a call takes, and a refusal.
-const CALL: (Time, Time) = (200 * MS, 10 * MS);
+const CALL: (Nanos, Nanos) = (200 * MS, 10 * MS);
 /// Time that a message has.
-const TTL: Time = 12 * SEC;
-const STEP: Time = 10 * MS;
+const TTL: Nanos = 12 * SEC;
+const STEP: Nanos = 10 * MS;
 
 /// An endpoint that goes down and comes back cold, called by so many whole relays.
 struct Return {
-    relays: Vec<Relay>,
+    relays: Vec<Dispatcher>,
     s: Settings,
     listed: f64,
     /// How many endpoints go down with it.
     away: u8,
-    now: Time,
+    now: Nanos,
     down: bool,
     /// When the endpoint came back.
-    back: Option<Time>,
+    back: Option<Nanos>,
     /// Calls that came to it since.
-    came: VecDeque<Time>,
+    came: VecDeque<Nanos>,
     /// The most calls of a window, as a part of what topples it, and the budget then.
     worst: (f64, usize, f64),
-    out: BTreeMap<(Time, usize, MessageId), Outcome>,
+    out: BTreeMap<(Nanos, usize, MessageId), Outcome>,
     attempts: BTreeMap<MessageId, u16>,
     next: MessageId,
     random: fastrand::Rng,
@@ -262,7 +262,7 @@
         };
         let (now, list) = (5 * SEC, Vec::from_iter((1..=endpoints).map(line)));
         let relay = |i| {
-            let mut relay = Relay::new(s.clone(), seed * 10_000 + i).expect("usable settings");
+            let mut relay = Dispatcher::new(s.clone(), seed * 10_000 + i).expect("usable settings");
             relay.handle(now, &[Event::CachedList(list.clone())], &mut Vec::new());
             relay
         };
@@ -291,15 +291,15 @@
         (warmed < 1.0).then_some(self.s.overload_factor * can)
     }
 
-    fn called(&mut self, endpoint: Endpoint) -> (Time, Outcome) {
+    fn called(&mut self, endpoint: EndpointAddress) -> (Nanos, Outcome) {
         if self.down && endpoint <= common::at(self.away) {
             return (CALL.1, Outcome::ConnectFailed);
         }
         if endpoint != common::at(1) {
-            return (CALL.0, Outcome::Ok);
+            return (CALL.0, Outcome::Delivered);
         }
         let Some(n) = self.budget() else {
-            return (CALL.0, Outcome::Ok);
+            return (CALL.0, Outcome::Delivered);
         };
         self.came.push_back(self.now);
         self.came.retain(|at| at + self.s.overload_for > self.now);
@@ -308,7 +308,7 @@
         if part > self.worst.0 {
             self.worst = (part, self.came.len(), n);
         }
-        (CALL.0, Outcome::Ok)
+        (CALL.0, Outcome::Delivered)
     }
 
     fn give(&mut self, relay: usize, event: Event) {
@@ -345,7 +345,7 @@
                 self.out.first_key_value().filter(|(k, _)| k.0 <= self.now)
             {
                 let outcome = self.out.remove(&(at, relay, id)).expect("there");
-                let finished = outcome == Outcome::Ok;
+                let finished = outcome == Outcome::Delivered;
                 let (attempt, took) = (
                     self.attempts[&id] - 1,
                     if finished { CALL.0 } else { CALL.1 },
--- a/tests/sockets/scenarios.rs
+++ b/tests/sockets/scenarios.rs
@@ -34,7 +34,7 @@
     rig.take_on(&message("m1"));
     let told = Instant::now();
     rig.call().answer(Answer::Full(Some(700)));
-    rig.program.says("m1: p Full");
+    rig.program.says("m1: p Rejected");
     rig.take_on(&message("m2"));
     let calls = [rig.call(), rig.call()];
     for call in &calls {
@@ -186,7 +186,7 @@
     let mut rig = Rig::<W>::start(&[("p", "a")]);
     rig.take_on(&message("m1"));
     rig.call().answer(Answer::Full(Some(5000)));
-    rig.program.says("Full");
+    rig.program.says("Rejected");
     rig.program.terminate();
     rig.program.says("told to end");
     // Connections that still come are answered.
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -17,16 +17,16 @@
 use raildeal::coordination::routing_table::federation::{self, Federation};
 use raildeal::coordination::routing_table::tables::Change;
 use raildeal::coordination::sender_registry::OFFERS;
-use raildeal::Time;
+use raildeal::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// A sender's lease, and the site's.
 const LEASE_MS: u32 = 1_500;
-const SITE_LEASE: Time = 5 * SEC;
+const SITE_LEASE: Nanos = 5 * SEC;
 /// Behind the site's lease those of its senders may still run, and what a leader needs to see it
 /// and agree on it.
-const FENCE: Time = 2_200 * MS;
+const FENCE: Nanos = 2_200 * MS;
 
 struct Nothing;
 
@@ -71,14 +71,14 @@
 /// A clock that began at this true time, and runs so many parts in 10,000 wrong.
 #[derive(Clone, Copy)]
 struct Clock {
-    began: Time,
+    began: Nanos,
     off: i64,
 }
 
 impl Clock {
-    fn at(&self, now: Time) -> Time {
+    fn at(&self, now: Nanos) -> Nanos {
         let passed = (now - self.began) as i64;
-        (passed + passed / 10_000 * self.off) as Time
+        (passed + passed / 10_000 * self.off) as Nanos
     }
 }
 
@@ -91,16 +91,16 @@
     stored: BTreeMap<u64, Print>,
     last: u64,
     /// When its last word on each direction of its line arrives, and whether the line has lost one.
-    arrives: [Time; 2],
+    arrives: [Nanos; 2],
     broken: bool,
     /// What it cannot go by.
     refused: BTreeSet<u64>,
     /// When what it said last arrives: a first word and what it has come together.
-    opened: Vec<Time>,
+    opened: Vec<Nanos>,
 }
 
 impl Sender {
-    fn takes_on(&self, now: Time) -> Option<u64> {
+    fn takes_on(&self, now: Nanos) -> Option<u64> {
         match self.entrance {
             Entrance::Open {
                 table: Some(number),
@@ -117,15 +117,15 @@
 struct Session {
     boot: u64,
     line: u64,
-    until: Time,
+    until: Nanos,
 }
 
 /// A leader, by its own clock.
 struct Leader {
     switch: Switch,
     clock: Clock,
-    counted: Time,
-    lease: Option<Time>,
+    counted: Nanos,
+    lease: Option<Nanos>,
 }
 
 struct World {
@@ -136,29 +136,29 @@
     /// lease.
     fifo: bool,
     bad: bool,
-    now: Time,
+    now: Nanos,
     senders: Vec<Sender>,
     sessions: Vec<Session>,
-    to_keeper: Vec<(Time, usize, u64, FromAgent)>,
-    to_agent: Vec<(Time, usize, u64, ToAgent)>,
-    checks: Vec<(Time, usize, u64, Print, bool)>,
+    to_keeper: Vec<(Nanos, usize, u64, FromAgent)>,
+    to_agent: Vec<(Nanos, usize, u64, ToAgent)>,
+    checks: Vec<(Nanos, usize, u64, Print, bool)>,
     record: Record,
     index: u64,
-    pending: Vec<(Time, record::Command)>,
+    pending: Vec<(Nanos, record::Command)>,
     /// Senders that lived when a change was proposed on a turn, with their process.
     lived: BTreeMap<u64, Vec<(usize, u64)>>,
     /// Nobody leads until then.
-    leader: Result<Leader, Time>,
+    leader: Result<Leader, Nanos>,
     /// When the last beat came, in true time.
-    led: Time,
+    led: Nanos,
     federation: Federation,
-    words: Vec<(Time, federation::Command)>,
+    words: Vec<(Nanos, federation::Command)>,
     /// What the site has heard of it, its number there, and until when it is counted in.
     heard: Arc<Federation>,
     me: u64,
-    counted_in: Time,
+    counted_in: Nanos,
     /// The site is cut off until then.
-    cut: Time,
+    cut: Nanos,
     key: u64,
     switched: u32,
     taken_back: u32,
@@ -228,7 +228,7 @@
     }
 
     /// When the copies of a word arrive; none, where it is lost.
-    fn arrivals(&mut self, n: usize, way: usize) -> Vec<Time> {
+    fn arrivals(&mut self, n: usize, way: usize) -> Vec<Nanos> {
         if !self.bad {
             self.senders[n].arrives[way] = self.now + MS;
             return vec![self.now + MS];
@@ -315,8 +315,8 @@
     }
 
     /// The longest that a lease of a sender may be believed, from now on.
-    fn counted(&self) -> Time {
-        self.now + Time::from(LEASE_MS) * MS * 102 / 101
+    fn counted(&self) -> Nanos {
+        self.now + Nanos::from(LEASE_MS) * MS * 102 / 101
     }
 
     fn keeper_hears(&mut self, n: usize, line: u64, word: FromAgent) {
@@ -485,7 +485,7 @@
             .into_iter()
             .partition(|w| w.0 <= self.now);
         self.words = later;
-        let words: Vec<(Time, Command)> = words;
+        let words: Vec<(Nanos, Command)> = words;
         let mut commands: Vec<Command> = words.into_iter().map(|w| w.1).collect();
         if self.now % (100 * MS) == 0 {
             commands.push(Command::Beat {
@@ -609,7 +609,7 @@
             .into_iter()
             .partition(|p| p.0 <= self.now);
         self.pending = later;
-        let due: Vec<(Time, record::Command)> = due;
+        let due: Vec<(Nanos, record::Command)> = due;
         due.into_iter().for_each(|(_, command)| self.apply(command));
         for n in 0..3 {
             let (sender, session) = (format!("n{n}"), self.sessions[n]);
@@ -626,7 +626,7 @@
         let at = leader.clock.at(self.now);
         if at >= leader.counted + 500 * MS {
             let ms = ((at - leader.counted) / MS) as u32;
-            leader.counted += Time::from(ms) * MS;
+            leader.counted += Nanos::from(ms) * MS;
             self.pending.push((
                 self.now + 5 * MS,
                 record::Command::Beat {
@@ -671,7 +671,7 @@
                 self.checks.retain(|c| c.1 != n);
             }
         }
-        let due = |now, at: &Time| *at <= now;
+        let due = |now, at: &Nanos| *at <= now;
         let (mut words, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.to_keeper)
             .into_iter()
             .partition(|w| due(self.now, &w.0));
@@ -832,11 +832,11 @@
     duties: LeaderDuties,
     record: Record,
     index: u64,
-    now: Time,
+    now: Nanos,
     federation: Federation,
     /// Whether the other site is heard, and this one counted in.
     linked: bool,
-    lease: Option<Time>,
+    lease: Option<Nanos>,
     said: Vec<(u64, ToAgent)>,
     answers: Vec<ToPerson>,
 }
@@ -894,7 +894,7 @@
     }
 
     /// So much time passes, in steps of 50 ms.
-    fn pass(&mut self, time: Time) {
+    fn pass(&mut self, time: Nanos) {
         for _ in 0..time / (50 * MS) {
             self.now += 50 * MS;
             if self.linked {
@@ -958,7 +958,7 @@
 
     /// Time passes while the senders on these lines report, write all down that they are offered,
     /// and go by all that they hear.
-    fn serve(&mut self, lines: &[u64], time: Time) {
+    fn serve(&mut self, lines: &[u64], time: Nanos) {
         for _ in 0..time / (50 * MS) {
             self.said.clear();
             self.pass(50 * MS);
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -51,7 +51,7 @@
     .is_empty());
     (11..=18).for_each(|id| assert!(sends(&driver.arrive(id, 0, (id % 4 + 1) as u16)).is_empty()));
     for (ended, id) in out.iter().enumerate() {
-        let began = sends(&driver.end(*id, Outcome::Ok)).len();
+        let began = sends(&driver.end(*id, Outcome::Delivered)).len();
         assert_eq!(
             began,
             usize::from(8 - ended <= 3),
@@ -169,7 +169,7 @@
         }));
         driver.pass(10 * MS);
         if sends(&driver.seen).contains(&id) {
-            driver.end(id, Outcome::Full { wait: 60 * SEC });
+            driver.end(id, Outcome::Rejected { wait: 60 * SEC });
         }
         refused(&driver.seen)
             .iter()
@@ -231,12 +231,12 @@
             let ended = out.remove(dice.usize(..out.len()));
             let outcome = match dice.u8(..10) {
                 _ if down => Outcome::Timeout,
-                0 => Outcome::Full {
+                0 => Outcome::Rejected {
                     wait: dice.u64(..3) * SEC,
                 },
                 1 => Outcome::Reset,
                 2 => Outcome::Error,
-                _ => Outcome::Ok,
+                _ => Outcome::Delivered,
             };
             let told = driver.end(ended, outcome);
             out.extend(sends(&told));
