--- a/src/agent/call_statistics.rs
+++ b/src/agent/call_statistics.rs
@@ -3,7 +3,7 @@
 
 use crate::coordination::messages::{Counts, Health, Seen};
 use crate::delivery::LifecycleEvent;
-use crate::dispatch::state::{secs, to_secs, Meter, MS};
+use crate::dispatch::statistics::{secs, to_secs, Meter, MS};
 use crate::{Nanos, Outcome};
 use std::collections::BTreeMap;
 
--- a/src/agent/call_statistics/tests.rs
+++ b/src/agent/call_statistics/tests.rs
@@ -1,5 +1,5 @@
 use crate::agent::call_statistics::*;
-use crate::dispatch::state::SEC;
+use crate::dispatch::statistics::SEC;
 
 #[test]
 fn every_call_counts_once_and_what_hangs_is_as_it_is_now() {
--- a/src/agent/document_store.rs
+++ b/src/agent/document_store.rs
@@ -99,7 +99,7 @@
 impl Kept for Tables {
     const FOLDER: &'static str = "tables";
     const NAME: &'static str = "table";
-    const MOST: usize = tables::MOST;
+    const MOST: usize = routing_tables::MOST;
     const MOST_TEXT: usize = MOST_TABLE;
     type Ground = List;
     type Ready = Routes;
@@ -145,7 +145,7 @@
                 .collect::<Vec<_>>()
                 .join("\n")
         };
-        let document = routing_table::Document::parse(text).map_err(lines)?;
+        let document = table::Document::parse(text).map_err(lines)?;
         if document.print() != print {
             return Err("its text is not what its print says".into());
         }
--- a/src/agent/session.rs
+++ b/src/agent/session.rs
@@ -21,7 +21,7 @@
     lot, FromAgent, FromSender, Grant, Health, Listed, Print, Seen, Stance, ToAgent, ToSender,
     View, Want, ZoneOrder,
 };
-use crate::dispatch::state::{secs, Random, MS, SEC};
+use crate::dispatch::statistics::{secs, Random, MS, SEC};
 use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -286,7 +286,7 @@
     pub fn new(terms: Terms, seed: u64, now: Nanos) -> Machine {
         let mut random = Random::new(seed);
         let keeper = (random.draw() * terms.keepers.len() as f64) as usize;
-        let first = now + secs(random.draw() * crate::dispatch::state::to_secs(terms.report));
+        let first = now + secs(random.draw() * crate::dispatch::statistics::to_secs(terms.report));
         Machine {
             terms,
             random,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -5,7 +5,7 @@
 use crate::admission_control::connection_rate::Rate;
 use crate::admission_control::connection_slots::Rules;
 use crate::admission_control::message_limits;
-use crate::config::platform_settings::{self, Deployment};
+use crate::config::platform_settings::Deployment;
 use crate::delivery::endpoint_directory::{Entry, News};
 use crate::delivery::journal::{Durability, Setup};
 use crate::delivery::policies::Policy;
--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -4,7 +4,7 @@
 use crate::coordination::messages::{FromSender, ToAgent, ToPerson};
 use crate::coordination::record::{Command, Record};
 use crate::coordination::routing_table::cutover::{Known, Switch};
-use crate::coordination::routing_table::{switch, tables};
+use crate::coordination::routing_table::{cutover, tables};
 use crate::coordination::sender_registry::OFFERS;
 use crate::Nanos;
 
--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -7,7 +7,7 @@
 use crate::config::{Door, Name};
 use crate::coordination::messages::Print;
 use crate::delivery::script_hook::Hook;
-use crate::dispatch::state::MS;
+use crate::dispatch::statistics::MS;
 use crate::{Class, DedupScope, Dispatcher, Effect, Settings};
 use garde::Validate;
 use serde::de::DeserializeOwned;
--- a/src/coordination/policy_rollout/health/tests.rs
+++ b/src/coordination/policy_rollout/health/tests.rs
@@ -16,7 +16,7 @@
         taken,
         delivered,
         failed,
-        ..wire::Health::default()
+        ..messages::Health::default()
     }
 }
 
--- a/src/coordination/zones/recovery_ramp.rs
+++ b/src/coordination/zones/recovery_ramp.rs
@@ -5,8 +5,8 @@
 //!
 //! An endpoint that is cold takes the part `w` of what is listed, from [`Rules::cold_share`] up to
 //! all of it after [`Rules::warm_after_ms`] ([`warmth`]). It falls over where more calls come in
-//! [`Rules::overload_for_ms`] (`W`) than [`bound`] of `N = factor * w * rate * W`, which is over `N
-//! + 2` always. Warmth is counted from the first answer of this return, once two reporters tell of
+//! [`Rules::overload_for_ms`] (`W`) than [`bound`] of `N = factor * w * rate * W`, which is over
+//! `N + 2` always. Warmth is counted from the first answer of this return, once two reporters tell of
 //! answers, which is later than the endpoint's own count, so `w` is never over the truth. Calls of
 //! a slice that begins at `b` come from `b` to `b + slice + within + flight`. What is reserved in
 //! slices that begin in a span `L` is at most `r (L + slice) + 1` at the pace `r` (the credit saved
--- a/src/delivery/journal/inspect.rs
+++ b/src/delivery/journal/inspect.rs
@@ -1,8 +1,9 @@
 //! Looks into a journal's folder without changing it, also while a process serves from it.
 
+use crate::delivery::journal::legacy_v1 as v1;
 use crate::delivery::journal::wall_clock::Clock;
 use crate::delivery::journal::{Account, Replayed};
-use crate::delivery::{journal_v1 as v1, unix_ms};
+use crate::delivery::unix_ms;
 use crate::store::disk::Folder;
 use crate::store::frame;
 use crate::store::recover::{self, name};
--- a/src/delivery/journal/legacy_v1.rs
+++ b/src/delivery/journal/legacy_v1.rs
@@ -53,7 +53,9 @@
             Line::Closed(no) => drop(open.remove(&no)),
             Line::Sent(no, sent) => drop(open.get_mut(&no).map(|a| a.sent(sent))),
             Line::Back { no, may_have_run } => {
-                drop(open.get_mut(&no).map(|a| a.back(may_have_run)))
+                if let Some(account) = open.get_mut(&no) {
+                    account.back(may_have_run);
+                }
             }
             Line::Ended(no, verdict) => drop(open.get_mut(&no).map(|a| a.ended(verdict))),
         }
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -15,4 +15,4 @@
 pub mod slow_start;
 pub mod stale_connections;
 mod state;
-mod statistics;
+pub(crate) mod statistics;
