--- a/src/agent/document_store.rs
+++ b/src/agent/document_store.rs
@@ -9,7 +9,7 @@
 use crate::coordination::policy_rollout::document as policy;
 use crate::coordination::routing_table::document as table;
 use crate::coordination::routing_table::federation::MOST_TEXT as MOST_TABLE;
-use crate::delivery::endpoint_directory::Offer;
+use crate::delivery::endpoint::ZoneCapacity;
 use crate::delivery::policies::{self, Policy, Terms};
 use crate::delivery::routing_tables::{self, Tables};
 use crate::delivery::script_hook::Hook;
@@ -129,7 +129,7 @@
     pub tenants: usize,
     /// What its list has, zone by zone. Nothing at a start: what was checked once and is gone by is
     /// not refused for a list that has changed.
-    pub offers: Option<Vec<Offer>>,
+    pub offers: Option<Vec<ZoneCapacity>>,
 }
 
 impl List {
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -15,8 +15,8 @@
 use crate::coordination::framing::{self, Broken};
 use crate::coordination::messages::{FromAgent, Hello, Listed, Print, ToAgent, Who, MOST, VERSION};
 use crate::delivery::admission::Door;
-use crate::delivery::endpoint_directory::Endpoint;
-use crate::delivery::evacuation::{Lease, Order};
+use crate::delivery::endpoint::Endpoint;
+use crate::delivery::evacuation::{AttemptLease, EvacuationOrder};
 use crate::delivery::message::DeliveryContext;
 use crate::delivery::policies::Terms as Policies;
 use crate::delivery::routing_tables::Tables;
@@ -105,7 +105,7 @@
     }
 
     fn left(&self, zone: &str, dest: u16) -> u32 {
-        self.house.directory.left(zone, dest)
+        self.house.directory.leased_attempts_left(zone, dest)
     }
 }
 
@@ -287,7 +287,7 @@
                     .parts
                     .house
                     .directory
-                    .settles()
+                    .next_expiry()
                     .map_or(next, |at| at.min(next));
                 let wheel = &self.parts.house.wheel;
                 let mut changed = changed;
@@ -432,13 +432,13 @@
                     .iter()
                     .for_each(|w| drop(w.try_send(word.clone()))),
                 Out::Stand(orders) => {
-                    let orders = orders.into_iter().map(|o| Order {
+                    let orders = orders.into_iter().map(|o| EvacuationOrder {
                         zone: o.zone,
                         dest: o.dest,
-                        number: o.epoch,
+                        epoch: o.epoch,
                         until: o.until.map(|until| self.at(until)),
                     });
-                    desk.stand(orders.collect());
+                    desk.set_evacuations(orders.collect());
                 }
                 Out::Lend {
                     zone,
@@ -450,12 +450,12 @@
                     log::debug!(
                         "fleet: lent {calls} calls of epoch {epoch} to destination {dest} of zone {zone}"
                     );
-                    desk.lend(
+                    desk.grant_lease(
                         &zone,
                         dest,
                         epoch,
-                        Lease {
-                            calls,
+                        AttemptLease {
+                            attempts: calls,
                             until: self.at(until),
                         },
                     );
@@ -476,7 +476,7 @@
     }
 
     fn tell_kept(&self) {
-        let kept = self.parts.house.directory.kept();
+        let kept = self.parts.house.directory.kept_destinations();
         for dest in kept.difference(&self.kept.borrow()) {
             log::warn!("fleet: destination {dest} stays in use: it has no other route than those that are ordered left");
         }
@@ -484,7 +484,7 @@
     }
 
     fn listed(&self) -> Vec<Listed> {
-        let offers = self.parts.house.directory.offers().into_iter();
+        let offers = self.parts.house.directory.capacity_by_zone().into_iter();
         offers
             .map(|o| Listed {
                 zone: o.zone,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -6,7 +6,7 @@
 use crate::admission_control::connection_slots::Rules;
 use crate::admission_control::message_limits;
 use crate::config::platform_settings::Deployment;
-use crate::delivery::endpoint_directory::{Entry, News};
+use crate::delivery::endpoint::{EndpointEntry, EndpointListUpdate};
 use crate::delivery::journal::{Durability, Setup};
 use crate::delivery::policies::Policy;
 use crate::delivery::script_hook::Hook;
@@ -50,7 +50,7 @@
     /// Names of the values in a load report.
     pub columns: Vec<String>,
     /// The list as this sender last had it, or all there is of it.
-    pub known: Option<News>,
+    pub known: Option<EndpointListUpdate>,
     /// The platform's protocol.
     pub platform: Option<Platform>,
     /// MQTT clients.
@@ -694,8 +694,8 @@
         .collect()
 }
 
-fn providers(lines: Vec<FileProvider>) -> News {
-    let entries = lines.into_iter().map(|p| Entry {
+fn providers(lines: Vec<FileProvider>) -> EndpointListUpdate {
+    let entries = lines.into_iter().map(|p| EndpointEntry {
         uid: p.uid,
         address: p.address,
         zone: p.zone,
@@ -704,9 +704,9 @@
         condition: Condition::Ready,
         rate: p.rate,
     });
-    News {
-        rev: 1,
-        whole: true,
+    EndpointListUpdate {
+        revision: 1,
+        complete: true,
         entries: entries.collect(),
     }
 }
--- a/src/coordination/routing_table/document.rs
+++ b/src/coordination/routing_table/document.rs
@@ -9,7 +9,7 @@
 use crate::coordination::messages::Print;
 use crate::coordination::policy_rollout::document::{differences, Difference, Fault, Text};
 use crate::coordination::routing_table::federation::{MOST_SITES, MOST_TEXT};
-use crate::delivery::endpoint_directory::Offer;
+use crate::delivery::endpoint::ZoneCapacity;
 use crate::dispatch::routing::{Routes, Said, MOST_TIERS};
 use garde::Validate;
 use serde::de::{Deserializer, Error, Unexpected, Visitor};
@@ -407,10 +407,15 @@
     }
 
     /// All for which a sender cannot go by it, a line each, at most 20: by the names of its
-    /// classes, how many tenants its settings have, and what its directory offers. Each destination
+    /// classes, how many tenants its settings have, and what its directory lists. Each destination
     /// that is listed has to have a route for each class and tenant, with a zone in which it is
     /// listed, or has to be served by nobody on purpose.
-    pub fn lacks(&self, classes: &[String], tenants: usize, offers: &[Offer]) -> Vec<String> {
+    pub fn lacks(
+        &self,
+        classes: &[String],
+        tenants: usize,
+        listed: &[ZoneCapacity],
+    ) -> Vec<String> {
         let mut lacks = Vec::new();
         let tenants = tenants.max(1);
         for route in &self.route {
@@ -429,11 +434,12 @@
             lacks.extend(unknown.map(|tenant| at(format!("this sender has no tenant {tenant}"))));
         }
         if !self.route.is_empty() {
-            let mut listed: BTreeMap<u16, BTreeSet<&str>> = BTreeMap::new();
-            offers
-                .iter()
-                .for_each(|o| _ = listed.entry(o.dest).or_default().insert(&o.zone));
-            for (dest, zones) in &listed {
+            let mut zones_of: BTreeMap<u16, BTreeSet<&str>> = BTreeMap::new();
+            for capacity in listed {
+                let zones = zones_of.entry(capacity.dest).or_default();
+                zones.insert(&capacity.zone);
+            }
+            for (dest, zones) in &zones_of {
                 for class in classes {
                     self.lacks_of(*dest, zones, class, tenants, &mut lacks);
                     if lacks.len() > MOST_TOLD {
--- a/src/coordination/routing_table/document/tests.rs
+++ b/src/coordination/routing_table/document/tests.rs
@@ -31,8 +31,8 @@
     ["quick", "bulk"].map(String::from).into()
 }
 
-fn offer(zone: &str, dest: u16) -> Offer {
-    Offer {
+fn offer(zone: &str, dest: u16) -> ZoneCapacity {
+    ZoneCapacity {
         zone: zone.into(),
         dest,
         endpoints: 1,
@@ -150,7 +150,7 @@
     let mut told = narrow.lacks(&classes(), 3, &[offer("a", 1)]);
     told.sort_by_key(|line| lacks.iter().position(|l| l == line));
     assert_eq!(told, lacks);
-    let many: Vec<Offer> = (10..200).map(|dest| offer("d", dest)).collect();
+    let many: Vec<ZoneCapacity> = (10..200).map(|dest| offer("d", dest)).collect();
     assert_eq!(table.lacks(&classes(), 1, &many).len(), MOST_TOLD);
     // What leaves all to the list lacks nothing anywhere.
     let alone = Document::parse("list_alone = true\n").expect("good");
--- a/src/delivery/driver.rs
+++ b/src/delivery/driver.rs
@@ -2,8 +2,9 @@
 //! actions come out at the messages and providers that they are for. Sole owner of the relay and of
 //! message ids.
 
-use crate::delivery::endpoint_directory::{Directory, Endpoint, News};
-use crate::delivery::evacuation::{Lease, Order as Aside};
+use crate::delivery::endpoint::{Endpoint, EndpointListUpdate};
+use crate::delivery::endpoint_directory::{DirectoryChange, EndpointDirectory};
+use crate::delivery::evacuation::{AttemptLease, EvacuationOrder};
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{span, DeliveryObserver, LifecycleEvent, Report};
 use crate::dispatch::routing::Routes;
@@ -71,7 +72,7 @@
     inner: RefCell<Inner>,
     start: Instant,
     alarm: (Sender<()>, Receiver<()>),
-    directory: Rc<Directory>,
+    directory: Rc<EndpointDirectory>,
     hands: Rc<dyn DriverEffects>,
     halted: Cell<bool>,
     calls: Cell<usize>,
@@ -94,7 +95,7 @@
 impl Permit {
     /// The call begins now. Not where an order stands and nothing that was lent is left.
     pub fn begin(&self) -> bool {
-        let begins = self.desk.directory.begin(&self.provider);
+        let begins = self.desk.directory.start_attempt(&self.provider);
         self.give_back();
         begins
     }
@@ -107,8 +108,10 @@
     }
 
     fn give_back(&self) {
-        if let Some(number) = self.under.take() {
-            self.desk.directory.done(&self.provider, number);
+        if let Some(epoch) = self.under.take() {
+            self.desk
+                .directory
+                .release_reservation(&self.provider, epoch);
             self.desk.settle();
         }
     }
@@ -124,7 +127,7 @@
     /// A desk over a fresh relay.
     pub fn new(
         relay: Dispatcher,
-        directory: Rc<Directory>,
+        directory: Rc<EndpointDirectory>,
         hands: Rc<dyn DriverEffects>,
     ) -> Rc<Self> {
         let (tickets, actions) = (HashMap::new(), Vec::new());
@@ -167,7 +170,7 @@
 
     /// The module, and what orders may leave, go by these routes from now on.
     pub fn route(&self, routes: Rc<Routes>) {
-        self.directory.route(routes.clone());
+        self.directory.set_routes(routes.clone());
         self.turn(Event::Routed(routes));
         self.settle();
     }
@@ -175,7 +178,7 @@
     /// A call is about to go to a provider. Nothing where an order leaves that aside, and no call
     /// that was lent is left.
     pub fn permit(self: &Rc<Self>, provider: &Rc<Endpoint>) -> Option<Permit> {
-        let under = self.directory.about(provider).ok()?;
+        let under = self.directory.reserve_attempt(provider).ok()?;
         if under.is_some() {
             self.settle();
         }
@@ -188,23 +191,22 @@
         })
     }
 
-    /// Goes by these orders and no others.
-    pub fn stand(&self, orders: Vec<Aside>) {
-        self.directory.stand(orders);
+    /// Replaces all evacuation orders by these.
+    pub fn set_evacuations(&self, orders: Vec<EvacuationOrder>) {
+        self.directory.set_evacuations(orders);
         self.settle();
     }
 
-    /// Lends calls to the order of that number, if it stands.
-    pub fn lend(&self, zone: &str, dest: DestinationId, number: u64, lease: Lease) {
-        self.directory.lend(zone, dest, number, lease);
+    /// Leases attempts under the evacuation order of that epoch, if it is in force.
+    pub fn grant_lease(&self, zone: &str, dest: DestinationId, epoch: u64, lease: AttemptLease) {
+        self.directory.grant_lease(zone, dest, epoch, lease);
         self.settle();
     }
 
     /// Tells the module what orders and time have changed.
     pub fn settle(&self) {
-        if let Some((event, left)) = self.directory.settle() {
-            left.iter().for_each(|p| self.hands.close_idle(p));
-            self.turn(event);
+        if let Some(change) = self.directory.expire_due() {
+            self.apply_change(change);
         }
     }
 
@@ -272,16 +274,22 @@
         inner.relay.sizes().into_iter().chain([own]).collect()
     }
 
-    /// Takes news of the list in.
-    pub fn list(&self, news: &News) {
-        if let Some((event, left)) = self.directory.take(news) {
-            left.iter().for_each(|p| self.hands.close_idle(p));
-            self.turn(event);
+    /// Applies an update of the endpoint list.
+    pub fn list(&self, update: &EndpointListUpdate) {
+        if let Some(change) = self.directory.apply(update) {
+            self.apply_change(change);
             self.settle();
             self.listed.notify(usize::MAX);
         }
     }
 
+    fn apply_change(&self, change: DirectoryChange) {
+        for endpoint in &change.disconnect {
+            self.hands.close_idle(endpoint);
+        }
+        self.turn(change.event);
+    }
+
     /// The directory answered an ask, or said over the watch that nothing has changed.
     pub fn list_heard(&self) {
         self.turn(Event::ListChanges(Vec::new()));
@@ -372,7 +380,7 @@
                 Action::Refuse { id, retry_after } => (id, Order::Reject { retry_after }),
                 Action::Fail { id } => (id, Order::Fail),
                 Action::CloseIdle { endpoint } => {
-                    if let Some(p) = self.directory.provider(endpoint) {
+                    if let Some(p) = self.directory.endpoint(endpoint) {
                         self.hands.close_idle(&p);
                     }
                     continue;
--- a/src/delivery/evacuation.rs
+++ b/src/delivery/evacuation.rs
@@ -1,222 +1,270 @@
-//! Standing orders: endpoints that the list wants called and that are left aside all the same, and
-//! the few calls that may go there meanwhile. Who gives the orders is not known here. No I/O, no
-//! clock; the caller brings the time.
+//! Zone evacuations: endpoints that the list wants used and that get no attempts all the same, but
+//! for the few that were leased.
+//!
+//! Owns the orders in force, their leases and the reservations on them. It does not know who gives
+//! the orders, and does no I/O; the caller brings the time. Called by [`super::endpoint_directory`]
+//! alone.
+//!
+//! Invariant: of one lease no more attempts start than it grants, and none after it has expired. An
+//! attempt is reserved when its connection is looked for and started right before its first byte;
+//! reservations keep more attempts from being prepared than can start.
 
-use crate::delivery::endpoint_directory::Endpoint;
+use crate::delivery::endpoint::Endpoint;
 use crate::DestinationId;
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Leases of one order that may run at once; a further one takes the place of the one that ends
+/// Leases of one order that are kept at once; a further one takes the place of the one that expires
 /// first.
-const LEASES: usize = 32;
+const MAX_LEASES_PER_ORDER: usize = 32;
 
-/// Leaves the endpoints of one destination in one zone aside.
+/// Evacuates the endpoints of one destination in one zone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
-    /// The zone.
+pub struct EvacuationOrder {
+    /// Name of the zone.
     pub zone: String,
     /// The destination.
     pub dest: DestinationId,
-    /// What tells one order from the next: leases of another one are void.
-    pub number: u64,
+    /// Tells one order from the next; a lease of another epoch is void.
+    pub epoch: u64,
     /// When it ends by itself, if it does.
     pub until: Option<Instant>,
 }
 
-/// Calls that may begin in spite of an order.
+/// Attempts that may start in spite of an order.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lease {
+pub struct AttemptLease {
     /// How many.
-    pub calls: u32,
-    /// What is not begun by then is lost.
+    pub attempts: u32,
+    /// When the lease expires; what has not started by then is lost.
     pub until: Instant,
 }
 
-/// All that is lent is taken up by others.
+/// Every leased attempt is reserved for another message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("all calls that are lent are taken up by others")]
-pub struct Taken;
+#[error("all leased attempts are reserved for other messages")]
+pub struct LeaseExhausted;
 
-/// How an order stands.
+/// What the orders say of one destination in one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
-    /// There is none.
-    Free,
-    /// Nothing may begin.
-    Shut,
-    /// Calls may begin that no other call is about to take up.
-    Lent,
+pub enum EvacuationStatus {
+    /// No order is in force.
+    InUse,
+    /// No further attempt may be prepared.
+    Evacuated,
+    /// There are leased attempts that are not reserved.
+    LeaseAvailable,
 }
 
+/// An order with what was leased under it.
 #[derive(Debug)]
-struct Group {
-    order: Order,
-    leases: Vec<Lease>,
-    /// Calls that are about to begin.
-    going: u32,
+struct Evacuation {
+    order: EvacuationOrder,
+    leases: Vec<AttemptLease>,
+    /// Attempts that are being prepared.
+    reserved: u32,
 }
 
-impl Group {
-    fn runs(&self, now: Instant) -> bool {
+impl Evacuation {
+    fn is_in_force(&self, now: Instant) -> bool {
         self.order.until.is_none_or(|until| now < until)
     }
 
-    fn open(&self, now: Instant) -> impl Iterator<Item = &Lease> {
+    fn leased_attempts_left(&self, now: Instant) -> u32 {
         self.leases
             .iter()
-            .filter(move |l| l.calls > 0 && now < l.until)
+            .filter(|lease| lease.is_usable(now))
+            .map(|lease| lease.attempts)
+            .sum()
     }
 
-    fn left(&self, now: Instant) -> u32 {
-        self.open(now).map(|l| l.calls).sum()
+    fn has_unreserved_attempts(&self, now: Instant) -> bool {
+        self.leased_attempts_left(now) > self.reserved
     }
 }
 
-/// Owner of the orders.
+impl AttemptLease {
+    fn is_usable(&self, now: Instant) -> bool {
+        self.attempts > 0 && now < self.until
+    }
+}
+
+/// The evacuations in force, with their leases.
 #[derive(Debug, Default)]
-pub struct Aside {
-    groups: BTreeMap<DestinationId, Vec<Group>>,
+pub struct ZoneEvacuations {
+    by_destination: BTreeMap<DestinationId, Vec<Evacuation>>,
 }
 
-impl Aside {
+impl ZoneEvacuations {
     /// Whether there is no order at all.
     pub fn is_empty(&self) -> bool {
-        self.groups.is_empty()
+        self.by_destination.is_empty()
+    }
+
+    /// How many orders there are.
+    pub fn len(&self) -> usize {
+        self.by_destination.values().map(Vec::len).sum()
     }
 
-    /// Goes by these orders and no others. An order that stood already keeps its leases.
-    pub fn stand(&mut self, orders: Vec<Order>) {
-        let mut before = std::mem::take(&mut self.groups);
+    /// Replaces all orders by these. An order that was there with the same epoch keeps its leases.
+    pub fn set_orders(&mut self, orders: Vec<EvacuationOrder>) {
+        let mut previous = std::mem::take(&mut self.by_destination);
         for order in orders {
-            let old = before.get_mut(&order.dest).and_then(|groups| {
-                let at = groups.iter().position(|g| g.order.zone == order.zone)?;
-                Some(groups.swap_remove(at)).filter(|g| g.order.number == order.number)
-            });
-            let (leases, going) = old.map_or((Vec::new(), 0), |g| (g.leases, g.going));
-            self.groups.entry(order.dest).or_default().push(Group {
-                order,
-                leases,
-                going,
+            let kept = previous.get_mut(&order.dest).and_then(|evacuations| {
+                let at = evacuations
+                    .iter()
+                    .position(|e| e.order.zone == order.zone)?;
+                Some(evacuations.swap_remove(at)).filter(|e| e.order.epoch == order.epoch)
             });
+            let (leases, reserved) = kept.map_or((Vec::new(), 0), |e| (e.leases, e.reserved));
+            self.by_destination
+                .entry(order.dest)
+                .or_default()
+                .push(Evacuation {
+                    order,
+                    leases,
+                    reserved,
+                });
         }
     }
 
-    /// Lends calls to the order of that number, if it stands.
-    pub fn lend(&mut self, zone: &str, dest: DestinationId, number: u64, lease: Lease) {
-        let Some(group) = self.group(zone, dest).filter(|g| g.order.number == number) else {
+    /// Adds a lease to the order of that epoch, if it is in force.
+    pub fn grant_lease(
+        &mut self,
+        zone: &str,
+        dest: DestinationId,
+        epoch: u64,
+        lease: AttemptLease,
+    ) {
+        let evacuation = self.find_mut(zone, dest).filter(|e| e.order.epoch == epoch);
+        let Some(evacuation) = evacuation else {
             return;
         };
-        if group.leases.len() >= LEASES {
-            let first = group
-                .leases
+        let leases = &mut evacuation.leases;
+        if leases.len() >= MAX_LEASES_PER_ORDER {
+            let first_to_expire = leases
                 .iter()
                 .enumerate()
-                .min_by_key(|(_, l)| l.until)
+                .min_by_key(|(_, lease)| lease.until)
                 .map(|(at, _)| at);
-            first.map(|at| group.leases.swap_remove(at));
+            if let Some(at) = first_to_expire {
+                leases.swap_remove(at);
+            }
         }
-        group.leases.push(lease);
+        leases.push(lease);
     }
 
-    /// How things stand for a zone and destination.
-    pub fn standing(&self, zone: &str, dest: DestinationId, now: Instant) -> Standing {
-        let Some(group) = self.seen(zone, dest).filter(|g| g.runs(now)) else {
-            return Standing::Free;
+    /// What the orders say of a zone and destination.
+    pub fn status(&self, zone: &str, dest: DestinationId, now: Instant) -> EvacuationStatus {
+        let Some(evacuation) = self.find(zone, dest).filter(|e| e.is_in_force(now)) else {
+            return EvacuationStatus::InUse;
         };
-        if group.left(now) <= group.going {
-            Standing::Shut
+        if evacuation.has_unreserved_attempts(now) {
+            EvacuationStatus::LeaseAvailable
         } else {
-            Standing::Lent
+            EvacuationStatus::Evacuated
         }
     }
 
-    /// Whether a call that is about to begin may do so.
+    /// Whether an attempt that was prepared may start.
     pub fn admits(&self, zone: &str, dest: DestinationId, now: Instant) -> bool {
-        self.seen(zone, dest)
-            .filter(|g| g.runs(now))
-            .is_none_or(|g| g.left(now) > 0)
+        self.find(zone, dest)
+            .filter(|e| e.is_in_force(now))
+            .is_none_or(|e| e.leased_attempts_left(now) > 0)
     }
 
-    /// A call is about to begin. Under an order this gives its number, to be given back to
-    /// [`Aside::done`].
+    /// Reserves an attempt that is about to be prepared. Under an order this gives the order's
+    /// epoch, for [`ZoneEvacuations::release_reservation`].
     ///
     /// # Errors
-    /// Others will take up all that is lent.
-    pub fn about(&mut self, p: &Endpoint, now: Instant) -> Result<Option<u64>, Taken> {
-        let Some(group) = self
-            .group(&p.entry.zone, p.entry.dest)
-            .filter(|g| g.runs(now))
-        else {
+    /// Every leased attempt is reserved already.
+    pub fn reserve_attempt(
+        &mut self,
+        endpoint: &Endpoint,
+        now: Instant,
+    ) -> Result<Option<u64>, LeaseExhausted> {
+        let evacuation = self
+            .find_mut(&endpoint.entry.zone, endpoint.entry.dest)
+            .filter(|e| e.is_in_force(now));
+        let Some(evacuation) = evacuation else {
             return Ok(None);
         };
-        if group.left(now) <= group.going {
-            return Err(Taken);
+        if !evacuation.has_unreserved_attempts(now) {
+            return Err(LeaseExhausted);
         }
-        group.going += 1;
-        Ok(Some(group.order.number))
+        evacuation.reserved += 1;
+        Ok(Some(evacuation.order.epoch))
     }
 
-    /// It begins now: takes one of the calls that are lent. Not where none is left.
-    pub fn begin(&mut self, p: &Endpoint, now: Instant) -> bool {
-        let Some(group) = self
-            .group(&p.entry.zone, p.entry.dest)
-            .filter(|g| g.runs(now))
-        else {
+    /// Starts an attempt: takes it from the lease that expires first. False where an order is in
+    /// force and no leased attempt is left.
+    pub fn start_attempt(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
+        let evacuation = self
+            .find_mut(&endpoint.entry.zone, endpoint.entry.dest)
+            .filter(|e| e.is_in_force(now));
+        let Some(evacuation) = evacuation else {
             return true;
         };
-        let open = group
+        let first_to_expire = evacuation
             .leases
             .iter_mut()
-            .filter(|l| l.calls > 0 && now < l.until);
-        open.min_by_key(|l| l.until).map(|l| l.calls -= 1).is_some()
+            .filter(|lease| lease.is_usable(now))
+            .min_by_key(|lease| lease.until);
+        let Some(lease) = first_to_expire else {
+            return false;
+        };
+        lease.attempts -= 1;
+        true
     }
 
-    /// It is not about to begin any more: it has begun, or will not.
-    pub fn done(&mut self, p: &Endpoint, number: u64) {
-        let group = self
-            .group(&p.entry.zone, p.entry.dest)
-            .filter(|g| g.order.number == number);
-        group
-            .into_iter()
-            .for_each(|g| g.going = g.going.saturating_sub(1));
+    /// Releases a reservation: its attempt has started, or will not.
+    pub fn release_reservation(&mut self, endpoint: &Endpoint, epoch: u64) {
+        let evacuation = self
+            .find_mut(&endpoint.entry.zone, endpoint.entry.dest)
+            .filter(|e| e.order.epoch == epoch);
+        if let Some(evacuation) = evacuation {
+            evacuation.reserved = evacuation.reserved.saturating_sub(1);
+        }
     }
 
-    /// Calls that are lent and not begun.
-    pub fn left(&self, zone: &str, dest: DestinationId, now: Instant) -> u32 {
-        self.seen(zone, dest).map_or(0, |g| g.left(now))
+    /// Leased attempts that have not started.
+    pub fn leased_attempts_left(&self, zone: &str, dest: DestinationId, now: Instant) -> u32 {
+        self.find(zone, dest)
+            .map_or(0, |e| e.leased_attempts_left(now))
     }
 
-    /// Forgets what is over, and tells when more will be.
-    pub fn over(&mut self, now: Instant) -> Option<Instant> {
-        self.groups.retain(|_, groups| {
-            groups.retain(|g| g.runs(now));
-            groups
-                .iter_mut()
-                .for_each(|g| g.leases.retain(|l| l.calls > 0 && now < l.until));
-            !groups.is_empty()
+    /// Removes the orders and leases that have ended, and tells when the next one will.
+    pub fn remove_expired(&mut self, now: Instant) -> Option<Instant> {
+        self.by_destination.retain(|_, evacuations| {
+            evacuations.retain(|e| e.is_in_force(now));
+            for evacuation in evacuations.iter_mut() {
+                evacuation.leases.retain(|lease| lease.is_usable(now));
+            }
+            !evacuations.is_empty()
         });
-        let all = self.groups.values().flatten();
-        all.flat_map(|g| g.leases.iter().map(|l| l.until).chain(g.order.until))
+        self.by_destination
+            .values()
+            .flatten()
+            .flat_map(|e| {
+                e.leases
+                    .iter()
+                    .map(|lease| lease.until)
+                    .chain(e.order.until)
+            })
             .min()
     }
 
-    /// How many orders there are.
-    pub fn len(&self) -> usize {
-        self.groups.values().map(Vec::len).sum()
-    }
-
-    fn seen(&self, zone: &str, dest: DestinationId) -> Option<&Group> {
-        self.groups
+    fn find(&self, zone: &str, dest: DestinationId) -> Option<&Evacuation> {
+        self.by_destination
             .get(&dest)?
             .iter()
-            .find(|g| g.order.zone == zone)
+            .find(|e| e.order.zone == zone)
     }
 
-    fn group(&mut self, zone: &str, dest: DestinationId) -> Option<&mut Group> {
-        self.groups
+    fn find_mut(&mut self, zone: &str, dest: DestinationId) -> Option<&mut Evacuation> {
+        self.by_destination
             .get_mut(&dest)?
             .iter_mut()
-            .find(|g| g.order.zone == zone)
+            .find(|e| e.order.zone == zone)
     }
 }
--- a/src/delivery/message.rs
+++ b/src/delivery/message.rs
@@ -4,7 +4,7 @@
 use crate::delivery::admission::{Admission, Shut};
 use crate::delivery::client_quota::{Client, ClientQuotas, Guest};
 use crate::delivery::driver::{DispatcherDriver, MessageHandle, Order};
-use crate::delivery::endpoint_directory::Directory;
+use crate::delivery::endpoint_directory::EndpointDirectory;
 use crate::delivery::journal::{Journal, Record, AGAIN};
 use crate::delivery::policies::{Hold, Policy, Terms};
 use crate::delivery::routing_tables::Tables;
@@ -59,7 +59,7 @@
     /// Whose messages are held.
     pub guests: Rc<ClientQuotas>,
     /// The list of providers.
-    pub directory: Rc<Directory>,
+    pub directory: Rc<EndpointDirectory>,
     /// Makes the calls.
     pub invoker: Rc<dyn EndpointClient>,
     /// Those that messages come from, by [`Envelope::front`].
@@ -190,7 +190,7 @@
             None => reply.rejected(house.patience(NO_ROOM_WAIT)).await,
         };
     };
-    if !house.directory.serves(envelope.dest) {
+    if !house.directory.knows_destination(envelope.dest) {
         log::debug!(
             "{}: rejected, nobody serves destination {}",
             envelope.id,
@@ -344,7 +344,7 @@
     let ago = |age: Option<Duration>| age.map_or(unknown, |age| age.as_nanos() as Nanos);
     let ran = record
         .ran()
-        .map(|(zone, age)| (ago(age), house.directory.zone(&zone)));
+        .map(|(zone, age)| (ago(age), house.directory.zone_number(&zone)));
     log::debug!(
         "{}: {}{left:?} left, {} calls made, ran: {ran:?}",
         envelope.id,
@@ -457,7 +457,7 @@
     timeout: Duration,
     deadline: Instant,
 ) -> Report {
-    let Some(provider) = house.directory.provider(endpoint) else {
+    let Some(provider) = house.directory.endpoint(endpoint) else {
         return Outcome::NotSent.into();
     };
     let body = match record.whole().await {
@@ -532,7 +532,7 @@
     // given back.
     if house
         .directory
-        .provider(endpoint)
+        .endpoint(endpoint)
         .is_none_or(|p| p.entry.condition != Condition::Ready)
     {
         house.invoker.close_idle(&provider);
@@ -540,7 +540,7 @@
     if let Outcome::Rejected { wait } = report.outcome {
         house
             .directory
-            .told_wait(&provider, Instant::now() + span(wait));
+            .set_retry_after(&provider, Instant::now() + span(wait));
     }
     if went.get() {
         // A delivery ran, too: a process that ends before the verdict is written must not send it
@@ -692,7 +692,9 @@
     /// Takes messages on, and routes all that are held at their next attempt, by a routing table
     /// from now on; false where it is not known.
     pub fn route_by(&self, number: u64) -> bool {
-        let routes = self.tables.go_by(number, |zone| self.directory.zone(zone));
+        let routes = self
+            .tables
+            .go_by(number, |zone| self.directory.zone_number(zone));
         routes.map(|routes| self.desk.route(routes)).is_some()
     }
 
@@ -709,8 +711,8 @@
             Effect::Pure => true,
             Effect::SideEffect => false,
             Effect::Token => {
-                let near =
-                    class.scope == crate::DedupScope::All || self.directory.zone(&ran) == zone;
+                let near = class.scope == crate::DedupScope::All
+                    || self.directory.zone_number(&ran) == zone;
                 near && age.is_some_and(|age| age < span(class.window))
             }
         }
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -7,6 +7,7 @@
 pub mod admission;
 pub mod client_quota;
 pub mod driver;
+pub mod endpoint;
 pub mod endpoint_directory;
 pub mod evacuation;
 pub mod journal;
@@ -17,7 +18,7 @@
 pub mod timer_wheel;
 
 use crate::{Nanos, Outcome};
-use endpoint_directory::Endpoint;
+use endpoint::Endpoint;
 use futures_lite::Future;
 use serde::{Deserialize, Serialize};
 use std::any::Any;
--- a/src/main.rs
+++ b/src/main.rs
@@ -15,7 +15,8 @@
 use raildeal::config::{script, Config, Updates};
 use raildeal::delivery::client_quota::ClientQuotas;
 use raildeal::delivery::driver::{DispatcherDriver, DriverEffects};
-use raildeal::delivery::endpoint_directory::{Directory, Endpoint};
+use raildeal::delivery::endpoint::Endpoint;
+use raildeal::delivery::endpoint_directory::EndpointDirectory;
 use raildeal::delivery::journal::restart_state;
 use raildeal::delivery::journal::{Journal, Setup};
 use raildeal::delivery::message::{self, DeliveryContext};
@@ -357,7 +358,8 @@
             };
             let start = list(house, None);
             let now = house.clone();
-            let list_now = Box::new(move || Arc::new(list(&now, Some(now.directory.offers()))));
+            let list_now =
+                Box::new(move || Arc::new(list(&now, Some(now.directory.capacity_by_zone()))));
             document_store::Shelf::<Tables>::open(
                 &config.state,
                 &start,
@@ -444,7 +446,7 @@
 
     // Each part, with its one owner.
     let wheel = TimerWheel::new();
-    let directory = Rc::new(Directory::new(
+    let directory = Rc::new(EndpointDirectory::new(
         &deployment.zones,
         &deployment.kinds,
         &settings.kinds,
@@ -537,7 +539,11 @@
 
     // The list as last held comes first of all, then what is still owed, then what is new.
     log::info!("{name}: {} messages to take up", unfinished.len());
-    match zones.as_ref().map(|z| z.news()).or(config.known.clone()) {
+    match zones
+        .as_ref()
+        .map(|z| z.list_update())
+        .or(config.known.clone())
+    {
         Some(list) => desk.list(&list),
         None => desk.list_failed(),
     }
--- a/src/net/by_kind.rs
+++ b/src/net/by_kind.rs
@@ -3,7 +3,7 @@
 use super::calls::Calls;
 use super::mqtt::brokers::Publisher;
 use super::platform::providers::Poster;
-use crate::delivery::endpoint_directory::Endpoint;
+use crate::delivery::endpoint::Endpoint;
 use crate::delivery::{AttemptRequest, EndpointClient, Local, Report};
 use futures_lite::FutureExt;
 use std::rc::Rc;
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -1,7 +1,7 @@
 //! Invoker calls over kept connections, the same for every wire: connect, ask once more, one write,
 //! one answer. A [`Dialect`] supplies the words.
 
-use crate::delivery::endpoint_directory::Endpoint;
+use crate::delivery::endpoint::Endpoint;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{AttemptRequest, EndpointClient, Envelope, Local, Report};
 use crate::net::connection_listener::is_short;
--- a/src/net/dns/server.rs
+++ b/src/net/dns/server.rs
@@ -5,7 +5,7 @@
 use super::zone::Zone;
 use crate::admission_control::connection_slots::Why;
 use crate::delivery::driver::DispatcherDriver;
-use crate::delivery::endpoint_directory::News;
+use crate::delivery::endpoint::EndpointListUpdate;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::unix_ms;
 use crate::net::connection_listener::{Seat, Serve};
@@ -48,12 +48,12 @@
     }
 
     /// The list as it stands.
-    pub fn news(&self) -> News {
+    pub fn list_update(&self) -> EndpointListUpdate {
         // A zone is only kept once its providers could be read.
         let entries = self.zone.borrow().providers().unwrap_or_default();
-        News {
-            rev: self.rev.get(),
-            whole: true,
+        EndpointListUpdate {
+            revision: self.rev.get(),
+            complete: true,
             entries,
         }
     }
@@ -101,7 +101,7 @@
         log::info!("dns: zone {} at serial {}", zone.origin, zone.serial());
         *self.zone.borrow_mut() = zone;
         self.rev.set(self.rev.get() + 1);
-        desk.list(&self.news());
+        desk.list(&self.list_update());
     }
 }
 
--- a/src/net/dns/zone.rs
+++ b/src/net/dns/zone.rs
@@ -4,7 +4,7 @@
 //! the host is where it listens; its TXT record may hold `zone=`, `kind=`, `rate=` (calls a second)
 //! and `state=draining`.
 
-use crate::delivery::endpoint_directory::Entry;
+use crate::delivery::endpoint::EndpointEntry;
 use crate::Condition;
 use hickory_proto::rr::{DNSClass, Name, RData, Record, RecordType};
 use hickory_proto::serialize::txt::Parser;
@@ -101,7 +101,7 @@
     }
 
     /// The providers that it lists.
-    pub fn providers(&self) -> Result<Vec<Entry>, String> {
+    pub fn providers(&self) -> Result<Vec<EndpointEntry>, String> {
         let listed = self
             .records
             .iter()
@@ -117,7 +117,7 @@
                 let rate = told("rate").map_or(Ok(0.0), |v| v.parse::<f32>());
                 let rate = rate.ok().filter(|r| r.is_finite() && *r >= 0.0);
                 let host = host.to_lowercase();
-                Ok(Entry {
+                Ok(EndpointEntry {
                     uid: format!(
                         "{dest}/{}:{}",
                         host.to_utf8().trim_end_matches('.'),
--- a/src/net/mqtt/brokers.rs
+++ b/src/net/mqtt/brokers.rs
@@ -1,7 +1,7 @@
 //! Brokers as providers: a message goes out as one PUBLISH at QoS 1, and its PUBACK is the answer.
 
 use super::packets::{encode, property, read, user};
-use crate::delivery::endpoint_directory::Endpoint;
+use crate::delivery::endpoint::Endpoint;
 use crate::delivery::{Envelope, Report};
 use crate::net::calls::{Dialect, Read};
 use crate::net::stream::Stream;
--- a/src/net/platform/list.rs
+++ b/src/net/platform/list.rs
@@ -1,6 +1,6 @@
 //! The platform's form of the directory's list, and where one object of it ends.
 
-use crate::delivery::endpoint_directory::{Entry, News};
+use crate::delivery::endpoint::{EndpointEntry, EndpointListUpdate};
 use crate::Condition;
 use serde::Deserialize;
 
@@ -28,9 +28,9 @@
 }
 
 /// Reads one object of the list.
-pub fn read(text: &[u8]) -> Result<News, String> {
+pub fn read(text: &[u8]) -> Result<EndpointListUpdate, String> {
     let hosts: Hosts = serde_json::from_slice(text).map_err(|e| format!("list: {e}"))?;
-    let entries = hosts.targets.into_iter().map(|t| Entry {
+    let entries = hosts.targets.into_iter().map(|t| EndpointEntry {
         uid: t.uid,
         address: t.endpoint,
         zone: t.az,
@@ -44,9 +44,9 @@
         },
         rate: t.capacity_hint,
     });
-    Ok(News {
-        rev: hosts.rev,
-        whole: hosts.all,
+    Ok(EndpointListUpdate {
+        revision: hosts.rev,
+        complete: hosts.all,
         entries: entries.collect(),
     })
 }
--- a/src/net/platform/providers.rs
+++ b/src/net/platform/providers.rs
@@ -1,7 +1,7 @@
 //! Calls to providers in the platform's protocol.
 
 use super::http::{self, Body, Response};
-use crate::delivery::endpoint_directory::Endpoint;
+use crate::delivery::endpoint::Endpoint;
 use crate::delivery::{Envelope, Report, MAX_BODY};
 use crate::net::calls::{Dialect, Read};
 use crate::net::stream::Stream;
--- a/src/net/platform/watch.rs
+++ b/src/net/platform/watch.rs
@@ -4,7 +4,7 @@
 use super::http::{self, Body, Chunks};
 use super::list::{self, Objects, Said};
 use crate::delivery::driver::DispatcherDriver;
-use crate::delivery::endpoint_directory::Directory;
+use crate::delivery::endpoint_directory::EndpointDirectory;
 use crate::delivery::journal::restart_state;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::unix_ms;
@@ -31,7 +31,7 @@
     /// Told of changes.
     pub desk: Rc<DispatcherDriver>,
     /// Holds the version to go on from.
-    pub directory: Rc<Directory>,
+    pub directory: Rc<EndpointDirectory>,
     /// The timers.
     pub wheel: Rc<TimerWheel>,
     /// The answer to a watch may wait behind other calls for so long.
@@ -68,7 +68,7 @@
 
     /// The directory has moved: the module says when it is asked there.
     fn move_on(&self) {
-        self.directory.moved();
+        self.directory.expect_new_source();
         self.desk.list_moved();
     }
 
@@ -158,7 +158,10 @@
     }
 
     async fn open(&self) -> io::Result<(Stream, Body)> {
-        let (address, since) = (self.discovery.address(), self.directory.rev().unwrap_or(0));
+        let (address, since) = (
+            self.discovery.address(),
+            self.directory.revision().unwrap_or(0),
+        );
         let mut stream = Stream::connect(address).await?;
         let ask = format!(
             "GET /discovery/hosts?follow=1&since={since} HTTP/1.1\r\nHost: {address}\r\n\r\n"
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -9,14 +9,16 @@
 use common::{settings, Driver, MS, SEC};
 use raildeal::agent::session::{Machine, Needs, Out, Terms};
 use raildeal::coordination::messages::*;
-use raildeal::delivery::endpoint_directory::{Directory, Endpoint, Entry, News};
-use raildeal::delivery::evacuation::{Aside, Lease, Order, Standing, Taken};
+use raildeal::delivery::endpoint::{Endpoint, EndpointEntry, EndpointListUpdate};
+use raildeal::delivery::endpoint_directory::{DirectoryChange, EndpointDirectory};
+use raildeal::delivery::evacuation::{
+    AttemptLease, EvacuationOrder, EvacuationStatus, LeaseExhausted, ZoneEvacuations,
+};
 use raildeal::*;
 use raildeal_test_harness::{directory, record::Record, sender::Sender};
 use stand_in::{config, target, wait, Keeper};
 use std::collections::BTreeMap;
 use std::path::Path;
-use std::rc::Rc;
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -72,7 +74,7 @@
     view: View,
     /// By epoch and report: calls and when they are lost, in true time.
     granted: BTreeMap<(u64, u64), (u32, Nanos)>,
-    aside: Aside,
+    evacuations: ZoneEvacuations,
     begun: u32,
     base: Instant,
     bad: bool,
@@ -103,7 +105,7 @@
             reports: BTreeMap::new(),
             view: View::default(),
             granted: BTreeMap::new(),
-            aside: Aside::default(),
+            evacuations: ZoneEvacuations::default(),
             begun: 0,
             base: Instant::now(),
             bad: true,
@@ -140,14 +142,14 @@
                 }
                 Out::Stand(orders) => {
                     let at = |t| self.base + Duration::from_nanos(t);
-                    let order = |o: raildeal::agent::session::Aside| Order {
+                    let order = |o: raildeal::agent::session::Aside| EvacuationOrder {
                         zone: o.zone,
                         dest: o.dest,
-                        number: o.epoch,
+                        epoch: o.epoch,
                         until: o.until.map(at),
                     };
                     let orders = orders.into_iter().map(order).collect();
-                    self.aside.stand(orders);
+                    self.evacuations.set_orders(orders);
                 }
                 Out::Lend {
                     zone,
@@ -156,8 +158,11 @@
                     calls,
                     until,
                 } => {
-                    let until = self.base + Duration::from_nanos(until);
-                    self.aside.lend(&zone, dest, epoch, Lease { calls, until });
+                    let lease = AttemptLease {
+                        attempts: calls,
+                        until: self.base + Duration::from_nanos(until),
+                    };
+                    self.evacuations.grant_lease(&zone, dest, epoch, lease);
                 }
                 Out::Check { .. } | Out::Admit(_) | Out::Note(_) => {}
             }
@@ -263,9 +268,9 @@
 
     fn try_to_call(&mut self, now: Nanos) {
         let (at, p) = (self.base + Duration::from_nanos(now), provider("a", 1));
-        if let Standing::Lent = self.aside.standing("a", 1, at) {
-            let number = self.aside.about(&p, at).expect("lent");
-            if self.dice.bool() && self.aside.begin(&p, at) {
+        if let EvacuationStatus::LeaseAvailable = self.evacuations.status("a", 1, at) {
+            let reservation = self.evacuations.reserve_attempt(&p, at).expect("leased");
+            if self.dice.bool() && self.evacuations.start_attempt(&p, at) {
                 self.begun += 1;
                 // It is a call of some grant that still counts for the keeper.
                 let epoch = self.view.zones[0].epoch;
@@ -275,7 +280,9 @@
                     .find(|((e, _), (n, over))| *e >= epoch - 1 && *n > 0 && self.now < *over);
                 open.expect("no grant is left").1 .0 -= 1;
             }
-            number.into_iter().for_each(|n| self.aside.done(&p, n));
+            if let Some(epoch) = reservation {
+                self.evacuations.release_reservation(&p, epoch);
+            }
         }
     }
 }
@@ -283,7 +290,7 @@
 fn provider(zone: &str, dest: u16) -> Endpoint {
     let address = "127.0.0.1:9000".parse().expect("an address");
     let (uid, zone) = (format!("{zone}{dest}"), zone.to_string());
-    let entry = Entry {
+    let entry = EndpointEntry {
         uid,
         address,
         zone,
@@ -496,15 +503,19 @@
     assert_eq!(told(8, vec![]), ["zone a in use again by epoch 4"]);
 }
 
-fn list(rev: u64, whole: bool, lines: &[(&str, &str, u16, Condition)]) -> News {
-    let entry = |&(uid, zone, dest, condition): &(&str, &str, u16, Condition)| Entry {
+fn list(
+    revision: u64,
+    complete: bool,
+    lines: &[(&str, &str, u16, Condition)],
+) -> EndpointListUpdate {
+    let entry = |&(uid, zone, dest, condition): &(&str, &str, u16, Condition)| EndpointEntry {
         uid: uid.into(),
         condition,
         ..provider(zone, dest).entry
     };
-    News {
-        rev,
-        whole,
+    EndpointListUpdate {
+        revision,
+        complete,
         entries: lines.iter().map(entry).collect(),
     }
 }
@@ -514,8 +525,10 @@
 struct Module(BTreeMap<EndpointAddress, (Condition, u16, u16)>);
 
 impl Module {
-    fn hear(&mut self, told: Option<(Event, Vec<Rc<Endpoint>>)>) -> usize {
-        let Some((event, _)) = told else { return 0 };
+    fn hear(&mut self, change: Option<DirectoryChange>) -> usize {
+        let Some(DirectoryChange { event, .. }) = change else {
+            return 0;
+        };
         let (Event::CachedList(lines)
         | Event::List(lines)
         | Event::ListChanges(lines)
@@ -529,15 +542,15 @@
         lines.len()
     }
 
-    fn ready(&self, d: &Directory, zone: &str, dest: u16) -> usize {
-        let zone = d.zone(zone);
+    fn ready(&self, d: &EndpointDirectory, zone: &str, dest: u16) -> usize {
+        let zone = d.zone_number(zone);
         self.0
             .values()
             .filter(|l| **l == (Condition::Ready, zone, dest))
             .count()
     }
 
-    fn admitted(&self, d: &Directory) -> usize {
+    fn admitted(&self, d: &EndpointDirectory) -> usize {
         self.0
             .keys()
             .filter(|e| d.admits(**e, Instant::now()))
@@ -545,19 +558,19 @@
     }
 }
 
-fn aside(zone: &str, dest: u16, number: u64) -> Order {
-    Order {
+fn evacuation(zone: &str, dest: u16, epoch: u64) -> EvacuationOrder {
+    EvacuationOrder {
         zone: zone.into(),
         dest,
-        number,
+        epoch,
         until: None,
     }
 }
 
 #[test]
-fn orders_lie_over_the_list_and_never_take_the_last_route_nor_give_what_the_list_does_not() {
+fn evacuations_override_the_list_but_never_take_the_last_route_nor_add_unlisted_endpoints() {
     use Condition::{Draining, Gone, Ready};
-    let d = Directory::new(
+    let d = EndpointDirectory::new(
         &[],
         &["k".into()],
         &[Kind {
@@ -572,15 +585,19 @@
         ("b1", "b", 1, Ready),
         ("a3", "a", 2, Ready),
     ];
-    module.hear(d.take(&list(1, true, &lines)));
-    assert_eq!(module.hear(d.settle()), 0, "nothing is ordered");
-    d.stand(vec![aside("a", 1, 7), aside("a", 2, 7)]);
-    assert_eq!(module.hear(d.settle()), 1, "what has changed, and no more");
+    module.hear(d.apply(&list(1, true, &lines)));
+    assert_eq!(module.hear(d.expire_due()), 0, "nothing is ordered");
+    d.set_evacuations(vec![evacuation("a", 1, 7), evacuation("a", 2, 7)]);
+    assert_eq!(
+        module.hear(d.expire_due()),
+        1,
+        "what has changed, and no more"
+    );
     assert_eq!((module.ready(&d, "a", 1), module.ready(&d, "b", 1)), (0, 1));
     assert_eq!(
         (
             module.ready(&d, "a", 2),
-            d.kept().into_iter().collect::<Vec<_>>()
+            d.kept_destinations().into_iter().collect::<Vec<_>>()
         ),
         (1, vec![2]),
         "the last route stays"
@@ -588,71 +605,80 @@
     assert_eq!(module.admitted(&d), 2);
     // What the list adds there is never told as wanted, and what it takes away elsewhere gives the
     // zone back.
-    module.hear(d.take(&list(2, false, &[("a4", "a", 1, Ready)])));
-    assert_eq!((module.ready(&d, "a", 1), module.hear(d.settle())), (0, 0));
-    module.hear(d.take(&list(3, false, &[("b1", "b", 1, Draining)])));
-    module.hear(d.settle());
+    module.hear(d.apply(&list(2, false, &[("a4", "a", 1, Ready)])));
+    assert_eq!(
+        (module.ready(&d, "a", 1), module.hear(d.expire_due())),
+        (0, 0)
+    );
+    module.hear(d.apply(&list(3, false, &[("b1", "b", 1, Draining)])));
+    module.hear(d.expire_due());
     assert_eq!(
         (module.ready(&d, "a", 1), module.ready(&d, "b", 1)),
         (2, 0),
         "a2 drains, whatever is ordered"
     );
-    module.hear(d.take(&list(
+    module.hear(d.apply(&list(
         4,
         false,
         &[("b1", "b", 1, Ready), ("a4", "a", 1, Gone)],
     )));
-    module.hear(d.settle());
+    module.hear(d.expire_due());
     assert_eq!(module.ready(&d, "a", 1), 0);
     // A lease opens it for its calls, counted as they begin.
     let until = Instant::now() + Duration::from_secs(60);
-    d.lend("a", 1, 6, Lease { calls: 9, until });
-    assert_eq!(module.hear(d.settle()), 0, "of another order");
-    d.lend("a", 1, 7, Lease { calls: 2, until });
-    module.hear(d.settle());
+    d.grant_lease("a", 1, 6, AttemptLease { attempts: 9, until });
+    assert_eq!(module.hear(d.expire_due()), 0, "of another order");
+    d.grant_lease("a", 1, 7, AttemptLease { attempts: 2, until });
+    module.hear(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.admitted(&d)), (1, 3));
     let a1 = provider("a", 1);
-    let first = d.about(&a1).expect("lent");
-    assert_eq!(module.hear(d.settle()), 0, "one is left");
-    let second = d.about(&a1).expect("lent");
-    module.hear(d.settle());
+    let first = d.reserve_attempt(&a1).expect("leased");
+    assert_eq!(module.hear(d.expire_due()), 0, "one is left");
+    let second = d.reserve_attempt(&a1).expect("leased");
+    module.hear(d.expire_due());
     assert_eq!(
-        (module.ready(&d, "a", 1), d.about(&a1)),
-        (0, Err(Taken)),
+        (module.ready(&d, "a", 1), d.reserve_attempt(&a1)),
+        (0, Err(LeaseExhausted)),
         "both are taken up"
     );
-    assert!(d.begin(&a1));
+    assert!(d.start_attempt(&a1));
     [first, second]
         .into_iter()
         .flatten()
-        .for_each(|n| d.done(&a1, n));
-    module.hear(d.settle());
+        .for_each(|n| d.release_reservation(&a1, n));
+    module.hear(d.expire_due());
     assert_eq!(module.ready(&d, "a", 1), 1, "the second never began");
-    assert!(d.begin(&a1) && !d.begin(&a1), "and then it is spent");
-    module.hear(d.settle());
+    assert!(
+        d.start_attempt(&a1) && !d.start_attempt(&a1),
+        "and then it is spent"
+    );
+    module.hear(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.admitted(&d)), (0, 2));
     // A lease that is over opens nothing.
-    d.lend(
+    d.grant_lease(
         "a",
         1,
         7,
-        Lease {
-            calls: 5,
+        AttemptLease {
+            attempts: 5,
             until: Instant::now(),
         },
     );
-    assert_eq!((module.hear(d.settle()), d.begin(&a1)), (0, false));
+    assert_eq!(
+        (module.hear(d.expire_due()), d.start_attempt(&a1)),
+        (0, false)
+    );
     // In use again it is another one for the module, which had learned the pace of a few calls.
     let before = module.0.len();
-    d.stand(vec![]);
-    module.hear(d.settle());
+    d.set_evacuations(vec![]);
+    module.hear(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.0.len()), (1, before + 1));
     assert_eq!(module.admitted(&d), 3);
 }
 
 #[test]
-fn a_told_wait_goes_before_what_is_lent() {
-    let d = Directory::new(
+fn retry_after_takes_precedence_over_leased_attempts() {
+    let d = EndpointDirectory::new(
         &[],
         &["k".into()],
         &[Kind {
@@ -665,18 +691,18 @@
         ("a1", "a", 1, Condition::Ready),
         ("b1", "b", 1, Condition::Ready),
     ];
-    module.hear(d.take(&list(1, true, &lines)));
-    d.stand(vec![aside("a", 1, 7)]);
+    module.hear(d.apply(&list(1, true, &lines)));
+    d.set_evacuations(vec![evacuation("a", 1, 7)]);
     let until = Instant::now() + Duration::from_secs(60);
-    d.lend("a", 1, 7, Lease { calls: 2, until });
+    d.grant_lease("a", 1, 7, AttemptLease { attempts: 2, until });
     assert_eq!(module.admitted(&d), 2);
     let a1 = module
         .0
         .iter()
-        .find(|(_, l)| l.1 == d.zone("a"))
+        .find(|(_, l)| l.1 == d.zone_number("a"))
         .map(|(e, _)| *e)
         .expect("listed");
-    d.told_wait(&d.provider(a1).expect("listed"), until);
+    d.set_retry_after(&d.endpoint(a1).expect("listed"), until);
     assert_eq!(module.admitted(&d), 1);
 }
 
--- a/tests/invocation.rs
+++ b/tests/invocation.rs
@@ -8,7 +8,8 @@
 use raildeal::delivery::admission::Door as Gate;
 use raildeal::delivery::client_quota::{Client, ClientQuotas};
 use raildeal::delivery::driver::{DispatcherDriver, DriverEffects};
-use raildeal::delivery::endpoint_directory::{Directory, Endpoint, Entry, News};
+use raildeal::delivery::endpoint::{Endpoint, EndpointEntry, EndpointListUpdate};
+use raildeal::delivery::endpoint_directory::EndpointDirectory;
 use raildeal::delivery::journal::{Account, Durability, Journal, Record, Setup};
 use raildeal::delivery::message::{resume, serve, DeliveryContext, Reply};
 use raildeal::delivery::policies::Terms;
@@ -32,8 +33,8 @@
 const SEC: u64 = 1_000_000_000;
 
 /// What happens while the first connection comes up.
-type Meanwhile = fn(&DispatcherDriver, &Directory, &Endpoint);
-type Happens = Box<dyn Fn(&DispatcherDriver, &Directory, &Endpoint)>;
+type Meanwhile = fn(&DispatcherDriver, &EndpointDirectory, &Endpoint);
+type Happens = Box<dyn Fn(&DispatcherDriver, &EndpointDirectory, &Endpoint)>;
 
 /// Answers calls from a list.
 struct Answers {
@@ -42,7 +43,7 @@
     went: RefCell<Vec<(String, bool)>>,
     meanwhile: RefCell<Option<Happens>>,
     desk: Rc<DispatcherDriver>,
-    directory: Rc<Directory>,
+    directory: Rc<EndpointDirectory>,
 }
 
 impl EndpointClient for Answers {
@@ -170,13 +171,17 @@
     executor: &LocalExecutor<'static>,
 ) -> (Rc<DeliveryContext>, Rc<Answers>, Rc<Told>, Vec<Record>) {
     let (journal, records) = Journal::open(folder.path(), setup).expect("opened");
-    let directory = Rc::new(Directory::new(&[], &["k".into()], &settings().kinds));
+    let directory = Rc::new(EndpointDirectory::new(
+        &[],
+        &["k".into()],
+        &settings().kinds,
+    ));
     let desk = DispatcherDriver::new(
         Dispatcher::new(settings(), 3).expect("usable"),
         directory.clone(),
         Rc::new(Idle),
     );
-    let entries = ["a", "b"].map(|zone| Entry {
+    let entries = ["a", "b"].map(|zone| EndpointEntry {
         uid: zone.into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: zone.into(),
@@ -185,9 +190,9 @@
         condition: Condition::Ready,
         rate: 9.0,
     });
-    desk.list(&News {
-        rev: 1,
-        whole: true,
+    desk.list(&EndpointListUpdate {
+        revision: 1,
+        complete: true,
         entries: entries.into(),
     });
     let left = RefCell::new(answers.iter().copied().collect());
@@ -358,15 +363,15 @@
 #[test]
 fn a_wait_or_a_drain_told_meanwhile_stops_a_call_before_its_first_byte() {
     let wait: Meanwhile =
-        |_, directory, p| directory.told_wait(p, Instant::now() + Duration::from_millis(300));
+        |_, directory, p| directory.set_retry_after(p, Instant::now() + Duration::from_millis(300));
     let drain: Meanwhile = |desk, _, p| {
-        let entry = Entry {
+        let entry = EndpointEntry {
             condition: Condition::Draining,
             ..p.entry.clone()
         };
-        desk.list(&News {
-            rev: 2,
-            whole: false,
+        desk.list(&EndpointListUpdate {
+            revision: 2,
+            complete: false,
             entries: vec![entry],
         });
     };
