--- a/benches/store.rs
+++ b/benches/store.rs
@@ -7,7 +7,7 @@
 
 use hdrhistogram::Histogram;
 use raildeal::delivery::journal::legacy_v1 as v1;
-use raildeal::delivery::journal::{Durability, Journal, Record, Setup};
+use raildeal::delivery::journal::{Durability, Journal, JournalOptions, OpenRecord};
 use raildeal::delivery::{Envelope, Verdict};
 use std::collections::VecDeque;
 use std::fs;
@@ -85,53 +85,56 @@
 /// oldest, which leaves nothing to copy, or any of them, so that some live on for long.
 fn steady(
     name: &str,
-    setup: Setup,
+    setup: JournalOptions,
     (open, body, steps): (usize, usize, usize),
     mixed: bool,
 ) -> (Seen, f64) {
     let folder = folder();
     let (journal, _) = Journal::open(folder.path(), setup).expect("opened");
     let mut seen = Seen::new();
-    let mut held: VecDeque<Record> = VecDeque::new();
+    let mut held: VecDeque<OpenRecord> = VecDeque::new();
     let (mut n, mut rng) = (0, fastrand::Rng::with_seed(1));
     while held.len() < open {
         held.push_back(
             journal
-                .take_on(envelope(n, body), LEFT, 0, 0)
+                .append_accepted(envelope(n, body), LEFT, 0, 0)
                 .expect("room"),
         );
         n += 1;
     }
-    let (before, begun) = (journal.done(), Instant::now());
+    let (before, begun) = (journal.statistics(), Instant::now());
     for step in 0..steps {
         let Seen { take_on, tend, all } = &mut seen;
         let record = time(&mut [take_on, all], || {
-            journal.take_on(envelope(n, body), LEFT, 0, 0)
+            journal.append_accepted(envelope(n, body), LEFT, 0, 0)
         })
         .expect("room");
         n += 1;
         held.push_back(record);
         let middle = &held[open / 2];
-        time(&mut [all], || middle.sent("edificio-a")).expect("written");
-        time(&mut [all], || middle.back(true));
+        time(&mut [all], || middle.attempt_started("edificio-a")).expect("written");
+        time(&mut [all], || middle.attempt_ended(true));
         if mixed {
             held.swap(0, rng.usize(..held.len()));
         }
         let first = held.pop_front().expect("held");
-        time(&mut [all], || first.ended(Verdict::Delivered)).expect("written");
+        time(&mut [all], || first.decided(Verdict::Delivered)).expect("written");
         time(&mut [all], || first.close()).expect("written");
         if step % 50 == 0 {
-            time(&mut [tend, all], || journal.tend_once());
+            time(&mut [tend, all], || journal.maintain_once());
         }
     }
     let rate = steps as f64 / begun.elapsed().as_secs_f64();
-    let done = journal.done();
-    let (asked, cleaned) = (done.asked - before.asked, done.cleaned - before.cleaned);
+    let done = journal.statistics();
+    let (asked, cleaned) = (
+        done.requested_bytes - before.requested_bytes,
+        done.cleaned_bytes - before.cleaned_bytes,
+    );
     let amplified = 1.0 + cleaned as f64 / asked as f64;
     println!(
         "{name}: {rate:.0} messages a second, {} MB live, {} segments ended, written {amplified:.2} times",
-        journal.view().live / 1_000_000,
-        done.retired - before.retired
+        journal.occupancy().live_bytes / 1_000_000,
+        done.retired_segments - before.retired_segments
     );
     (seen, amplified)
 }
@@ -140,18 +143,19 @@
 /// takes the old one's place.
 fn old_compaction(open: usize, body: usize) -> Duration {
     let folder = folder();
-    let (journal, _) = Journal::open(folder.path(), Setup::new(4_000_000_000)).expect("opened");
-    let held: Vec<Record> = (0..open)
+    let (journal, _) =
+        Journal::open(folder.path(), JournalOptions::new(4_000_000_000)).expect("opened");
+    let held: Vec<OpenRecord> = (0..open)
         .map(|n| {
             journal
-                .take_on(envelope(n, body), LEFT, 0, 0)
+                .append_accepted(envelope(n, body), LEFT, 0, 0)
                 .expect("room")
         })
         .collect();
     let accounts: Vec<_> = held
         .iter()
         .enumerate()
-        .map(|(n, r)| (n as u64, r.account()))
+        .map(|(n, r)| (n as u64, r.snapshot()))
         .collect();
     let (new, path) = (
         folder.path().join("journal.new"),
@@ -164,13 +168,13 @@
 }
 
 /// Time to open a store that takes about so many bytes, half of it live.
-fn recovery(mb: usize, setup: Setup) {
+fn recovery(mb: usize, setup: JournalOptions) {
     let folder = folder();
     let body = 1200;
     let all = mb * 1_000_000 / (body + 500);
     let (journal, _) = Journal::open(folder.path(), setup).expect("opened");
     fill(&journal, all, body);
-    while journal.tend_once() {}
+    while journal.maintain_once() {}
     drop(journal);
     let size = size(folder.path());
     let begun = Instant::now();
@@ -190,12 +194,12 @@
     for n in 0..all * 2 {
         held.push_back(
             journal
-                .take_on(envelope(n, body), LEFT, 0, 0)
+                .append_accepted(envelope(n, body), LEFT, 0, 0)
                 .expect("room"),
         );
         if held.len() > all * 2 / 5 {
             held.swap(0, rng.usize(..held.len()));
-            let first: Record = held.pop_front().expect("held");
+            let first: OpenRecord = held.pop_front().expect("held");
             first.close().expect("written");
         }
     }
@@ -216,13 +220,16 @@
     );
     let live = (open * (body + 300)) as u64;
     println!("{open} messages open with bodies of {body} bytes, {steps} steps");
-    let (setup, size) = (Setup::new(live * 2 + 30_000_000), (open, body, steps));
+    let (setup, size) = (
+        JournalOptions::new(live * 2 + 30_000_000),
+        (open, body, steps),
+    );
     let (without, _) = steady("nothing to copy", setup, size, false);
     let (with, _) = steady("cleaning", setup, size, true);
     let (away, _) = steady(
         "cleaning, bodies on disk",
-        Setup {
-            bodies: live / 20,
+        JournalOptions {
+            cached_body_bytes: live / 20,
             ..setup
         },
         size,
@@ -246,9 +253,9 @@
         let mb: usize = mb.trim().parse().expect("megabytes");
         recovery(
             mb,
-            Setup {
+            JournalOptions {
                 durability: Durability::Process,
-                ..Setup::new(mb as u64 * 1_000_000)
+                ..JournalOptions::new(mb as u64 * 1_000_000)
             },
         );
     }
--- a/simulator/src/lib.rs
+++ b/simulator/src/lib.rs
@@ -2,7 +2,7 @@
 //! between, in virtual time.
 //!
 //! The senders' decisions are the program's own: [`raildeal::dispatch::dispatcher`], [`raildeal::admission_control`] and
-//! [`raildeal::store::plan`]. A day comes from one file and one seed and replays exactly.
+//! [`raildeal::store::capacity`]. A day comes from one file and one seed and replays exactly.
 #![forbid(unsafe_code)]
 
 pub mod check;
--- a/simulator/src/sender.rs
+++ b/simulator/src/sender.rs
@@ -8,7 +8,7 @@
 use raildeal::admission_control::connection_slots::{Places, Rules, Seating};
 use raildeal::admission_control::descriptor_budget::Budget;
 use raildeal::admission_control::message_limits::{Kept, Limits, Messages};
-use raildeal::store::plan::{self, Ask, Shape, View};
+use raildeal::store::capacity::{self, CapacityDecision, Occupancy, SegmentLayout};
 use raildeal::{Action, Event, MessageId, Nanos, Settings};
 use rustc_hash::FxHashMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -104,8 +104,8 @@
     pub guests: Messages,
     limits: Limits,
     places_rules: Rules,
-    store: plan::Door,
-    view: View,
+    store: capacity::CapacityGate,
+    view: Occupancy,
     /// Changes of the list that it has heard.
     pub heard: usize,
     /// It lost the directory.
@@ -136,7 +136,7 @@
             target: day.senders.target_ms.map(Duration::from_millis),
             ..Limits::default()
         };
-        let shape = Shape::of(day.senders.folder, u64::MAX);
+        let layout = SegmentLayout::for_folder(day.senders.folder, u64::MAX);
         let places_rules = Rules::open(budget.clients);
         Sender {
             up: true,
@@ -151,12 +151,12 @@
             guests: Messages::new(limits.clone()),
             limits,
             places_rules,
-            store: plan::Door::default(),
-            view: View {
-                segment: shape.segment,
-                segments: 4.min(shape.most),
-                most: shape.most,
-                ..View::default()
+            store: capacity::CapacityGate::default(),
+            view: Occupancy {
+                segment_bytes: layout.segment_bytes,
+                segments: 4.min(layout.max_segments),
+                max_segments: layout.max_segments,
+                ..Occupancy::default()
             },
             heard: 0,
             blind: false,
@@ -176,7 +176,7 @@
         self.life += 1;
         self.places = Places::new(self.places_rules.clone());
         self.guests = Messages::new(self.limits.clone());
-        self.store = plan::Door::default();
+        self.store = capacity::CapacityGate::default();
         self.waits.clear();
         self.warned.clear();
         self.conns.clear();
@@ -250,13 +250,15 @@
             (why, wait.as_nanos() as Nanos)
         })?;
         loop {
-            match self.store.ask(at, &self.view, size).0 {
-                Ask::Yes => return Ok(size),
-                Ask::Grow => {
+            match self.store.request(at, &self.view, size).0 {
+                CapacityDecision::Admit => return Ok(size),
+                CapacityDecision::AddSegment => {
                     self.view.segments += 1;
-                    self.store.grew(at, None);
+                    self.store.on_growth(at, None);
+                }
+                CapacityDecision::Reject(_) => {
+                    return Err(("store", self.store.retry_after().as_nanos() as Nanos))
                 }
-                Ask::No(_) => return Err(("store", self.store.come_back().as_nanos() as Nanos)),
             }
         }
     }
@@ -264,8 +266,8 @@
     /// A message is held from now on.
     pub fn hold(&mut self, id: MessageId, held: Held) {
         self.guests.taken_on(&self.names[usize::from(held.service)]);
-        self.view.live += held.size;
-        self.view.largest = self.view.largest.max(held.size);
+        self.view.live_bytes += held.size;
+        self.view.largest_item_bytes = self.view.largest_item_bytes.max(held.size);
         self.held.insert(id, held);
     }
 
@@ -279,7 +281,7 @@
             stayed,
             delivered,
         );
-        self.view.live -= held.size;
+        self.view.live_bytes -= held.size;
         Some(held)
     }
 
--- a/src/admission_control/descriptor_budget.rs
+++ b/src/admission_control/descriptor_budget.rs
@@ -3,8 +3,8 @@
 
 /// The process's own: the store's, ports, signals, the poller, the watch, notices, the one that is
 /// held back.
-const OWN: usize = 18 + DESCRIPTORS;
-use crate::store::log::DESCRIPTORS;
+const OWN: usize = 18 + MAX_OPEN_FILES;
+use crate::store::log::MAX_OPEN_FILES;
 
 /// For connections that are accepted and not yet placed: in the lobby, or told that all is full.
 const LOBBY: usize = 16;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -8,8 +8,8 @@
 use clap::CommandFactory;
 use clap::{Parser, Subcommand};
 use raildeal::config::Config;
-use raildeal::delivery::journal::inspect::{survey, Survey};
-use raildeal::message_trace::Logs;
+use raildeal::delivery::journal::inspect::{inspect, JournalInspection};
+use raildeal::message_trace::TraceLogs;
 use std::ffi::OsString;
 use std::fs::File;
 use std::io::{self, BufReader, Write};
@@ -243,7 +243,7 @@
 }
 
 fn trace(id: Option<&str>, paths: &[PathBuf]) -> Result<ExitCode, String> {
-    let mut logs = Logs::default();
+    let mut logs = TraceLogs::default();
     for file in files_of(paths)? {
         let sender = file
             .file_stem()
@@ -254,11 +254,11 @@
     }
     if let Some(id) = id {
         let life = logs
-            .life(id)
+            .lifecycle(id)
             .ok_or_else(|| format!("{id}: no line of it in these logs"))?;
         return print(|out| out.write_all(life.as_bytes()));
     }
-    let wrong = logs.wrong();
+    let wrong = logs.faulty_messages();
     print(|out| {
         wrong
             .iter()
@@ -266,7 +266,7 @@
         writeln!(
             out,
             "{} messages, {} whose life went wrong",
-            logs.messages(),
+            logs.message_count(),
             wrong.len()
         )
     })?;
@@ -295,11 +295,11 @@
     Ok(files)
 }
 
-fn look(folder: &Path) -> Result<Survey, String> {
-    survey(folder).map_err(|e| format!("{}: {e}", folder.display()))
+fn look(folder: &Path) -> Result<JournalInspection, String> {
+    inspect(folder).map_err(|e| format!("{}: {e}", folder.display()))
 }
 
-fn as_json(mut seen: Survey, messages: bool) -> io::Result<()> {
+fn as_json(mut seen: JournalInspection, messages: bool) -> io::Result<()> {
     if !messages {
         seen.messages.clear();
     }
@@ -307,7 +307,7 @@
     writeln!(io::stdout())
 }
 
-fn as_text(seen: &Survey, messages: bool) -> io::Result<()> {
+fn as_text(seen: &JournalInspection, messages: bool) -> io::Result<()> {
     let mut out = io::stdout().lock();
     if seen.in_use {
         writeln!(out, "in use by a running process")?;
@@ -362,7 +362,7 @@
     verdict(seen)
 }
 
-fn verdict(seen: &Survey) -> io::Result<()> {
+fn verdict(seen: &JournalInspection) -> io::Result<()> {
     let mut out = io::stdout().lock();
     for damage in &seen.damage {
         writeln!(out, "damaged: {damage}")?;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -7,7 +7,7 @@
 use crate::admission_control::message_limits;
 use crate::config::platform_settings::Deployment;
 use crate::delivery::endpoint::{EndpointEntry, EndpointListUpdate};
-use crate::delivery::journal::{Durability, Setup};
+use crate::delivery::journal::{Durability, JournalOptions};
 use crate::delivery::policies::Policy;
 use crate::delivery::script_hook::Hook;
 use crate::net::connection_listener::WhenFull;
@@ -44,7 +44,7 @@
     /// Descriptors that the process may hold.
     pub sockets: usize,
     /// The store in that folder.
-    pub store: Setup,
+    pub store: JournalOptions,
     /// Settings of module and deployment.
     pub deployment: Deployment,
     /// Names of the values in a load report.
@@ -408,7 +408,7 @@
 }
 
 impl Store {
-    fn setup(&self, disk_mb: f64) -> Result<Setup, String> {
+    fn setup(&self, disk_mb: f64) -> Result<JournalOptions, String> {
         let amount = |setting: &str, mb: f64, least: f64| {
             let fits = (least..=1e9).contains(&mb);
             fits.then_some((mb * 1e6) as u64)
@@ -419,10 +419,10 @@
             .bodies_mb
             .map(|mb| amount("store.bodies_mb", mb, 0.0))
             .transpose()?;
-        Ok(Setup {
+        Ok(JournalOptions {
             durability: self.durability,
-            bodies: bodies.unwrap_or(u64::MAX),
-            ..Setup::new(limit)
+            cached_body_bytes: bodies.unwrap_or(u64::MAX),
+            ..JournalOptions::new(limit)
         })
     }
 }
@@ -517,7 +517,7 @@
             state: word("NODE_STATE", "state")?.into(),
             seed: seed(json.get("seed")).ok_or("seed: not a hexadecimal number")?,
             sockets: limit("sockets", Limits::default().sockets as f64)? as usize,
-            store: Setup::new((limit("disk_mb", Limits::default().disk_mb)? * 1e6) as u64),
+            store: JournalOptions::new((limit("disk_mb", Limits::default().disk_mb)? * 1e6) as u64),
             deployment: platform_settings::from_json(settings)?,
             columns: columns(settings),
             known: known.map_err(|e| format!("known: {e}"))?,
--- a/src/coordination/raft_log.rs
+++ b/src/coordination/raft_log.rs
@@ -14,7 +14,7 @@
 
 use crate::store::disk::Disk;
 use crate::store::frame;
-use crate::store::log::{Items, Log, Options, Refused};
+use crate::store::log::{LogOptions, PutError, SegmentLog, SnapshotSource};
 use crate::store::recover::Replay;
 use protobuf::ProtobufEnum;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot};
@@ -266,7 +266,7 @@
 /// Items stand as they were written; they are read again where they have to move.
 struct Asis;
 
-impl Items for Asis {
+impl SnapshotSource for Asis {
     fn snapshot(
         &self,
         _: u64,
@@ -282,28 +282,28 @@
 }
 
 impl Replay for Found {
-    fn put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
+    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
         let piece = postcard::from_bytes(data).map_err(|e| e.to_string())?;
         self.pieces.insert(no, (piece, data.len()));
         Ok(())
     }
 
-    fn note(&mut self, no: u64, _: &[u8]) -> Result<(), String> {
+    fn on_update(&mut self, no: u64, _: &[u8]) -> Result<(), String> {
         Err(format!("a note on item {no}, where none are written"))
     }
 
-    fn gone(&mut self, no: u64) {
+    fn on_remove(&mut self, no: u64) {
         self.pieces.remove(&no);
     }
 
-    fn doubt(&mut self) {}
+    fn on_possible_loss(&mut self) {}
 
-    fn believe(&mut self, _: &[bool]) {}
+    fn on_losses_known(&mut self, _: &[bool]) {}
 }
 
 /// The owner of the folder's files. All of it blocks.
 pub struct Keep {
-    log: Log,
+    log: SegmentLog,
     start: Instant,
     /// The base that counts, and its bytes.
     base: Option<(u64, u64)>,
@@ -324,18 +324,18 @@
         seed: u64,
     ) -> Result<(Keep, Option<Base>), Unusable> {
         let mut found = Found::default();
-        let options = Options {
-            limit,
+        let options = LogOptions {
+            limit_bytes: limit,
             seed,
-            synced: true,
+            sync_required: true,
         };
-        let size = |f: &Found, no: u64| f.pieces.get(&no).map_or(0, |p| frame::size(p.1));
-        let opened = Log::open(disk, options, None, &mut found, size)?;
+        let size = |f: &Found, no: u64| f.pieces.get(&no).map_or(0, |p| frame::encoded_len(p.1));
+        let opened = SegmentLog::open(disk, options, None, &mut found, size)?;
         if !opened.damage.is_empty() {
             let told: Vec<String> = opened.damage.iter().map(ToString::to_string).collect();
             return Err(Unusable::Damaged(told.join("; ")));
         }
-        let segment = opened.log.view().segment;
+        let segment = opened.log.occupancy().segment_bytes;
         if segment < (BASE_MOST + 1024) as u64 {
             return Err(Unusable::Room(segment));
         }
@@ -359,24 +359,24 @@
     pub fn save(&mut self, piece: &Piece) -> Result<(), Unsaved> {
         let later = |e: &dyn std::fmt::Display| Unsaved::Later(e.to_string());
         let data = postcard::to_stdvec(piece).map_err(|e| later(&e))?;
-        let len = frame::size(data.len());
+        let len = frame::encoded_len(data.len());
         // Room for the next base is set aside with each, so that a file system which others have
         // filled stops neither that nor, with it, the end of what is old.
         let aside = |len: u64| (3 * (len + COMPACT_AT.max(len))).min(ASIDE_MOST);
         if let (Piece::Base(_), Some((no, len))) = (piece, self.base) {
-            self.log.resize(no, len);
+            self.log.set_reserved_size(no, len);
         }
-        let (put, turned) = self.log.put(self.now(), &data, len, &Asis);
-        if let Some(turned) = turned {
-            log::info!("keeper's log: {turned}");
+        let put = self.log.put(self.now(), &data, len, &Asis);
+        if let Some(change) = put.gate_change {
+            log::info!("keeper's log: {change}");
         }
-        let no = match put {
+        let no = match put.result {
             Ok(no) => no,
             Err(e) => {
                 if let Some((no, len)) = self.base {
-                    self.log.resize(no, aside(len));
+                    self.log.set_reserved_size(no, aside(len));
                 }
-                let too_long = matches!(e, Refused::TooLong);
+                let too_long = matches!(e, PutError::TooLong);
                 return Err(if too_long {
                     Unsaved::Broken(e.to_string())
                 } else {
@@ -394,46 +394,48 @@
                     .base
                     .is_some_and(|(_, base)| self.behind <= 2 * COMPACT_AT.max(base))
                 {
-                    self.log.resize(no, 1);
+                    self.log.set_reserved_size(no, 1);
                 }
             }
             Piece::Base(_) => {
                 self.over.extend(self.base.map(|b| b.0));
                 self.over.append(&mut self.batches);
                 (self.base, self.behind) = (Some((no, len)), 0);
-                self.log.resize(no, aside(len));
+                self.log.set_reserved_size(no, aside(len));
                 // What is set aside has to be there; where the file system gives no more, half of
                 // what is left is.
                 for _ in 0..GROWTH {
-                    let _ = self.log.tend(self.now(), &Asis);
+                    let _ = self.log.maintain(self.now(), &Asis);
                 }
-                let view = self.log.view();
-                if view.live > view.room(0) {
-                    self.log.resize(no, len);
-                    let view = self.log.view();
-                    let left = view.room(aside(len)).saturating_sub(view.live);
-                    self.log.resize(no, len + left / 2);
+                let view = self.log.occupancy();
+                if view.live_bytes > view.live_capacity(0) {
+                    self.log.set_reserved_size(no, len);
+                    let view = self.log.occupancy();
+                    let left = view
+                        .live_capacity(aside(len))
+                        .saturating_sub(view.live_bytes);
+                    self.log.set_reserved_size(no, len + left / 2);
                 }
             }
         }
         // That something is over may be lost: a later base says so too.
         while let Some(no) = self.over.last().copied() {
-            if self.log.gone(no, &Asis).is_err() {
+            if self.log.remove(no, &Asis).is_err() {
                 break;
             }
             self.over.pop();
         }
-        if let Err(e) = self.log.tend(self.now(), &Asis) {
+        if let Err(e) = self.log.maintain(self.now(), &Asis) {
             log::debug!("keeper's log: {e}");
         }
         Ok(())
     }
 
     fn sync(&mut self) -> Result<(), Unsaved> {
-        let unsynced = self.log.unsynced();
+        let unsynced = self.log.take_unsynced();
         match unsynced.sync() {
             Ok(()) => {
-                self.log.is_synced(&unsynced);
+                self.log.mark_synced(&unsynced);
                 Ok(())
             }
             Err(e) => {
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -13,7 +13,7 @@
 use crate::coordination::raft_log::{Keep, Piece, Unsaved};
 use crate::coordination::routing_table::member::Voice;
 use crate::delivery::timer_wheel::TimerWheel;
-use crate::store::worker::Lent;
+use crate::store::worker::Offloaded;
 use crate::Nanos;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -114,7 +114,7 @@
     /// When a leader's beat was seen in the record last, while there was a leader.
     led: Option<Nanos>,
     /// Lent to its thread while that writes.
-    keep: Lent<Keep, Piece, Result<(), Unsaved>>,
+    keep: Offloaded<Keep, Piece, Result<(), Unsaved>>,
     /// Nothing is acknowledged since then: what is to be written finds no room.
     full: Option<Instant>,
     /// What found no room, and when it is tried again.
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -52,7 +52,7 @@
         while !self.removed && until.is_none_or(|at| Instant::now() < at) {
             let (keep, at) = (&mut self.keep, self.ticked + tick);
             let wrote = async {
-                let wrote = keep.back().await.map_err(|e| format!("state: {e}"))?;
+                let wrote = keep.finished().await.map_err(|e| format!("state: {e}"))?;
                 Ok::<_, String>(Next::Wrote(wrote))
             };
             let came = async { Ok(Next::Came(coming.recv().await.map_err(|e| e.to_string())?)) };
@@ -98,7 +98,7 @@
 
     /// What came of writing.
     fn handle_saved(&mut self, (piece, result): Wrote) -> Result<(), String> {
-        let wants_base = self.keep.here().is_some_and(Keep::wants_base);
+        let wants_base = self.keep.idle().is_some_and(Keep::wants_base);
         let who = self.who();
         let Stage::Takes(group) = &mut self.stage else {
             return Ok(());
@@ -156,7 +156,7 @@
         let quiet = effects.out.is_empty() && effects.said.is_empty() && piece.is_none();
         self.carry_out(effects.out);
         if let Some(piece) = piece {
-            self.keep.lend(piece).map_err(|_| "the log is lent")?;
+            self.keep.start_job(piece).map_err(|_| "the log is lent")?;
         }
         if effects.ends {
             self.end_voice();
@@ -282,7 +282,7 @@
 
     /// What is to be written next, where nothing is being written.
     fn next_piece(&mut self) -> Option<Piece> {
-        self.keep.here()?;
+        self.keep.idle()?;
         let due = |again: &mut (Piece, Instant)| again.1 <= Instant::now();
         if let Some((piece, _)) = self.again.take_if(due) {
             return Some(piece);
--- a/src/coordination/replica/formation.rs
+++ b/src/coordination/replica/formation.rs
@@ -28,8 +28,12 @@
     /// Writes something down while nothing else goes on: before this keeper takes part.
     async fn save_now(&mut self, mut piece: Piece) -> Result<(), String> {
         loop {
-            self.keep.lend(piece).map_err(|_| "the log is lent")?;
-            let (back, result) = self.keep.back().await.map_err(|e| format!("state: {e}"))?;
+            self.keep.start_job(piece).map_err(|_| "the log is lent")?;
+            let (back, result) = self
+                .keep
+                .finished()
+                .await
+                .map_err(|e| format!("state: {e}"))?;
             match result {
                 Ok(()) => return Ok(()),
                 Err(Unsaved::Later(e)) => log::warn!("{}: not written yet: {e}", self.who()),
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -8,7 +8,7 @@
 use crate::coordination::replica::{draw, sites, Context, Incoming, Replica, Stage};
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::store::disk::Folder;
-use crate::store::worker::{Lent, Worker};
+use crate::store::worker::{Offloaded, Worker};
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -186,7 +186,7 @@
             stage,
             duties: None,
             led: None,
-            keep: Lent::new(
+            keep: Offloaded::new(
                 Worker::start().map_err(|e| e.to_string())?,
                 keep,
                 Keep::save,
--- a/src/delivery/journal/inspect.rs
+++ b/src/delivery/journal/inspect.rs
@@ -1,12 +1,12 @@
 //! Looks into a journal's folder without changing it, also while a process serves from it.
 
 use crate::delivery::journal::legacy_v1 as v1;
-use crate::delivery::journal::wall_clock::Clock;
-use crate::delivery::journal::{Account, Replayed};
+use crate::delivery::journal::wall_clock::WallClock;
+use crate::delivery::journal::{JournalReplay, MessageRecord};
 use crate::delivery::unix_ms;
 use crate::store::disk::Folder;
 use crate::store::frame;
-use crate::store::recover::{self, name};
+use crate::store::recover::{self, segment_file_name};
 use rustix::fs::{flock, FlockOperation};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 
 /// A segment that counts.
 #[derive(Debug, Serialize)]
-pub struct SegmentSeen {
+pub struct SegmentSummary {
     /// Its file.
     pub file: String,
     /// Its place in the sequence.
@@ -42,7 +42,7 @@
 
 /// A message that is not over.
 #[derive(Debug, Serialize)]
-pub struct MessageSeen {
+pub struct MessageSummary {
     /// Its number in the store.
     pub no: u64,
     /// Its id.
@@ -71,17 +71,17 @@
 
 /// What was found.
 #[derive(Debug, Serialize)]
-pub struct Survey {
+pub struct JournalInspection {
     /// A process serves from it now.
     pub in_use: bool,
     /// Segments that count, oldest first.
-    pub segments: Vec<SegmentSeen>,
+    pub segments: Vec<SegmentSummary>,
     /// Files that are free, and their bytes.
     pub free: (usize, u64),
     /// Bytes of a file of the first form, where there is one.
     pub first_form: Option<u64>,
     /// Messages that are not over.
-    pub messages: Vec<MessageSeen>,
+    pub messages: Vec<MessageSummary>,
     /// Part of the written bytes that no message needs any more.
     pub garbage: f64,
     /// What cannot be read.
@@ -95,7 +95,7 @@
 }
 
 /// Looks into a folder.
-pub fn survey(folder: &Path) -> io::Result<Survey> {
+pub fn inspect(folder: &Path) -> io::Result<JournalInspection> {
     let in_use = in_use(folder)?;
     let mut seen = look(folder, in_use)?;
     for _ in 0..LOOKS {
@@ -114,9 +114,9 @@
     Ok(flock(File::open(folder)?, FlockOperation::NonBlockingLockShared).is_err())
 }
 
-fn look(folder: &Path, in_use: bool) -> io::Result<Survey> {
+fn look(folder: &Path, in_use: bool) -> io::Result<JournalInspection> {
     let begun = Instant::now();
-    let mut replayed = Replayed::new(u64::MAX);
+    let mut replayed = JournalReplay::new(u64::MAX);
     let old = match fs::read(folder.join(v1::NAME)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => None,
         other => Some(other?),
@@ -144,22 +144,22 @@
     if scan.oldest > 0 {
         numbers
             .iter()
-            .filter(|no| !scan.homes.contains_key(no))
+            .filter(|no| !scan.locations.contains_key(no))
             .for_each(|no| replayed.forget(*no));
     }
     let mut live: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
-    for home in scan.homes.values() {
-        let (messages, bytes) = live.entry(home.seq).or_default();
-        (*messages, *bytes) = (*messages + 1, *bytes + frame::size(home.data));
+    for home in scan.locations.values() {
+        let (messages, bytes) = live.entry(home.sequence).or_default();
+        (*messages, *bytes) = (*messages + 1, *bytes + frame::encoded_len(home.data));
     }
     let segments = scan.found.iter().map(|f| {
-        let (messages, live) = live.get(&f.header.seq).copied().unwrap_or_default();
-        let (file, seq, size) = (name(f.slot), f.header.seq, f.size);
-        SegmentSeen {
+        let (messages, live) = live.get(&f.header.sequence).copied().unwrap_or_default();
+        let (file, seq, size) = (segment_file_name(f.slot), f.header.sequence, f.size);
+        SegmentSummary {
             file,
             seq,
             size,
-            used: f.len - frame::BEGIN,
+            used: f.len - frame::FRAMES_OFFSET,
             frames: f.frames,
             messages,
             live,
@@ -170,11 +170,11 @@
         .iter()
         .fold((0, 0), |(u, l), s| (u + s.used, l + s.live));
     damage.extend(scan.damage.iter().map(ToString::to_string));
-    let clock = Clock {
+    let clock = WallClock {
         now_ms: unix_ms(),
         newest_ms: 0,
     };
-    Ok(Survey {
+    Ok(JournalInspection {
         in_use,
         segments,
         free: (scan.free.len(), scan.free.iter().map(|f| f.1).sum()),
@@ -195,9 +195,9 @@
     })
 }
 
-fn message(no: u64, account: &Account, clock: &Clock) -> MessageSeen {
+fn message(no: u64, account: &MessageRecord, clock: &WallClock) -> MessageSummary {
     let envelope = &account.envelope;
-    MessageSeen {
+    MessageSummary {
         no,
         id: envelope.id.clone(),
         policy: account.policy,
--- a/src/delivery/journal/legacy_v1.rs
+++ b/src/delivery/journal/legacy_v1.rs
@@ -1,7 +1,7 @@
 //! The journal's first form, one file of checksummed lines: read once, when a folder of that form
 //! is opened.
 
-use crate::delivery::journal::record::{Account, Sent};
+use crate::delivery::journal::record::{AttemptStart, MessageRecord};
 use crate::delivery::{Envelope, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,15 +21,15 @@
     envelope: Rc<Envelope>,
     expires_ms: u64,
     attempts: u16,
-    ran: Option<Sent>,
-    out: Option<Sent>,
+    ran: Option<AttemptStart>,
+    out: Option<AttemptStart>,
     verdict: Option<Verdict>,
 }
 
 #[derive(Serialize, Deserialize)]
 enum Line {
     Open(u64, Old),
-    Sent(u64, Sent),
+    AttemptStart(u64, AttemptStart),
     Back { no: u64, may_have_run: bool },
     Ended(u64, Verdict),
     Closed(u64),
@@ -38,8 +38,8 @@
 /// The accounts still open after these lines, and how many bytes were whole. Stops at the first
 /// line that is not, as that form has no way on from there. Nothing, where the bytes are of another
 /// form.
-pub fn replay(bytes: &[u8]) -> Option<(BTreeMap<u64, Account>, usize)> {
-    let mut open: BTreeMap<u64, Account> = BTreeMap::new();
+pub fn replay(bytes: &[u8]) -> Option<(BTreeMap<u64, MessageRecord>, usize)> {
+    let mut open: BTreeMap<u64, MessageRecord> = BTreeMap::new();
     if !bytes.starts_with(FORM) {
         return FORM.starts_with(bytes).then_some((open, 0));
     }
@@ -51,7 +51,7 @@
         match entry {
             Line::Open(no, old) => drop(open.insert(no, old.into())),
             Line::Closed(no) => drop(open.remove(&no)),
-            Line::Sent(no, sent) => drop(open.get_mut(&no).map(|a| a.sent(sent))),
+            Line::AttemptStart(no, sent) => drop(open.get_mut(&no).map(|a| a.sent(sent))),
             Line::Back { no, may_have_run } => {
                 if let Some(account) = open.get_mut(&no) {
                     account.back(may_have_run);
@@ -64,7 +64,7 @@
     Some((open, at))
 }
 
-impl From<Old> for Account {
+impl From<Old> for MessageRecord {
     fn from(old: Old) -> Self {
         let Old {
             envelope,
@@ -76,7 +76,7 @@
         } = old;
         // When it was taken on was not written; a time left that only the expiry bounds is what it
         // had.
-        Account {
+        MessageRecord {
             envelope,
             taken_ms: 0,
             expires_ms,
@@ -91,10 +91,10 @@
 }
 
 /// A file of that form with these messages in it, as tests of an upgrade need one.
-pub fn file(open: &[(u64, Account)]) -> Vec<u8> {
+pub fn file(open: &[(u64, MessageRecord)]) -> Vec<u8> {
     let mut bytes = FORM.to_vec();
     for (no, a) in open.iter().cloned() {
-        let Account {
+        let MessageRecord {
             envelope,
             expires_ms,
             attempts,
--- a/src/delivery/journal/mod.rs
+++ b/src/delivery/journal/mod.rs
@@ -12,14 +12,16 @@
 
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{unix_ms, Envelope, Verdict};
+use crate::store::capacity::{GateChange, Occupancy};
 use crate::store::disk::{Disk, Folder};
-use crate::store::log::{Done, Items, Legacy, Log, Options, Refused, Unsynced};
-use crate::store::plan::{Turned, View};
+use crate::store::log::{
+    LegacyFile, LogOptions, LogStatistics, PendingSync, PutError, SegmentLog, SnapshotSource,
+};
 use crate::store::recover::Replay;
 use crate::store::worker::Worker;
 use event_listener::Event as Bell;
 use legacy_v1 as v1;
-pub use record::{Account, Sent};
+pub use record::{AttemptStart, MessageRecord};
 use rustix::fs::{flock, FlockOperation};
 use rustix::io::Errno;
 use serde::{Deserialize, Serialize};
@@ -31,14 +33,14 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wall_clock::Clock;
+use wall_clock::WallClock;
 
 /// What calls and a verdict may add to a message: two zones' names above all.
 const GROWTH: u64 = 192;
 /// Between two looks at the store while there is something to clean, and otherwise.
 const TEND: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(100));
 /// A line that failed is tried again after this time.
-pub const AGAIN: Duration = Duration::from_millis(50);
+pub const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How often a folder that is in use is looked at again at the start, and how soon.
 const LOOKS: (usize, Duration) = (5, Duration::from_millis(20));
 /// Reads of a body that was moved meanwhile.
@@ -46,18 +48,18 @@
 
 /// Something that happened to a message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-enum Event {
-    Sent(Sent),
-    Back { may_have_run: bool },
-    Ended(Verdict),
+enum JournalEvent {
+    AttemptStarted(AttemptStart),
+    AttemptEnded { may_have_run: bool },
+    Decided(Verdict),
 }
 
-impl Event {
-    fn apply(self, account: &mut Account) {
+impl JournalEvent {
+    fn apply(self, account: &mut MessageRecord) {
         match self {
-            Event::Sent(sent) => account.sent(sent),
-            Event::Back { may_have_run } => account.back(may_have_run),
-            Event::Ended(verdict) => account.ended(verdict),
+            JournalEvent::AttemptStarted(sent) => account.sent(sent),
+            JournalEvent::AttemptEnded { may_have_run } => account.back(may_have_run),
+            JournalEvent::Decided(verdict) => account.ended(verdict),
         }
     }
 }
@@ -76,51 +78,51 @@
 
 /// How a journal is to be.
 #[derive(Clone, Copy, Debug)]
-pub struct Setup {
+pub struct JournalOptions {
     /// Bytes that its folder may hold.
-    pub limit: u64,
+    pub limit_bytes: u64,
     /// What it outlasts.
     pub durability: Durability,
     /// Bytes of bodies that are kept in memory; those of further messages are read when they are
     /// sent.
-    pub bodies: u64,
+    pub cached_body_bytes: u64,
     /// For the store's salts; a client must not be able to know it.
     pub seed: u64,
 }
 
-impl Setup {
+impl JournalOptions {
     /// For a folder that may hold so many bytes; the rest at its simplest.
-    pub fn new(limit: u64) -> Self {
-        Setup {
-            limit,
+    pub fn new(limit_bytes: u64) -> Self {
+        JournalOptions {
+            limit_bytes,
             durability: Durability::Process,
-            bodies: u64::MAX,
+            cached_body_bytes: u64::MAX,
             seed: 0,
         }
     }
 }
 
 /// One message's account, and what this process knows beside it.
-struct Entry {
-    account: Account,
+struct RecordEntry {
+    account: MessageRecord,
     /// Bytes that it counts for in the store.
     size: u64,
     /// When the first call that may have run went, where that is known.
     ran_at: Option<Instant>,
     out_at: Option<Instant>,
     /// Lines that could not be written yet.
-    unwritten: VecDeque<Event>,
+    unwritten: VecDeque<JournalEvent>,
 }
 
 #[derive(Default)]
-struct Accounts {
-    open: BTreeMap<u64, Entry>,
+struct RecordTable {
+    open: BTreeMap<u64, RecordEntry>,
     /// Bytes of bodies in memory.
     bodies: u64,
     newest_ms: u64,
 }
 
-impl Items for Accounts {
+impl SnapshotSource for RecordTable {
     fn snapshot(
         &self,
         no: u64,
@@ -130,16 +132,16 @@
         if entry.account.envelope.away == 0 {
             return Ok(entry.account.encode());
         }
-        let before = Account::decode(&old()?).map_err(io::Error::other)?;
+        let before = MessageRecord::decode(&old()?).map_err(io::Error::other)?;
         let mut account = entry.account.clone();
         Rc::make_mut(&mut account.envelope).body = before.envelope.body.clone();
         Ok(account.encode())
     }
 }
 
-impl Accounts {
-    fn insert(&mut self, no: u64, account: Account, size: u64, most: u64) {
-        let mut entry = Entry {
+impl RecordTable {
+    fn insert(&mut self, no: u64, account: MessageRecord, size: u64, most: u64) {
+        let mut entry = RecordEntry {
             account,
             size,
             ran_at: None,
@@ -158,7 +160,7 @@
         self.open.insert(no, entry);
     }
 
-    fn remove(&mut self, no: u64) -> Option<Entry> {
+    fn remove(&mut self, no: u64) -> Option<RecordEntry> {
         let entry = self.open.remove(&no)?;
         self.bodies -= entry.account.envelope.body.len() as u64;
         Some(entry)
@@ -169,19 +171,19 @@
 pub type MonotonicClock = Box<dyn Fn() -> Duration>;
 
 /// Replays a store into accounts.
-pub(super) struct Replayed {
-    accounts: Accounts,
+pub(super) struct JournalReplay {
+    accounts: RecordTable,
     bodies: u64,
     /// What was open where lines may be lost.
     doubts: Vec<Vec<u64>>,
     doubted: usize,
 }
 
-impl Replayed {
+impl JournalReplay {
     /// Nothing yet; so many bytes of bodies may be in memory.
     pub(super) fn new(bodies: u64) -> Self {
-        Replayed {
-            accounts: Accounts::default(),
+        JournalReplay {
+            accounts: RecordTable::default(),
             bodies,
             doubts: Vec::new(),
             doubted: 0,
@@ -189,7 +191,7 @@
     }
 
     /// Takes accounts of the first form in, and gives their numbers.
-    pub(super) fn first_form(&mut self, open: BTreeMap<u64, Account>) -> Vec<u64> {
+    pub(super) fn first_form(&mut self, open: BTreeMap<u64, MessageRecord>) -> Vec<u64> {
         let numbers = open.keys().copied().collect();
         for (no, account) in open {
             self.newest(&account);
@@ -200,7 +202,7 @@
         numbers
     }
 
-    fn newest(&mut self, account: &Account) {
+    fn newest(&mut self, account: &MessageRecord) {
         let sent = account.ran.iter().chain(&account.out).map(|s| s.at_ms);
         let newest = sent
             .chain([account.taken_ms, self.accounts.newest_ms])
@@ -209,7 +211,7 @@
     }
 
     /// What is open.
-    pub(super) fn open(&self) -> impl Iterator<Item = (u64, &Account)> {
+    pub(super) fn open(&self) -> impl Iterator<Item = (u64, &MessageRecord)> {
         self.accounts
             .open
             .iter()
@@ -227,9 +229,9 @@
     }
 }
 
-impl Replay for Replayed {
-    fn put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
-        let account = Account::decode(data).map_err(|e| e.to_string())?;
+impl Replay for JournalReplay {
+    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
+        let account = MessageRecord::decode(data).map_err(|e| e.to_string())?;
         self.newest(&account);
         self.accounts.remove(no);
         self.accounts
@@ -237,28 +239,28 @@
         Ok(())
     }
 
-    fn note(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
-        let event: Event = postcard::from_bytes(data).map_err(|e| e.to_string())?;
-        if let Event::Sent(sent) = &event {
+    fn on_update(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
+        let event: JournalEvent = postcard::from_bytes(data).map_err(|e| e.to_string())?;
+        if let JournalEvent::AttemptStarted(sent) = &event {
             self.accounts.newest_ms = self.accounts.newest_ms.max(sent.at_ms);
         }
-        let Accounts { open, bodies, .. } = &mut self.accounts;
+        let RecordTable { open, bodies, .. } = &mut self.accounts;
         if let Some(entry) = open.get_mut(&no) {
             happened(entry, event, bodies);
         }
         Ok(())
     }
 
-    fn gone(&mut self, no: u64) {
+    fn on_remove(&mut self, no: u64) {
         self.accounts.remove(no);
     }
 
-    fn doubt(&mut self) {
+    fn on_possible_loss(&mut self) {
         self.doubts
             .push(self.accounts.open.keys().copied().collect());
     }
 
-    fn believe(&mut self, lost: &[bool]) {
+    fn on_losses_known(&mut self, lost: &[bool]) {
         let doubts = std::mem::take(&mut self.doubts);
         let real = doubts.into_iter().zip(lost).filter(|(_, lost)| **lost);
         let doubted: BTreeSet<u64> = real.flat_map(|(open, _)| open).collect();
@@ -272,7 +274,7 @@
 }
 
 /// Applies an event to an entry, and counts what becomes of its body.
-fn happened(entry: &mut Entry, event: Event, bodies: &mut u64) {
+fn happened(entry: &mut RecordEntry, event: JournalEvent, bodies: &mut u64) {
     let (held, size) = (
         entry.account.envelope.body.len(),
         entry.account.envelope.size(),
@@ -282,9 +284,9 @@
     entry.size -= (size - entry.account.envelope.size()) as u64;
 }
 
-struct Book {
-    log: Log,
-    accounts: Accounts,
+struct JournalState {
+    log: SegmentLog,
+    accounts: RecordTable,
     /// Messages that are over, which could not be written yet.
     unclosed: BTreeSet<u64>,
 }
@@ -294,10 +296,10 @@
     /// Held for as long as the process lives; a second one in this folder would send everything
     /// once more.
     _locks: Vec<File>,
-    book: RefCell<Book>,
-    setup: Setup,
+    book: RefCell<JournalState>,
+    setup: JournalOptions,
     time: MonotonicClock,
-    clock: Clock,
+    clock: WallClock,
     worker: Option<Worker>,
     /// How far it is synced, how many syncs failed, and who wants to know.
     synced: Cell<u64>,
@@ -308,7 +310,7 @@
 
 impl Journal {
     /// Opens the journal of a folder, and gives the records that an earlier process left open.
-    pub fn open(folder: &Path, setup: Setup) -> io::Result<(Rc<Self>, Vec<Record>)> {
+    pub fn open(folder: &Path, setup: JournalOptions) -> io::Result<(Rc<Self>, Vec<OpenRecord>)> {
         let locks = lock(folder)?;
         let old = match fs::read(folder.join(v1::NAME)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => None,
@@ -316,7 +318,7 @@
         };
         let _ = fs::remove_file(folder.join(v1::UNFINISHED));
         let start = Instant::now();
-        Journal::on(
+        Journal::open_on(
             Arc::new(Folder::new(folder)),
             setup,
             old,
@@ -326,24 +328,24 @@
     }
 
     /// Opens it on any disk. `old` is what the file of the first form holds, if there is one.
-    pub fn on(
+    pub fn open_on(
         disk: Arc<dyn Disk>,
-        setup: Setup,
+        setup: JournalOptions,
         old: Option<Vec<u8>>,
         locks: Vec<File>,
         time: MonotonicClock,
-    ) -> io::Result<(Rc<Self>, Vec<Record>)> {
-        let mut replayed = Replayed::new(setup.bodies);
+    ) -> io::Result<(Rc<Self>, Vec<OpenRecord>)> {
+        let mut replayed = JournalReplay::new(setup.cached_body_bytes);
         let legacy = old
             .map(|bytes| upgrade(&bytes, &mut replayed))
             .transpose()?;
-        let options = Options {
-            limit: setup.limit,
+        let options = LogOptions {
+            limit_bytes: setup.limit_bytes,
             seed: setup.seed,
-            synced: setup.durability == Durability::Machine,
+            sync_required: setup.durability == Durability::Machine,
         };
-        let size = |r: &Replayed, no: u64| r.accounts.open.get(&no).map_or(0, |e| e.size);
-        let opened = Log::open(disk, options, legacy, &mut replayed, size)?;
+        let size = |r: &JournalReplay, no: u64| r.accounts.open.get(&no).map_or(0, |e| e.size);
+        let opened = SegmentLog::open(disk, options, legacy, &mut replayed, size)?;
         for damage in &opened.damage {
             log::error!("store: damaged: {damage}");
         }
@@ -360,7 +362,7 @@
             );
         }
         let accounts = replayed.accounts;
-        let clock = Clock {
+        let clock = WallClock {
             now_ms: unix_ms(),
             newest_ms: accounts.newest_ms,
         };
@@ -370,9 +372,10 @@
                 "store: the clock was set back by {by} ms or more: calls that may have run are not repeated"
             );
         }
-        let needs_thread = setup.durability == Durability::Machine || setup.bodies < u64::MAX;
+        let needs_thread =
+            setup.durability == Durability::Machine || setup.cached_body_bytes < u64::MAX;
         let worker = needs_thread.then(Worker::start).transpose()?;
-        let mut book = Book {
+        let mut book = JournalState {
             log: opened.log,
             accounts,
             unclosed: BTreeSet::new(),
@@ -401,7 +404,7 @@
         });
         let records = open
             .into_iter()
-            .map(|no| Record {
+            .map(|no| OpenRecord {
                 journal: journal.clone(),
                 no,
             })
@@ -410,16 +413,16 @@
     }
 
     /// Writes a message down that is taken on under a policy and a routing table; from now on it is
-    /// owed its end. With [`Durability::Machine`] that counts once [`Record::settled`] says so.
-    pub fn take_on(
+    /// owed its end. With [`Durability::Machine`] that counts once [`OpenRecord::settled`] says so.
+    pub fn append_accepted(
         self: &Rc<Self>,
         envelope: Envelope,
         left: Duration,
         policy: u64,
         table: u64,
-    ) -> Result<Record, Refused> {
+    ) -> Result<OpenRecord, PutError> {
         let taken_ms = unix_ms();
-        let account = Account {
+        let account = MessageRecord {
             envelope: Rc::new(envelope),
             taken_ms,
             expires_ms: taken_ms + left.as_millis() as u64,
@@ -432,32 +435,32 @@
         };
         let data = account.encode();
         let size = counted(&data);
-        let Book { log, accounts, .. } = &mut *self.book.borrow_mut();
-        let (written, turned) = log.put((self.time)(), &data, size, accounts);
-        tell(turned);
-        let no = written?;
-        accounts.insert(no, account, size, self.setup.bodies);
-        Ok(Record {
+        let JournalState { log, accounts, .. } = &mut *self.book.borrow_mut();
+        let put = log.put((self.time)(), &data, size, accounts);
+        tell(put.gate_change);
+        let no = put.result?;
+        accounts.insert(no, account, size, self.setup.cached_body_bytes);
+        Ok(OpenRecord {
             journal: self.clone(),
             no,
         })
     }
 
     /// When a client that was refused for want of room may come back.
-    pub fn come_back(&self) -> Duration {
-        self.book.borrow().log.door().come_back()
+    pub fn retry_after(&self) -> Duration {
+        self.book.borrow().log.capacity_gate().retry_after()
     }
 
     /// Keeps the store clean and writes what could not be written before; runs for ever.
-    pub async fn tend(self: Rc<Self>, wheel: Rc<TimerWheel>) {
+    pub async fn maintain(self: Rc<Self>, wheel: Rc<TimerWheel>) {
         loop {
-            let rest = if self.tend_once() { TEND.0 } else { TEND.1 };
+            let rest = if self.maintain_once() { TEND.0 } else { TEND.1 };
             wheel.sleep(rest).await;
         }
     }
 
     /// One step of that; says whether the next one should come soon.
-    pub fn tend_once(&self) -> bool {
+    pub fn maintain_once(&self) -> bool {
         let mut book = self.book.borrow_mut();
         let left: Vec<u64> = book.unclosed.iter().copied().collect();
         for no in left {
@@ -470,8 +473,8 @@
             // Nobody waits for it, but files may be free only then.
             self.wanted.notify(1);
         }
-        let Book { log, accounts, .. } = &mut *book;
-        match log.tend((self.time)(), accounts) {
+        let JournalState { log, accounts, .. } = &mut *book;
+        match log.maintain((self.time)(), accounts) {
             Ok(busy) => busy,
             Err(e) => {
                 log::debug!("store: {e}");
@@ -482,7 +485,7 @@
 
     /// Syncs in groups whenever somebody waits for it; runs for ever. Nothing to do, but where the
     /// machine may fail.
-    pub async fn sync(self: Rc<Self>) {
+    pub async fn run_sync(self: Rc<Self>) {
         let Some(worker) = self
             .worker
             .as_ref()
@@ -495,7 +498,7 @@
             if self.book.borrow().log.position() == self.synced.get() {
                 wanted.await;
             }
-            let unsynced = self.book.borrow_mut().log.unsynced();
+            let unsynced = self.book.borrow_mut().log.take_unsynced();
             let synced = worker.run(move || (unsynced.sync(), unsynced)).await;
             let (result, unsynced) = match synced {
                 Ok(synced) => synced,
@@ -503,7 +506,7 @@
             };
             if let Err(e) = self.was_synced(result, unsynced) {
                 log::error!("store: sync: {e}; what it was for is written again elsewhere");
-                async_io::Timer::after(AGAIN).await;
+                async_io::Timer::after(WRITE_RETRY_DELAY).await;
             }
             self.reached.notify(usize::MAX);
         }
@@ -515,17 +518,17 @@
         if self.setup.durability == Durability::Process {
             return Ok(());
         }
-        let unsynced = self.book.borrow_mut().log.unsynced();
+        let unsynced = self.book.borrow_mut().log.take_unsynced();
         self.was_synced(unsynced.sync(), unsynced)
     }
 
     /// What came of a sync.
-    fn was_synced(&self, result: io::Result<()>, unsynced: Unsynced) -> io::Result<()> {
+    fn was_synced(&self, result: io::Result<()>, unsynced: PendingSync) -> io::Result<()> {
         let log = &mut self.book.borrow_mut().log;
         match &result {
             Ok(()) => {
                 self.synced.set(unsynced.position);
-                log.is_synced(&unsynced);
+                log.mark_synced(&unsynced);
             }
             Err(_) => {
                 self.failures.set(self.failures.get() + 1);
@@ -536,18 +539,18 @@
     }
 
     /// What the store has done so far.
-    pub fn done(&self) -> Done {
-        self.book.borrow().log.done()
+    pub fn statistics(&self) -> LogStatistics {
+        self.book.borrow().log.statistics()
     }
 
     /// The store as it stands.
-    pub fn view(&self) -> View {
-        self.book.borrow().log.view()
+    pub fn occupancy(&self) -> Occupancy {
+        self.book.borrow().log.occupancy()
     }
 
     /// Waits until all that is written so far is as durable as it is to be. Fails if a sync did,
     /// meanwhile.
-    async fn settled(&self) -> io::Result<()> {
+    async fn durable(&self) -> io::Result<()> {
         if self.setup.durability == Durability::Process {
             return Ok(());
         }
@@ -566,12 +569,12 @@
     }
 }
 
-impl Book {
+impl JournalState {
     /// Writes what is still unwritten of a message, then one more line. What is not written stays
     /// noted.
-    fn write(&mut self, no: u64, event: Event) -> io::Result<()> {
+    fn write(&mut self, no: u64, event: JournalEvent) -> io::Result<()> {
         self.flush(no)?;
-        self.log.note(
+        self.log.append_update(
             no,
             &postcard::to_stdvec(&event).expect("plain data always encodes"),
             &self.accounts,
@@ -586,7 +589,7 @@
             .and_then(|e| e.unwritten.front())
         {
             let data = postcard::to_stdvec(event).expect("plain data always encodes");
-            self.log.note(no, &data, &self.accounts)?;
+            self.log.append_update(no, &data, &self.accounts)?;
             self.accounts
                 .open
                 .get_mut(&no)
@@ -595,19 +598,19 @@
         Ok(())
     }
 
-    fn apply(&mut self, no: u64, event: Event) {
-        let Accounts { open, bodies, .. } = &mut self.accounts;
+    fn apply(&mut self, no: u64, event: JournalEvent) {
+        let RecordTable { open, bodies, .. } = &mut self.accounts;
         if let Some(entry) = open.get_mut(&no) {
             let before = entry.size;
             happened(entry, event, bodies);
             if entry.size != before {
-                self.log.resize(no, entry.size);
+                self.log.set_reserved_size(no, entry.size);
             }
         }
     }
 
     fn close(&mut self, no: u64) -> io::Result<()> {
-        let written = self.log.gone(no, &self.accounts);
+        let written = self.log.remove(no, &self.accounts);
         match &written {
             Ok(()) => {
                 self.unclosed.remove(&no);
@@ -620,18 +623,18 @@
 }
 
 /// The open account of one message. Dropped unclosed, it stays open for the next process.
-pub struct Record {
+pub struct OpenRecord {
     journal: Rc<Journal>,
     no: u64,
 }
 
-impl Record {
-    fn entry<T>(&self, of: impl FnOnce(&Entry) -> T) -> T {
+impl OpenRecord {
+    fn entry<T>(&self, of: impl FnOnce(&RecordEntry) -> T) -> T {
         of(&self.journal.book.borrow().accounts.open[&self.no])
     }
 
     /// What is known of the message.
-    pub fn account(&self) -> Account {
+    pub fn snapshot(&self) -> MessageRecord {
         self.entry(|e| e.account.clone())
     }
 
@@ -641,7 +644,7 @@
     }
 
     /// The message with its body.
-    pub async fn whole(&self) -> io::Result<Rc<Envelope>> {
+    pub async fn load_envelope(&self) -> io::Result<Rc<Envelope>> {
         let mut failed = io::ErrorKind::NotFound.into();
         for _ in 0..READS {
             let envelope = self.envelope();
@@ -653,13 +656,13 @@
                 .book
                 .borrow()
                 .log
-                .place(self.no)
+                .reader(self.no)
                 .ok_or(io::ErrorKind::NotFound)?;
             let read = match &self.journal.worker {
                 Some(worker) => worker.run(move || place.read()).await?,
                 None => place.read(),
             };
-            match read.and_then(|data| Account::decode(&data).map_err(io::Error::other)) {
+            match read.and_then(|data| MessageRecord::decode(&data).map_err(io::Error::other)) {
                 Ok(before) => {
                     let mut whole = (*envelope).clone();
                     (whole.body, whole.away) = (before.envelope.body.clone(), 0);
@@ -674,7 +677,7 @@
 
     /// Zone of the first call that may have run, and how long ago it went; nothing for the age
     /// where that is not known.
-    pub fn ran(&self) -> Option<(String, Option<Duration>)> {
+    pub fn first_possible_run(&self) -> Option<(String, Option<Duration>)> {
         self.entry(|e| {
             let sent = e.account.ran.as_ref()?;
             Some((sent.zone.clone(), e.ran_at.map(|at| at.elapsed())))
@@ -682,7 +685,7 @@
     }
 
     /// The time that the message has left, as an earlier process wrote it down.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.entry(|e| {
             self.journal
                 .clock
@@ -691,18 +694,18 @@
     }
 
     /// Waits until all that was written of it is as durable as it is to be.
-    pub async fn settled(&self) -> io::Result<()> {
-        self.journal.settled().await
+    pub async fn durable(&self) -> io::Result<()> {
+        self.journal.durable().await
     }
 
     /// Whether what is written has to be waited for.
-    pub fn settles(&self) -> bool {
+    pub fn requires_sync(&self) -> bool {
         self.journal.setup.durability == Durability::Machine
     }
 
     /// A call is about to go. It must not, where this fails.
-    pub fn sent(&self, zone: &str) -> io::Result<()> {
-        let sent = Event::Sent(Sent {
+    pub fn attempt_started(&self, zone: &str) -> io::Result<()> {
+        let sent = JournalEvent::AttemptStarted(AttemptStart {
             at_ms: unix_ms(),
             zone: zone.to_string(),
         });
@@ -717,8 +720,8 @@
 
     /// The call that was out has ended. Where that cannot be written now, no further call goes
     /// before it is.
-    pub fn back(&self, may_have_run: bool) {
-        let event = Event::Back { may_have_run };
+    pub fn attempt_ended(&self, may_have_run: bool) {
+        let event = JournalEvent::AttemptEnded { may_have_run };
         let mut book = self.journal.book.borrow_mut();
         let written = book.write(self.no, event.clone());
         let ran = book
@@ -741,10 +744,10 @@
 
     /// The final answer is decided. It must not be told while this fails, unless the message's time
     /// is up.
-    pub fn ended(&self, verdict: Verdict) -> io::Result<()> {
+    pub fn decided(&self, verdict: Verdict) -> io::Result<()> {
         let mut book = self.journal.book.borrow_mut();
-        book.write(self.no, Event::Ended(verdict))?;
-        book.apply(self.no, Event::Ended(verdict));
+        book.write(self.no, JournalEvent::Decided(verdict))?;
+        book.apply(self.no, JournalEvent::Decided(verdict));
         Ok(())
     }
 
@@ -754,22 +757,22 @@
     }
 }
 
-fn tell(turned: Option<Turned>) {
+fn tell(turned: Option<GateChange>) {
     match turned {
-        Some(turned @ Turned::Shut(_)) => log::warn!("store: {turned}"),
-        Some(turned @ Turned::Opened(_)) => log::info!("store: {turned}"),
+        Some(turned @ GateChange::Closed(_)) => log::warn!("store: {turned}"),
+        Some(turned @ GateChange::Reopened(_)) => log::info!("store: {turned}"),
         None => {}
     }
 }
 
 /// What a message with this data counts for, from its first line to its last.
 fn counted(data: &[u8]) -> u64 {
-    crate::store::frame::size(data.len()) + GROWTH
+    crate::store::frame::encoded_len(data.len()) + GROWTH
 }
 
 /// Takes the accounts of a file of the first form in. It counts as the oldest segment until they
 /// were copied.
-fn upgrade(bytes: &[u8], into: &mut Replayed) -> io::Result<Legacy> {
+fn upgrade(bytes: &[u8], into: &mut JournalReplay) -> io::Result<LegacyFile> {
     let form = || io::Error::new(io::ErrorKind::InvalidData, "a journal of another form");
     let (open, good) = v1::replay(bytes).ok_or_else(form)?;
     if good < bytes.len() {
@@ -779,7 +782,7 @@
         );
     }
     let items = into.first_form(open);
-    Ok(Legacy {
+    Ok(LegacyFile {
         name: v1::NAME.into(),
         size: bytes.len() as u64,
         items,
--- a/src/delivery/journal/record.rs
+++ b/src/delivery/journal/record.rs
@@ -6,7 +6,7 @@
 
 /// A call that may have run: when it was sent and to which zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sent {
+pub struct AttemptStart {
     /// Unix time in milliseconds.
     pub at_ms: u64,
     /// Zone of the provider, by name.
@@ -20,7 +20,7 @@
 /// record says 0 for what it does not know: its tenant is the first one, as the process that wrote
 /// it took all messages for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Account {
+pub struct MessageRecord {
     /// The message.
     pub envelope: Rc<Envelope>,
     /// Unix time in milliseconds at which it was taken on.
@@ -30,9 +30,9 @@
     /// Calls sent.
     pub attempts: u16,
     /// The first call that may have run.
-    pub ran: Option<Sent>,
+    pub ran: Option<AttemptStart>,
     /// The call that is out.
-    pub out: Option<Sent>,
+    pub out: Option<AttemptStart>,
     /// Its final answer, decided and perhaps not yet heard.
     pub verdict: Option<Verdict>,
     /// The policy that it was taken on under; 0 for the settings alone. It stands behind the rest,
@@ -45,7 +45,7 @@
     pub table: u64,
 }
 
-impl Account {
+impl MessageRecord {
     /// Its form on disk.
     pub(super) fn encode(&self) -> Vec<u8> {
         let behind = [self.policy, self.table, u64::from(self.envelope.tenant)];
@@ -63,8 +63,8 @@
     ///
     /// # Errors
     /// It is another one.
-    pub(super) fn decode(bytes: &[u8]) -> Result<Account, postcard::Error> {
-        let (mut account, mut rest) = postcard::take_from_bytes::<Account>(bytes)?;
+    pub(super) fn decode(bytes: &[u8]) -> Result<MessageRecord, postcard::Error> {
+        let (mut account, mut rest) = postcard::take_from_bytes::<MessageRecord>(bytes)?;
         let mut next = || -> Result<u64, postcard::Error> {
             if rest.is_empty() {
                 return Ok(0);
@@ -81,7 +81,7 @@
     }
 
     /// A call went out. One before it that never came back may have run.
-    pub(super) fn sent(&mut self, sent: Sent) {
+    pub(super) fn sent(&mut self, sent: AttemptStart) {
         self.attempts += 1;
         let before = self.out.replace(sent);
         self.ran = self.ran.take().or(before);
@@ -104,7 +104,7 @@
     /// Lines on it may be lost: a call may have gone to any zone, at any time.
     pub(super) fn doubt(&mut self) {
         if self.verdict.is_none() {
-            self.ran = Some(Sent {
+            self.ran = Some(AttemptStart {
                 at_ms: 0,
                 zone: String::new(),
             });
@@ -112,7 +112,7 @@
     }
 
     /// The first call that may have run, where a call that was out when the process ended may have.
-    pub fn may_have_run(&self) -> Option<&Sent> {
+    pub fn may_have_run(&self) -> Option<&AttemptStart> {
         self.ran.as_ref().or(self.out.as_ref())
     }
 }
@@ -128,12 +128,12 @@
         taken_ms: u64,
         expires_ms: u64,
         attempts: u16,
-        ran: Option<Sent>,
-        out: Option<Sent>,
+        ran: Option<AttemptStart>,
+        out: Option<AttemptStart>,
         verdict: Option<Verdict>,
     }
 
-    fn account(policy: u64, table: u64, tenant: u16) -> Account {
+    fn account(policy: u64, table: u64, tenant: u16) -> MessageRecord {
         let notes = vec![("origin".to_string(), "x".to_string())];
         let (id, key, reply_to) = ("m1".to_string(), Some("k1".to_string()), vec![1, 2]);
         let envelope = Envelope {
@@ -148,12 +148,12 @@
             away: 0,
             tenant,
         };
-        Account {
+        MessageRecord {
             envelope: Rc::new(envelope),
             taken_ms: 1_700_000_000_000,
             expires_ms: 1_700_000_016_000,
             attempts: 3,
-            ran: Some(Sent {
+            ran: Some(AttemptStart {
                 at_ms: 1_700_000_000_500,
                 zone: "a".into(),
             }),
@@ -172,7 +172,7 @@
     #[test]
     fn without_numbers_behind_it_the_form_is_the_old_one_to_the_byte_and_with_them_an_old_reader_reads_it(
     ) {
-        let Account {
+        let MessageRecord {
             envelope,
             taken_ms,
             expires_ms,
@@ -193,14 +193,17 @@
         };
         let old = postcard::to_stdvec(&old).expect("encodes");
         assert_eq!(account(0, 0, 0).encode(), old);
-        assert_eq!(Account::decode(&old), Ok(account(0, 0, 0)));
+        assert_eq!(MessageRecord::decode(&old), Ok(account(0, 0, 0)));
         let new = account(300, 0, 0).encode();
         assert_eq!(
-            (new.len(), Account::decode(&new)),
+            (new.len(), MessageRecord::decode(&new)),
             (old.len() + 2, Ok(account(300, 0, 0)))
         );
         // What stands behind an account did not count.
-        assert_eq!(postcard::from_bytes::<Account>(&new), Ok(account(0, 0, 0)));
+        assert_eq!(
+            postcard::from_bytes::<MessageRecord>(&new),
+            Ok(account(0, 0, 0))
+        );
         for (policy, table, tenant, more) in [
             (0, 7, 0, 2),
             (300, 7, 0, 3),
@@ -210,17 +213,21 @@
         ] {
             let newest = account(policy, table, tenant).encode();
             assert_eq!(newest.len(), old.len() + more);
-            assert_eq!(Account::decode(&newest), Ok(account(policy, table, tenant)));
+            assert_eq!(
+                MessageRecord::decode(&newest),
+                Ok(account(policy, table, tenant))
+            );
             // Who knows policies alone reads the number that follows an account; who knows tables,
             // too, that behind it.
-            let (_, behind) = postcard::take_from_bytes::<Account>(&newest).expect("an account");
+            let (_, behind) =
+                postcard::take_from_bytes::<MessageRecord>(&newest).expect("an account");
             let (read, behind) = postcard::take_from_bytes::<u64>(behind).expect("a policy");
             assert_eq!(
                 (read, postcard::from_bytes::<u64>(behind)),
                 (policy, Ok(table))
             );
         }
-        assert!(Account::decode(&new[..old.len() - 1]).is_err());
+        assert!(MessageRecord::decode(&new[..old.len() - 1]).is_err());
         assert_eq!(data_encoding::HEXLOWER.encode(&old), WRITTEN);
     }
 }
--- a/src/delivery/journal/restart_state.rs
+++ b/src/delivery/journal/restart_state.rs
@@ -26,7 +26,7 @@
 /// # Errors
 /// The folder cannot be written. The next start counts as one after a crash, and nothing else is
 /// harmed.
-pub fn ends(folder: &Path, now_ms: u64) -> io::Result<()> {
+pub fn note_planned_end(folder: &Path, now_ms: u64) -> io::Result<()> {
     fs::write(folder.join(ENDED), format!("{now_ms}\n"))
 }
 
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 /// The folder cannot be written. The next start takes it for the usual time.
-pub fn asked(folder: &Path, now_ms: u64, took: Duration) -> io::Result<()> {
+pub fn note_list_poll(folder: &Path, now_ms: u64, took: Duration) -> io::Result<()> {
     fs::write(
         folder.join(ASKED),
         format!("{now_ms} {}\n", took.as_micros()),
@@ -47,7 +47,7 @@
 /// # Errors
 /// The folder cannot be written. The next start may take its list for older than it is, and calls
 /// nobody until it has asked.
-pub fn trusted(folder: &Path, now_ms: u64, trusted_for: Duration) -> io::Result<()> {
+pub fn note_list_freshness(folder: &Path, now_ms: u64, trusted_for: Duration) -> io::Result<()> {
     let until_ms = now_ms.saturating_add(trusted_for.as_millis().try_into().unwrap_or(u64::MAX));
     let mut note = fs::OpenOptions::new()
         .create(true)
@@ -59,7 +59,7 @@
 
 /// What is known of the process before this one. The note of an end counts once: a start that ends
 /// short leaves none. With it a line for the log for each note that does not count.
-pub fn look(folder: &Path, now_ms: u64) -> (Earlier, Vec<String>) {
+pub fn load(folder: &Path, now_ms: u64) -> (Earlier, Vec<String>) {
     let mut faults = Vec::new();
     let mut note = |name: &str, numbers, most_ms| {
         read(&folder.join(name), numbers, now_ms, most_ms).unwrap_or_else(|e| {
@@ -131,7 +131,7 @@
     #[test]
     fn an_end_counts_once_and_only_soon_after() {
         let folder = tempfile::tempdir().expect("a folder");
-        let look = |now| look(folder.path(), now);
+        let look = |now| load(folder.path(), now);
         let (planned, nothing) = (
             Earlier {
                 planned: true,
@@ -141,10 +141,10 @@
         );
         assert_eq!(look(5), (nothing, vec![]));
         for (now, found) in [(1_700, planned), (61_000, planned), (61_001, nothing)] {
-            ends(folder.path(), 1_000).expect("written");
+            note_planned_end(folder.path(), 1_000).expect("written");
             assert_eq!((look(now).0, look(now)), (found, (nothing, vec![])));
         }
-        ends(folder.path(), 1_000).expect("written");
+        note_planned_end(folder.path(), 1_000).expect("written");
         assert_eq!(
             look(999),
             (nothing, vec!["ended: from the future".to_string()])
@@ -157,7 +157,7 @@
         for torn in ["", "17", "17 \n", "17\n\n", "-1\n", "soon\n", "17 18 19\n"] {
             fs::write(folder.path().join(ENDED), torn).expect("written");
             fs::write(folder.path().join(ASKED), torn).expect("written");
-            let (found, told) = look(folder.path(), 18);
+            let (found, told) = load(folder.path(), 18);
             assert_eq!(
                 (found, told),
                 (
@@ -168,18 +168,18 @@
             );
         }
         fs::create_dir(folder.path().join(ENDED)).expect("a folder");
-        assert!(ends(folder.path(), 1).is_err());
-        assert!(!look(folder.path(), 18).0.planned);
+        assert!(note_planned_end(folder.path(), 1).is_err());
+        assert!(!load(folder.path(), 18).0.planned);
     }
 
     #[test]
     fn a_list_is_trusted_as_long_as_was_noted_and_not_at_all_by_a_spoilt_note() {
         const MS: Nanos = 1_000_000;
         let folder = tempfile::tempdir().expect("a folder");
-        let left = |now| look(folder.path(), now).0.trusted_for;
+        let left = |now| load(folder.path(), now).0.trusted_for;
         assert_eq!(left(5), None, "no process was before");
         for at in [1_000, 99_000] {
-            trusted(folder.path(), at, Duration::from_secs(6)).expect("written");
+            note_list_freshness(folder.path(), at, Duration::from_secs(6)).expect("written");
             assert_eq!(
                 [left(at), left(at + 600), left(at + 60_000)],
                 [Some(6_000 * MS), Some(5_400 * MS), Some(0)]
@@ -189,7 +189,7 @@
             fs::write(folder.path().join(TRUSTED), torn).expect("written");
             assert_eq!(left(18), Some(0), "{torn:?}");
         }
-        trusted(folder.path(), 1_000, Duration::from_secs(6)).expect("written");
+        note_list_freshness(folder.path(), 1_000, Duration::from_secs(6)).expect("written");
         assert_eq!(left(999), Some(0), "from the future");
     }
 
@@ -197,8 +197,8 @@
     fn what_an_ask_took_counts_for_an_hour_and_within_bounds() {
         let folder = tempfile::tempdir().expect("a folder");
         let cost = |took, now| {
-            asked(folder.path(), 1_000, Duration::from_millis(took)).expect("written");
-            look(folder.path(), now).0.cost
+            note_list_poll(folder.path(), 1_000, Duration::from_millis(took)).expect("written");
+            load(folder.path(), now).0.cost
         };
         assert_eq!(cost(36, 1_000), Some(0.036));
         assert_eq!(
--- a/src/delivery/journal/wall_clock.rs
+++ b/src/delivery/journal/wall_clock.rs
@@ -5,14 +5,14 @@
 
 /// The wall clock at the start, beside the newest time that was found written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Clock {
+pub struct WallClock {
     /// Unix time in milliseconds.
     pub now_ms: u64,
     /// The newest that was written.
     pub newest_ms: u64,
 }
 
-impl Clock {
+impl WallClock {
     /// It was set back: how much time has passed cannot be known.
     pub fn went_back(&self) -> bool {
         self.now_ms < self.newest_ms
@@ -36,7 +36,7 @@
 
     #[test]
     fn a_clock_that_was_set_back_makes_nothing_younger_and_gives_no_time() {
-        let clock = |now_ms| Clock {
+        let clock = |now_ms| WallClock {
             now_ms,
             newest_ms: 10_000,
         };
--- a/src/delivery/message.rs
+++ b/src/delivery/message.rs
@@ -5,7 +5,7 @@
 use crate::delivery::client_quota::{Client, ClientQuotas, Guest};
 use crate::delivery::driver::{DispatcherDriver, MessageHandle, Order};
 use crate::delivery::endpoint_directory::EndpointDirectory;
-use crate::delivery::journal::{Journal, Record, AGAIN};
+use crate::delivery::journal::{Journal, OpenRecord, WRITE_RETRY_DELAY};
 use crate::delivery::policies::{Hold, Policy, Terms};
 use crate::delivery::routing_tables::Tables;
 use crate::delivery::script_hook::Ruling;
@@ -237,18 +237,21 @@
         log::debug!("{id}: rejected, {shut}");
         return reply.rejected(house.patience(shut.wait())).await;
     }
-    let record = match house.journal.take_on(envelope, left, policy.number, table) {
+    let record = match house
+        .journal
+        .append_accepted(envelope, left, policy.number, table)
+    {
         Ok(record) => record,
         Err(e) => {
             log::debug!("{id}: rejected, journal: {e}");
             turned_away(class);
             return reply
-                .rejected(house.patience(house.journal.come_back()))
+                .rejected(house.patience(house.journal.retry_after()))
                 .await;
         }
     };
     let (envelope, guest) = (record.envelope(), house.guests.taken_on(client.name));
-    log::debug!("{id}: {}", step::taken_on(&envelope, table, left));
+    log::debug!("{id}: {}", step::accepted(&envelope, table, left));
     let mut ticket = house.desk.enter(message(&envelope, &held, left), None);
     let first = ticket.ready();
     match first {
@@ -267,7 +270,7 @@
         }
         Some(Order::Call { .. }) | None => {}
     }
-    if let Err(e) = record.settled().await {
+    if let Err(e) = record.durable().await {
         log::debug!("{id}: not taken on: {e}");
         drop(ticket);
         let _ = record.close();
@@ -290,7 +293,7 @@
         let _ = record.close();
         return;
     }
-    log::debug!("{id}: {}", step::HEARD);
+    log::debug!("{id}: {}", step::ACKNOWLEDGED);
     named.decided.is(true);
     house
         .desk
@@ -322,33 +325,35 @@
 }
 
 /// Takes up a message that an earlier process took on.
-pub async fn resume(house: Rc<DeliveryContext>, record: Record) {
-    let account = record.account();
+pub async fn resume(house: Rc<DeliveryContext>, record: OpenRecord) {
+    let account = record.snapshot();
     let envelope = account.envelope.clone();
     let named = Named::new(&house, &envelope);
     named.iter().for_each(|n| n.decided.is(true));
     if let Some(verdict) = account.verdict {
         return answer(&house, &envelope, record, verdict).await;
     }
-    record.back(true);
+    record.attempt_ended(true);
     let held = house.terms.hold_under(account.policy).unwrap_or_else(|| {
         let (id, number) = (&envelope.id, account.policy);
         log::warn!("{id}: policy {number} is not known any more; it ends in its own time by the sender's own settings");
         house.terms.hold_under(0).expect("the sender's own settings are always known")
     });
     let class = held.policy.class(envelope.class);
-    let left = class.map_or(record.left(), |c| record.left().min(span(c.deadline)));
+    let left = class.map_or(record.time_left(), |c| {
+        record.time_left().min(span(c.deadline))
+    });
     // How long ago a first call went; where that is not known, longer than any repeat of it is
     // dropped.
     let unknown = class.map_or(0, |c| c.window) + 1;
     let ago = |age: Option<Duration>| age.map_or(unknown, |age| age.as_nanos() as Nanos);
     let ran = record
-        .ran()
+        .first_possible_run()
         .map(|(zone, age)| (ago(age), house.directory.zone_number(&zone)));
     log::debug!(
         "{}: {}{left:?} left, {} calls made, ran: {ran:?}",
         envelope.id,
-        step::TAKEN_UP,
+        step::RESUMED,
         account.attempts
     );
     let past = Past {
@@ -376,7 +381,7 @@
 async fn deliver(
     house: &DeliveryContext,
     envelope: Rc<Envelope>,
-    record: Record,
+    record: OpenRecord,
     held: &Hold,
     (mut ticket, guest): (MessageHandle, Guest),
     mut first: Option<Order>,
@@ -411,7 +416,7 @@
                     log::debug!(
                         "{}: {}{} over elsewhere",
                         envelope.id,
-                        step::ENDED,
+                        step::DECIDED,
                         envelope.dest
                     );
                     let _ = record.close();
@@ -435,7 +440,7 @@
     log::debug!(
         "{}: {}",
         envelope.id,
-        step::ended(&envelope, record.account().table, verdict, left)
+        step::decided(&envelope, record.snapshot().table, verdict, left)
     );
     house.write_down(&record, verdict, deadline).await;
     if let Some(hook) = &held.policy.hook {
@@ -451,7 +456,7 @@
 async fn call(
     house: &DeliveryContext,
     envelope: &Envelope,
-    record: &Record,
+    record: &OpenRecord,
     held: &Hold,
     endpoint: EndpointAddress,
     timeout: Duration,
@@ -460,7 +465,7 @@
     let Some(provider) = house.directory.endpoint(endpoint) else {
         return Outcome::NotSent.into();
     };
-    let body = match record.whole().await {
+    let body = match record.load_envelope().await {
         Ok(whole) => whole,
         Err(e) => {
             log::error!("{}: its body cannot be read: {e}", envelope.id);
@@ -482,19 +487,19 @@
             && house.tables.leads(envelope, provider.zone)
             && house.may_repeat(
                 held.policy.class(envelope.class),
-                record.ran(),
+                record.first_possible_run(),
                 provider.zone,
             )
     };
     // Where it has to be synced, it is written before the connection is asked for: afterwards is
     // too late to wait.
-    if record.settles() {
-        if !allowed() || record.sent(&provider.entry.zone).is_err() {
+    if record.requires_sync() {
+        if !allowed() || record.attempt_started(&provider.entry.zone).is_err() {
             return Outcome::NotSent.into();
         }
         went.set(true);
-        if record.settled().await.is_err() {
-            record.back(false);
+        if record.durable().await.is_err() {
+            record.attempt_ended(false);
             return Outcome::NotSent.into();
         }
     }
@@ -505,15 +510,15 @@
         if went.get() {
             began.set(allowed() && permit.begin());
         } else if allowed() && permit.begin() {
-            went.set(record.sent(&provider.entry.zone).is_ok());
+            went.set(record.attempt_started(&provider.entry.zone).is_ok());
             began.set(went.get());
         }
         if began.get() {
             let (id, uid) = (&envelope.id, &provider.entry.uid);
             log::debug!(
                 "{id}: {}{} to {uid}, for {timeout:?}",
-                step::CALL,
-                record.account().attempts
+                step::ATTEMPT,
+                record.snapshot().attempts
             );
         }
         began.get()
@@ -549,7 +554,7 @@
             report.outcome,
             Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent
         );
-        record.back(began.get() && !never);
+        record.attempt_ended(began.get() && !never);
     }
     log::debug!(
         "{}: {} {:?}",
@@ -561,11 +566,16 @@
 }
 
 /// Passes the final answer on and closes the record.
-async fn answer(house: &DeliveryContext, envelope: &Envelope, record: Record, verdict: Verdict) {
+async fn answer(
+    house: &DeliveryContext,
+    envelope: &Envelope,
+    record: OpenRecord,
+    verdict: Verdict,
+) {
     match house.fronts.get(&envelope.front) {
         Some(front) => {
             front.tell(envelope, verdict).await;
-            log::debug!("{}: {}", envelope.id, step::TOLD);
+            log::debug!("{}: {}", envelope.id, step::NOTIFIED);
             let _ = record.close();
         }
         // The record stays open: what is owed is owed until that front is back.
@@ -641,20 +651,20 @@
 
     /// Writes a final answer down, as often as it takes. Once the message's time is up it is told
     /// in any case.
-    async fn write_down(&self, record: &Record, verdict: Verdict, deadline: Instant) {
+    async fn write_down(&self, record: &OpenRecord, verdict: Verdict, deadline: Instant) {
         loop {
-            let written = match record.ended(verdict) {
-                Ok(()) => record.settled().await,
+            let written = match record.decided(verdict) {
+                Ok(()) => record.durable().await,
                 Err(e) => Err(e),
             };
             let Err(e) = written else { return };
-            if Instant::now() + AGAIN >= deadline {
+            if Instant::now() + WRITE_RETRY_DELAY >= deadline {
                 let id = &record.envelope().id;
                 return log::error!(
                     "{id}: {verdict:?} could not be written and may be told again: {e}"
                 );
             }
-            self.wheel.sleep(AGAIN).await;
+            self.wheel.sleep(WRITE_RETRY_DELAY).await;
         }
     }
 
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -57,7 +57,7 @@
     #[serde(skip)]
     pub away: usize,
     /// Tenant, as a position in the settings, or [`crate::NO_TENANT`]; 0 where the settings have
-    /// none. The journal keeps it behind the account ([`journal::record::Account`]).
+    /// none. The journal keeps it behind the account ([`journal::record::MessageRecord`]).
     #[serde(skip)]
     pub tenant: u16,
 }
--- a/src/loop_latency.rs
+++ b/src/loop_latency.rs
@@ -16,31 +16,31 @@
 
 /// Stretches of work, in microseconds.
 #[derive(Clone)]
-pub struct Turns(Rc<RefCell<Histogram<u64>>>);
+pub struct LoopLatency(Rc<RefCell<Histogram<u64>>>);
 
-impl Default for Turns {
+impl Default for LoopLatency {
     fn default() -> Self {
         let histogram = Histogram::new_with_bounds(1, MOST.as_micros() as u64, 2);
-        Turns(Rc::new(RefCell::new(
+        LoopLatency(Rc::new(RefCell::new(
             histogram.expect("bounds in order, two digits"),
         )))
     }
 }
 
-impl Turns {
+impl LoopLatency {
     /// Runs all work, and times each stretch of it.
-    pub async fn time<T>(&self, work: impl Future<Output = T>) -> T {
+    pub async fn measure<T>(&self, work: impl Future<Output = T>) -> T {
         let mut work = pin!(work);
         poll_fn(|cx| {
             let begun = Instant::now();
             let polled = work.as_mut().poll(cx);
-            self.count(begun.elapsed());
+            self.record(begun.elapsed());
             polled
         })
         .await
     }
 
-    fn count(&self, stretch: Duration) {
+    fn record(&self, stretch: Duration) {
         if stretch >= LONG {
             log::debug!(
                 "turns: {:.1} ms without a look at sockets",
@@ -54,7 +54,7 @@
 
     /// How many there were, and how long half, 99 and 99.9 in a hundred and the longest took at
     /// most, in microseconds.
-    pub fn told(&self) -> String {
+    pub fn summary(&self) -> String {
         let h = self.0.borrow();
         let at = |q| h.value_at_quantile(q);
         format!(
@@ -74,14 +74,14 @@
 
     #[test]
     fn each_stretch_is_counted_and_the_longest_is_told() {
-        let turns = Turns::default();
+        let turns = LoopLatency::default();
         let work = async {
             futures_lite::future::yield_now().await;
             std::thread::sleep(Duration::from_millis(20));
             7
         };
-        assert_eq!(async_io::block_on(turns.time(work)), 7);
-        let told = turns.told();
+        assert_eq!(async_io::block_on(turns.measure(work)), 7);
+        let told = turns.summary();
         assert!(told.starts_with("turns=2 "), "{told}");
         let longest: u64 = told
             .split("longest=")
@@ -89,9 +89,9 @@
             .and_then(|t| t.split(' ').next()?.parse().ok())
             .expect("a figure");
         assert!(longest >= 19_800, "{told}");
-        turns.count(2 * MOST);
+        turns.record(2 * MOST);
         assert!(
-            turns.told().contains("turns=3"),
+            turns.summary().contains("turns=3"),
             "one beyond the bound counts, too"
         );
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
 use raildeal::delivery::endpoint::Endpoint;
 use raildeal::delivery::endpoint_directory::EndpointDirectory;
 use raildeal::delivery::journal::restart_state;
-use raildeal::delivery::journal::{Journal, Setup};
+use raildeal::delivery::journal::{Journal, JournalOptions};
 use raildeal::delivery::message::{self, DeliveryContext};
 use raildeal::delivery::policies::Terms;
 #[cfg(feature = "fleet")]
@@ -26,7 +26,7 @@
 use raildeal::delivery::timer_wheel::TimerWheel;
 use raildeal::delivery::{span, unix_ms, EndpointClient as _, Frontend};
 use raildeal::dispatch::list_polling;
-use raildeal::loop_latency::Turns;
+use raildeal::loop_latency::LoopLatency;
 use raildeal::net::by_kind::ByKind;
 use raildeal::net::calls::Calls;
 use raildeal::net::connection_listener::{ConnectionListener, WhenFull};
@@ -89,11 +89,11 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
     let config = configuration(source.as_deref());
     let executor = Rc::new(LocalExecutor::new());
-    let turns = Turns::default();
+    let turns = LoopLatency::default();
     let served = config.and_then(|config| {
         let work = executor.run(serve(config, source, executor.clone(), turns.clone()));
         if log::log_enabled!(log::Level::Debug) {
-            async_io::block_on(turns.time(work))
+            async_io::block_on(turns.measure(work))
         } else {
             async_io::block_on(work)
         }
@@ -221,7 +221,7 @@
     house: Rc<DeliveryContext>,
     invoker: Rc<ByKind>,
     notices: Option<Rc<Notices>>,
-    turns: Turns,
+    turns: LoopLatency,
 ) {
     loop {
         house.wheel.sleep(SIZES_EVERY).await;
@@ -236,13 +236,13 @@
             .map(|(table, entries)| format!("{table}={entries}"))
             .collect();
         log::debug!("sizes: {}", all.join(" "));
-        log::debug!("{}", turns.told());
+        log::debug!("{}", turns.summary());
     }
 }
 
 /// What the process before this one left.
 fn known_from_before(config: &Config) -> Earlier {
-    let (found, faults) = restart_state::look(&config.state, unix_ms());
+    let (found, faults) = restart_state::load(&config.state, unix_ms());
     faults
         .iter()
         .for_each(|fault| log::warn!("state: a note does not count: {fault}"));
@@ -282,22 +282,22 @@
     }
 
     /// The store, with room left for policies and tables where they are followed.
-    fn store(&self, config: &Config) -> Result<Setup, String> {
+    fn store(&self, config: &Config) -> Result<JournalOptions, String> {
         use raildeal::agent::document_store;
         let (policies, tables) = self.follows();
         let policies = document_store::reserved::<Terms>(&config.state, policies);
         let both = policies
             .and_then(|p| Ok(p + document_store::reserved::<Tables>(&config.state, tables)?));
         let reserved = both.map_err(|e| format!("state: {}: {e}", config.state.display()))?;
-        let limit = config.store.limit.saturating_sub(reserved);
+        let limit = config.store.limit_bytes.saturating_sub(reserved);
         if limit < reserved {
             let least = 2 * reserved;
             return Err(format!(
                 "limits.disk_mb: policies or tables are followed here, which needs {least} bytes at least"
             ));
         }
-        Ok(Setup {
-            limit,
+        Ok(JournalOptions {
+            limit_bytes: limit,
             ..config.store
         })
     }
@@ -334,7 +334,7 @@
                 places: budget.clients,
                 // One at least is kept of what is kept idle.
                 calls: budget.calls + budget.kept.saturating_sub(1),
-                disk: config.store.limit,
+                disk: config.store.limit_bytes,
             });
             let again = ground.clone();
             let ground_now = Box::new(move || again.clone());
@@ -413,7 +413,7 @@
         }
     }
 
-    fn store(&self, config: &Config) -> Result<Setup, String> {
+    fn store(&self, config: &Config) -> Result<JournalOptions, String> {
         Ok(config.store)
     }
 
@@ -428,7 +428,7 @@
     config: Config,
     file: Option<PathBuf>,
     executor: Rc<LocalExecutor<'static>>,
-    turns: Turns,
+    turns: LoopLatency,
 ) -> Result<(), String> {
     let Config {
         name, deployment, ..
@@ -453,7 +453,7 @@
     ));
     let (journal, unfinished) = Journal::open(
         &config.state,
-        Setup {
+        JournalOptions {
             seed: salt(),
             ..fleet.store(&config)?
         },
@@ -553,8 +553,8 @@
         &executor,
         async move { timing.0.keep_time(&timing.1).await },
     );
-    keep(&executor, tended.tend(wheel.clone()));
-    keep(&executor, synced.sync());
+    keep(&executor, tended.maintain(wheel.clone()));
+    keep(&executor, synced.run_sync());
     let sweeping = invoker.clone();
     keep(&executor, async move { sweeping.sweep().await });
     if let Some(notices) = notices.clone() {
@@ -660,7 +660,7 @@
     ended
         .sync_now()
         .unwrap_or_else(|e| log::error!("store: sync: {e}"));
-    restart_state::ends(&config.state, unix_ms())
+    restart_state::note_planned_end(&config.state, unix_ms())
         .unwrap_or_else(|e| log::warn!("state: end not noted: {e}"));
     log::info!(
         "{name}: ends with {} messages for the next start",
--- a/src/message_trace.rs
+++ b/src/message_trace.rs
@@ -14,7 +14,7 @@
     use std::time::Duration;
 
     /// The whole line of a message that is taken on, under a routing table where there is one.
-    pub fn taken_on(envelope: &Envelope, table: u64, left: Duration) -> String {
+    pub fn accepted(envelope: &Envelope, table: u64, left: Duration) -> String {
         let Envelope {
             class, dest, key, ..
         } = envelope;
@@ -26,34 +26,37 @@
         } else {
             String::new()
         };
-        format!("{TAKEN_ON}class {class}, dest {dest}{under}{key}, {left:?} left")
+        format!("{ACCEPTED}class {class}, dest {dest}{under}{key}, {left:?} left")
     }
 
     /// The whole line of a message that is over.
-    pub fn ended(envelope: &Envelope, table: u64, verdict: Verdict, left: Duration) -> String {
+    pub fn decided(envelope: &Envelope, table: u64, verdict: Verdict, left: Duration) -> String {
         let under = if table > 0 {
             format!(" under table {table}")
         } else {
             String::new()
         };
-        format!("{ENDED}{}{under} {verdict:?}, {left:?} left", envelope.dest)
+        format!(
+            "{DECIDED}{}{under} {verdict:?}, {left:?} left",
+            envelope.dest
+        )
     }
 
     /// Written down and brought before the module; goes on with class, destination, key and time
     /// left.
-    pub const TAKEN_ON: &str = "taken on, ";
+    pub const ACCEPTED: &str = "taken on, ";
     /// Between the words before and the key, where the message has one.
     pub const KEY: &str = ", key ";
     /// Its client has been written that it is taken on.
-    pub const HEARD: &str = "its client is told that it is taken on";
+    pub const ACKNOWLEDGED: &str = "its client is told that it is taken on";
     /// Taken up by a process that found it written down.
-    pub const TAKEN_UP: &str = "taken up with ";
+    pub const RESUMED: &str = "taken up with ";
     /// A call begins; goes on with number and provider.
-    pub const CALL: &str = "call ";
+    pub const ATTEMPT: &str = "call ";
     /// Its end; goes on with destination, verdict and time left.
-    pub const ENDED: &str = "dest ";
+    pub const DECIDED: &str = "dest ";
     /// The final answer was heard, or none is owed.
-    pub const TOLD: &str = "final answer told";
+    pub const NOTIFIED: &str = "final answer told";
 }
 
 /// Where the lines of a message stand, in every log of the program.
@@ -62,7 +65,7 @@
 /// Logs, each with the name of its sender, oldest line first. Lines are read one at a time, and
 /// those of messages are kept.
 #[derive(Debug, Default)]
-pub struct Logs {
+pub struct TraceLogs {
     messages: BTreeMap<String, Message>,
     by_key: BTreeMap<String, BTreeSet<String>>,
     /// Time of the newest line, in seconds.
@@ -72,12 +75,12 @@
 #[derive(Debug, Default)]
 struct Message {
     key: Option<String>,
-    lines: Vec<Line>,
+    lines: Vec<TraceLine>,
 }
 
 #[derive(Debug)]
-struct Line {
-    at: At,
+struct TraceLine {
+    at: Timestamp,
     time: String,
     sender: String,
     text: String,
@@ -86,14 +89,14 @@
 /// When a line was written: a number of seconds, or else text that sorts (RFC 3339). Without
 /// either, lines keep the order in which they were read.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
-enum At {
+enum Timestamp {
     Seconds(f64),
     Text(String),
 }
 
 /// What is wrong with a message's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wrong {
+pub enum LifecycleFault {
     /// Its client was told that it is taken on, its time is up, and no log has its end. Where lines
     /// bear no seconds, nobody knows how far the logs go, and it counts in any case.
     NoEnd,
@@ -105,7 +108,7 @@
     TwoEnds,
 }
 
-impl Logs {
+impl TraceLogs {
     /// Reads a sender's log. Bytes that are no text are passed over.
     pub fn read(&mut self, sender: &str, mut log: impl BufRead) -> io::Result<()> {
         let mut bytes = Vec::new();
@@ -134,13 +137,13 @@
         };
         let at = time
             .parse()
-            .map_or_else(|_| At::Text(time.to_string()), At::Seconds);
-        if let At::Seconds(at) = at {
+            .map_or_else(|_| Timestamp::Text(time.to_string()), Timestamp::Seconds);
+        if let Timestamp::Seconds(at) = at {
             self.newest = self.newest.max(at);
         }
         let message = self.messages.entry(id.to_string()).or_default();
         if let Some((_, key)) = text
-            .strip_prefix(step::TAKEN_ON)
+            .strip_prefix(step::ACCEPTED)
             .and_then(|t| t.split_once(step::KEY))
         {
             let key = key.split(',').next().unwrap_or(key).to_string();
@@ -151,7 +154,7 @@
             message.key = Some(key);
         }
         let (time, sender, text) = (time.to_string(), sender.to_string(), text.to_string());
-        message.lines.push(Line {
+        message.lines.push(TraceLine {
             at,
             time,
             sender,
@@ -161,7 +164,7 @@
 
     /// The life of a message and of all that were handed in under its key, a line for each step;
     /// nothing where no log has it.
-    pub fn life(&self, id: &str) -> Option<String> {
+    pub fn lifecycle(&self, id: &str) -> Option<String> {
         let asked = self.messages.get(id)?;
         let alone = BTreeSet::from([id.to_string()]);
         let ids = asked
@@ -169,7 +172,7 @@
             .as_ref()
             .and_then(|k| self.by_key.get(k))
             .unwrap_or(&alone);
-        let mut lines: Vec<(&str, &Line)> = Vec::new();
+        let mut lines: Vec<(&str, &TraceLine)> = Vec::new();
         for id in ids {
             lines.extend(self.messages[id].lines.iter().map(|l| (id.as_str(), l)));
         }
@@ -181,7 +184,7 @@
         let mut told = String::new();
         for (
             id,
-            Line {
+            TraceLine {
                 time, sender, text, ..
             },
         ) in lines
@@ -204,7 +207,7 @@
     }
 
     /// All messages whose life went wrong, and how.
-    pub fn wrong(&self) -> Vec<(&str, Vec<Wrong>)> {
+    pub fn faulty_messages(&self) -> Vec<(&str, Vec<LifecycleFault>)> {
         let all = self
             .messages
             .iter()
@@ -213,7 +216,7 @@
     }
 
     /// Messages that some log has.
-    pub fn messages(&self) -> usize {
+    pub fn message_count(&self) -> usize {
         self.messages.len()
     }
 }
@@ -222,13 +225,13 @@
     /// When its time is up, in seconds, as last told with a time.
     fn up(&self) -> Option<f64> {
         self.lines.iter().rev().find_map(|l| {
-            let taken_up = l.text.strip_prefix(step::TAKEN_UP);
+            let taken_up = l.text.strip_prefix(step::RESUMED);
             let taken_on = l
                 .text
-                .strip_prefix(step::TAKEN_ON)
+                .strip_prefix(step::ACCEPTED)
                 .and_then(|t| t.rsplit(", ").next());
             let left = seconds(taken_up.or(taken_on)?.split(' ').next()?)?;
-            if let At::Seconds(at) = l.at {
+            if let Timestamp::Seconds(at) = l.at {
                 Some(at + left)
             } else {
                 None
@@ -236,17 +239,17 @@
         })
     }
 
-    fn wrong(&self, newest: f64) -> Vec<Wrong> {
+    fn wrong(&self, newest: f64) -> Vec<LifecycleFault> {
         let steps = |word| {
             self.lines
                 .iter()
                 .filter_map(move |l| l.text.strip_prefix(word))
         };
         let count = |word| steps(word).count();
-        let (ends, taken_up) = (|| steps(step::ENDED), || steps(step::TAKEN_UP));
-        let owed = count(step::HEARD) + count(step::TAKEN_UP) > 0;
+        let (ends, taken_up) = (|| steps(step::DECIDED), || steps(step::RESUMED));
+        let owed = count(step::ACKNOWLEDGED) + count(step::RESUMED) > 0;
         // A call that was out when its process was killed may stand in the journal and in no log.
-        let unsent = count(step::CALL) == 0 && taken_up().all(|t| t.contains(" 0 calls made"));
+        let unsent = count(step::ATTEMPT) == 0 && taken_up().all(|t| t.contains(" 0 calls made"));
         let held = self.up().is_some_and(|up| newest < up);
         let failed = ends().any(|e| e.contains(" Undeliverable"));
         let late = ends().any(|e| e.ends_with(" 0ns left"));
@@ -256,14 +259,14 @@
         // second end.
         let faults = [
             (
-                owed && !held && count(step::ENDED) + count(step::TOLD) == 0,
-                Wrong::NoEnd,
+                owed && !held && count(step::DECIDED) + count(step::NOTIFIED) == 0,
+                LifecycleFault::NoEnd,
             ),
-            (late && !gone, Wrong::Late),
-            (unsent && failed, Wrong::FailedUnsent),
+            (late && !gone, LifecycleFault::Late),
+            (unsent && failed, LifecycleFault::FailedUnsent),
             (
-                count(step::ENDED) > count(step::TAKEN_ON).max(1),
-                Wrong::TwoEnds,
+                count(step::DECIDED) > count(step::ACCEPTED).max(1),
+                LifecycleFault::TwoEnds,
             ),
         ];
         faults.into_iter().filter(|f| f.0).map(|f| f.1).collect()
@@ -284,8 +287,8 @@
     use crate::delivery::Envelope;
     use std::time::Duration;
 
-    fn logs(of: &[(&str, &str)]) -> Logs {
-        let mut logs = Logs::default();
+    fn logs(of: &[(&str, &str)]) -> TraceLogs {
+        let mut logs = TraceLogs::default();
         of.iter()
             .for_each(|(sender, text)| logs.read(sender, text.as_bytes()).expect("read"));
         logs
@@ -309,7 +312,7 @@
                  9.75 [DEBUG raildeal::delivery::message] a: dest 3 Deferred { again_ms: 5 }, 11s left\n",
             ),
         ]);
-        let life = logs.life("b").expect("known");
+        let life = logs.lifecycle("b").expect("known");
         let ids: Vec<&str> = life
             .lines()
             .take(6)
@@ -320,15 +323,15 @@
             life.contains("n1       a taken on") && life.ends_with("a: kept\nb: kept\n"),
             "{life}"
         );
-        assert_eq!((logs.life("c"), logs.messages()), (None, 2));
+        assert_eq!((logs.lifecycle("c"), logs.message_count()), (None, 2));
     }
 
     #[test]
     fn messages_without_a_key_have_lives_of_their_own() {
-        let taken_on = step::taken_on(&Envelope::default(), 0, Duration::from_secs(12));
+        let taken_on = step::accepted(&Envelope::default(), 0, Duration::from_secs(12));
         let line = |id: &str| format!("1.0 [DEBUG raildeal::delivery::message] {id}: {taken_on}\n");
         let life = logs(&[("n1", &["a", "b"].map(line).concat())])
-            .life("b")
+            .lifecycle("b")
             .expect("known");
         assert_eq!(life.lines().count(), 2, "{life}");
     }
@@ -355,8 +358,8 @@
         .map(line)
         .concat();
         assert_eq!(
-            logs(&[("n1", &log)]).wrong(),
-            [("lost", vec![Wrong::NoEnd])]
+            logs(&[("n1", &log)]).faulty_messages(),
+            [("lost", vec![LifecycleFault::NoEnd])]
         );
     }
 
@@ -384,11 +387,11 @@
         .concat();
         let logs = logs(&[("n1", &log)]);
         let expected = [
-            ("late", vec![Wrong::Late]),
-            ("lost", vec![Wrong::NoEnd]),
-            ("twice", vec![Wrong::TwoEnds]),
-            ("unsent", vec![Wrong::FailedUnsent]),
+            ("late", vec![LifecycleFault::Late]),
+            ("lost", vec![LifecycleFault::NoEnd]),
+            ("twice", vec![LifecycleFault::TwoEnds]),
+            ("unsent", vec![LifecycleFault::FailedUnsent]),
         ];
-        assert_eq!(logs.wrong(), expected);
+        assert_eq!(logs.faulty_messages(), expected);
     }
 }
--- a/src/net/platform/watch.rs
+++ b/src/net/platform/watch.rs
@@ -137,7 +137,7 @@
         let Some(trusted_for) = self.desk.list_trusted_for() else {
             return;
         };
-        let noted = restart_state::trusted(&self.state, unix_ms(), trusted_for);
+        let noted = restart_state::note_list_freshness(&self.state, unix_ms(), trusted_for);
         let told_before = self.unnoted.replace(noted.is_err());
         if let Some(e) = noted.err().filter(|_| !told_before) {
             log::warn!("state: trust in the list not noted: {e}");
@@ -153,7 +153,7 @@
             .get()
             .map_or(took, |quickest| quickest.min(took));
         self.quickest.set(Some(least));
-        let noted = restart_state::asked(&self.state, unix_ms(), least);
+        let noted = restart_state::note_list_poll(&self.state, unix_ms(), least);
         noted.unwrap_or_else(|e| log::warn!("state: ask not noted: {e}"));
     }
 
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -1,6 +1,6 @@
 //! Where segments lie: a folder of files that are allocated in full when they are made.
 //!
-//! [`Folder`] is the real one, [`super::faulty::Faulty`] one in memory that fails as it is told.
+//! [`Folder`] is the real one, [`super::faulty::FaultyDisk`] one in memory that fails as it is told.
 
 use rustix::fs::{fallocate, statvfs, FallocateFlags};
 use rustix::io::Errno;
@@ -14,7 +14,7 @@
 const ZEROS: usize = 64 * 1024;
 
 /// A file of fixed size, read and written by position.
-pub trait Area: Send + Sync {
+pub trait DiskFile: Send + Sync {
     /// Its size in bytes.
     fn size(&self) -> io::Result<u64>;
     /// Reads some bytes; as many as come at once, none at the end.
@@ -30,19 +30,19 @@
     /// Names of all files with their sizes.
     fn list(&self) -> io::Result<Vec<(String, u64)>>;
     /// Opens a file. A folder that may only be read gives one that fails to write.
-    fn open(&self, name: &str) -> io::Result<Arc<dyn Area>>;
+    fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
     /// Makes a file of zeros, with all its room allocated. Where that fails, there is no such file.
-    fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn Area>>;
+    fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn DiskFile>>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Bytes that the file system could still give.
-    fn free(&self) -> io::Result<u64>;
+    fn free_bytes(&self) -> io::Result<u64>;
     /// Returns once names that were made or removed outlast the machine.
     fn sync(&self) -> io::Result<()>;
 }
 
 /// Reads until the buffer is full or the file ends; says how many bytes came.
-pub fn read_full(area: &dyn Area, into: &mut [u8], at: u64) -> io::Result<usize> {
+pub fn read_full(area: &dyn DiskFile, into: &mut [u8], at: u64) -> io::Result<usize> {
     let mut got = 0;
     while got < into.len() {
         match area.read_at(&mut into[got..], at + got as u64) {
@@ -56,7 +56,7 @@
 }
 
 /// Writes all bytes. After an error any part of them may have been written.
-pub fn write_full(area: &dyn Area, mut bytes: &[u8], mut at: u64) -> io::Result<()> {
+pub fn write_full(area: &dyn DiskFile, mut bytes: &[u8], mut at: u64) -> io::Result<()> {
     while !bytes.is_empty() {
         match area.write_at(bytes, at) {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
@@ -92,7 +92,7 @@
     }
 }
 
-impl Area for File {
+impl DiskFile for File {
     fn size(&self) -> io::Result<u64> {
         Ok(self.metadata()?.len())
     }
@@ -123,7 +123,7 @@
         Ok(files)
     }
 
-    fn open(&self, name: &str) -> io::Result<Arc<dyn Area>> {
+    fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
         let file = OpenOptions::new()
             .read(true)
             .write(!self.read_only)
@@ -131,7 +131,7 @@
         Ok(Arc::new(file))
     }
 
-    fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn Area>> {
+    fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn DiskFile>> {
         if self.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
         }
@@ -163,7 +163,7 @@
         fs::remove_file(self.path.join(name))
     }
 
-    fn free(&self) -> io::Result<u64> {
+    fn free_bytes(&self) -> io::Result<u64> {
         let told = statvfs(&self.path)?;
         Ok(told.f_bavail.saturating_mul(told.f_frsize))
     }
--- a/src/store/faulty.rs
+++ b/src/store/faulty.rs
@@ -2,7 +2,7 @@
 //! of process or machine in the middle of a write. Everything about it is decided by its script and
 //! a seed, so a run can be repeated.
 
-use super::disk::{Area, Disk};
+use super::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -25,8 +25,8 @@
 
 /// Operations that change something: writes, syncs, files made or removed. Reads are not counted.
 #[derive(Default)]
-struct State {
-    files: BTreeMap<String, Content>,
+struct DiskState {
+    files: BTreeMap<String, FileContent>,
     done: u64,
     faults: BTreeMap<u64, Fault>,
     dead: bool,
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Default)]
-struct Content {
+struct FileContent {
     now: Vec<u8>,
     synced: Vec<u8>,
     /// Writes since the last sync, in order.
@@ -45,25 +45,25 @@
 
 /// The disk. Clones are the same disk.
 #[derive(Clone, Default)]
-pub struct Faulty(Arc<Mutex<State>>);
+pub struct FaultyDisk(Arc<Mutex<DiskState>>);
 
 /// What a disk holds: names and bytes.
-pub type Image = BTreeMap<String, Vec<u8>>;
+pub type DiskImage = BTreeMap<String, Vec<u8>>;
 
-impl Faulty {
+impl FaultyDisk {
     /// An empty disk without faults.
     pub fn new() -> Self {
-        Faulty::default()
+        FaultyDisk::default()
     }
 
     /// A disk that holds these files, synced.
-    pub fn holding(image: Image) -> Self {
-        let disk = Faulty::new();
+    pub fn from_image(image: DiskImage) -> Self {
+        let disk = FaultyDisk::new();
         let files = image.into_iter().map(|(name, now)| {
             let synced = now.clone();
             (
                 name,
-                Content {
+                FileContent {
                     now,
                     synced,
                     pending: Vec::new(),
@@ -74,7 +74,7 @@
         disk
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, DiskState> {
         // A test that panicked elsewhere changes nothing here.
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
@@ -102,7 +102,7 @@
     }
 
     /// Whether the process has ended.
-    pub fn is_dead(&self) -> bool {
+    pub fn is_killed(&self) -> bool {
         self.state().dead
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// What the next process finds.
-    pub fn after_kill(&self) -> Image {
+    pub fn after_kill(&self) -> DiskImage {
         self.state()
             .files
             .iter()
@@ -122,8 +122,8 @@
 
     /// What is found after a power cut: all that was synced, and of other writes those that `kept`
     /// says, in order.
-    pub fn after_power_cut(&self, mut kept: impl FnMut() -> bool) -> Image {
-        let mut left = |c: &Content| {
+    pub fn after_power_cut(&self, mut kept: impl FnMut() -> bool) -> DiskImage {
+        let mut left = |c: &FileContent| {
             let mut bytes = c.synced.clone();
             bytes.resize(c.now.len(), 0);
             for (at, write) in &c.pending {
@@ -141,7 +141,7 @@
     }
 }
 
-impl State {
+impl DiskState {
     fn size(&self) -> u64 {
         self.files.values().map(|c| c.now.len() as u64).sum()
     }
@@ -173,12 +173,12 @@
     io::Error::other("the process has ended")
 }
 
-struct Opened {
-    disk: Faulty,
+struct FaultyFile {
+    disk: FaultyDisk,
     name: String,
 }
 
-impl Area for Opened {
+impl DiskFile for FaultyFile {
     fn size(&self) -> io::Result<u64> {
         let state = self.disk.state();
         Ok(state
@@ -245,7 +245,7 @@
     }
 }
 
-impl Disk for Faulty {
+impl Disk for FaultyDisk {
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
         let state = self.state();
         if state.dead {
@@ -258,8 +258,8 @@
             .collect())
     }
 
-    fn open(&self, name: &str) -> io::Result<Arc<dyn Area>> {
-        let opened = Opened {
+    fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
+        let opened = FaultyFile {
             disk: self.clone(),
             name: name.into(),
         };
@@ -267,7 +267,7 @@
         Ok(Arc::new(opened))
     }
 
-    fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn Area>> {
+    fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn DiskFile>> {
         let mut state = self.state();
         let fault = state.begin()?;
         if state.files.contains_key(name) {
@@ -283,14 +283,14 @@
         };
         state.files.insert(
             name.into(),
-            Content {
+            FileContent {
                 now: vec![0; size as usize],
-                ..Content::default()
+                ..FileContent::default()
             },
         );
         match ends {
             true => Err(killed()),
-            false => Ok(Arc::new(Opened {
+            false => Ok(Arc::new(FaultyFile {
                 disk: self.clone(),
                 name: name.into(),
             })),
@@ -307,7 +307,7 @@
             .ok_or(io::ErrorKind::NotFound.into())
     }
 
-    fn free(&self) -> io::Result<u64> {
+    fn free_bytes(&self) -> io::Result<u64> {
         let state = self.state();
         Ok(state
             .quota
--- a/src/store/log.rs
+++ b/src/store/log.rs
@@ -1,12 +1,14 @@
 //! The log: segments in a ring, appended to at one end and cleaned at the other. Sole owner of the
 //! segments' files.
 //!
-//! What it decides stands in [`super::plan`], what it finds after a restart in [`super::recover`].
-
-use super::disk::{read_full, write_full, Area, Disk};
-use super::frame::{self, Header, Tag, BEGIN};
-use super::plan::{Ask, Door, Shape, Turned, View, Why, KEPT};
-use super::recover::{self, Damage, Home, Replay};
+//! What it decides stands in [`super::capacity`], what it finds after a restart in [`super::recover`].
+
+use super::capacity::{
+    CapacityDecision, CapacityGate, GateChange, Occupancy, RejectReason, SegmentLayout, KEPT,
+};
+use super::disk::{read_full, write_full, Disk, DiskFile};
+use super::frame::{self, FrameKind, SegmentHeader, FRAMES_OFFSET};
+use super::recover::{self, Damage, FrameLocation, Replay};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::sync::Arc;
@@ -19,10 +21,10 @@
 const OPEN: usize = KEPT as usize + 1;
 /// Descriptors that the store holds at once: of those, the file that is written, one that is read,
 /// and its folder.
-pub const DESCRIPTORS: usize = OPEN + 3;
+pub const MAX_OPEN_FILES: usize = OPEN + 3;
 
 /// Gives items as they stand, for cleaning.
-pub trait Items {
+pub trait SnapshotSource {
     /// The data of an item's next `Put`. `old` reads that of the last one.
     fn snapshot(
         &self,
@@ -33,7 +35,7 @@
 
 /// A file that an earlier form left: it counts as the oldest segment until what is open in it was
 /// copied.
-pub struct Legacy {
+pub struct LegacyFile {
     /// Its name.
     pub name: String,
     /// Its size in bytes.
@@ -43,10 +45,10 @@
 }
 
 struct Segment {
-    seq: u64,
+    sequence: u64,
     slot: u32,
     /// Open while it is written; others are opened when they are read.
-    area: Option<Arc<dyn Area>>,
+    area: Option<Arc<dyn DiskFile>>,
     size: u64,
     salt: u64,
     /// Where frames end.
@@ -60,33 +62,33 @@
 struct Spare {
     slot: u32,
     /// Open for as many as may be needed at once.
-    area: Option<Arc<dyn Area>>,
+    area: Option<Arc<dyn DiskFile>>,
     size: u64,
 }
 
 struct Item {
-    home: Home,
+    home: FrameLocation,
     size: u64,
 }
 
 /// What a log has done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Done {
+pub struct LogStatistics {
     /// Bytes of frames that were asked for.
-    pub asked: u64,
+    pub requested_bytes: u64,
     /// Bytes of frames that cleaning wrote.
-    pub cleaned: u64,
+    pub cleaned_bytes: u64,
     /// Segments that were cleaned.
-    pub retired: u64,
+    pub retired_segments: u64,
     /// Writes that failed.
-    pub failed: u64,
+    pub failed_writes: u64,
 }
 
 /// The log.
-pub struct Log {
+pub struct SegmentLog {
     disk: Arc<dyn Disk>,
     limit: u64,
-    shape: Shape,
+    shape: SegmentLayout,
     seed: u64,
     segments: VecDeque<Segment>,
     spares: Vec<Spare>,
@@ -99,9 +101,9 @@
     sizes: BTreeMap<u64, u32>,
     live: u64,
     next: u64,
-    next_seq: u64,
+    next_sequence: u64,
     oldest: u64,
-    door: Door,
+    door: CapacityGate,
     /// Bytes appended in all; what is synced is counted in the same way. Nothing, where nobody
     /// syncs.
     position: u64,
@@ -110,7 +112,7 @@
     carried: u64,
     /// How far everything is synced, as segment and offset, while no mark says so.
     mark: Option<(u64, u64)>,
-    dirty: BTreeMap<u32, Arc<dyn Area>>,
+    dirty: BTreeMap<u32, Arc<dyn DiskFile>>,
     /// Names were made or removed since the last sync.
     named: bool,
     /// Bytes of cleaning that were paid for and not done; less than none, where the last item was
@@ -118,13 +120,13 @@
     credit: i64,
     /// Segments up to this one may have lost what was written: a sync failed.
     suspect: u64,
-    done: Done,
+    done: LogStatistics,
 }
 
 /// What was found at the start.
-pub struct Opened {
+pub struct OpenedLog {
     /// The log.
-    pub log: Log,
+    pub log: SegmentLog,
     /// What could not be read.
     pub damage: Vec<Damage>,
     /// Bytes at the end that hold part of a frame.
@@ -135,25 +137,25 @@
 
 /// How a log is to be.
 #[derive(Clone, Copy, Debug)]
-pub struct Options {
+pub struct LogOptions {
     /// Bytes that the folder may hold.
-    pub limit: u64,
+    pub limit_bytes: u64,
     /// For salts; a client must not be able to know it.
     pub seed: u64,
     /// Files are used again only after a sync.
-    pub synced: bool,
+    pub sync_required: bool,
 }
 
-impl Log {
+impl SegmentLog {
     /// Opens the log of a folder and replays it. `size` tells what an item that was replayed counts
     /// for.
     pub fn open<R: Replay>(
         disk: Arc<dyn Disk>,
-        options: Options,
-        legacy: Option<Legacy>,
+        options: LogOptions,
+        legacy: Option<LegacyFile>,
         replay: &mut R,
         size: impl Fn(&R, u64) -> u64,
-    ) -> io::Result<Opened> {
+    ) -> io::Result<OpenedLog> {
         let first = u64::from(legacy.is_none());
         let mut scan = recover::scan(&*disk, first, replay)?;
         let taken: u64 = scan
@@ -162,10 +164,10 @@
             .map(|f| f.size)
             .chain(scan.free.iter().map(|f| f.1))
             .sum();
-        let room = disk.free().unwrap_or(0).saturating_add(taken);
-        let mut log = Log {
-            shape: Shape::of(options.limit, room),
-            limit: options.limit,
+        let room = disk.free_bytes().unwrap_or(0).saturating_add(taken);
+        let mut log = SegmentLog {
+            shape: SegmentLayout::for_folder(options.limit_bytes, room),
+            limit: options.limit_bytes,
             seed: options.seed,
             segments: VecDeque::new(),
             spares: Vec::new(),
@@ -175,23 +177,23 @@
             sizes: BTreeMap::new(),
             live: 0,
             next: scan.next,
-            next_seq: scan.found.last().map_or(1, |f| f.header.seq + 1),
+            next_sequence: scan.found.last().map_or(1, |f| f.header.sequence + 1),
             oldest: scan.oldest,
-            door: Door::default(),
+            door: CapacityGate::default(),
             position: 0,
-            synced: options.synced.then_some(0),
+            synced: options.sync_required.then_some(0),
             carried: 0,
             mark: None,
             dirty: BTreeMap::new(),
             named: false,
             credit: 0,
             suspect: 0,
-            done: Done::default(),
+            done: LogStatistics::default(),
             disk,
         };
         for f in scan.found.drain(..) {
             log.segments.push_back(Segment {
-                seq: f.header.seq,
+                sequence: f.header.sequence,
                 slot: f.slot,
                 area: None,
                 size: f.size,
@@ -202,7 +204,7 @@
             });
         }
         if let Some(newest) = log.segments.back_mut() {
-            newest.area = Some(log.disk.open(&recover::name(newest.slot))?);
+            newest.area = Some(log.disk.open(&recover::segment_file_name(newest.slot))?);
         }
         for (slot, size) in scan.free.drain(..) {
             log.put_back(Spare {
@@ -211,7 +213,7 @@
                 size,
             });
         }
-        for (no, home) in scan.homes {
+        for (no, home) in scan.locations {
             log.settle(no, home, size(replay, no));
         }
         if let Some(legacy) = legacy {
@@ -231,12 +233,12 @@
                     true => {}
                 }
             }
-            over.into_iter().for_each(|no| replay.gone(no));
+            over.into_iter().for_each(|no| replay.on_remove(no));
             for no in &left {
                 log.settle(
                     *no,
-                    Home {
-                        seq: 0,
+                    FrameLocation {
+                        sequence: 0,
                         at: 0,
                         data: 0,
                     },
@@ -245,7 +247,7 @@
             }
             log.legacy = Some((legacy.name, legacy.size, left));
         }
-        Ok(Opened {
+        Ok(OpenedLog {
             log,
             damage: scan.damage,
             torn: scan.torn,
@@ -254,22 +256,22 @@
     }
 
     /// The store as it stands.
-    pub fn view(&self) -> View {
-        let usable = self.shape.segment - BEGIN.min(self.shape.segment);
-        let counted = |bytes: u64| (bytes / self.shape.segment) as u32;
+    pub fn occupancy(&self) -> Occupancy {
+        let usable = self.shape.segment_bytes - FRAMES_OFFSET.min(self.shape.segment_bytes);
+        let counted = |bytes: u64| (bytes / self.shape.segment_bytes) as u32;
         let spare = self.spares.iter().map(|s| s.size).sum();
         let segments = counted(self.bytes() - self.legacy.as_ref().map_or(0, |l| l.1));
-        View {
-            segment: usable,
+        Occupancy {
+            segment_bytes: usable,
             segments,
-            most: segments + counted(self.limit.saturating_sub(self.bytes() + 2048)),
-            free: counted(spare),
-            rest: self
+            max_segments: segments + counted(self.limit.saturating_sub(self.bytes() + 2048)),
+            free_segments: counted(spare),
+            tail_bytes: self
                 .segments
                 .back()
                 .map_or(0, |s| s.size.saturating_sub(s.len)),
-            live: self.live,
-            largest: self.sizes.last_key_value().map_or(0, |(size, _)| *size),
+            live_bytes: self.live,
+            largest_item_bytes: self.sizes.last_key_value().map_or(0, |(size, _)| *size),
         }
     }
 
@@ -290,12 +292,12 @@
     }
 
     /// What was done so far.
-    pub fn done(&self) -> Done {
+    pub fn statistics(&self) -> LogStatistics {
         self.done
     }
 
     /// The door.
-    pub fn door(&self) -> &Door {
+    pub fn capacity_gate(&self) -> &CapacityGate {
         &self.door
     }
 
@@ -306,80 +308,101 @@
         now: Duration,
         data: &[u8],
         size: u64,
-        items: &dyn Items,
-    ) -> (Result<u64, Refused>, Option<Turned>) {
-        if data.len() > frame::most(self.shape.segment) {
-            return (Err(Refused::TooLong), None);
+        items: &dyn SnapshotSource,
+    ) -> PutOutcome {
+        if data.len() > frame::max_data_len(self.shape.segment_bytes) {
+            return PutOutcome {
+                result: Err(PutError::TooLong),
+                gate_change: None,
+            };
         }
         let (admitted, mut turned) = self.admit(now, size);
         if let Err(why) = admitted {
-            return (Err(Refused::Full(why)), turned);
+            return PutOutcome {
+                result: Err(PutError::Full(why)),
+                gate_change: turned,
+            };
         }
         let no = self.next;
-        match self.append(Tag::Put, no, data, items) {
-            Ok((seq, at)) => {
+        match self.append(FrameKind::Put, no, data, items) {
+            Ok((sequence, at)) => {
                 self.next += 1;
                 self.settle(
                     no,
-                    Home {
-                        seq,
+                    FrameLocation {
+                        sequence,
                         at,
                         data: data.len(),
                     },
                     size,
                 );
-                (Ok(no), turned)
+                PutOutcome {
+                    result: Ok(no),
+                    gate_change: turned,
+                }
             }
             Err(e) => {
-                turned = turned.or(self.door.failed(now));
-                (Err(Refused::Io(e)), turned)
+                turned = turned.or(self.door.on_write_error(now));
+                PutOutcome {
+                    result: Err(PutError::Io(e)),
+                    gate_change: turned,
+                }
             }
         }
     }
 
-    fn admit(&mut self, now: Duration, size: u64) -> (Result<(), Why>, Option<Turned>) {
+    fn admit(
+        &mut self,
+        now: Duration,
+        size: u64,
+    ) -> (Result<(), RejectReason>, Option<GateChange>) {
         let mut turned = None;
         loop {
-            let (ask, change) = self.door.ask(now, &self.view(), size);
+            let (ask, change) = self.door.request(now, &self.occupancy(), size);
             turned = turned.or(change);
             match ask {
-                Ask::Yes => return (Ok(()), turned),
-                Ask::No(why) => return (Err(why), turned),
-                Ask::Grow => {
+                CapacityDecision::Admit => return (Ok(()), turned),
+                CapacityDecision::Reject(why) => return (Err(why), turned),
+                CapacityDecision::AddSegment => {
                     let failed = self.grow().err().map(|e| why(&e));
-                    turned = turned.or(self.door.grew(now, failed));
+                    turned = turned.or(self.door.on_growth(now, failed));
                 }
             }
         }
     }
 
     /// Writes what happened to an item.
-    pub fn note(&mut self, no: u64, data: &[u8], items: &dyn Items) -> io::Result<()> {
-        self.append(Tag::Note, no, data, items).map(drop)
+    pub fn append_update(
+        &mut self,
+        no: u64,
+        data: &[u8],
+        items: &dyn SnapshotSource,
+    ) -> io::Result<()> {
+        self.append(FrameKind::Update, no, data, items).map(drop)
     }
 
     /// Writes that an item is over. Until that has worked, it is not.
-    pub fn gone(&mut self, no: u64, items: &dyn Items) -> io::Result<()> {
+    pub fn remove(&mut self, no: u64, items: &dyn SnapshotSource) -> io::Result<()> {
         if self.items.contains_key(&no) {
-            self.append(Tag::Gone, no, &[], items)?;
+            self.append(FrameKind::Remove, no, &[], items)?;
             self.unsettle(no);
         }
         Ok(())
     }
 
     /// An item counts for so much from now on.
-    pub fn resize(&mut self, no: u64, size: u64) {
+    pub fn set_reserved_size(&mut self, no: u64, size: u64) {
         if let Some(item) = self.unsettle(no) {
             self.settle(no, item.home, size);
         }
     }
 
     /// Where an item's data stands.
-    pub fn place(&self, no: u64) -> Option<Place> {
+    pub fn reader(&self, no: u64) -> Option<ItemReader> {
         let home = self.items.get(&no)?.home;
-        let segment = &self.segments[self.index(home.seq)?];
-        let (disk, name) = (self.disk.clone(), recover::name(segment.slot));
-        Some(Place {
+        let segment = &self.segments[self.index(home.sequence)?];
+        let (disk, name) = (self.disk.clone(), recover::segment_file_name(segment.slot));
+        Some(ItemReader {
             disk,
             name,
             area: segment.area.clone(),
@@ -392,19 +415,22 @@
     /// Cleans in an idle moment, adds room ahead of need and gives needless room back.
     ///
     /// Says whether it cleaned, so that more of it may be worth while.
-    pub fn tend(&mut self, now: Duration, items: &dyn Items) -> io::Result<bool> {
-        let view = self.view();
-        if view.wants_more() && self.door.may_grow(now) {
+    pub fn maintain(&mut self, now: Duration, items: &dyn SnapshotSource) -> io::Result<bool> {
+        let view = self.occupancy();
+        if view.wants_segment() && self.door.may_grow(now) {
             if let Err(e) = self.grow() {
-                self.door.not_now(now);
+                self.door.defer_growth(now);
                 log::debug!("store: no further segment: {e}");
             }
-        } else if self.door.give_back(now, &view) {
+        } else if self.door.should_release_segment(now, &view) {
             self.shrink()?;
         }
-        let suspect = self.segments.front().is_some_and(|s| s.seq <= self.suspect);
-        let rest = (suspect || self.legacy.is_some()).then_some(super::plan::SLICE.1);
-        match view.idle().or(rest) {
+        let suspect = self
+            .segments
+            .front()
+            .is_some_and(|s| s.sequence <= self.suspect);
+        let rest = (suspect || self.legacy.is_some()).then_some(super::capacity::SLICE.1);
+        match view.idle_cleaning_quota().or(rest) {
             Some(budget) => self.clean(items, budget).map(|_| true),
             None => Ok(false),
         }
@@ -412,7 +438,7 @@
 
     /// Copies up to about so many bytes of what lives in the oldest segments, and ends those in
     /// which nothing does.
-    pub fn clean(&mut self, items: &dyn Items, budget: u64) -> io::Result<u64> {
+    pub fn clean(&mut self, items: &dyn SnapshotSource, budget: u64) -> io::Result<u64> {
         let (mut moved, mut retired) = (0, 0);
         while retired < RETIRED {
             let homes = match (&self.legacy, self.segments.front()) {
@@ -435,26 +461,26 @@
     }
 
     /// Writes an item once more, at the end.
-    fn carry(&mut self, no: u64, items: &dyn Items) -> io::Result<u64> {
-        let place = self.place(no);
+    fn carry(&mut self, no: u64, items: &dyn SnapshotSource) -> io::Result<u64> {
+        let place = self.reader(no);
         let mut old = || match &place {
             Some(place) => place.read(),
             None => Err(io::ErrorKind::NotFound.into()),
         };
         let data = items.snapshot(no, &mut old)?;
-        let (seq, at) = self.write(Tag::Put, no, &data, None)?;
+        let (sequence, at) = self.write(FrameKind::Put, no, &data, None)?;
         let size = self.unsettle(no).map_or(0, |item| item.size);
         self.settle(
             no,
-            Home {
-                seq,
+            FrameLocation {
+                sequence,
                 at,
                 data: data.len(),
             },
             size,
         );
-        let len = frame::size(data.len());
-        self.done.cleaned += len;
+        let len = frame::encoded_len(data.len());
+        self.done.cleaned_bytes += len;
         self.carried = self.position;
         Ok(len)
     }
@@ -463,12 +489,12 @@
     fn retire(&mut self) -> io::Result<()> {
         let head = match (&self.legacy, self.segments.get(1)) {
             (Some(_), _) => 1,
-            (None, Some(next)) => next.seq,
+            (None, Some(next)) => next.sequence,
             (None, None) => return Ok(()),
         };
-        self.write(Tag::Head, head, &[], None)?;
+        self.write(FrameKind::LogStart, head, &[], None)?;
         self.oldest = head;
-        self.done.retired += 1;
+        self.done.retired_segments += 1;
         if let Some((name, ..)) = self.legacy.take() {
             // Should it stay, the next start knows that it counts no more.
             if let Err(e) = self.disk.remove(&name) {
@@ -499,16 +525,21 @@
         let (slot, size) = (spare.slot, spare.size);
         self.spares.push(spare);
         self.keep_open();
-        if size == self.shape.segment || (size >= self.shape.segment / 2 && self.grow().is_err()) {
+        if size == self.shape.segment_bytes
+            || (size >= self.shape.segment_bytes / 2 && self.grow().is_err())
+        {
             return;
         }
-        match self.disk.remove(&recover::name(slot)) {
+        match self.disk.remove(&recover::segment_file_name(slot)) {
             Ok(()) => {
                 self.spares.retain(|s| s.slot != slot);
                 self.dirty.remove(&slot);
                 self.named = true;
             }
-            Err(e) => log::warn!("store: {}: not removed: {e}", recover::name(slot)),
+            Err(e) => log::warn!(
+                "store: {}: not removed: {e}",
+                recover::segment_file_name(slot)
+            ),
         }
     }
 
@@ -520,14 +551,14 @@
                 spare.area = None;
             } else if spare.area.is_none() {
                 // Without a descriptor now, it is tried again when the file is needed.
-                spare.area = self.disk.open(&recover::name(spare.slot)).ok();
+                spare.area = self.disk.open(&recover::segment_file_name(spare.slot)).ok();
             }
         }
     }
 
     /// Adds a segment.
     fn grow(&mut self) -> io::Result<()> {
-        if self.bytes() + self.shape.segment + 2048 > self.limit {
+        if self.bytes() + self.shape.segment_bytes + 2048 > self.limit {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let used: BTreeSet<u32> = self
@@ -542,12 +573,14 @@
             )
             .collect();
         let slot = (0..).find(|slot| !used.contains(slot)).unwrap_or_default();
-        let area = self.disk.create(&recover::name(slot), self.shape.segment)?;
+        let area = self
+            .disk
+            .create(&recover::segment_file_name(slot), self.shape.segment_bytes)?;
         self.named = true;
         self.spares.push(Spare {
             slot,
             area: Some(area),
-            size: self.shape.segment,
+            size: self.shape.segment_bytes,
         });
         self.keep_open();
         Ok(())
@@ -556,7 +589,7 @@
     /// Gives a free segment back to the file system.
     fn shrink(&mut self) -> io::Result<()> {
         if let Some(spare) = self.spares.first() {
-            self.disk.remove(&recover::name(spare.slot))?;
+            self.disk.remove(&recover::segment_file_name(spare.slot))?;
             self.spares.remove(0);
             self.named = true;
         }
@@ -566,24 +599,29 @@
     /// Appends a frame, and pays for it by cleaning.
     fn append(
         &mut self,
-        tag: Tag,
+        kind: FrameKind,
         no: u64,
         data: &[u8],
-        items: &dyn Items,
+        items: &dyn SnapshotSource,
     ) -> io::Result<(u64, u64)> {
-        let len = frame::size(data.len());
-        if let Some(budget) = self.view().clean(len) {
+        let len = frame::encoded_len(data.len());
+        if let Some(budget) = self.occupancy().cleaning_quota(len) {
             self.credit += budget as i64;
             // What cannot be copied now can be later; whether this frame finds room is seen below.
             let moved = self.clean(items, self.credit.max(0) as u64).unwrap_or(0);
             self.credit -= moved as i64;
         }
-        if let Some((seq, at)) = self.mark {
-            self.write(Tag::Mark, seq, &at.to_le_bytes(), Some(items))?;
+        if let Some((sequence, at)) = self.mark {
+            self.write(
+                FrameKind::DurableUpTo,
+                sequence,
+                &at.to_le_bytes(),
+                Some(items),
+            )?;
             self.mark = None;
         }
-        let place = self.write(tag, no, data, Some(items))?;
-        self.done.asked += len;
+        let place = self.write(kind, no, data, Some(items))?;
+        self.done.requested_bytes += len;
         Ok(place)
     }
 
@@ -591,12 +629,12 @@
     /// writes.
     fn write(
         &mut self,
-        tag: Tag,
+        kind: FrameKind,
         no: u64,
         data: &[u8],
-        items: Option<&dyn Items>,
+        items: Option<&dyn SnapshotSource>,
     ) -> io::Result<(u64, u64)> {
-        let len = frame::size(data.len());
+        let len = frame::encoded_len(data.len());
         let mut failed = None;
         for _ in 0..2 {
             if !self.fits(len) {
@@ -620,11 +658,11 @@
             if segment.size.saturating_sub(segment.len) < len {
                 return Err(io::ErrorKind::FileTooLarge.into());
             }
-            let mut bytes = frame::bytes(segment.salt, tag, no, data);
+            let mut bytes = frame::encode(segment.salt, kind, no, data);
             bytes.truncate((segment.size - segment.len) as usize);
             let area = match &segment.area {
                 Some(area) => area.clone(),
-                None => self.disk.open(&recover::name(segment.slot))?,
+                None => self.disk.open(&recover::segment_file_name(segment.slot))?,
             };
             match write_full(&*area, &bytes, segment.len) {
                 Ok(()) => {
@@ -634,10 +672,10 @@
                     if self.synced.is_some() {
                         self.dirty.insert(segment.slot, area.clone());
                     }
-                    return Ok((segment.seq, at));
+                    return Ok((segment.sequence, at));
                 }
                 Err(e) => {
-                    self.done.failed += 1;
+                    self.done.failed_writes += 1;
                     segment.sealed = true;
                     failed = Some(e);
                 }
@@ -659,7 +697,7 @@
 
     /// Has a free segment beyond those that cleaning may need, if one can be had. Cleaning keeps
     /// ahead of this by its pace; where it could not, it is done now.
-    fn make_room(&mut self, items: &dyn Items) -> io::Result<()> {
+    fn make_room(&mut self, items: &dyn SnapshotSource) -> io::Result<()> {
         let mut left = self.segments.len();
         while self.spares.len() <= KEPT as usize && self.grow().is_err() && left > 0 {
             let before = self.spares.len();
@@ -679,10 +717,10 @@
             let _ = self.grow();
         }
         let mut spare = self.spares.pop().ok_or(io::ErrorKind::StorageFull)?;
-        let opened = spare
-            .area
-            .take()
-            .map_or_else(|| self.disk.open(&recover::name(spare.slot)), Ok);
+        let opened = spare.area.take().map_or_else(
+            || self.disk.open(&recover::segment_file_name(spare.slot)),
+            Ok,
+        );
         let area = match opened {
             Ok(area) => area,
             Err(e) => {
@@ -690,21 +728,21 @@
                 return Err(e);
             }
         };
-        let header = Header {
-            seq: self.next_seq,
-            salt: mix(self.seed ^ mix(self.next_seq)),
-            oldest: self.oldest,
-            before: self.segments.back().map_or(BEGIN, |s| s.len),
-            next: self.next,
-            marked: self.synced.is_some(),
+        let header = SegmentHeader {
+            sequence: self.next_sequence,
+            salt: mix(self.seed ^ mix(self.next_sequence)),
+            oldest_sequence: self.oldest,
+            previous_end: self.segments.back().map_or(FRAMES_OFFSET, |s| s.len),
+            next_item: self.next,
+            has_durable_marks: self.synced.is_some(),
         };
         if let Err(e) = write_full(&*area, &header.bytes(), 0) {
-            self.done.failed += 1;
+            self.done.failed_writes += 1;
             // Another file may do better.
             self.spares.insert(0, spare);
             return Err(e);
         }
-        self.next_seq += 1;
+        self.next_sequence += 1;
         if self.synced.is_some() {
             self.dirty.insert(spare.slot, area.clone());
         }
@@ -715,31 +753,37 @@
             .for_each(|s| s.area = None);
         self.keep_open();
         self.segments.push_back(Segment {
-            seq: header.seq,
+            sequence: header.sequence,
             slot: spare.slot,
             area: Some(area),
             size: spare.size,
             salt: header.salt,
-            len: BEGIN,
+            len: FRAMES_OFFSET,
             sealed: false,
             homes: BTreeSet::new(),
         });
         Ok(())
     }
 
-    fn index(&self, seq: u64) -> Option<usize> {
-        self.segments.binary_search_by_key(&seq, |s| s.seq).ok()
+    fn index(&self, sequence: u64) -> Option<usize> {
+        self.segments
+            .binary_search_by_key(&sequence, |s| s.sequence)
+            .ok()
     }
 
-    fn homes(&mut self, seq: u64) -> Option<&mut BTreeSet<u64>> {
-        match self.index(seq) {
+    fn homes(&mut self, sequence: u64) -> Option<&mut BTreeSet<u64>> {
+        match self.index(sequence) {
             Some(at) => Some(&mut self.segments[at].homes),
-            None => self.legacy.as_mut().filter(|_| seq == 0).map(|l| &mut l.2),
+            None => self
+                .legacy
+                .as_mut()
+                .filter(|_| sequence == 0)
+                .map(|l| &mut l.2),
         }
     }
 
-    fn settle(&mut self, no: u64, home: Home, size: u64) {
-        if let Some(homes) = self.homes(home.seq) {
+    fn settle(&mut self, no: u64, home: FrameLocation, size: u64) {
+        if let Some(homes) = self.homes(home.sequence) {
             homes.insert(no);
         }
         *self.sizes.entry(size).or_default() += 1;
@@ -749,7 +793,7 @@
 
     fn unsettle(&mut self, no: u64) -> Option<Item> {
         let item = self.items.remove(&no)?;
-        if let Some(homes) = self.homes(item.home.seq) {
+        if let Some(homes) = self.homes(item.home.sequence) {
             homes.remove(&no);
         }
         self.live -= item.size;
@@ -767,11 +811,11 @@
         self.position
     }
 
-    /// What has to be synced so that everything up to [`Log::position`] is.
-    pub fn unsynced(&mut self) -> Unsynced {
+    /// What has to be synced so that everything up to [`SegmentLog::position`] is.
+    pub fn take_unsynced(&mut self) -> PendingSync {
         let named = std::mem::take(&mut self.named).then(|| self.disk.clone());
-        let end = self.segments.back().map(|s| (s.seq, s.len));
-        Unsynced {
+        let end = self.segments.back().map(|s| (s.sequence, s.len));
+        PendingSync {
             areas: std::mem::take(&mut self.dirty),
             named,
             position: self.position,
@@ -780,7 +824,7 @@
     }
 
     /// Everything up to a position is synced: files that waited for it are free.
-    pub fn is_synced(&mut self, unsynced: &Unsynced) {
+    pub fn mark_synced(&mut self, unsynced: &PendingSync) {
         let position = unsynced.position;
         self.mark = unsynced.end;
         self.synced = self.synced.map(|s| s.max(position));
@@ -793,28 +837,28 @@
 
     /// A sync failed: what was written to these files may be lost, whatever a later sync says. All
     /// that lives in them is written again elsewhere.
-    pub fn sync_failed(&mut self, now: Duration, unsynced: Unsynced) -> Option<Turned> {
+    pub fn sync_failed(&mut self, now: Duration, unsynced: PendingSync) -> Option<GateChange> {
         self.dirty.extend(unsynced.areas);
         self.named |= unsynced.named.is_some();
-        self.suspect = self.segments.back().map_or(0, |s| s.seq);
+        self.suspect = self.segments.back().map_or(0, |s| s.sequence);
         self.segments
             .back_mut()
             .into_iter()
             .for_each(|s| s.sealed = true);
-        self.door.failed(now)
+        self.door.on_write_error(now)
     }
 }
 
 /// Files that a thread may sync.
-pub struct Unsynced {
-    areas: BTreeMap<u32, Arc<dyn Area>>,
+pub struct PendingSync {
+    areas: BTreeMap<u32, Arc<dyn DiskFile>>,
     named: Option<Arc<dyn Disk>>,
     /// How far everything is synced after that.
     pub position: u64,
     end: Option<(u64, u64)>,
 }
 
-impl Unsynced {
+impl PendingSync {
     /// Syncs them; blocks.
     pub fn sync(&self) -> io::Result<()> {
         self.areas.values().try_for_each(|a| a.sync())?;
@@ -824,26 +868,26 @@
 
 /// Where an item's data stands; it may be read on another thread.
 #[derive(Clone)]
-pub struct Place {
+pub struct ItemReader {
     disk: Arc<dyn Disk>,
     name: String,
-    area: Option<Arc<dyn Area>>,
+    area: Option<Arc<dyn DiskFile>>,
     salt: u64,
     no: u64,
-    home: Home,
+    home: FrameLocation,
 }
 
-impl Place {
+impl ItemReader {
     /// Reads the data; blocks. Fails if it stands there no more.
     pub fn read(&self) -> io::Result<Vec<u8>> {
-        let mut bytes = vec![0; frame::size(self.home.data) as usize];
+        let mut bytes = vec![0; frame::encoded_len(self.home.data) as usize];
         let area = self
             .area
             .clone()
             .map_or_else(|| self.disk.open(&self.name), Ok)?;
         read_full(&*area, &mut bytes, self.home.at)?;
-        match frame::read(self.salt, &bytes) {
-            Some(f) if f.no == self.no && f.tag == Tag::Put => Ok(f.data.to_vec()),
+        match frame::decode(self.salt, &bytes) {
+            Some(f) if f.no == self.no && f.kind == FrameKind::Put => Ok(f.data.to_vec()),
             _ => Err(io::Error::new(
                 io::ErrorKind::InvalidData,
                 "the message's own place cannot be read",
@@ -852,12 +896,21 @@
     }
 }
 
+/// What came of a put.
+#[derive(Debug)]
+pub struct PutOutcome {
+    /// The new item's number.
+    pub result: Result<u64, PutError>,
+    /// Whether the gate closed or opened, which is worth a line of the log.
+    pub gate_change: Option<GateChange>,
+}
+
 /// Why an item was not taken in.
 #[derive(Debug, thiserror::Error)]
-pub enum Refused {
+pub enum PutError {
     /// There is no room for it.
     #[error("{0}")]
-    Full(Why),
+    Full(RejectReason),
     /// No segment could hold it.
     #[error("it is longer than a segment of the store")]
     TooLong,
@@ -866,13 +919,13 @@
     Io(#[from] io::Error),
 }
 
-fn why(e: &io::Error) -> Why {
+fn why(e: &io::Error) -> RejectReason {
     match e.kind() {
         // The last is what a bound on the size of files gives.
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
-            Why::Disk
+            RejectReason::FileSystemFull
         }
-        _ => Why::Fault,
+        _ => RejectReason::DeviceError,
     }
 }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,11 +4,11 @@
 //! holds already. `docs/notes/store.md` has the layouts weighed and the invariants, `docs/store.md`
 //! what operators see.
 
+pub mod capacity;
 pub mod disk;
 pub mod faulty;
 pub mod frame;
 pub mod log;
-pub mod plan;
 pub mod recover;
 pub mod sync;
 pub mod worker;
--- a/src/store/recover.rs
+++ b/src/store/recover.rs
@@ -6,7 +6,7 @@
 //! that lines may be missing there.
 
 use super::disk::{read_full, Disk};
-use super::frame::{self, Began, Header, Tag, BEGIN};
+use super::frame::{self, FrameKind, SegmentHeader, SegmentStart, FRAMES_OFFSET};
 use std::collections::HashMap;
 use std::fmt;
 use std::io;
@@ -14,16 +14,16 @@
 /// Takes what is read, in the order in which it was written.
 pub trait Replay {
     /// An item as it stood. An error, if it makes no sense.
-    fn put(&mut self, no: u64, data: &[u8]) -> Result<(), String>;
+    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), String>;
     /// Something that happened to an item, which may be long over.
-    fn note(&mut self, no: u64, data: &[u8]) -> Result<(), String>;
+    fn on_update(&mut self, no: u64, data: &[u8]) -> Result<(), String>;
     /// An item is over.
-    fn gone(&mut self, no: u64);
+    fn on_remove(&mut self, no: u64);
     /// Lines may be missing here: of all items that are open now, more may have happened than was
     /// told. Whether that is so is known at the end.
-    fn doubt(&mut self);
+    fn on_possible_loss(&mut self);
     /// For each doubt, whether lines are missing that were believed to be kept.
-    fn believe(&mut self, lost: &[bool]);
+    fn on_losses_known(&mut self, lost: &[bool]);
 }
 
 /// Something that cannot be read though it was written and counts.
@@ -34,7 +34,7 @@
         /// The segment's file.
         file: String,
         /// The segment.
-        seq: u64,
+        sequence: u64,
         /// Where it begins.
         from: u64,
         /// Where the next frame stands that can be read, or where frames should have ended.
@@ -48,12 +48,12 @@
         to: u64,
     },
     /// A file that is no segment any more, and may have been one.
-    Header {
+    UnreadableHeader {
         /// The file.
         file: String,
     },
     /// A whole frame that makes no sense.
-    Senseless {
+    Malformed {
         /// The segment's file.
         file: String,
         /// Where it stands.
@@ -70,13 +70,13 @@
         match self {
             Damage::Bytes {
                 file,
-                seq,
+                sequence,
                 from,
                 to,
             } => {
                 write!(
                     f,
-                    "{file} (segment {seq}): {} bytes from {from} on cannot be read",
+                    "{file} (segment {sequence}): {} bytes from {from} on cannot be read",
                     to - from
                 )
             }
@@ -84,8 +84,8 @@
                 write!(f, "segment {from} is missing")
             }
             Damage::Missing { from, to } => write!(f, "segments {from} to {} are missing", to - 1),
-            Damage::Header { file } => write!(f, "{file}: its header cannot be read"),
-            Damage::Senseless {
+            Damage::UnreadableHeader { file } => write!(f, "{file}: its header cannot be read"),
+            Damage::Malformed {
                 file,
                 at,
                 no,
@@ -101,13 +101,13 @@
 }
 
 /// A segment that counts.
-pub struct Found {
+pub struct RecoveredSegment {
     /// Number in its file's name.
     pub slot: u32,
     /// Bytes of the file.
     pub size: u64,
     /// Its header.
-    pub header: Header,
+    pub header: SegmentHeader,
     /// Where frames end.
     pub len: u64,
     /// Frames that are whole.
@@ -116,9 +116,9 @@
 
 /// Where an item's `Put` stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct FrameLocation {
     /// The segment.
-    pub seq: u64,
+    pub sequence: u64,
     /// Where its frame begins.
     pub at: u64,
     /// Bytes of data.
@@ -127,13 +127,13 @@
 
 /// What was found.
 #[derive(Default)]
-pub struct Scan {
+pub struct RecoveredLog {
     /// Segments that count, oldest first.
-    pub found: Vec<Found>,
+    pub found: Vec<RecoveredSegment>,
     /// Files that are free, by number, and their bytes.
     pub free: Vec<(u32, u64)>,
     /// Where items stand that are not over.
-    pub homes: HashMap<u64, Home>,
+    pub locations: HashMap<u64, FrameLocation>,
     /// The oldest segment that counts.
     pub oldest: u64,
     /// A number that was never used.
@@ -146,13 +146,13 @@
     pub read: u64,
     /// Everything before this segment and offset was synced, as far as is told.
     mark: (u64, u64),
-    /// Where lines may be missing, the place in [`Scan::damage`], and whether that depends on the
+    /// Where lines may be missing, the place in [`RecoveredLog::damage`], and whether that depends on the
     /// mark.
     doubts: Vec<(u64, u64, usize, bool)>,
 }
 
 /// The name of a segment's file.
-pub fn name(slot: u32) -> String {
+pub fn segment_file_name(slot: u32) -> String {
     format!("{slot:04}.seg")
 }
 
@@ -165,11 +165,11 @@
 
 /// Reads all segments of a folder. `first` is the oldest that counts where no header says
 /// otherwise.
-pub fn scan(disk: &dyn Disk, first: u64, replay: &mut dyn Replay) -> io::Result<Scan> {
-    let mut scan = Scan {
+pub fn scan(disk: &dyn Disk, first: u64, replay: &mut dyn Replay) -> io::Result<RecoveredLog> {
+    let mut scan = RecoveredLog {
         oldest: first,
         next: 0,
-        ..Scan::default()
+        ..RecoveredLog::default()
     };
     let mut unreadable = Vec::new();
     let mut files: Vec<_> = disk
@@ -180,83 +180,94 @@
     files.sort();
     for (slot, name, size) in files {
         let area = disk.open(&name)?;
-        let mut head = vec![0; BEGIN.min(size) as usize];
+        let mut head = vec![0; FRAMES_OFFSET.min(size) as usize];
         read_full(&*area, &mut head, 0)?;
-        match Header::read(&head) {
-            Began::At(header) => {
-                scan.found.push(Found {
+        match SegmentHeader::read(&head) {
+            SegmentStart::Header(header) => {
+                scan.found.push(RecoveredSegment {
                     slot,
                     size,
                     header,
-                    len: BEGIN,
+                    len: FRAMES_OFFSET,
                     frames: 0,
                 });
             }
-            Began::Never => scan.free.push((slot, size)),
-            Began::Unreadable => unreadable.push((slot, size)),
+            SegmentStart::Empty => scan.free.push((slot, size)),
+            SegmentStart::Unreadable => unreadable.push((slot, size)),
         }
     }
-    scan.found.sort_by_key(|f| f.header.seq);
+    scan.found.sort_by_key(|f| f.header.sequence);
     if let Some(newest) = scan.found.last() {
-        scan.oldest = scan.oldest.max(newest.header.oldest);
-        scan.next = newest.header.next;
+        scan.oldest = scan.oldest.max(newest.header.oldest_sequence);
+        scan.next = newest.header.next_item;
     }
     // A file whose use ended counts no more; one that lost its header is free too, once it is known
     // what is missing.
     let oldest = scan.oldest;
-    let (past, found): (Vec<_>, Vec<_>) = scan.found.drain(..).partition(|f| f.header.seq < oldest);
+    let (past, found): (Vec<_>, Vec<_>) = scan
+        .found
+        .drain(..)
+        .partition(|f| f.header.sequence < oldest);
     scan.found = found;
     scan.free.extend(past.into_iter().map(|f| (f.slot, f.size)));
     let damaged = unreadable
         .iter()
-        .map(|(slot, ..)| Damage::Header { file: name(*slot) });
+        .map(|(slot, ..)| Damage::UnreadableHeader {
+            file: segment_file_name(*slot),
+        });
     scan.damage.extend(damaged);
     scan.free.extend(unreadable);
 
     let mut bytes = Vec::new();
     let mut due = oldest.max(1);
     for at in 0..scan.found.len() {
-        let seq = scan.found[at].header.seq;
-        if seq > due && !(at == 0 && oldest == 0) {
-            let marked = scan.found[at].header.marked;
+        let sequence = scan.found[at].header.sequence;
+        if sequence > due && !(at == 0 && oldest == 0) {
+            let marked = scan.found[at].header.has_durable_marks;
             scan.doubt(
                 replay,
                 (due, 0),
                 marked,
-                Damage::Missing { from: due, to: seq },
+                Damage::Missing {
+                    from: due,
+                    to: sequence,
+                },
             );
         }
-        due = seq + 1;
+        due = sequence + 1;
         let next = scan
             .found
             .get(at + 1)
             .map(|f| f.header)
-            .filter(|h| h.seq == seq + 1);
-        scan.segment(disk, at, next.map(|h| h.before), &mut bytes, replay)?;
+            .filter(|h| h.sequence == sequence + 1);
+        scan.segment(disk, at, next.map(|h| h.previous_end), &mut bytes, replay)?;
     }
     scan.believe(replay);
     // What still stands before the log's beginning was over before that was moved.
     let oldest = scan.oldest;
     let over: Vec<u64> = scan
-        .homes
+        .locations
         .iter()
-        .filter(|(_, h)| h.seq < oldest)
+        .filter(|(_, h)| h.sequence < oldest)
         .map(|(no, _)| *no)
         .collect();
     for no in over {
-        scan.homes.remove(&no);
-        replay.gone(no);
+        scan.locations.remove(&no);
+        replay.on_remove(no);
     }
-    let (past, found): (Vec<_>, Vec<_>) = scan.found.drain(..).partition(|f| f.header.seq < oldest);
+    let (past, found): (Vec<_>, Vec<_>) = scan
+        .found
+        .drain(..)
+        .partition(|f| f.header.sequence < oldest);
     scan.found = found;
     scan.free.extend(past.into_iter().map(|f| (f.slot, f.size)));
     Ok(scan)
 }
 
-impl Scan {
+impl RecoveredLog {
     /// Lines may be missing at a place.
     fn doubt(&mut self, replay: &mut dyn Replay, at: (u64, u64), marked: bool, damage: Damage) {
-        replay.doubt();
+        replay.on_possible_loss();
         self.doubts.push((at.0, at.1, self.damage.len(), marked));
         self.damage.push(damage);
     }
@@ -271,10 +282,12 @@
             .iter()
             .map(|d| d.0 >= oldest && (!d.3 || (d.0, d.1) < mark))
             .collect();
-        replay.believe(&lost);
+        replay.on_losses_known(&lost);
         for (doubt, _) in doubts.iter().zip(&lost).rev().filter(|(_, lost)| !**lost) {
             self.torn += match self.damage.remove(doubt.2) {
-                Damage::Bytes { seq, from, to, .. } if seq >= oldest => to - from,
+                Damage::Bytes {
+                    sequence, from, to, ..
+                } if sequence >= oldest => to - from,
                 _ => 0,
             };
         }
@@ -292,11 +305,14 @@
         let newest = which + 1 == self.found.len();
         let found = &self.found[which];
         let (
-            Header {
-                seq, salt, marked, ..
+            SegmentHeader {
+                sequence,
+                salt,
+                has_durable_marks: marked,
+                ..
             },
             file,
-        ) = (found.header, name(found.slot));
+        ) = (found.header, segment_file_name(found.slot));
         bytes.resize(found.size as usize, 0);
         // One file at a time: there may be more of them than descriptors.
         let got = read_full(&*disk.open(&file)?, bytes, 0)?;
@@ -305,24 +321,24 @@
         // A file may have been cut short, too.
         let end = ends.unwrap_or(found.size);
         bytes.truncate(end as usize);
-        let mut at = BEGIN as usize;
+        let mut at = FRAMES_OFFSET as usize;
         loop {
             let rest = bytes.get(at..).unwrap_or_default();
-            let Some(frame) = frame::read(salt, rest) else {
-                if ends.map_or(frame::is_end(rest), |e| at as u64 >= e) {
+            let Some(frame) = frame::decode(salt, rest) else {
+                if ends.map_or(frame::is_end_of_frames(rest), |e| at as u64 >= e) {
                     break;
                 }
-                let next = frame::next(salt, bytes, at + 1);
+                let next = frame::find_next(salt, bytes, at + 1);
                 match (next, ends) {
                     (Some(next), _) => {
                         let (file, from) = (file.clone(), at as u64);
                         let damage = Damage::Bytes {
                             file,
-                            seq,
+                            sequence,
                             from,
                             to: next as u64,
                         };
-                        self.doubt(replay, (seq, from), marked, damage);
+                        self.doubt(replay, (sequence, from), marked, damage);
                         at = next;
                         continue;
                     }
@@ -331,39 +347,39 @@
                         let (file, from) = (file.clone(), at as u64);
                         let damage = Damage::Bytes {
                             file,
-                            seq,
+                            sequence,
                             from,
                             to: end,
                         };
-                        self.doubt(replay, (seq, from), marked, damage);
+                        self.doubt(replay, (sequence, from), marked, damage);
                     }
                 }
                 break;
             };
             self.found[which].frames += 1;
             let no = frame.no;
-            let made = match frame.tag {
-                Tag::Put => {
-                    let home = Home {
-                        seq,
+            let made = match frame.kind {
+                FrameKind::Put => {
+                    let home = FrameLocation {
+                        sequence,
                         at: at as u64,
                         data: frame.data.len(),
                     };
-                    replay.put(no, frame.data).map(|()| {
-                        self.homes.insert(no, home);
+                    replay.on_put(no, frame.data).map(|()| {
+                        self.locations.insert(no, home);
                     })
                 }
-                Tag::Note => replay.note(no, frame.data),
-                Tag::Gone => {
-                    self.homes.remove(&no);
-                    replay.gone(no);
+                FrameKind::Update => replay.on_update(no, frame.data),
+                FrameKind::Remove => {
+                    self.locations.remove(&no);
+                    replay.on_remove(no);
                     Ok(())
                 }
-                Tag::Head => {
+                FrameKind::LogStart => {
                     self.oldest = self.oldest.max(no);
                     Ok(())
                 }
-                Tag::Mark => {
+                FrameKind::DurableUpTo => {
                     let at = frame
                         .data
                         .first_chunk()
@@ -372,17 +388,20 @@
                     Ok(())
                 }
             };
-            if matches!(frame.tag, Tag::Put | Tag::Note | Tag::Gone) {
+            if matches!(
+                frame.kind,
+                FrameKind::Put | FrameKind::Update | FrameKind::Remove
+            ) {
                 self.next = self.next.max(no + 1);
             }
             if let Err(problem) = made {
-                let damage = Damage::Senseless {
+                let damage = Damage::Malformed {
                     file: file.clone(),
                     at: at as u64,
                     no,
                     problem,
                 };
-                self.doubt(replay, (seq, at as u64), false, damage);
+                self.doubt(replay, (sequence, at as u64), false, damage);
             }
             at += frame.len as usize;
         }
@@ -397,7 +416,7 @@
     let told = rest
         .first_chunk()
         .map_or(0, |len| u32::from_le_bytes(*len) as usize);
-    let most = frame::size(told).min(rest.len() as u64) as usize;
+    let most = frame::encoded_len(told).min(rest.len() as u64) as usize;
     rest[..most]
         .iter()
         .rposition(|b| *b != 0)
--- a/src/store/worker.rs
+++ b/src/store/worker.rs
@@ -88,10 +88,13 @@
 
     /// Has some work done there, after all that was brought before. Dropping what comes of it does
     /// not stop the work.
-    pub fn run<T: Send + 'static>(&self, work: impl FnOnce() -> T + Send + 'static) -> Outcome<T> {
-        let slot = Arc::new(Mutex::new(Slot::Open(None)));
-        let promise = Promise(slot.clone());
-        let job: Job = Box::new(move || promise.put(Slot::Done(work())));
+    pub fn run<T: Send + 'static>(
+        &self,
+        work: impl FnOnce() -> T + Send + 'static,
+    ) -> JobHandle<T> {
+        let slot = Arc::new(Mutex::new(JobState::Open(None)));
+        let promise = JobCompletion(slot.clone());
+        let job: Job = Box::new(move || promise.put(JobState::Done(work())));
         let refused = {
             let mut queue = lock(&self.shared.queue);
             match queue.ended {
@@ -104,7 +107,7 @@
         };
         drop(refused);
         self.shared.more.notify_one();
-        Outcome(slot)
+        JobHandle(slot)
     }
 }
 
@@ -115,7 +118,7 @@
     }
 }
 
-enum Slot<T> {
+enum JobState<T> {
     /// Who is to be woken.
     Open(Option<Waker>),
     Done(T),
@@ -124,79 +127,79 @@
 }
 
 /// The side of the one that works: kept, or broken when it is dropped.
-struct Promise<T>(Arc<Mutex<Slot<T>>>);
+struct JobCompletion<T>(Arc<Mutex<JobState<T>>>);
 
-impl<T> Promise<T> {
-    fn put(&self, what: Slot<T>) {
+impl<T> JobCompletion<T> {
+    fn put(&self, what: JobState<T>) {
         let mut slot = lock(&self.0);
-        if !matches!(*slot, Slot::Open(_)) {
+        if !matches!(*slot, JobState::Open(_)) {
             return;
         }
-        if let Slot::Open(Some(waker)) = std::mem::replace(&mut *slot, what) {
+        if let JobState::Open(Some(waker)) = std::mem::replace(&mut *slot, what) {
             drop(slot);
             waker.wake();
         }
     }
 }
 
-impl<T> Drop for Promise<T> {
+impl<T> Drop for JobCompletion<T> {
     fn drop(&mut self) {
-        self.put(Slot::Gone);
+        self.put(JobState::Gone);
     }
 }
 
 /// What comes of a job. It fails when the thread has ended without doing it.
 #[must_use]
-pub struct Outcome<T>(Arc<Mutex<Slot<T>>>);
+pub struct JobHandle<T>(Arc<Mutex<JobState<T>>>);
 
-impl<T> Future for Outcome<T> {
+impl<T> Future for JobHandle<T> {
     type Output = io::Result<T>;
 
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         let mut slot = lock(&self.0);
-        match std::mem::replace(&mut *slot, Slot::Gone) {
-            Slot::Open(_) => {
-                *slot = Slot::Open(Some(cx.waker().clone()));
+        match std::mem::replace(&mut *slot, JobState::Gone) {
+            JobState::Open(_) => {
+                *slot = JobState::Open(Some(cx.waker().clone()));
                 Poll::Pending
             }
-            Slot::Done(done) => Poll::Ready(Ok(done)),
-            Slot::Gone => Poll::Ready(Err(io::Error::other("the store's thread has ended"))),
+            JobState::Done(done) => Poll::Ready(Ok(done)),
+            JobState::Gone => Poll::Ready(Err(io::Error::other("the store's thread has ended"))),
         }
     }
 }
 
 /// Something that is lent to the thread with one piece of work after another, and is either here or
 /// there.
-pub struct Lent<K, J, R> {
+pub struct Offloaded<K, J, R> {
     worker: Worker,
     work: fn(&mut K, &J) -> R,
-    here: Option<K>,
-    out: Option<Outcome<(K, J, R)>>,
+    idle: Option<K>,
+    running: Option<JobHandle<(K, J, R)>>,
 }
 
-impl<K: Send + 'static, J: Send + 'static, R: Send + 'static> Lent<K, J, R> {
+impl<K: Send + 'static, J: Send + 'static, R: Send + 'static> Offloaded<K, J, R> {
     /// It is here; `work` is what the thread does with it.
     pub fn new(worker: Worker, thing: K, work: fn(&mut K, &J) -> R) -> Self {
-        Lent {
+        Offloaded {
             worker,
             work,
-            here: Some(thing),
-            out: None,
+            idle: Some(thing),
+            running: None,
         }
     }
 
     /// What is lent, where it is here.
-    pub fn here(&self) -> Option<&K> {
-        self.here.as_ref()
+    pub fn idle(&self) -> Option<&K> {
+        self.idle.as_ref()
     }
 
     /// Lends it with a piece of work, or gives that back where it is lent already.
-    pub fn lend(&mut self, job: J) -> Result<(), J> {
-        let Some(mut thing) = self.here.take() else {
+    pub fn start_job(&mut self, job: J) -> Result<(), J> {
+        let Some(mut thing) = self.idle.take() else {
             return Err(job);
         };
         let work = self.work;
-        self.out = Some(self.worker.run(move || {
+        self.running = Some(self.worker.run(move || {
             let came = work(&mut thing, &job);
             (thing, job, came)
         }));
@@ -206,12 +209,12 @@
     /// Waits until it is back, for ever where it is not lent; gives the piece of work and what came
     /// of it. Dropped while it waits, it loses nothing: the next call waits for the same. Fails,
     /// also each time after, when the thread has ended.
-    pub async fn back(&mut self) -> io::Result<(J, R)> {
-        let Some(out) = &mut self.out else {
+    pub async fn finished(&mut self) -> io::Result<(J, R)> {
+        let Some(out) = &mut self.running else {
             return pending().await;
         };
         let (thing, job, came) = out.await?;
-        (self.here, self.out) = (Some(thing), None);
+        (self.idle, self.running) = (Some(thing), None);
         Ok((job, came))
     }
 }
--- a/tests/invocation.rs
+++ b/tests/invocation.rs
@@ -10,7 +10,7 @@
 use raildeal::delivery::driver::{DispatcherDriver, DriverEffects};
 use raildeal::delivery::endpoint::{Endpoint, EndpointEntry, EndpointListUpdate};
 use raildeal::delivery::endpoint_directory::EndpointDirectory;
-use raildeal::delivery::journal::{Account, Durability, Journal, Record, Setup};
+use raildeal::delivery::journal::{Durability, Journal, JournalOptions, MessageRecord, OpenRecord};
 use raildeal::delivery::message::{resume, serve, DeliveryContext, Reply};
 use raildeal::delivery::policies::Terms;
 use raildeal::delivery::timer_wheel::TimerWheel;
@@ -18,7 +18,7 @@
     AttemptRequest, EndpointClient, Envelope, Frontend, Local, Report, Verdict,
 };
 use raildeal::dispatch::routing::{Routes, Said};
-use raildeal::store::faulty::Faulty;
+use raildeal::store::faulty::FaultyDisk;
 use raildeal::{Class, Condition, DedupScope, Dispatcher, Effect, Kind, Outcome, Settings};
 use std::any::Any;
 use std::cell::RefCell;
@@ -153,7 +153,7 @@
 /// A house on a folder, whose providers give these answers, and what it is made of.
 fn house(
     folder: &TempDir,
-    setup: Setup,
+    setup: JournalOptions,
     answers: &[Outcome],
     meanwhile: Option<Meanwhile>,
     executor: &LocalExecutor<'static>,
@@ -165,11 +165,11 @@
 /// The same, with what an earlier one held.
 fn house_again(
     folder: &TempDir,
-    setup: Setup,
+    setup: JournalOptions,
     answers: &[Outcome],
     meanwhile: Option<Meanwhile>,
     executor: &LocalExecutor<'static>,
-) -> (Rc<DeliveryContext>, Rc<Answers>, Rc<Told>, Vec<Record>) {
+) -> (Rc<DeliveryContext>, Rc<Answers>, Rc<Told>, Vec<OpenRecord>) {
     let (journal, records) = Journal::open(folder.path(), setup).expect("opened");
     let directory = Rc::new(EndpointDirectory::new(
         &[],
@@ -229,7 +229,9 @@
     executor
         .spawn(async move { desk.keep_time(&timing).await })
         .detach();
-    executor.spawn(async move { journal.sync().await }).detach();
+    executor
+        .spawn(async move { journal.run_sync().await })
+        .detach();
     (house, invoker, front, records)
 }
 
@@ -277,7 +279,7 @@
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
     let (house, invoker, front) = house(
         &folder,
-        Setup::new(1_000_000),
+        JournalOptions::new(1_000_000),
         answers,
         meanwhile,
         &executor,
@@ -298,15 +300,16 @@
 }
 
 /// What the next process finds after a cut at this byte.
-fn after(bytes: &[u8], cut: usize) -> Option<Account> {
+fn after(bytes: &[u8], cut: usize) -> Option<MessageRecord> {
     let image = [(segment(), bytes[..cut].to_vec())].into();
     let (disk, time) = (
-        Arc::new(Faulty::holding(image)),
+        Arc::new(FaultyDisk::from_image(image)),
         Box::new(|| Duration::ZERO),
     );
     let (_, records) =
-        Journal::on(disk, Setup::new(1_000_000), None, Vec::new(), time).expect("opened");
-    records.first().map(|r| r.account())
+        Journal::open_on(disk, JournalOptions::new(1_000_000), None, Vec::new(), time)
+            .expect("opened");
+    records.first().map(|r| r.snapshot())
 }
 
 /// However early a process ends, the next one must not take a message for one that never ran once a
@@ -390,7 +393,7 @@
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
     let (house, invoker, front) = house(
         &folder,
-        Setup::new(1_000_000),
+        JournalOptions::new(1_000_000),
         &[full, Outcome::Delivered],
         None,
         &executor,
@@ -428,7 +431,7 @@
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
     let (house, invoker, front) = house(
         &folder,
-        Setup::new(1_000_000),
+        JournalOptions::new(1_000_000),
         &[Outcome::Delivered],
         None,
         &executor,
@@ -452,7 +455,13 @@
     let full = Outcome::Rejected { wait: 12 * SEC };
     {
         let executor = LocalExecutor::new();
-        let (house, invoker, _) = house(&folder, Setup::new(1_000_000), &[full], None, &executor);
+        let (house, invoker, _) = house(
+            &folder,
+            JournalOptions::new(1_000_000),
+            &[full],
+            None,
+            &executor,
+        );
         with_tables(&house);
         house.route_by(1);
         let (client, envelope, left) = message();
@@ -467,13 +476,13 @@
     let executor = LocalExecutor::new();
     let (house, invoker, front, records) = house_again(
         &folder,
-        Setup::new(1_000_000),
+        JournalOptions::new(1_000_000),
         &[Outcome::Delivered],
         None,
         &executor,
     );
     let [record] = records.try_into().unwrap_or_else(|_| panic!("one is held"));
-    assert_eq!(record.account().table, 1);
+    assert_eq!(record.snapshot().table, 1);
     with_tables(&house);
     house.route_by(2);
     async_io::block_on(executor.run(resume(house, record)));
@@ -495,7 +504,13 @@
     {
         let executor = LocalExecutor::new();
         let full = Outcome::Rejected { wait: 12 * SEC };
-        let (house, invoker, _) = house(&folder, Setup::new(1_000_000), &[full], None, &executor);
+        let (house, invoker, _) = house(
+            &folder,
+            JournalOptions::new(1_000_000),
+            &[full],
+            None,
+            &executor,
+        );
         assert!(house.tables.add(1, routes.clone()) && house.route_by(1));
         let (client, envelope, left) = message();
         let served = serve(
@@ -519,7 +534,7 @@
     let executor = LocalExecutor::new();
     let (house, invoker, front, records) = house_again(
         &folder,
-        Setup::new(1_000_000),
+        JournalOptions::new(1_000_000),
         &[Outcome::Delivered],
         None,
         &executor,
@@ -540,7 +555,13 @@
     // Or the door stays as it is, and the table is another one.
     for door in [Some(Gate::Fenced), Some(Gate::Paused), Some(over), None] {
         let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
-        let (house, invoker, front) = house(&folder, Setup::new(1_000_000), &[], None, &executor);
+        let (house, invoker, front) = house(
+            &folder,
+            JournalOptions::new(1_000_000),
+            &[],
+            None,
+            &executor,
+        );
         house.admission.set(Gate::Open {
             until: Some(Instant::now() + Duration::from_secs(60)),
         });
@@ -560,7 +581,10 @@
         );
         async_io::block_on(executor.run(served));
         assert_eq!(
-            (heard.borrow().as_slice(), house.journal.done().asked),
+            (
+                heard.borrow().as_slice(),
+                house.journal.statistics().requested_bytes
+            ),
             (&["rejected"][..], 0)
         );
         assert!(invoker.went.borrow().is_empty() && house.names.borrow().is_empty());
@@ -575,9 +599,9 @@
         (Gate::Open { until: None }, "taken on"),
     ] {
         let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
-        let setup = Setup {
+        let setup = JournalOptions {
             durability: Durability::Machine,
-            ..Setup::new(1_000_000)
+            ..JournalOptions::new(1_000_000)
         };
         let (house, invoker, _) = house(&folder, setup, &[Outcome::Delivered], None, &executor);
         house.admission.set(Gate::Open { until: None });
@@ -599,7 +623,7 @@
         );
         async_io::block_on(executor.run(both));
         assert_eq!(heard.borrow().as_slice(), [told, told]);
-        assert!(house.journal.done().asked > 0);
+        assert!(house.journal.statistics().requested_bytes > 0);
         assert_eq!(invoker.went.borrow().len(), usize::from(told == "taken on"));
         drop((house, executor));
         let (_, left) = Journal::open(folder.path(), setup).expect("opened");
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -2,10 +2,12 @@
 //! and that it keeps its limit.
 
 use raildeal::delivery::journal::legacy_v1 as v1;
-use raildeal::delivery::journal::{Account, Journal, Record, Sent, Setup};
+use raildeal::delivery::journal::{
+    AttemptStart, Journal, JournalOptions, MessageRecord, OpenRecord,
+};
 use raildeal::delivery::{unix_ms, Envelope, Verdict};
 use raildeal::store::disk::Folder;
-use raildeal::store::log::{Items, Log, Options, Refused, DESCRIPTORS};
+use raildeal::store::log::{LogOptions, PutError, SegmentLog, SnapshotSource, MAX_OPEN_FILES};
 use raildeal::store::recover::Replay;
 use raildeal::NO_TENANT;
 use serde::Serialize;
@@ -30,13 +32,13 @@
     }
 }
 
-fn open(folder: &TempDir, limit: u64) -> (Rc<Journal>, Vec<Record>) {
-    Journal::open(folder.path(), Setup::new(limit)).expect("opened")
+fn open(folder: &TempDir, limit: u64) -> (Rc<Journal>, Vec<OpenRecord>) {
+    Journal::open(folder.path(), JournalOptions::new(limit)).expect("opened")
 }
 
-fn take_on(journal: &Rc<Journal>, id: &str) -> Record {
+fn take_on(journal: &Rc<Journal>, id: &str) -> OpenRecord {
     journal
-        .take_on(envelope(id, 200), LEFT, 0, 0)
+        .append_accepted(envelope(id, 200), LEFT, 0, 0)
         .expect("taken on")
 }
 
@@ -59,23 +61,23 @@
     let (journal, none) = open(&folder, ROOM);
     assert!(none.is_empty());
     let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| take_on(&journal, id));
-    a.sent("x").expect("written");
-    b.sent("x").expect("written");
-    b.back(false);
-    c.sent("x").expect("written");
-    c.back(true);
-    c.sent("y").expect("written");
-    c.back(true);
-    c.ended(Verdict::Deferred { again_ms: 500 })
+    a.attempt_started("x").expect("written");
+    b.attempt_started("x").expect("written");
+    b.attempt_ended(false);
+    c.attempt_started("x").expect("written");
+    c.attempt_ended(true);
+    c.attempt_started("y").expect("written");
+    c.attempt_ended(true);
+    c.decided(Verdict::Deferred { again_ms: 500 })
         .expect("written");
     d.close().expect("written");
     drop((journal, a, b, c));
     // Open it twice: the second time from its own compaction.
     for _ in 0..2 {
         let (_, records) = open(&folder, ROOM);
-        let [a, b, c] = <[Record; 3]>::try_from(records)
+        let [a, b, c] = <[OpenRecord; 3]>::try_from(records)
             .unwrap_or_else(|_| panic!("three"))
-            .map(|r| r.account());
+            .map(|r| r.snapshot());
         assert_eq!(
             (&*a.envelope, a.expires_ms - a.taken_ms, a.attempts),
             (&envelope("a", 200), 16_000, 1)
@@ -101,45 +103,48 @@
 #[test]
 fn the_policy_that_a_message_was_taken_on_under_and_its_tenant_outlive_processes_and_cleaning() {
     let folder = TempDir::new().expect("a folder");
-    let setup = Setup {
-        bodies: 3_000,
-        ..Setup::new(600_000)
+    let setup = JournalOptions {
+        cached_body_bytes: 3_000,
+        ..JournalOptions::new(600_000)
     };
     let opened = || Journal::open(folder.path(), setup).expect("opened");
     // Every third names none, and every third the first one.
     let tenant = |n: u64| [0, n as u16, NO_TENANT][n as usize % 3];
     let (journal, _) = opened();
-    let held: Vec<Record> = (0..20)
+    let held: Vec<OpenRecord> = (0..20)
         .map(|n| {
             let envelope = Envelope {
                 tenant: tenant(n),
                 ..envelope(&format!("m{n}"), 400)
             };
-            journal.take_on(envelope, LEFT, n * 100, 0).expect("room")
+            journal
+                .append_accepted(envelope, LEFT, n * 100, 0)
+                .expect("room")
         })
         .collect();
-    held.iter().for_each(|r| r.sent("x").expect("written"));
+    held.iter()
+        .for_each(|r| r.attempt_started("x").expect("written"));
     for _ in 0..3 {
         // Enough is written that all that stays is copied.
         for n in 0..200 {
             journal
-                .take_on(envelope(&format!("n{n}"), 4_000), LEFT, 7, 0)
+                .append_accepted(envelope(&format!("n{n}"), 4_000), LEFT, 7, 0)
                 .expect("room")
                 .close()
                 .expect("closed");
-            journal.tend_once();
+            journal.maintain_once();
         }
     }
-    assert!(journal.done().cleaned > 0);
+    assert!(journal.statistics().cleaned_bytes > 0);
     drop((journal, held));
     for _ in 0..2 {
         let (_journal, records) = opened();
-        let policies: Vec<u64> = records.iter().map(|r| r.account().policy).collect();
+        let policies: Vec<u64> = records.iter().map(|r| r.snapshot().policy).collect();
         assert_eq!(policies, (0..20).map(|n| n * 100).collect::<Vec<_>>());
         assert!(records.iter().any(|r| r.envelope().away > 0));
         let wholes = records
             .iter()
-            .map(|r| async_io::block_on(r.whole()).expect("read").tenant);
+            .map(|r| async_io::block_on(r.load_envelope()).expect("read").tenant);
         let tenants: Vec<_> = records
             .iter()
             .map(|r| r.envelope().tenant)
@@ -150,7 +155,7 @@
             (0..20).map(|n| (tenant(n), tenant(n))).collect::<Vec<_>>()
         );
     }
-    let seen = raildeal::delivery::journal::inspect::survey(folder.path()).expect("read");
+    let seen = raildeal::delivery::journal::inspect::inspect(folder.path()).expect("read");
     assert_eq!(seen.messages.iter().map(|m| m.policy).max(), Some(1_900));
     assert_eq!(
         seen.messages.iter().map(|m| m.tenant).max(),
@@ -161,22 +166,22 @@
 /// Nothing is replayed, nothing copied.
 struct Fresh;
 
-impl Items for Fresh {
+impl SnapshotSource for Fresh {
     fn snapshot(&self, _: u64, _: &mut dyn FnMut() -> io::Result<Vec<u8>>) -> io::Result<Vec<u8>> {
         unreachable!("there is nothing to clean")
     }
 }
 
 impl Replay for Fresh {
-    fn put(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_put(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
         Ok(())
     }
-    fn note(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
         Ok(())
     }
-    fn gone(&mut self, _: u64) {}
-    fn doubt(&mut self) {}
-    fn believe(&mut self, _: &[bool]) {}
+    fn on_remove(&mut self, _: u64) {}
+    fn on_possible_loss(&mut self) {}
+    fn on_losses_known(&mut self, _: &[bool]) {}
 }
 
 /// Accounts as they were written before messages had a tenant: bare, with a policy behind them, and
@@ -189,18 +194,18 @@
         taken_ms: u64,
         expires_ms: u64,
         attempts: u16,
-        ran: Option<Sent>,
-        out: Option<Sent>,
+        ran: Option<AttemptStart>,
+        out: Option<AttemptStart>,
         verdict: Option<Verdict>,
     }
     let folder = TempDir::new().expect("a folder");
     let disk = Arc::new(Folder::new(folder.path()));
-    let options = Options {
-        limit: ROOM,
+    let options = LogOptions {
+        limit_bytes: ROOM,
         seed: 3,
-        synced: false,
+        sync_required: false,
     };
-    let mut log = Log::open(disk, options, None, &mut Fresh, |_, _| 0)
+    let mut log = SegmentLog::open(disk, options, None, &mut Fresh, |_, _| 0)
         .expect("opened")
         .log;
     let behind: [&[u64]; 3] = [&[], &[300], &[0, 7]];
@@ -221,12 +226,12 @@
             .iter()
             .fold(bytes, |b, n| postcard::to_extend(n, b).expect("encodes"));
         log.put(Duration::ZERO, &bytes, 1_000, &Fresh)
-            .0
+            .result
             .expect("written");
     }
     drop(log);
     let (_journal, records) = open(&folder, ROOM);
-    let read = records.iter().map(|r| r.account());
+    let read = records.iter().map(|r| r.snapshot());
     let read: Vec<_> = read
         .map(|a| ((*a.envelope).clone(), a.attempts, a.policy, a.table))
         .collect();
@@ -265,7 +270,7 @@
     let (journal, records) = open(&folder, ROOM);
     assert_eq!(records.len(), 1);
     assert_eq!(
-        records[0].account().ran,
+        records[0].snapshot().ran,
         None,
         "a torn end says nothing of what is whole"
     );
@@ -290,7 +295,7 @@
     let (_journal, records) = open(&folder, ROOM);
     let told: Vec<_> = records
         .iter()
-        .map(|r| (r.envelope().id.clone(), r.ran().is_some()))
+        .map(|r| (r.envelope().id.clone(), r.first_possible_run().is_some()))
         .collect();
     assert_eq!(told, [("a".to_string(), true), ("c".to_string(), false)]);
 }
@@ -298,11 +303,11 @@
 #[test]
 fn the_first_form_is_read_and_gone_once_all_is_copied() {
     let folder = TempDir::new().expect("a folder");
-    let sent = Sent {
+    let sent = AttemptStart {
         at_ms: unix_ms() - 500,
         zone: "x".into(),
     };
-    let account = |id: &str| Account {
+    let account = |id: &str| MessageRecord {
         envelope: Rc::new(envelope(id, 300)),
         taken_ms: 0,
         expires_ms: unix_ms() + 9_000,
@@ -325,10 +330,10 @@
         let (journal, records) = open(&folder, ROOM);
         let ids: Vec<_> = records.iter().map(|r| r.envelope().id.clone()).collect();
         assert_eq!(ids, ["a", "b"], "round {round}");
-        assert_eq!(records[0].account().may_have_run(), Some(&sent));
-        assert!(records[0].left() > Duration::from_secs(5));
+        assert_eq!(records[0].snapshot().may_have_run(), Some(&sent));
+        assert!(records[0].time_left() > Duration::from_secs(5));
         if round == 1 {
-            while journal.tend_once() {}
+            while journal.maintain_once() {}
         }
         let old = ["journal", "journal.new"].map(|name| folder.path().join(name).exists());
         assert_eq!(old, [round == 0, false], "round {round}");
@@ -339,13 +344,13 @@
 fn after_a_clock_was_set_back_no_call_looks_recent_and_no_message_gains_time() {
     for (ahead, knows) in [(0, true), (3_600_000, false)] {
         let folder = TempDir::new().expect("a folder");
-        let out = Some(Sent {
+        let out = Some(AttemptStart {
             at_ms: unix_ms() + ahead - 100,
             zone: "x".into(),
         });
         let (envelope, taken_ms) = (Rc::new(envelope("a", 300)), unix_ms() + ahead - 200);
         let expires_ms = taken_ms + 9_000;
-        let account = Account {
+        let account = MessageRecord {
             envelope,
             taken_ms,
             expires_ms,
@@ -358,8 +363,8 @@
         };
         fs::write(folder.path().join("journal"), v1::file(&[(1, account)])).expect("written");
         let (_journal, records) = open(&folder, ROOM);
-        records[0].back(true);
-        let (zone, age) = records[0].ran().expect("it may have run");
+        records[0].attempt_ended(true);
+        let (zone, age) = records[0].first_possible_run().expect("it may have run");
         assert_eq!((zone.as_str(), age.is_some()), ("x", knows), "{ahead}");
     }
 }
@@ -367,28 +372,28 @@
 #[test]
 fn bodies_beyond_what_memory_may_hold_are_read_back_wherever_they_are_by_then() {
     let folder = TempDir::new().expect("a folder");
-    let setup = Setup {
-        bodies: 50_000,
-        ..Setup::new(3_000_000)
+    let setup = JournalOptions {
+        cached_body_bytes: 50_000,
+        ..JournalOptions::new(3_000_000)
     };
     let (journal, _) = Journal::open(folder.path(), setup).expect("opened");
     let records: Vec<_> = (0..20)
         .map(|i| {
             journal
-                .take_on(envelope(&format!("m{i}"), 10_000 + i), LEFT, 0, 0)
+                .append_accepted(envelope(&format!("m{i}"), 10_000 + i), LEFT, 0, 0)
                 .expect("taken on")
         })
         .collect();
     // Lines enough for several rounds through all segments, so that everything was copied more than
     // once.
     for i in 0..20_000 {
-        records[i % 20].sent("zone").expect("written");
-        records[i % 20].back(false);
+        records[i % 20].attempt_started("zone").expect("written");
+        records[i % 20].attempt_ended(false);
     }
-    let check = |records: &[Record]| {
+    let check = |records: &[OpenRecord]| {
         for (i, record) in records.iter().enumerate() {
             assert_eq!(record.envelope().size(), 10_000 + i);
-            let whole = async_io::block_on(record.whole()).expect("read");
+            let whole = async_io::block_on(record.load_envelope()).expect("read");
             assert_eq!((whole.body.len(), whole.away), (10_000 + i, 0));
         }
         let kept = records.iter().filter(|r| r.envelope().away == 0).count();
@@ -406,9 +411,9 @@
     let (journal, _) = open(&folder, limit);
     let mut held = Vec::new();
     loop {
-        match journal.take_on(envelope("m", 2000), LEFT, 0, 0) {
+        match journal.append_accepted(envelope("m", 2000), LEFT, 0, 0) {
             Ok(record) => held.push(record),
-            Err(Refused::Full(_)) => break,
+            Err(PutError::Full(_)) => break,
             Err(e) => panic!("{e}"),
         }
     }
@@ -416,8 +421,8 @@
     // Attempts of what is open go on being written, however many there are.
     for i in 0..20_000 {
         let record = &held[i % held.len()];
-        record.sent("zone").expect("written");
-        record.back(false);
+        record.attempt_started("zone").expect("written");
+        record.attempt_ended(false);
         let now = size(folder.path());
         assert!(now <= limit, "{now} bytes after {i}");
     }
@@ -427,7 +432,7 @@
     std::thread::sleep(Duration::from_millis(150)); // what shut the door keeps it shut for a while
     held.push(
         journal
-            .take_on(envelope("n", 2000), LEFT, 0, 0)
+            .append_accepted(envelope("n", 2000), LEFT, 0, 0)
             .expect("taken on"),
     );
     let kept = held.len();
@@ -448,7 +453,7 @@
     let mut records: Vec<_> = (0..300)
         .map(|i| {
             journal
-                .take_on(envelope(&format!("m{i}"), 3_000), LEFT, 0, 0)
+                .append_accepted(envelope(&format!("m{i}"), 3_000), LEFT, 0, 0)
                 .expect("room")
         })
         .collect();
@@ -456,20 +461,20 @@
         records.remove(0).close().expect("written");
         records.push(
             journal
-                .take_on(envelope("n", 3_000), LEFT, 0, 0)
+                .append_accepted(envelope("n", 3_000), LEFT, 0, 0)
                 .expect("room"),
         );
     }
     let files = fs::read_dir(folder.path()).expect("a folder").count();
     assert!(
-        files > DESCRIPTORS + 4 && held(&folder) <= DESCRIPTORS,
+        files > MAX_OPEN_FILES + 4 && held(&folder) <= MAX_OPEN_FILES,
         "{} of {files}",
         held(&folder)
     );
     drop((journal, records));
     let (_journal, records) = open(&folder, 3_000_000);
     assert!(
-        records.len() == 300 && held(&folder) <= DESCRIPTORS,
+        records.len() == 300 && held(&folder) <= MAX_OPEN_FILES,
         "{} after a start",
         held(&folder)
     );
@@ -480,7 +485,7 @@
     let folder = TempDir::new().expect("a folder");
     let first = open(&folder, ROOM);
     let refused = |words: &str| {
-        let told = Journal::open(folder.path(), Setup::new(ROOM))
+        let told = Journal::open(folder.path(), JournalOptions::new(ROOM))
             .err()
             .expect("refused")
             .to_string();
@@ -499,9 +504,9 @@
     let mut waiting = Vec::new();
     for _ in 0..40 {
         let record = journal
-            .take_on(envelope("m", 20_000), LEFT, 0, 0)
+            .append_accepted(envelope("m", 20_000), LEFT, 0, 0)
             .expect("room");
-        record.ended(Verdict::Delivered).expect("written");
+        record.decided(Verdict::Delivered).expect("written");
         waiting.push(record);
     }
 }
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -14,7 +14,7 @@
 use raildeal::coordination::raft_group::{Event, Group, Held, Member, No};
 use raildeal::coordination::raft_log::{whole, Base, Batch, Identity, Keep, Line, Piece, Unsaved};
 use raildeal::coordination::record::Command;
-use raildeal::store::faulty::{Fault, Faulty, Image};
+use raildeal::store::faulty::{DiskImage, Fault, FaultyDisk};
 use raildeal_test_harness::relay::{Fault as Cut, Relay};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Write};
@@ -600,14 +600,18 @@
     }
 }
 
-fn open(disk: &Faulty) -> (Keep, Option<Base>) {
+fn open(disk: &FaultyDisk) -> (Keep, Option<Base>) {
     Keep::open(Arc::new(disk.clone()), DISK, 5).expect("a start succeeds")
 }
 
 /// Writes a history, with a fault at one of its operations; looks at what the next process finds.
 /// Gives the operations.
-fn write_history(seed: u64, fault: Option<(u64, Fault)>, after: fn(&Faulty, u64) -> Image) -> u64 {
-    let disk = Faulty::new();
+fn write_history(
+    seed: u64,
+    fault: Option<(u64, Fault)>,
+    after: fn(&FaultyDisk, u64) -> DiskImage,
+) -> u64 {
+    let disk = FaultyDisk::new();
     if let Some((at, fault)) = fault {
         disk.fail(at, fault);
     }
@@ -623,7 +627,7 @@
             match keep.save(&piece) {
                 Ok(()) => saved = Some(trying.clone()),
                 // It is tried again, as the driver does.
-                Err(Unsaved::Later(_)) if !disk.is_dead() && step < 59 => continue,
+                Err(Unsaved::Later(_)) if !disk.is_killed() && step < 59 => continue,
                 Err(_) => break,
             }
             assert!(disk.size() <= DISK, "{told}: over the limit");
@@ -634,7 +638,7 @@
     let mut image = after(&disk, seed);
     // What was found is believed from then on, whatever happens next.
     for _ in 0..2 {
-        let disk = Faulty::holding(image);
+        let disk = FaultyDisk::from_image(image);
         let (mut keep, found) = open(&disk);
         match (&found, &saved) {
             (None, None) => return operations,
@@ -655,16 +659,16 @@
     operations
 }
 
-fn killed(disk: &Faulty, _: u64) -> Image {
+fn killed(disk: &FaultyDisk, _: u64) -> DiskImage {
     disk.after_kill()
 }
 
-fn unpowered(disk: &Faulty, seed: u64) -> Image {
+fn unpowered(disk: &FaultyDisk, seed: u64) -> DiskImage {
     let mut coin = fastrand::Rng::with_seed(seed ^ disk.operations());
     disk.after_power_cut(|| coin.bool())
 }
 
-fn campaign(faults: &[Fault], after: fn(&Faulty, u64) -> Image) {
+fn campaign(faults: &[Fault], after: fn(&FaultyDisk, u64) -> DiskImage) {
     let every = if std::env::var_os("KEEPER_SEEDS").is_some() {
         1
     } else {
@@ -712,7 +716,7 @@
 
 #[test]
 fn a_full_disk_stops_what_is_acknowledged_and_never_harms_it() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let (mut keep, _) = open(&disk);
     let mut script = Script::new(3);
     keep.save(&Piece::Base(Box::new(script.now.clone())))
@@ -738,7 +742,7 @@
         matches!(full, Some(Unsaved::Later(_))),
         "{full:?} after {kept}"
     );
-    let (_, found) = open(&Faulty::holding(disk.after_power_cut(|| false)));
+    let (_, found) = open(&FaultyDisk::from_image(disk.after_power_cut(|| false)));
     let found = found.expect("all of it");
     assert_eq!(found.hard, saved.hard);
     assert_eq!(
@@ -753,7 +757,7 @@
 
 #[test]
 fn a_log_with_a_hole_may_not_vote() {
-    let disk = Faulty::new();
+    let disk = FaultyDisk::new();
     let (mut keep, _) = open(&disk);
     let mut script = Script::new(9);
     keep.save(&Piece::Base(Box::new(script.now.clone())))
@@ -768,7 +772,7 @@
         .find(|bytes| bytes.starts_with(b"raildeal store"))
         .expect("a segment");
     written[20_000] ^= 1;
-    let told = Keep::open(Arc::new(Faulty::holding(image)), DISK, 5)
+    let told = Keep::open(Arc::new(FaultyDisk::from_image(image)), DISK, 5)
         .err()
         .map(|e| e.to_string());
     assert!(
