--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -7,9 +7,9 @@
 #![allow(clippy::duplicate_mod)]
 
 use futures_lite::FutureExt;
-use raildeal::store::disk::{Area, Disk};
-use raildeal::store::faulty::Faulty;
-use raildeal::store::log::{Items, Log, Options};
+use raildeal::store::disk::{Disk, DiskFile};
+use raildeal::store::faulty::FaultyDisk;
+use raildeal::store::log::{LogOptions, SegmentLog, SnapshotSource};
 use raildeal::store::recover::Replay;
 use std::collections::BTreeMap;
 use std::io;
@@ -63,7 +63,7 @@
 /// Set in a process that plays a model with its fault.
 const PLANTED: &str = "ORDERS_PLANTED";
 
-use checked::worker::{Lent, Outcome, Worker};
+use checked::worker::{JobHandle, Offloaded, Worker};
 use loom::future::block_on;
 
 /// Plays a model in all orders in which a thread is stopped for another one at most so often where
@@ -151,8 +151,8 @@
     true
 }
 
-fn lent(log: &Shared) -> Lent<Shared, u64, bool> {
-    Lent::new(start(), log.clone(), save)
+fn lent(log: &Shared) -> Offloaded<Shared, u64, bool> {
+    Offloaded::new(start(), log.clone(), save)
 }
 
 #[test]
@@ -190,11 +190,11 @@
             assert_eq!(lost, None, "told, and a cut of power now would lose it");
         });
         let mut keep = lent(&log);
-        keep.lend(1).expect("here");
+        keep.start_job(1).expect("here");
         if early {
             log.lock().expect("whole").told.push(1);
         }
-        assert_eq!(block_on(keep.back()).expect("back"), (1, true));
+        assert_eq!(block_on(keep.finished()).expect("back"), (1, true));
         log.lock().expect("whole").told.push(1);
         cut.join().expect("seen");
     });
@@ -205,7 +205,7 @@
     finds("ending", "the log is lost", |lets_go| {
         let log = world(0);
         let tells = start();
-        let told: Outcome<()> = tells.run(|| ());
+        let told: JobHandle<()> = tells.run(|| ());
         let ended = async { told.await.map(|()| None) };
         if lets_go {
             // A log that is held by nothing but what waits for it.
@@ -221,11 +221,11 @@
             return;
         }
         let mut keep = lent(&log);
-        keep.lend(1).expect("here");
-        let saved = async { keep.back().await.map(|(piece, _)| Some(piece)) };
+        keep.start_job(1).expect("here");
+        let saved = async { keep.finished().await.map(|(piece, _)| Some(piece)) };
         let came = block_on(saved.or(ended)).expect("the thread lives");
-        let came = came.unwrap_or_else(|| block_on(keep.back()).expect("back").0);
-        assert!(came == 1 && keep.here().is_some());
+        let came = came.unwrap_or_else(|| block_on(keep.finished()).expect("back").0);
+        assert!(came == 1 && keep.idle().is_some());
         assert_eq!(log.lock().expect("whole").written, [1]);
     });
 }
@@ -249,10 +249,10 @@
             } else {
                 let mut left = vec![2, 1];
                 while let Some(piece) = left.pop() {
-                    keep.lend(piece).expect("here");
+                    keep.start_job(piece).expect("here");
                     // Another one is given back.
-                    assert_eq!(keep.lend(9), Err(9));
-                    let (piece, saved) = block_on(keep.back()).expect("back");
+                    assert_eq!(keep.start_job(9), Err(9));
+                    let (piece, saved) = block_on(keep.finished()).expect("back");
                     left.extend((!saved).then_some(piece));
                 }
             }
@@ -277,18 +277,18 @@
     let dies = |_: &mut (), _: &u64| -> bool { panic!("as planted") };
     finds("dies", "deadlock", move |waits| {
         let worker = start();
-        let mut keep = Lent::new(start(), (), dies);
-        keep.lend(1).expect("here");
+        let mut keep = Offloaded::new(start(), (), dies);
+        keep.start_job(1).expect("here");
         let behind = worker.run(|| panic!("as planted"));
-        let behind: [Outcome<()>; 2] = [behind, worker.run(|| ())];
+        let behind: [JobHandle<()>; 2] = [behind, worker.run(|| ())];
         for out in behind {
             assert!(block_on(out).is_err());
         }
         assert!(block_on(worker.run(|| ())).is_err());
         for _ in 0..2 {
-            assert!(block_on(keep.back()).is_err());
+            assert!(block_on(keep.finished()).is_err());
         }
-        assert!(keep.here().is_none());
+        assert!(keep.idle().is_none());
         if waits {
             // As the keepers' driver did: it had the sending end itself, so the channel never
             // ended.
@@ -313,11 +313,11 @@
 const DISK: u64 = 256 * 1024;
 
 /// A disk at which others may come in between any two operations.
-struct Turns(Faulty, Arc<loom::sync::Mutex<()>>);
+struct Turns(FaultyDisk, Arc<loom::sync::Mutex<()>>);
 
-struct Turn(Arc<dyn Area>, Arc<loom::sync::Mutex<()>>);
+struct Turn(Arc<dyn DiskFile>, Arc<loom::sync::Mutex<()>>);
 
-impl Area for Turn {
+impl DiskFile for Turn {
     fn size(&self) -> io::Result<u64> {
         self.0.size()
     }
@@ -342,11 +342,11 @@
         self.0.list()
     }
 
-    fn open(&self, name: &str) -> io::Result<Arc<dyn Area>> {
+    fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
         Ok(Arc::new(Turn(self.0.open(name)?, self.1.clone())))
     }
 
-    fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn Area>> {
+    fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn DiskFile>> {
         Ok(Arc::new(Turn(self.0.create(name, size)?, self.1.clone())))
     }
 
@@ -354,8 +354,8 @@
         self.0.remove(name)
     }
 
-    fn free(&self) -> io::Result<u64> {
-        self.0.free()
+    fn free_bytes(&self) -> io::Result<u64> {
+        self.0.free_bytes()
     }
 
     fn sync(&self) -> io::Result<()> {
@@ -368,27 +368,27 @@
 struct Found(BTreeMap<u64, Vec<u8>>);
 
 impl Replay for Found {
-    fn put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
+    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
         self.0.insert(no, data.into());
         Ok(())
     }
 
-    fn note(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
         Ok(())
     }
 
-    fn gone(&mut self, no: u64) {
+    fn on_remove(&mut self, no: u64) {
         self.0.remove(&no);
     }
 
-    fn doubt(&mut self) {}
+    fn on_possible_loss(&mut self) {}
 
-    fn believe(&mut self, _: &[bool]) {}
+    fn on_losses_known(&mut self, _: &[bool]) {}
 }
 
 struct Asis;
 
-impl Items for Asis {
+impl SnapshotSource for Asis {
     fn snapshot(
         &self,
         _: u64,
@@ -398,41 +398,44 @@
     }
 }
 
-fn open(disk: Arc<dyn Disk>) -> (Log, Found) {
+fn open(disk: Arc<dyn Disk>) -> (SegmentLog, Found) {
     let mut found = Found::default();
-    let options = Options {
-        limit: DISK,
+    let options = LogOptions {
+        limit_bytes: DISK,
         seed: 5,
-        synced: true,
+        sync_required: true,
     };
-    let opened = Log::open(disk, options, None, &mut found, |_, _| 64).expect("a start succeeds");
+    let opened =
+        SegmentLog::open(disk, options, None, &mut found, |_, _| 64).expect("a start succeeds");
     (opened.log, found)
 }
 
 #[test]
 fn what_is_written_while_the_thread_syncs_counts_with_the_next_sync() {
     finds("sync", "a cut of power now would lose it", |all_at_once| {
-        let (disk, worker) = (Faulty::new(), start());
+        let (disk, worker) = (FaultyDisk::new(), start());
         let turns = Turns(disk.clone(), Arc::new(loom::sync::Mutex::new(())));
         let (mut log, _) = open(Arc::new(turns));
-        let put = |log: &mut Log, n: u8| {
+        let put = |log: &mut SegmentLog, n: u8| {
             log.put(Default::default(), &[n; 8], 64, &Asis)
-                .0
+                .result
                 .expect("room")
         };
         let mut waits = vec![put(&mut log, 1)];
         for n in [2, 3] {
             // As the journal does: what is written by now, and no more.
-            let unsynced = log.unsynced();
+            let unsynced = log.take_unsynced();
             let syncing = worker.run(move || (unsynced.sync(), unsynced));
             let later = put(&mut log, n);
             let (synced, unsynced) = block_on(syncing).expect("the thread lives");
             synced.expect("it works");
-            log.is_synced(&unsynced);
+            log.mark_synced(&unsynced);
             if all_at_once {
                 waits.push(later);
             }
-            let (_, found) = open(Arc::new(Faulty::holding(disk.after_power_cut(|| false))));
+            let (_, found) = open(Arc::new(FaultyDisk::from_image(
+                disk.after_power_cut(|| false),
+            )));
             let lost = waits.iter().find(|no| !found.0.contains_key(no));
             assert_eq!(lost, None, "told, and a cut of power now would lose it");
             waits = vec![later];
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -10,8 +10,8 @@
 use raildeal::net::dns::zone::Zone;
 use raildeal::net::mqtt::packets::{self, encode, user, MAX_PACKET};
 use raildeal::net::platform::{http, ingress, list};
-use raildeal::store::faulty::Faulty;
-use raildeal::store::frame::Header;
+use raildeal::store::faulty::FaultyDisk;
+use raildeal::store::frame::SegmentHeader;
 use raildeal::store::recover::{self, Replay};
 
 fn fixed() -> ProptestConfig {
@@ -28,19 +28,19 @@
 struct Nothing(usize);
 
 impl Replay for Nothing {
-    fn put(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_put(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
         self.0 += 1;
         Ok(())
     }
-    fn note(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
         self.0 += 1;
         Ok(())
     }
-    fn gone(&mut self, _: u64) {
+    fn on_remove(&mut self, _: u64) {
         self.0 += 1;
     }
-    fn doubt(&mut self) {}
-    fn believe(&mut self, _: &[bool]) {}
+    fn on_possible_loss(&mut self) {}
+    fn on_losses_known(&mut self, _: &[bool]) {}
 }
 
 /// Garbage that gets past the first look more often than plain noise does.
@@ -151,10 +151,10 @@
         let journal = [b"raildeal journal 1\n", &bytes[..]].concat();
         prop_assert!(v1::replay(&journal).is_some_and(|(_, read)| read <= journal.len()));
         // The same where a segment's frames should be.
-        let segment = [Header { seq: 1, salt: 7, ..Header::default() }.bytes(), bytes.clone()].concat();
+        let segment = [SegmentHeader { sequence: 1, salt: 7, ..SegmentHeader::default() }.bytes(), bytes.clone()].concat();
         let mut none = Nothing(0);
-        let scan = recover::scan(&Faulty::holding([("0000.seg".into(), segment)].into()), 1, &mut none);
-        prop_assert_eq!((scan.expect("read").homes.len(), none.0), (0, 0));
+        let scan = recover::scan(&FaultyDisk::from_image([("0000.seg".into(), segment)].into()), 1, &mut none);
+        prop_assert_eq!((scan.expect("read").locations.len(), none.0), (0, 0));
         let _ = Zone::read(&format!("$ORIGIN x.\n@ 60 IN SOA a. b. 1 2 3 4 5\n{text}"), None);
         let packet = [&head[..], &bytes].concat();
         if let Ok(Some((_, len))) = packets::decode(&packet) {
--- a/tests/sockets/scenarios.rs
+++ b/tests/sockets/scenarios.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{message, settings, Answer, End, Heard, Message, Rig, Wire};
 use crate::store::bound;
-use raildeal::message_trace::{step, Logs};
+use raildeal::message_trace::{step, TraceLogs};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
@@ -158,20 +158,20 @@
     second.answer(Answer::Delivered);
     rig.program.says("m1: final answer told");
     // Its line of life, from the logs of both processes.
-    let mut logs = Logs::default();
+    let mut logs = TraceLogs::default();
     for (name, log) in [("before", before), ("after", rig.program.log())] {
         logs.read(name, log.as_bytes()).expect("read");
     }
-    let life = logs.life("m1").expect("a life");
+    let life = logs.lifecycle("m1").expect("a life");
     let mut rest = life.as_str();
     for step in [
-        ["before", step::TAKEN_ON],
-        ["before", step::HEARD],
-        ["before", step::CALL],
-        ["after", step::TAKEN_UP],
-        ["after", step::CALL],
-        ["after", step::ENDED],
-        ["after", step::TOLD],
+        ["before", step::ACCEPTED],
+        ["before", step::ACKNOWLEDGED],
+        ["before", step::ATTEMPT],
+        ["after", step::RESUMED],
+        ["after", step::ATTEMPT],
+        ["after", step::DECIDED],
+        ["after", step::NOTIFIED],
         ["", "m1: kept"],
     ] {
         let at = step
--- a/tests/sockets/tenants.rs
+++ b/tests/sockets/tenants.rs
@@ -5,7 +5,7 @@
 use crate::mqtt::{connect, publish, read, send, Mqtt};
 use crate::rig::{message, settings, Answer, Message, Rig, Wire};
 use mqtt_proto::v5::{Packet, PubackReasonCode, Publish};
-use raildeal::delivery::journal::inspect::survey;
+use raildeal::delivery::journal::inspect::inspect;
 use raildeal::net::mqtt::packets::user;
 use raildeal::NO_TENANT;
 use std::io::{Read, Write};
@@ -43,7 +43,7 @@
 
 /// Tenants of what is held, by id.
 fn held<W: Wire>(rig: &Rig<W>) -> Vec<(String, u16)> {
-    let seen = survey(&rig.state()).expect("a folder").messages;
+    let seen = inspect(&rig.state()).expect("a folder").messages;
     let mut held: Vec<_> = seen.into_iter().map(|m| (m.id, m.tenant)).collect();
     held.sort();
     held
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -2,9 +2,9 @@
 //! afterwards against what was told and sent meanwhile. A failure names its seed, its fault and the
 //! operation; `STORE_SEEDS=n` runs n seeds instead of the few that a usual run has.
 
-use raildeal::delivery::journal::{Durability, Journal, Record, Setup};
+use raildeal::delivery::journal::{Durability, Journal, JournalOptions, OpenRecord};
 use raildeal::delivery::{Envelope, Verdict};
-use raildeal::store::faulty::{Fault, Faulty, Image};
+use raildeal::store::faulty::{DiskImage, Fault, FaultyDisk};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -44,12 +44,12 @@
 
 struct World {
     rng: fastrand::Rng,
-    disk: Faulty,
-    setup: Setup,
+    disk: FaultyDisk,
+    setup: JournalOptions,
     /// Moves on by some milliseconds with each step.
     time: Rc<Cell<Duration>>,
     journal: Rc<Journal>,
-    records: BTreeMap<String, Record>,
+    records: BTreeMap<String, OpenRecord>,
     truth: BTreeMap<String, Truth>,
     /// Lines on what is held may fail: a fault other than want of room was planted.
     faults: bool,
@@ -57,15 +57,19 @@
     sizes: (usize, usize),
 }
 
-fn open(disk: &Faulty, setup: Setup, time: &Rc<Cell<Duration>>) -> (Rc<Journal>, Vec<Record>) {
+fn open(
+    disk: &FaultyDisk,
+    setup: JournalOptions,
+    time: &Rc<Cell<Duration>>,
+) -> (Rc<Journal>, Vec<OpenRecord>) {
     let (disk, time) = (Arc::new(disk.clone()), time.clone());
-    Journal::on(disk, setup, None, Vec::new(), Box::new(move || time.get()))
+    Journal::open_on(disk, setup, None, Vec::new(), Box::new(move || time.get()))
         .expect("a start succeeds")
 }
 
 impl World {
-    fn new(seed: u64, setup: Setup) -> Self {
-        let disk = Faulty::new();
+    fn new(seed: u64, setup: JournalOptions) -> Self {
+        let disk = FaultyDisk::new();
         let time = Rc::new(Cell::new(Duration::ZERO));
         let (journal, none) = open(&disk, setup, &time);
         assert!(none.is_empty());
@@ -95,10 +99,10 @@
         let id = self.records.keys().nth(which).cloned();
         match (kind, id) {
             (0..=24, _) | (_, None) => self.take_on(),
-            (25..=31, _) => drop(self.journal.tend_once()),
+            (25..=31, _) => drop(self.journal.maintain_once()),
             (_, Some(id)) => self.go_on(&id),
         }
-        assert!(self.disk.size() <= self.setup.limit, "over the limit");
+        assert!(self.disk.size() <= self.setup.limit_bytes, "over the limit");
     }
 
     fn take_on(&mut self) {
@@ -118,7 +122,7 @@
             size,
             ..Truth::default()
         };
-        match self.journal.take_on(envelope, LEFT, 0, 0) {
+        match self.journal.append_accepted(envelope, LEFT, 0, 0) {
             Ok(record) => {
                 truth.promised = self.settle();
                 self.records.insert(id.clone(), record);
@@ -126,7 +130,7 @@
                 // count.
                 truth.closing = !truth.promised;
             }
-            Err(_) => truth.refused = !self.disk.is_dead(),
+            Err(_) => truth.refused = !self.disk.is_killed(),
         }
         self.truth.insert(id, truth);
     }
@@ -143,7 +147,7 @@
         }
         if truth.out {
             let may = self.rng.bool();
-            record.back(may);
+            record.attempt_ended(may);
             truth.calls.last_mut().expect("a call").1 = may;
             truth.out = false;
             return;
@@ -158,7 +162,7 @@
             };
             let verdict = truth.deciding.unwrap_or(verdict);
             truth.deciding = Some(verdict);
-            match record.ended(verdict) {
+            match record.decided(verdict) {
                 Ok(()) if self.journal.sync_now().is_ok() => truth.verdict = Some(verdict),
                 Ok(()) => {}
                 Err(e) => assert!(self.faults, "{id}: no room for its end: {e}"),
@@ -170,13 +174,13 @@
             return;
         }
         truth.tried = Some(zone);
-        match record.sent(zone) {
+        match record.attempt_started(zone) {
             Ok(()) if self.journal.sync_now().is_ok() => {
                 truth.calls.push((zone, true));
                 (truth.out, truth.tried) = (true, None);
             }
             // Written and perhaps not durable: it does not go.
-            Ok(()) => record.back(false),
+            Ok(()) => record.attempt_ended(false),
             Err(e) => assert!(self.faults, "{id}: no room for its call: {e}"),
         }
     }
@@ -193,9 +197,9 @@
     }
 
     /// The next process, on what it finds.
-    fn restart(&mut self, image: Image) {
+    fn restart(&mut self, image: DiskImage) {
         self.records.clear();
-        self.disk = Faulty::holding(image);
+        self.disk = FaultyDisk::from_image(image);
         let (journal, records) = open(&self.disk, self.setup, &self.time);
         self.journal = journal;
         for record in records {
@@ -215,7 +219,7 @@
             };
             assert!(!truth.closed, "{id} was over: {truth:?}");
             assert!(!truth.refused, "{id} was refused: {truth:?}");
-            let account = record.account();
+            let account = record.snapshot();
             if let Some(told) = truth.verdict {
                 assert_eq!(
                     account.verdict,
@@ -254,9 +258,9 @@
                     }));
                 }
             }
-            let whole = async_io::block_on(record.whole()).expect("its body");
+            let whole = async_io::block_on(record.load_envelope()).expect("its body");
             assert_eq!(whole.body.len(), truth.size, "{id}");
-            record.back(true);
+            record.attempt_ended(true);
             (truth.out, truth.tried) = (false, None);
         }
         for id in self.records.keys() {
@@ -276,12 +280,12 @@
     }
 }
 
-fn setup(durability: Durability, bodies: u64) -> Setup {
-    Setup {
+fn setup(durability: Durability, bodies: u64) -> JournalOptions {
+    JournalOptions {
         durability,
-        bodies,
+        cached_body_bytes: bodies,
         seed: 5,
-        ..Setup::new(110_000)
+        ..JournalOptions::new(110_000)
     }
 }
 
@@ -295,7 +299,7 @@
 const STEPS: usize = 800;
 
 /// Runs a history, with a fault at one of its operations; gives how many operations it had.
-fn run(seed: u64, setup: Setup, fault: Option<(u64, Fault)>) -> u64 {
+fn run(seed: u64, setup: JournalOptions, fault: Option<(u64, Fault)>) -> u64 {
     let mut world = World::new(seed, setup);
     if let Some((at, fault)) = fault {
         world.disk.fail(at, fault);
@@ -303,16 +307,17 @@
     }
     for _ in 0..STEPS {
         world.step();
-        if world.disk.is_dead() {
+        if world.disk.is_killed() {
             break;
         }
     }
     let operations = world.disk.operations();
     if fault.is_none() {
         assert!(
-            world.journal.done().retired >= 4 && world.journal.done().cleaned > 0,
+            world.journal.statistics().retired_segments >= 4
+                && world.journal.statistics().cleaned_bytes > 0,
             "seed {seed}: too little to clean: {:?}",
-            world.journal.done()
+            world.journal.statistics()
         );
     }
     let image = match world.setup.durability {
@@ -335,7 +340,7 @@
 
 /// Operations of a history, each in a run of its own: one in so many in a usual run, all where
 /// `STORE_SEEDS` is set.
-fn campaign(setup: Setup, few: u64, every: usize, faults: &[Fault]) {
+fn campaign(setup: JournalOptions, few: u64, every: usize, faults: &[Fault]) {
     let every = if std::env::var_os("STORE_SEEDS").is_some() {
         1
     } else {
@@ -417,8 +422,8 @@
             // The longest bodies there are, in a folder of the size that they come with.
             world = World::new(
                 seed,
-                Setup {
-                    limit: 3_000_000,
+                JournalOptions {
+                    limit_bytes: 3_000_000,
                     ..world.setup
                 },
             );
