--- a/simulator/src/policy.rs
+++ b/simulator/src/policy.rs
@@ -4,7 +4,7 @@
 //! drawn from one seed.
 
 use crate::due::At;
-use raildeal::coordination::leader::{ConnectionId, LeaderDuties, Out, Rules};
+use raildeal::coordination::leader::{ConnectionId, Effect, LeaderDuties, LeaderRules};
 use raildeal::coordination::messages::{FromAgent, FromPerson, Health, Print, ToAgent, ToPerson};
 use raildeal::coordination::policy_rollout::register::{Change, Step};
 use raildeal::coordination::record::{Command, Record};
@@ -250,7 +250,7 @@
         .collect();
     let record = Record::default();
     let mut world = World {
-        duties: Some(LeaderDuties::new(Rules::default(), 1, 0, &record)),
+        duties: Some(LeaderDuties::new(LeaderRules::default(), 1, 0, &record)),
         of_line: (0..play.senders)
             .map(|n| (n as ConnectionId + 1, n))
             .collect(),
@@ -336,9 +336,9 @@
         let now = self.now;
         match event {
             Event::Report(n, boot) => self.report(n, boot),
-            Event::ToLeader(line, word) => {
-                self.duties(|duties, record, out| duties.hear(now, line, &word, record, out))
-            }
+            Event::ToLeader(line, word) => self.duties(|duties, record, out| {
+                duties.on_agent_message(now, line, &word, record, out)
+            }),
             Event::ToAgent(line, word) => self.told(line, word),
             Event::Apply(term, command) => {
                 // What a leader proposed that is gone is lost with its term.
@@ -347,8 +347,8 @@
                 }
             }
             Event::Leads(term) => {
-                let duties = LeaderDuties::new(Rules::default(), term, now, &self.record);
-                self.duties = Some(duties.led(now, Some(self.led)));
+                let duties = LeaderDuties::new(LeaderRules::default(), term, now, &self.record);
+                self.duties = Some(duties.with_last_leader_seen(now, Some(self.led)));
             }
             Event::Starts(n) => {
                 let s = &mut self.senders[n];
@@ -373,12 +373,12 @@
                         zone.1 = now + SECOND;
                     }
                 }
-                self.duties(|duties, record, out| duties.tick(now, record, out));
+                self.duties(|duties, record, out| duties.on_tick(now, record, out));
             }
         }
     }
 
-    fn duties(&mut self, word: impl FnOnce(&mut LeaderDuties, &Record, &mut Vec<Out>)) {
+    fn duties(&mut self, word: impl FnOnce(&mut LeaderDuties, &Record, &mut Vec<Effect>)) {
         let Some(duties) = &mut self.duties else {
             return;
         };
@@ -387,13 +387,13 @@
         self.played.longest = self.played.longest.max(real.elapsed());
         for o in out {
             match o {
-                Out::Propose(command) => {
+                Effect::Propose(command) => {
                     self.at(self.now + COMMIT, Event::Apply(self.term, command))
                 }
-                Out::Say(line, word) => self.at(self.now + WAY, Event::ToAgent(line, word)),
-                Out::Answer(_, answer) => self.played.answers.push(answer),
+                Effect::Send(line, word) => self.at(self.now + WAY, Event::ToAgent(line, word)),
+                Effect::Reply(_, answer) => self.played.answers.push(answer),
                 // This site is in no federation.
-                Out::Federation(_) => {}
+                Effect::ProposeToFederation(_) => {}
             }
         }
     }
@@ -410,7 +410,7 @@
                 self.changed(change);
             }
         }
-        self.duties(|duties, record, out| duties.applied(now, index, command, record, out));
+        self.duties(|duties, record, out| duties.on_applied(now, index, command, record, out));
     }
 
     fn changed(&mut self, change: &Change) {
@@ -462,22 +462,22 @@
                 self.senders[n].alive = false;
                 let line = self.senders[n].line;
                 self.of_line.remove(&line);
-                self.duties(|duties, _, _| duties.hung_up(line));
+                self.duties(|duties, _, _| duties.on_disconnect(line));
                 if let Some(after) = back {
                     self.at(now + after, Event::Starts(n));
                 }
             }
             Trouble::Silent(n, lasts) => self.senders[n].silent_until = now + lasts,
-            Trouble::Person(word) => {
-                self.duties(|duties, record, out| duties.order(now, 0, &word, record, out))
-            }
+            Trouble::Person(word) => self.duties(|duties, record, out| {
+                duties.on_operator_request(now, 0, &word, record, out)
+            }),
         }
     }
 
     fn new_line(&mut self, n: usize) {
         let old = self.senders[n].line;
         self.of_line.remove(&old);
-        self.duties(|duties, _, _| duties.hung_up(old));
+        self.duties(|duties, _, _| duties.on_disconnect(old));
         self.senders[n].line = self.next_line;
         self.senders[n].open = false;
         self.of_line.insert(self.next_line, n);
--- a/simulator/src/zones.rs
+++ b/simulator/src/zones.rs
@@ -4,7 +4,7 @@
 //! zone. All is drawn from one seed.
 
 use crate::due::At;
-use raildeal::coordination::leader::{ConnectionId, LeaderDuties, Out, Rules};
+use raildeal::coordination::leader::{ConnectionId, Effect, LeaderDuties, LeaderRules};
 use raildeal::coordination::messages::{
     lot, Counts, FromAgent, FromPerson, Grant, Listed, Seen, ToAgent, ToPerson, View, Want,
 };
@@ -57,7 +57,7 @@
     /// For so long.
     pub lasts: Nanos,
     /// The leader's rules.
-    pub rules: Rules,
+    pub rules: LeaderRules,
     /// For all that is drawn.
     pub seed: u64,
     /// What happens, in order of time.
@@ -432,7 +432,7 @@
             Event::ToLeader(line, word) => {
                 let mut out = Vec::new();
                 self.duties
-                    .hear(self.now, line, &word, &self.record, &mut out);
+                    .on_agent_message(self.now, line, &word, &self.record, &mut out);
                 self.carry(out);
             }
             Event::ToAgent(line, word) => self.told(line, word),
@@ -446,7 +446,7 @@
                 self.at(self.now + TICK, Event::Tick);
                 let mut out = Vec::new();
                 let real = std::time::Instant::now();
-                self.duties.tick(self.now, &self.record, &mut out);
+                self.duties.on_tick(self.now, &self.record, &mut out);
                 self.played.longest_look = self.played.longest_look.max(real.elapsed());
                 self.carry(out);
                 self.stranded();
@@ -475,7 +475,7 @@
         }
         let mut out = Vec::new();
         self.duties
-            .applied(self.now, self.index, command, &self.record, &mut out);
+            .on_applied(self.now, self.index, command, &self.record, &mut out);
         self.carry(out);
     }
 
@@ -492,16 +492,16 @@
         self.played.stranded += (0..self.plan.dests).filter(|d| left(*d)).count() as u32;
     }
 
-    fn carry(&mut self, out: Vec<Out>) {
+    fn carry(&mut self, out: Vec<Effect>) {
         for o in out {
             match o {
-                Out::Propose(command) => {
+                Effect::Propose(command) => {
                     self.at(self.now + COMMIT, Event::Apply(self.term, command))
                 }
-                Out::Say(line, word) => self.at(self.now + WAY, Event::ToAgent(line, word)),
-                Out::Answer(_, answer) => self.played.answers.push((self.now, answer)),
+                Effect::Send(line, word) => self.at(self.now + WAY, Event::ToAgent(line, word)),
+                Effect::Reply(_, answer) => self.played.answers.push((self.now, answer)),
                 // This site is in no federation.
-                Out::Federation(_) => {}
+                Effect::ProposeToFederation(_) => {}
             }
         }
     }
@@ -535,7 +535,7 @@
             }
             Trouble::Restart(who) => {
                 for n in who {
-                    self.duties.hung_up(self.senders[n].line);
+                    self.duties.on_disconnect(self.senders[n].line);
                     self.new_line(n);
                     let s = &mut self.senders[n];
                     (s.boot, s.report, s.has, s.view) = (s.boot + 1, 0, 0, View::default());
@@ -554,7 +554,7 @@
             Trouble::Person(word) => {
                 let mut out = Vec::new();
                 self.duties
-                    .order(self.now, 0, &word, &self.record, &mut out);
+                    .on_operator_request(self.now, 0, &word, &self.record, &mut out);
                 self.carry(out);
             }
         }
@@ -696,8 +696,8 @@
             return State::Down;
         }
         let (warm, long) = (
-            Nanos::from(rules.warm_after_ms) * MS,
-            Nanos::from(rules.overload_for_ms) * MS,
+            Nanos::from(rules.warmup_ms) * MS,
+            Nanos::from(rules.overload_window_ms) * MS,
         );
         let cold = endpoint.back.filter(|back| now < back + warm && long > 0);
         if let Some(back) = cold.filter(|_| endpoint.state == State::Well) {
@@ -708,8 +708,9 @@
             endpoint.step = endpoint.step.max(step);
             endpoint.came[(step % STEPS) as usize] += 1;
             let part = (now - back) as f64 / warm as f64;
-            let warmth = rules.cold_share + (1.0 - rules.cold_share) * part;
-            let n = rules.overload_factor * warmth * rate * f64::from(rules.overload_for_ms) / 1e3;
+            let warmth = rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * part;
+            let n =
+                rules.overload_factor * warmth * rate * f64::from(rules.overload_window_ms) / 1e3;
             let roots = if n < 30.0 { 3.0 } else { 2.0 };
             if f64::from(endpoint.came.iter().sum::<u32>()) > n + roots * n.sqrt() + roots {
                 self.played.toppled += 1;
@@ -926,11 +927,11 @@
 /// A plan that is calm: so many senders, zones, and a traffic of which the rest can bear a zone's
 /// part.
 pub fn calm(senders: usize, zones: usize, seed: u64) -> Plan {
-    let mut rules = Rules::default();
-    rules.zones.cold_share = 0.1;
-    rules.zones.warm_after_ms = 20_000;
+    let mut rules = LeaderRules::default();
+    rules.zones.initial_capacity_share = 0.1;
+    rules.zones.warmup_ms = 20_000;
     rules.zones.overload_factor = 1.5;
-    rules.zones.overload_for_ms = 3_000;
+    rules.zones.overload_window_ms = 3_000;
     let dests = 6;
     // Fleets are asked for more than a sender alone; zones share it.
     let traffic = 30.0 * zones as f64 * (senders as f64 / 100.0).clamp(1.0, 4.0);
@@ -998,7 +999,7 @@
     let left_after_ms = first.and_then(|at| Some((left.heard.get(&1)? - at) / MS));
     let began = played.when("z0", Phase::Returning, dies);
     let used = played.when("z0", Phase::Used, back);
-    let ideal = f64::from(plan.rules.zones.warm_after_ms) * 1e6;
+    let ideal = f64::from(plan.rules.zones.warmup_ms) * 1e6;
     let used = used.map(|used| (used - back) as f64 / ideal);
     let full = played
         .full("z0", dies, back)
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -1,6 +1,6 @@
 //! The file of a keeper. All its faults are told at the start, each by the name of its field.
 
-use crate::coordination::leader::Rules;
+use crate::coordination::leader::LeaderRules;
 use crate::coordination::routing_table::federation::MOST_SITES;
 use crate::coordination::routing_table::member::{Place, Settings, MOST_AT};
 use ipnet::IpNet;
@@ -57,7 +57,7 @@
     peer: Vec<Peer>,
     agents: Vec<IpNet>,
     #[serde(default)]
-    rules: Rules,
+    rules: LeaderRules,
     federation: Option<FederationFile>,
 }
 
@@ -145,7 +145,7 @@
     /// Addresses that agents and persons may speak from.
     pub agents: Vec<IpNet>,
     /// What the leader goes by.
-    pub rules: Rules,
+    pub rules: LeaderRules,
     /// The federation that the site is in.
     pub federation: Option<Settings>,
 }
@@ -321,9 +321,10 @@
         // Senders whose keepers were cut off from each other when the hold was due go on for so
         // long.
         let rules = &file.rules;
-        let least = (rules.lease_ms.saturating_add(rules.sure_ms) / 100).saturating_mul(102);
+        let least =
+            (rules.lease_ms.saturating_add(rules.heartbeat_valid_ms) / 100).saturating_mul(102);
         let least = least
-            .saturating_add(rules.beat_ms)
+            .saturating_add(rules.heartbeat_interval_ms)
             .saturating_add(FENCE_MORE_MS)
             .div_ceil(1_000);
         let fits = (least..=FENCE_S).contains(&self.fence_s);
--- /dev/null
+++ b/src/coordination/leader/agent_messages.rs
@@ -0,0 +1,227 @@
+//! What the agents of senders say to the leader: one function a kind of message.
+
+use crate::coordination::leader::orders::propose_policy_change;
+use crate::coordination::leader::sessions::SessionRequest;
+use crate::coordination::leader::{ConnectionId, Effect, LeaderDuties};
+use crate::coordination::messages::{FromAgent, Grant, Health, Listed, Seen, ToAgent, Want};
+use crate::coordination::record::Record;
+use crate::Nanos;
+
+/// Most entries of a report's counts, and of its wants, that are read: 50 zones with 80
+/// destinations.
+const MAX_REPORT_ENTRIES: usize = 4_000;
+/// Reports of an agent a second.
+const REPORTS_PER_SECOND: f32 = 5.0;
+/// A sender's load counts up to so many times the even part of all senders: a fifth of a fleet
+/// sees three to five times the even part, few see more.
+const MAX_UNEVENNESS: f32 = 20.0;
+/// A sender's load counts up to this share of a destination's listed rate, however few there are.
+const MAX_LOAD_SHARE: f32 = 0.5;
+
+/// What an agent reports.
+struct Report<'a> {
+    /// Numbers the reports of one boot.
+    number: u64,
+    /// The version of the record that the sender goes by.
+    record_version: u64,
+    seen: &'a [Seen],
+    listed: Option<&'a [Listed]>,
+    wants: &'a [Want],
+    health: &'a [Health],
+}
+
+impl LeaderDuties {
+    /// Takes a message of an agent.
+    pub fn on_agent_message(
+        &mut self,
+        now: Nanos,
+        connection: ConnectionId,
+        message: &FromAgent,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        match message {
+            FromAgent::Open {
+                sender,
+                boot,
+                zone,
+                has,
+                stored,
+            } => {
+                let request = SessionRequest {
+                    sender,
+                    boot: *boot,
+                    home_zone: zone,
+                    record_version: *has,
+                    stored_policies: stored.as_deref(),
+                };
+                self.on_session_request(now, connection, request, record, effects);
+            }
+            FromAgent::Tell {
+                report,
+                has,
+                seen,
+                listed,
+                wants,
+                health,
+            } => {
+                let report = Report {
+                    number: *report,
+                    record_version: *has,
+                    seen,
+                    listed: listed.as_deref(),
+                    wants,
+                    health,
+                };
+                self.on_report(now, connection, &report, record, effects);
+            }
+            FromAgent::Stored { number, refused } => {
+                let refused = refused.as_deref();
+                self.on_policy_stored(connection, *number, refused, record, effects);
+            }
+            FromAgent::Rules { turn } => {
+                self.on_policy_turn(now, connection, *turn, record, effects);
+            }
+            FromAgent::Table(message) => {
+                self.on_table_message(now, connection, message, record, effects);
+            }
+            FromAgent::Leave => self.on_leave(now, connection, effects),
+        }
+    }
+
+    /// Takes a report. The session is renewed whatever the report is; what it contains counts once,
+    /// however often it comes.
+    fn on_report(
+        &mut self,
+        now: Nanos,
+        connection: ConnectionId,
+        report: &Report<'_>,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        if let Some(sender) = self.connections.get(&connection) {
+            self.switch.reports(sender);
+        }
+        let session = self
+            .session_on_mut(connection)
+            .filter(|session| session.is_open_on(connection));
+        let Some(session) = session else {
+            effects.push(Effect::Send(connection, ToAgent::Unknown));
+            return;
+        };
+        session.record_version = report.record_version;
+        let session_id = session.id;
+        if report.number > session.last_report {
+            session.last_report = report.number;
+            self.record_counts(now, session_id, report);
+            self.record_health(now, connection, report, record);
+        }
+        self.renew(now, connection, report.number, record, effects);
+        self.send_grants(now, effects);
+    }
+
+    /// Counts what a sender observed, has listed and wants.
+    fn record_counts(&mut self, now: Nanos, session_id: u32, report: &Report<'_>) {
+        let seen = &report.seen[..report.seen.len().min(MAX_REPORT_ENTRIES)];
+        let wants = &report.wants[..report.wants.len().min(MAX_REPORT_ENTRIES)];
+        let senders = self.sessions.len().max(1) as f32;
+        let max_share = (MAX_UNEVENNESS / senders).min(MAX_LOAD_SHARE);
+        let lists = &self.endpoint_lists;
+        let max_load = |zone: &str, destination: u16| {
+            let listed = lists.capacity(zone, destination)?;
+            Some(max_load_per_report(listed.rate_per_second, max_share))
+        };
+        self.evidence.record_report(now, session_id, seen, max_load);
+        for counted in seen {
+            self.recovery_ramp.record_results(
+                now,
+                session_id,
+                &counted.zone,
+                counted.dest,
+                &counted.counts,
+            );
+        }
+        if let Some(listed) = report.listed {
+            self.endpoint_lists.report(session_id, listed);
+        }
+        self.recovery_ramp
+            .request_grants(now, session_id, report.number, wants);
+    }
+
+    /// Counts what became of a sender's messages, for the rollout of policies.
+    fn record_health(
+        &mut self,
+        now: Nanos,
+        connection: ConnectionId,
+        report: &Report<'_>,
+        record: &Record,
+    ) {
+        let member = self
+            .connections
+            .get(&connection)
+            .and_then(|sender| record.roster.get(sender));
+        if let Some(member) = member {
+            self.roll.hear(now, &member.zone, report.health, record);
+        }
+    }
+
+    /// A sender has stored a policy that it was offered, or refuses it.
+    fn on_policy_stored(
+        &mut self,
+        connection: ConnectionId,
+        number: u64,
+        refused: Option<&str>,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        match self.sender_on(connection) {
+            Some(sender) => self.roll.stored(&sender, number, refused, record),
+            None => effects.push(Effect::Send(connection, ToAgent::Unknown)),
+        }
+    }
+
+    /// A sender goes by the policies of a turn.
+    fn on_policy_turn(
+        &mut self,
+        now: Nanos,
+        connection: ConnectionId,
+        turn: u64,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(sender) = self.sender_on(connection) else {
+            effects.push(Effect::Send(connection, ToAgent::Unknown));
+            return;
+        };
+        if let Some(change) = self.roll.rules(now, &sender, turn, record) {
+            effects.push(propose_policy_change(record, change));
+        }
+    }
+
+    /// Sends the calls that may be granted now to the senders that have a connection.
+    pub(super) fn send_grants(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        let sender_names = &self.sender_names;
+        let sessions = &self.sessions;
+        self.recovery_ramp
+            .issue_grants(now, |session_id, grant: Grant| {
+                let connection = sender_names
+                    .get(&session_id)
+                    .and_then(|sender| sessions.get(sender))
+                    .and_then(|session| session.open_connection());
+                if let Some(connection) = connection {
+                    effects.push(Effect::Send(connection, ToAgent::Grant(grant)));
+                }
+            });
+    }
+}
+
+/// Most accepted calls of one report that count as load of a destination: up to `max_share` of its
+/// listed rate, and one at least. All count where no rate is listed.
+fn max_load_per_report(listed_per_second: f64, max_share: f32) -> f32 {
+    let max_load = listed_per_second as f32 / REPORTS_PER_SECOND * max_share;
+    if max_load > 0.0 {
+        max_load.max(1.0)
+    } else {
+        f32::INFINITY
+    }
+}
--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -1,143 +1,200 @@
-//! What is said to senders of policies and routing tables, and what they answer.
+//! What is announced to senders: the record, policies and routing tables, and what they answer of
+//! tables.
+//!
+//! Which policy or table a sender needs is worked out by the rollout and the cutover; here it is
+//! sent to the connection that the sender has, with a bound on the texts that are offered at once.
 
-use crate::coordination::leader::{ConnectionId, LeaderDuties, Out, AGAIN};
+use crate::coordination::leader::sessions::{SentView, Session};
+use crate::coordination::leader::{
+    ConnectionId, Effect, LeaderDuties, ORDER_TIMEOUT, PROPOSAL_TIMEOUT,
+};
 use crate::coordination::messages::{FromSender, ToAgent, ToPerson};
 use crate::coordination::record::{Command, Record};
-use crate::coordination::routing_table::cutover::{Known, Switch};
-use crate::coordination::routing_table::{cutover, tables};
+use crate::coordination::routing_table::cutover::{self, Switch};
+use crate::coordination::routing_table::tables;
 use crate::coordination::sender_registry::OFFERS;
 use crate::Nanos;
 
+/// Nanoseconds after which a view is sent again to a sender that does not come to have it.
+const VIEW_TIMEOUT: Nanos = PROPOSAL_TIMEOUT / 2;
+/// What an operator hears whose order the federation's record did not have in time.
+const TABLE_ORDER_TIMED_OUT: &str = "not agreed in 5 s; look at the status and say it again";
+
 impl LeaderDuties {
-    /// What a sender says of tables. What it has it says right behind its first word, before the
-    /// record has its session.
-    pub(super) fn hear_tables(
+    /// Takes what a sender says of routing tables. What it has stored it says right behind its
+    /// request for a session, before the record has that.
+    pub(super) fn on_table_message(
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        word: &FromSender,
+        message: &FromSender,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        let speaks = self.sender_on(connection);
-        let joining = self
-            .joining
-            .values_mut()
-            .find(|j| j.connection == connection);
-        match (speaks, joining, word) {
-            (Some(sender), ..) => {
-                let mut said = Vec::new();
-                self.switch.hear(now, &sender, word, record, &mut said);
-                switched(record, said, out);
-                if let FromSender::Has(_) = word {
-                    self.say_tables(now, &sender, record, &mut { OFFERS }, out);
-                }
-            }
-            (None, Some(joining), FromSender::Has(tables)) => joining.tables = Some(tables.clone()),
-            (None, Some(_), _) => {}
-            (None, None, _) => out.push(Out::Say(connection, ToAgent::Unknown)),
+        if let Some(sender) = self.sender_on(connection) {
+            self.take_table_message(now, &sender, message, record, effects);
+        } else if !self.is_joining_on(connection) {
+            effects.push(Effect::Send(connection, ToAgent::Unknown));
+        } else if let FromSender::Has(tables) = message {
+            self.keep_tables_of_joining(connection, tables);
         }
     }
 
-    /// The federation is known to stand so, or time has passed: to be told at each change and some
-    /// ten times a second, and when the leader begins, before a sender is heard. Nothing, where the
-    /// site is in none.
-    pub fn federation(
+    /// Takes what a sender that has a session says of routing tables.
+    pub(super) fn take_table_message(
         &mut self,
         now: Nanos,
-        known: Option<Known>,
+        sender: &str,
+        message: &FromSender,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        self.known = known;
-        self.tick_tables(now, record, out);
+        let mut proposals = Vec::new();
+        self.switch
+            .hear(now, sender, message, record, &mut proposals);
+        propose_table_changes(record, proposals, effects);
+        if let FromSender::Has(_) = message {
+            self.announce_tables(now, sender, record, &mut { OFFERS }, effects);
+        }
     }
 
-    pub(super) fn tick_tables(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
-        let mut said = Vec::new();
+    /// Advances the site's routing tables, and answers the operators whose orders the federation's
+    /// record shows by now.
+    pub(super) fn advance_cutover(
+        &mut self,
+        now: Nanos,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        let mut proposals = Vec::new();
         self.switch
-            .tick(now, record, self.known.as_ref(), &mut said);
-        switched(record, said, out);
+            .tick(now, record, self.known.as_ref(), &mut proposals);
+        propose_table_changes(record, proposals, effects);
+        self.answer_table_orders(now, effects);
+    }
+
+    fn answer_table_orders(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let known = self.known.as_ref();
-        self.pending_table_orders.retain_mut(|order| {
-            let shows = known.and_then(|known| Switch::shows(&order.command, known));
-            let answer = match shows {
+        self.pending_table_orders.retain(|order| {
+            let shown = known.and_then(|known| Switch::shows(&order.command, known));
+            let answer = match shown {
                 Some(Ok(version)) => ToPerson::Done(version),
                 Some(Err(why)) => ToPerson::Refused(why),
-                None if now >= order.at + 5 * AGAIN => ToPerson::Refused(
-                    "not agreed in 5 s; look at the status and say it again".into(),
-                ),
-                None => return true,
+                None if now < order.received_at + ORDER_TIMEOUT => return true,
+                None => ToPerson::Refused(TABLE_ORDER_TIMED_OUT.into()),
             };
-            out.push(Out::Answer(order.connection, answer));
+            effects.push(Effect::Reply(order.connection, answer));
             false
         });
     }
 
-    /// Says to a sender what concerns policies; `offers` bounds the long words.
-    pub(super) fn say_policies(
+    /// Sends a sender what concerns policies; `offers` is how many texts may still be offered.
+    pub(super) fn announce_policies(
         &mut self,
         now: Nanos,
         sender: &str,
         record: &Record,
         offers: &mut usize,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        let Some((connection, member)) = self.connection_of(sender).zip(record.roster.get(sender))
-        else {
+        let Some(connection) = self.connection_of(sender) else {
             return;
         };
+        let Some(member) = record.roster.get(sender) else {
+            return;
+        };
+        let send = &mut |message| effects.push(Effect::Send(connection, message));
         self.roll
-            .say(now, sender, &member.zone, record, offers, &mut |word| {
-                out.push(Out::Say(connection, word))
-            });
+            .say(now, sender, &member.zone, record, offers, send);
     }
 
-    /// The same of tables.
-    pub(super) fn say_tables(
+    /// Sends a sender what concerns routing tables; `offers` is how many texts may still be
+    /// offered.
+    pub(super) fn announce_tables(
         &mut self,
         now: Nanos,
         sender: &str,
         record: &Record,
         offers: &mut usize,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
         let Some(connection) = self.connection_of(sender) else {
             return;
         };
-        let say = &mut |word| out.push(Out::Say(connection, ToAgent::Table(word)));
-        self.switch.say(now, sender, record, offers, say);
+        let send = &mut |message| effects.push(Effect::Send(connection, ToAgent::Table(message)));
+        self.switch.say(now, sender, record, offers, send);
     }
 
-    /// Says something to each sender that has a session, with the long words of one turn.
-    fn each(&mut self, mut say: impl FnMut(&mut LeaderDuties, &str, &mut usize)) {
+    /// Sends every sender what concerns policies.
+    pub(super) fn announce_policies_to_all(
+        &mut self,
+        now: Nanos,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        let mut offers = OFFERS;
+        for sender in self.senders() {
+            self.announce_policies(now, &sender, record, &mut offers, effects);
+        }
+    }
+
+    /// Sends every sender what concerns routing tables.
+    pub(super) fn announce_tables_to_all(
+        &mut self,
+        now: Nanos,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
         let mut offers = OFFERS;
-        for sender in self.sessions.keys().cloned().collect::<Vec<_>>() {
-            say(self, &sender, &mut offers);
+        for sender in self.senders() {
+            self.announce_tables(now, &sender, record, &mut offers, effects);
         }
     }
 
-    pub(super) fn say_all_tables(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
-        self.each(|duties, sender, offers| duties.say_tables(now, sender, record, offers, out));
+    /// Names of the senders that have a session.
+    fn senders(&self) -> Vec<String> {
+        self.sessions.keys().cloned().collect()
     }
+}
 
-    pub(super) fn say_all_policies(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
-        self.each(|duties, sender, offers| duties.say_policies(now, sender, record, offers, out));
+/// Sends the record to a sender that lacks some of it: once, and again where it does not come to
+/// have it in time.
+pub(super) fn send_view(
+    now: Nanos,
+    session: &mut Session,
+    record: &Record,
+    effects: &mut Vec<Effect>,
+) {
+    let Some(connection) = session.open_connection() else {
+        return;
+    };
+    let is_under_way = session
+        .last_view
+        .is_some_and(|view| view.version >= record.changed && now < view.sent_at + VIEW_TIMEOUT);
+    if is_under_way || !record.is_news_to(session.record_version) {
+        return;
     }
+    session.last_view = Some(SentView {
+        version: record.version,
+        sent_at: now,
+    });
+    effects.push(Effect::Send(connection, ToAgent::View(record.view())));
 }
 
-/// What the leader does with tables, as commands.
-pub(super) fn switched(record: &Record, said: Vec<cutover::Out>, out: &mut Vec<Out>) {
-    out.extend(said.into_iter().map(|said| match said {
-        cutover::Out::Site(change) => Out::Propose(table(record, change)),
-        cutover::Out::Federation(command) => Out::Federation(command),
-    }));
+/// Turns what the cutover wants proposed into effects.
+fn propose_table_changes(record: &Record, proposals: Vec<cutover::Out>, effects: &mut Vec<Effect>) {
+    for proposal in proposals {
+        effects.push(match proposal {
+            cutover::Out::Site(change) => propose_table_change(record, change),
+            cutover::Out::Federation(command) => Effect::ProposeToFederation(command),
+        });
+    }
 }
 
-/// A change of tables, based on the turn that stands.
-fn table(record: &Record, change: tables::Change) -> Command {
-    Command::Table {
+/// A change of the site's tables, based on the turn that the record has.
+fn propose_table_change(record: &Record, change: tables::Change) -> Effect {
+    Effect::Propose(Command::Table {
         base: record.tables.turn,
         change: Box::new(change),
-    }
+    })
 }
--- /dev/null
+++ b/src/coordination/leader/applied.rs
@@ -0,0 +1,133 @@
+//! What the leader does with each command that the record has: one function a kind of command.
+
+use crate::coordination::leader::announce::send_view;
+use crate::coordination::leader::sessions::JoinedSender;
+use crate::coordination::leader::{Effect, LeaderDuties};
+use crate::coordination::messages::ToPerson;
+use crate::coordination::record::{Command, Record};
+use crate::coordination::routing_table::tables;
+use crate::Nanos;
+
+impl LeaderDuties {
+    /// Takes a command that was applied to the record at a place of the log; `record` is as it is
+    /// after that.
+    pub fn on_applied(
+        &mut self,
+        now: Nanos,
+        index: u64,
+        command: &Command,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        match command {
+            Command::Join { sender, boot, zone } => {
+                let joined = JoinedSender {
+                    name: sender,
+                    boot: *boot,
+                    home_zone: zone,
+                };
+                self.on_joined(now, joined, record, effects);
+            }
+            Command::Lapse { sender, boot } => self.on_lapsed(sender, *boot, record),
+            Command::Beat { term, beat, .. } => {
+                self.on_heartbeat_applied(now, *term, *beat, record, effects);
+            }
+            Command::Order { .. } => self.on_zone_order_applied(now, index, record, effects),
+            Command::Wish { .. } => {
+                self.on_operator_request_applied(now, index, command, record, effects);
+            }
+            Command::Slice {
+                term,
+                slice,
+                zone,
+                epoch,
+                ..
+            } => {
+                if self.is_slice_current(*term, *slice, zone, *epoch, record) {
+                    self.recovery_ramp.on_slice_committed(zone, *slice);
+                    self.send_grants(now, effects);
+                }
+            }
+            Command::Policy { change, .. } => {
+                self.on_policy_change_applied(now, index, change, record, effects);
+            }
+            Command::Table { change, .. } => {
+                self.on_table_change_applied(now, index, change, record, effects);
+            }
+            // The federation's matter alone.
+            Command::Fence { .. } | Command::Voice { .. } => {}
+        }
+    }
+
+    /// A zone was ordered. An order that was void has changed nothing.
+    fn on_zone_order_applied(
+        &mut self,
+        now: Nanos,
+        index: u64,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.pending_decision = self
+            .pending_decision
+            .filter(|pending| pending.epoch >= record.epoch);
+        if record.changed != index {
+            return;
+        }
+        self.follow_returns(now, record);
+        for session in self.sessions.values_mut() {
+            send_view(now, session, record, effects);
+        }
+    }
+
+    /// An operator's request on a zone is in the record: whoever made it is answered, and what
+    /// follows from it is decided at once.
+    fn on_operator_request_applied(
+        &mut self,
+        now: Nanos,
+        index: u64,
+        command: &Command,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        let position = self
+            .pending_zone_orders
+            .iter()
+            .position(|order| order.command == *command);
+        let order = position.and_then(|position| self.pending_zone_orders.remove(position));
+        if let Some(order) = order {
+            effects.push(Effect::Reply(order.connection, ToPerson::Done(index)));
+        }
+        self.decide(now, record, effects);
+    }
+
+    /// Whether a slice was proposed in this term and is the last one of a return that goes on:
+    /// only of such a one may calls be granted. Invariant: no call of the budget is granted twice.
+    fn is_slice_current(
+        &self,
+        term: u64,
+        slice: u64,
+        zone: &str,
+        epoch: u64,
+        record: &Record,
+    ) -> bool {
+        term == self.term
+            && record
+                .zones
+                .get(zone)
+                .is_some_and(|zone| zone.slice == (term, slice) && zone.epoch == epoch)
+    }
+
+    fn on_table_change_applied(
+        &mut self,
+        now: Nanos,
+        index: u64,
+        change: &tables::Change,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.switch.applied(now, index, change, record);
+        if record.tables.at == index {
+            self.announce_tables_to_all(now, record, effects);
+        }
+    }
+}
--- a/src/coordination/leader/capacity.rs
+++ b/src/coordination/leader/capacity.rs
@@ -1,214 +1,350 @@
-//! How much of the traffic of a zone the other zones can bear, and how much a zone that is returned
-//! to can take. Decides nothing.
+//! How much of a zone's traffic the other zones can take, and how many senders a zone that is
+//! returned to can get back.
+//!
+//! Compares what the senders report (load, outcomes, endpoint lists) with the settings, and
+//! decides nothing: `decide` asks before it proposes an evacuation or a step of a return, and
+//! `orders` and `status` for the reason why a zone can't be evacuated.
 
 use crate::coordination::leader::LeaderDuties;
 use crate::coordination::record::{Phase, Record, Zone};
 use crate::coordination::zones::evidence::Evidence;
-use crate::coordination::zones::recovery_ramp::{Step, PRESSED};
-use crate::coordination::zones::spare_capacity::{bearable, Lists, Rest};
+use crate::coordination::zones::recovery_ramp::{ReturnProgress, OVERLOADED_REJECTED_SHARE};
+use crate::coordination::zones::spare_capacity::{movable_share, AlternativeZone, EndpointLists};
 use std::collections::BTreeMap;
 
-/// Senders come in again at most by this part of those that were out at once, then all.
-const LAST_STEP: f32 = 0.5;
-/// A leave that is in part grows by so great a part of the senders at least.
-const LEAST_GAIN: f32 = 0.1;
-/// A destination's part of the senders that is out falls in so many steps: each is an order, which
-/// voids what was granted before.
-const STEPS: f64 = 4.0;
-/// The first of them lets in so great a part.
-const FIRST_STEP: f64 = 0.5;
+/// Senders are readmitted at most by this share of those that are out; the last ones, at most this
+/// share of those that were moved out, all at once.
+const MAX_READMITTED_SHARE: f32 = 0.5;
+/// A partial evacuation is extended by so great a share of the senders at least: less is not worth
+/// an order.
+const LEAST_EXTENSION: f32 = 0.1;
+/// Steps in which a destination's senders are readmitted. Each is an order, which voids what was
+/// granted before, so they are few.
+const READMISSION_STEPS: f64 = 4.0;
+/// Share of the senders that the first of these steps readmits: a destination that takes less goes
+/// by granted calls alone.
+const LEAST_READMISSION: f64 = 0.5;
+/// Steps of a return come no closer than this part of the warm-up, and not further apart than
+/// [`MAX_READMISSION_INTERVAL_MS`].
+const READMISSION_INTERVALS_IN_WARMUP: u32 = 20;
+/// Longest time between two steps of a return, in milliseconds, whatever the warm-up is.
+const MAX_READMISSION_INTERVAL_MS: u32 = 1_000;
+/// Span over which outcomes are counted where the settings have no window, in milliseconds.
+const DEFAULT_SPAN_MS: u32 = 1_000;
+
+/// Why a zone can't be evacuated.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(super) enum CannotEvacuate {
+    /// As many zones are evacuated as the settings permit.
+    #[error("{evacuated} zones of {listed} are out already, of {max} that may be")]
+    TooManyEvacuated {
+        evacuated: usize,
+        listed: usize,
+        max: usize,
+    },
+    /// The record can't name another zone.
+    #[error("the record names as many zones as it may")]
+    RecordFull,
+    /// There is no destination of which the other zones can take any traffic.
+    #[error("no other zone can bear what goes there")]
+    NoSpareCapacity,
+}
 
 impl LeaderDuties {
-    /// Who stays out of a zone that is being returned to: of each destination as many come in as
-    /// what it takes by now has room for, in quarters and at most half of them at once. Empty where
-    /// all come in.
-    pub(super) fn still_out(&self, zone: &str, z: &Zone, step: Step) -> Vec<(u16, f32)> {
-        let rules = &self.rules.zones;
-        let lately = self.evidence.lately(zone, self.looked, rules.silent_ms);
-        let part = |dest: u16, left: f32| {
-            let now = share_of(&z.out, dest);
-            let bears = match step {
-                Step::Unwanted => 1.0,
-                _ => self.cold.bears(zone, dest).unwrap_or(0.0),
-            };
-            let pressed = lately
-                .get(&dest)
-                .is_some_and(|l| l.refused_share() >= PRESSED);
-            let room = (STEPS * bears * self.room(zone, dest)).floor().min(STEPS) / STEPS;
-            // What is colder goes by granted calls alone.
-            let room = if room < FIRST_STEP { 0.0 } else { room };
-            let most = if now > left * LAST_STEP {
-                now * LAST_STEP
+    /// By destination, the share of the senders that stays out of a zone that is being returned
+    /// to; empty where all are readmitted.
+    ///
+    /// Of each destination as many are readmitted as it can take by now, in steps, and at most
+    /// half of them at once.
+    pub(super) fn evacuation_after_readmission(
+        &self,
+        name: &str,
+        zone: &Zone,
+        progress: ReturnProgress,
+    ) -> Vec<(u16, f32)> {
+        let silent_ms = self.rules.zones.silent_ms;
+        let recent = self.evidence.recent_counts(name, self.judged_at, silent_ms);
+        let mut remaining = Vec::new();
+        let mut any_answers = false;
+        for (destination, moved_out) in &zone.left {
+            let is_overloaded = recent
+                .get(destination)
+                .is_some_and(|counts| counts.rejected_share() >= OVERLOADED_REJECTED_SHARE);
+            let still_out = share_of(&zone.out, *destination);
+            let share = if is_overloaded || still_out <= 0.0 {
+                still_out
             } else {
-                0.0
+                let admissible = self.admissible_share(name, *destination, progress);
+                share_after_step(*moved_out, still_out, admissible)
             };
-            let part = (left * (1.0 - room as f32)).max(most).min(now);
-            if pressed || now <= 0.0 {
-                now
-            } else {
-                part
+            if share > 0.0 {
+                any_answers |= self.answers(name, *destination);
+                remaining.push((*destination, share));
             }
-        };
-        let parts: Vec<(u16, f32, bool)> = z
-            .left
-            .iter()
-            .map(|(d, left)| (*d, part(*d, *left), self.cold.bears(zone, *d).is_some()))
-            .filter(|(_, part, _)| *part > 0.0)
-            .collect();
-        // One that does not answer alone, or that nobody calls, keeps the order no longer than the
-        // others do.
-        if parts.len() < z.left.len() && parts.iter().all(|(.., answers)| !answers) {
+        }
+        // A destination that alone does not answer, or that nobody calls, keeps the order no
+        // longer than the others do.
+        if remaining.len() < zone.left.len() && !any_answers {
             return Vec::new();
         }
-        parts.into_iter().map(|(d, part, _)| (d, part)).collect()
+        remaining
     }
 
-    /// The part of the senders that may be in a destination of a zone where it bears all that is
-    /// listed; over 1 where there is room to spare. By the list at least: no more than the headroom
-    /// of it is used. Where less comes than that, by what comes: the zone's part of all that the
-    /// destination carries now, and no more senders than their even parts push a cold one over.
-    fn room(&self, zone: &str, dest: u16) -> f64 {
+    /// Whether a destination of a zone has answered in its return.
+    fn answers(&self, zone: &str, destination: u16) -> bool {
+        self.recovery_ramp
+            .estimated_capacity(zone, destination)
+            .is_some()
+    }
+
+    /// The share of the senders that a destination of a zone can take by now, in whole steps.
+    fn admissible_share(&self, zone: &str, destination: u16, progress: ReturnProgress) -> f64 {
+        let capacity = match progress {
+            ReturnProgress::Unused => 1.0,
+            ReturnProgress::Ongoing | ReturnProgress::Failed => self
+                .recovery_ramp
+                .estimated_capacity(zone, destination)
+                .unwrap_or(0.0),
+        };
+        let when_warm = self.admissible_share_when_warm(zone, destination);
+        let steps = (READMISSION_STEPS * capacity * when_warm).floor();
+        let share = steps.min(READMISSION_STEPS) / READMISSION_STEPS;
+        if share < LEAST_READMISSION {
+            return 0.0;
+        }
+        share
+    }
+
+    /// The share of the senders that a destination of a zone can take when it has warmed up; over
+    /// 1 where it has capacity to spare.
+    ///
+    /// By the list at least: no more than its headroom is used. Where less traffic comes than is
+    /// listed, by the traffic: the zone's part of all that the destination carries now, and no
+    /// more senders than overload one that is warming up with their even parts.
+    fn admissible_share_when_warm(&self, zone: &str, destination: u16) -> f64 {
         let rules = &self.rules.zones;
         let by_list = 1.0 / rules.headroom;
-        let Some(rate) = self
-            .lists
-            .route(zone, dest)
-            .map(|r| r.rate)
-            .filter(|rate| *rate > 0.0)
+        let Some(rate_per_second) = self
+            .endpoint_lists
+            .capacity(zone, destination)
+            .map(|listed| listed.rate_per_second)
+            .filter(|rate_per_second| *rate_per_second > 0.0)
         else {
             return by_list;
         };
-        let expected_load = expected_load(&self.lists, &self.evidence, zone, dest);
-        let topples = if rules.overload_for_ms == 0 {
-            f64::INFINITY
+        let load = full_load_per_second(&self.endpoint_lists, &self.evidence, zone, destination);
+        let by_load = if load > 0.0 {
+            rate_per_second * rules.headroom / load
         } else {
-            rules.overload_factor
+            by_list
         };
-        let by_load = if expected_load > 0.0 {
-            rate * rules.headroom / expected_load
+        let without_overload = if rules.overload_window_ms == 0 {
+            f64::INFINITY
         } else {
-            by_list
+            rules.overload_factor
         };
-        by_list.max(by_load.min(topples))
+        by_list.max(by_load.min(without_overload))
     }
 
-    /// Time between two steps of a return: a beat of the record's clock at least, as it is counted
-    /// on it.
-    pub(super) fn settle_ms(&self) -> u32 {
-        (self.rules.zones.warm_after_ms / 20).clamp(self.rules.beat_ms, 1_000)
+    /// Milliseconds between two steps of a return: a heartbeat at least, as they are counted on
+    /// the record's clock.
+    pub(super) fn readmission_interval_ms(&self) -> u32 {
+        (self.rules.zones.warmup_ms / READMISSION_INTERVALS_IN_WARMUP).clamp(
+            self.rules.heartbeat_interval_ms,
+            MAX_READMISSION_INTERVAL_MS,
+        )
     }
 
-    /// Whether one more zone may be left, and for which destinations and parts of the senders.
-    pub(super) fn may_leave(&self, zone: &str, record: &Record) -> Result<Vec<(u16, f32)>, String> {
-        // One that no list names any more carries nothing, whatever stands of it.
-        let out = record
+    /// By destination, the share of the senders that can be moved out of one more zone.
+    ///
+    /// # Errors
+    ///
+    /// Why it can't be evacuated for any destination.
+    pub(super) fn evacuation_shares(
+        &self,
+        name: &str,
+        record: &Record,
+    ) -> Result<Vec<(u16, f32)>, CannotEvacuate> {
+        // A zone that no list names any more carries nothing, whatever the record has of it.
+        let evacuated = record
             .zones
             .iter()
-            .filter(|(name, z)| z.phase != Phase::Used && *name != zone);
-        let out = out.filter(|(name, _)| self.lists.count(name) > 0).count();
-        let all = self.lists.zones().count();
-        let share = ((all as f64 * self.rules.zones.left_share).floor() as usize).max(1);
-        let most = share.min(self.rules.zones.most_left as usize);
-        if out >= most {
-            return Err(format!(
-                "{out} zones of {all} are out already, of {most} that may be"
-            ));
+            .filter(|(other, zone)| zone.phase != Phase::Used && *other != name)
+            .filter(|(other, _)| self.endpoint_lists.destination_count(other) > 0)
+            .count();
+        let listed = self.endpoint_lists.zones().count();
+        let max = self.max_evacuated_zones(listed);
+        if evacuated >= max {
+            return Err(CannotEvacuate::TooManyEvacuated {
+                evacuated,
+                listed,
+                max,
+            });
         }
-        if !record.has_room(zone) {
-            return Err("the record names as many zones as it may".into());
+        if !record.has_room(name) {
+            return Err(CannotEvacuate::RecordFull);
         }
-        let parts = self.parts(zone, record, |dest| self.evidence.carried(zone, dest));
-        if parts.is_empty() {
-            return Err("no other zone can bear what goes there".into());
+        let load = |destination| self.evidence.load_per_second(name, destination);
+        let shares = self.movable_shares(name, record, load);
+        if shares.is_empty() {
+            return Err(CannotEvacuate::NoSpareCapacity);
         }
-        Ok(parts)
+        Ok(shares)
     }
 
-    /// Who is out of a zone, where more can leave than have left: of destinations that fail there
-    /// still, what the rest has room for now.
-    pub(super) fn grown(&self, zone: &str, z: &Zone, record: &Record) -> Option<Vec<(u16, f32)>> {
-        let stays = |dest: u16| 1.0 - share_of(&z.left, dest);
-        let span = self.rules.zones.windows_ms.last().copied().unwrap_or(1_000);
-        let seen = self.evidence.lately(zone, self.looked, span);
-        let fails = |dest: u16| seen.get(&dest).is_some_and(|l| l.bad > l.taken + l.refused);
-        if self
-            .lists
-            .dests(zone)
-            .all(|(dest, _)| stays(dest) < LEAST_GAIN || !fails(dest))
-        {
+    /// Most zones, of so many that are listed, that may be evacuated at once.
+    fn max_evacuated_zones(&self, listed: usize) -> usize {
+        let rules = &self.rules.zones;
+        let by_share = (listed as f64 * rules.max_evacuated_share).floor() as usize;
+        by_share.max(1).min(rules.max_evacuated_zones as usize)
+    }
+
+    /// By destination, the share of the senders that is out of a zone after a partial evacuation
+    /// is extended to what the rest can take by now, of destinations that still fail there.
+    /// Nothing where that is too little.
+    pub(super) fn extended_evacuation(
+        &self,
+        name: &str,
+        zone: &Zone,
+        record: &Record,
+    ) -> Option<Vec<(u16, f32)>> {
+        let staying = |destination: u16| 1.0 - share_of(&zone.left, destination);
+        let recent = self
+            .evidence
+            .recent_counts(name, self.judged_at, self.longest_window_ms());
+        let is_failing = |destination: u16| {
+            recent
+                .get(&destination)
+                .is_some_and(|counts| counts.mostly_failed())
+        };
+        let may_extend =
+            |destination| staying(destination) >= LEAST_EXTENSION && is_failing(destination);
+        if !self.endpoint_lists.destinations(name).any(may_extend) {
             return None;
         }
         // What those that stay would bring elsewhere; some of it is there already, after a call
         // that failed.
-        let load =
-            |dest| f64::from(stays(dest)) * expected_load(&self.lists, &self.evidence, zone, dest);
-        let mut out: BTreeMap<u16, f32> = z.left.iter().copied().collect();
-        let mut gains = false;
-        for (dest, more) in self.parts(zone, record, load) {
-            let gain = stays(dest) * more;
-            if fails(dest) && gain >= LEAST_GAIN {
-                *out.entry(dest).or_insert(0.0) += gain;
-                gains = true;
+        let load = |destination| {
+            let full =
+                full_load_per_second(&self.endpoint_lists, &self.evidence, name, destination);
+            f64::from(staying(destination)) * full
+        };
+        let mut evacuated: BTreeMap<u16, f32> = zone.left.iter().copied().collect();
+        let mut is_extended = false;
+        for (destination, movable) in self.movable_shares(name, record, load) {
+            let extension = staying(destination) * movable;
+            if is_failing(destination) && extension >= LEAST_EXTENSION {
+                *evacuated.entry(destination).or_insert(0.0) += extension;
+                is_extended = true;
             }
         }
-        gains.then(|| out.into_iter().collect())
+        is_extended.then(|| evacuated.into_iter().collect())
     }
 
-    /// By destination, the part of the senders that the rest can bear, by what each brings.
-    fn parts(&self, zone: &str, record: &Record, load: impl Fn(u16) -> f64) -> Vec<(u16, f32)> {
-        let rest = self.rest(zone, record).into_iter();
-        let parts =
-            rest.map(|(dest, rest)| (dest, bearable(&self.rules.zones, load(dest), &rest) as f32));
-        parts.filter(|(_, part)| *part > 0.0).collect()
+    /// By destination, the share of the senders whose load the other zones can take.
+    fn movable_shares(
+        &self,
+        zone: &str,
+        record: &Record,
+        load_per_second: impl Fn(u16) -> f64,
+    ) -> Vec<(u16, f32)> {
+        self.alternatives(zone, record)
+            .into_iter()
+            .map(|(destination, zones)| {
+                let load = load_per_second(destination);
+                let share = movable_share(&self.rules.zones, load, &zones);
+                (destination, share as f32)
+            })
+            .filter(|(_, share)| *share > 0.0)
+            .collect()
     }
 
-    /// What there is beside a zone for each of its destinations.
-    pub(super) fn rest(&self, zone: &str, record: &Record) -> Vec<(u16, Vec<Rest>)> {
-        let rules = &self.rules.zones;
-        let others: Vec<&str> = self.lists.zones().filter(|z| *z != zone).collect();
-        let span = rules.windows_ms.last().copied().unwrap_or(1_000);
-        let lately: BTreeMap<&str, _> = others
-            .iter()
-            .map(|z| (*z, self.evidence.lately(z, self.looked, span)))
+    /// For each destination of a zone, the other zones that list it.
+    pub(super) fn alternatives(
+        &self,
+        zone: &str,
+        record: &Record,
+    ) -> Vec<(u16, Vec<AlternativeZone>)> {
+        let span_ms = self.longest_window_ms();
+        let others: BTreeMap<&str, _> = self
+            .endpoint_lists
+            .zones()
+            .filter(|other| *other != zone)
+            .map(|other| {
+                let recent = self.evidence.recent_counts(other, self.judged_at, span_ms);
+                (other, recent)
+            })
             .collect();
-        let rest = |dest| {
-            let rest = others.iter().filter_map(|other| {
-                let route = self.lists.route(other, dest)?;
-                let stands = record.zones.get(*other).filter(|z| z.phase != Phase::Used);
-                let seen = lately[other].get(&dest).copied().unwrap_or_default();
-                Some(Rest {
-                    rate: route.rate,
-                    carried: self.evidence.carried(other, dest),
-                    refused: seen.least_refused(),
-                    out: stands.map_or(0.0, |z| share_of(&z.out, dest).into()),
-                    fails: seen.bad > seen.taken + seen.refused,
+        let for_destination = |destination: u16| {
+            let alternatives = others.iter().filter_map(|(other, recent)| {
+                let listed = self.endpoint_lists.capacity(other, destination)?;
+                let evacuated = record
+                    .zones
+                    .get(*other)
+                    .filter(|zone| zone.phase != Phase::Used)
+                    .map_or(0.0, |zone| share_of(&zone.out, destination));
+                let counts = recent.get(&destination).copied().unwrap_or_default();
+                Some(AlternativeZone {
+                    rate_per_second: listed.rate_per_second,
+                    load_per_second: self.evidence.load_per_second(other, destination),
+                    rejected_share: counts.rejected_share_lower_bound(),
+                    evacuated_share: evacuated.into(),
+                    is_failing: counts.mostly_failed(),
                 })
             });
-            rest.collect()
+            (destination, alternatives.collect())
         };
-        self.lists
-            .dests(zone)
-            .map(|(dest, _)| (dest, rest(dest)))
+        self.endpoint_lists
+            .destinations(zone)
+            .map(for_destination)
             .collect()
     }
+
+    /// The longest span over which zones are judged.
+    fn longest_window_ms(&self) -> u32 {
+        let windows = &self.rules.zones.windows_ms;
+        windows.last().copied().unwrap_or(DEFAULT_SPAN_MS)
+    }
 }
 
-/// Calls a second that a zone would get for a destination were all senders in it: its part, by the
-/// list, of all that is carried there.
-pub(super) fn expected_load(lists: &Lists, evidence: &Evidence, zone: &str, dest: u16) -> f64 {
-    let rates = lists
-        .zones()
-        .filter_map(|z| Some((z, lists.route(z, dest)?.rate)));
-    let (all, carried) = rates.fold((0.0, 0.0), |(all, carried), (z, rate)| {
-        (all + rate, carried + evidence.carried(z, dest))
-    });
-    carried * lists.route(zone, dest).map_or(0.0, |r| r.rate) / f64::max(all, 1e-9)
+/// The share of the senders that is out of a destination after one step, where `admissible` can be
+/// in it, `moved_out` were moved out at first and `still_out` are out before the step.
+fn share_after_step(moved_out: f32, still_out: f32, admissible: f64) -> f32 {
+    let least_out = if still_out > moved_out * MAX_READMITTED_SHARE {
+        still_out * MAX_READMITTED_SHARE
+    } else {
+        0.0
+    };
+    let not_admissible = moved_out * (1.0 - admissible as f32);
+    not_admissible.max(least_out).min(still_out)
+}
+
+/// Calls a second that a zone would get for a destination if no sender were out of it: its part,
+/// by the list, of all that is carried there.
+pub(super) fn full_load_per_second(
+    lists: &EndpointLists,
+    evidence: &Evidence,
+    zone: &str,
+    destination: u16,
+) -> f64 {
+    let mut listed_by_all = 0.0;
+    let mut carried_by_all = 0.0;
+    for other in lists.zones() {
+        if let Some(listed) = lists.capacity(other, destination) {
+            listed_by_all += listed.rate_per_second;
+            carried_by_all += evidence.load_per_second(other, destination);
+        }
+    }
+    let listed = lists
+        .capacity(zone, destination)
+        .map_or(0.0, |listed| listed.rate_per_second);
+    carried_by_all * listed / f64::max(listed_by_all, 1e-9)
 }
 
-/// The part of the senders that is out of a destination.
-pub(super) fn share_of(parts: &[(u16, f32)], dest: u16) -> f32 {
-    parts
+/// The share of the senders that a list of shares has for a destination; 0 where it has none.
+pub(super) fn share_of(shares: &[(u16, f32)], destination: u16) -> f32 {
+    shares
         .iter()
-        .find(|(d, _)| *d == dest)
-        .map_or(0.0, |(_, part)| *part)
+        .find(|(listed, _)| *listed == destination)
+        .map_or(0.0, |(_, share)| *share)
 }
--- a/src/coordination/leader/decide.rs
+++ b/src/coordination/leader/decide.rs
@@ -1,285 +1,434 @@
-//! Which zone is left or returned to next, by the evidence and by what operators wish: one order at
-//! the most.
+//! Which zone is evacuated or returned to next: one order at most, by what operators request and
+//! by the evidence.
+//!
+//! Owns the rules of precedence (an operator's request goes before evidence, a return that goes
+//! wrong before a new evacuation) and proposes the order. How much can be moved is worked out by
+//! `capacity`; how a return goes, by `returns`. Called by the leader's tick and when an
+//! operator's request on a zone is in the record.
 
-use crate::coordination::leader::capacity::{expected_load, share_of};
-use crate::coordination::leader::{LeaderDuties, Out};
+use crate::coordination::leader::capacity::share_of;
+use crate::coordination::leader::returns::ReturnsProgress;
+use crate::coordination::leader::{Effect, LeaderDuties, PendingDecision};
 use crate::coordination::messages::ZoneWish;
-use crate::coordination::record::{Command, Phase, Record, Wish, Zone};
-use crate::coordination::zones::evidence::Verdict;
-use crate::coordination::zones::recovery_ramp::{Share, Step};
+use crate::coordination::record::{Command, Phase, Record, Zone};
+use crate::coordination::zones::evidence::ZoneVerdict;
+use crate::coordination::zones::recovery_ramp::ReturnProgress;
 use crate::Nanos;
-use std::collections::BTreeMap;
+use std::cmp::Reverse;
 
-/// Destinations of which the log tells why they are not left by all, at the most.
-const MOST_TOLD: usize = 10;
+/// Most destinations of which the log says why a zone is not evacuated by all senders.
+const MAX_LOGGED_DESTINATIONS: usize = 10;
+/// Most times that the time to the next return is doubled: more would overflow, and the settings
+/// limit it long before.
+const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 
-/// An order: the zone, its phase, who is out, returns that failed, and why.
-type Next = (String, Phase, Vec<(u16, f32)>, u32, String);
+/// Reason of an order that an operator requested. It is in the record and in the status.
+const OPERATOR_REQUEST: &str = "a person's word";
 
-impl LeaderDuties {
-    pub(super) fn follow(&mut self, now: Nanos, record: &Record) {
-        let back = record
-            .zones
-            .iter()
-            .filter(|(_, z)| z.phase == Phase::Returning);
-        let back = back.map(|(zone, z)| {
-            (
-                zone.as_str(),
-                z.epoch,
-                z.out.iter().map(|(d, _)| *d).collect(),
-                z.warm.as_slice(),
-            )
-        });
-        self.cold.follow(now, back);
+/// What is to be ordered of a zone.
+struct ZoneDecision {
+    zone: String,
+    phase: Phase,
+    /// By destination, the share of the senders that is out.
+    evacuated: Vec<(u16, f32)>,
+    /// How often the zone was returned to recently, successfully or not.
+    recent_returns: u32,
+    /// For operators; kept in the record.
+    why: String,
+}
+
+impl ZoneDecision {
+    fn new(
+        zone: &str,
+        phase: Phase,
+        evacuated: Vec<(u16, f32)>,
+        recent_returns: u32,
+        why: impl Into<String>,
+    ) -> ZoneDecision {
+        ZoneDecision {
+            zone: zone.to_string(),
+            phase,
+            evacuated,
+            recent_returns,
+            why: why.into(),
+        }
     }
+}
 
-    pub(super) fn reserve(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
-        for (zone, z) in record
-            .zones
-            .iter()
-            .filter(|(_, z)| z.phase == Phase::Returning)
-        {
-            let (lists, evidence, headroom) =
-                (&self.lists, &self.evidence, self.rules.zones.headroom);
-            let listed = |dest| {
-                let (left, out) = (share_of(&z.left, dest), share_of(&z.out, dest));
-                // Those that are not listed any more get nothing.
-                let rate = lists.route(zone, dest).map(|r| r.rate);
-                rate.map_or(Share::default(), |rate| Share {
-                    rate,
-                    left: left.into(),
-                    taken: f64::from(left - out)
-                        * expected_load(lists, evidence, zone, dest).min(rate * headroom),
-                })
-            };
-            if let Some((slice, calls, warm)) = self.cold.reserve(now, zone, listed) {
-                let (term, epoch, zone) = (self.term, z.epoch, zone.clone());
-                out.push(Out::Propose(Command::Slice {
-                    term,
-                    slice,
-                    zone,
-                    epoch,
-                    calls,
-                    warm,
-                }));
-            }
+impl LeaderDuties {
+    /// Judges all zones and proposes one order at most; none while another one is out.
+    pub(super) fn decide(&mut self, now: Nanos, record: &Record, effects: &mut Vec<Effect>) {
+        self.judge_zones(now, record);
+        let progress = self.advance_returns(now, record);
+        if self.pending_decision.is_some() {
+            return;
+        }
+        let decision = self.next_decision(record, &progress);
+        self.restart_failed_returns(record, &progress);
+        if let Some(decision) = decision {
+            self.log_decision(&decision, record);
+            self.propose_decision(now, decision, record, effects);
         }
     }
 
-    /// Looks at the evidence and at what people wish, and proposes one order at the most.
-    pub(super) fn decide(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
-        self.looked = now;
-        self.evidence.age(now);
-        self.lists.settle();
-        self.follow(now, record);
-        let lists = &self.lists;
-        let is_out = |zone: &str| {
+    /// Brings evidence, lists and returns up to date, and judges.
+    fn judge_zones(&mut self, now: Nanos, record: &Record) {
+        self.judged_at = now;
+        self.evidence.expire(now);
+        self.endpoint_lists.refresh();
+        self.follow_returns(now, record);
+        let lists = &self.endpoint_lists;
+        let listed_destinations = |zone: &str| lists.destination_count(zone);
+        let is_evacuated = |zone: &str| {
             record
                 .zones
                 .get(zone)
-                .is_some_and(|z| z.phase != Phase::Used)
+                .is_some_and(|zone| zone.phase != Phase::Used)
         };
-        self.verdicts =
-            self.evidence
-                .judge(now, self.sessions.len(), |zone| lists.count(zone), is_out);
-        let steps: BTreeMap<&String, Step> = record
+        let live_senders = self.sessions.len();
+        self.verdicts = self
+            .evidence
+            .judge(now, live_senders, listed_destinations, is_evacuated);
+    }
+
+    /// The first zone of the record of which something is to be ordered, else the one that is to be
+    /// evacuated next.
+    fn next_decision(
+        &self,
+        record: &Record,
+        progress: &ReturnsProgress<'_>,
+    ) -> Option<ZoneDecision> {
+        record
             .zones
             .iter()
-            .filter(|(_, z)| z.phase == Phase::Returning)
-            .map(|(zone, z)| {
-                (
-                    zone,
-                    self.cold
-                        .step(now, zone, wish(z.wish) == Some(ZoneWish::Hold)),
-                )
+            .find_map(|(name, zone)| {
+                let progress = progress.get(name.as_str()).copied();
+                self.decide_recorded_zone(name, zone, progress, record)
             })
-            .collect();
-        if self.deciding.is_some() {
+            .or_else(|| self.decide_evacuation(record))
+    }
+
+    fn log_decision(&self, decision: &ZoneDecision, record: &Record) {
+        let ZoneDecision {
+            zone,
+            phase,
+            evacuated,
+            recent_returns,
+            why,
+        } = decision;
+        log::info!(
+            "zone={zone} phase={phase:?} tries={recent_returns} out={evacuated:?} why={why}"
+        );
+        if *phase != Phase::Left {
             return;
         }
-        let order = record
-            .zones
-            .iter()
-            .find_map(|(zone, z)| self.next(zone, z, steps.get(zone).copied(), record))
-            .or_else(|| self.next_to_leave(record));
-        for (zone, step) in steps {
-            // Whoever wishes a return has it tried again.
-            if step == Step::Failed && wish(record.zones[zone].wish) == Some(ZoneWish::Return) {
-                self.cold.anew(zone);
-            }
+        let in_part = self
+            .alternatives(zone, record)
+            .into_iter()
+            .map(|(destination, rest)| (destination, share_of(evacuated, destination), rest))
+            .filter(|(_, share, _)| *share < 1.0);
+        for (destination, share, rest) in in_part.take(MAX_LOGGED_DESTINATIONS) {
+            log::info!(
+                "zone={zone} destination={destination} is left by a part of {share}, \
+                 as the rest is {rest:?}"
+            );
         }
-        if let Some((zone, phase, parts, tries, why)) = order {
-            log::info!("zone={zone} phase={phase:?} tries={tries} out={parts:?} why={why}");
-            if phase == Phase::Left {
-                let rest = self.rest(&zone, record).into_iter();
-                for (dest, rest) in rest
-                    .filter(|(d, _)| share_of(&parts, *d) < 1.0)
-                    .take(MOST_TOLD)
-                {
-                    let part = share_of(&parts, dest);
-                    log::info!(
-                        "zone={zone} destination={dest} is left by a part of {part}, as the rest is {rest:?}"
-                    );
-                }
-            }
-            self.deciding = Some((record.epoch, now));
-            out.push(Out::Propose(Command::Order {
-                base: record.epoch,
-                zone,
-                phase,
-                out: parts,
-                tries,
-                why,
-            }));
+    }
+
+    /// Proposes an order on the epoch that it was decided on. Any order that the record gets before
+    /// voids it.
+    fn propose_decision(
+        &mut self,
+        now: Nanos,
+        decision: ZoneDecision,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.pending_decision = Some(PendingDecision {
+            epoch: record.epoch,
+            proposed_at: now,
+        });
+        effects.push(Effect::Propose(Command::Order {
+            base: record.epoch,
+            zone: decision.zone,
+            phase: decision.phase,
+            out: decision.evacuated,
+            tries: decision.recent_returns,
+            why: decision.why,
+        }));
+    }
+
+    /// What is to be ordered of a zone that the record names.
+    fn decide_recorded_zone(
+        &self,
+        name: &str,
+        zone: &Zone,
+        progress: Option<ReturnProgress>,
+        record: &Record,
+    ) -> Option<ZoneDecision> {
+        if requested_by_operator(zone) == Some(ZoneWish::Hold) {
+            return None;
         }
+        let ms_since_order = record.clock_ms.saturating_sub(zone.since_ms);
+        self.decide_extension(name, zone, ms_since_order, record)
+            .or_else(|| self.decide_phase(name, zone, progress, ms_since_order, record))
     }
 
-    /// What is next for a zone that the record names.
-    fn next(&self, zone: &str, z: &Zone, step: Option<Step>, record: &Record) -> Option<Next> {
-        let wish = wish(z.wish);
-        if wish == Some(ZoneWish::Hold) {
+    /// Whether more senders are to be moved out of a zone that is evacuated.
+    fn decide_extension(
+        &self,
+        name: &str,
+        zone: &Zone,
+        ms_since_order: u64,
+        record: &Record,
+    ) -> Option<ZoneDecision> {
+        // Load is a mean over this time; before, it does not tell of the last order.
+        let load_is_known = ms_since_order >= u64::from(self.rules.zones.load_window_ms);
+        let is_out = zone.phase != Phase::Used && !self.recovery_ramp.has_begun(name);
+        let is_return_requested = requested_by_operator(zone) == Some(ZoneWish::Return);
+        if !load_is_known || !is_out || is_return_requested {
             return None;
         }
-        // What is carried is a mean over so long; before it tells of the last order nothing follows
-        // from it.
-        let passed =
-            record.clock_ms.saturating_sub(z.since_ms) >= u64::from(self.rules.zones.load_ms);
-        let is_out = z.phase != Phase::Used && !self.cold.has_begun(zone);
-        let grown = || {
-            let out = self.grown(zone, z, record)?;
-            Some((
-                zone.to_string(),
+        let evacuated = self.extended_evacuation(name, zone, record)?;
+        let why = "the rest bears more";
+        Some(ZoneDecision::new(
+            name,
+            Phase::Left,
+            evacuated,
+            zone.tries,
+            why,
+        ))
+    }
+
+    /// Whether a zone changes its phase, or goes a step further in a return.
+    fn decide_phase(
+        &self,
+        name: &str,
+        zone: &Zone,
+        progress: Option<ReturnProgress>,
+        ms_since_order: u64,
+        record: &Record,
+    ) -> Option<ZoneDecision> {
+        match zone.phase {
+            Phase::Used => self.decide_used(name, zone, ms_since_order, record),
+            Phase::Left => self.decide_evacuated(name, zone, ms_since_order),
+            Phase::Returning => self.decide_returning(name, zone, progress, ms_since_order),
+        }
+    }
+
+    /// A zone in use is evacuated on request, and forgotten when it was in use for long.
+    fn decide_used(
+        &self,
+        name: &str,
+        zone: &Zone,
+        ms_since_order: u64,
+        record: &Record,
+    ) -> Option<ZoneDecision> {
+        if requested_by_operator(zone) == Some(ZoneWish::Leave) {
+            let evacuated = self.evacuation_shares(name, record).ok()?;
+            return Some(ZoneDecision::new(
+                name,
                 Phase::Left,
-                out,
-                z.tries,
-                "the rest bears more".to_string(),
-            ))
-        };
-        let more = (passed && is_out && wish != Some(ZoneWish::Return))
-            .then(grown)
-            .flatten();
-        more.or_else(|| self.moves(zone, z, step, record))
+                evacuated,
+                zone.tries,
+                OPERATOR_REQUEST,
+            ));
+        }
+        let reset_ms = u64::from(self.rules.zones.return_history_reset_ms);
+        if zone.tries == 0 || ms_since_order < reset_ms {
+            return None;
+        }
+        let why = "in use for long";
+        Some(ZoneDecision::new(name, Phase::Used, Vec::new(), 0, why))
     }
 
-    /// The same, but for how many leave.
-    fn moves(&self, zone: &str, z: &Zone, step: Option<Step>, record: &Record) -> Option<Next> {
-        let rules = &self.rules.zones;
-        let passed = record.clock_ms.saturating_sub(z.since_ms);
-        let to = |phase, out, tries, why: &str| {
-            Some((zone.to_string(), phase, out, tries, why.to_string()))
-        };
-        let wish = wish(z.wish);
-        match z.phase {
-            Phase::Used if wish == Some(ZoneWish::Leave) => {
-                let parts = self.may_leave(zone, record).ok()?;
-                to(Phase::Left, parts, z.tries, "a person's word")
-            }
-            Phase::Used if z.tries > 0 && passed >= u64::from(rules.calm_ms) => {
-                to(Phase::Used, Vec::new(), 0, "in use for long")
-            }
-            Phase::Used => None,
-            Phase::Left if wish == Some(ZoneWish::Leave) => None,
-            Phase::Left => {
-                let rest = u64::from(rules.rest_ms) << z.tries.min(20);
-                let rested = passed >= rest.min(rules.most_rest_ms.into());
-                let listed = self.lists.count(zone) > 0;
-                match wish {
-                    Some(ZoneWish::Return) => {
-                        to(Phase::Returning, z.out.clone(), z.tries, "a person's word")
-                    }
-                    _ if rested && listed => to(Phase::Returning, z.out.clone(), z.tries, "rested"),
-                    _ => None,
+    /// A return begins on request, or after a time that doubles with each return.
+    fn decide_evacuated(
+        &self,
+        name: &str,
+        zone: &Zone,
+        ms_since_order: u64,
+    ) -> Option<ZoneDecision> {
+        let why = match requested_by_operator(zone) {
+            Some(ZoneWish::Leave) => return None,
+            Some(ZoneWish::Return) => OPERATOR_REQUEST,
+            _ => {
+                let is_listed = self.endpoint_lists.destination_count(name) > 0;
+                if ms_since_order < self.return_backoff_ms(zone) || !is_listed {
+                    return None;
                 }
+                "rested"
             }
-            Phase::Returning if wish == Some(ZoneWish::Leave) => {
-                to(Phase::Left, z.left.clone(), z.tries, "a person's word")
-            }
-            Phase::Returning => self.returns(zone, z, step?, passed),
-        }
+        };
+        Some(ZoneDecision::new(
+            name,
+            Phase::Returning,
+            zone.out.clone(),
+            zone.tries,
+            why,
+        ))
     }
 
-    /// The same for a zone that is being returned to, and stands as it is for `passed`
-    /// milliseconds.
-    fn returns(&self, zone: &str, z: &Zone, step: Step, passed: u64) -> Option<Next> {
+    /// Milliseconds from an evacuation to the next return.
+    fn return_backoff_ms(&self, zone: &Zone) -> u64 {
         let rules = &self.rules.zones;
-        let to = |phase, out, tries, why: &str| {
-            Some((zone.to_string(), phase, out, tries, why.to_string()))
-        };
-        let fails = matches!(self.verdicts.get(zone), Some(Verdict::Fails { .. }));
-        match step {
-            _ if wish(z.wish) == Some(ZoneWish::Return) => {}
-            Step::Failed => {
-                return to(
-                    Phase::Left,
-                    z.left.clone(),
-                    z.tries.saturating_add(1),
-                    "the return failed",
-                )
-            }
-            // Senders that are in see it, and not by granted calls.
-            _ if fails && self.cold.has_begun(zone) => {
-                let why = "it fails while it is returned to";
-                return to(Phase::Left, z.left.clone(), z.tries.saturating_add(1), why);
-            }
-            _ => {}
+        let backoff_ms =
+            u64::from(rules.return_backoff_ms) << zone.tries.min(MAX_BACKOFF_DOUBLINGS);
+        backoff_ms.min(rules.max_return_backoff_ms.into())
+    }
+
+    /// A return ends on request or when it fails; else it goes a step further when it can.
+    fn decide_returning(
+        &self,
+        name: &str,
+        zone: &Zone,
+        progress: Option<ReturnProgress>,
+        ms_since_order: u64,
+    ) -> Option<ZoneDecision> {
+        if requested_by_operator(zone) == Some(ZoneWish::Leave) {
+            return Some(ZoneDecision::new(
+                name,
+                Phase::Left,
+                zone.left.clone(),
+                zone.tries,
+                OPERATOR_REQUEST,
+            ));
         }
-        let out = self.still_out(zone, z, step);
-        // An order voids what was granted: those that have not answered yet have had their time
-        // with it.
-        let lags = z
-            .out
-            .iter()
-            .any(|(d, _)| self.cold.bears(zone, *d).is_none());
-        let gap = if lags {
-            rules.within_ms.max(self.settle_ms())
+        let progress = progress?;
+        if let Some(why) = self.return_failure(name, zone, progress) {
+            return Some(ZoneDecision::new(
+                name,
+                Phase::Left,
+                zone.left.clone(),
+                zone.tries.saturating_add(1),
+                why,
+            ));
+        }
+        self.decide_readmission(name, zone, progress, ms_since_order)
+    }
+
+    /// Why a return has failed; an operator's request keeps it up whatever fails.
+    fn return_failure(
+        &self,
+        name: &str,
+        zone: &Zone,
+        progress: ReturnProgress,
+    ) -> Option<&'static str> {
+        if requested_by_operator(zone) == Some(ZoneWish::Return) {
+            return None;
+        }
+        if progress == ReturnProgress::Failed {
+            return Some("the return failed");
+        }
+        // Senders that are readmitted see it, and not by granted calls.
+        let is_failing = matches!(self.verdicts.get(name), Some(ZoneVerdict::Failing { .. }));
+        if is_failing && self.recovery_ramp.has_begun(name) {
+            return Some("it fails while it is returned to");
+        }
+        None
+    }
+
+    /// The next step of a return that goes well.
+    fn decide_readmission(
+        &self,
+        name: &str,
+        zone: &Zone,
+        progress: ReturnProgress,
+        ms_since_order: u64,
+    ) -> Option<ZoneDecision> {
+        let evacuated = self.evacuation_after_readmission(name, zone, progress);
+        let ms_since_begun = self
+            .recovery_ramp
+            .ms_since_begun(name, self.judged_at)
+            .unwrap_or(u64::MAX);
+        let ms_since_step = ms_since_order.min(ms_since_begun);
+        if evacuated == zone.out || ms_since_step < u64::from(self.least_step_ms(name, zone)) {
+            return None;
+        }
+        if !evacuated.is_empty() {
+            let why = "it bears more";
+            let phase = Phase::Returning;
+            return Some(ZoneDecision::new(name, phase, evacuated, zone.tries, why));
+        }
+        let why = if progress == ReturnProgress::Unused {
+            "nobody calls there"
         } else {
-            self.settle_ms()
+            "warm"
         };
-        let begun_ms = self.cold.begun_ms(zone, self.looked).unwrap_or(u64::MAX);
-        if out == z.out || passed.min(begun_ms) < u64::from(gap) {
-            None
-        } else if out.is_empty() {
-            let why = if step == Step::Unwanted {
-                "nobody calls there"
-            } else {
-                "warm"
-            };
-            to(Phase::Used, Vec::new(), z.tries.saturating_add(1), why)
+        let returns = zone.tries.saturating_add(1);
+        Some(ZoneDecision::new(
+            name,
+            Phase::Used,
+            evacuated,
+            returns,
+            why,
+        ))
+    }
+
+    /// Milliseconds from one step of a return to the next. An order voids what was granted: where a
+    /// destination has not answered yet, its grants have their time first.
+    fn least_step_ms(&self, name: &str, zone: &Zone) -> u32 {
+        let interval_ms = self.readmission_interval_ms();
+        let all_answer = zone.out.iter().all(|(destination, _)| {
+            self.recovery_ramp
+                .estimated_capacity(name, *destination)
+                .is_some()
+        });
+        if all_answer {
+            interval_ms
         } else {
-            to(Phase::Returning, out, z.tries, "it bears more")
+            interval_ms.max(self.rules.zones.grant_validity_ms)
         }
     }
 
-    /// The zone that evidence says to leave next, if there is one: where more fail, the one that
-    /// most see.
-    fn next_to_leave(&self, record: &Record) -> Option<Next> {
-        let failing = self
-            .verdicts
-            .iter()
-            .filter_map(|(zone, verdict)| match verdict {
-                Verdict::Fails { seen_by, of } => Some((zone, *seen_by, *of)),
-                _ => None,
-            });
-        let mut failing: Vec<_> = failing.collect();
-        failing.sort_by_key(|(_, seen_by, _)| std::cmp::Reverse(*seen_by));
-        failing.into_iter().find_map(|(zone, seen_by, of)| {
-            let known = record.zones.get(zone);
-            if known.is_some_and(|z| z.phase != Phase::Used || z.wish.is_some()) {
+    /// The zone that the evidence says to evacuate next, if any: where several fail, the one that
+    /// most reporters see fail.
+    fn decide_evacuation(&self, record: &Record) -> Option<ZoneDecision> {
+        let mut failing: Vec<FailingZone<'_>> = self.failing_zones();
+        failing.sort_by_key(|zone| Reverse(zone.seen_by));
+        failing.into_iter().find_map(|failing| {
+            let recorded = record.zones.get(failing.name);
+            if recorded.is_some_and(|zone| zone.phase != Phase::Used || zone.wish.is_some()) {
                 return None;
             }
-            let parts = self.may_leave(zone, record).ok()?;
+            let evacuated = self.evacuation_shares(failing.name, record).ok()?;
+            let recent_returns = recorded.map_or(0, |zone| zone.tries);
+            let FailingZone { name, seen_by, of } = failing;
             let why = format!("seen failing by {seen_by} of {of} senders");
-            Some((
-                zone.clone(),
+            Some(ZoneDecision::new(
+                name,
                 Phase::Left,
-                parts,
-                known.map_or(0, |z| z.tries),
+                evacuated,
+                recent_returns,
                 why,
             ))
         })
     }
+
+    fn failing_zones(&self) -> Vec<FailingZone<'_>> {
+        self.verdicts
+            .iter()
+            .filter_map(|(name, verdict)| match verdict {
+                ZoneVerdict::Failing { seen_by, of } => Some(FailingZone {
+                    name,
+                    seen_by: *seen_by,
+                    of: *of,
+                }),
+                _ => None,
+            })
+            .collect()
+    }
+}
+
+/// A zone that is judged to fail.
+struct FailingZone<'a> {
+    name: &'a str,
+    /// Reporters that see it fail, of those that call there.
+    seen_by: usize,
+    of: usize,
 }
 
-pub(super) fn wish(wish: Option<Wish>) -> Option<ZoneWish> {
-    wish.map(|w| w.what)
+/// What an operator's request on a zone says, while it holds.
+pub(super) fn requested_by_operator(zone: &Zone) -> Option<ZoneWish> {
+    zone.wish.map(|request| request.what)
 }
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -1,7 +1,12 @@
-//! Orders of operators: checked, proposed, and answered when the record has them.
+//! Requests of operators: checked, proposed, and answered when the record has them.
+//!
+//! Owns the orders that wait for the record, of which there is a bound. What an order on policies
+//! or tables means is worked out by the rollout and the cutover; an operator's order on the
+//! replicas themselves is the replica's matter and refused here.
 
 use crate::coordination::leader::{
-    ConnectionId, LeaderDuties, Out, PendingPolicyOrder, PendingTableOrder,
+    ConnectionId, Effect, LeaderDuties, PendingPolicyOrder, PendingTableOrder, PendingZoneOrder,
+    ORDER_TIMED_OUT, ORDER_TIMEOUT,
 };
 use crate::coordination::messages::{FromPerson, TableOrder, ToPerson, ZoneWish};
 use crate::coordination::policy_rollout::register::Change;
@@ -10,227 +15,359 @@
 use crate::coordination::routing_table::cutover::Switch;
 use crate::Nanos;
 
-/// Orders of people that wait for the record, at the most.
-const MOST_WAITING: usize = 100;
+/// Most orders of each kind that wait for the record: more than operators have at hand, and few
+/// enough to look through.
+const MAX_PENDING_ORDERS: usize = 100;
+const TOO_MANY_ORDERS: &str = "too many orders wait; again in a second";
+const NO_FEDERATION: &str = "this site is in no federation";
+
+/// What an operator orders of a zone.
+struct ZoneRequest<'a> {
+    zone: &'a str,
+    wish: ZoneWish,
+    /// Seconds for which it holds; 0 until another one.
+    for_seconds: u64,
+}
 
 impl LeaderDuties {
-    /// An operator orders something over a connection; answered at once, or when the record has it.
-    /// Of the status, what the leader does not know (site, keepers) is left for the replica to fill
-    /// in.
-    pub fn order(
+    /// Takes an operator's request: answered at once, or when the record has it.
+    ///
+    /// Of the status, what the leader does not know (site, replicas) is left for the replica to
+    /// fill in.
+    pub fn on_operator_request(
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        word: &FromPerson,
+        request: &FromPerson,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        let answer = match word {
+        let answer = match request {
             FromPerson::Zone { zone, order, for_s } => {
-                match self.zone_command(zone, *order, *for_s, record) {
-                    Ok(command) => {
-                        out.push(Out::Propose(command.clone()));
-                        self.pending_orders.push_back((connection, command, now));
-                        return;
-                    }
-                    Err(answer) => answer,
-                }
+                let request = ZoneRequest {
+                    zone,
+                    wish: *order,
+                    for_seconds: *for_s,
+                };
+                return self.order_zone(now, connection, request, record, effects);
             }
-            FromPerson::Status => ToPerson::Status(Box::new(self.status(record))),
-            FromPerson::Policies => ToPerson::Policies(Box::new(self.roll.status(now, record))),
-            FromPerson::PastPolicies => ToPerson::PastPolicies(Roll::history(record)),
-            FromPerson::Policy { number } => match record.policies.texts.get(number) {
-                Some(t) => ToPerson::Policy {
-                    number: *number,
-                    print: t.print,
-                    text: t.text.clone(),
-                },
-                None => ToPerson::Refused(format!("the record has no text of policy {number}")),
-            },
             FromPerson::Propose { .. }
             | FromPerson::Halt { .. }
             | FromPerson::Resume
             | FromPerson::Back => {
-                return self.order_policy(now, connection, word, record, out);
+                return self.order_policy(now, connection, request, record, effects);
+            }
+            FromPerson::Table(order) => {
+                return self.order_table(now, connection, order, record, effects);
             }
-            FromPerson::Table(word) => return self.order_table(now, connection, word, record, out),
+            FromPerson::Status => ToPerson::Status(Box::new(self.status(record))),
+            FromPerson::Policies => ToPerson::Policies(Box::new(self.roll.status(now, record))),
+            FromPerson::PastPolicies => ToPerson::PastPolicies(Roll::history(record)),
+            FromPerson::Policy { number } => policy_text(*number, record),
             FromPerson::Add { .. } | FromPerson::Remove { .. } => {
                 ToPerson::Refused("keepers are not the office's to change".into())
             }
         };
-        out.push(Out::Answer(connection, answer));
+        effects.push(Effect::Reply(connection, answer));
+    }
+
+    fn order_zone(
+        &mut self,
+        now: Nanos,
+        connection: ConnectionId,
+        request: ZoneRequest<'_>,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        match self.zone_command(request, record) {
+            Ok(command) => {
+                effects.push(Effect::Propose(command.clone()));
+                self.pending_zone_orders.push_back(PendingZoneOrder {
+                    connection,
+                    command,
+                    received_at: now,
+                });
+            }
+            Err(answer) => effects.push(Effect::Reply(connection, answer)),
+        }
     }
 
-    /// What an order on a zone brings into the record; else what is answered at once.
+    /// The command that brings an order on a zone into the record.
+    ///
+    /// # Errors
+    ///
+    /// What the operator is answered at once, where there is nothing to propose.
     fn zone_command(
         &mut self,
-        zone: &str,
-        wish: ZoneWish,
-        for_s: u64,
+        request: ZoneRequest<'_>,
         record: &Record,
     ) -> Result<Command, ToPerson> {
-        self.lists.settle();
-        if let Some(why) = self.refusal(zone, wish, record) {
+        self.endpoint_lists.refresh();
+        if let Some(why) = self.zone_refusal(&request, record) {
             return Err(ToPerson::Refused(why));
         }
-        let word = record.zones.get(zone).and_then(|z| z.wish);
-        // What stands already is not written again.
-        let same = match wish {
-            ZoneWish::Free => word.is_none(),
-            _ => {
-                for_s == 0
-                    && word
-                        == Some(Wish {
-                            what: wish,
-                            until_ms: 0,
-                        })
-            }
-        };
-        if same {
+        if is_recorded(&request, record) {
             return Err(ToPerson::Done(record.version));
         }
-        if self.pending_orders.len() >= MOST_WAITING {
-            return Err(ToPerson::Refused(
-                "too many orders wait; again in a second".into(),
-            ));
+        if self.pending_zone_orders.len() >= MAX_PENDING_ORDERS {
+            return Err(ToPerson::Refused(TOO_MANY_ORDERS.into()));
         }
-        // The record's clock may be a beat behind.
-        let beat = if for_s == 0 {
-            0
-        } else {
-            u64::from(self.rules.beat_ms)
-        };
-        let for_ms = for_s.saturating_mul(1_000).saturating_add(beat);
         Ok(Command::Wish {
-            zone: zone.into(),
-            wish,
-            for_ms,
+            zone: request.zone.into(),
+            wish: request.wish,
+            for_ms: self.order_duration_ms(request.for_seconds),
         })
     }
 
-    /// Why an order on a zone is not taken on.
-    fn refusal(&self, zone: &str, wish: ZoneWish, record: &Record) -> Option<String> {
-        let stands = record.zones.get(zone);
-        let phase = stands.map_or(Phase::Used, |z| z.phase);
-        if self.lists.count(zone) == 0 && stands.is_none() {
-            Some(format!("no list names a zone {zone:?}"))
-        } else if !record.has_room(zone) {
-            Some("the record names as many zones as it may".into())
-        } else if wish == ZoneWish::Leave && phase == Phase::Used {
-            self.may_leave(zone, record).err()
-        } else {
-            None
+    /// For how long an order holds on the record's clock, which may be a heartbeat behind; 0 until
+    /// another one.
+    fn order_duration_ms(&self, for_seconds: u64) -> u64 {
+        if for_seconds == 0 {
+            return 0;
+        }
+        for_seconds
+            .saturating_mul(1_000)
+            .saturating_add(u64::from(self.rules.heartbeat_interval_ms))
+    }
+
+    /// Why an order on a zone is refused.
+    fn zone_refusal(&self, request: &ZoneRequest<'_>, record: &Record) -> Option<String> {
+        let name = request.zone;
+        let zone = record.zones.get(name);
+        if zone.is_none() && self.endpoint_lists.destination_count(name) == 0 {
+            return Some(format!("no list names a zone {name:?}"));
+        }
+        if !record.has_room(name) {
+            return Some("the record names as many zones as it may".into());
+        }
+        let is_used = zone.is_none_or(|zone| zone.phase == Phase::Used);
+        if request.wish == ZoneWish::Leave && is_used {
+            let refusal = self.evacuation_shares(name, record).err()?;
+            return Some(refusal.to_string());
         }
+        None
     }
 
-    /// An order on policies, given first at some time: proposed on the turn that stands.
+    /// Takes an order on policies that came first at `received_at`: proposed on the turn that the
+    /// record has.
     fn order_policy(
         &mut self,
-        at: Nanos,
+        received_at: Nanos,
         connection: ConnectionId,
-        word: &FromPerson,
+        request: &FromPerson,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        let answer = match self.roll.order(word, record) {
+        let answer = match self.roll.order(request, record) {
             Err(why) => ToPerson::Refused(why),
             Ok(None) => ToPerson::Done(record.version),
-            Ok(Some(_)) if self.pending_policy_orders.len() >= MOST_WAITING => {
-                ToPerson::Refused("too many orders wait; again in a second".into())
+            Ok(Some(_)) if self.pending_policy_orders.len() >= MAX_PENDING_ORDERS => {
+                ToPerson::Refused(TOO_MANY_ORDERS.into())
             }
             Ok(Some(change)) => {
-                out.push(policy(record, change.clone()));
-                let (word, base) = (word.clone(), record.policies.turn);
+                effects.push(propose_policy_change(record, change.clone()));
                 self.pending_policy_orders.push(PendingPolicyOrder {
                     connection,
-                    word,
-                    base,
+                    request: request.clone(),
+                    base_turn: record.policies.turn,
                     change,
-                    at,
+                    received_at,
                 });
                 return;
             }
         };
-        out.push(Out::Answer(connection, answer));
+        effects.push(Effect::Reply(connection, answer));
     }
 
-    /// An order on the federation and its table: answered at once, or when the federation's record
-    /// shows it.
+    /// Takes an order on the federation and its table: answered at once, or when the federation's
+    /// record shows it.
     fn order_table(
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        word: &TableOrder,
+        order: &TableOrder,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        let known = self.known.as_ref();
-        let none = || ToPerson::Refused("this site is in no federation".into());
-        let answer = match (word, known) {
-            (TableOrder::Status, Some(known)) => {
-                ToPerson::Federation(Box::new(self.switch.status(now, record, known)))
+        let answer = match order {
+            TableOrder::Status => self.federation_status(now, record),
+            TableOrder::History => self.table_history(),
+            TableOrder::Text { number } => self.table_text(*number, record),
+            TableOrder::Propose { .. }
+            | TableOrder::Abort { .. }
+            | TableOrder::Off { .. }
+            | TableOrder::Join { .. } => {
+                return self.change_federation(now, connection, order, record, effects);
             }
-            (TableOrder::History, Some(known)) => ToPerson::PastTables(Switch::history(known)),
-            (TableOrder::Status | TableOrder::History, None) => none(),
-            (TableOrder::Text { number }, _) => match Switch::text(*number, record, known) {
-                Some((number, print, text)) => ToPerson::Table {
-                    number,
-                    print,
-                    text,
-                },
-                None => ToPerson::Refused(format!("no text of table {number} is held")),
-            },
-            _ => match self.switch.order(word, record, known) {
-                Err(why) => ToPerson::Refused(why),
-                Ok(None) => ToPerson::Done(known.map_or(0, |k| k.record.version)),
-                Ok(Some(_)) if self.pending_table_orders.len() >= MOST_WAITING => {
-                    ToPerson::Refused("too many orders wait; again in a second".into())
-                }
-                Ok(Some(command)) => {
-                    out.push(Out::Federation(command.clone()));
-                    self.pending_table_orders.push(PendingTableOrder {
-                        connection,
-                        command,
-                        at: now,
-                    });
-                    return;
-                }
+        };
+        effects.push(Effect::Reply(connection, answer));
+    }
+
+    fn federation_status(&self, now: Nanos, record: &Record) -> ToPerson {
+        match &self.known {
+            Some(known) => ToPerson::Federation(Box::new(self.switch.status(now, record, known))),
+            None => ToPerson::Refused(NO_FEDERATION.into()),
+        }
+    }
+
+    fn table_history(&self) -> ToPerson {
+        match &self.known {
+            Some(known) => ToPerson::PastTables(Switch::history(known)),
+            None => ToPerson::Refused(NO_FEDERATION.into()),
+        }
+    }
+
+    fn table_text(&self, number: u64, record: &Record) -> ToPerson {
+        match Switch::text(number, record, self.known.as_ref()) {
+            Some((number, print, text)) => ToPerson::Table {
+                number,
+                print,
+                text,
             },
+            None => ToPerson::Refused(format!("no text of table {number} is held")),
+        }
+    }
+
+    /// Proposes a change of the federation's record.
+    fn change_federation(
+        &mut self,
+        now: Nanos,
+        connection: ConnectionId,
+        order: &TableOrder,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        let known = self.known.as_ref();
+        let answer = match self.switch.order(order, record, known) {
+            Err(why) => ToPerson::Refused(why),
+            Ok(None) => ToPerson::Done(known.map_or(0, |known| known.record.version)),
+            Ok(Some(_)) if self.pending_table_orders.len() >= MAX_PENDING_ORDERS => {
+                ToPerson::Refused(TOO_MANY_ORDERS.into())
+            }
+            Ok(Some(command)) => {
+                effects.push(Effect::ProposeToFederation(command.clone()));
+                self.pending_table_orders.push(PendingTableOrder {
+                    connection,
+                    command,
+                    received_at: now,
+                });
+                return;
+            }
         };
-        out.push(Out::Answer(connection, answer));
+        effects.push(Effect::Reply(connection, answer));
+    }
+
+    /// Proposes what the rollout does next by itself.
+    pub(super) fn advance_rollout(
+        &mut self,
+        now: Nanos,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        if let Some(change) = self.roll.tick(now, record) {
+            effects.push(propose_policy_change(record, change));
+        }
     }
 
-    /// A change of policies was applied, or was void.
-    pub(super) fn changed_policies(
+    /// A change of policies was applied, or was void: answers whoever ordered it, and looks anew at
+    /// the orders that another change came before.
+    pub(super) fn on_policy_change_applied(
         &mut self,
         now: Nanos,
         index: u64,
         change: &Change,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
         self.roll.applied(now, index, change, record);
-        let stands = record.policies.at == index;
-        let (late, wait): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_policy_orders)
-            .into_iter()
-            .partition(|a| a.base < record.policies.turn);
-        self.pending_policy_orders = wait;
-        for a in late {
-            match stands && a.base + 1 == record.policies.turn && a.change == *change {
-                true => out.push(Out::Answer(a.connection, ToPerson::Done(index))),
-                // Another change came first: it is looked at anew.
-                false => self.order_policy(a.at, a.connection, &a.word, record, out),
+        let was_applied = record.policies.at == index;
+        let turn = record.policies.turn;
+        let (overtaken, waiting): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.pending_policy_orders)
+                .into_iter()
+                .partition(|order| order.base_turn < turn);
+        self.pending_policy_orders = waiting;
+        for order in overtaken {
+            let PendingPolicyOrder {
+                connection,
+                request,
+                received_at,
+                ..
+            } = &order;
+            if was_applied && order.base_turn + 1 == turn && order.change == *change {
+                effects.push(Effect::Reply(*connection, ToPerson::Done(index)));
+            } else {
+                self.order_policy(*received_at, *connection, request, record, effects);
             }
         }
-        if stands {
-            self.say_all_policies(now, record, out);
+        if was_applied {
+            self.announce_policies_to_all(now, record, effects);
+        }
+    }
+
+    /// Answers the operators whose orders on zones and policies did not come into the record in
+    /// time.
+    pub(super) fn refuse_timed_out_orders(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+        let has_timed_out = |received_at: Nanos| now >= received_at + ORDER_TIMEOUT;
+        let mut refuse = |connection: ConnectionId| {
+            let refused = ToPerson::Refused(ORDER_TIMED_OUT.into());
+            effects.push(Effect::Reply(connection, refused));
+        };
+        while let Some(order) = self.pending_zone_orders.front() {
+            if !has_timed_out(order.received_at) {
+                break;
+            }
+            refuse(order.connection);
+            self.pending_zone_orders.pop_front();
         }
+        self.pending_policy_orders.retain(|order| {
+            let keeps = !has_timed_out(order.received_at);
+            if !keeps {
+                refuse(order.connection);
+            }
+            keeps
+        });
+    }
+
+    /// Forgets the orders that came over a connection.
+    pub(super) fn forget_orders_on(&mut self, connection: ConnectionId) {
+        self.pending_zone_orders
+            .retain(|order| order.connection != connection);
+        self.pending_policy_orders
+            .retain(|order| order.connection != connection);
+        self.pending_table_orders
+            .retain(|order| order.connection != connection);
+    }
+}
+
+/// Whether the record has exactly this order: then it is not written again. An order for some time
+/// always is, as its time begins anew.
+fn is_recorded(request: &ZoneRequest<'_>, record: &Record) -> bool {
+    let recorded = record.zones.get(request.zone).and_then(|zone| zone.wish);
+    if request.wish == ZoneWish::Free {
+        return recorded.is_none();
+    }
+    let same = Wish {
+        what: request.wish,
+        until_ms: 0,
+    };
+    request.for_seconds == 0 && recorded == Some(same)
+}
+
+fn policy_text(number: u64, record: &Record) -> ToPerson {
+    match record.policies.texts.get(&number) {
+        Some(stored) => ToPerson::Policy {
+            number,
+            print: stored.print,
+            text: stored.text.clone(),
+        },
+        None => ToPerson::Refused(format!("the record has no text of policy {number}")),
     }
 }
 
-/// A change of policies, based on the turn that stands.
-pub(super) fn policy(record: &Record, change: Change) -> Out {
-    Out::Propose(Command::Policy {
+/// A change of policies, based on the turn that the record has.
+pub(super) fn propose_policy_change(record: &Record, change: Change) -> Effect {
+    Effect::Propose(Command::Policy {
         base: record.policies.turn,
         change: Box::new(change),
     })
--- /dev/null
+++ b/src/coordination/leader/returns.rs
@@ -0,0 +1,107 @@
+//! What ties the [recovery ramp] to the record: which zones are returned to, how each return goes,
+//! and the slices of calls that are proposed for them. Decides on no order.
+//!
+//! [recovery ramp]: crate::coordination::zones::recovery_ramp
+
+use crate::coordination::leader::capacity::{full_load_per_second, share_of};
+use crate::coordination::leader::decide::requested_by_operator;
+use crate::coordination::leader::{Effect, LeaderDuties};
+use crate::coordination::messages::ZoneWish;
+use crate::coordination::record::{Command, Phase, Record, Zone};
+use crate::coordination::zones::recovery_ramp::{DestinationBudget, ReturnProgress, ReturningZone};
+use crate::Nanos;
+use std::collections::BTreeMap;
+
+/// How each return of the record goes.
+pub(super) type ReturnsProgress<'a> = BTreeMap<&'a str, ReturnProgress>;
+
+impl LeaderDuties {
+    /// Tells the recovery ramp which zones the record has as being returned to.
+    pub(super) fn follow_returns(&mut self, now: Nanos, record: &Record) {
+        let returning = returning_zones(record).map(|(name, zone)| ReturningZone {
+            name,
+            epoch: zone.epoch,
+            destinations: zone.out.iter().map(|(number, _)| *number).collect(),
+            warmed_ms: &zone.warm,
+        });
+        self.recovery_ramp.follow(now, returning);
+    }
+
+    /// Proposes the next slice of calls for each return whose last one is over.
+    pub(super) fn reserve_slices(
+        &mut self,
+        now: Nanos,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
+        for (name, zone) in returning_zones(record) {
+            let lists = &self.endpoint_lists;
+            let evidence = &self.evidence;
+            let headroom = self.rules.zones.headroom;
+            let budget = |destination| {
+                // A destination that is not listed any more gets nothing.
+                let Some(listed) = lists.capacity(name, destination) else {
+                    return DestinationBudget::default();
+                };
+                let rate_per_second = listed.rate_per_second;
+                let moved_out = share_of(&zone.left, destination);
+                let readmitted = moved_out - share_of(&zone.out, destination);
+                let load = full_load_per_second(lists, evidence, name, destination);
+                DestinationBudget {
+                    rate_per_second,
+                    evacuated_share: moved_out.into(),
+                    readmitted_per_second: f64::from(readmitted)
+                        * load.min(rate_per_second * headroom),
+                }
+            };
+            let reservation = self.recovery_ramp.reserve_slice(now, name, budget);
+            if let Some(reservation) = reservation {
+                effects.push(Effect::Propose(Command::Slice {
+                    term: self.term,
+                    slice: reservation.number,
+                    zone: name.to_string(),
+                    epoch: zone.epoch,
+                    calls: reservation.calls,
+                    warm: reservation.warmed_ms,
+                }));
+            }
+        }
+    }
+
+    /// Lets time pass for all returns, and says how each goes.
+    pub(super) fn advance_returns<'a>(
+        &mut self,
+        now: Nanos,
+        record: &'a Record,
+    ) -> ReturnsProgress<'a> {
+        returning_zones(record)
+            .map(|(name, zone)| {
+                let is_held = requested_by_operator(zone) == Some(ZoneWish::Hold);
+                (name, self.recovery_ramp.advance(now, name, is_held))
+            })
+            .collect()
+    }
+
+    /// Starts the returns over that failed where an operator requests the return all the same.
+    pub(super) fn restart_failed_returns(
+        &mut self,
+        record: &Record,
+        progress: &ReturnsProgress<'_>,
+    ) {
+        for (name, progress) in progress {
+            let requested = requested_by_operator(&record.zones[*name]);
+            if *progress == ReturnProgress::Failed && requested == Some(ZoneWish::Return) {
+                self.recovery_ramp.restart(name);
+            }
+        }
+    }
+}
+
+/// The zones that the record has as being returned to.
+fn returning_zones(record: &Record) -> impl Iterator<Item = (&str, &Zone)> {
+    record
+        .zones
+        .iter()
+        .filter(|(_, zone)| zone.phase == Phase::Returning)
+        .map(|(name, zone)| (name.as_str(), zone))
+}
--- a/src/coordination/leader/rules.rs
+++ b/src/coordination/leader/rules.rs
@@ -1,68 +1,80 @@
-//! The settings that a leader goes by, and what is wrong with them.
+//! The settings that a leader goes by: `[rules]` of the keeper's file, with their permitted ranges.
+//!
+//! The keys keep the spelling that the operators' files have; where a field has a clearer name
+//! here, `serde(rename)` gives the key.
 
 use crate::coordination::record::MOST_SENDERS;
-use crate::coordination::zones;
+use crate::coordination::zones::ZoneRules;
 use serde::Deserialize;
 
-/// What the leader is to go by; from the keeper's file.
+/// The settings that a leader goes by. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Rules {
-    /// A session holds for so long without a word, in milliseconds.
+pub struct LeaderRules {
+    /// A sender's session holds for so long without a message from it.
     pub lease_ms: u32,
-    /// A leader shows the record that it is in office this often, in milliseconds.
-    pub beat_ms: u32,
-    /// It renews leases for so long after a beat that the record has, in milliseconds: two beats
-    /// and a slow disk.
-    pub sure_ms: u32,
-    /// Senders with a session, at the most.
-    pub most_senders: usize,
+    /// Time between two heartbeats, by which a leader shows the record that it leads.
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_interval_ms: u32,
+    /// A leader renews leases for so long after it proposed a heartbeat that the record has: two
+    /// heartbeats and a slow disk.
+    #[serde(rename = "sure_ms")]
+    pub heartbeat_valid_ms: u32,
+    /// Most senders with a session.
+    #[serde(rename = "most_senders")]
+    pub max_senders: usize,
     /// What zones are judged by.
-    pub zones: zones::Rules,
+    pub zones: ZoneRules,
 }
 
-impl Default for Rules {
+impl Default for LeaderRules {
     fn default() -> Self {
-        let zones = zones::Rules::default();
-        Rules {
+        LeaderRules {
             lease_ms: 3_000,
-            beat_ms: 500,
-            sure_ms: 1_500,
-            most_senders: MOST_SENDERS,
-            zones,
+            heartbeat_interval_ms: 500,
+            heartbeat_valid_ms: 1_500,
+            max_senders: MOST_SENDERS,
+            zones: ZoneRules::default(),
         }
     }
 }
 
-impl Rules {
-    /// All that is wrong with them; empty where they can be worked by.
+impl LeaderRules {
+    /// Every setting that is out of its range, named by its key; empty where all are valid.
     pub fn faults(&self) -> Vec<String> {
+        let LeaderRules {
+            lease_ms,
+            heartbeat_interval_ms,
+            heartbeat_valid_ms,
+            max_senders,
+            zones,
+        } = self;
         let mut faults = Vec::new();
-        if !(500..=60_000).contains(&self.lease_ms) {
+        if !(500..=60_000).contains(lease_ms) {
             faults.push(format!(
-                "rules.lease_ms: {} is not from 500 to 60000",
-                self.lease_ms
+                "rules.lease_ms: {lease_ms} is not from 500 to 60000"
             ));
         }
-        if !(100..=10_000).contains(&self.beat_ms) {
+        if !(100..=10_000).contains(heartbeat_interval_ms) {
             faults.push(format!(
-                "rules.beat_ms: {} is not from 100 to 10000",
-                self.beat_ms
+                "rules.beat_ms: {heartbeat_interval_ms} is not from 100 to 10000"
             ));
         }
-        if self.sure_ms < self.beat_ms.saturating_mul(2) || self.sure_ms > 60_000 {
+        let two_heartbeats = heartbeat_interval_ms.saturating_mul(2);
+        if !(two_heartbeats..=60_000).contains(heartbeat_valid_ms) {
             faults.push(format!(
-                "rules.sure_ms: {} is not from two beats to 60000",
-                self.sure_ms
+                "rules.sure_ms: {heartbeat_valid_ms} is not from two beats to 60000"
             ));
         }
-        if !(1..=MOST_SENDERS).contains(&self.most_senders) {
-            let most = self.most_senders;
+        if !(1..=MOST_SENDERS).contains(max_senders) {
             faults.push(format!(
-                "rules.most_senders: {most} is not from 1 to {MOST_SENDERS}"
+                "rules.most_senders: {max_senders} is not from 1 to {MOST_SENDERS}"
             ));
         }
-        faults.extend(self.zones.faults());
+        faults.extend(zones.faults());
         faults
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/leader/sessions.rs
+++ b/src/coordination/leader/sessions.rs
@@ -1,488 +1,406 @@
-//! Sessions of senders: how one begins, what an agent reports in it, how its lease is renewed, and
-//! how it ends.
+//! Sessions of senders: how one begins, how it moves to another connection, and how it ends.
+//!
+//! A session begins when the record has the sender's `Join` and ends when it has its `Lapse`, so
+//! every later leader knows of it. Owns the maps between senders, connections and session ids.
+//! What a session's lease is renewed by is in `leases`; what is said in it, in `agent_messages`
+//! and `announce`.
 
-use crate::coordination::leader::announce::switched;
-use crate::coordination::leader::orders::policy;
-use crate::coordination::leader::{
-    leader_side_lease, ConnectionId, Joining, LeaderDuties, Out, Session, AGAIN,
-};
-use crate::coordination::messages::{
-    FromAgent, FromSender, Grant, Health, Listed, Print, Seen, ToAgent, Want,
-};
+use crate::coordination::leader::{ConnectionId, Effect, LeaderDuties, PROPOSAL_TIMEOUT};
+use crate::coordination::messages::{FromSender, Print, ToAgent};
 use crate::coordination::record::{Command, Record};
 use crate::coordination::sender_registry::OFFERS;
 use crate::Nanos;
 
-/// Counts of a report that are read, at the most: 50 zones with 80 destinations.
-const MOST_SEEN: usize = 4_000;
-/// Reports a second of an agent.
-const REPORTS: f32 = 5.0;
-/// A sender's part of the traffic may be so many times the even one: a fifth of a fleet sees three
-/// to five times it, few see more.
-const UNEVEN: f32 = 20.0;
+/// Nanoseconds for which a session that is ending is not ended again while its sender joins anew:
+/// an end that came after that would end what begins now.
+const END_SUSPENDED: Nanos = 60 * PROPOSAL_TIMEOUT;
 
-/// What an agent reports.
-struct Report<'a> {
-    /// Numbers the reports of one boot.
-    number: u64,
-    /// The version of the record that it goes by.
-    has: u64,
-    seen: &'a [Seen],
-    listed: Option<&'a [Listed]>,
-    wants: &'a [Want],
-    health: &'a [Health],
+/// What the leader knows of a sender that the record has as live.
+#[derive(Clone, Debug)]
+pub(super) struct Session {
+    /// Unique within a term.
+    pub(super) id: u32,
+    /// The sender's process.
+    pub(super) boot: u64,
+    pub(super) connection: Option<ConnectionId>,
+    /// When the lease has lapsed, as the leader counts it.
+    pub(super) lease_until: Nanos,
+    /// The highest report that was counted.
+    pub(super) last_report: u64,
+    /// A report that is not answered yet, as leadership is not proved.
+    pub(super) unanswered_report: Option<u64>,
+    /// The version of the record that the sender goes by.
+    pub(super) record_version: u64,
+    /// The view that was sent last over this connection.
+    pub(super) last_view: Option<SentView>,
+    /// Its end is proposed.
+    pub(super) is_ending: bool,
 }
 
-/// What a session begins with.
-struct Opens<'a> {
-    sender: &'a String,
+/// A view of the record that was sent to a sender.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct SentView {
+    pub(super) version: u64,
+    pub(super) sent_at: Nanos,
+}
+
+impl Session {
+    /// The connection on which the sender can be spoken to.
+    pub(super) fn open_connection(&self) -> Option<ConnectionId> {
+        self.connection.filter(|_| !self.is_ending)
+    }
+
+    pub(super) fn is_open_on(&self, connection: ConnectionId) -> bool {
+        self.open_connection() == Some(connection)
+    }
+}
+
+/// A sender that asked for a session which the record does not have yet.
+#[derive(Clone, Debug)]
+pub(super) struct JoiningSender {
     boot: u64,
-    own: &'a String,
-    has: u64,
-    stored: Option<&'a [(u64, Print)]>,
+    connection: ConnectionId,
+    record_version: u64,
+    pub(super) requested_at: Nanos,
+    stored_policies: Option<Vec<(u64, Print)>>,
+    /// Routing tables that it has stored, once it has said so.
+    stored_tables: Option<Vec<(u64, Print)>>,
+}
+
+/// What a sender asks for a session with.
+pub(super) struct SessionRequest<'a> {
+    pub(super) sender: &'a str,
+    pub(super) boot: u64,
+    pub(super) home_zone: &'a str,
+    pub(super) record_version: u64,
+    pub(super) stored_policies: Option<&'a [(u64, Print)]>,
+}
+
+/// A sender that joined, as the record has it.
+pub(super) struct JoinedSender<'a> {
+    pub(super) name: &'a str,
+    pub(super) boot: u64,
+    pub(super) home_zone: &'a str,
 }
 
 impl LeaderDuties {
+    /// Adds a session without a connection, in place of any that the sender has.
     pub(super) fn add_session(
         &mut self,
         sender: &str,
         boot: u64,
-        own: &str,
-        connection: Option<ConnectionId>,
-        until: Nanos,
-        has: u64,
+        home_zone: &str,
+        lease_until: Nanos,
     ) {
         self.remove_session(sender);
-        let id = self.next_id;
-        self.next_id = self.next_id.wrapping_add(1);
-        self.names.insert(id, sender.into());
-        self.evidence.meet(id, own);
+        let id = self.next_session_id;
+        self.next_session_id = self.next_session_id.wrapping_add(1);
+        self.sender_names.insert(id, sender.into());
+        self.evidence.add_reporter(id, home_zone);
         let session = Session {
             id,
             boot,
-            connection,
-            until,
-            report: 0,
-            owed: None,
-            has,
-            told: (0, 0),
-            lapsing: false,
+            connection: None,
+            lease_until,
+            last_report: 0,
+            unanswered_report: None,
+            record_version: 0,
+            last_view: None,
+            is_ending: false,
         };
         self.sessions.insert(sender.into(), session);
     }
 
-    pub(super) fn remove_session(&mut self, sender: &str) {
-        if let Some(s) = self.sessions.remove(sender) {
-            self.names.remove(&s.id);
-            self.evidence.part(s.id);
-            self.lists.part(s.id);
-            self.roll.part(sender);
-            self.switch.part(sender);
+    fn remove_session(&mut self, sender: &str) {
+        let Some(session) = self.sessions.remove(sender) else {
+            return;
+        };
+        self.sender_names.remove(&session.id);
+        self.evidence.remove_reporter(session.id);
+        self.endpoint_lists.remove_sender(session.id);
+        self.roll.part(sender);
+        self.switch.part(sender);
+    }
+
+    /// The session of the sender that spoke on a connection last.
+    pub(super) fn session_on_mut(&mut self, connection: ConnectionId) -> Option<&mut Session> {
+        let sender = self.connections.get(&connection)?;
+        self.sessions.get_mut(sender)
+    }
+
+    /// The sender that has a session on a connection.
+    pub(super) fn sender_on(&self, connection: ConnectionId) -> Option<String> {
+        let sender = self.connections.get(&connection)?;
+        let session = self.sessions.get(sender)?;
+        session.is_open_on(connection).then(|| sender.clone())
+    }
+
+    /// The connection on which a sender that has a session can be spoken to.
+    pub(super) fn connection_of(&self, sender: &str) -> Option<ConnectionId> {
+        self.sessions.get(sender)?.open_connection()
+    }
+
+    /// The sender that asked for a session on a connection and has none yet.
+    fn joining_on_mut(&mut self, connection: ConnectionId) -> Option<&mut JoiningSender> {
+        self.joining
+            .values_mut()
+            .find(|joining| joining.connection == connection)
+    }
+
+    /// Whether a sender has asked for a session on a connection and has none yet.
+    pub(super) fn is_joining_on(&self, connection: ConnectionId) -> bool {
+        self.joining
+            .values()
+            .any(|joining| joining.connection == connection)
+    }
+
+    /// Keeps the routing tables that a sender says it has stored until the record has its session.
+    pub(super) fn keep_tables_of_joining(
+        &mut self,
+        connection: ConnectionId,
+        tables: &[(u64, Print)],
+    ) {
+        if let Some(joining) = self.joining_on_mut(connection) {
+            joining.stored_tables = Some(tables.to_vec());
         }
     }
 
-    /// An agent says something over a connection.
-    pub fn hear(
+    /// A sender asks for a session: goes on with the one that it has, or proposes one.
+    pub(super) fn on_session_request(
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        word: &FromAgent,
+        request: SessionRequest<'_>,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        match word {
-            FromAgent::Open {
-                sender,
-                boot,
-                zone,
-                has,
-                stored,
-            } => {
-                let (boot, own, has, stored) = (*boot, zone, *has, stored.as_deref());
-                self.open(
-                    now,
-                    connection,
-                    Opens {
-                        sender,
-                        boot,
-                        own,
-                        has,
-                        stored,
-                    },
-                    record,
-                    out,
-                );
-            }
-            FromAgent::Tell {
-                report,
-                has,
-                seen,
-                listed,
-                wants,
-                health,
-            } => {
-                let (listed, health) = (listed.as_deref(), health.as_slice());
-                let report = Report {
-                    number: *report,
-                    has: *has,
-                    seen,
-                    listed,
-                    wants,
-                    health,
-                };
-                self.report(now, connection, &report, record, out);
-            }
-            FromAgent::Stored { number, refused } => match self.sender_on(connection) {
-                Some(sender) => self
-                    .roll
-                    .stored(&sender, *number, refused.as_deref(), record),
-                None => out.push(Out::Say(connection, ToAgent::Unknown)),
-            },
-            FromAgent::Rules { turn } => match self.sender_on(connection) {
-                Some(sender) => {
-                    let change = self.roll.rules(now, &sender, *turn, record);
-                    out.extend(change.map(|change| policy(record, change)));
-                }
-                None => out.push(Out::Say(connection, ToAgent::Unknown)),
-            },
-            FromAgent::Table(word) => self.hear_tables(now, connection, word, record, out),
-            FromAgent::Leave => self.leave(now, connection, out),
+        if self.has_session(&request, record) {
+            self.resume_session(now, connection, request, record, effects);
+        } else if self.has_room_for(request.sender) {
+            self.propose_session(now, connection, request, effects);
+        } else {
+            log::warn!(
+                "a sender finds no room sender={} most={}",
+                request.sender,
+                self.rules.max_senders
+            );
+            effects.push(Effect::Send(connection, ToAgent::Elsewhere(None)));
         }
     }
 
-    /// An agent reports: its session is renewed, whatever the report is; what it saw counts once.
-    fn report(
+    /// Whether the record and the leader have the session that is asked for, of the same process.
+    fn has_session(&self, request: &SessionRequest<'_>, record: &Record) -> bool {
+        let is_live = record.roster.get(request.sender).is_some_and(|member| {
+            member.live && member.boot == request.boot && member.zone == request.home_zone
+        });
+        let session = self.sessions.get(request.sender);
+        is_live && session.is_some_and(|s| s.boot == request.boot && !s.is_ending)
+    }
+
+    fn has_room_for(&self, sender: &str) -> bool {
+        self.sessions.len() + self.joining.len() < self.rules.max_senders
+            || self.sessions.contains_key(sender)
+            || self.joining.contains_key(sender)
+    }
+
+    /// Goes on with a session over another connection.
+    fn resume_session(
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        report: &Report<'_>,
+        request: SessionRequest<'_>,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        self.connections
-            .get(&connection)
-            .into_iter()
-            .for_each(|name| self.switch.reports(name));
-        let known = self
-            .connections
-            .get(&connection)
-            .and_then(|name| self.sessions.get_mut(name));
-        let Some(session) = known.filter(|s| !s.lapsing && s.connection == Some(connection)) else {
-            out.push(Out::Say(connection, ToAgent::Unknown));
+        let sender = request.sender;
+        let Some(session) = self.sessions.get_mut(sender) else {
             return;
         };
-        session.has = report.has;
-        let id = session.id;
-        if report.number > session.report {
-            session.report = report.number;
-            self.count(now, id, report);
-            let member = self
-                .connections
-                .get(&connection)
-                .and_then(|name| record.roster.get(name));
-            if let Some(member) = member {
-                self.roll.hear(now, &member.zone, report.health, record);
-            }
+        let previous = session.connection.replace(connection);
+        session.record_version = request.record_version;
+        session.last_view = None;
+        if let Some(previous) = previous.filter(|previous| *previous != connection) {
+            self.connections.remove(&previous);
         }
-        self.renew(now, connection, report.number, record, out);
-        self.send_grants(now, out);
+        self.connections.insert(connection, sender.to_string());
+        self.roll
+            .meet(sender, request.boot, request.stored_policies);
+        self.switch.meet(sender, request.boot);
+        // Its lease never comes before what is in force.
+        self.announce_policies(now, sender, record, &mut { OFFERS }, effects);
+        self.renew(now, connection, 0, record, effects);
     }
 
-    /// Counts what a sender saw, has listed and wants.
-    fn count(&mut self, now: Nanos, id: u32, report: &Report<'_>) {
-        let seen = &report.seen[..report.seen.len().min(MOST_SEEN)];
-        let even = UNEVEN / self.sessions.len().max(1) as f32;
-        let lists = &self.lists;
-        self.evidence.hear(now, id, seen, |zone, dest| {
-            let listed = lists.route(zone, dest)?;
-            let most = listed.rate as f32 / REPORTS * even.min(0.5);
-            Some(if most > 0.0 {
-                most.max(1.0)
-            } else {
-                f32::INFINITY
-            })
-        });
-        seen.iter()
-            .for_each(|s| self.cold.saw(now, id, &s.zone, s.dest, &s.counts));
-        if let Some(listed) = report.listed {
-            self.lists.tell(id, listed);
+    /// Proposes a session; again where it was proposed so long ago that it is lost.
+    fn propose_session(
+        &mut self,
+        now: Nanos,
+        connection: ConnectionId,
+        request: SessionRequest<'_>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let proposed_at = self
+            .joining
+            .get(request.sender)
+            .filter(|joining| joining.boot == request.boot)
+            .map(|joining| joining.requested_at)
+            .filter(|at| now < at + PROPOSAL_TIMEOUT);
+        if proposed_at.is_none() {
+            self.suspend_end(now, request.sender);
+            effects.push(Effect::Propose(Command::Join {
+                sender: request.sender.to_string(),
+                boot: request.boot,
+                zone: request.home_zone.to_string(),
+            }));
         }
-        self.cold.want(
-            now,
-            id,
-            report.number,
-            &report.wants[..report.wants.len().min(MOST_SEEN)],
-        );
+        let joining = JoiningSender {
+            boot: request.boot,
+            connection,
+            record_version: request.record_version,
+            requested_at: proposed_at.unwrap_or(now),
+            stored_policies: request.stored_policies.map(<[_]>::to_vec),
+            stored_tables: None,
+        };
+        self.joining.insert(request.sender.to_string(), joining);
     }
 
-    /// An agent ends its session.
-    fn leave(&mut self, now: Nanos, connection: ConnectionId, out: &mut Vec<Out>) {
-        let name = self.connections.remove(&connection);
-        let session = name.as_ref().and_then(|name| self.sessions.get_mut(name));
-        if let (Some(sender), Some(session)) = (name.clone(), session) {
-            (session.lapsing, session.connection) = (true, None);
-            let boot = session.boot;
-            // The lapse is proposed again after this time, should it be lost.
-            session.until = now + AGAIN;
-            out.push(Out::Propose(Command::Lapse { sender, boot }));
+    /// Does not propose the end of a session again that is ending, as its sender joins anew.
+    fn suspend_end(&mut self, now: Nanos, sender: &str) {
+        if let Some(session) = self.sessions.get_mut(sender) {
+            if session.is_ending {
+                session.lease_until = now + END_SUSPENDED;
+            }
         }
     }
 
     /// The record has a sender's session, or has no room for it.
-    pub(super) fn joined(
+    pub(super) fn on_joined(
         &mut self,
         now: Nanos,
-        (sender, boot, own): (&String, u64, &str),
+        joined: JoinedSender<'_>,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        let until = now + leader_side_lease(self.rules.lease_ms);
-        let joining = self.joining.get(sender).filter(|j| j.boot == boot).cloned();
-        if !record
+        let sender = joined.name;
+        let is_live = record
             .roster
             .get(sender)
-            .is_some_and(|m| m.live && m.boot == boot)
-        {
-            // The roster is full of senders that live.
-            self.joining.remove(sender);
-            joining
-                .into_iter()
-                .for_each(|j| out.push(Out::Say(j.connection, ToAgent::Elsewhere(None))));
+            .is_some_and(|member| member.live && member.boot == joined.boot);
+        if !is_live {
+            self.refuse_joining(sender, joined.boot, effects);
             return;
         }
-        let known = self
-            .sessions
-            .get(sender)
-            .filter(|s| s.boot == boot && !s.lapsing);
-        if known.is_none() {
-            if let Some(old) = self.sessions.get(sender).and_then(|s| s.connection) {
-                self.connections.remove(&old);
+        self.begin_or_keep_session(now, &joined);
+        let is_of_this_process = |joining: &JoiningSender| joining.boot == joined.boot;
+        if self.joining.get(sender).is_some_and(is_of_this_process) {
+            if let Some(joining) = self.joining.remove(sender) {
+                self.connect_session(now, sender, joining, record, effects);
             }
-            self.add_session(sender, boot, own, None, until, 0);
-        } else if let Some(s) = known {
-            self.evidence.meet(s.id, own);
-        }
-        if let Some(joining) = joining {
-            self.joining.remove(sender);
-            self.begin_session(now, sender, joining, record, out);
         }
     }
 
-    /// Speaks to a sender whose session the record has by now.
-    fn begin_session(
-        &mut self,
-        now: Nanos,
-        sender: &String,
-        joining: Joining,
-        record: &Record,
-        out: &mut Vec<Out>,
-    ) {
-        let connection = joining.connection;
-        let session = self.sessions.get_mut(sender);
-        session
-            .into_iter()
-            .for_each(|s| (s.connection, s.has) = (Some(connection), joining.has));
-        self.connections.insert(connection, sender.clone());
-        self.roll
-            .meet(sender, joining.boot, joining.stored.as_deref());
-        self.switch.meet(sender, joining.boot);
-        self.say_policies(now, sender, record, &mut { OFFERS }, out);
-        if let Some(tables) = joining.tables {
-            let mut said = Vec::new();
-            self.switch
-                .hear(now, sender, &FromSender::Has(tables), record, &mut said);
-            switched(record, said, out);
-            self.say_tables(now, sender, record, &mut { OFFERS }, out);
+    /// Sends a sender elsewhere, as the roster is full of senders that live.
+    fn refuse_joining(&mut self, sender: &str, boot: u64, effects: &mut Vec<Effect>) {
+        let refused = self.joining.remove(sender);
+        if let Some(refused) = refused.filter(|joining| joining.boot == boot) {
+            let elsewhere = ToAgent::Elsewhere(None);
+            effects.push(Effect::Send(refused.connection, elsewhere));
         }
-        self.renew(now, connection, 0, record, out);
     }
 
-    /// The record has that a session lapsed.
-    pub(super) fn lapsed(&mut self, sender: &str, boot: u64, record: &Record) {
-        if self.sessions.get(sender).is_some_and(|s| s.boot == boot)
-            && !record.roster.get(sender).is_some_and(|m| m.live)
-        {
-            let connection = self.sessions.get(sender).and_then(|s| s.connection);
-            connection.map(|connection| self.connections.remove(&connection));
-            self.remove_session(sender);
+    /// Adds the session of a sender that joined, unless the leader has it.
+    fn begin_or_keep_session(&mut self, now: Nanos, joined: &JoinedSender<'_>) {
+        let session = self.sessions.get(joined.name);
+        let kept = session.filter(|s| s.boot == joined.boot && !s.is_ending);
+        if let Some(session) = kept {
+            self.evidence.add_reporter(session.id, joined.home_zone);
+            return;
         }
+        if let Some(connection) = session.and_then(|session| session.connection) {
+            self.connections.remove(&connection);
+        }
+        let lease_until = self.lease_until(now);
+        self.add_session(joined.name, joined.boot, joined.home_zone, lease_until);
     }
 
-    /// The sender that has a session on a connection.
-    pub(super) fn sender_on(&self, connection: ConnectionId) -> Option<String> {
-        let name = self.connections.get(&connection)?;
-        self.sessions
-            .get(name)
-            .filter(|s| !s.lapsing && s.connection == Some(connection))
-            .map(|_| name.clone())
-    }
-
-    /// The connection on which a sender that has a session is spoken to.
-    pub(super) fn connection_of(&self, sender: &str) -> Option<ConnectionId> {
-        self.sessions.get(sender).filter(|s| !s.lapsing)?.connection
-    }
-
-    fn open(
+    /// Begins to speak to a sender whose session the record has by now.
+    fn connect_session(
         &mut self,
         now: Nanos,
-        connection: ConnectionId,
-        opens: Opens<'_>,
+        sender: &str,
+        joining: JoiningSender,
         record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        let Opens {
-            sender,
-            boot,
-            own,
-            has,
-            stored,
-        } = opens;
-        let live = record
-            .roster
-            .get(sender)
-            .is_some_and(|m| m.live && m.boot == boot && m.zone == *own);
-        let session = self
-            .sessions
-            .get_mut(sender)
-            .filter(|s| live && s.boot == boot && !s.lapsing);
-        if let Some(session) = session {
-            if let Some(old) = session
-                .connection
-                .replace(connection)
-                .filter(|old| *old != connection)
-            {
-                self.connections.remove(&old);
-            }
-            (session.has, session.told) = (has, (0, 0));
-            self.connections.insert(connection, sender.clone());
-            self.roll.meet(sender, boot, stored);
-            self.switch.meet(sender, boot);
-            // Its lease never comes before what is in force.
-            self.say_policies(now, sender, record, &mut { OFFERS }, out);
-            self.renew(now, connection, 0, record, out);
-            return;
-        }
-        let full = self.sessions.len() + self.joining.len() >= self.rules.most_senders;
-        if full && !self.sessions.contains_key(sender) && !self.joining.contains_key(sender) {
-            log::warn!(
-                "a sender finds no room sender={sender} most={}",
-                self.rules.most_senders
-            );
-            out.push(Out::Say(connection, ToAgent::Elsewhere(None)));
-            return;
+        let connection = joining.connection;
+        if let Some(session) = self.sessions.get_mut(sender) {
+            session.connection = Some(connection);
+            session.record_version = joining.record_version;
         }
-        let waiting = self
-            .joining
-            .get(sender)
-            .filter(|j| j.boot == boot && now < j.at + AGAIN);
-        let at = waiting.map_or(now, |j| j.at);
-        if waiting.is_none() {
-            // A lapse that came after this would end what begins now.
-            let lapsing = self.sessions.get_mut(sender).filter(|s| s.lapsing);
-            lapsing.into_iter().for_each(|s| s.until = now + 60 * AGAIN);
-            out.push(Out::Propose(Command::Join {
-                sender: sender.clone(),
-                boot,
-                zone: own.clone(),
-            }));
+        self.connections.insert(connection, sender.to_string());
+        let stored_policies = joining.stored_policies.as_deref();
+        self.roll.meet(sender, joining.boot, stored_policies);
+        self.switch.meet(sender, joining.boot);
+        self.announce_policies(now, sender, record, &mut { OFFERS }, effects);
+        if let Some(tables) = joining.stored_tables {
+            let message = FromSender::Has(tables);
+            self.take_table_message(now, sender, &message, record, effects);
         }
-        let stored = stored.map(<[_]>::to_vec);
-        let joining = Joining {
-            boot,
-            connection,
-            has,
-            at,
-            stored,
-            tables: None,
-        };
-        self.joining.insert(sender.clone(), joining);
+        self.renew(now, connection, 0, record, effects);
     }
 
-    /// Renews a session, or owes it until the leader is sure of itself.
-    pub(super) fn renew(
+    /// A sender ends its session.
+    pub(super) fn on_leave(
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        report: u64,
-        record: &Record,
-        out: &mut Vec<Out>,
+        effects: &mut Vec<Effect>,
     ) {
-        let sure = now < self.sure_until && !self.switch.bars(record);
-        let (lease_ms, until) = (
-            self.rules.lease_ms,
-            now + leader_side_lease(self.rules.lease_ms),
-        );
-        let Some(session) = self
-            .connections
-            .get(&connection)
-            .and_then(|name| self.sessions.get_mut(name))
-        else {
+        let Some(sender) = self.connections.remove(&connection) else {
             return;
         };
-        if sure {
-            session.until = session.until.max(until);
-            session.owed = None;
-            out.push(Out::Say(connection, ToAgent::Renewed { report, lease_ms }));
-        } else {
-            session.owed = Some(report);
-        }
-        view(now, session, record, out);
-    }
-
-    pub(super) fn send_grants(&mut self, now: Nanos, out: &mut Vec<Out>) {
-        let (names, sessions) = (&self.names, &self.sessions);
-        self.cold.grant(now, |id, grant: Grant| {
-            let session = names
-                .get(&id)
-                .and_then(|name| sessions.get(name))
-                .filter(|s| !s.lapsing);
-            if let Some(connection) = session.and_then(|s| s.connection) {
-                out.push(Out::Say(connection, ToAgent::Grant(grant)));
-            }
-        });
+        let Some(session) = self.sessions.get_mut(&sender) else {
+            return;
+        };
+        session.is_ending = true;
+        session.connection = None;
+        // The end is proposed again after this time, should it be lost.
+        session.lease_until = now + PROPOSAL_TIMEOUT;
+        let boot = session.boot;
+        effects.push(Effect::Propose(Command::Lapse { sender, boot }));
     }
 
-    /// A connection is gone; the session goes on until its lease lapses.
-    pub fn hung_up(&mut self, connection: ConnectionId) {
-        if let Some(name) = self.connections.remove(&connection) {
-            let session = self
-                .sessions
-                .get_mut(&name)
-                .filter(|s| s.connection == Some(connection));
-            session.into_iter().for_each(|s| s.connection = None);
+    /// The record has the end of a session. Invariant: it ends no session of a later process.
+    pub(super) fn on_lapsed(&mut self, sender: &str, boot: u64, record: &Record) {
+        let Some(session) = self.sessions.get(sender).filter(|s| s.boot == boot) else {
+            return;
+        };
+        if record.roster.get(sender).is_some_and(|member| member.live) {
+            return;
         }
-        self.joining.retain(|_, j| j.connection != connection);
-        self.pending_orders.retain(|(l, ..)| *l != connection);
-        self.pending_policy_orders
-            .retain(|a| a.connection != connection);
-        self.pending_table_orders
-            .retain(|s| s.connection != connection);
+        if let Some(connection) = session.connection {
+            self.connections.remove(&connection);
+        }
+        self.remove_session(sender);
     }
 
-    /// Answers what was owed until the leader is sure of itself.
-    pub(super) fn renew_owed(&mut self, now: Nanos, record: &Record, out: &mut Vec<Out>) {
-        if now >= self.sure_until {
-            return;
+    /// A connection is gone. A session goes on until its lease lapses; the operator's orders that
+    /// wait on the connection are answered to nobody.
+    pub fn on_disconnect(&mut self, connection: ConnectionId) {
+        if let Some(sender) = self.connections.remove(&connection) {
+            if let Some(session) = self.sessions.get_mut(&sender) {
+                session.connection = session.connection.filter(|own| *own != connection);
+            }
         }
-        let owed = self.sessions.values().filter(|s| !s.lapsing);
-        let owed: Vec<_> = owed
-            .filter_map(|s| Some((s.connection?, s.owed?)))
-            .collect();
-        owed.iter()
-            .for_each(|(connection, report)| self.renew(now, *connection, *report, record, out));
+        self.joining
+            .retain(|_, joining| joining.connection != connection);
+        self.forget_orders_on(connection);
     }
-}
 
-/// Says the record to a sender that lacks some of it; once, and again where it does not come to
-/// have it in half a second.
-pub(super) fn view(now: Nanos, session: &mut Session, record: &Record, out: &mut Vec<Out>) {
-    let (told, at) = session.told;
-    let again = told < record.changed || told == 0 || now >= at + AGAIN / 2;
-    if let Some(connection) = session
-        .connection
-        .filter(|_| !session.lapsing && again && record.is_news_to(session.has))
-    {
-        session.told = (record.version, now);
-        out.push(Out::Say(connection, ToAgent::View(record.view())));
+    /// Forgets the connections of sessions that are ending or over.
+    pub(super) fn drop_connections_without_session(&mut self) {
+        let sessions = &self.sessions;
+        self.connections
+            .retain(|_, sender| sessions.get(sender).is_some_and(|s| !s.is_ending));
     }
 }
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -1,87 +1,159 @@
-//! What an operator is told of senders and zones.
+//! What an operator is told of senders and zones. Reads the leader's state and changes nothing.
+//!
+//! The texts are the status output of `raildeal fleet`, which operators' scripts read.
 
 use crate::coordination::leader::LeaderDuties;
-use crate::coordination::messages::Status;
-use crate::coordination::record::{Phase, Record};
-use crate::coordination::zones::evidence::Verdict;
+use crate::coordination::messages::{Status, ZoneWish};
+use crate::coordination::record::{Phase, Record, Wish, Zone};
+use crate::coordination::zones::evidence::ZoneVerdict;
 use std::collections::BTreeMap;
 
+/// What the status says of a zone.
+struct ZoneLine {
+    ordered: String,
+    why: String,
+}
+
+impl ZoneLine {
+    fn in_use() -> ZoneLine {
+        ZoneLine {
+            ordered: "used".into(),
+            why: String::new(),
+        }
+    }
+}
+
 impl LeaderDuties {
+    /// The status, without what the replica fills in.
     pub(super) fn status(&self, record: &Record) -> Status {
-        let live = record.roster.iter().filter(|(_, m)| m.live);
-        let senders =
-            live.map(|(name, _)| (name.clone(), self.sessions.get(name).map_or(0, |s| s.has)));
-        let lapsed = record
-            .roster
-            .iter()
-            .filter(|(_, m)| !m.live)
-            .map(|(name, _)| name.clone());
-        let mut lines: BTreeMap<String, (String, String)> = BTreeMap::new();
-        for zone in self.lists.zones() {
-            lines.insert(zone.into(), ("used".into(), String::new()));
-        }
-        for (zone, z) in &record.zones {
-            let ordered = match (z.phase, self.cold.warmth(zone)) {
-                (Phase::Used, _) => "used".to_string(),
-                (Phase::Left, _) => format!("left {}", parts_line(&z.out)),
-                (Phase::Returning, None) => "returning, nothing wanted yet".to_string(),
-                (Phase::Returning, Some(_)) if !self.cold.has_begun(zone) => {
-                    format!("returning, nothing answers yet, {}", parts_line(&z.out))
-                }
-                (Phase::Returning, Some((low, high))) => {
-                    format!(
-                        "returning, {low} to {high} in 100 warm, {}",
-                        parts_line(&z.out)
-                    )
-                }
-            };
-            let word = z.wish.map_or(String::new(), |w| {
-                let until = match w.until_ms {
-                    0 => "until another word".to_string(),
-                    ms => format!("for {} s more", ms.saturating_sub(record.clock_ms) / 1_000),
-                };
-                format!("; a person's word: {:?}, {until}", w.what).to_lowercase()
-            });
-            lines.insert(zone.clone(), (ordered, format!("{}{word}", z.why)));
-        }
-        for (zone, verdict) in &self.verdicts {
-            let seen = match verdict {
-                Verdict::Well => continue,
-                Verdict::Unclear => "too little is seen to say what fails".to_string(),
-                Verdict::Destinations(dests) => format!("destinations {dests:?} fail there"),
-                Verdict::Own(own) => format!("only senders in {own:?} see it fail"),
-                Verdict::Fails { seen_by, of } => {
-                    let why = self.may_leave(zone, record).err();
-                    let why = why.map_or(String::new(), |why| format!(", not left: {why}"));
-                    format!("{seen_by} of {of} senders see it fail{why}")
-                }
-            };
-            let line = lines
-                .entry(zone.clone())
-                .or_insert_with(|| ("used".into(), String::new()));
-            let between = if line.1.is_empty() { "" } else { "; " };
-            line.1.push_str(between);
-            line.1.push_str(&seen);
-        }
+        let (live, lapsed): (Vec<_>, Vec<_>) =
+            record.roster.iter().partition(|(_, member)| member.live);
+        let with_version = |name: &String| {
+            let session = self.sessions.get(name);
+            (name.clone(), session.map_or(0, |s| s.record_version))
+        };
         Status {
             term: self.term,
             version: record.version,
-            senders: senders.collect(),
-            lapsed: lapsed.collect(),
-            zones: lines
+            senders: live.iter().map(|(name, _)| with_version(name)).collect(),
+            lapsed: lapsed.iter().map(|(name, _)| (*name).clone()).collect(),
+            zones: self
+                .zone_lines(record)
                 .into_iter()
-                .map(|(zone, (ordered, why))| (zone, ordered, why))
+                .map(|(zone, line)| (zone, line.ordered, line.why))
                 .collect(),
             ..Status::default()
         }
     }
+
+    /// One line for each zone that is listed, recorded, or judged.
+    fn zone_lines(&self, record: &Record) -> BTreeMap<String, ZoneLine> {
+        let mut lines = BTreeMap::new();
+        for zone in self.endpoint_lists.zones() {
+            lines.insert(zone.to_string(), ZoneLine::in_use());
+        }
+        for (name, zone) in &record.zones {
+            lines.insert(name.clone(), self.recorded_line(name, zone, record));
+        }
+        for (name, verdict) in &self.verdicts {
+            let Some(judged) = self.describe_verdict(name, verdict, record) else {
+                continue;
+            };
+            let line = lines.entry(name.clone()).or_insert_with(ZoneLine::in_use);
+            if !line.why.is_empty() {
+                line.why.push_str("; ");
+            }
+            line.why.push_str(&judged);
+        }
+        lines
+    }
+
+    fn recorded_line(&self, name: &str, zone: &Zone, record: &Record) -> ZoneLine {
+        let request = zone.wish.map_or(String::new(), |wish| {
+            describe_request(wish, record.clock_ms)
+        });
+        ZoneLine {
+            ordered: self.describe_order(name, zone),
+            why: format!("{}{request}", zone.why),
+        }
+    }
+
+    fn describe_order(&self, name: &str, zone: &Zone) -> String {
+        match zone.phase {
+            Phase::Used => "used".to_string(),
+            Phase::Left => format!("left {}", describe_evacuation(&zone.out)),
+            Phase::Returning => self.describe_return(name, zone),
+        }
+    }
+
+    fn describe_return(&self, name: &str, zone: &Zone) -> String {
+        let Some(warmup) = self.recovery_ramp.warmup(name) else {
+            return "returning, nothing wanted yet".to_string();
+        };
+        let evacuation = describe_evacuation(&zone.out);
+        if !self.recovery_ramp.has_begun(name) {
+            return format!("returning, nothing answers yet, {evacuation}");
+        }
+        format!(
+            "returning, {} to {} in 100 warm, {evacuation}",
+            warmup.lowest_percent, warmup.highest_percent
+        )
+    }
+
+    /// What is observed of a zone; nothing where it is healthy.
+    fn describe_verdict(
+        &self,
+        name: &str,
+        verdict: &ZoneVerdict,
+        record: &Record,
+    ) -> Option<String> {
+        let text = match verdict {
+            ZoneVerdict::Healthy => return None,
+            ZoneVerdict::Unclear => "too little is seen to say what fails".to_string(),
+            ZoneVerdict::FailingDestinations(destinations) => {
+                format!("destinations {destinations:?} fail there")
+            }
+            ZoneVerdict::SeenFromHomeZones(zones) => {
+                format!("only senders in {zones:?} see it fail")
+            }
+            ZoneVerdict::Failing { seen_by, of } => {
+                let refusal = self.evacuation_shares(name, record).err();
+                let refusal = refusal.map_or(String::new(), |why| format!(", not left: {why}"));
+                format!("{seen_by} of {of} senders see it fail{refusal}")
+            }
+        };
+        Some(text)
+    }
+}
+
+/// An operator's request on a zone, and for how long it still holds.
+fn describe_request(wish: Wish, clock_ms: u64) -> String {
+    let until = match wish.until_ms {
+        0 => "until another word".to_string(),
+        until_ms => {
+            let seconds = until_ms.saturating_sub(clock_ms) / 1_000;
+            format!("for {seconds} s more")
+        }
+    };
+    let request = match wish.what {
+        ZoneWish::Leave => "leave",
+        ZoneWish::Return => "return",
+        ZoneWish::Hold => "hold",
+        ZoneWish::Free => "free",
+    };
+    format!("; a person's word: {request}, {until}")
 }
 
-fn parts_line(out: &[(u16, f32)]) -> String {
-    let low = out.iter().map(|(_, part)| *part).fold(1.0, f32::min);
+/// For how many destinations a zone is evacuated, and by how large a share of the senders at the
+/// least.
+fn describe_evacuation(evacuated: &[(u16, f32)]) -> String {
+    let least_share = evacuated
+        .iter()
+        .map(|(_, share)| *share)
+        .fold(1.0, f32::min);
     format!(
         "for {} destinations by {:.0} in 100 senders or more",
-        out.len(),
-        low * 100.0
+        evacuated.len(),
+        least_share * 100.0
     )
 }
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -1,7 +1,7 @@
 //! The loop of the one task that owns all decisions: takes what came in, advances time, and works
 //! until nothing is left to be done.
 
-use crate::coordination::leader::{LeaderDuties, Out};
+use crate::coordination::leader::{Effect, LeaderDuties};
 use crate::coordination::messages::ToPerson;
 use crate::coordination::raft_group::{Event, ELECTION};
 use crate::coordination::raft_log::{Keep, Piece, Unsaved};
@@ -24,7 +24,7 @@
 #[derive(Default)]
 struct Effects {
     /// What the leader duties want.
-    out: Vec<Out>,
+    out: Vec<Effect>,
     /// What the voice wants.
     said: Vec<member::Out>,
     /// Keepers came or went.
@@ -90,7 +90,7 @@
         }
         let mut out = Vec::new();
         if let Some(duties) = self.duties.as_mut().filter(|_| group.leads_for_certain()) {
-            duties.tick(now, group.record(), &mut out);
+            duties.on_tick(now, group.record(), &mut out);
         }
         self.carry_out(out);
         self.tick_voice();
@@ -196,7 +196,7 @@
                     if !came {
                         effects
                             .out
-                            .push(Out::Answer(changing.0, ToPerson::Done(index)));
+                            .push(Effect::Reply(changing.0, ToPerson::Done(index)));
                         self.changing = None;
                     }
                 }
@@ -234,7 +234,7 @@
             voice.applied(now, command, group.record(), &mut effects.said);
         }
         if let Some(duties) = &mut self.duties {
-            duties.applied(now, index, command, group.record(), &mut effects.out);
+            duties.on_applied(now, index, command, group.record(), &mut effects.out);
         }
     }
 
@@ -249,7 +249,7 @@
         if let Some((connection, _, Some(index))) = self.changing.take_if(has) {
             effects
                 .out
-                .push(Out::Answer(connection, ToPerson::Done(index)));
+                .push(Effect::Reply(connection, ToPerson::Done(index)));
         }
     }
 
@@ -264,7 +264,7 @@
             effects.begins = true;
             log::info!("{}: leads in term {term}", self.who());
             let duties = LeaderDuties::new(self.config.rules.clone(), term, now, group.record());
-            self.duties = Some(duties.led(now, self.led));
+            self.duties = Some(duties.with_last_leader_seen(now, self.led));
         }
         if group.leader() != group.me() && self.duties.take().is_some() {
             log::info!("{}: leads no more", self.who());
@@ -275,7 +275,7 @@
             effects.out.extend(
                 asked
                     .into_iter()
-                    .map(|connection| Out::Answer(connection, elsewhere.clone())),
+                    .map(|connection| Effect::Reply(connection, elsewhere.clone())),
             );
         }
     }
--- a/src/coordination/replica/receive.rs
+++ b/src/coordination/replica/receive.rs
@@ -50,7 +50,7 @@
                 self.asked.remove(&connection);
                 self.duties
                     .iter_mut()
-                    .for_each(|duties| duties.hung_up(connection));
+                    .for_each(|duties| duties.on_disconnect(connection));
             }
         }
         Ok(())
--- a/src/coordination/replica/requests.rs
+++ b/src/coordination/replica/requests.rs
@@ -1,7 +1,7 @@
 //! Requests of agents and operators, and what the leader answers them.
 
 use crate::coordination::framing;
-use crate::coordination::leader::{ConnectionId, Out};
+use crate::coordination::leader::{ConnectionId, Effect};
 use crate::coordination::messages::{
     FromAgent, FromPerson, Status, TableOrder, ToAgent, ToPerson, MOST,
 };
@@ -13,19 +13,19 @@
 
 impl Replica {
     /// Does what the leader wants.
-    pub(super) fn carry_out(&mut self, out: Vec<Out>) {
+    pub(super) fn carry_out(&mut self, out: Vec<Effect>) {
         for what in out {
             match what {
-                Out::Propose(command) => {
+                Effect::Propose(command) => {
                     if let Stage::Takes(group) = &mut self.stage {
                         if let Err(no) = group.propose(&command) {
                             log::debug!("{}: not proposed: {no}", self.who());
                         }
                     }
                 }
-                Out::Say(connection, word) => self.send(connection, &word),
-                Out::Answer(connection, word) => self.answer(connection, word),
-                Out::Federation(command) => {
+                Effect::Send(connection, word) => self.send(connection, &word),
+                Effect::Reply(connection, word) => self.answer(connection, word),
+                Effect::ProposeToFederation(command) => {
                     let (now, mut said) = (self.now(), Vec::new());
                     self.voice
                         .iter_mut()
@@ -86,9 +86,9 @@
         let mut out = Vec::new();
         match (&mut self.stage, &mut self.duties) {
             (Stage::Takes(group), Some(duties)) if group.leads_for_certain() => {
-                duties.hear(now, connection, word, group.record(), &mut out);
+                duties.on_agent_message(now, connection, word, group.record(), &mut out);
             }
-            _ => out.push(Out::Say(connection, ToAgent::Elsewhere(self.leader()))),
+            _ => out.push(Effect::Send(connection, ToAgent::Elsewhere(self.leader()))),
         }
         self.carry_out(out);
     }
@@ -113,31 +113,37 @@
                         Ok(()) => self.changing = Some((connection, keeper, None)),
                         // It was removed before: as ordered.
                         Err(_) if group.held().removed.contains(&keeper) => {
-                            out.push(Out::Answer(
+                            out.push(Effect::Reply(
                                 connection,
                                 ToPerson::Done(group.record().version),
                             ));
                         }
                         Err(no) => {
-                            out.push(Out::Answer(connection, ToPerson::Refused(no.to_string())))
+                            out.push(Effect::Reply(connection, ToPerson::Refused(no.to_string())))
                         }
                     },
                     word => {
-                        duties.order(now, connection, &word, group.record(), &mut out);
+                        duties.on_operator_request(
+                            now,
+                            connection,
+                            &word,
+                            group.record(),
+                            &mut out,
+                        );
                         // What the replica knows can be told in any case.
-                        let none = |o: &Out| matches!(o, Out::Answer(l, ToPerson::Refused(_)) if *l == connection);
+                        let none = |o: &Effect| matches!(o, Effect::Reply(l, ToPerson::Refused(_)) if *l == connection);
                         if word == FromPerson::Status && out.iter().any(none) {
                             out.retain(|o| !none(o));
-                            out.push(Out::Answer(connection, ToPerson::Status(Box::default())));
+                            out.push(Effect::Reply(connection, ToPerson::Status(Box::default())));
                         }
                     }
                 }
             }
             // How things stand here may be asked of any keeper.
             _ if word == FromPerson::Status => {
-                out.push(Out::Answer(connection, ToPerson::Status(Box::default())));
+                out.push(Effect::Reply(connection, ToPerson::Status(Box::default())));
             }
-            _ => out.push(Out::Answer(connection, elsewhere)),
+            _ => out.push(Effect::Reply(connection, elsewhere)),
         }
         self.carry_out(out);
     }
--- a/src/coordination/replica/sites.rs
+++ b/src/coordination/replica/sites.rs
@@ -163,7 +163,7 @@
         }
         self.sites.told = stands;
         let mut out = Vec::new();
-        duties.federation(now, Some(known.clone()), group.record(), &mut out);
+        duties.on_federation_state(now, Some(known.clone()), group.record(), &mut out);
         self.carry_out(out);
     }
 
--- a/src/coordination/zones/evidence/tests.rs
+++ b/src/coordination/zones/evidence/tests.rs
@@ -1,14 +1,14 @@
-use crate::coordination::zones::evidence::*;
+use crate::coordination::zones::counts::{share_lower_bound, RecentCounts};
 
 #[test]
-fn one_refusal_in_few_calls_is_chance() {
-    let of = |taken, refused| {
-        Lately {
-            taken,
-            refused,
-            bad: 0.0,
+fn one_rejection_in_few_calls_is_chance() {
+    let of = |accepted, rejected| {
+        RecentCounts {
+            accepted,
+            rejected,
+            failed: 0.0,
         }
-        .least_refused()
+        .rejected_share_lower_bound()
     };
     assert!(
         of(8.0, 1.0) < 0.1 && of(6.0, 3.0) > 0.1 && of(80.0, 10.0) < 0.1 && of(80.0, 16.0) > 0.1
@@ -17,6 +17,6 @@
 
 #[test]
 fn few_calls_prove_little() {
-    assert!(least_share(13.0, 13.0, 3.0) < 0.6 && least_share(14.0, 14.0, 3.0) > 0.6);
-    assert!(least_share(60.0, 100.0, 3.0) < 0.5 && least_share(0.0, 0.0, 3.0) == 0.0);
+    assert!(share_lower_bound(13.0, 13.0, 3.0) < 0.6 && share_lower_bound(14.0, 14.0, 3.0) > 0.6);
+    assert!(share_lower_bound(60.0, 100.0, 3.0) < 0.5 && share_lower_bound(0.0, 0.0, 3.0) == 0.0);
 }
--- a/src/coordination/zones/spare_capacity.rs
+++ b/src/coordination/zones/spare_capacity.rs
@@ -1,218 +1,286 @@
-//! What the rest can bear when a zone is left.
+//! What each zone lists, and how much of a zone's traffic the rest can take when it is evacuated.
 //!
-//! Senders tell the lists that they hold. Those that are alike are kept once; of each zone and
-//! destination the value in the middle of all senders' counts, so that one that lies, or is late,
-//! moves nothing.
+//! Senders report the endpoint lists that they hold. [`EndpointLists`] keeps equal lists once, and
+//! has for each zone and destination the median of all senders' values, so that one that lies, or
+//! is late, moves nothing. [`movable_share`] compares what a zone carries with what is free
+//! elsewhere.
+//!
+//! The leader owns one [`EndpointLists`] for its term and is the only caller. Which zone is
+//! evacuated is decided by [`leader`](crate::coordination::leader).
 
 use crate::coordination::messages::Listed;
-use crate::coordination::zones::Rules;
+use crate::coordination::zones::ZoneRules;
+use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Lines of one list that count at the most: 50 zones with 80 destinations.
-pub const MOST_LINES: usize = 4_000;
-/// Lines of all lists that differ, at the most. A sender whose list finds no room tells none.
-const MOST_ALL: usize = 100_000;
-/// Part of the senders under which a zone is not worth leaving for a destination.
-const LEAST: f64 = 0.05;
+/// Most lines of one list that count: 50 zones with 80 destinations.
+pub const MAX_LINES_PER_LIST: usize = 4_000;
+/// Most lines of all lists that differ. A sender whose list exceeds it counts as one without.
+const MAX_LINES: usize = 100_000;
+/// Share of the senders below which evacuating a zone for a destination is not worth an order.
+const LEAST_MOVABLE_SHARE: f64 = 0.05;
 
-type Key = (String, u16);
-/// A rate, endpoints, and the senders that say so.
-type Said = (f64, u32, usize);
+/// A zone and a destination there.
+type Route = (String, u16);
 
 /// What most lists say of a zone and destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Route {
+pub struct ListedCapacity {
     /// Endpoints that want calls.
     pub endpoints: u32,
-    /// Calls a second; 0 where none is listed.
-    pub rate: f64,
+    /// Calls a second that they take together; 0 where no rate is listed.
+    pub rate_per_second: f64,
 }
 
+/// One list, and how many senders hold it.
 #[derive(Clone, Debug)]
-struct Held {
+struct SharedList {
     lines: Vec<Listed>,
     senders: usize,
 }
 
-/// The lists of all senders.
+/// What some senders' list says of a zone and destination.
+struct ReportedCapacity {
+    capacity: ListedCapacity,
+    senders: usize,
+}
+
+/// The endpoint lists of all senders, and what most of them say.
 #[derive(Clone, Debug, Default)]
-pub struct Lists {
-    held: BTreeMap<u64, Held>,
-    of: BTreeMap<u32, u64>,
-    kept: usize,
-    stale: bool,
-    routes: BTreeMap<Key, Route>,
-    zones: BTreeMap<String, usize>,
+pub struct EndpointLists {
+    by_digest: BTreeMap<u64, SharedList>,
+    digest_of: BTreeMap<u32, u64>,
+    /// Lines of all lists that differ.
+    line_count: usize,
+    /// Something was reported since the medians were worked out.
+    is_stale: bool,
+    capacities: BTreeMap<Route, ListedCapacity>,
+    /// Zones that are listed, with the number of their destinations.
+    destination_counts: BTreeMap<String, usize>,
 }
 
-impl Lists {
-    /// A sender tells the list that it holds.
-    pub fn tell(&mut self, id: u32, listed: &[Listed]) {
-        self.part(id);
-        let mut lines: Vec<Listed> = listed.iter().take(MOST_LINES).cloned().collect();
-        lines.retain(|l| l.rate.is_finite() && l.rate >= 0.0);
-        lines.sort_by(|a, b| (&a.zone, a.dest).cmp(&(&b.zone, b.dest)));
-        lines.dedup_by(|a, b| a.zone == b.zone && a.dest == b.dest);
-        let mut print = Print(0xcbf2_9ce4_8422_2325);
-        for l in &lines {
-            print.add(l.zone.as_bytes());
-            print.add(&l.dest.to_be_bytes());
-            print.add(&l.endpoints.to_be_bytes());
-            print.add(&l.rate.to_bits().to_be_bytes());
-        }
-        self.stale = true;
-        match self.held.get_mut(&print.0) {
-            Some(held) if held.lines == lines => held.senders += 1,
-            // Two lists of one print: the later one is not told, as one of very many.
+impl EndpointLists {
+    /// Takes the list that a sender holds, in place of the one that it reported before.
+    ///
+    /// Counts from the next [`EndpointLists::refresh`] on.
+    pub fn report(&mut self, sender: u32, listed: &[Listed]) {
+        self.remove_sender(sender);
+        self.is_stale = true;
+        let lines = normalized(listed);
+        let digest = Digest::of_list(&lines).0;
+        match self.by_digest.get_mut(&digest) {
+            Some(shared) if shared.lines == lines => shared.senders += 1,
+            // Two lists with one digest: the later one is dropped, as one of very many.
             Some(_) => return,
-            None if self.kept + lines.len() > MOST_ALL => return,
+            None if self.line_count + lines.len() > MAX_LINES => return,
             None => {
-                self.kept += lines.len();
-                self.held.insert(print.0, Held { lines, senders: 1 });
+                self.line_count += lines.len();
+                self.by_digest
+                    .insert(digest, SharedList { lines, senders: 1 });
             }
         }
-        self.of.insert(id, print.0);
+        self.digest_of.insert(sender, digest);
     }
 
-    /// A sender's session is over.
-    pub fn part(&mut self, id: u32) {
-        let Some(print) = self.of.remove(&id) else {
+    /// Forgets the list of a sender whose session is over.
+    pub fn remove_sender(&mut self, sender: u32) {
+        let Some(digest) = self.digest_of.remove(&sender) else {
             return;
         };
-        self.stale = true;
-        if let Some(held) = self.held.get_mut(&print) {
-            held.senders -= 1;
-            if held.senders == 0 {
-                self.kept -= held.lines.len();
-                self.held.remove(&print);
-            }
+        self.is_stale = true;
+        let Some(shared) = self.by_digest.get_mut(&digest) else {
+            return;
+        };
+        shared.senders -= 1;
+        if shared.senders == 0 {
+            self.line_count -= shared.lines.len();
+            self.by_digest.remove(&digest);
         }
     }
 
-    /// Works out what most say, if anything has changed.
-    pub fn settle(&mut self) {
-        if !std::mem::take(&mut self.stale) {
+    /// Works out what most lists say, if any list has changed since.
+    pub fn refresh(&mut self) {
+        if !std::mem::take(&mut self.is_stale) {
             return;
         }
-        let all = self.of.len();
-        let mut said: BTreeMap<(&str, u16), Vec<Said>> = BTreeMap::new();
-        for held in self.held.values() {
-            for l in &held.lines {
-                let of = said.entry((&l.zone, l.dest)).or_default();
-                of.push((f64::from(l.rate), l.endpoints, held.senders));
+        let senders = self.digest_of.len();
+        let mut capacities = BTreeMap::new();
+        for ((zone, destination), reported) in self.reported_capacities() {
+            if let Some(capacity) = median_capacity(reported, senders) {
+                capacities.insert((zone.to_string(), destination), capacity);
             }
         }
-        let mut routes = BTreeMap::new();
-        for ((zone, dest), mut values) in said {
-            // Those that don't name it say that it has none.
-            let silent = all - values.iter().map(|(_, _, n)| n).sum::<usize>();
-            values.push((0.0, 0, silent));
-            values.sort_by(|a, b| {
-                (a.1, a.0)
-                    .partial_cmp(&(b.1, b.0))
-                    .unwrap_or(std::cmp::Ordering::Equal)
-            });
-            let mut past = 0;
-            let middle = values.iter().find(|(_, _, n)| {
-                past += n;
-                past * 2 > all
-            });
-            if let Some((rate, endpoints, _)) = middle.filter(|(_, endpoints, _)| *endpoints > 0) {
-                routes.insert(
-                    (zone.to_string(), dest),
-                    Route {
-                        endpoints: *endpoints,
-                        rate: *rate,
+        self.destination_counts.clear();
+        for (zone, _) in capacities.keys() {
+            *self.destination_counts.entry(zone.clone()).or_insert(0) += 1;
+        }
+        self.capacities = capacities;
+    }
+
+    /// What each list says of each zone and destination that it names.
+    fn reported_capacities(&self) -> BTreeMap<(&str, u16), Vec<ReportedCapacity>> {
+        let mut reported: BTreeMap<(&str, u16), Vec<ReportedCapacity>> = BTreeMap::new();
+        for shared in self.by_digest.values() {
+            for line in &shared.lines {
+                let of_route = reported.entry((&line.zone, line.dest)).or_default();
+                of_route.push(ReportedCapacity {
+                    capacity: ListedCapacity {
+                        endpoints: line.endpoints,
+                        rate_per_second: f64::from(line.rate),
                     },
-                );
+                    senders: shared.senders,
+                });
             }
         }
-        self.zones.clear();
-        routes
-            .keys()
-            .for_each(|(zone, _)| *self.zones.entry(zone.clone()).or_insert(0) += 1);
-        self.routes = routes;
+        reported
     }
 
-    /// What is listed of a zone for a destination.
-    pub fn route(&self, zone: &str, dest: u16) -> Option<Route> {
-        self.routes.get(&(zone.to_string(), dest)).copied()
+    /// What is listed of a zone for a destination; nothing where most lists name none.
+    pub fn capacity(&self, zone: &str, destination: u16) -> Option<ListedCapacity> {
+        self.capacities
+            .get(&(zone.to_string(), destination))
+            .copied()
     }
 
-    /// Destinations that a zone lists.
-    pub fn dests<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = (u16, Route)> + 'a {
-        let from = (zone.to_string(), 0);
-        let of = self
-            .routes
-            .range(from..)
-            .take_while(move |((z, _), _)| z == zone);
-        of.map(|((_, dest), route)| (*dest, *route))
+    /// Destinations that a zone lists, in ascending order.
+    pub fn destinations<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = u16> + 'a {
+        let first = (zone.to_string(), 0);
+        self.capacities
+            .range(first..)
+            .map(|((listed_zone, destination), _)| (listed_zone, *destination))
+            .take_while(move |(listed_zone, _)| *listed_zone == zone)
+            .map(|(_, destination)| destination)
     }
 
     /// How many destinations a zone lists; 0 where nobody lists it.
-    pub fn count(&self, zone: &str) -> usize {
-        self.zones.get(zone).copied().unwrap_or(0)
+    pub fn destination_count(&self, zone: &str) -> usize {
+        self.destination_counts.get(zone).copied().unwrap_or(0)
     }
 
-    /// The zones that are listed.
+    /// The zones that are listed, in order of their names.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
-        self.zones.keys().map(String::as_str)
+        self.destination_counts.keys().map(String::as_str)
     }
 }
 
-/// A print of a list (FNV-1a): what is alike has the same one in each process.
-struct Print(u64);
+/// A list in a form that is the same for all senders that hold it: sorted, without lines that
+/// come twice or have an impossible rate, and cut to the length that counts.
+fn normalized(listed: &[Listed]) -> Vec<Listed> {
+    let mut lines: Vec<Listed> = listed.iter().take(MAX_LINES_PER_LIST).cloned().collect();
+    lines.retain(|line| line.rate.is_finite() && line.rate >= 0.0);
+    lines.sort_by(|a, b| (&a.zone, a.dest).cmp(&(&b.zone, b.dest)));
+    lines.dedup_by(|a, b| a.zone == b.zone && a.dest == b.dest);
+    lines
+}
+
+/// The median over all senders of what their lists say of one zone and destination; nothing where
+/// that is no endpoint.
+fn median_capacity(mut reported: Vec<ReportedCapacity>, senders: usize) -> Option<ListedCapacity> {
+    // Senders whose list does not name the route say that it has no endpoint.
+    let naming: usize = reported.iter().map(|value| value.senders).sum();
+    reported.push(ReportedCapacity {
+        capacity: ListedCapacity::default(),
+        senders: senders - naming,
+    });
+    reported.sort_by(|a, b| by_endpoints_then_rate(&a.capacity, &b.capacity));
+    let mut passed = 0;
+    let median = reported.iter().find(|value| {
+        passed += value.senders;
+        passed * 2 > senders
+    })?;
+    Some(median.capacity).filter(|capacity| capacity.endpoints > 0)
+}
+
+fn by_endpoints_then_rate(a: &ListedCapacity, b: &ListedCapacity) -> Ordering {
+    let key = |capacity: &ListedCapacity| (capacity.endpoints, capacity.rate_per_second);
+    key(a).partial_cmp(&key(b)).unwrap_or(Ordering::Equal)
+}
+
+/// Digest of a list (FNV-1a): equal lists have equal digests in every process.
+struct Digest(u64);
+
+/// FNV-1a's offset basis and prime for 64 bits.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+/// Ends each field in a digest, so that bytes which move from one field to the next change it.
+const FIELD_END: u8 = 0xff;
+
+impl Digest {
+    fn of_list(lines: &[Listed]) -> Digest {
+        let mut digest = Digest(FNV_OFFSET_BASIS);
+        for line in lines {
+            digest.add_field(line.zone.as_bytes());
+            digest.add_field(&line.dest.to_be_bytes());
+            digest.add_field(&line.endpoints.to_be_bytes());
+            digest.add_field(&line.rate.to_bits().to_be_bytes());
+        }
+        digest
+    }
 
-impl Print {
-    fn add(&mut self, bytes: &[u8]) {
-        for byte in bytes.iter().chain([&0xff]) {
-            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+    fn add_field(&mut self, bytes: &[u8]) {
+        for byte in bytes.iter().chain([&FIELD_END]) {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
         }
     }
 }
 
-/// A zone's part in one destination, as it stands before another zone is left.
+/// What another zone can take for a destination, as it stands before the evacuation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Rest {
+pub struct AlternativeZone {
     /// Calls a second that are listed; 0 where none are.
-    pub rate: f64,
-    /// Calls a second that it took.
-    pub carried: f64,
-    /// Part of the calls that it refused lately.
-    pub refused: f64,
-    /// Part of the senders that is out of it already.
-    pub out: f64,
+    pub rate_per_second: f64,
+    /// Calls a second that it carries.
+    pub load_per_second: f64,
+    /// Share of recent calls that it rejected.
+    pub rejected_share: f64,
+    /// Share of the senders that has been moved out of it already.
+    pub evacuated_share: f64,
     /// Whether calls to it for this destination fail.
-    pub fails: bool,
+    pub is_failing: bool,
 }
 
-/// The part of the senders that may leave a zone for a destination, which carried so many calls a
-/// second there: as much as the rest has room for. 0 where there is no other route, which is never
-/// left.
-pub fn bearable(rules: &Rules, carried: f64, rest: &[Rest]) -> f64 {
-    let mut room = 0.0;
-    for r in rest.iter().filter(|r| r.out < 1.0 && !r.fails) {
-        if r.refused > rules.refused_share {
-            continue;
-        }
-        if r.rate <= 0.0 {
-            // No rate is listed and next to nothing is refused.
+impl AlternativeZone {
+    /// Whether it may get any of the traffic.
+    fn is_usable(&self, rules: &ZoneRules) -> bool {
+        self.evacuated_share < 1.0
+            && !self.is_failing
+            && self.rejected_share <= rules.rejected_share
+    }
+
+    /// Calls a second that it can take beyond what it carries.
+    fn spare_per_second(&self, rules: &ZoneRules) -> f64 {
+        let usable = self.rate_per_second * rules.headroom * (1.0 - self.evacuated_share);
+        (usable - self.load_per_second).max(0.0)
+    }
+}
+
+/// The share of the senders that can be moved out of a zone for a destination, which carried
+/// `load_per_second` there: as much as the other zones have spare capacity for.
+///
+/// 0 where there is no other route: the last one is never evacuated.
+pub fn movable_share(
+    rules: &ZoneRules,
+    load_per_second: f64,
+    alternatives: &[AlternativeZone],
+) -> f64 {
+    let mut spare = 0.0;
+    for alternative in alternatives.iter().filter(|zone| zone.is_usable(rules)) {
+        if alternative.rate_per_second <= 0.0 {
+            // No rate is listed and next to nothing is rejected.
             return 1.0;
         }
-        room += (r.rate * rules.headroom * (1.0 - r.out) - r.carried).max(0.0);
+        spare += alternative.spare_per_second(rules);
+    }
+    if spare <= 0.0 {
+        return 0.0;
     }
-    let part = if room <= 0.0 {
-        0.0
-    } else {
-        (room / carried.max(1e-9)).min(1.0)
-    };
-    // Told in hundredths: a part that moves with each report would be another order each time.
-    let part = (part * 100.0).floor() / 100.0;
-    if part < LEAST {
-        0.0
-    } else {
-        part
+    let share = (spare / load_per_second.max(1e-9)).min(1.0);
+    // In hundredths: a share that moves with each report would be another order each time.
+    let share = (share * 100.0).floor() / 100.0;
+    if share < LEAST_MOVABLE_SHARE {
+        return 0.0;
     }
+    share
 }
 
 #[cfg(test)]
--- a/src/coordination/zones/spare_capacity/tests.rs
+++ b/src/coordination/zones/spare_capacity/tests.rs
@@ -11,55 +11,54 @@
 
 #[test]
 fn one_list_that_lies_moves_nothing() {
-    let mut lists = Lists::default();
+    let mut lists = EndpointLists::default();
     for id in 0..4 {
-        lists.tell(id, &[line("a", 1, 10.0), line("b", 1, 10.0)]);
+        lists.report(id, &[line("a", 1, 10.0), line("b", 1, 10.0)]);
     }
-    lists.tell(9, &[line("a", 1, 1e9), line("x", 1, 1e9)]);
-    lists.settle();
-    assert_eq!(lists.route("a", 1).map(|r| r.rate), Some(10.0));
-    assert_eq!((lists.count("b"), lists.count("x")), (1, 0));
-    (0..4).for_each(|id| lists.part(id));
-    lists.settle();
-    assert_eq!((lists.count("x"), lists.kept), (1, 2));
-}
-
-#[test]
-fn no_more_leaves_than_the_rest_has_room_for() {
-    let rules = Rules::default();
-    let rest = Rest {
-        rate: 20.0,
-        carried: 8.0,
-        ..Rest::default()
-    };
-    assert_eq!(bearable(&rules, 10.0, &[]), 0.0);
-    assert_eq!(bearable(&rules, 10.0, &[rest]), 1.0);
-    assert_eq!(bearable(&rules, 20.0, &[rest]), 0.5);
+    lists.report(9, &[line("a", 1, 1e9), line("x", 1, 1e9)]);
+    lists.refresh();
     assert_eq!(
-        bearable(
-            &rules,
-            10.0,
-            &[Rest {
-                refused: 0.5,
-                ..rest
-            }]
-        ),
-        0.0
+        lists.capacity("a", 1).map(|listed| listed.rate_per_second),
+        Some(10.0)
     );
-    assert_eq!(bearable(&rules, 10.0, &[Rest { out: 1.0, ..rest }]), 0.0);
     assert_eq!(
-        bearable(
-            &rules,
-            10.0,
-            &[
-                Rest {
-                    fails: true,
-                    ..rest
-                },
-                rest
-            ]
-        ),
-        1.0
+        (lists.destination_count("b"), lists.destination_count("x")),
+        (1, 0)
     );
-    assert_eq!(bearable(&rules, 1e6, &[Rest { rate: 0.0, ..rest }]), 1.0);
+    (0..4).for_each(|id| lists.remove_sender(id));
+    lists.refresh();
+    assert_eq!((lists.destination_count("x"), lists.line_count), (1, 2));
+}
+
+#[test]
+fn no_more_is_moved_than_the_rest_has_spare_capacity_for() {
+    let rules = ZoneRules::default();
+    let rest = AlternativeZone {
+        rate_per_second: 20.0,
+        load_per_second: 8.0,
+        ..AlternativeZone::default()
+    };
+    assert_eq!(movable_share(&rules, 10.0, &[]), 0.0);
+    assert_eq!(movable_share(&rules, 10.0, &[rest]), 1.0);
+    assert_eq!(movable_share(&rules, 20.0, &[rest]), 0.5);
+    let rejecting = AlternativeZone {
+        rejected_share: 0.5,
+        ..rest
+    };
+    assert_eq!(movable_share(&rules, 10.0, &[rejecting]), 0.0);
+    let evacuated = AlternativeZone {
+        evacuated_share: 1.0,
+        ..rest
+    };
+    assert_eq!(movable_share(&rules, 10.0, &[evacuated]), 0.0);
+    let failing = AlternativeZone {
+        is_failing: true,
+        ..rest
+    };
+    assert_eq!(movable_share(&rules, 10.0, &[failing, rest]), 1.0);
+    let without_rate = AlternativeZone {
+        rate_per_second: 0.0,
+        ..rest
+    };
+    assert_eq!(movable_share(&rules, 1e6, &[without_rate]), 1.0);
 }
--- a/tests/model_zones.rs
+++ b/tests/model_zones.rs
@@ -7,7 +7,7 @@
 #[path = "common/printed.rs"]
 mod printed;
 
-use raildeal::coordination::leader::{LeaderDuties, Out, Rules};
+use raildeal::coordination::leader::{Effect, LeaderDuties, LeaderRules};
 use raildeal::coordination::messages::{Counts, FromAgent, Listed, Seen, ToAgent, Want};
 use raildeal::coordination::record::{Command, Phase, Record};
 use stateright::{Checker, Model, Property};
@@ -112,18 +112,18 @@
     returning: bool,
 }
 
-fn rules() -> Rules {
-    let mut rules = Rules::default();
+fn rules() -> LeaderRules {
+    let mut rules = LeaderRules::default();
     let z = &mut rules.zones;
     (
-        z.cold_share,
-        z.warm_after_ms,
+        z.initial_capacity_share,
+        z.warmup_ms,
         z.overload_factor,
-        z.overload_for_ms,
+        z.overload_window_ms,
     ) = (0.5, 60_000, 1.0, 1_000);
-    (z.left_share, z.most_left) = (0.5, 2);
+    (z.max_evacuated_share, z.max_evacuated_zones) = (0.5, 2);
     // As short as the steps of the model are; a new leader waits so long.
-    z.within_ms = 500;
+    z.grant_validity_ms = 500;
     rules
 }
 
@@ -178,9 +178,13 @@
             };
             let mut out = Vec::new();
             for word in [open, tell] {
-                leader
-                    .duties
-                    .hear((s.now + 10_000) * MS, n, &word, &leader.record, &mut out);
+                leader.duties.on_agent_message(
+                    (s.now + 10_000) * MS,
+                    n,
+                    &word,
+                    &leader.record,
+                    &mut out,
+                );
             }
         }
         leader
@@ -195,11 +199,11 @@
         (s.now + 10_000 - lacks) * MS
     }
 
-    fn carry(&self, s: &mut State, at: usize, out: Vec<Out>) {
+    fn carry(&self, s: &mut State, at: usize, out: Vec<Effect>) {
         let term = s.leaders[at].term;
         for o in out {
             match o {
-                Out::Propose(command) => {
+                Effect::Propose(command) => {
                     // Beats move the record's clock alone; the model has none of what it is for.
                     // What one proposes that is deposed is never committed.
                     let leads = s.leaders.iter().all(|l| l.term <= term);
@@ -210,7 +214,7 @@
                         s.leaders[at].proposed.push(command);
                     }
                 }
-                Out::Say(_, ToAgent::Grant(g)) => {
+                Effect::Send(_, ToAgent::Grant(g)) => {
                     let (from, to) = (s.now, s.now + u64::from(g.within_ms));
                     if s.granted.iter().any(|old| old.term < term && old.to > from) {
                         s.wrong.push("granted while an earlier term's grant holds");
@@ -225,7 +229,7 @@
                         calls: g.calls,
                     });
                     // All calls of the window's length could come at once.
-                    let long = u64::from(rules().zones.overload_for_ms);
+                    let long = u64::from(rules().zones.overload_window_ms);
                     let could = s.granted.iter().filter(|g| g.to + long > from);
                     let calls: u32 = could.map(|g| g.calls).sum();
                     let n = f64::from(RATE) * 0.5 * long as f64 / 1e3;
@@ -283,7 +287,7 @@
             let (after, mut out) = (leader.record.clone(), Vec::new());
             leader
                 .duties
-                .applied(now, index as u64 + 1, &command, &after, &mut out);
+                .on_applied(now, index as u64 + 1, &command, &after, &mut out);
             let shrunk = after
                 .zones
                 .iter()
@@ -494,7 +498,7 @@
                     let leader = &mut s.leaders[at];
                     leader
                         .duties
-                        .hear(now, n as u64, &word, &leader.record, &mut out);
+                        .on_agent_message(now, n as u64, &word, &leader.record, &mut out);
                     self.carry(&mut s, at, out);
                 }
                 self.tick(&mut s, at);
@@ -525,7 +529,7 @@
                     let leader = &mut s.leaders[at];
                     leader
                         .duties
-                        .hear(now, n as u64, &word, &leader.record, &mut out);
+                        .on_agent_message(now, n as u64, &word, &leader.record, &mut out);
                     self.carry(&mut s, at, out);
                 }
             }
@@ -541,7 +545,9 @@
                 };
                 let (now, mut out) = (self.clock(&s, at), Vec::new());
                 let leader = &mut s.leaders[at];
-                leader.duties.hear(now, 12, &open, &leader.record, &mut out);
+                leader
+                    .duties
+                    .on_agent_message(now, 12, &open, &leader.record, &mut out);
                 self.carry(&mut s, at, out);
             }
             Action::LapseOld(at) => {
@@ -550,7 +556,7 @@
                 let leader = &mut s.leaders[at];
                 leader
                     .duties
-                    .hear(now, 2, &FromAgent::Leave, &leader.record, &mut out);
+                    .on_agent_message(now, 2, &FromAgent::Leave, &leader.record, &mut out);
                 self.carry(&mut s, at, out);
             }
         }
@@ -587,7 +593,7 @@
     fn tick(&self, s: &mut State, at: usize) {
         let (now, mut out) = (self.clock(s, at), Vec::new());
         let leader = &mut s.leaders[at];
-        leader.duties.tick(now, &leader.record, &mut out);
+        leader.duties.on_tick(now, &leader.record, &mut out);
         self.carry(s, at, out);
     }
 }
