--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -8,7 +8,7 @@
 use common::{MS, SEC};
 use raildeal::agent::register::{Kind, Register, Without};
 use raildeal::agent::session::{Entrance, Machine, Needs, Out, Terms};
-use raildeal::coordination::leader::{self, LeaderDuties, Rules};
+use raildeal::coordination::leader::{self, LeaderDuties, LeaderRules};
 use raildeal::coordination::messages::{
     FromAgent, FromPerson, FromSender, Print, Stance, TableOrder, ToAgent, ToPerson, ToSender,
 };
@@ -854,7 +854,8 @@
             );
         }
         let (record, now) = (Record::default(), SEC);
-        let duties = LeaderDuties::new(Rules::default(), 1, now, &record).led(now, Some(now));
+        let duties = LeaderDuties::new(LeaderRules::default(), 1, now, &record)
+            .with_last_leader_seen(now, Some(now));
         let (said, answers) = (Vec::new(), Vec::new());
         let mut site = Site {
             duties,
@@ -871,23 +872,23 @@
         site
     }
 
-    fn carry_out(&mut self, out: Vec<leader::Out>) {
+    fn carry_out(&mut self, out: Vec<leader::Effect>) {
         for out in out {
             let mut more = Vec::new();
             match out {
-                leader::Out::Propose(command) => {
+                leader::Effect::Propose(command) => {
                     self.index += 1;
                     self.record.apply(self.index, &command);
                     self.duties
-                        .applied(self.now, self.index, &command, &self.record, &mut more);
+                        .on_applied(self.now, self.index, &command, &self.record, &mut more);
                 }
-                leader::Out::Say(line, word) => self.said.push((line, word)),
-                leader::Out::Answer(_, word) => self.answers.push(word),
-                leader::Out::Federation(command) if self.linked => {
+                leader::Effect::Send(line, word) => self.said.push((line, word)),
+                leader::Effect::Reply(_, word) => self.answers.push(word),
+                leader::Effect::ProposeToFederation(command) if self.linked => {
                     let version = self.federation.version + 1;
                     self.federation.apply(version, &command);
                 }
-                leader::Out::Federation(_) => {}
+                leader::Effect::ProposeToFederation(_) => {}
             }
             self.carry_out(more);
         }
@@ -924,10 +925,10 @@
             };
             let mut out = Vec::new();
             self.duties
-                .federation(self.now, Some(known), &self.record, &mut out);
+                .on_federation_state(self.now, Some(known), &self.record, &mut out);
             self.carry_out(out);
             let mut out = Vec::new();
-            self.duties.tick(self.now, &self.record, &mut out);
+            self.duties.on_tick(self.now, &self.record, &mut out);
             self.carry_out(out);
         }
     }
@@ -936,9 +937,10 @@
         let mut out = Vec::new();
         self.said.clear();
         // What comes together comes before the record has anything of it.
-        words
-            .iter()
-            .for_each(|w| self.duties.hear(self.now, line, w, &self.record, &mut out));
+        words.iter().for_each(|w| {
+            self.duties
+                .on_agent_message(self.now, line, w, &self.record, &mut out)
+        });
         self.carry_out(out);
         self.said.iter().map(|(_, word)| word.clone()).collect()
     }
@@ -946,7 +948,7 @@
     fn order(&mut self, word: TableOrder) {
         let mut out = Vec::new();
         self.answers.clear();
-        self.duties.order(
+        self.duties.on_operator_request(
             self.now,
             99,
             &FromPerson::Table(word),
@@ -1089,8 +1091,8 @@
     // A leader that does not know for how long nobody led believes nothing of the lease in the
     // record: no sender hears of an open door.
     (site.linked, site.lease) = (false, None);
-    site.duties =
-        LeaderDuties::new(Rules::default(), 2, site.now, &site.record).led(site.now, None);
+    site.duties = LeaderDuties::new(LeaderRules::default(), 2, site.now, &site.record)
+        .with_last_leader_seen(site.now, None);
     let known = Known {
         name: "f".into(),
         me: 1,
@@ -1102,7 +1104,7 @@
     };
     let mut out = Vec::new();
     site.duties
-        .federation(site.now, Some(known), &site.record, &mut out);
+        .on_federation_state(site.now, Some(known), &site.record, &mut out);
     // The word to hold is not in the record yet.
     let mut held = Vec::new();
     std::mem::swap(&mut held, &mut out);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -89,7 +89,7 @@
             let used = played
                 .when("z0", Phase::Used, back)
                 .unwrap_or_else(|| panic!("{:?}", played.orders));
-            let ideal = (u64::from(plan.rules.zones.warm_after_ms) * MS) as f64;
+            let ideal = (u64::from(plan.rules.zones.warmup_ms) * MS) as f64;
             println!(
                 "{senders} senders, {zones} zones, dead for {} s: full after {:.2} of the warm-up, in use by all after {:.2}; {} toppled; \
                  {} of {} granted calls begun, {} commands, longest look {:?}",
@@ -218,12 +218,16 @@
         let mut plan = lesser(100, seed);
         let rules = &mut plan.rules.zones;
         (
-            rules.least_reporters,
+            rules.min_reporters,
             rules.reporter_share,
-            rules.own_share,
-            rules.dest_share,
+            rules.home_zone_share,
+            rules.destination_share,
         ) = (1, 0.01, 0.0, 0.01);
-        (rules.errors, rules.most_weight, rules.fail_share) = (0.0, 1e6, 0.3);
+        (
+            rules.standard_errors,
+            rules.max_reporter_weight,
+            rules.failure_share,
+        ) = (0.0, 1e6, 0.3);
         plan
     });
     let left = play_all(plans.collect())
@@ -484,7 +488,7 @@
     };
     let mut plan = calm(30, 3, 11);
     plan.lasts = 60 * SECOND;
-    plan.rules.zones.warm_after_ms = 2_000;
+    plan.rules.zones.warmup_ms = 2_000;
     plan.troubles = vec![
         (2 * SECOND, word(ZoneWish::Hold, 10)),
         (3 * SECOND, Trouble::Zone(0, State::Down)),
