--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -7,7 +7,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
-use raildeal::dispatch::routing::{Routes, Said, Traveller};
+use raildeal::dispatch::routing::{DestinationRange, RouteKey, RouteSpec, Routes, WeightedZones};
 use raildeal::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -22,32 +22,35 @@
 }
 
 /// A tier of zones with their shares.
-type Tier = Vec<(u32, Vec<String>)>;
+type Tier = Vec<WeightedZones>;
 
 fn tier(parts: &[(u32, u16)]) -> Tier {
     parts
         .iter()
-        .map(|(share, zone)| (*share, vec![zone.to_string()]))
+        .map(|(share, zone)| WeightedZones {
+            share: *share,
+            zones: vec![zone.to_string()],
+        })
         .collect()
 }
 
-fn all(tiers: &[&[(u32, u16)]]) -> Said {
-    Said {
+fn all(tiers: &[&[(u32, u16)]]) -> RouteSpec {
+    RouteSpec {
         tiers: tiers.iter().map(|t| tier(t)).collect(),
-        ..Said::default()
+        ..RouteSpec::default()
     }
 }
 
 /// Routes for four classes, with zones that are named by their numbers.
-fn routes(said: Vec<Said>) -> Rc<Routes> {
+fn routes(said: Vec<RouteSpec>) -> Rc<Routes> {
     let routes = Routes::new(4, 2, said);
-    Rc::new(routes.numbered(|name| name.parse().expect("a number")))
+    Rc::new(routes.with_zone_numbers(|name| name.parse().expect("a number")))
 }
 
 /// A driver that goes by routes, with endpoints of destination 1 that are known.
-fn driver(list: Vec<Listing>, said: Vec<Said>) -> Driver {
+fn driver(list: Vec<Listing>, said: Vec<RouteSpec>) -> Driver {
     let mut d = Driver::new(settings(), list);
-    d.give(Event::Routed(routes(said)));
+    d.give(Event::RoutesChanged(routes(said)));
     d
 }
 
@@ -150,7 +153,7 @@
 #[test]
 fn only_told_waits_of_where_a_message_may_go_end_it_early() {
     let list = vec![stands(1, 1, 2), stands(2, 2, 2)];
-    let only = Said {
+    let only = RouteSpec {
         classes: Some(vec![1]),
         ..all(&[&[(1, 2)]])
     };
@@ -175,7 +178,7 @@
 fn the_first_of_a_line_that_can_go_nowhere_now_stops_none_behind_it_and_a_batch_takes_those_that_may(
 ) {
     let list = vec![stands(1, 1, 2), stands(2, 2, 1)];
-    let only = Said {
+    let only = RouteSpec {
         classes: Some(vec![1]),
         ..all(&[&[(1, 2)]])
     };
@@ -203,11 +206,11 @@
     d.arrive(2, 0, 1);
     assert!(sends(&d.pass(SEC)).is_empty());
     // A call that is out ends as it would have.
-    let sent = d.give(Event::Routed(routes(vec![all(&[&[(1, 2)]])])));
+    let sent = d.give(Event::RoutesChanged(routes(vec![all(&[&[(1, 2)]])])));
     assert_eq!((sends(&sent).len(), targets(&sent)), (2, vec![at(2); 2]));
     d.end(1, Outcome::Delivered);
     d.end(2, Outcome::Error);
-    let nobody = d.give(Event::Routed(routes(vec![Said::default()])));
+    let nobody = d.give(Event::RoutesChanged(routes(vec![RouteSpec::default()])));
     assert_eq!(
         refused(&nobody).iter().map(|r| r.0).collect::<Vec<_>>(),
         [2]
@@ -219,7 +222,7 @@
             .collect::<Vec<_>>(),
         [3]
     );
-    d.give(Event::Routed(Rc::default()));
+    d.give(Event::RoutesChanged(Rc::default()));
     assert_eq!(sends(&d.arrive(4, 0, 1)), [4]);
 }
 
@@ -244,7 +247,7 @@
 }
 
 /// Routes for destinations 1 to 3 over zones 0 to 4, of which 0 to 2 have endpoints.
-fn said() -> impl Strategy<Value = Said> {
+fn said() -> impl Strategy<Value = RouteSpec> {
     let order = Just((0u16..5).collect::<Vec<_>>()).prop_shuffle();
     let tiers = vec((order, 1usize..4, 1u32..9), 0..3).prop_map(|tiers| {
         let tier = |(zones, n, share): (Vec<u16>, usize, u32)| {
@@ -259,11 +262,17 @@
         };
         tiers.into_iter().map(tier).collect::<Vec<Tier>>()
     });
-    let dests = proptest::option::of((1u16..4, 0u16..2).prop_map(|(a, more)| vec![(a, a + more)]));
+    let range = |(first, more): (u16, u16)| {
+        vec![DestinationRange {
+            first,
+            last: first + more,
+        }]
+    };
+    let dests = proptest::option::of((1u16..4, 0u16..2).prop_map(range));
     let classes = proptest::option::of(vec(0u16..4, 1..3));
     let tenants = proptest::option::of(vec(0u16..2, 1..2));
-    (dests, classes, tenants, tiers).prop_map(|(dests, classes, tenants, tiers)| Said {
-        dests,
+    (dests, classes, tenants, tiers).prop_map(|(dests, classes, tenants, tiers)| RouteSpec {
+        destinations: dests,
         classes,
         tenants,
         tiers,
@@ -281,17 +290,17 @@
 /// Plays it; gives all actions, turn by turn.
 fn play(steps: &[Step], tables: &[Rc<Routes>], told: bool) -> Vec<Vec<Action>> {
     let own = settings();
-    let twice = Terms {
+    let twice = RuntimeSettings {
         classes: [&own.classes[..], &own.classes[..]].concat(),
-        bounds: Vec::new(),
-        slots: own.slots,
-        room: own.room,
+        class_limits: Vec::new(),
+        max_in_flight_calls: own.max_in_flight_calls,
+        max_held_messages: own.max_held_messages,
     };
     let list: Vec<Listing> = (0..9).map(endpoint).collect();
     let zone_of: BTreeMap<EndpointAddress, u16> =
         list.iter().map(|l| (l.endpoint, l.zone)).collect();
     let (mut d, mut turns) = (Driver::new(own, list), Vec::new());
-    turns.push(d.give(Event::Changed(Box::new(twice))));
+    turns.push(d.give(Event::SettingsChanged(Box::new(twice))));
     let mut messages: BTreeMap<MessageId, Message> = BTreeMap::new();
     let (mut out, mut current): (BTreeSet<MessageId>, Rc<Routes>) = Default::default();
     for step in steps {
@@ -338,13 +347,13 @@
             }
             Step::Routes(n) if told => {
                 current = tables[n % tables.len()].clone();
-                Event::Routed(current.clone())
+                Event::RoutesChanged(current.clone())
             }
             Step::Passes(ms) => {
                 d.now += ms * MS;
-                Event::Woken
+                Event::TimerFired
             }
-            Step::Ends { .. } | Step::Routes(_) => Event::Woken,
+            Step::Ends { .. } | Step::Routes(_) => Event::TimerFired,
         };
         let actions = d.give(event);
         for action in &actions {
@@ -356,11 +365,11 @@
                     ..
                 } = messages[id];
                 let rank = current.rank(
-                    &Traveller {
+                    &RouteKey {
                         dest,
                         class,
                         tenant,
-                        lot: 0.0,
+                        draw: 0.0,
                     },
                     zone_of[endpoint],
                 );
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -6,7 +6,7 @@
 use common::{settings, MS, SEC};
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestCaseError, TestRunner};
-use raildeal::dispatch::slow_start::{bound, warmth, Ramp};
+use raildeal::dispatch::slow_start::{max_calls_per_window, warmup_fraction, SlowStartQuota};
 use raildeal::*;
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
@@ -70,7 +70,7 @@
 ) -> Vec<usize> {
     let mut random = fastrand::Rng::with_seed(seed);
     let growth = n(STEPS) - n(0);
-    let first = Ramp::of(n(0), growth, 1.0, senders);
+    let first = SlowStartQuota::of(n(0), growth, 1.0, senders);
     let drawn = |r: &mut fastrand::Rng| {
         if first.needs_lot() {
             r.f64()
@@ -82,7 +82,7 @@
     let mut waits = vec![false; senders as usize];
     (0..windows * STEPS)
         .map(|step| {
-            let ramp = Ramp::of(n(step), growth, 1.0, senders);
+            let ramp = SlowStartQuota::of(n(step), growth, 1.0, senders);
             let mut sent = 0;
             for (due, waits) in due.iter_mut().zip(&mut waits) {
                 *due = ramp.due(*due, 1.0 / STEPS as f64);
@@ -115,7 +115,7 @@
             let senders = senders as u32;
             // What many senders keep is the bound while messages wait at each of them, which is the
             // most that they are asked for.
-            let few = !Ramp::of(n, 0.0, 1.0, senders).needs_lot();
+            let few = !SlowStartQuota::of(n, 0.0, 1.0, senders).needs_lot();
             let calls = calls(
                 senders,
                 if few { demand } else { Demand::Always },
@@ -156,9 +156,12 @@
     );
     runner(RETURNS)
         .run(&of, |(senders, first, cold, long, demand, seed)| {
-            let n = |step: usize| first / cold * warmth(cold, step as f64 / (long * STEPS) as f64);
-            let needs_lot =
-                |step| Ramp::of(n(step), n(STEPS) - n(0), 1.0, senders as u32).needs_lot();
+            let n = |step: usize| {
+                first / cold * warmup_fraction(cold, step as f64 / (long * STEPS) as f64)
+            };
+            let needs_lot = |step| {
+                SlowStartQuota::of(n(step), n(STEPS) - n(0), 1.0, senders as u32).needs_lot()
+            };
             let by_chance = (0..=long * STEPS).any(needs_lot);
             let demand = if by_chance { Demand::Always } else { demand };
             let calls = calls(senders as u32, demand, seed, long, n);
@@ -182,8 +185,9 @@
 
 #[test]
 fn the_budget_of_senders_is_no_slower_than_the_endpoint_bears() {
-    let part =
-        |senders, n, growth| Ramp::of(n, growth, 3.0, senders).rate * 3.0 * f64::from(senders) / n;
+    let part = |senders, n, growth| {
+        SlowStartQuota::of(n, growth, 3.0, senders).rate * 3.0 * f64::from(senders) / n
+    };
     for senders in [1, 3, 10, 30, 100, 300, 1_000] {
         for n in [0.5, 2.0, 5.0, 14.0, 29.0, 30.0, 45.0, 100.0, 400.0] {
             // Where chance would exceed the bound: many senders that each make less than a call.
@@ -210,10 +214,13 @@
 fn the_bound_is_that_of_the_standing_test_and_holds_for_whatever_more_an_endpoint_bears() {
     for tenth in 0..5_000 {
         let n = f64::from(tenth) / 10.0;
-        assert!(!falls(bound(n).floor() as usize, n), "{n}");
-        assert!(bound(n) <= bound(n + 0.1), "{n}");
+        assert!(!falls(max_calls_per_window(n).floor() as usize, n), "{n}");
+        assert!(
+            max_calls_per_window(n) <= max_calls_per_window(n + 0.1),
+            "{n}"
+        );
     }
-    assert!(falls(bound(100.0) as usize + 1, 100.0));
+    assert!(falls(max_calls_per_window(100.0) as usize + 1, 100.0));
 }
 
 /// Time that a call takes, and a refusal.
@@ -224,7 +231,7 @@
 
 /// An endpoint that goes down and comes back cold, called by so many whole relays.
 struct Return {
-    relays: Vec<Dispatcher>,
+    senders: Vec<Dispatcher>,
     s: Settings,
     listed: f64,
     /// How many endpoints go down with it.
@@ -244,15 +251,15 @@
 }
 
 impl Return {
-    fn new(relays: u32, (endpoints, away): (u8, u8), listed: f64, seed: u64) -> Return {
+    fn new(senders: u32, (endpoints, away): (u8, u8), listed: f64, seed: u64) -> Return {
         let s = Settings {
-            relays,
-            listed: ListedRates::Nominal,
-            slots: 40,
-            room: 400,
-            cold_share: 0.23,
-            warm_after: 13 * SEC,
-            overload_for: 3 * SEC,
+            senders,
+            listed_rates: ListedRates::Exact,
+            max_in_flight_calls: 40,
+            max_held_messages: 400,
+            slow_start_fraction: 0.23,
+            slow_start_duration: 13 * SEC,
+            overload_window: 3 * SEC,
             max_attempts: 12,
             ..settings()
         };
@@ -261,13 +268,14 @@
             ..common::line(n, 1, 2, Condition::Ready)
         };
         let (now, list) = (5 * SEC, Vec::from_iter((1..=endpoints).map(line)));
-        let relay = |i| {
-            let mut relay = Dispatcher::new(s.clone(), seed * 10_000 + i).expect("usable settings");
-            relay.handle(now, &[Event::CachedList(list.clone())], &mut Vec::new());
-            relay
+        let dispatcher = |i| {
+            let mut dispatcher =
+                Dispatcher::new(s.clone(), seed * 10_000 + i).expect("usable settings");
+            dispatcher.handle(now, &[Event::CachedList(list.clone())], &mut Vec::new());
+            dispatcher
         };
         Return {
-            relays: (0..u64::from(relays)).map(relay).collect(),
+            senders: (0..u64::from(senders)).map(dispatcher).collect(),
             s,
             listed,
             away,
@@ -285,8 +293,10 @@
 
     /// What the endpoint may get in a window now, once it is back.
     fn budget(&self) -> Option<f64> {
-        let warmed = (self.now - self.back?) as f64 / self.s.warm_after as f64;
-        let can = self.listed * warmth(self.s.cold_share, warmed) * self.s.overload_for as f64
+        let warmed = (self.now - self.back?) as f64 / self.s.slow_start_duration as f64;
+        let can = self.listed
+            * warmup_fraction(self.s.slow_start_fraction, warmed)
+            * self.s.overload_window as f64
             / SEC as f64;
         (warmed < 1.0).then_some(self.s.overload_factor * can)
     }
@@ -302,7 +312,8 @@
             return (CALL.0, Outcome::Delivered);
         };
         self.came.push_back(self.now);
-        self.came.retain(|at| at + self.s.overload_for > self.now);
+        self.came
+            .retain(|at| at + self.s.overload_window > self.now);
         let roots = if n < 30.0 { 3.0 } else { 2.0 };
         let part = self.came.len() as f64 / (n + roots * n.sqrt() + roots);
         if part > self.worst.0 {
@@ -311,16 +322,16 @@
         (CALL.0, Outcome::Delivered)
     }
 
-    fn give(&mut self, relay: usize, event: Event) {
+    fn give(&mut self, dispatcher: usize, event: Event) {
         let mut actions = Vec::new();
-        self.relays[relay].handle(self.now, &[event], &mut actions);
+        self.senders[dispatcher].handle(self.now, &[event], &mut actions);
         for a in actions {
             let Action::Send { id, endpoint, .. } = a else {
                 continue;
             };
             *self.attempts.entry(id).or_insert(0) += 1;
             let (took, outcome) = self.called(endpoint);
-            self.out.insert((self.now + took, relay, id), outcome);
+            self.out.insert((self.now + took, dispatcher, id), outcome);
         }
     }
 
@@ -338,21 +349,21 @@
                     ttl: TTL,
                     dest: 1,
                 };
-                let relay = self.random.usize(0..self.relays.len());
-                self.give(relay, Event::Arrived(m));
+                let dispatcher = self.random.usize(0..self.senders.len());
+                self.give(dispatcher, Event::Arrived(m));
             }
-            while let Some((&(at, relay, id), _)) =
+            while let Some((&(at, dispatcher, id), _)) =
                 self.out.first_key_value().filter(|(k, _)| k.0 <= self.now)
             {
-                let outcome = self.out.remove(&(at, relay, id)).expect("there");
+                let outcome = self.out.remove(&(at, dispatcher, id)).expect("there");
                 let finished = outcome == Outcome::Delivered;
                 let (attempt, took) = (
                     self.attempts[&id] - 1,
                     if finished { CALL.0 } else { CALL.1 },
                 );
                 self.give(
-                    relay,
-                    Event::Ended {
+                    dispatcher,
+                    Event::AttemptEnded {
                         id,
                         attempt,
                         outcome,
@@ -362,7 +373,7 @@
                     },
                 );
             }
-            (0..self.relays.len()).for_each(|r| self.give(r, Event::Woken));
+            (0..self.senders.len()).for_each(|r| self.give(r, Event::TimerFired));
         }
     }
 
@@ -382,14 +393,14 @@
 fn over_the_bound(down: u64) -> Vec<String> {
     let loads = [(4.0, 0.8), (10.0, 0.8), (10.0, 2.5), (40.0, 1.5)];
     let mut over = Vec::new();
-    for relays in [1, 3, 9, 10, 30, 100] {
+    for senders in [1, 3, 9, 10, 30, 100] {
         // Endpoints of the destination, and those of them that go down.
         for shape in [(1, 1), (2, 1), (2, 2)] {
             for (seed, (listed, load)) in loads.into_iter().enumerate() {
-                let mut play = Return::new(relays, shape, listed, seed as u64 + 1);
+                let mut play = Return::new(senders, shape, listed, seed as u64 + 1);
                 let worst = play.play(down, listed * load);
                 let seen = format!(
-                    "{relays} relays, {shape:?}, {listed} listed, load {load}, down {down} s: {worst:.2?}"
+                    "{senders} relays, {shape:?}, {listed} listed, load {load}, down {down} s: {worst:.2?}"
                 );
                 println!("{seen}");
                 over.extend((worst.0 > 1.0).then_some(seen));
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -8,22 +8,22 @@
 use std::time::{Duration, Instant};
 
 /// Terms that say what these settings do.
-fn terms(s: &Settings) -> Terms {
-    let bounds = Bounds {
-        attempts: s.max_attempts,
-        retry_after: s.max_retry_after,
+fn terms(s: &Settings) -> RuntimeSettings {
+    let class_limits = ClassLimits {
+        max_attempts: s.max_attempts,
+        max_retry_after: s.max_retry_after,
     };
-    let bounds = s.classes.iter().map(|_| bounds).collect();
-    Terms {
+    let class_limits = s.classes.iter().map(|_| class_limits).collect();
+    RuntimeSettings {
         classes: s.classes.clone(),
-        bounds,
-        slots: s.slots,
-        room: s.room,
+        class_limits,
+        max_in_flight_calls: s.max_in_flight_calls,
+        max_held_messages: s.max_held_messages,
     }
 }
 
-fn change(driver: &mut Driver, terms: Terms) -> Vec<Action> {
-    driver.give(Event::Changed(Box::new(terms)))
+fn change(driver: &mut Driver, terms: RuntimeSettings) -> Vec<Action> {
+    driver.give(Event::SettingsChanged(Box::new(terms)))
 }
 
 /// Destinations 1 to 4, known and with their pools open.
@@ -43,8 +43,8 @@
     assert_eq!(out.len(), 8);
     assert!(sends(&change(
         &mut driver,
-        Terms {
-            slots: 3,
+        RuntimeSettings {
+            max_in_flight_calls: 3,
             ..terms(&settings())
         }
     ))
@@ -67,7 +67,7 @@
 #[test]
 fn room_that_shrinks_gives_up_none_that_is_held() {
     let few = Settings {
-        slots: 1,
+        max_in_flight_calls: 1,
         ..settings()
     };
     let mut driver = warm(few.clone());
@@ -76,8 +76,8 @@
     assert_eq!(gone(&driver), 0);
     change(
         &mut driver,
-        Terms {
-            room: 10,
+        RuntimeSettings {
+            max_held_messages: 10,
             ..terms(&few)
         },
     );
@@ -93,13 +93,13 @@
     // Side by side: those of before, with five attempts, and those of now, with two and a shorter
     // wait for clients.
     let old = terms(&settings());
-    let bound = Bounds {
-        attempts: 2,
-        retry_after: SEC,
+    let bound = ClassLimits {
+        max_attempts: 2,
+        max_retry_after: SEC,
     };
-    let both = Terms {
+    let both = RuntimeSettings {
         classes: [&old.classes[..], &old.classes[..]].concat(),
-        bounds: [&old.bounds[..], &[bound; 4][..]].concat(),
+        class_limits: [&old.class_limits[..], &[bound; 4][..]].concat(),
         ..old.clone()
     };
     let mut driver = warm(settings());
@@ -135,13 +135,13 @@
         dest: 3,
         ..Message::default()
     };
-    let past = Past {
+    let prior = PriorAttempts {
         attempts: 3,
-        ran: None,
+        may_have_run: None,
     };
     driver.give(Event::Resumed {
         message: of_before,
-        past,
+        prior,
     });
     driver.give(Event::Resumed {
         message: Message {
@@ -150,7 +150,7 @@
             dest: 4,
             ..of_before
         },
-        past,
+        prior,
     });
     driver.pass(50 * MS);
     assert!(
@@ -184,22 +184,22 @@
 fn terms_that_no_relay_can_work_by_change_nothing() {
     let mut driver = warm(settings());
     for bad in [
-        Terms {
-            slots: 0,
+        RuntimeSettings {
+            max_in_flight_calls: 0,
             ..terms(&settings())
         },
-        Terms {
-            room: 0,
+        RuntimeSettings {
+            max_held_messages: 0,
             ..terms(&settings())
         },
-        Terms {
+        RuntimeSettings {
             classes: vec![],
             ..terms(&settings())
         },
-        Terms {
+        RuntimeSettings {
             classes: vec![Class {
                 deadline: 0,
-                ..class(Effect::Pure)
+                ..class(Effect::Idempotent)
             }],
             ..terms(&settings())
         },
@@ -251,8 +251,8 @@
     for seed in 0..40 {
         let same = terms(&settings());
         let (plain, changed) = (
-            day(seed, || Event::Woken),
-            day(seed, || Event::Changed(Box::new(same.clone()))),
+            day(seed, || Event::TimerFired),
+            day(seed, || Event::SettingsChanged(Box::new(same.clone()))),
         );
         let calls = plain
             .iter()
@@ -271,8 +271,8 @@
 #[test]
 fn a_change_is_a_short_turn_with_two_thousand_messages_held() {
     let many = Settings {
-        room: 4_000,
-        slots: 64,
+        max_held_messages: 4_000,
+        max_in_flight_calls: 64,
         ..settings()
     };
     let list = (0..40)
@@ -288,8 +288,8 @@
             let begun = Instant::now();
             change(
                 &mut driver,
-                Terms {
-                    slots: 64 - n % 3,
+                RuntimeSettings {
+                    max_in_flight_calls: 64 - n % 3,
                     ..terms(&many)
                 },
             );
