--- a/simulator/src/load/clients.rs
+++ b/simulator/src/load/clients.rs
@@ -600,7 +600,7 @@
     let run: Rc<LocalExecutor<'static>> = Rc::new(LocalExecutor::new());
     let wheel = TimerWheel::new();
     let turning = wheel.clone();
-    run.spawn(async move { turning.turn().await }).detach();
+    run.spawn(async move { turning.run().await }).detach();
     let histogram =
         || Histogram::new_with_bounds(1, 3_600_000_000_000, 3).expect("an hour in nanoseconds");
     let tally: Shared = Rc::new(RefCell::new(Tally {
--- a/src/agent/call_statistics.rs
+++ b/src/agent/call_statistics.rs
@@ -79,11 +79,11 @@
         };
         let health = self.fates.entry(group).or_insert_with(fresh);
         let count = match life {
-            LifecycleEvent::TurnedAway => &mut health.turned_away,
-            LifecycleEvent::Taken => &mut health.taken,
+            LifecycleEvent::Rejected => &mut health.turned_away,
+            LifecycleEvent::Accepted => &mut health.taken,
             LifecycleEvent::Delivered => &mut health.delivered,
-            LifecycleEvent::Late => &mut health.late,
-            LifecycleEvent::Refused => &mut health.refused,
+            LifecycleEvent::DeliveredLate => &mut health.late,
+            LifecycleEvent::Deferred => &mut health.refused,
             LifecycleEvent::Failed => &mut health.failed,
         };
         *count = count.saturating_add(1);
--- a/src/agent/document_store.rs
+++ b/src/agent/document_store.rs
@@ -10,9 +10,9 @@
 use crate::coordination::routing_table::document as table;
 use crate::coordination::routing_table::federation::MOST_TEXT as MOST_TABLE;
 use crate::delivery::endpoint::ZoneCapacity;
-use crate::delivery::policies::{self, Policy, Terms};
-use crate::delivery::routing_tables::{self, Tables};
-use crate::delivery::script_hook::Hook;
+use crate::delivery::policies::{self, Policy, PolicySet};
+use crate::delivery::routing_tables::{self, RoutingTables};
+use crate::delivery::script_hook::ScriptHook;
 use crate::dispatch::routing::Routes;
 use crate::store::worker::Worker;
 use crate::Settings;
@@ -71,10 +71,10 @@
     fn needs(&self, number: u64) -> bool;
 }
 
-impl Kept for Terms {
+impl Kept for PolicySet {
     const FOLDER: &'static str = "policies";
     const NAME: &'static str = "policy";
-    const MOST: usize = policies::MOST;
+    const MOST: usize = policies::MAX_POLICIES;
     const MOST_TEXT: usize = policy::MOST_TEXT;
     type Ground = Ground;
     type Ready = Policy;
@@ -84,22 +84,22 @@
     }
 
     fn add(&self, _: u64, policy: Policy) -> bool {
-        Terms::add(self, policy)
+        PolicySet::add(self, policy)
     }
 
     fn forget(&self, number: u64) -> bool {
-        Terms::forget(self, number)
+        PolicySet::remove(self, number)
     }
 
     fn needs(&self, number: u64) -> bool {
-        Terms::needs(self, number)
+        PolicySet::is_in_use(self, number)
     }
 }
 
-impl Kept for Tables {
+impl Kept for RoutingTables {
     const FOLDER: &'static str = "tables";
     const NAME: &'static str = "table";
-    const MOST: usize = routing_tables::MOST;
+    const MOST: usize = routing_tables::MAX_TABLES;
     const MOST_TEXT: usize = MOST_TABLE;
     type Ground = List;
     type Ready = Routes;
@@ -109,15 +109,15 @@
     }
 
     fn add(&self, number: u64, routes: Routes) -> bool {
-        Tables::add(self, number, routes)
+        RoutingTables::add(self, number, routes)
     }
 
     fn forget(&self, number: u64) -> bool {
-        Tables::forget(self, number)
+        RoutingTables::remove(self, number)
     }
 
     fn needs(&self, number: u64) -> bool {
-        number == self.current()
+        number == self.current_number()
     }
 }
 
@@ -214,10 +214,13 @@
             ));
         }
         let own = || document.hook.as_deref().filter(|text| !text.is_empty());
-        let hook = own().map(Hook::compile).transpose().unwrap_or_else(|e| {
-            faults.push(format!("hook: {e}"));
-            None
-        });
+        let hook = own()
+            .map(ScriptHook::compile)
+            .transpose()
+            .unwrap_or_else(|e| {
+                faults.push(format!("hook: {e}"));
+                None
+            });
         if !faults.is_empty() {
             return Err(faults.join("\n"));
         }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -14,14 +14,14 @@
 
 use crate::coordination::framing::{self, Broken};
 use crate::coordination::messages::{FromAgent, Hello, Listed, Print, ToAgent, Who, MOST, VERSION};
-use crate::delivery::admission::Door;
+use crate::delivery::admission::AdmissionState;
 use crate::delivery::endpoint::Endpoint;
 use crate::delivery::evacuation::{AttemptLease, EvacuationOrder};
 use crate::delivery::message::DeliveryContext;
-use crate::delivery::policies::Terms as Policies;
-use crate::delivery::routing_tables::Tables;
+use crate::delivery::policies::PolicySet as Policies;
+use crate::delivery::routing_tables::RoutingTables;
 use crate::delivery::timer_wheel::TimerWheel;
-use crate::delivery::{span, DeliveryObserver, LifecycleEvent};
+use crate::delivery::{duration, DeliveryObserver, LifecycleEvent};
 use crate::{Nanos, Outcome};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -69,11 +69,11 @@
     /// What was left and is ordered no more comes back over this time.
     pub warm_after: Nanos,
     /// The house: its desk, its list, its timers, what it takes messages on under.
-    pub house: Rc<DeliveryContext>,
+    pub context: Rc<DeliveryContext>,
     /// The policies that are written down, where it follows them.
     pub policies: Option<Shelf<Policies>>,
     /// The same of routing tables.
-    pub tables: Option<Shelf<Tables>>,
+    pub tables: Option<Shelf<RoutingTables>>,
     /// Where its parts run.
     pub executor: Rc<LocalExecutor<'static>>,
 }
@@ -101,11 +101,11 @@
 
 impl Needs for Parts {
     fn waiting(&self, dest: u16) -> u32 {
-        self.house.desk.waiting(dest) as u32
+        self.context.driver.waiting_messages(dest) as u32
     }
 
     fn left(&self, zone: &str, dest: u16) -> u32 {
-        self.house.directory.leased_attempts_left(zone, dest)
+        self.context.directory.leased_attempts_left(zone, dest)
     }
 }
 
@@ -125,7 +125,7 @@
 struct Eye(Rc<Agent>);
 
 impl DeliveryObserver for Eye {
-    fn out(&self, provider: &Rc<Endpoint>) -> Box<dyn Any> {
+    fn attempt_started(&self, provider: &Rc<Endpoint>) -> Box<dyn Any> {
         let (now, entry) = (self.0.now(), &provider.entry);
         let name = self
             .0
@@ -139,7 +139,7 @@
         })
     }
 
-    fn ended(&self, provider: &Endpoint, outcome: Outcome, took: Duration) {
+    fn attempt_ended(&self, provider: &Endpoint, outcome: Outcome, took: Duration) {
         let (entry, took) = (&provider.entry, took.as_nanos() as Nanos);
         self.0
             .machine
@@ -148,12 +148,12 @@
             .ended(&entry.zone, entry.dest, outcome, took);
     }
 
-    fn life(&self, policy: u64, class: u16, tenant: u16, life: LifecycleEvent) {
+    fn on_lifecycle_event(&self, policy: u64, class: u16, tenant: u16, life: LifecycleEvent) {
         let class = self
             .0
             .parts
-            .house
-            .classes
+            .context
+            .class_names
             .get(usize::from(class))
             .map_or("", String::as_str);
         self.0
@@ -186,12 +186,12 @@
             follows(Kind::Table, file.table, parts.tables.as_ref()),
         ];
         for register in followed.into_iter().flatten() {
-            parts.house.admission.set(Door::Fenced);
+            parts.context.admission.set(AdmissionState::Fenced);
             machine = machine.following(register);
         }
         // What an earlier process took on goes by the table that it went by, before any keeper is
         // heard.
-        if file.table.is_some() && last.1 != 0 && !parts.house.route_by(last.1) {
+        if file.table.is_some() && last.1 != 0 && !parts.context.activate_routing_table(last.1) {
             log::warn!(
                 "fleet: table {}, which was gone by last, is not here; what is held goes by the list",
                 last.1
@@ -210,7 +210,11 @@
             kept: RefCell::default(),
             ended: Cell::new(false),
         });
-        agent.parts.house.desk.seen_by(Rc::new(Eye(agent.clone())));
+        agent
+            .parts
+            .context
+            .driver
+            .set_observer(Rc::new(Eye(agent.clone())));
         // What follows from the policy that it last went by, if it goes by that alone, counts
         // before the first message comes.
         let mut out = Vec::new();
@@ -253,10 +257,14 @@
         words.close();
         let written = async {
             while !words.is_empty() {
-                self.parts.house.wheel.sleep(Duration::from_millis(5)).await;
+                self.parts
+                    .context
+                    .wheel
+                    .sleep(Duration::from_millis(5))
+                    .await;
             }
         };
-        self.parts.house.wheel.limit(LAST_WORD, written).await;
+        self.parts.context.wheel.timeout(LAST_WORD, written).await;
     }
 
     fn now(&self) -> Nanos {
@@ -264,12 +272,12 @@
     }
 
     fn at(&self, time: Nanos) -> Instant {
-        self.start + span(time)
+        self.start + duration(time)
     }
 
     async fn run(self: Rc<Self>) {
         loop {
-            let changed = self.parts.house.desk.listed();
+            let changed = self.parts.context.driver.list_changed();
             self.machine.borrow_mut().list(self.listed());
             let mut listed = Some(changed);
             while let Some(changed) = listed.take() {
@@ -278,25 +286,25 @@
                     .borrow_mut()
                     .tick(self.now(), &self.parts, &mut out);
                 self.act(out);
-                self.parts.house.desk.settle();
+                self.parts.context.driver.apply_evacuation_changes();
                 self.tell_kept();
                 let next = self.machine.borrow().next();
                 // A tick of the wheel ahead, where nothing is to be done for long.
                 let next = self.at(next.min(self.now() + 3_600_000_000_000));
                 let next = self
                     .parts
-                    .house
+                    .context
                     .directory
                     .next_expiry()
                     .map_or(next, |at| at.min(next));
-                let wheel = &self.parts.house.wheel;
+                let wheel = &self.parts.context.wheel;
                 let mut changed = changed;
                 let told = async {
                     (&mut changed).await;
                     None
                 };
                 let due = async {
-                    wheel.until(next).await;
+                    wheel.sleep_until(next).await;
                     Some(None)
                 };
                 let heard = async { Some(self.heard.1.recv().await.ok()) };
@@ -357,34 +365,39 @@
     /// Takes messages on as it is told: the policy and the table count from the turn in which the
     /// door opens.
     fn admit(&self, entrance: Entrance) {
-        let house = &self.parts.house;
+        let context = &self.parts.context;
         let door = match entrance {
-            Entrance::Paused => Door::Paused,
-            Entrance::Fenced => Door::Fenced,
+            Entrance::Paused => AdmissionState::Paused,
+            Entrance::Fenced => AdmissionState::Fenced,
             Entrance::Open {
                 policy,
                 table,
                 until,
             } => {
-                let (begun, held) = (Instant::now(), house.desk.held());
+                let (begun, held) = (Instant::now(), context.driver.held_count());
                 let policies = (
                     Kind::Policy,
                     policy,
-                    house.terms.current().number,
+                    context.policies.current().number,
                     &self.last.0,
                 );
-                let tables = (Kind::Table, table, house.tables.current(), &self.last.1);
+                let tables = (
+                    Kind::Table,
+                    table,
+                    context.routing_tables.current_number(),
+                    &self.last.1,
+                );
                 for (kind, number, current, last) in [policies, tables] {
                     let Some(number) = number else { continue };
                     if number != current {
                         let known = match kind {
-                            Kind::Policy => house.go_by(number),
-                            Kind::Table => house.route_by(number),
+                            Kind::Policy => context.activate_policy(number),
+                            Kind::Table => context.activate_routing_table(number),
                         };
                         let name = kind.name();
                         if !known {
                             log::error!("fleet: {name} {number} is not known; nothing is taken on");
-                            return house.admission.set(Door::Fenced);
+                            return context.admission.set(AdmissionState::Fenced);
                         }
                         let took = begun.elapsed();
                         log::info!(
@@ -396,12 +409,12 @@
                         let _ = self.gone_by.0.try_send(());
                     }
                 }
-                Door::Open {
+                AdmissionState::Open {
                     until: until.map(|until| self.at(until)),
                 }
             }
         };
-        house.admission.set(door);
+        context.admission.set(door);
     }
 
     fn hear(self: &Rc<Self>, line: u64, heard: Heard) {
@@ -420,7 +433,7 @@
         if self.ended.get() {
             return;
         }
-        let desk = &self.parts.house.desk;
+        let driver = &self.parts.context.driver;
         for out in out {
             match out {
                 Out::Connect { line, keeper } => self.connect(line, keeper),
@@ -438,7 +451,7 @@
                         epoch: o.epoch,
                         until: o.until.map(|until| self.at(until)),
                     });
-                    desk.set_evacuations(orders.collect());
+                    driver.set_evacuations(orders.collect());
                 }
                 Out::Lend {
                     zone,
@@ -450,7 +463,7 @@
                     log::debug!(
                         "fleet: lent {calls} calls of epoch {epoch} to destination {dest} of zone {zone}"
                     );
-                    desk.grant_lease(
+                    driver.grant_lease(
                         &zone,
                         dest,
                         epoch,
@@ -476,7 +489,7 @@
     }
 
     fn tell_kept(&self) {
-        let kept = self.parts.house.directory.kept_destinations();
+        let kept = self.parts.context.directory.kept_destinations();
         for dest in kept.difference(&self.kept.borrow()) {
             log::warn!("fleet: destination {dest} stays in use: it has no other route than those that are ordered left");
         }
@@ -484,7 +497,7 @@
     }
 
     fn listed(&self) -> Vec<Listed> {
-        let offers = self.parts.house.directory.capacity_by_zone().into_iter();
+        let offers = self.parts.context.directory.capacity_by_zone().into_iter();
         offers
             .map(|o| Listed {
                 zone: o.zone,
@@ -506,7 +519,7 @@
             site: self.file.site.clone(),
             who: Who::Agent,
         };
-        let (heard, wheel) = (self.heard.0.clone(), self.parts.house.wheel.clone());
+        let (heard, wheel) = (self.heard.0.clone(), self.parts.context.wheel.clone());
         let talk = async move {
             let ended = talk(at, hello, line, said, &heard, &wheel).await;
             let ended = ended.err().unwrap_or(Broken::Ended);
@@ -536,7 +549,9 @@
     heard: &Sender<Named>,
     wheel: &Rc<TimerWheel>,
 ) -> Result<(), Broken> {
-    let connected = wheel.limit(CONNECT, Async::<TcpStream>::connect(at)).await;
+    let connected = wheel
+        .timeout(CONNECT, Async::<TcpStream>::connect(at))
+        .await;
     let stream = connected.ok_or(io::Error::from(io::ErrorKind::TimedOut))??;
     stream.get_ref().set_nodelay(true)?;
     let (mut reads, mut writes) = (&stream, &stream);
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -9,7 +9,7 @@
 use crate::delivery::endpoint::{EndpointEntry, EndpointListUpdate};
 use crate::delivery::journal::{Durability, JournalOptions};
 use crate::delivery::policies::Policy;
-use crate::delivery::script_hook::Hook;
+use crate::delivery::script_hook::ScriptHook;
 use crate::net::connection_listener::WhenFull;
 use crate::net::dns::server::Zones;
 use crate::net::platform::list;
@@ -170,7 +170,7 @@
         settings: &Settings,
         classes: &[String],
         places: usize,
-        hook: Option<Hook>,
+        hook: Option<ScriptHook>,
     ) -> Policy {
         Policy {
             number,
@@ -182,9 +182,9 @@
             max_in_flight_calls: settings.max_in_flight_calls,
             max_held_messages: settings.max_held_messages,
             hook,
-            limits: self.limits(settings.max_held_messages as usize, classes),
-            rules: self.rules(places),
-            known_names: self.known_names.clone(),
+            message_limits: self.limits(settings.max_held_messages as usize, classes),
+            connection_rules: self.rules(places),
+            known_client_names: self.known_names.clone(),
         }
     }
 
@@ -643,9 +643,9 @@
 }
 
 /// Reads and compiles an operator's script.
-pub fn script(path: &Path) -> Result<Hook, String> {
+pub fn script(path: &Path) -> Result<ScriptHook, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string());
-    text.and_then(|t| Hook::compile(&t))
+    text.and_then(|t| ScriptHook::compile(&t))
         .map_err(|e| format!("hook.script: {}: {e}", path.display()))
 }
 
--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -6,7 +6,7 @@
 
 use crate::config::{Door, Name};
 use crate::coordination::messages::Print;
-use crate::delivery::script_hook::Hook;
+use crate::delivery::script_hook::ScriptHook;
 use crate::dispatch::statistics::MS;
 use crate::{Class, DedupScope, Dispatcher, Effect, Settings};
 use garde::Validate;
@@ -231,7 +231,9 @@
 
 fn compiles(text: &Option<String>, (): &()) -> garde::Result {
     match text.as_deref().filter(|text| !text.is_empty()) {
-        Some(text) => Hook::compile(text).map(drop).map_err(garde::Error::new),
+        Some(text) => ScriptHook::compile(text)
+            .map(drop)
+            .map_err(garde::Error::new),
         None => Ok(()),
     }
 }
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -57,7 +57,7 @@
             };
             let came = async { Ok(Next::Came(coming.recv().await.map_err(|e| e.to_string())?)) };
             let due = async {
-                wheel.until(at).await;
+                wheel.sleep_until(at).await;
                 Ok(Next::Tick)
             };
             let next = wrote.or(came).or(due).await?;
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -122,7 +122,7 @@
     let wheel = TimerWheel::new();
     let (inbox, coming) = async_channel::bounded(INBOX);
     let mut replica = Replica::new(config, keep, base, (inbox, wheel.clone()), executor.clone())?;
-    executor.spawn(async move { wheel.turn().await }).detach();
+    executor.spawn(async move { wheel.run().await }).detach();
     replica.connect_replicas();
     replica.connect_sites();
     let (allowed, sites) = (replica.allowed.clone(), replica.sites.allowed.clone());
--- a/src/coordination/replica/transport.rs
+++ b/src/coordination/replica/transport.rs
@@ -59,7 +59,10 @@
     work: impl std::future::Future<Output = Result<T, Broken>>,
 ) -> Result<T, Broken> {
     let late = || Broken::Io(std::io::ErrorKind::TimedOut.into());
-    wheel.limit(time, work).await.unwrap_or_else(|| Err(late()))
+    wheel
+        .timeout(time, work)
+        .await
+        .unwrap_or_else(|| Err(late()))
 }
 
 /// Brings in what another one says, and tells it that this one lives, until the connection breaks
--- a/src/delivery/admission.rs
+++ b/src/delivery/admission.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A message waits so long for the next policy, at the most: its client hangs up after 400 ms.
-pub const WAIT: Duration = Duration::from_millis(300);
+pub const MAX_WAIT: Duration = Duration::from_millis(300);
 /// What a client is told that waited so long in vain: a pause is over soon, or taken back.
 const PAUSED: Duration = Duration::from_millis(500);
 /// What one is told while the sender may take nothing on: nobody knows for how long.
@@ -20,10 +20,10 @@
 
 /// Who may take on now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Door {
+pub enum AdmissionState {
     /// This sender, under its own settings: it follows nobody.
     #[default]
-    Free,
+    Standalone,
     /// This sender, under the current policy.
     Open {
         /// No longer than this; nothing where it gives up the promise that all go by one policy.
@@ -37,7 +37,7 @@
 
 /// Why a message is not taken on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Shut {
+pub enum AdmissionClosed {
     /// It has waited for as long as may be, or as many wait as may be.
     #[error("between two policies")]
     Paused,
@@ -46,12 +46,12 @@
     Fenced,
 }
 
-impl Shut {
+impl AdmissionClosed {
     /// When to come back.
-    pub fn wait(self) -> Duration {
+    pub fn retry_after(self) -> Duration {
         match self {
-            Shut::Paused => PAUSED,
-            Shut::Fenced => FENCED,
+            AdmissionClosed::Paused => PAUSED,
+            AdmissionClosed::Fenced => FENCED,
         }
     }
 }
@@ -59,7 +59,7 @@
 /// Owner of the door, and of the line before it.
 #[derive(Default)]
 pub struct Admission {
-    door: Cell<Door>,
+    door: Cell<AdmissionState>,
     line: RefCell<VecDeque<(u64, Sender<()>)>>,
     named: Cell<u64>,
 }
@@ -73,15 +73,17 @@
 
 impl Admission {
     /// Sets the door.
-    pub fn set(&self, door: Door) {
+    pub fn set(&self, door: AdmissionState) {
         self.door.set(door);
         self.next();
     }
 
     /// How the door stands: one that was open until a moment that has passed is fenced.
-    pub fn door(&self) -> Door {
+    pub fn state(&self) -> AdmissionState {
         match self.door.get() {
-            Door::Open { until: Some(until) } if Instant::now() >= until => Door::Fenced,
+            AdmissionState::Open { until: Some(until) } if Instant::now() >= until => {
+                AdmissionState::Fenced
+            }
             door => door,
         }
     }
@@ -90,11 +92,11 @@
     ///
     /// # Errors
     /// It may not.
-    pub fn look(&self) -> Result<(), Shut> {
-        match self.door() {
-            Door::Free | Door::Open { .. } => Ok(()),
-            Door::Paused => Err(Shut::Paused),
-            Door::Fenced => Err(Shut::Fenced),
+    pub fn check(&self) -> Result<(), AdmissionClosed> {
+        match self.state() {
+            AdmissionState::Standalone | AdmissionState::Open { .. } => Ok(()),
+            AdmissionState::Paused => Err(AdmissionClosed::Paused),
+            AdmissionState::Fenced => Err(AdmissionClosed::Fenced),
         }
     }
 
@@ -108,27 +110,31 @@
     ///
     /// # Errors
     /// It may not be taken on.
-    pub async fn enter(self: &Rc<Self>, wheel: &Rc<TimerWheel>, most: usize) -> Result<bool, Shut> {
-        match self.look() {
+    pub async fn wait_for_turn(
+        self: &Rc<Self>,
+        wheel: &Rc<TimerWheel>,
+        most: usize,
+    ) -> Result<bool, AdmissionClosed> {
+        match self.check() {
             Ok(()) if self.line.borrow().is_empty() => return Ok(false),
-            Ok(()) | Err(Shut::Paused) => {}
+            Ok(()) | Err(AdmissionClosed::Paused) => {}
             Err(shut) => return Err(shut),
         }
         if self.waiting() >= most {
-            return Err(Shut::Paused);
+            return Err(AdmissionClosed::Paused);
         }
-        let (end, place) = (Instant::now() + WAIT, Place::new(self));
-        if self.look().is_ok() {
+        let (end, place) = (Instant::now() + MAX_WAIT, Place::new(self));
+        if self.check().is_ok() {
             self.next();
         }
         loop {
             let rest = end.saturating_duration_since(Instant::now());
-            match wheel.limit(rest, place.turn.recv()).await {
-                None => return Err(Shut::Paused),
-                Some(_) => match self.look() {
+            match wheel.timeout(rest, place.turn.recv()).await {
+                None => return Err(AdmissionClosed::Paused),
+                Some(_) => match self.check() {
                     Ok(()) => return Ok(true),
-                    Err(Shut::Fenced) => return Err(Shut::Fenced),
-                    Err(Shut::Paused) => {}
+                    Err(AdmissionClosed::Fenced) => return Err(AdmissionClosed::Fenced),
+                    Err(AdmissionClosed::Paused) => {}
                 },
             }
         }
@@ -136,7 +142,7 @@
 
     /// The first in line is woken, unless it has to wait on.
     fn next(&self) {
-        if self.door() != Door::Paused {
+        if self.state() != AdmissionState::Paused {
             // One that was woken before is on its way.
             if let Some((_, turn)) = self.line.borrow().front() {
                 let _ = turn.try_send(());
@@ -177,10 +183,10 @@
 
     /// What becomes of so many messages that come at once, in the order in which it was known.
     fn come(
-        door: Door,
+        door: AdmissionState,
         count: usize,
         most: usize,
-        then: &[(u64, Door)],
+        then: &[(u64, AdmissionState)],
     ) -> (Vec<(usize, String)>, Duration) {
         let (executor, wheel, admission) = (
             LocalExecutor::new(),
@@ -190,12 +196,12 @@
         admission.set(door);
         let (ended, begun) = (Rc::new(RefCell::new(Vec::new())), Instant::now());
         let turning = wheel.clone();
-        executor.spawn(async move { turning.turn().await }).detach();
+        executor.spawn(async move { turning.run().await }).detach();
         let tasks: Vec<_> = (0..count)
             .map(|n| {
                 let (admission, wheel, ended) = (admission.clone(), wheel.clone(), ended.clone());
                 executor.spawn(async move {
-                    let came = admission.enter(&wheel, most).await;
+                    let came = admission.wait_for_turn(&wheel, most).await;
                     ended.borrow_mut().push((n, format!("{came:?}")));
                 })
             })
@@ -205,7 +211,7 @@
         executor
             .spawn(async move {
                 for (ms, door) in then {
-                    timing.until(begun + Duration::from_millis(ms)).await;
+                    timing.sleep_until(begun + Duration::from_millis(ms)).await;
                     changing.set(door);
                 }
             })
@@ -222,8 +228,13 @@
 
     #[test]
     fn messages_wait_through_a_pause_in_order_and_none_waits_otherwise() {
-        let open = Door::Open { until: None };
-        let (ended, _) = come(Door::Paused, 50, 100, &[(40, Door::Paused), (80, open)]);
+        let open = AdmissionState::Open { until: None };
+        let (ended, _) = come(
+            AdmissionState::Paused,
+            50,
+            100,
+            &[(40, AdmissionState::Paused), (80, open)],
+        );
         assert_eq!(
             ended,
             (0..50)
@@ -231,13 +242,13 @@
                 .collect::<Vec<_>>()
         );
         for (door, told) in [
-            (Door::Free, "Ok(false)"),
+            (AdmissionState::Standalone, "Ok(false)"),
             (open, "Ok(false)"),
-            (Door::Fenced, "Err(Fenced)"),
+            (AdmissionState::Fenced, "Err(Fenced)"),
         ] {
             let (ended, took) = come(door, 3, 100, &[]);
             assert!(
-                ended.iter().all(|(_, e)| e == told) && took < WAIT / 2,
+                ended.iter().all(|(_, e)| e == told) && took < MAX_WAIT / 2,
                 "{door:?} {ended:?} {took:?}"
             );
         }
@@ -245,30 +256,35 @@
 
     #[test]
     fn a_pause_that_lasts_refuses_in_time_and_a_line_that_is_full_at_once() {
-        let (ended, took) = come(Door::Paused, 5, 3, &[]);
+        let (ended, took) = come(AdmissionState::Paused, 5, 3, &[]);
         assert!(ended.iter().all(|(_, e)| e == "Err(Paused)"), "{ended:?}");
         assert_eq!(
             ended[..2].iter().map(|(n, _)| *n).collect::<Vec<_>>(),
             [3, 4]
         );
         assert!(
-            took >= WAIT && took < WAIT + Duration::from_millis(90),
+            took >= MAX_WAIT && took < MAX_WAIT + Duration::from_millis(90),
             "{took:?}"
         );
     }
 
     #[test]
     fn a_lease_that_ends_fences_those_who_come_and_those_who_wait() {
-        let past = Door::Open {
+        let past = AdmissionState::Open {
             until: Some(Instant::now()),
         };
         assert!(come(past, 2, 9, &[])
             .0
             .iter()
             .all(|(_, e)| e == "Err(Fenced)"));
-        let (ended, took) = come(Door::Paused, 3, 9, &[(30, Door::Fenced)]);
+        let (ended, took) = come(
+            AdmissionState::Paused,
+            3,
+            9,
+            &[(30, AdmissionState::Fenced)],
+        );
         assert!(
-            ended.iter().all(|(_, e)| e == "Err(Fenced)") && took < WAIT / 2,
+            ended.iter().all(|(_, e)| e == "Err(Fenced)") && took < MAX_WAIT / 2,
             "{ended:?}"
         );
     }
--- a/src/delivery/client_quota.rs
+++ b/src/delivery/client_quota.rs
@@ -27,7 +27,7 @@
 }
 
 /// One message that is held; dropped, it is over.
-pub struct Guest {
+pub struct ClientQuotaGuard {
     guests: Rc<ClientQuotas>,
     client: Rc<str>,
     since: Instant,
@@ -46,12 +46,12 @@
     }
 
     /// Goes by other limits from now on; what is held stays.
-    pub fn change(&self, limits: Limits) {
+    pub fn set_limits(&self, limits: Limits) {
         self.messages.borrow_mut().change(limits);
     }
 
     /// Whether a client's message of a class may come in. Where not, when to come back.
-    pub fn ask(&self, client: &Client, class: u16) -> Result<(), (Kept, Duration)> {
+    pub fn check(&self, client: &Client, class: u16) -> Result<(), (Kept, Duration)> {
         let now = self.start.elapsed();
         let asked =
             self.messages
@@ -61,14 +61,14 @@
     }
 
     /// How many were refused, by reason.
-    pub fn refused(&self) -> BTreeMap<Kept, u64> {
+    pub fn rejections(&self) -> BTreeMap<Kept, u64> {
         self.refused.borrow().clone()
     }
 
     /// A client's message is held.
-    pub fn taken_on(self: &Rc<Self>, client: Rc<str>) -> Guest {
+    pub fn hold(self: &Rc<Self>, client: Rc<str>) -> ClientQuotaGuard {
         self.messages.borrow_mut().taken_on(&client);
-        Guest {
+        ClientQuotaGuard {
             guests: self.clone(),
             client,
             since: Instant::now(),
@@ -77,19 +77,19 @@
     }
 
     /// So is one that an earlier process took on.
-    pub fn earlier(self: &Rc<Self>) -> Guest {
-        self.taken_on(EARLIER.into())
+    pub fn hold_restored(self: &Rc<Self>) -> ClientQuotaGuard {
+        self.hold(EARLIER.into())
     }
 }
 
-impl Guest {
+impl ClientQuotaGuard {
     /// A provider took it.
-    pub fn delivered(&self) {
+    pub fn mark_delivered(&self) {
         self.delivered.set(true);
     }
 }
 
-impl Drop for Guest {
+impl Drop for ClientQuotaGuard {
     fn drop(&mut self) {
         let (now, stayed) = (self.guests.start.elapsed(), self.since.elapsed());
         self.guests
--- a/src/delivery/driver.rs
+++ b/src/delivery/driver.rs
@@ -6,7 +6,7 @@
 use crate::delivery::endpoint_directory::{DirectoryChange, EndpointDirectory};
 use crate::delivery::evacuation::{AttemptLease, EvacuationOrder};
 use crate::delivery::timer_wheel::TimerWheel;
-use crate::delivery::{span, DeliveryObserver, LifecycleEvent, Report};
+use crate::delivery::{duration, AttemptReport, DeliveryObserver, LifecycleEvent};
 use crate::dispatch::routing::Routes;
 use crate::{
     Action, DestinationId, Dispatcher, EndpointAddress, Event, Message, MessageId, Nanos, Outcome,
@@ -26,9 +26,9 @@
 
 /// What the module wants done about one message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Order {
+pub enum DispatchOrder {
     /// Call a provider.
-    Call {
+    Attempt {
         /// The provider.
         endpoint: EndpointAddress,
         /// Time-out of the call.
@@ -53,7 +53,7 @@
 
 /// A message that is held.
 struct Place {
-    orders: Sender<Order>,
+    orders: Sender<DispatchOrder>,
     dest: DestinationId,
     /// A call is out.
     out: bool,
@@ -83,8 +83,8 @@
 }
 
 /// One call that is about to begin, or out; dropped, it is neither.
-pub struct Permit {
-    desk: Rc<DispatcherDriver>,
+pub struct AttemptPermit {
+    driver: Rc<DispatcherDriver>,
     provider: Rc<Endpoint>,
     /// The order that it is under until it has begun.
     under: Cell<Option<u64>>,
@@ -92,32 +92,32 @@
     _seen: Option<Box<dyn Any>>,
 }
 
-impl Permit {
+impl AttemptPermit {
     /// The call begins now. Not where an order stands and nothing that was lent is left.
     pub fn begin(&self) -> bool {
-        let begins = self.desk.directory.start_attempt(&self.provider);
+        let begins = self.driver.directory.start_attempt(&self.provider);
         self.give_back();
         begins
     }
 
     /// How the call ended.
-    pub fn ended(&self, outcome: Outcome) {
-        if let Some(witness) = self.desk.witness.get() {
-            witness.ended(&self.provider, outcome, self.since.elapsed());
+    pub fn attempt_ended(&self, outcome: Outcome) {
+        if let Some(witness) = self.driver.witness.get() {
+            witness.attempt_ended(&self.provider, outcome, self.since.elapsed());
         }
     }
 
     fn give_back(&self) {
         if let Some(epoch) = self.under.take() {
-            self.desk
+            self.driver
                 .directory
                 .release_reservation(&self.provider, epoch);
-            self.desk.settle();
+            self.driver.apply_evacuation_changes();
         }
     }
 }
 
-impl Drop for Permit {
+impl Drop for AttemptPermit {
     fn drop(&mut self) {
         self.give_back();
     }
@@ -152,66 +152,66 @@
     }
 
     /// Somebody sees what becomes of calls from now on; the first one who is told of does.
-    pub fn seen_by(&self, witness: Rc<dyn DeliveryObserver>) {
+    pub fn set_observer(&self, witness: Rc<dyn DeliveryObserver>) {
         let _ = self.witness.set(witness);
     }
 
     /// Tells whoever sees it what became of a message.
-    pub fn saw(&self, policy: u64, class: u16, tenant: u16, life: LifecycleEvent) {
+    pub fn notify_lifecycle(&self, policy: u64, class: u16, tenant: u16, life: LifecycleEvent) {
         if let Some(witness) = self.witness.get() {
-            witness.life(policy, class, tenant, life);
+            witness.on_lifecycle_event(policy, class, tenant, life);
         }
     }
 
     /// The module goes by these terms from now on.
-    pub fn change(&self, terms: RuntimeSettings) {
-        self.turn(Event::SettingsChanged(Box::new(terms)));
+    pub fn apply_settings(&self, policies: RuntimeSettings) {
+        self.turn(Event::SettingsChanged(Box::new(policies)));
     }
 
     /// The module, and what orders may leave, go by these routes from now on.
-    pub fn route(&self, routes: Rc<Routes>) {
+    pub fn apply_routes(&self, routes: Rc<Routes>) {
         self.directory.set_routes(routes.clone());
         self.turn(Event::RoutesChanged(routes));
-        self.settle();
+        self.apply_evacuation_changes();
     }
 
     /// A call is about to go to a provider. Nothing where an order leaves that aside, and no call
     /// that was lent is left.
-    pub fn permit(self: &Rc<Self>, provider: &Rc<Endpoint>) -> Option<Permit> {
+    pub fn permit_attempt(self: &Rc<Self>, provider: &Rc<Endpoint>) -> Option<AttemptPermit> {
         let under = self.directory.reserve_attempt(provider).ok()?;
         if under.is_some() {
-            self.settle();
+            self.apply_evacuation_changes();
         }
-        Some(Permit {
-            desk: self.clone(),
+        Some(AttemptPermit {
+            driver: self.clone(),
             provider: provider.clone(),
             under: Cell::new(under),
             since: Instant::now(),
-            _seen: self.witness.get().map(|w| w.out(provider)),
+            _seen: self.witness.get().map(|w| w.attempt_started(provider)),
         })
     }
 
     /// Replaces all evacuation orders by these.
     pub fn set_evacuations(&self, orders: Vec<EvacuationOrder>) {
         self.directory.set_evacuations(orders);
-        self.settle();
+        self.apply_evacuation_changes();
     }
 
     /// Leases attempts under the evacuation order of that epoch, if it is in force.
     pub fn grant_lease(&self, zone: &str, dest: DestinationId, epoch: u64, lease: AttemptLease) {
         self.directory.grant_lease(zone, dest, epoch, lease);
-        self.settle();
+        self.apply_evacuation_changes();
     }
 
     /// Tells the module what orders and time have changed.
-    pub fn settle(&self) {
+    pub fn apply_evacuation_changes(&self) {
         if let Some(change) = self.directory.expire_due() {
             self.apply_change(change);
         }
     }
 
     /// Messages for a destination that wait for a call.
-    pub fn waiting(&self, dest: DestinationId) -> usize {
+    pub fn waiting_messages(&self, dest: DestinationId) -> usize {
         self.inner
             .borrow()
             .tickets
@@ -221,17 +221,17 @@
     }
 
     /// Ends where the list has changed, or may have.
-    pub fn listed(&self) -> event_listener::EventListener {
+    pub fn list_changed(&self) -> event_listener::EventListener {
         self.listed.listen()
     }
 
     /// Wakes the module when it asked for it; runs for ever.
-    pub async fn keep_time(&self, wheel: &Rc<TimerWheel>) {
+    pub async fn run_timer(&self, wheel: &Rc<TimerWheel>) {
         loop {
             let at = self.inner.borrow().wake_at;
             let due = async {
                 match at {
-                    Some(at) => wheel.until(at).await,
+                    Some(at) => wheel.sleep_until(at).await,
                     None => future::pending().await,
                 }
                 true
@@ -248,37 +248,37 @@
     }
 
     /// Whether nothing may be called, as the list is too old.
-    pub fn is_blind(&self) -> bool {
+    pub fn endpoint_list_is_stale(&self) -> bool {
         self.inner.borrow().relay.is_list_stale(self.now())
     }
 
     /// How long the list may still be trusted, if nothing is heard; nothing where it is not asked
     /// for.
-    pub fn list_trusted_for(&self) -> Option<Duration> {
+    pub fn remaining_list_freshness(&self) -> Option<Duration> {
         self.inner
             .borrow()
             .relay
             .list_remaining_freshness(self.now())
-            .map(span)
+            .map(duration)
     }
 
     /// Messages held.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.inner.borrow().tickets.len()
     }
 
     /// Entries of the module's tables, and of its own.
-    pub fn sizes(&self) -> Vec<(&'static str, usize)> {
+    pub fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let inner = self.inner.borrow();
         let own = ("tickets", inner.tickets.len());
         inner.relay.table_sizes().into_iter().chain([own]).collect()
     }
 
     /// Applies an update of the endpoint list.
-    pub fn list(&self, update: &EndpointListUpdate) {
+    pub fn apply_list_update(&self, update: &EndpointListUpdate) {
         if let Some(change) = self.directory.apply(update) {
             self.apply_change(change);
-            self.settle();
+            self.apply_evacuation_changes();
             self.listed.notify(usize::MAX);
         }
     }
@@ -291,22 +291,26 @@
     }
 
     /// The directory answered an ask, or said over the watch that nothing has changed.
-    pub fn list_heard(&self) {
+    pub fn confirm_list_unchanged(&self) {
         self.turn(Event::ListChanges(Vec::new()));
     }
 
     /// The directory could not be asked, or stopped telling.
-    pub fn list_failed(&self) {
+    pub fn report_list_failure(&self) {
         self.turn(Event::ListFailed);
     }
 
     /// The list is to be asked for at another place.
-    pub fn list_moved(&self) {
+    pub fn report_list_source_change(&self) {
         self.turn(Event::ListSourceMoved);
     }
 
     /// Brings a message before the module. Its orders come to the ticket, the first ones at once.
-    pub fn enter(self: &Rc<Self>, message: Message, prior: Option<PriorAttempts>) -> MessageHandle {
+    pub fn submit(
+        self: &Rc<Self>,
+        message: Message,
+        prior: Option<PriorAttempts>,
+    ) -> MessageHandle {
         let (sender, orders) = async_channel::unbounded();
         let id = {
             let mut inner = self.inner.borrow_mut();
@@ -335,7 +339,7 @@
         });
         let attempts = prior.unwrap_or_default().attempts;
         MessageHandle {
-            desk: self.clone(),
+            driver: self.clone(),
             id,
             orders,
             attempts,
@@ -350,7 +354,7 @@
     }
 
     /// Waits until no call is out.
-    pub async fn calls_ended(&self) {
+    pub async fn wait_for_attempts(&self) {
         while self.calls.get() > 0 {
             let _ = self.idle.1.recv().await;
         }
@@ -376,9 +380,9 @@
                     id,
                     endpoint,
                     timeout,
-                } => (id, Order::Call { endpoint, timeout }),
-                Action::Reject { id, retry_after } => (id, Order::Reject { retry_after }),
-                Action::Fail { id } => (id, Order::Fail),
+                } => (id, DispatchOrder::Attempt { endpoint, timeout }),
+                Action::Reject { id, retry_after } => (id, DispatchOrder::Reject { retry_after }),
+                Action::Fail { id } => (id, DispatchOrder::Fail),
                 Action::CloseIdle { endpoint } => {
                     if let Some(p) = self.directory.endpoint(endpoint) {
                         self.hands.close_idle(&p);
@@ -390,7 +394,7 @@
                     continue;
                 }
                 Action::WakeAfter(after) => {
-                    inner.wake_at = Some(Instant::now() + span(after));
+                    inner.wake_at = Some(Instant::now() + duration(after));
                     let _ = self.alarm.0.try_send(());
                     continue;
                 }
@@ -413,9 +417,9 @@
 
 /// A message's place at the desk; dropped, it is given back and the module forgets the message.
 pub struct MessageHandle {
-    desk: Rc<DispatcherDriver>,
+    driver: Rc<DispatcherDriver>,
     id: MessageId,
-    orders: Receiver<Order>,
+    orders: Receiver<DispatchOrder>,
     attempts: u16,
     /// Number and start of the call that is out.
     out: Option<(u16, Instant)>,
@@ -424,25 +428,25 @@
 
 impl MessageHandle {
     /// The next order, if it is there already.
-    pub fn ready(&mut self) -> Option<Order> {
+    pub fn try_next_order(&mut self) -> Option<DispatchOrder> {
         let order = self.orders.try_recv().ok()?;
         Some(self.begin(order))
     }
 
     /// The next order. Waits for ever at a halted desk.
-    pub async fn next(&mut self) -> Order {
+    pub async fn next_order(&mut self) -> DispatchOrder {
         match self.orders.recv().await {
-            Ok(order) if !self.desk.halted.get() => self.begin(order),
+            Ok(order) if !self.driver.halted.get() => self.begin(order),
             _ => future::pending().await,
         }
     }
 
-    fn begin(&mut self, order: Order) -> Order {
-        if let Order::Call { .. } = order {
+    fn begin(&mut self, order: DispatchOrder) -> DispatchOrder {
+        if let DispatchOrder::Attempt { .. } = order {
             self.out = Some((self.attempts, Instant::now()));
             self.attempts += 1;
             self.set_out(true);
-            self.desk.calls.set(self.desk.calls.get() + 1);
+            self.driver.calls.set(self.driver.calls.get() + 1);
         } else {
             self.over = true;
         }
@@ -450,7 +454,7 @@
     }
 
     fn set_out(&self, out: bool) {
-        self.desk
+        self.driver
             .inner
             .borrow_mut()
             .tickets
@@ -459,21 +463,21 @@
     }
 
     /// Tells the module how the call that is out ended.
-    pub fn report(&mut self, report: Report) {
+    pub fn report_attempt(&mut self, report: AttemptReport) {
         let Some((attempt, sent)) = self.out.take() else {
             return;
         };
         self.set_out(false);
-        self.desk.calls.set(self.desk.calls.get() - 1);
-        let _ = self.desk.idle.0.try_send(());
-        self.over |= report.over;
-        self.desk.turn(Event::AttemptEnded {
+        self.driver.calls.set(self.driver.calls.get() - 1);
+        let _ = self.driver.idle.0.try_send(());
+        self.over |= report.message_closed;
+        self.driver.turn(Event::AttemptEnded {
             id: self.id,
             attempt,
             outcome: report.outcome,
             took: sent.elapsed().as_nanos() as Nanos,
-            finished: report.over,
-            report: report.load,
+            finished: report.message_closed,
+            report: report.load_report,
         });
     }
 }
@@ -481,14 +485,14 @@
 impl Drop for MessageHandle {
     fn drop(&mut self) {
         if !self.over {
-            self.desk.turn(Event::ClientGone(self.id));
+            self.driver.turn(Event::ClientGone(self.id));
         }
         // An order to call that was never begun holds a slot too.
-        while self.out.is_none() && self.ready().is_some() {}
-        self.report(Report {
-            over: true,
+        while self.out.is_none() && self.try_next_order().is_some() {}
+        self.report_attempt(AttemptReport {
+            message_closed: true,
             ..Outcome::NotSent.into()
         });
-        self.desk.inner.borrow_mut().tickets.remove(&self.id);
+        self.driver.inner.borrow_mut().tickets.remove(&self.id);
     }
 }
--- a/src/delivery/journal/inspect.rs
+++ b/src/delivery/journal/inspect.rs
@@ -205,7 +205,7 @@
         table: account.table,
         class: envelope.class,
         dest: envelope.dest,
-        body: envelope.size(),
+        body: envelope.body_size(),
         attempts: account.attempts,
         may_have_run: account.may_have_run().map(|s| s.zone.clone()),
         verdict: account.verdict.map(|v| format!("{v:?}")),
--- a/src/delivery/journal/mod.rs
+++ b/src/delivery/journal/mod.rs
@@ -129,7 +129,7 @@
         old: &mut dyn FnMut() -> io::Result<Vec<u8>>,
     ) -> io::Result<Vec<u8>> {
         let entry = self.open.get(&no).ok_or(io::ErrorKind::NotFound)?;
-        if entry.account.envelope.away == 0 {
+        if entry.account.envelope.stored_body_bytes == 0 {
             return Ok(entry.account.encode());
         }
         let before = MessageRecord::decode(&old()?).map_err(io::Error::other)?;
@@ -152,7 +152,7 @@
         let len = envelope.body.len() as u64;
         if self.bodies + len > most {
             let envelope = Rc::make_mut(envelope);
-            envelope.away = envelope.body.len();
+            envelope.stored_body_bytes = envelope.body.len();
             envelope.body = Vec::new();
         } else {
             self.bodies += len;
@@ -277,11 +277,11 @@
 fn happened(entry: &mut RecordEntry, event: JournalEvent, bodies: &mut u64) {
     let (held, size) = (
         entry.account.envelope.body.len(),
-        entry.account.envelope.size(),
+        entry.account.envelope.body_size(),
     );
     event.apply(&mut entry.account);
     *bodies -= (held - entry.account.envelope.body.len()) as u64;
-    entry.size -= (size - entry.account.envelope.size()) as u64;
+    entry.size -= (size - entry.account.envelope.body_size()) as u64;
 }
 
 struct JournalState {
@@ -648,7 +648,7 @@
         let mut failed = io::ErrorKind::NotFound.into();
         for _ in 0..READS {
             let envelope = self.envelope();
-            if envelope.away == 0 {
+            if envelope.stored_body_bytes == 0 {
                 return Ok(envelope);
             }
             let place = self
@@ -665,7 +665,7 @@
             match read.and_then(|data| MessageRecord::decode(&data).map_err(io::Error::other)) {
                 Ok(before) => {
                     let mut whole = (*envelope).clone();
-                    (whole.body, whole.away) = (before.envelope.body.clone(), 0);
+                    (whole.body, whole.stored_body_bytes) = (before.envelope.body.clone(), 0);
                     return Ok(Rc::new(whole));
                 }
                 // Cleaning may have moved it; then it is found where it is now.
--- a/src/delivery/journal/record.rs
+++ b/src/delivery/journal/record.rs
@@ -98,7 +98,7 @@
     pub(super) fn ended(&mut self, verdict: Verdict) {
         self.verdict = Some(verdict);
         let envelope = Rc::make_mut(&mut self.envelope);
-        (envelope.body, envelope.away) = (Vec::new(), 0);
+        (envelope.body, envelope.stored_body_bytes) = (Vec::new(), 0);
     }
 
     /// Lines on it may be lost: a call may have gone to any zone, at any time.
@@ -137,7 +137,7 @@
         let notes = vec![("origin".to_string(), "x".to_string())];
         let (id, key, reply_to) = ("m1".to_string(), Some("k1".to_string()), vec![1, 2]);
         let envelope = Envelope {
-            front: 1,
+            frontend: 1,
             id,
             key,
             class: 2,
@@ -145,7 +145,7 @@
             reply_to,
             notes,
             body: vec![9; 5],
-            away: 0,
+            stored_body_bytes: 0,
             tenant,
         };
         MessageRecord {
@@ -158,7 +158,9 @@
                 zone: "a".into(),
             }),
             out: None,
-            verdict: Some(Verdict::Deferred { again_ms: 500 }),
+            verdict: Some(Verdict::Deferred {
+                retry_after_ms: 500,
+            }),
             policy,
             table,
         }
--- a/src/delivery/message.rs
+++ b/src/delivery/message.rs
@@ -1,18 +1,18 @@
 //! The life of one message, top to bottom: taken on, written down, brought before the module,
 //! called, reported, answered, closed.
 
-use crate::delivery::admission::{Admission, Shut};
-use crate::delivery::client_quota::{Client, ClientQuotas, Guest};
-use crate::delivery::driver::{DispatcherDriver, MessageHandle, Order};
+use crate::delivery::admission::{Admission, AdmissionClosed};
+use crate::delivery::client_quota::{Client, ClientQuotaGuard, ClientQuotas};
+use crate::delivery::driver::{DispatchOrder, DispatcherDriver, MessageHandle};
 use crate::delivery::endpoint_directory::EndpointDirectory;
 use crate::delivery::journal::{Journal, OpenRecord, WRITE_RETRY_DELAY};
-use crate::delivery::policies::{Hold, Policy, Terms};
-use crate::delivery::routing_tables::Tables;
-use crate::delivery::script_hook::Ruling;
+use crate::delivery::policies::{Policy, PolicyHold, PolicySet};
+use crate::delivery::routing_tables::RoutingTables;
+use crate::delivery::script_hook::HookDecision;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{
-    span, AttemptRequest, EndpointClient, Envelope, Frontend, LifecycleEvent, Local, Report,
-    Verdict,
+    duration, AttemptReport, AttemptRequest, EndpointClient, Envelope, Frontend, LifecycleEvent,
+    LocalBoxFuture, Verdict,
 };
 use crate::message_trace::step;
 use crate::{
@@ -35,41 +35,41 @@
 const EMPTIED_LOOK: Duration = Duration::from_millis(20);
 
 /// The answer that a client waits for when it hands a message in.
-pub trait Reply {
+pub trait ClientReply {
     /// Taken on. Fails if the client cannot have heard it.
-    fn taken_on<'a>(self: Box<Self>) -> Local<'a, io::Result<()>>;
+    fn accepted<'a>(self: Box<Self>) -> LocalBoxFuture<'a, io::Result<()>>;
     /// Rejected: handing it in again is harmless, best after the wait.
-    fn rejected<'a>(self: Box<Self>, wait: Duration) -> Local<'a, ()>;
+    fn rejected<'a>(self: Box<Self>, wait: Duration) -> LocalBoxFuture<'a, ()>;
     /// Failed for good.
-    fn failed<'a>(self: Box<Self>) -> Local<'a, ()>;
+    fn failed<'a>(self: Box<Self>) -> LocalBoxFuture<'a, ()>;
 }
 
 /// What invocations work with.
 pub struct DeliveryContext {
     /// What messages are taken on and end under.
-    pub terms: Rc<Terms>,
+    pub policies: Rc<PolicySet>,
     /// What messages are routed by.
-    pub tables: Rc<Tables>,
+    pub routing_tables: Rc<RoutingTables>,
     /// Whether they are taken on now.
     pub admission: Rc<Admission>,
     /// Names of the classes.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// The module's desk.
-    pub desk: Rc<DispatcherDriver>,
+    pub driver: Rc<DispatcherDriver>,
     /// The journal.
     pub journal: Rc<Journal>,
     /// Whose messages are held.
-    pub guests: Rc<ClientQuotas>,
+    pub client_quotas: Rc<ClientQuotas>,
     /// The list of providers.
     pub directory: Rc<EndpointDirectory>,
     /// Makes the calls.
-    pub invoker: Rc<dyn EndpointClient>,
+    pub endpoint_client: Rc<dyn EndpointClient>,
     /// Those that messages come from, by [`Envelope::front`].
-    pub fronts: BTreeMap<u8, Rc<dyn Frontend>>,
+    pub frontends: BTreeMap<u8, Rc<dyn Frontend>>,
     /// The timers.
     pub wheel: Rc<TimerWheel>,
     /// Front and id of what is held.
-    pub names: RefCell<HashMap<(u8, String), Known>>,
+    pub held_messages: RefCell<HashMap<(u8, String), Known>>,
 }
 
 /// What is known of a message under its name.
@@ -100,7 +100,7 @@
 
 /// A held message's name; dropped, it may be handed in again.
 struct Named {
-    house: Rc<DeliveryContext>,
+    context: Rc<DeliveryContext>,
     name: (u8, String),
     decided: Rc<Decided>,
     /// What its front holds for it.
@@ -109,9 +109,9 @@
 
 impl Named {
     /// Nothing, where a message of this name is held already.
-    fn new(house: &Rc<DeliveryContext>, envelope: &Envelope) -> Option<Self> {
-        let name = (envelope.front, envelope.id.clone());
-        if house.names.borrow().contains_key(&name) {
+    fn new(context: &Rc<DeliveryContext>, envelope: &Envelope) -> Option<Self> {
+        let name = (envelope.frontend, envelope.id.clone());
+        if context.held_messages.borrow().contains_key(&name) {
             return None;
         }
         let decided = Rc::<Decided>::default();
@@ -119,13 +119,16 @@
             print: print(envelope),
             decided: decided.clone(),
         };
-        house.names.borrow_mut().insert(name.clone(), known);
-        let owed = house
-            .fronts
-            .get(&envelope.front)
-            .and_then(|f| f.owes(envelope));
+        context
+            .held_messages
+            .borrow_mut()
+            .insert(name.clone(), known);
+        let owed = context
+            .frontends
+            .get(&envelope.frontend)
+            .and_then(|f| f.pending_answer_guard(envelope));
         Some(Named {
-            house: house.clone(),
+            context: context.clone(),
             name,
             decided,
             _owed: owed,
@@ -147,99 +150,100 @@
 
 impl Drop for Named {
     fn drop(&mut self) {
-        self.house.names.borrow_mut().remove(&self.name);
+        self.context.held_messages.borrow_mut().remove(&self.name);
         self.decided.is(false);
     }
 }
 
 /// Serves a message that was just handed in.
-pub async fn serve(
-    house: Rc<DeliveryContext>,
+pub async fn receive(
+    context: Rc<DeliveryContext>,
     client: Client,
     mut envelope: Envelope,
     left: Duration,
-    reply: Box<dyn Reply>,
+    reply: Box<dyn ClientReply>,
 ) {
-    let (came, terms) = (Instant::now(), &house.terms);
-    if let Some(same) = house.held_already(&envelope).await {
+    let (came, terms) = (Instant::now(), &context.policies);
+    if let Some(same) = context.held_already(&envelope).await {
         return twice(&envelope, same, reply).await;
     }
-    let most = (terms.current().max_held_messages as usize).saturating_sub(house.desk.held());
-    let (started, left) = match house.admission.enter(&house.wheel, most).await {
+    let most =
+        (terms.current().max_held_messages as usize).saturating_sub(context.driver.held_count());
+    let (started, left) = match context.admission.wait_for_turn(&context.wheel, most).await {
         Ok(false) => (came, left),
         Ok(true) => (Instant::now(), left.saturating_sub(came.elapsed())),
         Err(shut) => {
             log::debug!("{}: rejected, {shut}", envelope.id);
-            return reply.rejected(house.patience(shut.wait())).await;
+            return reply.rejected(context.patience(shut.retry_after())).await;
         }
     };
-    let held = terms.hold();
-    let (policy, table) = (held.policy.clone(), house.tables.current());
+    let held = terms.hold_current();
+    let (policy, table) = (held.policy.clone(), context.routing_tables.current_number());
     let tenant = envelope.tenant;
     let turned_away = |class| {
-        house
-            .desk
-            .saw(policy.number, class, tenant, LifecycleEvent::TurnedAway)
+        context
+            .driver
+            .notify_lifecycle(policy.number, class, tenant, LifecycleEvent::Rejected)
     };
     // No message is held for longer than its class may be, whatever its client says.
     let left = policy
         .class(envelope.class)
-        .map_or(left, |c| left.min(span(c.deadline)));
-    let Some(named) = Named::new(&house, &envelope) else {
+        .map_or(left, |c| left.min(duration(c.deadline)));
+    let Some(named) = Named::new(&context, &envelope) else {
         // Another copy of it came in while this one waited.
-        return match house.held_already(&envelope).await {
+        return match context.held_already(&envelope).await {
             Some(same) => twice(&envelope, same, reply).await,
-            None => reply.rejected(house.patience(NO_ROOM_WAIT)).await,
+            None => reply.rejected(context.patience(NO_ROOM_WAIT)).await,
         };
     };
-    if !house.directory.knows_destination(envelope.dest) {
+    if !context.directory.knows_destination(envelope.dest) {
         log::debug!(
             "{}: rejected, nobody serves destination {}",
             envelope.id,
             envelope.dest
         );
         turned_away(envelope.class);
-        return reply.rejected(house.patience(NO_ROOM_WAIT)).await;
+        return reply.rejected(context.patience(NO_ROOM_WAIT)).await;
     }
-    if house.desk.held() >= policy.max_held_messages as usize {
+    if context.driver.held_count() >= policy.max_held_messages as usize {
         log::debug!("{}: rejected, no room", envelope.id);
         turned_away(envelope.class);
-        return reply.rejected(house.patience(NO_ROOM_WAIT)).await;
+        return reply.rejected(context.patience(NO_ROOM_WAIT)).await;
     }
-    if let Err((why, wait)) = house.guests.ask(&client, envelope.class) {
+    if let Err((why, wait)) = context.client_quotas.check(&client, envelope.class) {
         log::debug!("{}: rejected, {why}", envelope.id);
         turned_away(envelope.class);
-        return reply.rejected(house.patience(wait)).await;
+        return reply.rejected(context.patience(wait)).await;
     }
-    if keyless(policy.class(envelope.class), &envelope) {
+    if lacks_required_key(policy.class(envelope.class), &envelope) {
         // Its front asked for the key by the terms of before; it is told so when it comes again.
         log::debug!(
             "{}: rejected, without a key since its class needs one",
             envelope.id
         );
-        return reply.rejected(house.patience(NO_ROOM_WAIT)).await;
+        return reply.rejected(context.patience(NO_ROOM_WAIT)).await;
     }
     match policy
         .hook
         .as_ref()
-        .map(|h| h.ingress(&envelope, house.class(&envelope), left))
+        .map(|h| h.ingress(&envelope, context.class(&envelope), left))
     {
-        Some(Ruling::Reject(wait)) => {
+        Some(HookDecision::Reject(wait)) => {
             log::debug!("{}: rejected by the hook", envelope.id);
             turned_away(envelope.class);
             return reply.rejected(wait).await;
         }
-        Some(Ruling::Pass(notes)) => envelope.notes = notes,
+        Some(HookDecision::Pass(notes)) => envelope.notes = notes,
         None => {}
     }
     let (id, class) = (envelope.id.clone(), envelope.class);
     // Right before it is written down: a process that stood still may have missed a change of
     // policy or table.
-    if let Err(shut) = house.may_take_on(&policy, table) {
+    if let Err(shut) = context.may_take_on(&policy, table) {
         log::debug!("{id}: rejected, {shut}");
-        return reply.rejected(house.patience(shut.wait())).await;
+        return reply.rejected(context.patience(shut.retry_after())).await;
     }
-    let record = match house
+    let record = match context
         .journal
         .append_accepted(envelope, left, policy.number, table)
     {
@@ -248,29 +252,29 @@
             log::debug!("{id}: rejected, journal: {e}");
             turned_away(class);
             return reply
-                .rejected(house.patience(house.journal.retry_after()))
+                .rejected(context.patience(context.journal.retry_after()))
                 .await;
         }
     };
-    let (envelope, guest) = (record.envelope(), house.guests.taken_on(client.name));
+    let (envelope, guest) = (record.envelope(), context.client_quotas.hold(client.name));
     log::debug!("{id}: {}", step::accepted(&envelope, table, left));
-    let mut ticket = house.desk.enter(message(&envelope, &held, left), None);
-    let first = ticket.ready();
+    let mut ticket = context.driver.submit(message(&envelope, &held, left), None);
+    let first = ticket.try_next_order();
     match first {
-        Some(Order::Reject { retry_after }) => {
+        Some(DispatchOrder::Reject { retry_after }) => {
             turned_away(class);
             // Handing it in again is harmless only if the next process does not take this one up.
             return match record.close() {
-                Ok(()) => reply.rejected(span(retry_after)).await,
+                Ok(()) => reply.rejected(duration(retry_after)).await,
                 Err(_) => reply.failed().await,
             };
         }
-        Some(Order::Fail) => {
+        Some(DispatchOrder::Fail) => {
             turned_away(class);
             let _ = record.close();
             return reply.failed().await;
         }
-        Some(Order::Call { .. }) | None => {}
+        Some(DispatchOrder::Attempt { .. }) | None => {}
     }
     if let Err(e) = record.durable().await {
         log::debug!("{id}: not taken on: {e}");
@@ -279,16 +283,19 @@
         return reply.failed().await;
     }
     // And once more: nobody has heard of it yet.
-    if let Err(shut) = house.may_take_on(&policy, table) {
+    if let Err(shut) = context.may_take_on(&policy, table) {
         log::debug!("{id}: not taken on: {shut}");
         drop(ticket);
         return match record.close() {
-            Ok(()) => reply.rejected(house.patience(shut.wait())).await,
+            Ok(()) => reply.rejected(context.patience(shut.retry_after())).await,
             Err(_) => reply.failed().await,
         };
     }
     // A client that does not read its answer must not keep the message from its end.
-    let told = house.wheel.limit(CLIENT_PATIENCE, reply.taken_on()).await;
+    let told = context
+        .wheel
+        .timeout(CLIENT_PATIENCE, reply.accepted())
+        .await;
     if let Err(e) = told.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into())) {
         // It will hand the message in again: what is done under this id counts for nothing.
         log::debug!("{}: not heard that it is taken on: {e}", envelope.id);
@@ -297,11 +304,11 @@
     }
     log::debug!("{id}: {}", step::ACKNOWLEDGED);
     named.decided.is(true);
-    house
-        .desk
-        .saw(policy.number, class, tenant, LifecycleEvent::Taken);
+    context
+        .driver
+        .notify_lifecycle(policy.number, class, tenant, LifecycleEvent::Accepted);
     deliver(
-        &house,
+        &context,
         envelope,
         record,
         &held,
@@ -313,7 +320,7 @@
 }
 
 /// Answers one that is handed in under the name of a message that is held, and is the same or not.
-async fn twice(envelope: &Envelope, same: bool, reply: Box<dyn Reply>) {
+async fn twice(envelope: &Envelope, same: bool, reply: Box<dyn ClientReply>) {
     if !same {
         log::debug!(
             "{}: not taken on under the id of another message",
@@ -323,27 +330,27 @@
     }
     // Its client has not heard that it was taken on: it is, and still once.
     log::debug!("{}: handed in once more while held", envelope.id);
-    reply.taken_on().await.unwrap_or_default();
+    reply.accepted().await.unwrap_or_default();
 }
 
 /// Takes up a message that an earlier process took on.
-pub async fn resume(house: Rc<DeliveryContext>, record: OpenRecord) {
+pub async fn resume(context: Rc<DeliveryContext>, record: OpenRecord) {
     let account = record.snapshot();
     let envelope = account.envelope.clone();
-    let named = Named::new(&house, &envelope);
+    let named = Named::new(&context, &envelope);
     named.iter().for_each(|n| n.decided.is(true));
     if let Some(verdict) = account.verdict {
-        return answer(&house, &envelope, record, verdict).await;
+        return answer(&context, &envelope, record, verdict).await;
     }
     record.attempt_ended(true);
-    let held = house.terms.hold_under(account.policy).unwrap_or_else(|| {
+    let held = context.policies.hold_number(account.policy).unwrap_or_else(|| {
         let (id, number) = (&envelope.id, account.policy);
         log::warn!("{id}: policy {number} is not known any more; it ends in its own time by the sender's own settings");
-        house.terms.hold_under(0).expect("the sender's own settings are always known")
+        context.policies.hold_number(0).expect("the sender's own settings are always known")
     });
     let class = held.policy.class(envelope.class);
     let left = class.map_or(record.time_left(), |c| {
-        record.time_left().min(span(c.deadline))
+        record.time_left().min(duration(c.deadline))
     });
     // How long ago a first call went; where that is not known, longer than any repeat of it is
     // dropped.
@@ -351,7 +358,7 @@
     let ago = |age: Option<Duration>| age.map_or(unknown, |age| age.as_nanos() as Nanos);
     let ran = record
         .first_possible_run()
-        .map(|(zone, age)| (ago(age), house.directory.zone_number(&zone)));
+        .map(|(zone, age)| (ago(age), context.directory.zone_number(&zone)));
     log::debug!(
         "{}: {}{left:?} left, {} calls made, ran: {ran:?}",
         envelope.id,
@@ -362,13 +369,13 @@
         attempts: account.attempts,
         may_have_run: ran.map(|(age, zone)| PossibleRun { age, zone }),
     };
-    let mut ticket = house
-        .desk
-        .enter(message(&envelope, &held, left), Some(prior));
-    let first = ticket.ready();
-    let guest = house.guests.earlier();
+    let mut ticket = context
+        .driver
+        .submit(message(&envelope, &held, left), Some(prior));
+    let first = ticket.try_next_order();
+    let guest = context.client_quotas.hold_restored();
     deliver(
-        &house,
+        &context,
         envelope,
         record,
         &held,
@@ -381,36 +388,36 @@
 
 /// Calls as the module orders until the message is over, then gives the final answer.
 async fn deliver(
-    house: &DeliveryContext,
+    context: &DeliveryContext,
     envelope: Rc<Envelope>,
     record: OpenRecord,
-    held: &Hold,
-    (mut ticket, guest): (MessageHandle, Guest),
-    mut first: Option<Order>,
+    held: &PolicyHold,
+    (mut ticket, guest): (MessageHandle, ClientQuotaGuard),
+    mut first: Option<DispatchOrder>,
     deadline: Instant,
 ) {
     let verdict = loop {
         let order = match first.take() {
             Some(order) => order,
-            None => ticket.next().await,
+            None => ticket.next_order().await,
         };
         match order {
-            Order::Call { endpoint, timeout } => {
+            DispatchOrder::Attempt { endpoint, timeout } => {
                 let report = call(
-                    house,
+                    context,
                     &envelope,
                     &record,
                     held,
                     endpoint,
-                    span(timeout),
+                    duration(timeout),
                     deadline,
                 )
                 .await;
-                let over = report.over;
+                let over = report.message_closed;
                 let delivered = report.outcome == Outcome::Delivered;
-                ticket.report(report);
+                ticket.report_attempt(report);
                 if delivered {
-                    guest.delivered();
+                    guest.mark_delivered();
                     break Verdict::Delivered;
                 }
                 if over {
@@ -425,69 +432,69 @@
                     return;
                 }
             }
-            Order::Reject { retry_after } => {
+            DispatchOrder::Reject { retry_after } => {
                 break Verdict::Deferred {
-                    again_ms: span(retry_after).as_millis() as u64,
+                    retry_after_ms: duration(retry_after).as_millis() as u64,
                 }
             }
-            Order::Fail => break Verdict::Undeliverable,
+            DispatchOrder::Fail => break Verdict::Undeliverable,
         }
     };
     drop((ticket, guest));
     let life = end(held, &envelope, verdict, deadline);
-    house
-        .desk
-        .saw(held.policy.number, envelope.class, envelope.tenant, life);
+    context
+        .driver
+        .notify_lifecycle(held.policy.number, envelope.class, envelope.tenant, life);
     let left = deadline.saturating_duration_since(Instant::now());
     log::debug!(
         "{}: {}",
         envelope.id,
         step::decided(&envelope, record.snapshot().table, verdict, left)
     );
-    house.write_down(&record, verdict, deadline).await;
+    context.write_down(&record, verdict, deadline).await;
     if let Some(hook) = &held.policy.hook {
-        hook.final_answer(&envelope, house.class(&envelope), verdict);
+        hook.final_answer(&envelope, context.class(&envelope), verdict);
     }
     // An answer may wait long for its client; the body goes now.
     drop(envelope);
     let envelope = record.envelope();
-    answer(house, &envelope, record, verdict).await;
+    answer(context, &envelope, record, verdict).await;
 }
 
 /// One invoker call, with its lines in the journal.
 async fn call(
-    house: &DeliveryContext,
+    context: &DeliveryContext,
     envelope: &Envelope,
     record: &OpenRecord,
-    held: &Hold,
+    held: &PolicyHold,
     endpoint: EndpointAddress,
     timeout: Duration,
     deadline: Instant,
-) -> Report {
-    let Some(provider) = house.directory.endpoint(endpoint) else {
+) -> AttemptReport {
+    let Some(provider) = context.directory.endpoint(endpoint) else {
         return Outcome::NotSent.into();
     };
     let body = match record.load_envelope().await {
         Ok(whole) => whole,
         Err(e) => {
             log::error!("{}: its body cannot be read: {e}", envelope.id);
-            return Report {
+            return AttemptReport {
                 outcome: Outcome::NotSent,
-                over: false,
-                load: Vec::new(),
+                message_closed: false,
+                load_report: Vec::new(),
             };
         }
     };
-    let Some(permit) = house.desk.permit(&provider) else {
+    let Some(permit) = context.driver.permit_attempt(&provider) else {
         return Outcome::NotSent.into();
     };
     let went = Cell::new(false);
     let allowed = || {
-        house.directory.admits(endpoint, Instant::now())
+        context.directory.admits(endpoint, Instant::now())
             && Instant::now() < deadline
-            && !house.desk.is_blind()
-            && house.tables.leads(envelope, provider.zone)
-            && house.may_repeat(
+            && !context.driver.endpoint_list_is_stale()
+            && context.routing_tables.allows_zone(envelope, provider.zone)
+            && context.may_repeat(
                 held.policy.class(envelope.class),
                 record.first_possible_run(),
                 provider.zone,
@@ -525,29 +532,29 @@
         }
         began.get()
     };
-    let report = house
-        .invoker
-        .call(AttemptRequest {
-            provider: provider.clone(),
+    let report = context
+        .endpoint_client
+        .execute(AttemptRequest {
+            endpoint: provider.clone(),
             envelope: &body,
             timeout,
-            go: &go,
+            authorize_send: &go,
         })
         .await;
-    permit.ended(report.outcome);
+    permit.attempt_ended(report.outcome);
     // It may have left while the call was out: nobody else would close the connection that was just
     // given back.
-    if house
+    if context
         .directory
         .endpoint(endpoint)
         .is_none_or(|p| p.entry.condition != Condition::Ready)
     {
-        house.invoker.close_idle(&provider);
+        context.endpoint_client.close_idle(&provider);
     }
     if let Outcome::Rejected { wait } = report.outcome {
-        house
+        context
             .directory
-            .set_retry_after(&provider, Instant::now() + span(wait));
+            .set_retry_after(&provider, Instant::now() + duration(wait));
     }
     if went.get() {
         // A delivery ran, too: a process that ends before the verdict is written must not send it
@@ -569,14 +576,14 @@
 
 /// Passes the final answer on and closes the record.
 async fn answer(
-    house: &DeliveryContext,
+    context: &DeliveryContext,
     envelope: &Envelope,
     record: OpenRecord,
     verdict: Verdict,
 ) {
-    match house.fronts.get(&envelope.front) {
+    match context.frontends.get(&envelope.frontend) {
         Some(front) => {
-            front.tell(envelope, verdict).await;
+            front.send_final_answer(envelope, verdict).await;
             log::debug!("{}: {}", envelope.id, step::NOTIFIED);
             let _ = record.close();
         }
@@ -588,7 +595,7 @@
     }
 }
 
-fn message(envelope: &Envelope, held: &Hold, left: Duration) -> Message {
+fn message(envelope: &Envelope, held: &PolicyHold, left: Duration) -> Message {
     let ttl = left.as_nanos() as Nanos;
     let Envelope { dest, tenant, .. } = *envelope;
     Message {
@@ -601,24 +608,29 @@
 }
 
 /// Whether a message has no key though its class is one with keys.
-pub fn keyless(class: Option<&Class>, envelope: &Envelope) -> bool {
+pub fn lacks_required_key(class: Option<&Class>, envelope: &Envelope) -> bool {
     envelope.key.is_none() && class.is_some_and(|c| c.effect == Effect::IdempotentWithKey)
 }
 
 /// How a message ended, now.
-fn end(held: &Hold, envelope: &Envelope, verdict: Verdict, deadline: Instant) -> LifecycleEvent {
+fn end(
+    held: &PolicyHold,
+    envelope: &Envelope,
+    verdict: Verdict,
+    deadline: Instant,
+) -> LifecycleEvent {
     match verdict {
-        Verdict::Deferred { .. } => LifecycleEvent::Refused,
+        Verdict::Deferred { .. } => LifecycleEvent::Deferred,
         Verdict::Undeliverable => LifecycleEvent::Failed,
         Verdict::Delivered => {
             let rest = deadline.saturating_duration_since(Instant::now());
-            let age = |c: &Class| span(c.deadline).saturating_sub(rest);
+            let age = |c: &Class| duration(c.deadline).saturating_sub(rest);
             let late = held
                 .policy
                 .class(envelope.class)
-                .is_some_and(|c| age(c) > span(c.latency_objective));
+                .is_some_and(|c| age(c) > duration(c.latency_objective));
             if late {
-                LifecycleEvent::Late
+                LifecycleEvent::DeliveredLate
             } else {
                 LifecycleEvent::Delivered
             }
@@ -628,8 +640,8 @@
 
 impl DeliveryContext {
     /// Waits until every message has had its end, and that was heard.
-    pub async fn emptied(&self) {
-        while !self.names.borrow().is_empty() {
+    pub async fn all_closed(&self) {
+        while !self.held_messages.borrow().is_empty() {
             self.wheel.sleep(EMPTIED_LOOK).await;
         }
     }
@@ -638,13 +650,13 @@
     /// may still be turned away is waited for: who hears of it now would take it for taken on.
     async fn held_already(&self, envelope: &Envelope) -> Option<bool> {
         let known = self
-            .names
+            .held_messages
             .borrow()
-            .get(&(envelope.front, envelope.id.clone()))
+            .get(&(envelope.frontend, envelope.id.clone()))
             .cloned()?;
         let bell = known.decided.bell.listen();
         if known.decided.taken_on.get().is_none() {
-            self.wheel.limit(CLIENT_PATIENCE, bell).await;
+            self.wheel.timeout(CLIENT_PATIENCE, bell).await;
         }
         let same = known.print == print(envelope);
         // One that takes as long as that is about to be given up, as its client does not hear.
@@ -671,43 +683,50 @@
     }
 
     fn class(&self, envelope: &Envelope) -> &str {
-        self.classes
+        self.class_names
             .get(usize::from(envelope.class))
             .map_or("", String::as_str)
     }
 
     /// A wait, as far as clients heed one.
     fn patience(&self, wait: Duration) -> Duration {
-        wait.min(span(self.terms.current().class_limits.max_retry_after))
+        wait.min(duration(
+            self.policies.current().class_limits.max_retry_after,
+        ))
     }
 
     /// Whether a message may be taken on under this policy and table in this moment.
-    fn may_take_on(&self, policy: &Policy, table: u64) -> Result<(), Shut> {
-        self.admission.look()?;
+    fn may_take_on(&self, policy: &Policy, table: u64) -> Result<(), AdmissionClosed> {
+        self.admission.check()?;
         // Another one counts since this message came in: it is for another process, or for its
         // client's next try.
-        let same = self.terms.current().number == policy.number && self.tables.current() == table;
-        same.then_some(()).ok_or(Shut::Paused)
+        let same = self.policies.current().number == policy.number
+            && self.routing_tables.current_number() == table;
+        same.then_some(()).ok_or(AdmissionClosed::Paused)
     }
 
     /// Takes messages on under a policy from now on; false where it is not known. What is held,
     /// told and connected goes on.
-    pub fn go_by(&self, number: u64) -> bool {
-        let known = self.terms.go_by(number);
+    pub fn activate_policy(&self, number: u64) -> bool {
+        let known = self.policies.activate(number);
         if known {
-            self.desk.change(self.terms.side_by_side());
-            self.guests.change(self.terms.current().limits.clone());
+            self.driver
+                .apply_settings(self.policies.merged_runtime_settings());
+            self.client_quotas
+                .set_limits(self.policies.current().message_limits.clone());
         }
         known
     }
 
     /// Takes messages on, and routes all that are held at their next attempt, by a routing table
     /// from now on; false where it is not known.
-    pub fn route_by(&self, number: u64) -> bool {
+    pub fn activate_routing_table(&self, number: u64) -> bool {
         let routes = self
-            .tables
-            .go_by(number, |zone| self.directory.zone_number(zone));
-        routes.map(|routes| self.desk.route(routes)).is_some()
+            .routing_tables
+            .activate(number, |zone| self.directory.zone_number(zone));
+        routes
+            .map(|routes| self.driver.apply_routes(routes))
+            .is_some()
     }
 
     /// Whether a keyed message that may have run may go to this zone now.
@@ -725,7 +744,7 @@
             Effect::IdempotentWithKey => {
                 let near = class.dedup_scope == crate::DedupScope::All
                     || self.directory.zone_number(&ran) == zone;
-                near && age.is_some_and(|age| age < span(class.dedup_window))
+                near && age.is_some_and(|age| age < duration(class.dedup_window))
             }
         }
     }
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -27,16 +27,16 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 /// Longest body taken.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// A future of this one thread.
-pub type Local<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
+pub type LocalBoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// A message as it was handed in; passed on unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Which front it came by, as a position in [`message::DeliveryContext::fronts`].
-    pub front: u8,
+    pub frontend: u8,
     /// The id that its client gave it.
     pub id: String,
     /// What repeats are known by, in a keyed class.
@@ -55,7 +55,7 @@
     pub body: Vec<u8>,
     /// Bytes of a body that is not in memory.
     #[serde(skip)]
-    pub away: usize,
+    pub stored_body_bytes: usize,
     /// Tenant, as a position in the settings, or [`crate::NO_TENANT`]; 0 where the settings have
     /// none. The journal keeps it behind the account ([`journal::record::MessageRecord`]).
     #[serde(skip)]
@@ -64,8 +64,8 @@
 
 impl Envelope {
     /// Bytes of its body, wherever that is.
-    pub fn size(&self) -> usize {
-        self.body.len() + self.away
+    pub fn body_size(&self) -> usize {
+        self.body.len() + self.stored_body_bytes
     }
 }
 
@@ -77,7 +77,7 @@
     /// Given up unseen; may be handed in again after so many milliseconds.
     Deferred {
         /// The advised wait; 0 for none.
-        again_ms: u64,
+        retry_after_ms: u64,
     },
     /// Failed for good.
     Undeliverable,
@@ -87,32 +87,36 @@
 pub trait Frontend {
     /// Tells the verdict, as often as it takes; done once it is known to have arrived or is owed no
     /// more.
-    fn tell<'a>(&'a self, envelope: &'a Envelope, verdict: Verdict) -> Local<'a, ()>;
+    fn send_final_answer<'a>(
+        &'a self,
+        envelope: &'a Envelope,
+        verdict: Verdict,
+    ) -> LocalBoxFuture<'a, ()>;
 
     /// A message is held. What this gives, if anything, is dropped once nothing is owed for it any
     /// more.
-    fn owes(&self, _envelope: &Envelope) -> Option<Box<dyn Any>> {
+    fn pending_answer_guard(&self, _envelope: &Envelope) -> Option<Box<dyn Any>> {
         None
     }
 }
 
 /// What came of an invoker call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Report {
+pub struct AttemptReport {
     /// How it ended.
     pub outcome: Outcome,
     /// Nothing more is owed for the message, delivered or not.
-    pub over: bool,
+    pub message_closed: bool,
     /// Load report, or nothing.
-    pub load: Vec<f32>,
+    pub load_report: Vec<f32>,
 }
 
-impl From<Outcome> for Report {
+impl From<Outcome> for AttemptReport {
     fn from(outcome: Outcome) -> Self {
-        Report {
+        AttemptReport {
             outcome,
-            over: outcome == Outcome::Delivered,
-            load: Vec::new(),
+            message_closed: outcome == Outcome::Delivered,
+            load_report: Vec::new(),
         }
     }
 }
@@ -121,15 +125,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleEvent {
     /// Turned away at the door, or by the module, before it was taken on.
-    TurnedAway,
+    Rejected,
     /// Taken on, and its client has heard so.
-    Taken,
+    Accepted,
     /// Delivered within its promise.
     Delivered,
     /// Delivered later than that.
-    Late,
+    DeliveredLate,
     /// Given back unseen.
-    Refused,
+    Deferred,
     /// Failed for good.
     Failed,
 }
@@ -138,31 +142,31 @@
 pub trait DeliveryObserver {
     /// This became of a message of such a class and tenant under such a policy. One that was taken
     /// on here has one end.
-    fn life(&self, _policy: u64, _class: u16, _tenant: u16, _life: LifecycleEvent) {}
+    fn on_lifecycle_event(&self, _policy: u64, _class: u16, _tenant: u16, _life: LifecycleEvent) {}
     /// A call is out from now on; what this gives is dropped when it is no longer.
-    fn out(&self, provider: &Rc<Endpoint>) -> Box<dyn Any>;
+    fn attempt_started(&self, provider: &Rc<Endpoint>) -> Box<dyn Any>;
     /// A call has ended so, after such a time.
-    fn ended(&self, provider: &Endpoint, outcome: Outcome, took: Duration);
+    fn attempt_ended(&self, provider: &Endpoint, outcome: Outcome, took: Duration);
 }
 
 /// One attempt to deliver a message.
 pub struct AttemptRequest<'a> {
     /// Where to.
-    pub provider: Rc<Endpoint>,
+    pub endpoint: Rc<Endpoint>,
     /// What.
     pub envelope: &'a Envelope,
     /// How long its answer is waited for.
     pub timeout: Duration,
     /// Asked right before the first byte; where it says no, nothing is sent and the outcome is
     /// moot.
-    pub go: &'a dyn Fn() -> bool,
+    pub authorize_send: &'a dyn Fn() -> bool,
 }
 
 /// Makes invoker calls over connections that it owns.
 pub trait EndpointClient {
     /// Makes a call. When this returns, or is dropped, the provider can see that the call is no
     /// longer out.
-    fn call<'a>(&'a self, call: AttemptRequest<'a>) -> Local<'a, Report>;
+    fn execute<'a>(&'a self, call: AttemptRequest<'a>) -> LocalBoxFuture<'a, AttemptReport>;
 
     /// Closes the connections to a provider that carry no call.
     fn close_idle(&self, provider: &Endpoint);
@@ -170,7 +174,7 @@
 
 /// Whether a text can be an id or a key: it travels in header lines and user properties, where
 /// every provider has to be able to read it.
-pub fn is_word(text: &str) -> bool {
+pub fn is_valid_identifier(text: &str) -> bool {
     (1..=256).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
 }
 
@@ -183,6 +187,6 @@
 }
 
 /// A span of the module's.
-pub fn span(t: Nanos) -> Duration {
+pub fn duration(t: Nanos) -> Duration {
     Duration::from_nanos(t)
 }
--- a/src/delivery/policies.rs
+++ b/src/delivery/policies.rs
@@ -7,13 +7,13 @@
 
 use crate::admission_control::connection_slots::Rules;
 use crate::admission_control::message_limits::Limits;
-use crate::delivery::script_hook::Hook;
+use crate::delivery::script_hook::ScriptHook;
 use crate::{Class, ClassLimits, RuntimeSettings};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 /// Most policies beside the sender's own settings.
-pub const MOST: usize = 8;
+pub const MAX_POLICIES: usize = 8;
 
 /// A policy, ready for use.
 pub struct Policy {
@@ -28,13 +28,13 @@
     /// Messages that may be held.
     pub max_held_messages: u32,
     /// The script, if there is one.
-    pub hook: Option<Hook>,
+    pub hook: Option<ScriptHook>,
     /// Whose messages are taken on.
-    pub limits: Limits,
+    pub message_limits: Limits,
     /// Who may connect.
-    pub rules: Rules,
+    pub connection_rules: Rules,
     /// Names by which known clients tell themselves, where their protocol has names.
-    pub known_names: Vec<String>,
+    pub known_client_names: Vec<String>,
 }
 
 impl Policy {
@@ -55,7 +55,7 @@
 type Watcher = Box<dyn Fn(&Policy)>;
 
 /// Owner of the table of policies, and of which is current.
-pub struct Terms {
+pub struct PolicySet {
     /// The first is the sender's own.
     rows: RefCell<Vec<Option<Row>>>,
     current: Cell<usize>,
@@ -63,22 +63,22 @@
 }
 
 /// One message that is held under a policy; dropped, it is over.
-pub struct Hold {
-    terms: Rc<Terms>,
+pub struct PolicyHold {
+    terms: Rc<PolicySet>,
     row: usize,
     /// The policy.
     pub policy: Rc<Policy>,
 }
 
-impl Terms {
+impl PolicySet {
     /// The sender's own settings, which are current.
-    pub fn new(own: Policy) -> Rc<Terms> {
+    pub fn new(own: Policy) -> Rc<PolicySet> {
         let own = Row {
             policy: Rc::new(Policy { number: 0, ..own }),
             held: 0,
         };
         let rows = RefCell::new(vec![Some(own)]);
-        Rc::new(Terms {
+        Rc::new(PolicySet {
             rows,
             current: Cell::default(),
             watchers: RefCell::default(),
@@ -86,7 +86,7 @@
     }
 
     /// Tells somebody of each policy that becomes current.
-    pub fn tell(&self, watcher: impl Fn(&Policy) + 'static) {
+    pub fn on_activation(&self, watcher: impl Fn(&Policy) + 'static) {
         self.watchers.borrow_mut().push(Box::new(watcher));
     }
 
@@ -97,13 +97,13 @@
     }
 
     /// A message is held under the current one.
-    pub fn hold(self: &Rc<Self>) -> Hold {
+    pub fn hold_current(self: &Rc<Self>) -> PolicyHold {
         self.hold_row(self.current.get())
             .expect("the current one is never forgotten")
     }
 
     /// One is that was taken on under this policy; nothing where that is not known here.
-    pub fn hold_under(self: &Rc<Self>, number: u64) -> Option<Hold> {
+    pub fn hold_number(self: &Rc<Self>, number: u64) -> Option<PolicyHold> {
         self.hold_row(self.row(number)?)
     }
 
@@ -118,7 +118,7 @@
     }
 
     /// Whether a policy is current, or messages are held under it.
-    pub fn needs(&self, number: u64) -> bool {
+    pub fn is_in_use(&self, number: u64) -> bool {
         let held = |at: usize| self.rows.borrow()[at].as_ref().is_some_and(|r| r.held > 0);
         self.row(number)
             .is_some_and(|at| at == self.current.get() || held(at))
@@ -129,7 +129,7 @@
     pub fn add(&self, policy: Policy) -> bool {
         let number = policy.number;
         let fits = policy.classes.len() == self.current().classes.len() && number > 0;
-        if !fits || self.row(number).is_some() && !self.forget(number) {
+        if !fits || self.row(number).is_some() && !self.remove(number) {
             return false;
         }
         let mut rows = self.rows.borrow_mut();
@@ -139,22 +139,22 @@
         });
         match rows.iter().position(Option::is_none) {
             Some(free) => rows[free] = row,
-            None if rows.len() <= MOST => rows.push(row),
+            None if rows.len() <= MAX_POLICIES => rows.push(row),
             None => return false,
         }
         true
     }
 
     /// Forgets one; false where it is needed.
-    pub fn forget(&self, number: u64) -> bool {
+    pub fn remove(&self, number: u64) -> bool {
         let row = self
             .row(number)
-            .filter(|_| number > 0 && !self.needs(number));
+            .filter(|_| number > 0 && !self.is_in_use(number));
         row.is_some_and(|at| self.rows.borrow_mut()[at].take().is_some())
     }
 
     /// Makes one current and tells all who want to know; false where it is not known.
-    pub fn go_by(&self, number: u64) -> bool {
+    pub fn activate(&self, number: u64) -> bool {
         let Some(row) = self.row(number) else {
             return false;
         };
@@ -165,7 +165,7 @@
     }
 
     /// What the module goes by: classes of all policies side by side, pools of the current one.
-    pub fn side_by_side(&self) -> RuntimeSettings {
+    pub fn merged_runtime_settings(&self) -> RuntimeSettings {
         let current = self.current();
         let (mut classes, mut class_limits) = (Vec::new(), Vec::new());
         for row in self.rows.borrow().iter() {
@@ -191,12 +191,12 @@
         Some(self.rows.borrow().get(row)?.as_ref()?.policy.clone())
     }
 
-    fn hold_row(self: &Rc<Self>, row: usize) -> Option<Hold> {
+    fn hold_row(self: &Rc<Self>, row: usize) -> Option<PolicyHold> {
         let policy = self.policy(row)?;
         self.rows.borrow_mut()[row]
             .iter_mut()
             .for_each(|r| r.held += 1);
-        Some(Hold {
+        Some(PolicyHold {
             terms: self.clone(),
             row,
             policy,
@@ -204,7 +204,7 @@
     }
 }
 
-impl Hold {
+impl PolicyHold {
     /// What the module calls a class under this policy.
     pub fn class(&self, class: u16) -> u16 {
         let classes = self.policy.classes.len();
@@ -214,7 +214,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for PolicyHold {
     fn drop(&mut self) {
         self.terms.rows.borrow_mut()[self.row]
             .iter_mut()
@@ -248,27 +248,27 @@
             max_in_flight_calls: 1 + number as u32,
             max_held_messages: 1,
             hook: None,
-            limits: Limits::default(),
-            rules: Rules::open(1),
-            known_names: Vec::new(),
+            message_limits: Limits::default(),
+            connection_rules: Rules::open(1),
+            known_client_names: Vec::new(),
         }
     }
 
     #[test]
     fn a_message_points_to_its_own_terms_whatever_comes_after_it() {
-        let terms = Terms::new(policy(0, 2));
+        let terms = PolicySet::new(policy(0, 2));
         let told = Rc::new(Cell::new(0));
         let watcher = told.clone();
-        terms.tell(move |p| watcher.set(p.number));
-        let first = terms.hold();
+        terms.on_activation(move |p| watcher.set(p.number));
+        let first = terms.hold_current();
         assert!(
             terms.add(policy(5, 2))
                 && !terms.add(policy(6, 3))
-                && !terms.go_by(6)
-                && terms.go_by(5)
+                && !terms.activate(6)
+                && terms.activate(5)
         );
         assert_eq!((told.get(), terms.current().number), (5, 5));
-        let second = terms.hold();
+        let second = terms.hold_current();
         assert_eq!(
             (
                 first.class(1),
@@ -278,9 +278,9 @@
             ),
             (1, 2, 3, 3)
         );
-        assert!(terms.add(policy(7, 2)) && terms.go_by(7));
-        assert!(!terms.forget(5), "a message is held under it");
-        let side = terms.side_by_side();
+        assert!(terms.add(policy(7, 2)) && terms.activate(7));
+        assert!(!terms.remove(5), "a message is held under it");
+        let side = terms.merged_runtime_settings();
         let deadlines: Vec<u64> = side.classes.iter().map(|c| c.deadline).collect();
         assert_eq!(deadlines, [100, 100, 105, 105, 107, 107]);
         assert_eq!(
@@ -289,27 +289,27 @@
         );
         drop(second);
         // Its place is the next one's.
-        assert!(terms.forget(5) && terms.hold_under(5).is_none() && terms.add(policy(8, 2)));
-        assert_eq!(terms.hold_under(8).map(|h| h.class(0)), Some(2));
-        assert_eq!(terms.side_by_side().classes.len(), 6);
+        assert!(terms.remove(5) && terms.hold_number(5).is_none() && terms.add(policy(8, 2)));
+        assert_eq!(terms.hold_number(8).map(|h| h.class(0)), Some(2));
+        assert_eq!(terms.merged_runtime_settings().classes.len(), 6);
     }
 
     #[test]
     fn the_table_is_bounded_and_what_is_needed_stays() {
-        let terms = Terms::new(policy(0, 1));
-        let held: Vec<Hold> = (1..=MOST as u64)
+        let terms = PolicySet::new(policy(0, 1));
+        let held: Vec<PolicyHold> = (1..=MAX_POLICIES as u64)
             .map(|n| {
-                (terms.add(policy(n, 1)) && terms.go_by(n))
-                    .then(|| terms.hold())
+                (terms.add(policy(n, 1)) && terms.activate(n))
+                    .then(|| terms.hold_current())
                     .expect("room")
             })
             .collect();
-        assert!(!terms.add(policy(9, 1)) && !terms.forget(0));
+        assert!(!terms.add(policy(9, 1)) && !terms.remove(0));
         assert_eq!(terms.numbers(), (1..=8).collect::<Vec<_>>());
         // One of the same number is not replaced under a message, and is once nothing needs it.
         assert!(!terms.add(policy(3, 1)));
         drop(held);
-        assert!(terms.add(policy(3, 1)) && terms.forget(3) && terms.add(policy(9, 1)));
-        assert!(!terms.forget(8), "it is current");
+        assert!(terms.add(policy(3, 1)) && terms.remove(3) && terms.add(policy(9, 1)));
+        assert!(!terms.remove(8), "it is current");
     }
 }
--- a/src/delivery/routing_tables.rs
+++ b/src/delivery/routing_tables.rs
@@ -8,29 +8,29 @@
 
 /// Most tables beside the list alone: the one in force, the one that is offered, and one before
 /// them while it is written over.
-pub const MOST: usize = 3;
+pub const MAX_TABLES: usize = 3;
 
 /// Owner of the tables, and of which is current.
 #[derive(Default)]
-pub struct Tables {
+pub struct RoutingTables {
     known: RefCell<BTreeMap<u64, Routes>>,
     /// The current one, with the sender's own numbers of zones.
     current: RefCell<(u64, Rc<Routes>)>,
 }
 
-impl Tables {
+impl RoutingTables {
     /// The number of the one that messages are taken on and routed by.
-    pub fn current(&self) -> u64 {
+    pub fn current_number(&self) -> u64 {
         self.current.borrow().0
     }
 
     /// Its routes; those of number 0 leave all to the list.
-    pub fn routes(&self) -> Rc<Routes> {
+    pub fn current_routes(&self) -> Rc<Routes> {
         self.current.borrow().1.clone()
     }
 
     /// Whether a message may go to a zone, by the sender's own number of it.
-    pub fn leads(&self, message: &Envelope, zone: u16) -> bool {
+    pub fn allows_zone(&self, message: &Envelope, zone: u16) -> bool {
         let Envelope {
             dest,
             class,
@@ -55,8 +55,8 @@
     /// place for it.
     pub fn add(&self, number: u64, routes: Routes) -> bool {
         let mut known = self.known.borrow_mut();
-        let fits = number > 0 && number != self.current();
-        let fits = fits && (known.contains_key(&number) || known.len() < MOST);
+        let fits = number > 0 && number != self.current_number();
+        let fits = fits && (known.contains_key(&number) || known.len() < MAX_TABLES);
         if fits {
             known.insert(number, routes);
         }
@@ -64,13 +64,17 @@
     }
 
     /// Forgets one; false where it is current, or not known.
-    pub fn forget(&self, number: u64) -> bool {
-        number != self.current() && self.known.borrow_mut().remove(&number).is_some()
+    pub fn remove(&self, number: u64) -> bool {
+        number != self.current_number() && self.known.borrow_mut().remove(&number).is_some()
     }
 
     /// Makes one current, with the sender's own numbers of zones, by name; nothing where it is not
     /// known.
-    pub(super) fn go_by(&self, number: u64, zone: impl FnMut(&str) -> u16) -> Option<Rc<Routes>> {
+    pub(super) fn activate(
+        &self,
+        number: u64,
+        zone: impl FnMut(&str) -> u16,
+    ) -> Option<Rc<Routes>> {
         let routes = match number {
             0 => Routes::default(),
             number => self.known.borrow().get(&number)?.with_zone_numbers(zone),
@@ -93,7 +97,7 @@
 
     #[test]
     fn three_are_known_and_the_current_one_is_neither_forgotten_nor_replaced() {
-        let tables = Tables::default();
+        let tables = RoutingTables::default();
         let to = |zone: &str| {
             let tiers = vec![vec![WeightedZones {
                 share: 1,
@@ -114,21 +118,25 @@
             ..Envelope::default()
         };
         assert!(!tables.add(0, to("a")) && tables.add(4, to("a")) && tables.add(4, to("b")));
-        assert!(tables.go_by(5, number).is_none() && tables.go_by(4, number).is_some());
+        assert!(tables.activate(5, number).is_none() && tables.activate(4, number).is_some());
         assert_eq!(
             (
-                tables.current(),
-                tables.leads(&message, 7),
-                tables.leads(&message, 8)
+                tables.current_number(),
+                tables.allows_zone(&message, 7),
+                tables.allows_zone(&message, 8)
             ),
             (4, false, true)
         );
-        assert!(!tables.add(4, to("a")) && !tables.forget(4));
+        assert!(!tables.add(4, to("a")) && !tables.remove(4));
         assert!(tables.add(5, to("a")) && tables.add(6, to("a")) && !tables.add(7, to("a")));
-        assert!(tables.forget(5) && !tables.forget(5) && tables.add(7, to("a")));
-        assert!(tables.go_by(0, number).is_some() && tables.forget(4) && tables.leads(&message, 9));
+        assert!(tables.remove(5) && !tables.remove(5) && tables.add(7, to("a")));
+        assert!(
+            tables.activate(0, number).is_some()
+                && tables.remove(4)
+                && tables.allows_zone(&message, 9)
+        );
         assert_eq!(
-            (tables.numbers(), tables.routes().is_empty()),
+            (tables.numbers(), tables.current_routes().is_empty()),
             (vec![6, 7], true)
         );
     }
--- a/src/delivery/script_hook.rs
+++ b/src/delivery/script_hook.rs
@@ -29,7 +29,7 @@
 
 /// What a script makes of a message.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ruling {
+pub enum HookDecision {
     /// It goes on, with these notes for its provider.
     Pass(Vec<(String, String)>),
     /// It is rejected; to be handed in again after this time.
@@ -37,14 +37,14 @@
 }
 
 /// A compiled script.
-pub struct Hook {
+pub struct ScriptHook {
     engine: Engine,
     script: AST,
     ingress: bool,
     final_answer: bool,
 }
 
-impl Hook {
+impl ScriptHook {
     /// Compiles a script. It has to define `ingress(message)`, `final_answer(message, answer)` or
     /// both.
     pub fn compile(text: &str) -> Result<Self, String> {
@@ -61,7 +61,7 @@
                 "defines neither ingress(message) nor final_answer(message, answer)".into(),
             );
         }
-        Ok(Hook {
+        Ok(ScriptHook {
             engine,
             script,
             ingress,
@@ -70,8 +70,8 @@
     }
 
     /// Asks the script about a message that was handed in.
-    pub fn ingress(&self, envelope: &Envelope, class: &str, left: Duration) -> Ruling {
-        let pass = || Ruling::Pass(Vec::new());
+    pub fn ingress(&self, envelope: &Envelope, class: &str, left: Duration) -> HookDecision {
+        let pass = || HookDecision::Pass(Vec::new());
         if !self.ingress {
             return pass();
         }
@@ -90,7 +90,9 @@
         }
         let (status, again_ms) = match verdict {
             Verdict::Delivered => ("delivered", 0),
-            Verdict::Deferred { again_ms } => ("deferred", again_ms),
+            Verdict::Deferred {
+                retry_after_ms: again_ms,
+            } => ("deferred", again_ms),
             Verdict::Undeliverable => ("undeliverable", 0),
         };
         let mut answer = Map::new();
@@ -141,14 +143,14 @@
     message.insert("key".into(), envelope.key.as_deref().unwrap_or("").into());
     message.insert("class".into(), class.into());
     message.insert("dest".into(), INT::from(envelope.dest).into());
-    message.insert("size".into(), (envelope.size() as INT).into());
+    message.insert("size".into(), (envelope.body_size() as INT).into());
     message
 }
 
 /// Reads what a script returned: nothing, `#{ reject_ms: 500 }` or `#{ notes: #{ name: "text" } }`.
-fn ruling(returned: Dynamic) -> Result<Ruling, String> {
+fn ruling(returned: Dynamic) -> Result<HookDecision, String> {
     if returned.is_unit() {
-        return Ok(Ruling::Pass(Vec::new()));
+        return Ok(HookDecision::Pass(Vec::new()));
     }
     let kind = returned.type_name();
     let map = returned
@@ -160,7 +162,9 @@
             "reject_ms" => {
                 let ms = value.as_int().ok().and_then(|ms| u64::try_from(ms).ok());
                 let ms = ms.ok_or("reject_ms is no number of milliseconds")?;
-                return Ok(Ruling::Reject(Duration::from_millis(ms).min(MAX_WAIT)));
+                return Ok(HookDecision::Reject(
+                    Duration::from_millis(ms).min(MAX_WAIT),
+                ));
             }
             "notes" => {
                 let given = value.try_cast::<Map>().ok_or("notes are no map")?;
@@ -175,7 +179,7 @@
     if notes.len() > MAX_NOTES {
         return Err(format!("more than {MAX_NOTES} notes"));
     }
-    Ok(Ruling::Pass(notes))
+    Ok(HookDecision::Pass(notes))
 }
 
 /// A note that any wire can carry as a field of its own.
@@ -197,30 +201,30 @@
 
     const LEFT: Duration = Duration::from_secs(16);
 
-    fn ingress(script: &str) -> Ruling {
+    fn ingress(script: &str) -> HookDecision {
         let envelope = Envelope {
             id: "m1".into(),
             dest: 7,
             body: vec![0; 300],
             ..Envelope::default()
         };
-        Hook::compile(script)
+        ScriptHook::compile(script)
             .expect("compiles")
             .ingress(&envelope, "event", LEFT)
     }
 
     #[test]
     fn a_script_passes_rejects_or_annotates() {
-        let pass = || Ruling::Pass(Vec::new());
+        let pass = || HookDecision::Pass(Vec::new());
         assert_eq!(ingress("fn ingress(m) { }"), pass());
         assert_eq!(
             ingress("fn ingress(m) { if m.dest == 7 && m.size > 200 { #{ reject_ms: 500 } } }"),
-            Ruling::Reject(Duration::from_millis(500))
+            HookDecision::Reject(Duration::from_millis(500))
         );
         let noted = "fn ingress(m) { #{ notes: #{ origin_id: m.class + \"/\" + m.dest, left: m.left_ms } } }";
         let notes =
             [("left", "16000"), ("origin-id", "event/7")].map(|(k, v)| (k.into(), v.into()));
-        assert_eq!(ingress(noted), Ruling::Pass(notes.into()));
+        assert_eq!(ingress(noted), HookDecision::Pass(notes.into()));
     }
 
     #[test]
@@ -243,7 +247,7 @@
         ] {
             assert_eq!(
                 ingress(&format!("fn ingress(m) {{ {body} }}")),
-                Ruling::Pass(Vec::new()),
+                HookDecision::Pass(Vec::new()),
                 "{body}"
             );
         }
@@ -257,7 +261,7 @@
             ("fn ingress(m) { eval(\"1\") }", "eval"),
             ("fn ingress() { }", "neither"),
         ] {
-            let told = Hook::compile(script).err().expect("refused");
+            let told = ScriptHook::compile(script).err().expect("refused");
             assert!(told.contains(words) && told.lines().count() == 1, "{told}");
         }
     }
@@ -266,9 +270,16 @@
     fn a_final_answer_is_seen_and_cannot_be_changed() {
         let script =
             "fn final_answer(m, a) { a.status = \"delivered\"; if a.again_ms != 500 { throw a; } }";
-        let hook = Hook::compile(script).expect("compiles");
-        let verdict = Verdict::Deferred { again_ms: 500 };
+        let hook = ScriptHook::compile(script).expect("compiles");
+        let verdict = Verdict::Deferred {
+            retry_after_ms: 500,
+        };
         hook.final_answer(&Envelope::default(), "event", verdict);
-        assert_eq!(verdict, Verdict::Deferred { again_ms: 500 });
+        assert_eq!(
+            verdict,
+            Verdict::Deferred {
+                retry_after_ms: 500
+            }
+        );
     }
 }
--- a/src/delivery/timer_wheel.rs
+++ b/src/delivery/timer_wheel.rs
@@ -99,12 +99,12 @@
     }
 
     /// Sleeps that have not ended.
-    pub fn sleepers(&self) -> usize {
+    pub fn sleeping(&self) -> usize {
         self.slots.borrow().ring.iter().map(Vec::len).sum()
     }
 
     /// Turns the wheel for ever.
-    pub async fn turn(&self) {
+    pub async fn run(&self) {
         loop {
             let next = self.slots.borrow().ahead();
             self.slots.borrow_mut().next = next;
@@ -126,11 +126,11 @@
 
     /// Sleeps for a while, to the next tick.
     pub fn sleep(self: &Rc<Self>, time: Duration) -> Sleep {
-        self.until(Instant::now() + time)
+        self.sleep_until(Instant::now() + time)
     }
 
     /// Sleeps to the first tick at or after a moment.
-    pub fn until(self: &Rc<Self>, at: Instant) -> Sleep {
+    pub fn sleep_until(self: &Rc<Self>, at: Instant) -> Sleep {
         let tick = at
             .saturating_duration_since(self.start)
             .as_nanos()
@@ -143,7 +143,7 @@
     }
 
     /// Runs work, which is dropped if the time ends first.
-    pub async fn limit<T>(
+    pub async fn timeout<T>(
         self: &Rc<Self>,
         time: Duration,
         work: impl Future<Output = T>,
@@ -204,7 +204,7 @@
 
     fn on_wheel<T>(work: impl Future<Output = T>, wheel: &TimerWheel) -> T {
         let turning = async {
-            wheel.turn().await;
+            wheel.run().await;
             unreachable!("the wheel turns for ever")
         };
         async_io::block_on(work.or(turning))
@@ -266,7 +266,8 @@
     #[test]
     fn a_dropped_sleep_leaves_the_wheel() {
         let wheel = TimerWheel::new();
-        on_wheel(wheel.limit(Duration::from_secs(60), async {}), &wheel).expect("work ends first");
+        on_wheel(wheel.timeout(Duration::from_secs(60), async {}), &wheel)
+            .expect("work ends first");
         assert_eq!(wheel.slots.borrow().ahead(), None);
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -20,11 +20,11 @@
 use raildeal::delivery::journal::restart_state;
 use raildeal::delivery::journal::{Journal, JournalOptions};
 use raildeal::delivery::message::{self, DeliveryContext};
-use raildeal::delivery::policies::Terms;
+use raildeal::delivery::policies::PolicySet;
 #[cfg(feature = "fleet")]
-use raildeal::delivery::routing_tables::Tables;
+use raildeal::delivery::routing_tables::RoutingTables;
 use raildeal::delivery::timer_wheel::TimerWheel;
-use raildeal::delivery::{span, unix_ms, EndpointClient as _, Frontend};
+use raildeal::delivery::{duration, unix_ms, EndpointClient as _, Frontend};
 use raildeal::dispatch::list_polling;
 use raildeal::loop_latency::LoopLatency;
 use raildeal::net::by_kind::ByKind;
@@ -64,12 +64,12 @@
 const UPDATERS: usize = 8;
 
 /// The module's wishes that are about no message.
-struct Wishes {
+struct NetworkEffects {
     invoker: Rc<ByKind>,
     watch: Sender<()>,
 }
 
-impl DriverEffects for Wishes {
+impl DriverEffects for NetworkEffects {
     fn close_idle(&self, provider: &Endpoint) {
         self.invoker.close_idle(provider);
     }
@@ -188,8 +188,8 @@
     // Both wires together keep what the budget has for it.
     let most = budget.kept / if config.brokers.is_some() { 2 } else { 1 };
     let (connect, idle) = (
-        span(deployment.connect_timeout),
-        span(deployment.settings.connection_idle_timeout),
+        duration(deployment.connect_timeout),
+        duration(deployment.settings.connection_idle_timeout),
     );
     let posters = Calls::new(
         Poster {
@@ -218,19 +218,19 @@
 /// Tells how long each table is, and how long work took between two looks at the sockets, for as
 /// long as the process lives.
 async fn sizes(
-    house: Rc<DeliveryContext>,
+    context: Rc<DeliveryContext>,
     invoker: Rc<ByKind>,
     notices: Option<Rc<Notices>>,
     turns: LoopLatency,
 ) {
     loop {
-        house.wheel.sleep(SIZES_EVERY).await;
-        let mut all = house.desk.sizes();
-        all.extend(house.directory.sizes());
-        all.push(("names", house.names.borrow().len()));
+        context.wheel.sleep(SIZES_EVERY).await;
+        let mut all = context.driver.table_sizes();
+        all.extend(context.directory.sizes());
+        all.push(("names", context.held_messages.borrow().len()));
         all.push(("idle", invoker.idle()));
         all.push(("notices", notices.as_ref().map_or(0, |n| n.waiting())));
-        all.push(("sleepers", house.wheel.sleepers()));
+        all.push(("sleepers", context.wheel.sleeping()));
         let all: Vec<String> = all
             .iter()
             .map(|(table, entries)| format!("{table}={entries}"))
@@ -259,7 +259,7 @@
     config: &'a Config,
     settings: &'a Settings,
     budget: &'a Budget,
-    house: &'a Rc<DeliveryContext>,
+    context: &'a Rc<DeliveryContext>,
     seats: &'a Rc<ConnectionListener>,
     invoker: &'a Rc<ByKind>,
     executor: &'a Rc<LocalExecutor<'static>>,
@@ -285,9 +285,10 @@
     fn store(&self, config: &Config) -> Result<JournalOptions, String> {
         use raildeal::agent::document_store;
         let (policies, tables) = self.follows();
-        let policies = document_store::reserved::<Terms>(&config.state, policies);
-        let both = policies
-            .and_then(|p| Ok(p + document_store::reserved::<Tables>(&config.state, tables)?));
+        let policies = document_store::reserved::<PolicySet>(&config.state, policies);
+        let both = policies.and_then(|p| {
+            Ok(p + document_store::reserved::<RoutingTables>(&config.state, tables)?)
+        });
         let reserved = both.map_err(|e| format!("state: {}: {e}", config.state.display()))?;
         let limit = config.store.limit_bytes.saturating_sub(reserved);
         if limit < reserved {
@@ -316,7 +317,7 @@
             config,
             settings,
             budget,
-            house,
+            context,
             seats,
             invoker,
             executor,
@@ -325,11 +326,11 @@
         let told = |e: std::io::Error| format!("state: {}: {e}", config.state.display());
         // What an earlier process took on may have been under policies, also where none is followed
         // any more.
-        let reserved = document_store::reserved::<Terms>(&config.state, policies);
+        let reserved = document_store::reserved::<PolicySet>(&config.state, policies);
         let policies = (reserved.unwrap_or(0) > 0).then(|| {
             let ground = Arc::new(document_store::Ground {
                 settings: settings.clone(),
-                classes: house.classes.clone(),
+                classes: context.class_names.clone(),
                 door: config.door.clone(),
                 places: budget.clients,
                 // One at least is kept of what is kept idle.
@@ -338,51 +339,53 @@
             });
             let again = ground.clone();
             let ground_now = Box::new(move || again.clone());
-            document_store::Shelf::<Terms>::open(
+            document_store::Shelf::<PolicySet>::open(
                 &config.state,
                 &ground,
                 ground_now,
-                house.terms.clone(),
+                context.policies.clone(),
             )
         });
         let policies = policies.transpose().map_err(told)?;
         let tenants = settings.tenants.len();
         let tables = tables.then(|| {
-            let list = move |house: &DeliveryContext, offers| {
-                let classes = house.classes.clone();
+            let list = move |context: &DeliveryContext, offers| {
+                let classes = context.class_names.clone();
                 document_store::List {
                     classes,
                     tenants,
                     offers,
                 }
             };
-            let start = list(house, None);
-            let now = house.clone();
+            let start = list(context, None);
+            let now = context.clone();
             let list_now =
                 Box::new(move || Arc::new(list(&now, Some(now.directory.capacity_by_zone()))));
-            document_store::Shelf::<Tables>::open(
+            document_store::Shelf::<RoutingTables>::open(
                 &config.state,
                 &start,
                 list_now,
-                house.tables.clone(),
+                context.routing_tables.clone(),
             )
         });
         let tables = tables.transpose().map_err(told)?;
-        if !house.terms.numbers().is_empty() {
-            house.desk.change(house.terms.side_by_side());
+        if !context.policies.numbers().is_empty() {
+            context
+                .driver
+                .apply_settings(context.policies.merged_runtime_settings());
         }
         let (seats, invoker, both) = (seats.clone(), invoker.clone(), budget.calls + budget.kept);
-        house.terms.tell(move |policy| {
-            seats.change(policy.rules.clone());
+        context.policies.on_activation(move |policy| {
+            seats.change(policy.connection_rules.clone());
             invoker.keep_at_most(both.saturating_sub(policy.max_in_flight_calls as usize));
         });
-        let (sender, house, executor) = (config.name.clone(), house.clone(), executor.clone());
+        let (sender, context, executor) = (config.name.clone(), context.clone(), executor.clone());
         let warm_after = settings.slow_start_duration;
         let parts = Parts {
             sender,
             seed: salt(),
             warm_after,
-            house,
+            context,
             policies,
             tables,
             executor,
@@ -469,10 +472,10 @@
     let invoker = providers(&config, &budget, &wheel);
     let relay = Dispatcher::new(settings.clone(), config.seed).map_err(|e| e.to_string())?;
     let (watch, asked) = async_channel::bounded(1);
-    let desk = DispatcherDriver::new(
+    let driver = DispatcherDriver::new(
         relay,
         directory.clone(),
-        Rc::new(Wishes {
+        Rc::new(NetworkEffects {
             invoker: invoker.clone(),
             watch,
         }),
@@ -496,28 +499,28 @@
     fronts.extend(sessions.clone().map(|s| (MQTT, s as Rc<dyn Frontend>)));
     let hook = config.hook.as_deref().map(script).transpose()?;
     let terms =
-        Terms::new(
+        PolicySet::new(
             config
                 .door
                 .policy(0, &settings, &deployment.classes, budget.clients, hook),
         );
-    let house = Rc::new(DeliveryContext {
-        terms,
-        tables: Default::default(),
+    let context = Rc::new(DeliveryContext {
+        policies: terms,
+        routing_tables: Default::default(),
         admission: Default::default(),
-        classes: deployment.classes.clone(),
-        desk: desk.clone(),
+        class_names: deployment.classes.clone(),
+        driver: driver.clone(),
         journal,
-        guests: ClientQuotas::new(
+        client_quotas: ClientQuotas::new(
             config
                 .door
                 .limits(settings.max_held_messages as usize, &deployment.classes),
         ),
         directory: directory.clone(),
-        invoker: invoker.clone(),
-        fronts,
+        endpoint_client: invoker.clone(),
+        frontends: fronts,
         wheel: wheel.clone(),
-        names: Default::default(),
+        held_messages: Default::default(),
     });
 
     // Ports, so that whatever is wrong with them is told before anything is served.
@@ -544,14 +547,14 @@
         .map(|z| z.list_update())
         .or(config.known.clone())
     {
-        Some(list) => desk.list(&list),
-        None => desk.list_failed(),
+        Some(list) => driver.apply_list_update(&list),
+        None => driver.report_list_failure(),
     }
-    let (turning, timing) = (wheel.clone(), (desk.clone(), wheel.clone()));
-    keep(&executor, async move { turning.turn().await });
+    let (turning, timing) = (wheel.clone(), (driver.clone(), wheel.clone()));
+    keep(&executor, async move { turning.run().await });
     keep(
         &executor,
-        async move { timing.0.keep_time(&timing.1).await },
+        async move { timing.0.run_timer(&timing.1).await },
     );
     keep(&executor, tended.maintain(wheel.clone()));
     keep(&executor, synced.run_sync());
@@ -563,7 +566,7 @@
     if log::log_enabled!(log::Level::Debug) {
         keep(
             &executor,
-            sizes(house.clone(), invoker.clone(), notices, turns),
+            sizes(context.clone(), invoker.clone(), notices, turns),
         );
     }
     if let Some(discovery) = discovery.clone() {
@@ -572,7 +575,7 @@
         ));
         let watch = Watch {
             discovery,
-            desk: desk.clone(),
+            driver: driver.clone(),
             directory,
             wheel: wheel.clone(),
             patience,
@@ -598,25 +601,27 @@
         config: &config,
         settings: &settings,
         budget: &budget,
-        house: &house,
+        context: &context,
         seats: &seats,
         invoker: &invoker,
         executor: &executor,
     })?;
     for record in unfinished {
-        keep(&executor, message::resume(house.clone(), record));
+        keep(&executor, message::resume(context.clone(), record));
     }
     keep(
         &executor,
-        seats
-            .clone()
-            .tell(house.guests.clone(), door.log_every(), wheel.clone()),
+        seats.clone().tell(
+            context.client_quotas.clone(),
+            door.log_every(),
+            wheel.clone(),
+        ),
     );
     let run = executor.clone();
-    let ingress = Ingress::new(house.clone(), deployment, PLATFORM, run.clone());
+    let ingress = Ingress::new(context.clone(), deployment, PLATFORM, run.clone());
     let port = sessions
         .clone()
-        .map(|s| Port::new(house.clone(), s, deployment, MQTT, run.clone()));
+        .map(|s| Port::new(context.clone(), s, deployment, MQTT, run.clone()));
     let mut listening = Vec::new();
     if let Some(listener) = platform_port {
         let clients = seats
@@ -630,14 +635,14 @@
     if let Some(((listener, zones), signer)) = update_port.zip(zones.clone()).zip(signer) {
         let updates = Rc::new(UpdatePort {
             zones,
-            desk: desk.clone(),
+            driver: driver.clone(),
             signer,
             wheel: wheel.clone(),
         });
         let seats = ConnectionListener::new(Rules::open(UPDATERS), 1, WhenFull::Queue, config.seed);
         listening.push(executor.spawn(seats.listen(listener, updates, wheel.clone(), run)));
     }
-    let reloading = desk.clone();
+    let reloading = driver.clone();
     keep(&executor, async move {
         while hangups.next().await.is_some() {
             discovery.iter().for_each(|d| reload(file.as_deref(), d));
@@ -646,7 +651,10 @@
     });
 
     ending.next().await;
-    log::info!("{name}: told to end with {} messages held", desk.held());
+    log::info!(
+        "{name}: told to end with {} messages held",
+        driver.held_count()
+    );
     let finishing = async {
         ingress.wind_down();
         wheel.sleep(STILL_COMING).await;
@@ -656,10 +664,10 @@
         ingress.end_idle();
         port.iter().for_each(|p| p.close());
         let rest = async { wheel.sleep(LAST_CALL - STILL_COMING).await };
-        rest.or(house.emptied()).await;
-        desk.halt();
+        rest.or(context.all_closed()).await;
+        driver.halt();
         fleet.leave().await;
-        desk.calls_ended().await;
+        driver.wait_for_attempts().await;
     };
     finishing.or(async { wheel.sleep(END).await }).await;
     sessions.iter().for_each(|s| s.farewell());
@@ -670,7 +678,7 @@
         .unwrap_or_else(|e| log::warn!("state: end not noted: {e}"));
     log::info!(
         "{name}: ends with {} messages for the next start",
-        desk.held()
+        driver.held_count()
     );
     Ok(())
 }
--- a/src/net/by_kind.rs
+++ b/src/net/by_kind.rs
@@ -4,7 +4,7 @@
 use super::mqtt::brokers::Publisher;
 use super::platform::providers::Poster;
 use crate::delivery::endpoint::Endpoint;
-use crate::delivery::{AttemptRequest, EndpointClient, Local, Report};
+use crate::delivery::{AttemptReport, AttemptRequest, EndpointClient, LocalBoxFuture};
 use futures_lite::FutureExt;
 use std::rc::Rc;
 
@@ -55,8 +55,8 @@
 }
 
 impl EndpointClient for ByKind {
-    fn call<'a>(&'a self, call: AttemptRequest<'a>) -> Local<'a, Report> {
-        self.invoker(&call.provider).call(call)
+    fn execute<'a>(&'a self, call: AttemptRequest<'a>) -> LocalBoxFuture<'a, AttemptReport> {
+        self.invoker(&call.endpoint).execute(call)
     }
 
     fn close_idle(&self, provider: &Endpoint) {
--- a/src/net/calls.rs
+++ b/src/net/calls.rs
@@ -3,7 +3,7 @@
 
 use crate::delivery::endpoint::Endpoint;
 use crate::delivery::timer_wheel::TimerWheel;
-use crate::delivery::{AttemptRequest, EndpointClient, Envelope, Local, Report};
+use crate::delivery::{AttemptReport, AttemptRequest, EndpointClient, Envelope, LocalBoxFuture};
 use crate::net::connection_listener::is_short;
 use crate::net::stream::Stream;
 use crate::{EndpointAddress, Outcome};
@@ -55,7 +55,7 @@
     fn answer(
         &self,
         stream: &mut Stream,
-        known: &mut Option<Report>,
+        known: &mut Option<AttemptReport>,
     ) -> impl Future<Output = io::Result<Read>>;
 
     /// What is said on an idle connection before it is closed, if anything.
@@ -152,7 +152,7 @@
                 .get_mut(&provider)
                 .and_then(Vec::pop)?;
             if link.since.elapsed() < SETTLE {
-                self.wheel.until(link.since + SETTLE).await;
+                self.wheel.sleep_until(link.since + SETTLE).await;
             }
             if link.fresh() && link.stream.is_quiet() {
                 return Some(link);
@@ -201,12 +201,12 @@
         })
     }
 
-    async fn exchange(&self, call: AttemptRequest<'_>) -> Report {
+    async fn exchange(&self, call: AttemptRequest<'_>) -> AttemptReport {
         let AttemptRequest {
-            provider,
+            endpoint: provider,
             envelope,
             timeout,
-            go,
+            authorize_send: go,
         } = call;
         let (address, deadline) = (provider.entry.address, Instant::now() + timeout);
         let left = || deadline.saturating_duration_since(Instant::now());
@@ -214,7 +214,7 @@
             Some(link) => link,
             None => match self
                 .wheel
-                .limit(self.connect_timeout.min(left()), self.connect(address))
+                .timeout(self.connect_timeout.min(left()), self.connect(address))
                 .await
             {
                 Some(Ok(link)) => link,
@@ -235,7 +235,7 @@
             }
         };
         if !matches!(
-            self.wheel.limit(left(), link.stream.send(&bytes)).await,
+            self.wheel.timeout(left(), link.stream.send(&bytes)).await,
             Some(Ok(()))
         ) {
             // Broken or stuck before its last byte: it never ran.
@@ -244,7 +244,7 @@
         let mut known = None;
         for _ in 0..MAX_INTERIM {
             let begins = async { Ok(!link.stream.buf.is_empty() || link.stream.fill().await?) };
-            match self.wheel.limit(left(), begins).await {
+            match self.wheel.timeout(left(), begins).await {
                 None => return Outcome::Timeout.into(),
                 Some(Ok(true)) => {}
                 Some(end @ (Ok(false) | Err::<_, io::Error>(_))) => {
@@ -256,7 +256,7 @@
                 }
             }
             let rest = self.dialect.answer(&mut link.stream, &mut known);
-            match self.wheel.limit(REST_OF_ANSWER, rest).await {
+            match self.wheel.timeout(REST_OF_ANSWER, rest).await {
                 Some(Ok(Read::Interim)) => continue,
                 Some(Ok(Read::Whole)) if link.stream.buf.is_empty() => {
                     self.keep(provider.endpoint, link)
@@ -275,7 +275,7 @@
 }
 
 impl<D: Dialect> EndpointClient for Calls<D> {
-    fn call<'a>(&'a self, call: AttemptRequest<'a>) -> Local<'a, Report> {
+    fn execute<'a>(&'a self, call: AttemptRequest<'a>) -> LocalBoxFuture<'a, AttemptReport> {
         // The connection lives in the exchange: whatever ends that has closed it, or put it back,
         // before its report.
         self.exchange(call).boxed_local()
--- a/src/net/connection_listener.rs
+++ b/src/net/connection_listener.rs
@@ -258,7 +258,7 @@
         loop {
             while self.when_full == WhenFull::Queue && self.lobby.borrow().is_full() {
                 let left = self.left.listen();
-                wheel.limit(LOOK, left).await;
+                wheel.timeout(LOOK, left).await;
             }
             match listener.accept().await {
                 Ok((socket, from)) => {
@@ -290,7 +290,7 @@
         let mut before = (BTreeMap::new(), BTreeMap::new());
         loop {
             wheel.sleep(every).await;
-            let now = (self.told.borrow().clone(), guests.refused());
+            let now = (self.told.borrow().clone(), guests.rejections());
             if now != before {
                 let mut counts: Vec<String> = now
                     .0
@@ -541,7 +541,12 @@
             } else {
                 LOOK
             };
-            if self.wheel.limit(look, displaced.or(brings).or(place)).await == Some(false) {
+            if self
+                .wheel
+                .timeout(look, displaced.or(brings).or(place))
+                .await
+                == Some(false)
+            {
                 let socket = waiting.leave();
                 return socket.into_iter().for_each(|s| self.tell(&s, why, wait));
             }
@@ -582,7 +587,9 @@
                 let wait = self.seats.refused(&why.to_string(), wait);
                 let (port, wheel) = (self.port.clone(), self.wheel.clone());
                 let told = async move {
-                    wheel.limit(FAREWELLS.1, port.full(socket, why, wait)).await;
+                    wheel
+                        .timeout(FAREWELLS.1, port.full(socket, why, wait))
+                        .await;
                     drop(parting);
                 };
                 self.executor.spawn(told).detach();
--- a/src/net/dns/server.rs
+++ b/src/net/dns/server.rs
@@ -59,10 +59,10 @@
     }
 
     /// Reads the file again. One that is wrong, or not newer by its serial, changes nothing.
-    pub fn reload(&self, desk: &DispatcherDriver) {
+    pub fn reload(&self, driver: &DispatcherDriver) {
         match load(&self.path) {
             Ok(zone) if is_newer(zone.serial(), self.zone.borrow().serial()) => {
-                self.tell(zone, desk)
+                self.tell(zone, driver)
             }
             Ok(zone) => log::warn!(
                 "dns: serial {} is not newer; the old list stays",
@@ -73,14 +73,14 @@
     }
 
     /// Carries an update out: on file first, then for all to see.
-    fn update(&self, message: &Message, desk: &DispatcherDriver) -> Result<(), ResponseCode> {
+    fn update(&self, message: &Message, driver: &DispatcherDriver) -> Result<(), ResponseCode> {
         let next = update::apply(&self.zone.borrow(), message)?;
         if let Some(zone) = next {
             self.persist(&zone).map_err(|e| {
                 log::error!("dns: {}: {e}", self.path.display());
                 ResponseCode::ServFail
             })?;
-            self.tell(zone, desk);
+            self.tell(zone, driver);
         }
         Ok(())
     }
@@ -97,11 +97,11 @@
         fs::rename(&next, &self.path)
     }
 
-    fn tell(&self, zone: Zone, desk: &DispatcherDriver) {
+    fn tell(&self, zone: Zone, driver: &DispatcherDriver) {
         log::info!("dns: zone {} at serial {}", zone.origin, zone.serial());
         *self.zone.borrow_mut() = zone;
         self.rev.set(self.rev.get() + 1);
-        desk.list(&self.list_update());
+        driver.apply_list_update(&self.list_update());
     }
 }
 
@@ -116,7 +116,7 @@
     /// The zone.
     pub zones: Rc<Zones>,
     /// Told of changes.
-    pub desk: Rc<DispatcherDriver>,
+    pub driver: Rc<DispatcherDriver>,
     /// Signs and checks.
     pub signer: TSigner,
     /// The timers.
@@ -147,7 +147,7 @@
             (None, _) => ResponseCode::Refused,
             (Some(ResponseCode::NoError), OpCode::Update) => self
                 .zones
-                .update(&message, &self.desk)
+                .update(&message, &self.driver)
                 .err()
                 .unwrap_or(ResponseCode::NoError),
             (Some(ResponseCode::NoError), _) => ResponseCode::NotImp,
@@ -227,14 +227,14 @@
         let Ok(mut stream) = Stream::new(socket) else {
             return;
         };
-        while let Some(Ok(Some(message))) = self.wheel.limit(IDLE, read(&mut stream)).await {
+        while let Some(Ok(Some(message))) = self.wheel.timeout(IDLE, read(&mut stream)).await {
             seat.busy();
             let Some(answer) = self.answer(&message) else {
                 return;
             };
             let framed = [&(answer.len() as u16).to_be_bytes()[..], &answer].concat();
             if !matches!(
-                self.wheel.limit(IDLE, stream.send(&framed)).await,
+                self.wheel.timeout(IDLE, stream.send(&framed)).await,
                 Some(Ok(()))
             ) {
                 return;
--- a/src/net/mqtt/brokers.rs
+++ b/src/net/mqtt/brokers.rs
@@ -2,7 +2,7 @@
 
 use super::packets::{encode, property, read, user};
 use crate::delivery::endpoint::Endpoint;
-use crate::delivery::{Envelope, Report};
+use crate::delivery::{AttemptReport, Envelope};
 use crate::net::calls::{Dialect, Read};
 use crate::net::stream::Stream;
 use crate::{Nanos, Outcome};
@@ -119,7 +119,11 @@
         encode(&Packet::Publish(publish))
     }
 
-    async fn answer(&self, stream: &mut Stream, known: &mut Option<Report>) -> io::Result<Read> {
+    async fn answer(
+        &self,
+        stream: &mut Stream,
+        known: &mut Option<AttemptReport>,
+    ) -> io::Result<Read> {
         match read(stream).await? {
             Some(Packet::Puback(ack)) if ack.pid.value() == PID => {
                 *known = Some(report(&ack).into());
--- a/src/net/mqtt/ingress.rs
+++ b/src/net/mqtt/ingress.rs
@@ -6,8 +6,8 @@
 use crate::admission_control::accept_queue::Comes;
 use crate::admission_control::connection_slots::Why;
 use crate::config::platform_settings::{Deployment, Tenants};
-use crate::delivery::message::{self, DeliveryContext, Reply};
-use crate::delivery::{is_word, span, Envelope, Local, MAX_BODY};
+use crate::delivery::message::{self, ClientReply, DeliveryContext};
+use crate::delivery::{duration, is_valid_identifier, Envelope, LocalBoxFuture, MAX_BODY_BYTES};
 use crate::net::connection_listener::{Seat, Serve, WITHOUT_TENANT};
 use crate::net::stream::{Stream, Writer};
 use crate::NO_TENANT;
@@ -39,7 +39,7 @@
 
 /// The port for MQTT clients.
 pub struct Port {
-    house: Rc<DeliveryContext>,
+    context: Rc<DeliveryContext>,
     sessions: Rc<Sessions>,
     classes: Vec<String>,
     tenants: Tenants,
@@ -51,7 +51,7 @@
 impl Port {
     /// A port that has not begun to listen.
     pub fn new(
-        house: Rc<DeliveryContext>,
+        context: Rc<DeliveryContext>,
         sessions: Rc<Sessions>,
         deployment: &Deployment,
         front: u8,
@@ -59,7 +59,7 @@
     ) -> Rc<Self> {
         let (classes, tenants) = (deployment.classes.clone(), deployment.tenants.clone());
         Rc::new(Port {
-            house,
+            context,
             sessions,
             classes,
             tenants,
@@ -85,7 +85,7 @@
             let next = read(stream);
             let read = match silence.is_zero() {
                 true => next.await,
-                false => match self.house.wheel.limit(silence, next).await {
+                false => match self.context.wheel.timeout(silence, next).await {
                     Some(read) => read,
                     None => return Err(DisconnectReasonCode::KeepAliveTimeout),
                 },
@@ -161,8 +161,8 @@
                     session.counts(WITHOUT_TENANT);
                 }
                 self.executor
-                    .spawn(message::serve(
-                        self.house.clone(),
+                    .spawn(message::receive(
+                        self.context.clone(),
                         session.client(),
                         envelope,
                         left,
@@ -199,22 +199,23 @@
         ))?;
         let missing = |what| (PubackReasonCode::ImplementationSpecificError, what);
         let properties = &publish.properties;
-        let value = |name| property(&properties.user_properties, name).filter(|v| is_word(v));
+        let value =
+            |name| property(&properties.user_properties, name).filter(|v| is_valid_identifier(v));
         let id = value("id").ok_or(missing("user property id is missing"))?;
         let key = value("key").map(str::to_string);
         let tenant = self.tenant(&properties.user_properties);
         let tenant = tenant.ok_or(missing("user property org is no tenant's name"))?;
-        if publish.payload.len() > MAX_BODY {
+        if publish.payload.len() > MAX_BODY_BYTES {
             return Err((PubackReasonCode::QuotaExceeded, "payload over 64 KiB"));
         }
-        let policy = self.house.terms.current();
+        let policy = self.context.policies.current();
         let wanted = properties
             .message_expiry_interval
             .map(|s| Duration::from_secs(u64::from(s)));
         let left = wanted.unwrap_or(
             policy
                 .class(class as u16)
-                .map_or(Duration::ZERO, |c| span(c.deadline)),
+                .map_or(Duration::ZERO, |c| duration(c.deadline)),
         );
         let reply_to = properties.response_topic.as_ref().map(|topic| ReplyTo {
             topic: topic.to_string(),
@@ -225,7 +226,7 @@
             .unwrap_or_default();
         let (id, body, class) = (id.to_string(), publish.payload.to_vec(), class as u16);
         let envelope = Envelope {
-            front: self.front,
+            frontend: self.front,
             id,
             key,
             class,
@@ -235,7 +236,7 @@
             tenant,
             ..Envelope::default()
         };
-        if message::keyless(policy.class(class), &envelope) {
+        if message::lacks_required_key(policy.class(class), &envelope) {
             return Err(missing("user property key is missing"));
         }
         Ok((envelope, left))
@@ -257,9 +258,9 @@
     /// Whether a client names itself as one that is known.
     fn knows(&self, connect: &Connect) -> bool {
         let user = connect.username.as_ref().map(|u| u.to_string());
-        let policy = self.house.terms.current();
+        let policy = self.context.policies.current();
         policy
-            .known_names
+            .known_client_names
             .iter()
             .any(|k| *k == *connect.client_id || user.as_ref() == Some(k))
     }
@@ -313,8 +314,8 @@
         let Ok(mut stream) = Stream::new(socket) else {
             return;
         };
-        let wheel = &self.house.wheel;
-        let greeted = wheel.limit(GREETING, read(&mut stream)).await;
+        let wheel = &self.context.wheel;
+        let greeted = wheel.timeout(GREETING, read(&mut stream)).await;
         let writer = stream.writer(wheel.clone(), STUCK);
         let connect = match greeted {
             Some(Ok(Some(Packet::Connect(connect))))
@@ -327,7 +328,7 @@
             }
             other => {
                 turn_away(&writer, other).await;
-                wheel.limit(GREETING, stream.part()).await;
+                wheel.timeout(GREETING, stream.part()).await;
                 return;
             }
         };
@@ -356,7 +357,7 @@
                 .send(&Packet::Disconnect(Disconnect::new(code)))
                 .await;
             drop(open);
-            wheel.limit(GREETING, stream.part()).await;
+            wheel.timeout(GREETING, stream.part()).await;
         }
     }
 }
@@ -415,13 +416,13 @@
     }
 }
 
-impl Reply for Answer {
-    fn taken_on<'a>(self: Box<Self>) -> Local<'a, io::Result<()>> {
+impl ClientReply for Answer {
+    fn accepted<'a>(self: Box<Self>) -> LocalBoxFuture<'a, io::Result<()>> {
         self.session.useful();
         async move { self.give(PubackReasonCode::Success, None, None).await }.boxed_local()
     }
 
-    fn rejected<'a>(self: Box<Self>, wait: Duration) -> Local<'a, ()> {
+    fn rejected<'a>(self: Box<Self>, wait: Duration) -> LocalBoxFuture<'a, ()> {
         async move {
             drop(
                 self.give(PubackReasonCode::QuotaExceeded, None, Some(wait))
@@ -431,7 +432,7 @@
         .boxed_local()
     }
 
-    fn failed<'a>(self: Box<Self>) -> Local<'a, ()> {
+    fn failed<'a>(self: Box<Self>) -> LocalBoxFuture<'a, ()> {
         async move {
             drop(
                 self.give(PubackReasonCode::UnspecifiedError, None, None)
--- a/src/net/mqtt/sessions.rs
+++ b/src/net/mqtt/sessions.rs
@@ -6,7 +6,7 @@
 use super::packets::{encode, user};
 use crate::delivery::client_quota::Client;
 use crate::delivery::timer_wheel::TimerWheel;
-use crate::delivery::{Envelope, Frontend, Local, Verdict};
+use crate::delivery::{Envelope, Frontend, LocalBoxFuture, Verdict};
 use crate::net::connection_listener::Seat;
 use crate::net::stream::Writer;
 use async_channel::{Receiver, Sender};
@@ -410,7 +410,7 @@
 }
 
 impl Frontend for Sessions {
-    fn owes(&self, envelope: &Envelope) -> Option<Box<dyn Any>> {
+    fn pending_answer_guard(&self, envelope: &Envelope) -> Option<Box<dyn Any>> {
         let topic = postcard::from_bytes::<ReplyTo>(&envelope.reply_to)
             .ok()?
             .topic;
@@ -431,7 +431,11 @@
         Some(Box::new(due))
     }
 
-    fn tell<'a>(&'a self, envelope: &'a Envelope, verdict: Verdict) -> Local<'a, ()> {
+    fn send_final_answer<'a>(
+        &'a self,
+        envelope: &'a Envelope,
+        verdict: Verdict,
+    ) -> LocalBoxFuture<'a, ()> {
         async move {
             // Without a Response Topic nobody wants to know.
             let Ok(to) = postcard::from_bytes::<ReplyTo>(&envelope.reply_to) else {
@@ -442,7 +446,7 @@
             };
             if self
                 .wheel
-                .limit(self.keep_answers, self.deliver(&to, &publish))
+                .timeout(self.keep_answers, self.deliver(&to, &publish))
                 .await
                 .is_none()
             {
@@ -464,7 +468,9 @@
 fn final_answer(id: &str, to: &ReplyTo, verdict: Verdict) -> Result<Publish, mqtt_proto::Error> {
     let (status, again) = match verdict {
         Verdict::Delivered => ("delivered", 0),
-        Verdict::Deferred { again_ms } => ("deferred", again_ms),
+        Verdict::Deferred {
+            retry_after_ms: again_ms,
+        } => ("deferred", again_ms),
         Verdict::Undeliverable => ("undeliverable", 0),
     };
     let mut told = vec![user("id", id), user("status", status)];
--- a/src/net/platform/http.rs
+++ b/src/net/platform/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as far as the platform speaks it: heads by httparse, bodies by length, by chunks or to
 //! the end.
 
-use crate::delivery::MAX_BODY;
+use crate::delivery::MAX_BODY_BYTES;
 use crate::net::stream::Stream;
 use std::io;
 
@@ -183,7 +183,7 @@
         return Err(length.map_or(Bad::NoLength, |_| Bad::TwoLengths));
     }
     let length = length.unwrap_or(0);
-    if length > MAX_BODY {
+    if length > MAX_BODY_BYTES {
         return Err(Bad::BodyTooLong);
     }
     let old = head.version == Some(0);
--- a/src/net/platform/ingress.rs
+++ b/src/net/platform/ingress.rs
@@ -4,9 +4,9 @@
 use crate::admission_control::accept_queue::Comes;
 use crate::admission_control::connection_slots::Why;
 use crate::config::platform_settings::{Deployment, Tenants, UnknownTenant};
-use crate::delivery::message::{self, DeliveryContext, Reply};
+use crate::delivery::message::{self, ClientReply, DeliveryContext};
 use crate::delivery::timer_wheel::TimerWheel;
-use crate::delivery::{is_word, Envelope, Local};
+use crate::delivery::{is_valid_identifier, Envelope, LocalBoxFuture};
 use crate::net::connection_listener::{Seat, Serve, WITHOUT_TENANT};
 use crate::net::stream::Stream;
 use crate::NO_TENANT;
@@ -80,7 +80,7 @@
 
 /// The port for clients.
 pub struct Ingress {
-    house: Rc<DeliveryContext>,
+    context: Rc<DeliveryContext>,
     classes: Vec<String>,
     tenants: Tenants,
     /// This front, as messages name it.
@@ -94,13 +94,13 @@
 impl Ingress {
     /// A port that has not begun to listen.
     pub fn new(
-        house: Rc<DeliveryContext>,
+        context: Rc<DeliveryContext>,
         deployment: &Deployment,
         front: u8,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         Rc::new(Ingress {
-            house,
+            context,
             classes: deployment.classes.clone(),
             tenants: deployment.tenants.clone(),
             front,
@@ -134,7 +134,7 @@
                     false
                 };
                 // Reading comes first: what has arrived is answered.
-                let waited = self.house.wheel.limit(IDLE, more.or(ending)).await;
+                let waited = self.context.wheel.timeout(IDLE, more.or(ending)).await;
                 if waited != Some(true) {
                     return Ok(None);
                 }
@@ -165,9 +165,9 @@
             seat.busy();
             Ok(Some((request, body)))
         };
-        self.house
+        self.context
             .wheel
-            .limit(SLOW_REQUEST, whole)
+            .timeout(SLOW_REQUEST, whole)
             .await
             .unwrap_or(Err(Refusal::Slow))
     }
@@ -208,19 +208,19 @@
         };
         let tenant = self.tenants.of(tenant)?;
         let id = header("x-txn")?
-            .filter(|id| is_word(id))
+            .filter(|id| is_valid_identifier(id))
             .ok_or(Refusal::Id)?;
         let left = header("x-remaining")?.and_then(remaining);
         let left = left.ok_or(Refusal::Remaining)?;
         let dest = header("x-addressing")?.and_then(destination);
         let dest = dest.ok_or(Refusal::Destination)?;
         let key = header("idempotency-key")?.map(str::to_string);
-        if key.as_ref().is_some_and(|k| !is_word(k)) {
+        if key.as_ref().is_some_and(|k| !is_valid_identifier(k)) {
             return Err(Refusal::Key);
         }
         let (id, class) = (id.to_string(), class as u16);
         let envelope = Envelope {
-            front: self.front,
+            frontend: self.front,
             id,
             key,
             class,
@@ -229,7 +229,7 @@
             tenant,
             ..Envelope::default()
         };
-        if message::keyless(self.house.terms.current().class(class), &envelope) {
+        if message::lacks_required_key(self.context.policies.current().class(class), &envelope) {
             return Err(Refusal::NoKey);
         }
         Ok(Some((envelope, left)))
@@ -286,7 +286,7 @@
                             .await;
                         stream.part().await;
                     };
-                    self.house.wheel.limit(PARTING, told).await;
+                    self.context.wheel.timeout(PARTING, told).await;
                     return;
                 }
             };
@@ -295,15 +295,15 @@
                 stream,
                 keep,
                 back: sender,
-                wheel: self.house.wheel.clone(),
+                wheel: self.context.wheel.clone(),
             };
             match message {
                 Some((envelope, left)) => {
                     if envelope.tenant == NO_TENANT {
                         seat.counts(WITHOUT_TENANT);
                     }
-                    let work = message::serve(
-                        self.house.clone(),
+                    let work = message::receive(
+                        self.context.clone(),
                         client.clone(),
                         envelope,
                         left,
@@ -364,7 +364,7 @@
         let head = head(status, headers, self.keep);
         let sent = self
             .wheel
-            .limit(STUCK, self.stream.send(head.as_bytes()))
+            .timeout(STUCK, self.stream.send(head.as_bytes()))
             .await;
         sent.unwrap_or(Err(io::ErrorKind::TimedOut.into()))?;
         if self.keep {
@@ -374,16 +374,16 @@
     }
 }
 
-impl Reply for Answer {
-    fn taken_on<'a>(self: Box<Self>) -> Local<'a, io::Result<()>> {
+impl ClientReply for Answer {
+    fn accepted<'a>(self: Box<Self>) -> LocalBoxFuture<'a, io::Result<()>> {
         self.give(202, "").boxed_local()
     }
 
-    fn rejected<'a>(self: Box<Self>, wait: Duration) -> Local<'a, ()> {
+    fn rejected<'a>(self: Box<Self>, wait: Duration) -> LocalBoxFuture<'a, ()> {
         async move { drop(self.give(503, &retry_after(wait)).await) }.boxed_local()
     }
 
-    fn failed<'a>(self: Box<Self>) -> Local<'a, ()> {
+    fn failed<'a>(self: Box<Self>) -> LocalBoxFuture<'a, ()> {
         async move { drop(self.give(500, "").await) }.boxed_local()
     }
 }
--- a/src/net/platform/notices.rs
+++ b/src/net/platform/notices.rs
@@ -3,7 +3,7 @@
 use super::discovery::Discovery;
 use super::http;
 use crate::delivery::timer_wheel::TimerWheel;
-use crate::delivery::{Envelope, Frontend, Local, Verdict, MAX_BODY};
+use crate::delivery::{Envelope, Frontend, LocalBoxFuture, Verdict, MAX_BODY_BYTES};
 use crate::net::stream::Stream;
 use async_channel::{Receiver, Sender};
 use futures_lite::FutureExt;
@@ -55,7 +55,7 @@
             batch.extend(std::iter::from_fn(|| self.queue.1.try_recv().ok()).take(MOST - 1));
             let body: String = batch.iter().map(|n| n.line.as_str()).collect();
             loop {
-                let posted = self.wheel.limit(ANSWER, self.post(&mut stream, &body));
+                let posted = self.wheel.timeout(ANSWER, self.post(&mut stream, &body));
                 match self.discovery.while_there(posted).await {
                     // Heard at the old address or not: told twice, a notice does no harm.
                     None => continue,
@@ -89,14 +89,18 @@
             format!("POST /v1/notices HTTP/1.1\r\nHost: {address}\r\nContent-Length: {length}\r\n\r\n{body}");
         stream.send(request.as_bytes()).await?;
         let answer = http::read_response(&mut stream).await?;
-        http::read_body(&mut stream, answer.body, MAX_BODY).await?;
+        http::read_body(&mut stream, answer.body, MAX_BODY_BYTES).await?;
         *kept = Some((address, stream)).filter(|_| answer.keep_alive);
         Ok(answer.status)
     }
 }
 
 impl Frontend for Notices {
-    fn tell<'a>(&'a self, envelope: &'a Envelope, verdict: Verdict) -> Local<'a, ()> {
+    fn send_final_answer<'a>(
+        &'a self,
+        envelope: &'a Envelope,
+        verdict: Verdict,
+    ) -> LocalBoxFuture<'a, ()> {
         let Some(line) = line(&envelope.id, verdict) else {
             return async {}.boxed_local();
         };
@@ -115,8 +119,10 @@
     let notice = match verdict {
         Verdict::Delivered => return None,
         Verdict::Undeliverable => json!({"id": id, "status": "undeliverable"}),
-        Verdict::Deferred { again_ms: 0 } => json!({"id": id, "status": "deferred"}),
-        Verdict::Deferred { again_ms } => {
+        Verdict::Deferred { retry_after_ms: 0 } => json!({"id": id, "status": "deferred"}),
+        Verdict::Deferred {
+            retry_after_ms: again_ms,
+        } => {
             json!({"id": id, "status": "deferred", "again_ms": again_ms})
         }
     };
--- a/src/net/platform/providers.rs
+++ b/src/net/platform/providers.rs
@@ -2,7 +2,7 @@
 
 use super::http::{self, Body, Response};
 use crate::delivery::endpoint::Endpoint;
-use crate::delivery::{Envelope, Report, MAX_BODY};
+use crate::delivery::{AttemptReport, Envelope, MAX_BODY_BYTES};
 use crate::net::calls::{Dialect, Read};
 use crate::net::stream::Stream;
 use crate::{Nanos, Outcome};
@@ -46,7 +46,11 @@
         Ok([head.as_bytes(), &envelope.body].concat())
     }
 
-    async fn answer(&self, stream: &mut Stream, known: &mut Option<Report>) -> io::Result<Read> {
+    async fn answer(
+        &self,
+        stream: &mut Stream,
+        known: &mut Option<AttemptReport>,
+    ) -> io::Result<Read> {
         let answer = loop {
             // A first line with 200 is true, whatever becomes of what follows it.
             if http::status(&stream.buf) == Some(200) {
@@ -70,11 +74,11 @@
             if !answer.keep_alive {
                 return Ok(Read::Last);
             }
-            http::read_body(stream, answer.body, MAX_BODY).await?;
+            http::read_body(stream, answer.body, MAX_BODY_BYTES).await?;
         } else {
             // Any other answer counts once it is whole: one that is cut short is spoilt, and its
             // message may have run.
-            http::read_body(stream, answer.body, MAX_BODY).await?;
+            http::read_body(stream, answer.body, MAX_BODY_BYTES).await?;
             *known = Some(meaning);
         }
         Ok(if answer.keep_alive {
@@ -86,7 +90,7 @@
 }
 
 /// What an answer means.
-fn report(answer: &Response, columns: &[String]) -> Report {
+fn report(answer: &Response, columns: &[String]) -> AttemptReport {
     let told = answer
         .headers
         .get("x-ratelimit-wait-ms")
@@ -102,10 +106,10 @@
         429 | 503 => (Outcome::Rejected { wait }, false),
         _ => (Outcome::Error, false),
     };
-    Report {
+    AttemptReport {
         outcome,
-        over,
-        load: load(answer.headers.get("x-pressure"), columns),
+        message_closed: over,
+        load_report: load(answer.headers.get("x-pressure"), columns),
     }
 }
 
@@ -135,7 +139,7 @@
 
     const MS: Nanos = 1_000_000;
 
-    fn read(status: u16, headers: &str) -> Report {
+    fn read(status: u16, headers: &str) -> AttemptReport {
         let text = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: 0\r\n\r\n");
         let (answer, _) = http::response(text.as_bytes())
             .expect("valid")
@@ -163,14 +167,23 @@
             (410, "", (Outcome::NotSent, true)),
         ] {
             let report = read(status, headers);
-            assert_eq!((report.outcome, report.over), outcome, "{status} {headers}");
+            assert_eq!(
+                (report.outcome, report.message_closed),
+                outcome,
+                "{status} {headers}"
+            );
         }
     }
 
     #[test]
     fn a_load_report_counts_only_when_whole() {
-        assert_eq!(read(200, "X-Pressure: x1=25, x0=0.4\r\n").load, [0.4, 25.0]);
-        assert!(read(200, "X-Pressure: x0=0.4\r\n").load.is_empty());
-        assert!(read(200, "X-Pressure: x0=a,x1=b\r\n").load.is_empty());
+        assert_eq!(
+            read(200, "X-Pressure: x1=25, x0=0.4\r\n").load_report,
+            [0.4, 25.0]
+        );
+        assert!(read(200, "X-Pressure: x0=0.4\r\n").load_report.is_empty());
+        assert!(read(200, "X-Pressure: x0=a,x1=b\r\n")
+            .load_report
+            .is_empty());
     }
 }
--- a/src/net/platform/watch.rs
+++ b/src/net/platform/watch.rs
@@ -29,7 +29,7 @@
     /// Where the directory is.
     pub discovery: Rc<Discovery>,
     /// Told of changes.
-    pub desk: Rc<DispatcherDriver>,
+    pub driver: Rc<DispatcherDriver>,
     /// Holds the version to go on from.
     pub directory: Rc<EndpointDirectory>,
     /// The timers.
@@ -58,7 +58,7 @@
             match self.discovery.while_there(self.follow()).await {
                 Some(ended) => {
                     faults.tell(ended);
-                    self.desk.list_failed();
+                    self.driver.report_list_failure();
                     self.note_trust();
                 }
                 None => self.move_on(),
@@ -69,12 +69,12 @@
     /// The directory has moved: the module says when it is asked there.
     fn move_on(&self) {
         self.directory.expect_new_source();
-        self.desk.list_moved();
+        self.driver.report_list_source_change();
     }
 
     async fn follow(&self) -> io::Result<()> {
         let began = Instant::now();
-        let opened = self.wheel.limit(self.patience, self.open()).await;
+        let opened = self.wheel.timeout(self.patience, self.open()).await;
         let (mut stream, body) = opened.ok_or(io::ErrorKind::TimedOut)??;
         let (mut text, mut chunks, mut objects) =
             (Vec::new(), Chunks::default(), Objects::default());
@@ -102,7 +102,7 @@
                 return Ok(());
             }
             let left = due.saturating_duration_since(Instant::now());
-            let more = self.wheel.limit(left, stream.fill()).await;
+            let more = self.wheel.timeout(left, stream.fill()).await;
             if !more.ok_or_else(|| io::Error::new(io::ErrorKind::TimedOut, "silent"))?? {
                 return Ok(());
             }
@@ -119,7 +119,8 @@
             match said {
                 Said::NoChange => no_change = true,
                 Said::Object(object) => {
-                    self.desk.list(&list::read(&object).map_err(spoilt)?);
+                    self.driver
+                        .apply_list_update(&list::read(&object).map_err(spoilt)?);
                     // It may be no newer than what is held, which is an answer too.
                     no_change |= !answered && !any;
                 }
@@ -127,14 +128,14 @@
             any = true;
         }
         if no_change {
-            self.desk.list_heard();
+            self.driver.confirm_list_unchanged();
         }
         Ok(any)
     }
 
     /// Notes for the next process how long the list that it begins with may be trusted.
     fn note_trust(&self) {
-        let Some(trusted_for) = self.desk.list_trusted_for() else {
+        let Some(trusted_for) = self.driver.remaining_list_freshness() else {
             return;
         };
         let noted = restart_state::note_list_freshness(&self.state, unix_ms(), trusted_for);
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -102,7 +102,7 @@
         let _turn = self.turn.lock().await;
         let sent = self
             .wheel
-            .limit(self.patience, (&*self.socket).write_all(bytes))
+            .timeout(self.patience, (&*self.socket).write_all(bytes))
             .await;
         sent.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
             .inspect_err(|_| {
--- a/tests/invocation.rs
+++ b/tests/invocation.rs
@@ -5,17 +5,17 @@
 use futures_lite::future;
 use raildeal::admission_control::message_limits::Limits;
 use raildeal::config::Door;
-use raildeal::delivery::admission::Door as Gate;
+use raildeal::delivery::admission::AdmissionState as Gate;
 use raildeal::delivery::client_quota::{Client, ClientQuotas};
 use raildeal::delivery::driver::{DispatcherDriver, DriverEffects};
 use raildeal::delivery::endpoint::{Endpoint, EndpointEntry, EndpointListUpdate};
 use raildeal::delivery::endpoint_directory::EndpointDirectory;
 use raildeal::delivery::journal::{Durability, Journal, JournalOptions, MessageRecord, OpenRecord};
-use raildeal::delivery::message::{resume, serve, DeliveryContext, Reply};
-use raildeal::delivery::policies::Terms;
+use raildeal::delivery::message::{receive, resume, ClientReply, DeliveryContext};
+use raildeal::delivery::policies::PolicySet;
 use raildeal::delivery::timer_wheel::TimerWheel;
 use raildeal::delivery::{
-    AttemptRequest, EndpointClient, Envelope, Frontend, Local, Report, Verdict,
+    AttemptReport, AttemptRequest, EndpointClient, Envelope, Frontend, LocalBoxFuture, Verdict,
 };
 use raildeal::dispatch::routing::{RouteSpec, Routes, WeightedZones};
 use raildeal::store::faulty::FaultyDisk;
@@ -44,20 +44,20 @@
     /// Zone of each call, and whether it was let go.
     went: RefCell<Vec<(String, bool)>>,
     meanwhile: RefCell<Option<Happens>>,
-    desk: Rc<DispatcherDriver>,
+    driver: Rc<DispatcherDriver>,
     directory: Rc<EndpointDirectory>,
 }
 
 impl EndpointClient for Answers {
-    fn call<'a>(&'a self, call: AttemptRequest<'a>) -> Local<'a, Report> {
+    fn execute<'a>(&'a self, call: AttemptRequest<'a>) -> LocalBoxFuture<'a, AttemptReport> {
         Box::pin(async move {
             if let Some(meanwhile) = self.meanwhile.borrow_mut().take() {
-                meanwhile(&self.desk, &self.directory, &call.provider);
+                meanwhile(&self.driver, &self.directory, &call.endpoint);
             }
-            let went = (call.go)();
+            let went = (call.authorize_send)();
             self.went
                 .borrow_mut()
-                .push((call.provider.entry.zone.clone(), went));
+                .push((call.endpoint.entry.zone.clone(), went));
             let outcome = if went {
                 self.left.borrow_mut().pop_front()
             } else {
@@ -83,12 +83,16 @@
 struct Told(RefCell<Vec<Verdict>>, RefCell<Option<Box<dyn Fn()>>>);
 
 impl Frontend for Told {
-    fn tell<'a>(&'a self, _: &'a Envelope, verdict: Verdict) -> Local<'a, ()> {
+    fn send_final_answer<'a>(
+        &'a self,
+        _: &'a Envelope,
+        verdict: Verdict,
+    ) -> LocalBoxFuture<'a, ()> {
         self.0.borrow_mut().push(verdict);
         Box::pin(async {})
     }
 
-    fn owes(&self, _: &Envelope) -> Option<Box<dyn Any>> {
+    fn pending_answer_guard(&self, _: &Envelope) -> Option<Box<dyn Any>> {
         self.1.borrow().iter().for_each(|happens| happens());
         None
     }
@@ -97,16 +101,16 @@
 /// Notes what a client hears.
 struct Says(Rc<RefCell<Vec<&'static str>>>);
 
-impl Reply for Says {
-    fn taken_on<'a>(self: Box<Self>) -> Local<'a, io::Result<()>> {
+impl ClientReply for Says {
+    fn accepted<'a>(self: Box<Self>) -> LocalBoxFuture<'a, io::Result<()>> {
         self.0.borrow_mut().push("taken on");
         Box::pin(async { Ok(()) })
     }
-    fn rejected<'a>(self: Box<Self>, _: Duration) -> Local<'a, ()> {
+    fn rejected<'a>(self: Box<Self>, _: Duration) -> LocalBoxFuture<'a, ()> {
         self.0.borrow_mut().push("rejected");
         Box::pin(async {})
     }
-    fn failed<'a>(self: Box<Self>) -> Local<'a, ()> {
+    fn failed<'a>(self: Box<Self>) -> LocalBoxFuture<'a, ()> {
         self.0.borrow_mut().push("failed");
         Box::pin(async {})
     }
@@ -114,14 +118,14 @@
 
 struct Yes;
 
-impl Reply for Yes {
-    fn taken_on<'a>(self: Box<Self>) -> Local<'a, io::Result<()>> {
+impl ClientReply for Yes {
+    fn accepted<'a>(self: Box<Self>) -> LocalBoxFuture<'a, io::Result<()>> {
         Box::pin(async { Ok(()) })
     }
-    fn rejected<'a>(self: Box<Self>, _: Duration) -> Local<'a, ()> {
+    fn rejected<'a>(self: Box<Self>, _: Duration) -> LocalBoxFuture<'a, ()> {
         panic!("rejected")
     }
-    fn failed<'a>(self: Box<Self>) -> Local<'a, ()> {
+    fn failed<'a>(self: Box<Self>) -> LocalBoxFuture<'a, ()> {
         panic!("failed")
     }
 }
@@ -153,15 +157,15 @@
 }
 
 /// A house on a folder, whose providers give these answers, and what it is made of.
-fn house(
+fn context(
     folder: &TempDir,
     setup: JournalOptions,
     answers: &[Outcome],
     meanwhile: Option<Meanwhile>,
     executor: &LocalExecutor<'static>,
 ) -> (Rc<DeliveryContext>, Rc<Answers>, Rc<Told>) {
-    let (house, invoker, front, _) = house_again(folder, setup, answers, meanwhile, executor);
-    (house, invoker, front)
+    let (context, invoker, front, _) = house_again(folder, setup, answers, meanwhile, executor);
+    (context, invoker, front)
 }
 
 /// The same, with what an earlier one held.
@@ -178,7 +182,7 @@
         &["k".into()],
         &settings().kinds,
     ));
-    let desk = DispatcherDriver::new(
+    let driver = DispatcherDriver::new(
         Dispatcher::new(settings(), 3).expect("usable"),
         directory.clone(),
         Rc::new(Idle),
@@ -192,7 +196,7 @@
         condition: Condition::Ready,
         rate: 9.0,
     });
-    desk.list(&EndpointListUpdate {
+    driver.apply_list_update(&EndpointListUpdate {
         revision: 1,
         complete: true,
         entries: entries.into(),
@@ -204,47 +208,53 @@
         left,
         went,
         meanwhile,
-        desk: desk.clone(),
+        driver: driver.clone(),
         directory: directory.clone(),
     });
     let front = Rc::new(Told::default());
     let wheel = TimerWheel::new();
-    let house = Rc::new(DeliveryContext {
-        terms: Terms::new(Door::default().policy(0, &settings(), &["event".into()], 9, None)),
-        tables: Default::default(),
+    let context = Rc::new(DeliveryContext {
+        policies: PolicySet::new(Door::default().policy(
+            0,
+            &settings(),
+            &["event".into()],
+            9,
+            None,
+        )),
+        routing_tables: Default::default(),
         admission: Default::default(),
-        classes: vec!["event".into()],
-        desk: desk.clone(),
+        class_names: vec!["event".into()],
+        driver: driver.clone(),
         journal: journal.clone(),
-        guests: ClientQuotas::new(Limits {
+        client_quotas: ClientQuotas::new(Limits {
             room: 20,
             ..Limits::default()
         }),
         directory,
-        invoker: invoker.clone(),
-        fronts: [(0, front.clone() as Rc<dyn Frontend>)].into(),
+        endpoint_client: invoker.clone(),
+        frontends: [(0, front.clone() as Rc<dyn Frontend>)].into(),
         wheel: wheel.clone(),
-        names: RefCell::default(),
+        held_messages: RefCell::default(),
     });
     let (turning, timing) = (wheel.clone(), wheel);
-    executor.spawn(async move { turning.turn().await }).detach();
+    executor.spawn(async move { turning.run().await }).detach();
     executor
-        .spawn(async move { desk.keep_time(&timing).await })
+        .spawn(async move { driver.run_timer(&timing).await })
         .detach();
     executor
         .spawn(async move { journal.run_sync().await })
         .detach();
-    (house, invoker, front, records)
+    (context, invoker, front, records)
 }
 
 /// Knows tables 1 and 2, which lead to one zone each.
-fn with_tables(house: &DeliveryContext) {
+fn with_tables(context: &DeliveryContext) {
     for (number, zone) in [(1, "a"), (2, "b")] {
         let tiers = vec![vec![WeightedZones {
             share: 1,
             zones: vec![zone.to_string()],
         }]];
-        assert!(house.tables.add(
+        assert!(context.routing_tables.add(
             number,
             Routes::new(
                 1,
@@ -282,7 +292,7 @@
     meanwhile: Option<Meanwhile>,
 ) -> (Vec<(String, bool)>, Vec<Verdict>, Vec<u8>) {
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
-    let (house, invoker, front) = house(
+    let (context, invoker, front) = context(
         &folder,
         JournalOptions::new(1_000_000),
         answers,
@@ -290,7 +300,7 @@
         &executor,
     );
     let (client, envelope, left) = message();
-    async_io::block_on(executor.run(serve(house, client, envelope, left, Box::new(Yes))));
+    async_io::block_on(executor.run(receive(context, client, envelope, left, Box::new(Yes))));
     let (went, told) = (invoker.went.borrow().clone(), front.0.borrow().clone());
     (
         went,
@@ -372,12 +382,12 @@
 fn a_wait_or_a_drain_told_meanwhile_stops_a_call_before_its_first_byte() {
     let wait: Meanwhile =
         |_, directory, p| directory.set_retry_after(p, Instant::now() + Duration::from_millis(300));
-    let drain: Meanwhile = |desk, _, p| {
+    let drain: Meanwhile = |driver, _, p| {
         let entry = EndpointEntry {
             condition: Condition::Draining,
             ..p.entry.clone()
         };
-        desk.list(&EndpointListUpdate {
+        driver.apply_list_update(&EndpointListUpdate {
             revision: 2,
             complete: false,
             entries: vec![entry],
@@ -396,22 +406,22 @@
     // By the first table it would wait for the first zone for most of its time.
     let full = Outcome::Rejected { wait: 12 * SEC };
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
-    let (house, invoker, front) = house(
+    let (context, invoker, front) = context(
         &folder,
         JournalOptions::new(1_000_000),
         &[full, Outcome::Delivered],
         None,
         &executor,
     );
-    with_tables(&house);
-    assert!(!house.route_by(3) && house.route_by(1));
+    with_tables(&context);
+    assert!(!context.activate_routing_table(3) && context.activate_routing_table(1));
     let (client, envelope, left) = message();
-    let served = serve(house.clone(), client, envelope, left, Box::new(Yes));
+    let served = receive(context.clone(), client, envelope, left, Box::new(Yes));
     let switch = async {
         while invoker.went.borrow().is_empty() {
-            house.wheel.sleep(Duration::from_millis(5)).await;
+            context.wheel.sleep(Duration::from_millis(5)).await;
         }
-        assert!(house.route_by(2) && house.tables.current() == 2);
+        assert!(context.activate_routing_table(2) && context.routing_tables.current_number() == 2);
     };
     async_io::block_on(executor.run(future::zip(served, switch)));
     assert_eq!(
@@ -434,19 +444,21 @@
 #[test]
 fn a_call_that_has_not_begun_when_the_table_changes_goes_by_the_new_one() {
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
-    let (house, invoker, front) = house(
+    let (context, invoker, front) = context(
         &folder,
         JournalOptions::new(1_000_000),
         &[Outcome::Delivered],
         None,
         &executor,
     );
-    with_tables(&house);
-    house.route_by(1);
-    let switches = house.clone();
-    *invoker.meanwhile.borrow_mut() = Some(Box::new(move |_, _, _| assert!(switches.route_by(2))));
+    with_tables(&context);
+    context.activate_routing_table(1);
+    let switches = context.clone();
+    *invoker.meanwhile.borrow_mut() = Some(Box::new(move |_, _, _| {
+        assert!(switches.activate_routing_table(2))
+    }));
     let (client, envelope, left) = message();
-    async_io::block_on(executor.run(serve(house, client, envelope, left, Box::new(Yes))));
+    async_io::block_on(executor.run(receive(context, client, envelope, left, Box::new(Yes))));
     assert_eq!(
         *invoker.went.borrow(),
         [("a".into(), false), ("b".into(), true)]
@@ -460,26 +472,26 @@
     let full = Outcome::Rejected { wait: 12 * SEC };
     {
         let executor = LocalExecutor::new();
-        let (house, invoker, _) = house(
+        let (context, invoker, _) = context(
             &folder,
             JournalOptions::new(1_000_000),
             &[full],
             None,
             &executor,
         );
-        with_tables(&house);
-        house.route_by(1);
+        with_tables(&context);
+        context.activate_routing_table(1);
         let (client, envelope, left) = message();
-        let served = serve(house.clone(), client, envelope, left, Box::new(Yes));
+        let served = receive(context.clone(), client, envelope, left, Box::new(Yes));
         let killed = async {
             while invoker.went.borrow().is_empty() {
-                house.wheel.sleep(Duration::from_millis(5)).await;
+                context.wheel.sleep(Duration::from_millis(5)).await;
             }
         };
         async_io::block_on(executor.run(future::or(served, killed)));
     }
     let executor = LocalExecutor::new();
-    let (house, invoker, front, records) = house_again(
+    let (context, invoker, front, records) = house_again(
         &folder,
         JournalOptions::new(1_000_000),
         &[Outcome::Delivered],
@@ -488,9 +500,9 @@
     );
     let [record] = records.try_into().unwrap_or_else(|_| panic!("one is held"));
     assert_eq!(record.snapshot().table, 1);
-    with_tables(&house);
-    house.route_by(2);
-    async_io::block_on(executor.run(resume(house, record)));
+    with_tables(&context);
+    context.activate_routing_table(2);
+    async_io::block_on(executor.run(resume(context, record)));
     assert_eq!(*invoker.went.borrow(), [("b".into(), true)]);
     assert_eq!(*front.0.borrow(), [Verdict::Delivered]);
 }
@@ -512,17 +524,17 @@
     {
         let executor = LocalExecutor::new();
         let full = Outcome::Rejected { wait: 12 * SEC };
-        let (house, invoker, _) = house(
+        let (context, invoker, _) = context(
             &folder,
             JournalOptions::new(1_000_000),
             &[full],
             None,
             &executor,
         );
-        assert!(house.tables.add(1, routes.clone()) && house.route_by(1));
+        assert!(context.routing_tables.add(1, routes.clone()) && context.activate_routing_table(1));
         let (client, envelope, left) = message();
-        let served = serve(
-            house.clone(),
+        let served = receive(
+            context.clone(),
             client,
             Envelope {
                 tenant: 1,
@@ -533,23 +545,23 @@
         );
         let killed = async {
             while invoker.went.borrow().is_empty() {
-                house.wheel.sleep(Duration::from_millis(5)).await;
+                context.wheel.sleep(Duration::from_millis(5)).await;
             }
         };
         async_io::block_on(executor.run(future::or(served, killed)));
         assert_eq!(*invoker.went.borrow(), [("b".into(), true)]);
     }
     let executor = LocalExecutor::new();
-    let (house, invoker, front, records) = house_again(
+    let (context, invoker, front, records) = house_again(
         &folder,
         JournalOptions::new(1_000_000),
         &[Outcome::Delivered],
         None,
         &executor,
     );
-    assert!(house.tables.add(1, routes) && house.route_by(1));
+    assert!(context.routing_tables.add(1, routes) && context.activate_routing_table(1));
     let [record] = records.try_into().unwrap_or_else(|_| panic!("one is held"));
-    async_io::block_on(executor.run(resume(house, record)));
+    async_io::block_on(executor.run(resume(context, record)));
     assert_eq!(*invoker.went.borrow(), [("b".into(), true)]);
     assert_eq!(*front.0.borrow(), [Verdict::Delivered]);
 }
@@ -563,25 +575,25 @@
     // Or the door stays as it is, and the table is another one.
     for door in [Some(Gate::Fenced), Some(Gate::Paused), Some(over), None] {
         let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
-        let (house, invoker, front) = house(
+        let (context, invoker, front) = context(
             &folder,
             JournalOptions::new(1_000_000),
             &[],
             None,
             &executor,
         );
-        house.admission.set(Gate::Open {
+        context.admission.set(Gate::Open {
             until: Some(Instant::now() + Duration::from_secs(60)),
         });
-        with_tables(&house);
-        let changed = house.clone();
+        with_tables(&context);
+        let changed = context.clone();
         *front.1.borrow_mut() = Some(Box::new(move || match door {
             Some(door) => changed.admission.set(door),
-            None => assert!(changed.route_by(1)),
+            None => assert!(changed.activate_routing_table(1)),
         }));
         let (heard, (client, envelope, left)) = (Rc::default(), message());
-        let served = serve(
-            house.clone(),
+        let served = receive(
+            context.clone(),
             client,
             envelope,
             left,
@@ -591,11 +603,11 @@
         assert_eq!(
             (
                 heard.borrow().as_slice(),
-                house.journal.statistics().requested_bytes
+                context.journal.statistics().requested_bytes
             ),
             (&["rejected"][..], 0)
         );
-        assert!(invoker.went.borrow().is_empty() && house.names.borrow().is_empty());
+        assert!(invoker.went.borrow().is_empty() && context.held_messages.borrow().is_empty());
     }
 }
 
@@ -611,13 +623,13 @@
             durability: Durability::Machine,
             ..JournalOptions::new(1_000_000)
         };
-        let (house, invoker, _) = house(&folder, setup, &[Outcome::Delivered], None, &executor);
-        house.admission.set(Gate::Open { until: None });
+        let (context, invoker, _) = context(&folder, setup, &[Outcome::Delivered], None, &executor);
+        context.admission.set(Gate::Open { until: None });
         let heard = Rc::<RefCell<Vec<&'static str>>>::default();
         let hand_in = || {
             let (client, envelope, left) = message();
-            serve(
-                house.clone(),
+            receive(
+                context.clone(),
                 client,
                 envelope,
                 left,
@@ -627,13 +639,13 @@
         // Its sync is on its way when the copy comes, and when the door is set.
         let both = future::zip(
             hand_in(),
-            future::zip(hand_in(), async { house.admission.set(door) }),
+            future::zip(hand_in(), async { context.admission.set(door) }),
         );
         async_io::block_on(executor.run(both));
         assert_eq!(heard.borrow().as_slice(), [told, told]);
-        assert!(house.journal.statistics().requested_bytes > 0);
+        assert!(context.journal.statistics().requested_bytes > 0);
         assert_eq!(invoker.went.borrow().len(), usize::from(told == "taken on"));
-        drop((house, executor));
+        drop((context, executor));
         let (_, left) = Journal::open(folder.path(), setup).expect("opened");
         assert!(left.is_empty(), "closed");
     }
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -68,8 +68,10 @@
     c.attempt_ended(true);
     c.attempt_started("y").expect("written");
     c.attempt_ended(true);
-    c.decided(Verdict::Deferred { again_ms: 500 })
-        .expect("written");
+    c.decided(Verdict::Deferred {
+        retry_after_ms: 500,
+    })
+    .expect("written");
     d.close().expect("written");
     drop((journal, a, b, c));
     // Open it twice: the second time from its own compaction.
@@ -91,7 +93,12 @@
         );
         assert_eq!(
             (c.attempts, c.verdict),
-            (2, Some(Verdict::Deferred { again_ms: 500 }))
+            (
+                2,
+                Some(Verdict::Deferred {
+                    retry_after_ms: 500
+                })
+            )
         );
         assert!(
             c.envelope.body.is_empty(),
@@ -141,7 +148,7 @@
         let (_journal, records) = opened();
         let policies: Vec<u64> = records.iter().map(|r| r.snapshot().policy).collect();
         assert_eq!(policies, (0..20).map(|n| n * 100).collect::<Vec<_>>());
-        assert!(records.iter().any(|r| r.envelope().away > 0));
+        assert!(records.iter().any(|r| r.envelope().stored_body_bytes > 0));
         let wholes = records
             .iter()
             .map(|r| async_io::block_on(r.load_envelope()).expect("read").tenant);
@@ -392,11 +399,14 @@
     }
     let check = |records: &[OpenRecord]| {
         for (i, record) in records.iter().enumerate() {
-            assert_eq!(record.envelope().size(), 10_000 + i);
+            assert_eq!(record.envelope().body_size(), 10_000 + i);
             let whole = async_io::block_on(record.load_envelope()).expect("read");
-            assert_eq!((whole.body.len(), whole.away), (10_000 + i, 0));
+            assert_eq!((whole.body.len(), whole.stored_body_bytes), (10_000 + i, 0));
         }
-        let kept = records.iter().filter(|r| r.envelope().away == 0).count();
+        let kept = records
+            .iter()
+            .filter(|r| r.envelope().stored_body_bytes == 0)
+            .count();
         assert_eq!(kept, 4, "of 50,000 bytes");
     };
     check(&records);
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -157,7 +157,7 @@
                 Some(_) if self.rng.bool() => Verdict::Delivered,
                 Some(_) => Verdict::Undeliverable,
                 None => Verdict::Deferred {
-                    again_ms: self.rng.u64(..5000),
+                    retry_after_ms: self.rng.u64(..5000),
                 },
             };
             let verdict = truth.deciding.unwrap_or(verdict);
