--- a/simulator/src/policy.rs
+++ b/simulator/src/policy.rs
@@ -5,7 +5,9 @@
 
 use crate::due::At;
 use raildeal::coordination::leader::{ConnectionId, Effect, LeaderDuties, LeaderRules};
-use raildeal::coordination::messages::{FromAgent, FromPerson, Health, Print, ToAgent, ToPerson};
+use raildeal::coordination::messages::{
+    AgentToReplica, Digest, MessageOutcomeCounts, OperatorRequest, OperatorResponse, ReplicaToAgent,
+};
 use raildeal::coordination::policy_rollout::register::{Change, Step};
 use raildeal::coordination::record::{Command, Record};
 use raildeal::Nanos;
@@ -79,7 +81,7 @@
     /// A sender's line is silent for so long, both ways.
     Silent(usize, Nanos),
     /// An operator says so.
-    Person(FromPerson),
+    Person(OperatorRequest),
 }
 
 /// When it happens.
@@ -168,7 +170,7 @@
     /// Senders that went by a policy that they had not checked.
     pub unchecked: u32,
     /// What operators were answered.
-    pub answers: Vec<ToPerson>,
+    pub answers: Vec<OperatorResponse>,
     /// The record as it is at the end.
     pub record: Record,
     /// Longest turn of the leader, of this machine's own time.
@@ -191,7 +193,7 @@
     paused: bool,
     paused_at: Nanos,
     since: Nanos,
-    stored: BTreeMap<u64, Print>,
+    stored: BTreeMap<u64, Digest>,
     report: u64,
     /// What ends at a later report: by report, policy and class, as late, refused and failed, and
     /// delivered.
@@ -202,8 +204,8 @@
 
 enum Event {
     Report(usize, u64),
-    ToLeader(ConnectionId, FromAgent),
-    ToAgent(ConnectionId, ToAgent),
+    ToLeader(ConnectionId, AgentToReplica),
+    ReplicaToAgent(ConnectionId, ReplicaToAgent),
     Apply(u64, Command),
     Leads(u64),
     Starts(usize),
@@ -305,7 +307,7 @@
             self.at(first, Event::Report(n, 1));
         }
         self.at(0, Event::Tick);
-        let propose = FromPerson::Propose {
+        let propose = OperatorRequest::ProposePolicy {
             text: "limits.max_attempts = 9".into(),
             plan: plan(&self.play),
         };
@@ -339,7 +341,7 @@
             Event::ToLeader(line, word) => self.duties(|duties, record, out| {
                 duties.on_agent_message(now, line, &word, record, out)
             }),
-            Event::ToAgent(line, word) => self.told(line, word),
+            Event::ReplicaToAgent(line, word) => self.told(line, word),
             Event::Apply(term, command) => {
                 // What a leader proposed that is gone is lost with its term.
                 if term == self.term && self.duties.is_some() {
@@ -390,7 +392,9 @@
                 Effect::Propose(command) => {
                     self.at(self.now + COMMIT, Event::Apply(self.term, command))
                 }
-                Effect::Send(line, word) => self.at(self.now + WAY, Event::ToAgent(line, word)),
+                Effect::Send(line, word) => {
+                    self.at(self.now + WAY, Event::ReplicaToAgent(line, word))
+                }
                 Effect::Reply(_, answer) => self.played.answers.push(answer),
                 // This site is in no federation.
                 Effect::ProposeToFederation(_) => {}
@@ -402,10 +406,10 @@
         self.index += 1;
         let (now, index) = (self.now, self.index);
         self.record.apply(index, command);
-        if let Command::Beat { .. } = command {
+        if let Command::AdvanceClock { .. } = command {
             self.led = now;
         }
-        if let Command::Policy { change, .. } = command {
+        if let Command::ChangePolicies { change, .. } = command {
             if self.record.policies.at == index {
                 self.changed(change);
             }
@@ -484,7 +488,7 @@
         self.next_line += 1;
     }
 
-    fn say(&mut self, n: usize, after: Nanos, word: FromAgent) {
+    fn say(&mut self, n: usize, after: Nanos, word: AgentToReplica) {
         if self.now >= self.senders[n].silent_until {
             let line = self.senders[n].line;
             self.at(self.now + after + WAY, Event::ToLeader(line, word));
@@ -501,7 +505,7 @@
         self.played.two += u32::from(numbers.len() > 1);
     }
 
-    fn told(&mut self, line: ConnectionId, word: ToAgent) {
+    fn told(&mut self, line: ConnectionId, word: ReplicaToAgent) {
         let now = self.now;
         let Some(n) = self.of_line.get(&line).copied() else {
             return;
@@ -510,29 +514,29 @@
             return;
         }
         match word {
-            ToAgent::Renewed { lease_ms, .. } => {
+            ReplicaToAgent::LeaseRenewed { lease_ms, .. } => {
                 self.senders[n].open = true;
                 self.senders[n].lease_until = now - 2 * WAY + Nanos::from(lease_ms) * MS / 100 * 98;
             }
             // These senders follow no tables.
-            ToAgent::Table(_) => {}
-            ToAgent::Unknown => {
+            ReplicaToAgent::RoutingTable(_) => {}
+            ReplicaToAgent::UnknownSession => {
                 // Its lease has lapsed: it takes nothing on before it has heard its register again.
                 (self.senders[n].open, self.senders[n].heard) = (false, false);
                 self.new_line(n);
             }
-            ToAgent::Offer { number, print, .. } => {
+            ReplicaToAgent::OfferPolicy { number, digest, .. } => {
                 let refused = self
                     .play
                     .refuses
                     .contains(&n)
                     .then(|| "too little memory".to_string());
                 if refused.is_none() {
-                    self.senders[n].stored.insert(number, print);
+                    self.senders[n].stored.insert(number, digest);
                 }
-                self.say(n, CHECK, FromAgent::Stored { number, refused });
+                self.say(n, CHECK, AgentToReplica::PolicyChecked { number, refused });
             }
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn,
                 number,
                 paused,
@@ -555,9 +559,11 @@
                 (s.heard, s.turn, s.number, s.paused) = (true, turn, number, paused);
                 let zone = s.zone;
                 self.one_policy(zone);
-                self.say(n, 0, FromAgent::Rules { turn });
+                self.say(n, 0, AgentToReplica::PolicyApplied { turn });
             }
-            ToAgent::Elsewhere(_) | ToAgent::View(_) | ToAgent::Grant(_) => {}
+            ReplicaToAgent::NotLeader(_)
+            | ReplicaToAgent::View(_)
+            | ReplicaToAgent::GrantAttempts(_) => {}
         }
     }
 
@@ -581,17 +587,17 @@
             let stored = Some(
                 s.stored
                     .iter()
-                    .map(|(number, print)| (*number, *print))
+                    .map(|(number, digest)| (*number, *digest))
                     .collect(),
             );
             return self.say(
                 n,
                 0,
-                FromAgent::Open {
+                AgentToReplica::OpenSession {
                     sender,
                     boot,
                     zone,
-                    has: 1,
+                    record_version: 1,
                     stored,
                 },
             );
@@ -602,40 +608,40 @@
         self.say(
             n,
             0,
-            FromAgent::Tell {
+            AgentToReplica::Report {
                 report,
-                has,
-                seen,
+                record_version: has,
+                call_counts: seen,
                 listed,
-                wants,
-                health,
+                lease_requests: wants,
+                outcomes: health,
             },
         );
     }
 
     /// What became of messages since the last report.
-    fn messages(&mut self, n: usize) -> Vec<Health> {
+    fn messages(&mut self, n: usize) -> Vec<MessageOutcomeCounts> {
         let now = self.now;
         let each = report(&self.play);
         let (bad, heap) = self.zones[self.senders[n].zone];
-        let mut told: BTreeMap<(u64, usize), Health> = BTreeMap::new();
-        let line = |told: &mut BTreeMap<(u64, usize), Health>,
+        let mut told: BTreeMap<(u64, usize), MessageOutcomeCounts> = BTreeMap::new();
+        let line = |told: &mut BTreeMap<(u64, usize), MessageOutcomeCounts>,
                     policy: u64,
                     class: usize,
                     add: [u32; 6]| {
             let name = CLASSES[class].0.to_string();
-            let new = Health {
+            let new = MessageOutcomeCounts {
                 policy,
                 class: name,
-                ..Health::default()
+                ..MessageOutcomeCounts::default()
             };
             let h = told.entry((policy, class)).or_insert(new);
-            h.taken += add[0];
-            h.late += add[1];
-            h.refused += add[2];
+            h.accepted += add[0];
+            h.delivered_late += add[1];
+            h.deferred += add[2];
             h.failed += add[3];
             h.delivered += add[4];
-            h.turned_away += add[5];
+            h.rejected += add[5];
         };
         let s = &mut self.senders[n];
         let policy = s.number;
--- a/simulator/src/tables.rs
+++ b/simulator/src/tables.rs
@@ -5,12 +5,14 @@
 //! one seed.
 
 use crate::due::At;
-use raildeal::coordination::messages::{FromSender, Print, Stance, ToSender};
+use raildeal::coordination::messages::{
+    AgentTableMessage, Digest, ReplicaTableMessage, SiteAdmission,
+};
 use raildeal::coordination::record::{Command, Record};
 use raildeal::coordination::routing_table::cutover::{Known, Out, Switch};
 use raildeal::coordination::routing_table::federation::{self, Federation};
 use raildeal::coordination::routing_table::tables::Change;
-use raildeal::coordination::sender_registry::OFFERS;
+use raildeal::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use raildeal::Nanos;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -104,9 +106,9 @@
     line: u64,
     open: bool,
     lease: Nanos,
-    heard: Option<(u64, Stance)>,
+    heard: Option<(u64, SiteAdmission)>,
     turn: u64,
-    stored: BTreeMap<u64, Print>,
+    stored: BTreeMap<u64, Digest>,
     paused: Option<Nanos>,
     /// The table that it takes messages on by.
     takes: Option<u64>,
@@ -132,9 +134,9 @@
 enum Event {
     Tick,
     Report(usize),
-    ToSite(usize, u64, FromSender),
-    ToSender(usize, u64, ToSender),
-    Stored(usize, u64, ToSender),
+    ToSite(usize, u64, AgentTableMessage),
+    ReplicaTableMessage(usize, u64, ReplicaTableMessage),
+    Stored(usize, u64, ReplicaTableMessage),
     Applies(usize, u64, Command),
     Agrees(federation::Command),
     Hears(usize, u64),
@@ -268,7 +270,7 @@
                 self.out(at, out);
                 self.say(at, &[n]);
             }
-            Event::ToSender(n, line, word) => self.hears(n, line, word),
+            Event::ReplicaTableMessage(n, line, word) => self.hears(n, line, word),
             Event::Stored(n, line, word) => self.stores(n, line, word),
             Event::Applies(at, term, command) => {
                 // What a leader proposed that is gone is lost with its term.
@@ -309,7 +311,7 @@
                     // The first beat of a term counts the time in which nobody led.
                     let ms = ((now - site.led) / MS) as u32;
                     site.beat = now;
-                    self.apply(at, &Command::Beat { term, beat: 0, ms });
+                    self.apply(at, &Command::AdvanceClock { term, beat: 0, ms });
                 }
             }
             Event::Happens(Trouble::Cut(at, lasts)) => self.sites[at].cut = now + lasts,
@@ -332,7 +334,7 @@
                     by: "s1".into(),
                     key,
                     text: format!("# {key}"),
-                    print: [key as u8; 32],
+                    digest: [key as u8; 32],
                     within_ms: 60_000,
                 };
                 self.brings(0, command);
@@ -431,7 +433,7 @@
                 site.beat = now;
                 self.apply(
                     at,
-                    &Command::Beat {
+                    &Command::AdvanceClock {
                         term,
                         beat: now,
                         ms,
@@ -480,19 +482,22 @@
                 s.line,
                 s.stored
                     .iter()
-                    .map(|(number, print)| (*number, *print))
+                    .map(|(number, digest)| (*number, *digest))
                     .collect(),
             );
             if !live {
                 let term = site.term;
-                let join = Command::Join {
+                let join = Command::AddSender {
                     sender: name(n),
                     boot: 1,
                     zone: "z".into(),
                 };
                 self.at(now + COMMIT, Event::Applies(at, term, join));
             }
-            self.at(now + NEAR, Event::ToSite(n, line, FromSender::Has(has)));
+            self.at(
+                now + NEAR,
+                Event::ToSite(n, line, AgentTableMessage::StoredTables(has)),
+            );
         }
     }
 
@@ -503,12 +508,13 @@
         let index = site.index;
         let stance = site.record.tables.register.stance;
         site.record.apply(index, command);
-        if let Command::Table { change, .. } = command {
+        if let Command::ChangeTables { change, .. } = command {
             if site.record.tables.at == index && matches!(**change, Change::TakeBack { .. }) {
                 self.played.taken_back += 1;
             }
             // Before it is counted in for the first time each site holds.
-            let held = site.record.tables.register.stance == Stance::Held && stance != Stance::Held;
+            let held = site.record.tables.register.stance == SiteAdmission::LeaseExpired
+                && stance != SiteAdmission::LeaseExpired;
             if held && now >= PROPOSED {
                 self.played.held += site.senders.len() as u64;
             }
@@ -548,7 +554,7 @@
     fn say(&mut self, at: usize, senders: &[usize]) {
         let now = self.now;
         let mut says = Vec::new();
-        let mut offers = OFFERS;
+        let mut offers = MAX_OFFERS_PER_ROUND;
         let site = &mut self.sites[at];
         if let Some(switch) = &mut site.switch {
             for n in senders.iter().copied() {
@@ -562,7 +568,7 @@
             }
         }
         for (n, line, word) in says {
-            self.at(now + NEAR, Event::ToSender(n, line, word));
+            self.at(now + NEAR, Event::ReplicaTableMessage(n, line, word));
         }
     }
 
@@ -572,7 +578,7 @@
                 Out::Site(change) => {
                     let site = &self.sites[at];
                     let (term, base) = (site.term, site.record.tables.turn);
-                    let command = Command::Table {
+                    let command = Command::ChangeTables {
                         base,
                         change: Box::new(change),
                     };
@@ -583,18 +589,20 @@
         }
     }
 
-    fn hears(&mut self, n: usize, line: u64, word: ToSender) {
+    fn hears(&mut self, n: usize, line: u64, word: ReplicaTableMessage) {
         let now = self.now;
         let s = &mut self.senders[n];
         if s.line != line {
             return;
         }
         match &word {
-            ToSender::Offer { .. } => self.at(now + CHECK, Event::Stored(n, line, word)),
-            ToSender::Rule {
+            ReplicaTableMessage::OfferTable { .. } => {
+                self.at(now + CHECK, Event::Stored(n, line, word))
+            }
+            ReplicaTableMessage::ApplyTable {
                 turn,
                 number,
-                stance,
+                admission: stance,
             } => {
                 if *turn < s.turn || now >= s.lease {
                     return;
@@ -602,17 +610,19 @@
                 let was = s.heard.map(|h| h.1);
                 (s.turn, s.heard) = (*turn, Some((*number, *stance)));
                 match stance {
-                    Stance::Paused if was == Some(Stance::Open) => s.paused = Some(now),
-                    Stance::Open => {
+                    SiteAdmission::Paused if was == Some(SiteAdmission::Open) => {
+                        s.paused = Some(now)
+                    }
+                    SiteAdmission::Open => {
                         let paused = s.paused.take();
                         self.played.pauses.extend(paused.map(|at| now - at));
                     }
-                    Stance::Held => s.paused = None,
-                    Stance::Paused => {}
+                    SiteAdmission::LeaseExpired => s.paused = None,
+                    SiteAdmission::Paused => {}
                 }
                 let s = &self.senders[n];
-                if *stance != Stance::Open || *number == 0 || s.stored.contains_key(number) {
-                    let rules = FromSender::Rules { turn: *turn };
+                if *stance != SiteAdmission::Open || *number == 0 || s.stored.contains_key(number) {
+                    let rules = AgentTableMessage::TableApplied { turn: *turn };
                     self.at(now + NEAR, Event::ToSite(n, line, rules));
                 }
                 self.look(n);
@@ -620,26 +630,26 @@
         }
     }
 
-    fn stores(&mut self, n: usize, line: u64, word: ToSender) {
+    fn stores(&mut self, n: usize, line: u64, word: ReplicaTableMessage) {
         let now = self.now;
-        let ToSender::Offer { number, print, .. } = word else {
+        let ReplicaTableMessage::OfferTable { number, digest, .. } = word else {
             return;
         };
         let refuses = self.play.refuses && n + 1 == self.senders.len();
         let s = &mut self.senders[n];
         if !refuses {
-            s.stored.insert(number, print);
+            s.stored.insert(number, digest);
         }
         let refused = refuses.then(|| "it leaves no route".to_string());
         let (heard, turn) = (s.heard, s.turn);
         self.at(
             now + NEAR,
-            Event::ToSite(n, line, FromSender::Stored { number, refused }),
+            Event::ToSite(n, line, AgentTableMessage::TableChecked { number, refused }),
         );
-        if heard == Some((number, Stance::Open)) && !refuses {
+        if heard == Some((number, SiteAdmission::Open)) && !refuses {
             self.at(
                 now + NEAR,
-                Event::ToSite(n, line, FromSender::Rules { turn }),
+                Event::ToSite(n, line, AgentTableMessage::TableApplied { turn }),
             );
         }
         self.look(n);
@@ -657,7 +667,7 @@
             }
         }
         let heard = s.heard.filter(|(number, stance)| {
-            *stance == Stance::Open && (*number == 0 || s.stored.contains_key(number))
+            *stance == SiteAdmission::Open && (*number == 0 || s.stored.contains_key(number))
         });
         let takes = heard.map(|h| h.0);
         let (was, at) = (std::mem::replace(&mut s.takes, takes), s.site);
--- a/simulator/src/zones.rs
+++ b/simulator/src/zones.rs
@@ -6,7 +6,9 @@
 use crate::due::At;
 use raildeal::coordination::leader::{ConnectionId, Effect, LeaderDuties, LeaderRules};
 use raildeal::coordination::messages::{
-    lot, Counts, FromAgent, FromPerson, Grant, Listed, Seen, ToAgent, ToPerson, View, Want,
+    sender_hash_fraction, AgentToReplica, AttemptLeaseGrant, AttemptLeaseRequest, CallCounts,
+    ListedZoneCapacity, OperatorRequest, OperatorResponse, ReplicaToAgent, SenderView,
+    ZoneCallCounts,
 };
 use raildeal::coordination::record::{Command, Phase, Record};
 use raildeal::Nanos;
@@ -107,7 +109,7 @@
     /// No list names this zone any more.
     Unlisted(usize),
     /// An operator says so.
-    Person(FromPerson),
+    Person(OperatorRequest),
 }
 
 /// When an order was in the record, of which zone, what, who is out, and why.
@@ -139,7 +141,7 @@
     /// Moments at which a destination had no route left.
     pub stranded: u32,
     /// Answers to operators.
-    pub answers: Vec<(Nanos, ToPerson)>,
+    pub answers: Vec<(Nanos, OperatorResponse)>,
     /// Commands in the record.
     pub commands: u64,
     /// Longest time that one look of the leader took, of the machine's own time.
@@ -249,8 +251,8 @@
     report: u64,
     sent: BTreeMap<u64, Nanos>,
     has: u64,
-    view: View,
-    counts: BTreeMap<(usize, u16), Counts>,
+    view: SenderView,
+    counts: BTreeMap<(usize, u16), CallCounts>,
     out: Vec<(Nanos, usize, u16)>,
     care: BTreeMap<(usize, u16), Care>,
     lent: Vec<Lent>,
@@ -271,8 +273,8 @@
         came: Came,
         tries: u32,
     },
-    ToLeader(ConnectionId, FromAgent),
-    ToAgent(ConnectionId, ToAgent),
+    ToLeader(ConnectionId, AgentToReplica),
+    ReplicaToAgent(ConnectionId, ReplicaToAgent),
     Apply(u64, Command),
     Tick,
 }
@@ -302,7 +304,7 @@
     term: u64,
     index: u64,
     names: Vec<String>,
-    list: Vec<Listed>,
+    list: Vec<ListedZoneCapacity>,
     played: Played,
 }
 
@@ -319,7 +321,7 @@
         report: 0,
         sent: BTreeMap::new(),
         has: 0,
-        view: View::default(),
+        view: SenderView::default(),
         counts: BTreeMap::new(),
         out: Vec::new(),
         care: BTreeMap::new(),
@@ -340,11 +342,11 @@
     let all = plan.zones * usize::from(plan.dests) * plan.endpoints as usize;
     let names: Vec<String> = (0..plan.zones).map(name).collect();
     let list = names.iter().flat_map(|zone| {
-        (0..plan.dests).map(|dest| Listed {
+        (0..plan.dests).map(|dest| ListedZoneCapacity {
             zone: zone.clone(),
             dest,
             endpoints: plan.endpoints,
-            rate: plan.rate as f32,
+            calls_per_second: plan.rate as f32,
         })
     });
     let list = list.collect();
@@ -435,7 +437,7 @@
                     .on_agent_message(self.now, line, &word, &self.record, &mut out);
                 self.carry(out);
             }
-            Event::ToAgent(line, word) => self.told(line, word),
+            Event::ReplicaToAgent(line, word) => self.told(line, word),
             Event::Apply(term, command) => {
                 // What a leader proposed that is gone is lost with its term.
                 if term == self.term {
@@ -459,7 +461,7 @@
         let before = self.record.epoch;
         self.record.apply(self.index, command);
         self.played.commands += 1;
-        if let Command::Order {
+        if let Command::SetZonePhase {
             zone,
             phase,
             out,
@@ -498,7 +500,9 @@
                 Effect::Propose(command) => {
                     self.at(self.now + COMMIT, Event::Apply(self.term, command))
                 }
-                Effect::Send(line, word) => self.at(self.now + WAY, Event::ToAgent(line, word)),
+                Effect::Send(line, word) => {
+                    self.at(self.now + WAY, Event::ReplicaToAgent(line, word))
+                }
                 Effect::Reply(_, answer) => self.played.answers.push((self.now, answer)),
                 // This site is in no federation.
                 Effect::ProposeToFederation(_) => {}
@@ -538,7 +542,7 @@
                     self.duties.on_disconnect(self.senders[n].line);
                     self.new_line(n);
                     let s = &mut self.senders[n];
-                    (s.boot, s.report, s.has, s.view) = (s.boot + 1, 0, 0, View::default());
+                    (s.boot, s.report, s.has, s.view) = (s.boot + 1, 0, 0, SenderView::default());
                     s.counts.clear();
                     s.out.clear();
                     s.care.clear();
@@ -589,7 +593,8 @@
         let s = &self.senders[n];
         let order = s.view.zones.iter().find(|o| o.zone == self.names[zone])?;
         let part = order.out.iter().find(|(d, _)| *d == dest)?.1;
-        (lot(&s.name, &self.names[zone], dest) < part).then_some((order.epoch, order.returning))
+        (sender_hash_fraction(&s.name, &self.names[zone], dest) < part)
+            .then_some((order.epoch, order.returning))
     }
 
     /// A message looks for a zone: one where calls are granted, else by lot among those that it may
@@ -628,7 +633,7 @@
 
     /// Calls that could go where only granted ones may: as many as usually come, less what is
     /// granted already.
-    fn wants(&mut self, n: usize) -> Vec<Want> {
+    fn wants(&mut self, n: usize) -> Vec<AttemptLeaseRequest> {
         let now = self.now;
         let usual = self.traffic / self.senders.len() as f64 / f64::from(self.plan.dests) * AHEAD;
         let usual = (usual + self.draw.unit()) as u32;
@@ -643,10 +648,10 @@
                     .filter(|l| (l.zone, l.dest) == (zone, dest));
                 let left: u32 = lent.filter(|l| now < l.until).map(|l| l.calls).sum();
                 if usual > left {
-                    wants.push(Want {
+                    wants.push(AttemptLeaseRequest {
                         zone: self.names[zone].clone(),
                         dest,
-                        calls: usual - left,
+                        attempts: usual - left,
                     });
                 }
             }
@@ -753,11 +758,11 @@
         }
         let counts = s.counts.entry((zone, dest)).or_default();
         match came {
-            Came::Taken => counts.ok += 1,
-            Came::Refused => counts.refused += 1,
+            Came::Taken => counts.delivered += 1,
+            Came::Refused => counts.rejected += 1,
             Came::Failed => counts.failed += 1,
-            Came::Late => counts.late += 1,
-            Came::Unconnected => counts.unconnected += 1,
+            Came::Late => counts.timed_out += 1,
+            Came::Unconnected => counts.connect_failed += 1,
         }
         let care = s.care.entry((zone, dest)).or_default();
         match came {
@@ -795,11 +800,11 @@
         let line = s.line;
         if !s.open {
             let (sender, boot, zone) = (s.name.clone(), s.boot, format!("own{}", s.own));
-            let open = FromAgent::Open {
+            let open = AgentToReplica::OpenSession {
                 sender,
                 boot,
                 zone,
-                has: s.has,
+                record_version: s.has,
                 stored: None,
             };
             self.at(now + WAY, Event::ToLeader(line, open));
@@ -814,9 +819,9 @@
                     .or_insert(now);
             }
         }
-        let mut seen: Vec<Seen> = std::mem::take(&mut s.counts)
+        let mut seen: Vec<ZoneCallCounts> = std::mem::take(&mut s.counts)
             .into_iter()
-            .map(|((zone, dest), counts)| Seen {
+            .map(|((zone, dest), counts)| ZoneCallCounts {
                 zone: self.names[zone].clone(),
                 dest,
                 counts,
@@ -824,12 +829,12 @@
             .collect();
         if let Some(zone) = self.liars.get(&n) {
             seen.clear();
-            let counts = Counts {
+            let counts = CallCounts {
                 failed: 1_000_000,
                 hanging: 1_000,
-                ..Counts::default()
+                ..CallCounts::default()
             };
-            let lies = (0..self.plan.dests).map(|dest| Seen {
+            let lies = (0..self.plan.dests).map(|dest| ZoneCallCounts {
                 zone: self.names[*zone].clone(),
                 dest,
                 counts,
@@ -848,19 +853,19 @@
             now + WAY,
             Event::ToLeader(
                 line,
-                FromAgent::Tell {
+                AgentToReplica::Report {
                     report,
-                    has,
-                    seen,
+                    record_version: has,
+                    call_counts: seen,
                     listed,
-                    wants,
-                    health: Vec::new(),
+                    lease_requests: wants,
+                    outcomes: Vec::new(),
                 },
             ),
         );
     }
 
-    fn told(&mut self, line: ConnectionId, word: ToAgent) {
+    fn told(&mut self, line: ConnectionId, word: ReplicaToAgent) {
         let now = self.now;
         let Some(n) = self.of_line.get(&line).copied() else {
             return;
@@ -869,14 +874,14 @@
             return;
         }
         match word {
-            ToAgent::Renewed { .. } => self.senders[n].open = true,
-            ToAgent::Unknown => self.senders[n].open = false,
+            ReplicaToAgent::LeaseRenewed { .. } => self.senders[n].open = true,
+            ReplicaToAgent::UnknownSession => self.senders[n].open = false,
             // These senders follow no policies and no tables.
-            ToAgent::Elsewhere(_)
-            | ToAgent::Offer { .. }
-            | ToAgent::Rule { .. }
-            | ToAgent::Table(_) => {}
-            ToAgent::View(view) => {
+            ReplicaToAgent::NotLeader(_)
+            | ReplicaToAgent::OfferPolicy { .. }
+            | ReplicaToAgent::ApplyPolicy { .. }
+            | ReplicaToAgent::RoutingTable(_) => {}
+            ReplicaToAgent::View(view) => {
                 let newest = view.zones.iter().map(|z| z.epoch).max().unwrap_or(0);
                 let s = &mut self.senders[n];
                 (s.has, s.view, s.heard_at) = (view.version, view, now);
@@ -887,8 +892,8 @@
                 let lent = lent.into_iter().filter(stands).collect();
                 self.senders[n].lent = lent;
             }
-            ToAgent::Grant(grant) => {
-                self.played.granted += u64::from(grant.calls);
+            ReplicaToAgent::GrantAttempts(grant) => {
+                self.played.granted += u64::from(grant.attempts);
                 let Some(zone) = self.names.iter().position(|z| *z == grant.zone) else {
                     return;
                 };
@@ -900,8 +905,11 @@
                 let stands = self.is_out(n, zone, grant.dest) == Some((grant.epoch, true));
                 let until = sent + Nanos::from(grant.within_ms) * MS;
                 if stands && now < until {
-                    let Grant {
-                        dest, epoch, calls, ..
+                    let AttemptLeaseGrant {
+                        dest,
+                        epoch,
+                        attempts: calls,
+                        ..
                     } = grant;
                     self.senders[n].lent.push(Lent {
                         zone,
--- a/simulator/tests/policy.rs
+++ b/simulator/tests/policy.rs
@@ -1,7 +1,7 @@
 //! Rollouts in virtual time: worse policies halt in their first stage, equal ones nowhere, and none
 //! is lost with its leaders.
 
-use raildeal::coordination::messages::{FromPerson, ToPerson};
+use raildeal::coordination::messages::{OperatorRequest, OperatorResponse};
 use raildeal::coordination::policy_rollout::register::{Change, Step};
 use raildeal_simulator::policy::{play, Does, Play, Played, Trouble, When, SECOND};
 
@@ -72,8 +72,14 @@
             When::Step(1, Step::Soaking, SECOND),
             Trouble::Leader(15 * SECOND),
         ),
-        (When::At(60 * SECOND), Trouble::Person(FromPerson::Resume)),
-        (When::At(61 * SECOND), Trouble::Person(FromPerson::Resume)),
+        (
+            When::At(60 * SECOND),
+            Trouble::Person(OperatorRequest::ResumeRollout),
+        ),
+        (
+            When::At(61 * SECOND),
+            Trouble::Person(OperatorRequest::ResumeRollout),
+        ),
     ];
     let played = play(&plan);
     sound(&played);
@@ -90,7 +96,7 @@
         played
             .answers
             .iter()
-            .filter(|a| matches!(a, ToPerson::Done(_)))
+            .filter(|a| matches!(a, OperatorResponse::Done(_)))
             .count(),
         3,
         "{:?}",
@@ -143,8 +149,14 @@
     let mut plan = short(Does::Nothing);
     plan.troubles = vec![
         (When::Step(0, Step::Soaking, SECOND), Trouble::Dies(0, None)),
-        (When::At(40 * SECOND), Trouble::Person(FromPerson::Back)),
-        (When::At(41 * SECOND), Trouble::Person(FromPerson::Back)),
+        (
+            When::At(40 * SECOND),
+            Trouble::Person(OperatorRequest::RollBack),
+        ),
+        (
+            When::At(41 * SECOND),
+            Trouble::Person(OperatorRequest::RollBack),
+        ),
     ];
     let played = play(&plan);
     sound(&played);
@@ -169,7 +181,7 @@
         played
             .answers
             .iter()
-            .filter(|a| matches!(a, ToPerson::Done(_)))
+            .filter(|a| matches!(a, OperatorResponse::Done(_)))
             .count(),
         3,
         "{:?}",
@@ -180,11 +192,11 @@
 #[test]
 fn a_second_rollout_gets_a_clear_no() {
     let mut plan = short(Does::Nothing);
-    let other = FromPerson::Propose {
+    let other = OperatorRequest::ProposePolicy {
         text: "limits.slots = 9".into(),
         plan: raildeal_simulator::policy::plan(&plan),
     };
-    let same = FromPerson::Propose {
+    let same = OperatorRequest::ProposePolicy {
         text: "limits = { max_attempts = 9 }".into(),
         plan: raildeal_simulator::policy::plan(&plan),
     };
@@ -194,12 +206,12 @@
     ];
     let played = play(&plan);
     assert!(
-        matches!(&played.answers[1], ToPerson::Refused(why) if why.contains("policy 1 is rolled out")),
+        matches!(&played.answers[1], OperatorResponse::Rejected(why) if why.contains("policy 1 is rolled out")),
         "{:?}",
         played.answers
     );
     assert!(
-        matches!(&played.answers[2], ToPerson::Done(_)),
+        matches!(&played.answers[2], OperatorResponse::Done(_)),
         "the same is done already: {:?}",
         played.answers
     );
--- a/src/agent/call_statistics.rs
+++ b/src/agent/call_statistics.rs
@@ -1,7 +1,7 @@
 //! What this sender's calls came to, by zone and destination, since it was last told. No I/O, no
 //! clock.
 
-use crate::coordination::messages::{Counts, Health, Seen};
+use crate::coordination::messages::{CallCounts, MessageOutcomeCounts, ZoneCallCounts};
 use crate::delivery::LifecycleEvent;
 use crate::dispatch::statistics::{secs, to_secs, Meter, MS};
 use crate::{Nanos, Outcome};
@@ -44,7 +44,7 @@
 
 #[derive(Debug)]
 struct Tally {
-    counts: Counts,
+    counts: CallCounts,
     usual: Usual,
     /// The last report told of calls that hang.
     hung: bool,
@@ -61,7 +61,7 @@
     usual: Usual,
     next: u64,
     /// What became of messages, by policy, class and tenant.
-    fates: BTreeMap<(u64, String, u16), Health>,
+    fates: BTreeMap<(u64, String, u16), MessageOutcomeCounts>,
 }
 
 impl Ledger {
@@ -71,26 +71,26 @@
         if class.len() > NAME || self.fates.len() >= FATES && !self.fates.contains_key(&group) {
             return;
         }
-        let fresh = || Health {
+        let fresh = || MessageOutcomeCounts {
             policy,
             class: class.into(),
             tenant,
-            ..Health::default()
+            ..MessageOutcomeCounts::default()
         };
         let health = self.fates.entry(group).or_insert_with(fresh);
         let count = match life {
-            LifecycleEvent::Rejected => &mut health.turned_away,
-            LifecycleEvent::Accepted => &mut health.taken,
+            LifecycleEvent::Rejected => &mut health.rejected,
+            LifecycleEvent::Accepted => &mut health.accepted,
             LifecycleEvent::Delivered => &mut health.delivered,
-            LifecycleEvent::DeliveredLate => &mut health.late,
-            LifecycleEvent::Deferred => &mut health.refused,
+            LifecycleEvent::DeliveredLate => &mut health.delivered_late,
+            LifecycleEvent::Deferred => &mut health.deferred,
             LifecycleEvent::Failed => &mut health.failed,
         };
         *count = count.saturating_add(1);
     }
 
     /// Takes what became of messages since it was last taken.
-    pub fn take_health(&mut self) -> Vec<Health> {
+    pub fn take_health(&mut self) -> Vec<MessageOutcomeCounts> {
         std::mem::take(&mut self.fates).into_values().collect()
     }
 
@@ -120,11 +120,11 @@
         };
         let counts = &mut tally.counts;
         let count = match outcome {
-            Outcome::Delivered => &mut counts.ok,
-            Outcome::Rejected { .. } => &mut counts.refused,
+            Outcome::Delivered => &mut counts.delivered,
+            Outcome::Rejected { .. } => &mut counts.rejected,
             Outcome::Error | Outcome::Reset => &mut counts.failed,
-            Outcome::Timeout => &mut counts.late,
-            Outcome::ConnectFailed => &mut counts.unconnected,
+            Outcome::Timeout => &mut counts.timed_out,
+            Outcome::ConnectFailed => &mut counts.connect_failed,
             Outcome::Cancelled | Outcome::NotSent => return,
         };
         *count = count.saturating_add(1);
@@ -135,7 +135,7 @@
     }
 
     /// Takes what was counted since it was last taken, and how many calls hang now.
-    pub fn take(&mut self, now: Nanos) -> Vec<Seen> {
+    pub fn take(&mut self, now: Nanos) -> Vec<ZoneCallCounts> {
         let mut hanging: BTreeMap<(String, u16), u32> = BTreeMap::new();
         for (group, since) in self.out.values() {
             let usual = self
@@ -156,10 +156,10 @@
             let mut counts = std::mem::take(&mut tally.counts);
             counts.hanging = hanging.get(group).copied().unwrap_or(0);
             // That none hangs any more is told once.
-            let told = counts != Counts::default() || tally.hung;
+            let told = counts != CallCounts::default() || tally.hung;
             tally.hung = counts.hanging > 0;
             if told {
-                seen.push(Seen {
+                seen.push(ZoneCallCounts {
                     zone: group.0.clone(),
                     dest: group.1,
                     counts,
@@ -184,12 +184,12 @@
             let idle = self
                 .groups
                 .iter()
-                .find(|(_, t)| t.counts == Counts::default() && !t.hung);
+                .find(|(_, t)| t.counts == CallCounts::default() && !t.hung);
             let idle = idle.map(|(group, _)| group.clone())?;
             self.groups.remove(&idle);
         }
         let fresh = || Tally {
-            counts: Counts::default(),
+            counts: CallCounts::default(),
             usual: Usual::default(),
             hung: false,
         };
--- a/src/agent/call_statistics/tests.rs
+++ b/src/agent/call_statistics/tests.rs
@@ -10,12 +10,12 @@
         [],
         "nothing tells yet how long calls take"
     );
-    let hangs = |n| Counts {
+    let hangs = |n| CallCounts {
         hanging: n,
-        ..Counts::default()
+        ..CallCounts::default()
     };
     let told = |counts| {
-        vec![Seen {
+        vec![ZoneCallCounts {
             zone: "a".into(),
             dest: 1,
             counts,
@@ -27,9 +27,9 @@
     ledger.back(call);
     assert_eq!(
         ledger.take(3 * SEC),
-        told(Counts {
-            late: 1,
-            ..Counts::default()
+        told(CallCounts {
+            timed_out: 1,
+            ..CallCounts::default()
         })
     );
     assert_eq!(ledger.take(3 * SEC), []);
@@ -72,7 +72,10 @@
     ledger.ended(&"z".repeat(NAME + 1), 1, Outcome::Delivered, SEC);
     let seen = ledger.take(0);
     assert_eq!(
-        (seen.len(), seen.iter().map(|s| s.counts.ok).sum::<u32>()),
+        (
+            seen.len(),
+            seen.iter().map(|s| s.counts.delivered).sum::<u32>()
+        ),
         (GROUPS, GROUPS as u32)
     );
     ledger.ended("b", 1, Outcome::Delivered, SEC);
--- a/src/agent/document_store.rs
+++ b/src/agent/document_store.rs
@@ -5,7 +5,7 @@
 //! sockets.
 
 use crate::config::Door;
-use crate::coordination::messages::Print;
+use crate::coordination::messages::Digest;
 use crate::coordination::policy_rollout::document as policy;
 use crate::coordination::routing_table::document as table;
 use crate::coordination::routing_table::federation::MOST_TEXT as MOST_TABLE;
@@ -57,7 +57,7 @@
     fn ready(
         ground: &Self::Ground,
         number: u64,
-        print: Print,
+        digest: Digest,
         text: &str,
     ) -> Result<Self::Ready, String>;
 
@@ -79,8 +79,8 @@
     type Ground = Ground;
     type Ready = Policy;
 
-    fn ready(ground: &Ground, number: u64, print: Print, text: &str) -> Result<Policy, String> {
-        ground.ready(number, print, text)
+    fn ready(ground: &Ground, number: u64, digest: Digest, text: &str) -> Result<Policy, String> {
+        ground.ready(number, digest, text)
     }
 
     fn add(&self, _: u64, policy: Policy) -> bool {
@@ -104,8 +104,8 @@
     type Ground = List;
     type Ready = Routes;
 
-    fn ready(list: &List, _: u64, print: Print, text: &str) -> Result<Routes, String> {
-        list.ready(print, text)
+    fn ready(list: &List, _: u64, digest: Digest, text: &str) -> Result<Routes, String> {
+        list.ready(digest, text)
     }
 
     fn add(&self, number: u64, routes: Routes) -> bool {
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     /// All for which this sender cannot go by it, a line each.
-    pub fn ready(&self, print: Print, text: &str) -> Result<Routes, String> {
+    pub fn ready(&self, digest: Digest, text: &str) -> Result<Routes, String> {
         let lines = |faults: Vec<_>| {
             faults
                 .iter()
@@ -146,7 +146,7 @@
                 .join("\n")
         };
         let document = table::Document::parse(text).map_err(lines)?;
-        if document.print() != print {
+        if document.digest() != digest {
             return Err("its text is not what its print says".into());
         }
         let (classes, tenants) = (&self.classes, self.tenants);
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     /// All for which this sender cannot go by it, a line each.
-    pub fn ready(&self, number: u64, print: Print, text: &str) -> Result<Policy, String> {
+    pub fn ready(&self, number: u64, digest: Digest, text: &str) -> Result<Policy, String> {
         let lines = |faults: Vec<_>| {
             faults
                 .iter()
@@ -191,7 +191,7 @@
                 .join("\n")
         };
         let document = policy::Document::parse(text).map_err(lines)?;
-        if document.print() != print {
+        if document.digest() != digest {
             return Err("its text is not what its print says".into());
         }
         let laid = document.lay_over(&self.settings, &self.classes, &self.door);
@@ -257,7 +257,7 @@
     /// What is checked against, as it stands when it is asked for.
     ground: Box<dyn Fn() -> Arc<K::Ground>>,
     owner: Rc<K>,
-    stored: RefCell<BTreeMap<u64, Print>>,
+    stored: RefCell<BTreeMap<u64, Digest>>,
     last: u64,
 }
 
@@ -283,15 +283,15 @@
             if name == LAST {
                 continue;
             }
-            let read = read::<K>(&folder.join(&name), &name).and_then(|(number, print, text)| {
-                let ready = K::ready(start, number, print, &text)?;
+            let read = read::<K>(&folder.join(&name), &name).and_then(|(number, digest, text)| {
+                let ready = K::ready(start, number, digest, &text)?;
                 let known = owner.add(number, ready);
                 known
-                    .then_some((number, print))
+                    .then_some((number, digest))
                     .ok_or("there is no place for it".into())
             });
             match read {
-                Ok((number, print)) => _ = stored.insert(number, print),
+                Ok((number, digest)) => _ = stored.insert(number, digest),
                 Err(e) => {
                     let e: String = e;
                     log::error!(
@@ -320,7 +320,7 @@
     }
 
     /// What is written down, by number.
-    pub fn stored(&self) -> BTreeMap<u64, Print> {
+    pub fn stored(&self) -> BTreeMap<u64, Digest> {
         self.stored.borrow().clone()
     }
 
@@ -371,7 +371,7 @@
     pub async fn add(
         &self,
         number: u64,
-        print: Print,
+        digest: Digest,
         text: String,
         forgotten: Vec<u64>,
     ) -> Result<(), String> {
@@ -381,8 +381,8 @@
                 let removed = fs::remove_file(folder.join(name::<K>(old)));
                 removed.map_err(|e| format!("{} {old} cannot be removed: {e}", K::NAME))?;
             }
-            let ready = K::ready(&ground, number, print, &text)?;
-            let written = write::<K>(&folder, number, print, &text);
+            let ready = K::ready(&ground, number, digest, &text)?;
+            let written = write::<K>(&folder, number, digest, &text);
             written.map_err(|e| format!("it cannot be written down: {e}"))?;
             Ok(ready)
         });
@@ -390,7 +390,7 @@
         if !self.owner.add(number, ready) {
             return Err("there is no place for it".into());
         }
-        self.stored.borrow_mut().insert(number, print);
+        self.stored.borrow_mut().insert(number, digest);
         Ok(())
     }
 
@@ -436,8 +436,8 @@
     Ok(files)
 }
 
-fn write<K: Kept>(folder: &Path, number: u64, print: Print, text: &str) -> io::Result<()> {
-    let head = format!("{} {number} {}\n", form::<K>(), HEXLOWER.encode(&print));
+fn write<K: Kept>(folder: &Path, number: u64, digest: Digest, text: &str) -> io::Result<()> {
+    let head = format!("{} {number} {}\n", form::<K>(), HEXLOWER.encode(&digest));
     replace(
         folder,
         &name::<K>(number),
@@ -459,23 +459,23 @@
 }
 
 /// Reads a file: its number, its print and its text.
-fn read<K: Kept>(path: &Path, name: &str) -> Result<(u64, Print, String), String> {
+fn read<K: Kept>(path: &Path, name: &str) -> Result<(u64, Digest, String), String> {
     let all = fs::read_to_string(path).map_err(|e| e.to_string())?;
     let (head, text) = all.split_once('\n').ok_or("it has no first line")?;
     let words = head
         .strip_prefix(&form::<K>())
         .map(|rest| rest.split_whitespace().collect::<Vec<_>>());
     let read = match words.as_deref() {
-        Some([number, print]) => number
+        Some([number, digest]) => number
             .parse()
             .ok()
-            .zip(HEXLOWER.decode(print.as_bytes()).ok()),
+            .zip(HEXLOWER.decode(digest.as_bytes()).ok()),
         _ => None,
     };
-    let (number, print) = read.ok_or("its first line cannot be read")?;
-    let print = Print::try_from(print).map_err(|_| "its print cannot be read")?;
+    let (number, digest) = read.ok_or("its first line cannot be read")?;
+    let digest = Digest::try_from(digest).map_err(|_| "its print cannot be read")?;
     if name != self::name::<K>(number) {
         return Err(format!("it is {} {number}", K::NAME));
     }
-    Ok((number, print, text.to_string()))
+    Ok((number, digest, text.to_string()))
 }
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -12,8 +12,11 @@
 pub mod register;
 pub mod session;
 
-use crate::coordination::framing::{self, Broken};
-use crate::coordination::messages::{FromAgent, Hello, Listed, Print, ToAgent, Who, MOST, VERSION};
+use crate::coordination::framing::{self, FrameError};
+use crate::coordination::messages::{
+    AgentToReplica, Digest, Handshake, ListedZoneCapacity, PeerRole, ReplicaToAgent,
+    MAX_FRAME_BYTES, PROTOCOL_VERSION,
+};
 use crate::delivery::admission::AdmissionState;
 use crate::delivery::endpoint::Endpoint;
 use crate::delivery::evacuation::{AttemptLease, EvacuationOrder};
@@ -53,8 +56,8 @@
 
 /// What happened on a connection.
 enum Heard {
-    Word(ToAgent),
-    Lost(Broken),
+    Word(ReplicaToAgent),
+    Lost(FrameError),
 }
 
 /// The same with the name of the connection.
@@ -79,7 +82,7 @@
 }
 
 /// What is to be checked and written down.
-type Check = (Kind, u64, Print, String);
+type Check = (Kind, u64, Digest, String);
 
 /// The agent.
 pub struct Agent {
@@ -88,7 +91,7 @@
     start: Instant,
     machine: RefCell<Machine>,
     /// Words for the connection that stands.
-    words: RefCell<Option<Sender<FromAgent>>>,
+    words: RefCell<Option<Sender<AgentToReplica>>>,
     heard: (Sender<Named>, Receiver<Named>),
     checks: (Sender<Check>, Receiver<Check>),
     /// The policy and the table that were gone by last, and a bell for the shelves to note them.
@@ -329,14 +332,14 @@
     }
 
     async fn check_one<K: Kept>(self: &Rc<Self>, shelf: Option<&Shelf<K>>, check: Check) {
-        let (Some(shelf), (kind, number, print, text)) = (shelf, check) else {
+        let (Some(shelf), (kind, number, digest, text)) = (shelf, check) else {
             return;
         };
         let needs = self.machine.borrow_mut().needs(kind);
         let checked = match shelf.make_room(number, needs) {
             Ok(forgotten) => {
                 self.machine.borrow_mut().forget(kind, &forgotten);
-                shelf.add(number, print, text, forgotten).await
+                shelf.add(number, digest, text, forgotten).await
             }
             Err(why) => Err(why),
         };
@@ -477,10 +480,10 @@
                 Out::Check {
                     kind,
                     number,
-                    print,
+                    digest,
                     text,
                 } => {
-                    let _ = self.checks.0.try_send((kind, number, print, text));
+                    let _ = self.checks.0.try_send((kind, number, digest, text));
                 }
                 Out::Admit(entrance) => self.admit(entrance),
                 Out::Note(line) => log::info!("fleet: {line}"),
@@ -496,14 +499,14 @@
         *self.kept.borrow_mut() = kept;
     }
 
-    fn listed(&self) -> Vec<Listed> {
+    fn listed(&self) -> Vec<ListedZoneCapacity> {
         let offers = self.parts.context.directory.capacity_by_zone().into_iter();
         offers
-            .map(|o| Listed {
+            .map(|o| ListedZoneCapacity {
                 zone: o.zone,
                 dest: o.dest,
                 endpoints: o.endpoints,
-                rate: o.rate,
+                calls_per_second: o.rate,
             })
             .collect()
     }
@@ -514,15 +517,15 @@
         };
         let (words, said) = async_channel::bounded(WORDS);
         *self.words.borrow_mut() = Some(words);
-        let hello = Hello {
-            version: VERSION,
+        let hello = Handshake {
+            version: PROTOCOL_VERSION,
             site: self.file.site.clone(),
-            who: Who::Agent,
+            role: PeerRole::Agent,
         };
         let (heard, wheel) = (self.heard.0.clone(), self.parts.context.wheel.clone());
         let talk = async move {
             let ended = talk(at, hello, line, said, &heard, &wheel).await;
-            let ended = ended.err().unwrap_or(Broken::Ended);
+            let ended = ended.err().unwrap_or(FrameError::Closed);
             let _ = heard.send((line, Heard::Lost(ended))).await;
         };
         self.parts.executor.spawn(talk).detach();
@@ -543,12 +546,12 @@
 /// up.
 async fn talk(
     at: SocketAddr,
-    hello: Hello,
+    hello: Handshake,
     line: u64,
-    said: Receiver<FromAgent>,
+    said: Receiver<AgentToReplica>,
     heard: &Sender<Named>,
     wheel: &Rc<TimerWheel>,
-) -> Result<(), Broken> {
+) -> Result<(), FrameError> {
     let connected = wheel
         .timeout(CONNECT, Async::<TcpStream>::connect(at))
         .await;
@@ -556,16 +559,16 @@
     stream.get_ref().set_nodelay(true)?;
     let (mut reads, mut writes) = (&stream, &stream);
     let saying = async {
-        framing::write(&mut writes, &hello, MOST).await?;
+        framing::write(&mut writes, &hello, MAX_FRAME_BYTES).await?;
         // What was said before somebody hung up is still written.
         while let Ok(word) = said.recv().await {
-            framing::write(&mut writes, &word, MOST).await?;
+            framing::write(&mut writes, &word, MAX_FRAME_BYTES).await?;
         }
         Ok(())
     };
     let hearing = async {
         loop {
-            let word = framing::read(&mut reads, MOST).await?;
+            let word = framing::read(&mut reads, MAX_FRAME_BYTES).await?;
             if heard.send((line, Heard::Word(word))).await.is_err() {
                 return Ok(());
             }
--- a/src/agent/register.rs
+++ b/src/agent/register.rs
@@ -13,7 +13,7 @@
 //! **What is said is so.** [`Said::Rules`] is said when the sender goes by that turn: it holds a
 //! lease, and what it takes on under is written down.
 
-use crate::coordination::messages::{Print, Stance, ToSender};
+use crate::coordination::messages::{Digest, ReplicaTableMessage, SiteAdmission};
 use crate::Nanos;
 use std::collections::BTreeMap;
 
@@ -98,7 +98,7 @@
         /// Its number.
         number: u64,
         /// Its print.
-        print: Print,
+        digest: Digest,
         /// Its text.
         text: String,
     },
@@ -115,7 +115,7 @@
 struct Rule {
     turn: u64,
     number: u64,
-    stance: Stance,
+    stance: SiteAdmission,
 }
 
 /// A sender's side of the register.
@@ -123,8 +123,8 @@
 pub struct Register {
     kind: Kind,
     without: Without,
-    stored: BTreeMap<u64, Print>,
-    checking: BTreeMap<u64, Print>,
+    stored: BTreeMap<u64, Digest>,
+    checking: BTreeMap<u64, Digest>,
     /// The word of the highest turn.
     rule: Option<Rule>,
     /// It was heard since the lease last lapsed.
@@ -142,7 +142,7 @@
 impl Register {
     /// A sender that starts, with what it has written down and the number that it last took on
     /// under.
-    pub fn new(kind: Kind, without: Without, stored: BTreeMap<u64, Print>, last: u64) -> Register {
+    pub fn new(kind: Kind, without: Without, stored: BTreeMap<u64, Digest>, last: u64) -> Register {
         let last = if stored.contains_key(&last) { last } else { 0 };
         let (checking, rule, stands, owed) = (BTreeMap::new(), None, None, None);
         Register {
@@ -165,10 +165,10 @@
     }
 
     /// What it has written down, by number.
-    pub fn stored(&self) -> Vec<(u64, Print)> {
+    pub fn stored(&self) -> Vec<(u64, Digest)> {
         self.stored
             .iter()
-            .map(|(number, print)| (*number, *print))
+            .map(|(number, digest)| (*number, *digest))
             .collect()
     }
 
@@ -178,17 +178,17 @@
     }
 
     /// A keeper's word.
-    pub fn hear(&mut self, word: ToSender, out: &mut Vec<Out>) {
+    pub fn hear(&mut self, word: ReplicaTableMessage, out: &mut Vec<Out>) {
         match word {
-            ToSender::Offer {
+            ReplicaTableMessage::OfferTable {
                 number,
-                print,
+                digest,
                 text,
-            } => self.offered(number, print, text, out),
-            ToSender::Rule {
+            } => self.offered(number, digest, text, out),
+            ReplicaTableMessage::ApplyTable {
                 turn,
                 number,
-                stance,
+                admission: stance,
             } => {
                 let rule = Rule {
                     turn,
@@ -239,12 +239,12 @@
     /// What came of a check: it is written down, or cannot be gone by.
     pub fn checked(&mut self, number: u64, result: Result<(), String>, out: &mut Vec<Out>) {
         let name = self.kind.name();
-        let Some(print) = self.checking.remove(&number) else {
+        let Some(digest) = self.checking.remove(&number) else {
             return;
         };
         let refused = match result {
             Ok(()) => {
-                self.stored.insert(number, print);
+                self.stored.insert(number, digest);
                 out.push(Out::Note(format!(
                     "{name} {number} is checked and written down"
                 )));
@@ -270,11 +270,11 @@
         let known = |number: u64| number == 0 || self.stored.contains_key(&number);
         let stands = match rule {
             Some(Rule {
-                stance: Stance::Paused,
+                stance: SiteAdmission::Paused,
                 ..
             }) => Doorway::Paused,
             Some(Rule {
-                stance: Stance::Held,
+                stance: SiteAdmission::LeaseExpired,
                 ..
             }) => Doorway::Fenced,
             Some(rule) if known(rule.number) => {
@@ -300,7 +300,9 @@
             out.push(Out::Stand(stands));
         }
         // Said after it is so. What is fenced for want of the text does not go by it yet.
-        if rule.is_some_and(|r| r.stance == Stance::Held || stands != Doorway::Fenced) {
+        if rule
+            .is_some_and(|r| r.stance == SiteAdmission::LeaseExpired || stands != Doorway::Fenced)
+        {
             out.extend(self.owed.take().map(|turn| Out::Say(Said::Rules { turn })));
         }
     }
@@ -321,7 +323,7 @@
             (_, Doorway::Paused) => Some(format!("takes nothing on for a moment {by}")),
             (_, Doorway::Fenced) => match rule {
                 Some(Rule {
-                    stance: Stance::Held,
+                    stance: SiteAdmission::LeaseExpired,
                     ..
                 }) => Some(format!(
                     "takes nothing on {by}: the site's lease in its federation is over"
@@ -337,8 +339,8 @@
         }
     }
 
-    fn offered(&mut self, number: u64, print: Print, text: String, out: &mut Vec<Out>) {
-        if self.stored.get(&number) == Some(&print) {
+    fn offered(&mut self, number: u64, digest: Digest, text: String, out: &mut Vec<Out>) {
+        if self.stored.get(&number) == Some(&digest) {
             return out.push(Out::Say(Said::Stored {
                 number,
                 refused: None,
@@ -350,10 +352,10 @@
         }
         // One that is being checked is answered once; what finds no room is offered again.
         if self.checking.len() < CHECKS && !self.checking.contains_key(&number) {
-            self.checking.insert(number, print);
+            self.checking.insert(number, digest);
             out.push(Out::Check {
                 number,
-                print,
+                digest,
                 text,
             });
         }
--- a/src/agent/session.rs
+++ b/src/agent/session.rs
@@ -18,8 +18,9 @@
 use crate::agent::call_statistics::{Ledger, GROUPS, NAME};
 use crate::agent::register::{self, Doorway, Kind, Register, Said};
 use crate::coordination::messages::{
-    lot, FromAgent, FromSender, Grant, Health, Listed, Print, Seen, Stance, ToAgent, ToSender,
-    View, Want, ZoneOrder,
+    sender_hash_fraction, AgentTableMessage, AgentToReplica, AttemptLeaseGrant,
+    AttemptLeaseRequest, Digest, ListedZoneCapacity, MessageOutcomeCounts, ReplicaTableMessage,
+    ReplicaToAgent, SenderView, SiteAdmission, ZoneCallCounts, ZoneOrder,
 };
 use crate::dispatch::statistics::{secs, Random, MS, SEC};
 use crate::Nanos;
@@ -94,7 +95,7 @@
     /// Close the connection.
     HangUp,
     /// Say this on the connection.
-    Say(FromAgent),
+    Say(AgentToReplica),
     /// Go by these orders and no others.
     Stand(Vec<Aside>),
     /// Calls may begin in spite of an order.
@@ -117,7 +118,7 @@
         /// Its number.
         number: u64,
         /// Its print.
-        print: Print,
+        digest: Digest,
         /// Its text.
         text: String,
     },
@@ -187,14 +188,18 @@
 }
 
 /// A word of a register, as keepers know it.
-fn worded(kind: Kind, said: Said) -> FromAgent {
+fn worded(kind: Kind, said: Said) -> AgentToReplica {
     match (kind, said) {
-        (Kind::Policy, Said::Stored { number, refused }) => FromAgent::Stored { number, refused },
-        (Kind::Policy, Said::Rules { turn }) => FromAgent::Rules { turn },
+        (Kind::Policy, Said::Stored { number, refused }) => {
+            AgentToReplica::PolicyChecked { number, refused }
+        }
+        (Kind::Policy, Said::Rules { turn }) => AgentToReplica::PolicyApplied { turn },
         (Kind::Table, Said::Stored { number, refused }) => {
-            FromAgent::Table(FromSender::Stored { number, refused })
+            AgentToReplica::RoutingTable(AgentTableMessage::TableChecked { number, refused })
+        }
+        (Kind::Table, Said::Rules { turn }) => {
+            AgentToReplica::RoutingTable(AgentTableMessage::TableApplied { turn })
         }
-        (Kind::Table, Said::Rules { turn }) => FromAgent::Table(FromSender::Rules { turn }),
     }
 }
 
@@ -232,8 +237,8 @@
 #[derive(Debug)]
 struct Pending {
     number: u64,
-    seen: Vec<Seen>,
-    health: Vec<Health>,
+    seen: Vec<ZoneCallCounts>,
+    health: Vec<MessageOutcomeCounts>,
     /// When it was sent on the connection that stands, if it was.
     sent: Option<Nanos>,
 }
@@ -268,7 +273,7 @@
     told_alone: bool,
     /// On this connection the record was told, or known to be as it is here.
     current: bool,
-    view: View,
+    view: SenderView,
     /// What it goes by: zones, with the epoch, and whether each is being returned to.
     obeyed: Vec<(String, u64, bool)>,
     epochs: BTreeMap<String, u64>,
@@ -276,7 +281,7 @@
     reported: Nanos,
     pending: Option<Pending>,
     sent: VecDeque<Sent>,
-    listed: Vec<Listed>,
+    listed: Vec<ListedZoneCapacity>,
     /// The list is to be told with the next report.
     tell_list: bool,
 }
@@ -306,7 +311,7 @@
             alone: Some(now),
             told_alone: false,
             current: false,
-            view: View::default(),
+            view: SenderView::default(),
             obeyed: Vec::new(),
             epochs: BTreeMap::new(),
             reports: 0,
@@ -344,7 +349,7 @@
     }
 
     /// The list that the sender holds now.
-    pub fn list(&mut self, mut listed: Vec<Listed>) {
+    pub fn list(&mut self, mut listed: Vec<ListedZoneCapacity>) {
         listed.retain(|l| l.zone.len() <= NAME);
         listed.truncate(GROUPS);
         if listed != self.listed {
@@ -355,7 +360,7 @@
     /// The sender ends.
     pub fn leave(&mut self, out: &mut Vec<Out>) {
         if self.line == Line::Session {
-            out.push(Out::Say(FromAgent::Leave));
+            out.push(Out::Say(AgentToReplica::CloseSession));
         }
         self.line = Line::None(Nanos::MAX);
     }
@@ -471,12 +476,12 @@
         out.extend(told.into_iter().filter_map(|told| match told {
             register::Out::Check {
                 number,
-                print,
+                digest,
                 text,
             } => Some(Out::Check {
                 kind,
                 number,
-                print,
+                digest,
                 text,
             }),
             register::Out::Say(said) => listens.then(|| Out::Say(worded(kind, said))),
@@ -526,7 +531,7 @@
     }
 
     /// A keeper said something on the connection of that name.
-    pub fn hear(&mut self, now: Nanos, line: u64, word: ToAgent, out: &mut Vec<Out>) {
+    pub fn hear(&mut self, now: Nanos, line: u64, word: ReplicaToAgent, out: &mut Vec<Out>) {
         self.look(now, out);
         if line == self.lines && !matches!(self.line, Line::None(_)) {
             self.take_in(now, line, word, out);
@@ -534,56 +539,62 @@
         self.settle(now, out);
     }
 
-    fn take_in(&mut self, now: Nanos, line: u64, word: ToAgent, out: &mut Vec<Out>) {
+    fn take_in(&mut self, now: Nanos, line: u64, word: ReplicaToAgent, out: &mut Vec<Out>) {
         match word {
-            ToAgent::Elsewhere(leader) => {
+            ReplicaToAgent::NotLeader(leader) => {
                 let known = leader.and_then(|l| self.terms.keepers.iter().position(|k| *k == l));
                 match known.filter(|at| *at != self.keeper) {
                     Some(at) => self.hop(now, at, out),
                     None => self.give_up(now, out),
                 }
             }
-            ToAgent::Unknown => self.hop(now, self.keeper, out),
-            ToAgent::Renewed { report, lease_ms } => self.renewed(now, report, lease_ms, out),
-            ToAgent::View(view) => self.follow(now, view, out),
-            ToAgent::Grant(grant) => self.granted(now, line, grant, out),
-            ToAgent::Offer {
+            ReplicaToAgent::UnknownSession => self.hop(now, self.keeper, out),
+            ReplicaToAgent::LeaseRenewed { report, lease_ms } => {
+                self.renewed(now, report, lease_ms, out)
+            }
+            ReplicaToAgent::View(view) => self.follow(now, view, out),
+            ReplicaToAgent::GrantAttempts(grant) => self.granted(now, line, grant, out),
+            ReplicaToAgent::OfferPolicy {
                 number,
-                print,
+                digest,
                 text,
             } => {
                 self.heard(
                     Kind::Policy,
-                    ToSender::Offer {
+                    ReplicaTableMessage::OfferTable {
                         number,
-                        print,
+                        digest,
                         text,
                     },
                     out,
                 );
             }
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn,
                 number,
                 paused,
             } => {
-                let stance = if paused { Stance::Paused } else { Stance::Open };
+                let stance = if paused {
+                    SiteAdmission::Paused
+                } else {
+                    SiteAdmission::Open
+                };
                 self.heard(
                     Kind::Policy,
-                    ToSender::Rule {
+                    ReplicaTableMessage::ApplyTable {
                         turn,
                         number,
-                        stance,
+                        admission: stance,
                     },
                     out,
                 );
             }
-            ToAgent::Table(word) => self.heard(Kind::Table, word, out),
+            ReplicaToAgent::RoutingTable(word) => self.heard(Kind::Table, word, out),
         }
     }
 
     /// A word for a register.
-    fn heard(&mut self, kind: Kind, word: ToSender, out: &mut Vec<Out>) {
+    fn heard(&mut self, kind: Kind, word: ReplicaTableMessage, out: &mut Vec<Out>) {
         let mut told = Vec::new();
         if let Some(register) = self.register(kind) {
             register.hear(word, &mut told);
@@ -635,17 +646,17 @@
             self.view.version,
             self.policies.as_ref().map(Register::stored),
         );
-        out.push(Out::Say(FromAgent::Open {
+        out.push(Out::Say(AgentToReplica::OpenSession {
             sender,
             boot,
             zone,
-            has,
+            record_version: has,
             stored,
         }));
         let tables = self
             .tables
             .as_ref()
-            .map(|r| FromAgent::Table(FromSender::Has(r.stored())));
+            .map(|r| AgentToReplica::RoutingTable(AgentTableMessage::StoredTables(r.stored())));
         out.extend(tables.map(Out::Say));
     }
 
@@ -708,13 +719,13 @@
         let listed = std::mem::take(&mut self.tell_list).then(|| self.listed.clone());
         let (report, has, seen) = (pending.number, self.view.version, pending.seen.clone());
         let (wants, health) = (self.wants(now, needs), pending.health.clone());
-        out.push(Out::Say(FromAgent::Tell {
+        out.push(Out::Say(AgentToReplica::Report {
             report,
-            has,
-            seen,
+            record_version: has,
+            call_counts: seen,
             listed,
-            wants,
-            health,
+            lease_requests: wants,
+            outcomes: health,
         }));
         self.pending = Some(Pending {
             sent: Some(now),
@@ -726,7 +737,7 @@
     /// Calls that could go where only calls that are lent may: what waits and what usually comes,
     /// less what is lent already. Of many senders that a message reaches now and then few ask at a
     /// time, by lot, and leave the budget to those where some wait.
-    fn wants(&mut self, now: Nanos, needs: &dyn Needs) -> Vec<Want> {
+    fn wants(&mut self, now: Nanos, needs: &dyn Needs) -> Vec<AttemptLeaseRequest> {
         let draw = self.random.draw();
         let returning = self
             .view
@@ -739,13 +750,13 @@
         let wants = listed.map(|(zone, dest)| {
             let usual = (self.ledger.rate(now, dest) * AHEAD + draw) as u32;
             let calls = needs.waiting(dest).saturating_add(usual).min(CALLS.0);
-            Want {
+            AttemptLeaseRequest {
                 zone: zone.clone(),
                 dest,
-                calls: calls.saturating_sub(needs.left(zone, dest)),
+                attempts: calls.saturating_sub(needs.left(zone, dest)),
             }
         });
-        wants.filter(|w| w.calls > 0).take(GROUPS).collect()
+        wants.filter(|w| w.attempts > 0).take(GROUPS).collect()
     }
 
     fn renewed(&mut self, now: Nanos, report: u64, lease_ms: u32, out: &mut Vec<Out>) {
@@ -784,7 +795,7 @@
         }
     }
 
-    fn follow(&mut self, now: Nanos, mut view: View, out: &mut Vec<Out>) {
+    fn follow(&mut self, now: Nanos, mut view: SenderView, out: &mut Vec<Out>) {
         if view.version <= self.view.version {
             return;
         }
@@ -843,13 +854,13 @@
         out.push(Out::Stand(self.orders(now)));
     }
 
-    fn granted(&mut self, now: Nanos, line: u64, grant: Grant, out: &mut Vec<Out>) {
-        let Grant {
+    fn granted(&mut self, now: Nanos, line: u64, grant: AttemptLeaseGrant, out: &mut Vec<Out>) {
+        let AttemptLeaseGrant {
             report,
             zone,
             epoch,
             dest,
-            calls,
+            attempts: calls,
             within_ms,
         } = grant;
         let order = self
@@ -879,11 +890,9 @@
 
     /// Destinations of a zone that this sender is out of, with the part of all senders that is.
     fn ours<'a>(&'a self, order: &'a ZoneOrder) -> impl Iterator<Item = (u16, f32)> + 'a {
-        order
-            .out
-            .iter()
-            .copied()
-            .filter(|(dest, part)| lot(&self.terms.sender, &order.zone, *dest) < *part)
+        order.out.iter().copied().filter(|(dest, part)| {
+            sender_hash_fraction(&self.terms.sender, &order.zone, *dest) < *part
+        })
     }
 
     /// What is left aside, as things stand.
@@ -893,7 +902,7 @@
             for (dest, part) in self.ours(order) {
                 let zone = order.zone.clone();
                 // The lots of those that are out are even from 0 up to that part.
-                let own = lot(&self.terms.sender, &zone, dest) / part;
+                let own = sender_hash_fraction(&self.terms.sender, &zone, dest) / part;
                 let over = f64::from(own) * self.terms.warm_after.max(SEC) as f64;
                 let (epoch, until) = match self.alone {
                     None => (order.epoch, None),
--- a/src/cli/fleet/mod.rs
+++ b/src/cli/fleet/mod.rs
@@ -5,9 +5,10 @@
 
 use clap::{Args, Subcommand, ValueEnum};
 use raildeal::agent::config::File;
-use raildeal::coordination::framing::{self, Broken};
+use raildeal::coordination::framing::{self, FrameError};
 use raildeal::coordination::messages::{
-    FromPerson, Hello, Status, ToPerson, Who, ZoneWish, MOST, VERSION,
+    CoordinationStatus, Handshake, OperatorRequest, OperatorResponse, PeerRole, RequestedZoneState,
+    MAX_FRAME_BYTES, PROTOCOL_VERSION,
 };
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -96,13 +97,13 @@
     Free,
 }
 
-impl From<Order> for ZoneWish {
+impl From<Order> for RequestedZoneState {
     fn from(order: Order) -> Self {
         match order {
-            Order::Leave => ZoneWish::Leave,
-            Order::Return => ZoneWish::Return,
-            Order::Hold => ZoneWish::Hold,
-            Order::Free => ZoneWish::Free,
+            Order::Leave => RequestedZoneState::Leave,
+            Order::Return => RequestedZoneState::Return,
+            Order::Hold => RequestedZoneState::Hold,
+            Order::Free => RequestedZoneState::Free,
         }
     }
 }
@@ -146,21 +147,21 @@
             What::Policy { what } => return what.run(&site, self.json),
             What::Table { what } => return what.run(&site, self.json),
             What::Site { what } => return what.run(&site, self.json),
-            What::Status => FromPerson::Status,
-            What::Zone { order, zone, for_s } => FromPerson::Zone {
+            What::Status => OperatorRequest::Status,
+            What::Zone { order, zone, for_s } => OperatorRequest::RequestZoneState {
                 zone,
                 order: order.into(),
                 for_s,
             },
             What::Keeper {
                 change: Change::Add { keeper, at },
-            } => FromPerson::Add {
+            } => OperatorRequest::AddReplica {
                 keeper,
                 at: at.to_string(),
             },
             What::Keeper {
                 change: Change::Remove { keeper },
-            } => FromPerson::Remove { keeper },
+            } => OperatorRequest::RemoveReplica { keeper },
         };
         site.order(&word, self.json)
     }
@@ -170,13 +171,13 @@
 struct Site(Option<PathBuf>);
 
 impl Site {
-    fn ask(&self, word: &FromPerson) -> Result<ToPerson, NotDone> {
+    fn ask(&self, word: &OperatorRequest) -> Result<OperatorResponse, NotDone> {
         let file = self.0.as_deref().ok_or(NotDone::NoFile)?;
         ask(&File::read(file).map_err(NotDone::File)?, word)
     }
 
     /// Asks or orders something and tells the answer.
-    fn order(&self, word: &FromPerson, json: bool) -> Result<ExitCode, String> {
+    fn order(&self, word: &OperatorRequest, json: bool) -> Result<ExitCode, String> {
         match self.ask(word) {
             Ok(answer) => tell(&answer, json).map_err(|e| e.to_string()),
             Err(e) => unheard(&e),
@@ -190,26 +191,26 @@
 }
 
 /// Asks one keeper after another until one that leads has answered.
-fn ask(fleet: &File, word: &FromPerson) -> Result<ToPerson, NotDone> {
+fn ask(fleet: &File, word: &OperatorRequest) -> Result<OperatorResponse, NotDone> {
     let (begun, mut last) = (Instant::now(), String::from("no keepers are named"));
     while begun.elapsed() < PATIENCE {
         let mut told = Vec::new();
         for at in fleet.keepers.values().copied() {
             match ask_one(&fleet.site, at, word) {
-                Ok(ToPerson::Elsewhere(leader)) => {
+                Ok(OperatorResponse::NotLeader(leader)) => {
                     last = match leader {
                         Some(leader) => format!("{at} says that keeper {leader} leads"),
                         None => format!("{at} knows of nobody who leads"),
                     }
                 }
                 // Each knows what keeps others from it; who leads knows the rest.
-                Ok(ToPerson::Status(status)) => told.push(*status),
+                Ok(OperatorResponse::Status(status)) => told.push(*status),
                 Ok(answer) => return Ok(answer),
                 Err(e) => last = format!("{at}: {e}"),
             }
         }
         if let Some(status) = joined(told) {
-            return Ok(ToPerson::Status(Box::new(status)));
+            return Ok(OperatorResponse::Status(Box::new(status)));
         }
         thread::sleep(PAUSE);
     }
@@ -218,41 +219,45 @@
 
 /// What the one that leads says, or the first where none does, with the trouble that each of them
 /// has.
-fn joined(mut told: Vec<Status>) -> Option<Status> {
+fn joined(mut told: Vec<CoordinationStatus>) -> Option<CoordinationStatus> {
     // The sort is stable.
-    told.sort_by_key(|s| s.leader != s.keeper);
+    told.sort_by_key(|s| s.leader != s.replica);
     let mut told = told.into_iter();
     let mut first = told.next()?;
-    let each = |s: &Status| {
-        let by = s.keeper;
+    let each = |s: &CoordinationStatus| {
+        let by = s.replica;
         let named =
             |(keeper, why): &(u64, String)| (*keeper, format!("{why}, as keeper {by} says"));
-        s.trouble.iter().map(named).collect::<Vec<_>>()
+        s.faults.iter().map(named).collect::<Vec<_>>()
     };
-    first.trouble = each(&first)
+    first.faults = each(&first)
         .into_iter()
         .chain(told.flat_map(|s| each(&s)))
         .collect();
-    first.trouble.sort();
+    first.faults.sort();
     Some(first)
 }
 
-fn ask_one(site: &str, at: SocketAddr, word: &FromPerson) -> Result<ToPerson, Broken> {
+fn ask_one(
+    site: &str,
+    at: SocketAddr,
+    word: &OperatorRequest,
+) -> Result<OperatorResponse, FrameError> {
     let mut stream = TcpStream::connect_timeout(&at, ANSWER)?;
     stream.set_read_timeout(Some(ANSWER))?;
     stream.set_write_timeout(Some(ANSWER))?;
-    let hello = Hello {
-        version: VERSION,
+    let hello = Handshake {
+        version: PROTOCOL_VERSION,
         site: site.into(),
-        who: Who::Person,
+        role: PeerRole::Operator,
     };
-    framing::write_blocking(&mut stream, &hello, MOST)?;
-    framing::write_blocking(&mut stream, word, MOST)?;
-    framing::read_blocking(&mut stream, MOST)
+    framing::write_blocking(&mut stream, &hello, MAX_FRAME_BYTES)?;
+    framing::write_blocking(&mut stream, word, MAX_FRAME_BYTES)?;
+    framing::read_blocking(&mut stream, MAX_FRAME_BYTES)
 }
 
-fn tell(answer: &ToPerson, json: bool) -> io::Result<ExitCode> {
-    let refused = matches!(answer, ToPerson::Refused(_));
+fn tell(answer: &OperatorResponse, json: bool) -> io::Result<ExitCode> {
+    let refused = matches!(answer, OperatorResponse::Rejected(_));
     let text = if json {
         as_json(answer)?
     } else {
@@ -266,41 +271,51 @@
     })
 }
 
-fn as_json(answer: &ToPerson) -> io::Result<String> {
+fn as_json(answer: &OperatorResponse) -> io::Result<String> {
     let value = match answer {
-        ToPerson::Done(version) => serde_json::json!({"done": true, "version": version}),
-        ToPerson::Refused(why) => serde_json::json!({"done": false, "why": why}),
-        ToPerson::Elsewhere(leader) => serde_json::json!({"done": false, "leader": leader}),
-        ToPerson::Status(status) => serde_json::to_value(status)?,
-        ToPerson::Policies(status) => policy::status_json(status),
-        ToPerson::PastPolicies(past) => past.iter().map(policy::past_json).collect(),
-        ToPerson::Policy { number, text, .. } => {
+        OperatorResponse::Done(version) => serde_json::json!({"done": true, "version": version}),
+        OperatorResponse::Rejected(why) => serde_json::json!({"done": false, "why": why}),
+        OperatorResponse::NotLeader(leader) => serde_json::json!({"done": false, "leader": leader}),
+        OperatorResponse::Status(status) => serde_json::to_value(status)?,
+        OperatorResponse::PolicyStatus(status) => policy::status_json(status),
+        OperatorResponse::PolicyHistory(past) => past.iter().map(policy::past_json).collect(),
+        OperatorResponse::PolicyText { number, text, .. } => {
             serde_json::json!({"policy": number, "text": text})
         }
-        ToPerson::Federation(status) => table::status_json(status),
-        ToPerson::PastTables(past) => past.iter().map(table::past_json).collect(),
-        ToPerson::Table { number, text, .. } => serde_json::json!({"table": number, "text": text}),
+        OperatorResponse::FederationStatus(status) => table::status_json(status),
+        OperatorResponse::TableHistory(past) => past.iter().map(table::past_json).collect(),
+        OperatorResponse::TableText { number, text, .. } => {
+            serde_json::json!({"table": number, "text": text})
+        }
     };
     Ok(format!("{value}\n"))
 }
 
-fn as_text(answer: &ToPerson) -> String {
+fn as_text(answer: &OperatorResponse) -> String {
     match answer {
-        ToPerson::Done(version) => format!("done, in version {version} of the record\n"),
-        ToPerson::Refused(why) => why.lines().map(|why| format!("refused: {why}\n")).collect(),
-        ToPerson::Elsewhere(_) => String::from("not done: another keeper leads\n"),
-        ToPerson::Status(status) => lines(status).join("\n") + "\n",
-        ToPerson::Policies(status) => policy::status_lines(status).join("\n") + "\n",
-        ToPerson::PastPolicies(past) => past.iter().map(|p| policy::past_line(p) + "\n").collect(),
-        ToPerson::Policy { text, .. } | ToPerson::Table { text, .. } => text.clone(),
-        ToPerson::Federation(status) => table::status_lines(status).join("\n") + "\n",
-        ToPerson::PastTables(past) => past.iter().map(|p| table::past_line(p) + "\n").collect(),
+        OperatorResponse::Done(version) => format!("done, in version {version} of the record\n"),
+        OperatorResponse::Rejected(why) => {
+            why.lines().map(|why| format!("refused: {why}\n")).collect()
+        }
+        OperatorResponse::NotLeader(_) => String::from("not done: another keeper leads\n"),
+        OperatorResponse::Status(status) => lines(status).join("\n") + "\n",
+        OperatorResponse::PolicyStatus(status) => policy::status_lines(status).join("\n") + "\n",
+        OperatorResponse::PolicyHistory(past) => {
+            past.iter().map(|p| policy::past_line(p) + "\n").collect()
+        }
+        OperatorResponse::PolicyText { text, .. } | OperatorResponse::TableText { text, .. } => {
+            text.clone()
+        }
+        OperatorResponse::FederationStatus(status) => table::status_lines(status).join("\n") + "\n",
+        OperatorResponse::TableHistory(past) => {
+            past.iter().map(|p| table::past_line(p) + "\n").collect()
+        }
     }
 }
 
 /// How things stand, a line each.
-fn lines(s: &Status) -> Vec<String> {
-    let keepers: Vec<String> = s.keepers.iter().map(u64::to_string).collect();
+fn lines(s: &CoordinationStatus) -> Vec<String> {
+    let keepers: Vec<String> = s.voters.iter().map(u64::to_string).collect();
     let behind = s.senders.iter().filter(|(_, has)| *has < s.version).count();
     let leads = match s.leader {
         0 => String::from("no keeper leads"),
@@ -318,7 +333,7 @@
         ),
     ];
     lines.extend(
-        s.trouble
+        s.faults
             .iter()
             .map(|(keeper, why)| format!("keeper {keeper}: {why}")),
     );
@@ -337,42 +352,43 @@
 
     #[test]
     fn the_status_is_of_the_one_that_leads_with_the_trouble_of_all() {
-        let of = |keeper, leader, other, why: &str| Status {
-            keeper,
+        let of = |keeper, leader, other, why: &str| CoordinationStatus {
+            replica: keeper,
             leader,
-            trouble: vec![(other, why.to_string())],
+            faults: vec![(other, why.to_string())],
             senders: vec![("n1".into(), keeper)],
-            ..Status::default()
+            ..CoordinationStatus::default()
         };
         assert_eq!(joined(Vec::new()), None);
         let told = joined(vec![of(1, 2, 3, "not reached"), of(2, 2, 4, "no record")]).expect("two");
-        assert_eq!((told.keeper, told.senders[0].1), (2, 2));
+        assert_eq!((told.replica, told.senders[0].1), (2, 2));
         let said = [
             (3, "not reached, as keeper 1 says".into()),
             (4, "no record, as keeper 2 says".into()),
         ];
-        assert_eq!(told.trouble, said);
+        assert_eq!(told.faults, said);
         let alone =
             joined(vec![of(1, 0, 2, "not met yet"), of(3, 0, 2, "not met yet")]).expect("two");
-        assert_eq!((alone.keeper, alone.trouble.len()), (1, 2));
-        assert!(as_text(&ToPerson::Status(Box::new(alone))).contains("no keeper leads in term 0"));
+        assert_eq!((alone.replica, alone.faults.len()), (1, 2));
+        assert!(as_text(&OperatorResponse::Status(Box::new(alone)))
+            .contains("no keeper leads in term 0"));
     }
 
     #[test]
     fn each_answer_is_told_as_text_and_as_json() {
-        let status = Status {
+        let status = CoordinationStatus {
             site: "north".into(),
             leader: 2,
             term: 7,
             version: 40,
-            keepers: vec![1, 2, 3],
+            voters: vec![1, 2, 3],
             senders: vec![("n1".into(), 40), ("n2".into(), 39)],
             lapsed: vec!["n3".into()],
             zones: vec![("b".into(), "left".into(), "evidence".into())],
-            trouble: vec![(3, "not reached at 10.0.0.3:7100: Connection refused".into())],
-            ..Status::default()
+            faults: vec![(3, "not reached at 10.0.0.3:7100: Connection refused".into())],
+            ..CoordinationStatus::default()
         };
-        let text = as_text(&ToPerson::Status(Box::new(status.clone())));
+        let text = as_text(&OperatorResponse::Status(Box::new(status.clone())));
         for line in [
             "keeper 2 leads in term 7",
             "2 with a lease, 1 of them",
@@ -382,16 +398,16 @@
         ] {
             assert!(text.contains(line), "{line}: {text}");
         }
-        let json = as_json(&ToPerson::Status(Box::new(status))).expect("json");
+        let json = as_json(&OperatorResponse::Status(Box::new(status))).expect("json");
         assert!(
             json.contains("\"leader\":2") && json.ends_with('\n'),
             "{json}"
         );
         assert_eq!(
-            as_text(&ToPerson::Refused("no such zone".into())),
+            as_text(&OperatorResponse::Rejected("no such zone".into())),
             "refused: no such zone\n"
         );
-        assert!(as_json(&ToPerson::Done(9))
+        assert!(as_json(&OperatorResponse::Done(9))
             .expect("json")
             .contains("\"done\":true"));
     }
--- a/src/cli/fleet/policy.rs
+++ b/src/cli/fleet/policy.rs
@@ -3,7 +3,9 @@
 use super::{NotDone, Site, NAMES, REFUSED};
 use clap::Subcommand;
 use data_encoding::HEXLOWER;
-use raildeal::coordination::messages::{FromPerson, PolicyPast, PolicyStatus, Print, ToPerson};
+use raildeal::coordination::messages::{
+    Digest, OperatorRequest, OperatorResponse, PastRollout, PolicyStatus,
+};
 use raildeal::coordination::policy_rollout::document::{Difference, Document, Fault};
 use raildeal::coordination::policy_rollout::plan::Plan;
 use serde_json::{json, Value};
@@ -73,7 +75,7 @@
                 if !faults.is_empty() {
                     return refuse(&faults, json);
                 }
-                FromPerson::Propose {
+                OperatorRequest::ProposePolicy {
                     text,
                     plan: plan_text,
                 }
@@ -85,13 +87,13 @@
                 let both = named(site, &from).and_then(|a| Ok((a, named(site, &to)?)));
                 return compared(both.map(|(a, b)| a.diff(&b)), json);
             }
-            Policy::Status => FromPerson::Policies,
-            Policy::History => FromPerson::PastPolicies,
-            Policy::Halt { why } => FromPerson::Halt {
+            Policy::Status => OperatorRequest::PolicyStatus,
+            Policy::History => OperatorRequest::PolicyHistory,
+            Policy::Halt { why } => OperatorRequest::HaltRollout {
                 why: why.unwrap_or_default(),
             },
-            Policy::Resume => FromPerson::Resume,
-            Policy::Back => FromPerson::Back,
+            Policy::Resume => OperatorRequest::ResumeRollout,
+            Policy::Back => OperatorRequest::RollBack,
         };
         site.order(&word, json)
     }
@@ -131,7 +133,7 @@
     let document = Document::parse(&read(file)?);
     let shown = document
         .as_ref()
-        .map(|d| HEXLOWER.encode(&d.print()))
+        .map(|d| HEXLOWER.encode(&d.digest()))
         .unwrap_or_default();
     let mut faults = told(file, document);
     if let Some(plan) = plan {
@@ -166,10 +168,10 @@
     match name.parse::<u64>() {
         Ok(0) => Ok(Document::default()),
         Ok(number) => match site
-            .ask(&FromPerson::Policy { number })
+            .ask(&OperatorRequest::PolicyText { number })
             .map_err(Unknown::NotDone)?
         {
-            ToPerson::Policy { text, .. } => parsed(name, Document::parse(&text)),
+            OperatorResponse::PolicyText { text, .. } => parsed(name, Document::parse(&text)),
             other => Err(answered(other)),
         },
         Err(_) => parsed(
@@ -188,9 +190,9 @@
 }
 
 /// No document, as a keeper answers.
-pub(super) fn answered(answer: ToPerson) -> Unknown {
+pub(super) fn answered(answer: OperatorResponse) -> Unknown {
     match answer {
-        ToPerson::Refused(why) => Unknown::Refused(why),
+        OperatorResponse::Rejected(why) => Unknown::Refused(why),
         other => Unknown::Refused(format!("a keeper answers {other:?}")),
     }
 }
@@ -230,8 +232,8 @@
     }
 }
 
-fn hex(print: &Print) -> String {
-    HEXLOWER.encode(print)
+fn hex(digest: &Digest) -> String {
+    HEXLOWER.encode(digest)
 }
 
 pub fn status_json(status: &PolicyStatus) -> Value {
@@ -242,7 +244,7 @@
         let stages = r.stages.iter().map(|(zones, senders)| json!({"zones": zones, "senders": senders}));
         let refused = r.refused.iter().map(|(sender, why)| json!({"sender": sender, "why": why}));
         json!({
-            "policy": r.number, "back_of": r.back_of, "print": hex(&r.print), "stage": r.stage,
+            "policy": r.number, "back_of": r.back_of, "print": hex(&r.digest), "stage": r.stage,
             "stages": stages.collect::<Vec<_>>(), "step": r.step, "halted": r.halted, "seen": r.seen,
             "waits_for": r.waits, "waits_what": r.waits_what, "refused": refused.collect::<Vec<_>>(),
         })
@@ -253,9 +255,9 @@
     })
 }
 
-pub fn past_json(p: &PolicyPast) -> Value {
+pub fn past_json(p: &PastRollout) -> Value {
     json!({
-        "policy": p.number, "back_of": p.back_of, "print": hex(&p.print), "in_force": p.in_force, "stages": p.stages,
+        "policy": p.number, "back_of": p.back_of, "print": hex(&p.digest), "in_force": p.in_force, "stages": p.stages,
         "end": p.end, "halts": p.halts, "took_ms": p.took_ms,
     })
 }
@@ -305,7 +307,7 @@
             lines.push(format!(
                 "rollout of policy {}{back}: print {}",
                 r.number,
-                hex(&r.print)
+                hex(&r.digest)
             ));
             lines.push(format!(
                 "stage {} of {}: zones {}, {senders} of {all} senders: {}",
@@ -343,7 +345,7 @@
     lines
 }
 
-pub fn past_line(p: &PolicyPast) -> String {
+pub fn past_line(p: &PastRollout) -> String {
     let back = if p.back_of != 0 {
         format!(", back from policy {}", p.back_of)
     } else {
@@ -364,11 +366,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use raildeal::coordination::messages::{PolicyRollout, PolicyZone};
+    use raildeal::coordination::messages::{RolloutStatus, ZonePolicy};
 
     #[test]
     fn a_status_names_who_is_waited_for_and_why_it_halts() {
-        let rollout = PolicyRollout {
+        let rollout = RolloutStatus {
             number: 3,
             stage: 1,
             stages: vec![(vec!["a".into()], 4), (vec!["b".into(), "c".into()], 296)],
@@ -380,9 +382,9 @@
                 "n7".into(),
                 "line 3: class.odd: no such class\nline 4: x".into(),
             )],
-            ..PolicyRollout::default()
+            ..RolloutStatus::default()
         };
-        let zones = vec![PolicyZone {
+        let zones = vec![ZonePolicy {
             zone: "a".into(),
             number: 3,
             paused: true,
--- a/src/cli/fleet/table.rs
+++ b/src/cli/fleet/table.rs
@@ -6,7 +6,7 @@
 use clap::Subcommand;
 use data_encoding::HEXLOWER;
 use raildeal::coordination::messages::{
-    FederationStatus, FromPerson, Print, TableOrder, TablePast, ToPerson,
+    Digest, FederationRequest, FederationStatus, OperatorRequest, OperatorResponse, PastProposal,
 };
 #[cfg(feature = "tools")]
 use raildeal::coordination::routing_table::document::schema;
@@ -86,13 +86,13 @@
                 if !faults.is_empty() {
                     return refuse(&faults, json);
                 }
-                TableOrder::Propose { text, within_s }
+                FederationRequest::ProposeTable { text, within_s }
             }
-            Table::Status => TableOrder::Status,
-            Table::Abort { why } => TableOrder::Abort {
+            Table::Status => FederationRequest::Status,
+            Table::Abort { why } => FederationRequest::AbortProposal {
                 why: why.unwrap_or_default(),
             },
-            Table::History => TableOrder::History,
+            Table::History => FederationRequest::TableHistory,
             Table::Check { file } => return check(&file, json),
             Table::Diff { from, to } => {
                 let both = named(site, &from).and_then(|a| Ok((a, named(site, &to)?)));
@@ -104,21 +104,21 @@
                 return print(&(schema.map_err(|e| e.to_string())? + "\n"));
             }
         };
-        site.order(&FromPerson::Table(order), json)
+        site.order(&OperatorRequest::Federation(order), json)
     }
 }
 
 impl Sites {
     pub fn run(self, site: &Site, json: bool) -> Result<ExitCode, String> {
         let order = match self {
-            Sites::Off { site } => TableOrder::Off { site },
-            Sites::Join { site, number, at } => TableOrder::Join {
+            Sites::Off { site } => FederationRequest::RemoveSite { site },
+            Sites::Join { site, number, at } => FederationRequest::AddSite {
                 site,
                 number,
                 at: at.iter().map(ToString::to_string).collect(),
             },
         };
-        site.order(&FromPerson::Table(order), json)
+        site.order(&OperatorRequest::Federation(order), json)
     }
 }
 
@@ -126,7 +126,7 @@
     let document = Document::parse(&read(file)?);
     let shown = document
         .as_ref()
-        .map(|d| hex(&d.print()))
+        .map(|d| hex(&d.digest()))
         .unwrap_or_default();
     let faults = told(file, document);
     match faults.is_empty() {
@@ -141,9 +141,9 @@
     match name.parse::<u64>() {
         Ok(0) => Ok(Document::default()),
         Ok(number) => {
-            let word = FromPerson::Table(TableOrder::Text { number });
+            let word = OperatorRequest::Federation(FederationRequest::TableText { number });
             match site.ask(&word).map_err(Unknown::NotDone)? {
-                ToPerson::Table { text, .. } => parsed(name, Document::parse(&text)),
+                OperatorResponse::TableText { text, .. } => parsed(name, Document::parse(&text)),
                 other => Err(answered(other)),
             }
         }
@@ -154,8 +154,8 @@
     }
 }
 
-fn hex(print: &Print) -> String {
-    HEXLOWER.encode(print)
+fn hex(digest: &Digest) -> String {
+    HEXLOWER.encode(digest)
 }
 
 /// A table, by its number.
@@ -175,7 +175,7 @@
     });
     let proposal = s.proposal.as_ref().map(|p| {
         json!({
-            "table": p.number, "print": hex(&p.print), "by": p.by, "left_ms": p.left_ms, "waits_for": p.waits,
+            "table": p.number, "print": hex(&p.digest), "by": p.by, "left_ms": p.left_ms, "waits_for": p.waits,
         })
     });
     let refused = s
@@ -223,7 +223,7 @@
             "proposed by {}: table {}, print {}, for {} s more; waits for {}",
             p.by,
             p.number,
-            hex(&p.print),
+            hex(&p.digest),
             p.left_ms.div_ceil(1_000),
             p.waits.join(" ")
         )),
@@ -250,11 +250,11 @@
     lines
 }
 
-pub fn past_json(p: &TablePast) -> Value {
-    json!({"table": p.number, "print": hex(&p.print), "by": p.by, "end": p.end, "took_ms": p.took_ms})
+pub fn past_json(p: &PastProposal) -> Value {
+    json!({"table": p.number, "print": hex(&p.digest), "by": p.by, "end": p.end, "took_ms": p.took_ms})
 }
 
-pub fn past_line(p: &TablePast) -> String {
+pub fn past_line(p: &PastProposal) -> String {
     format!(
         "table {} by {}: {} after {} ms",
         p.number, p.by, p.end, p.took_ms
--- a/src/coordination/framing.rs
+++ b/src/coordination/framing.rs
@@ -1,7 +1,7 @@
 //! Frames on a line: a length of four bytes (big end first), then a [`postcard`] body. One that is
 //! torn, too long or makes no sense is an error of its line, and of nothing else.
 
-use crate::coordination::messages::{Hello, VERSION};
+use crate::coordination::messages::{Handshake, PROTOCOL_VERSION};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -12,10 +12,10 @@
 
 /// Why a line is ended.
 #[derive(Debug, thiserror::Error)]
-pub enum Broken {
+pub enum FrameError {
     /// The other side ended it between two frames.
     #[error("the line was ended")]
-    Ended,
+    Closed,
     /// It failed, or ended in the middle of a frame.
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -24,40 +24,42 @@
     TooLong(usize, usize),
     /// A frame makes no sense.
     #[error("a frame that makes no sense: {0}")]
-    Senseless(#[from] postcard::Error),
+    Malformed(#[from] postcard::Error),
     /// The other side speaks another form.
-    #[error("it speaks form {0}, this one speaks {VERSION}")]
-    Version(u16),
+    #[error("it speaks form {0}, this one speaks {PROTOCOL_VERSION}")]
+    VersionMismatch(u16),
     /// It is of another site.
     #[error("it is of site {0:?}")]
-    Site(String),
+    SiteMismatch(String),
 }
 
 /// The bytes of a word, with its length before it; refused where it is longer than `most` bytes.
-pub fn bytes<T: Serialize>(word: &T, most: usize) -> Result<Vec<u8>, Broken> {
+pub fn bytes<T: Serialize>(word: &T, most: usize) -> Result<Vec<u8>, FrameError> {
     let mut bytes = postcard::to_extend(word, vec![0; HEAD])?;
     let len = bytes.len() - HEAD;
     match u32::try_from(len) {
         Ok(told) if len <= most => bytes[..HEAD].copy_from_slice(&told.to_be_bytes()),
-        _ => return Err(Broken::TooLong(len, most)),
+        _ => return Err(FrameError::TooLong(len, most)),
     }
     Ok(bytes)
 }
 
 /// How long the body is, if it may be.
-fn length(head: [u8; HEAD], most: usize) -> Result<usize, Broken> {
+fn length(head: [u8; HEAD], most: usize) -> Result<usize, FrameError> {
     let len = u32::from_be_bytes(head) as usize;
     if len > most {
-        return Err(Broken::TooLong(len, most));
+        return Err(FrameError::TooLong(len, most));
     }
     Ok(len)
 }
 
 /// A body as a word. Bytes behind it are a fault.
-fn word<T: DeserializeOwned>(body: &[u8]) -> Result<T, Broken> {
+fn word<T: DeserializeOwned>(body: &[u8]) -> Result<T, FrameError> {
     match postcard::take_from_bytes(body)? {
         (word, []) => Ok(word),
-        _ => Err(Broken::Senseless(postcard::Error::DeserializeBadEncoding)),
+        _ => Err(FrameError::Malformed(
+            postcard::Error::DeserializeBadEncoding,
+        )),
     }
 }
 
@@ -65,11 +67,11 @@
 pub async fn read<T: DeserializeOwned>(
     from: &mut (impl AsyncRead + Unpin),
     most: usize,
-) -> Result<T, Broken> {
+) -> Result<T, FrameError> {
     let mut head = [0; HEAD];
     // An end before the first byte is in order.
     if from.read(&mut head[..1]).await? == 0 {
-        return Err(Broken::Ended);
+        return Err(FrameError::Closed);
     }
     from.read_exact(&mut head[1..]).await?;
     let mut body = vec![0; length(head, most)?];
@@ -82,15 +84,18 @@
     to: &mut (impl AsyncWrite + Unpin),
     word: &T,
     most: usize,
-) -> Result<(), Broken> {
+) -> Result<(), FrameError> {
     Ok(to.write_all(&bytes(word, most)?).await?)
 }
 
 /// The same as [`read`], for a client that waits.
-pub fn read_blocking<T: DeserializeOwned>(from: &mut impl Read, most: usize) -> Result<T, Broken> {
+pub fn read_blocking<T: DeserializeOwned>(
+    from: &mut impl Read,
+    most: usize,
+) -> Result<T, FrameError> {
     let mut head = [0; HEAD];
     if from.read(&mut head[..1])? == 0 {
-        return Err(Broken::Ended);
+        return Err(FrameError::Closed);
     }
     from.read_exact(&mut head[1..])?;
     let mut body = vec![0; length(head, most)?];
@@ -103,16 +108,20 @@
     to: &mut impl Write,
     word: &T,
     most: usize,
-) -> Result<(), Broken> {
+) -> Result<(), FrameError> {
     Ok(to.write_all(&bytes(word, most)?)?)
 }
 
-impl Hello {
+impl Handshake {
     /// Whether one who says so may go on, at this site.
-    pub fn admit(&self, site: &str) -> Result<(), Broken> {
+    pub fn admit(&self, site: &str) -> Result<(), FrameError> {
         match self {
-            Hello { version, .. } if *version != VERSION => Err(Broken::Version(*version)),
-            Hello { site: theirs, .. } if theirs != site => Err(Broken::Site(theirs.clone())),
+            Handshake { version, .. } if *version != PROTOCOL_VERSION => {
+                Err(FrameError::VersionMismatch(*version))
+            }
+            Handshake { site: theirs, .. } if theirs != site => {
+                Err(FrameError::SiteMismatch(theirs.clone()))
+            }
             _ => Ok(()),
         }
     }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -34,7 +34,7 @@
 //! Invariant: what holds for the decision (a destination keeps a route, not too many zones are
 //! evacuated) holds for the record.
 
-use crate::coordination::messages::{FromPerson, ToAgent, ToPerson};
+use crate::coordination::messages::{OperatorRequest, OperatorResponse, ReplicaToAgent};
 use crate::coordination::policy_rollout::register::Change;
 use crate::coordination::policy_rollout::rollout::Roll;
 use crate::coordination::record::{Command, Record};
@@ -85,9 +85,9 @@
     /// Propose this for the record. It may be lost with the term.
     Propose(Command),
     /// Send this to the agent on a connection.
-    Send(ConnectionId, ToAgent),
+    Send(ConnectionId, ReplicaToAgent),
     /// Answer the operator on a connection.
-    Reply(ConnectionId, ToPerson),
+    Reply(ConnectionId, OperatorResponse),
     /// Propose this for the federation's record. It may be lost.
     ProposeToFederation(federation::Command),
 }
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug)]
 struct PendingPolicyOrder {
     connection: ConnectionId,
-    request: FromPerson,
+    request: OperatorRequest,
     /// The turn that it was proposed on, and as what.
     base_turn: u64,
     change: Change,
--- a/src/coordination/leader/agent_messages.rs
+++ b/src/coordination/leader/agent_messages.rs
@@ -3,7 +3,10 @@
 use crate::coordination::leader::orders::propose_policy_change;
 use crate::coordination::leader::sessions::SessionRequest;
 use crate::coordination::leader::{ConnectionId, Effect, LeaderDuties};
-use crate::coordination::messages::{FromAgent, Grant, Health, Listed, Seen, ToAgent, Want};
+use crate::coordination::messages::{
+    AgentToReplica, AttemptLeaseGrant, AttemptLeaseRequest, ListedZoneCapacity,
+    MessageOutcomeCounts, ReplicaToAgent, ZoneCallCounts,
+};
 use crate::coordination::record::Record;
 use crate::Nanos;
 
@@ -24,10 +27,10 @@
     number: u64,
     /// The version of the record that the sender goes by.
     record_version: u64,
-    seen: &'a [Seen],
-    listed: Option<&'a [Listed]>,
-    wants: &'a [Want],
-    health: &'a [Health],
+    seen: &'a [ZoneCallCounts],
+    listed: Option<&'a [ListedZoneCapacity]>,
+    wants: &'a [AttemptLeaseRequest],
+    health: &'a [MessageOutcomeCounts],
 }
 
 impl LeaderDuties {
@@ -36,16 +39,16 @@
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        message: &FromAgent,
+        message: &AgentToReplica,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
         match message {
-            FromAgent::Open {
+            AgentToReplica::OpenSession {
                 sender,
                 boot,
                 zone,
-                has,
+                record_version: has,
                 stored,
             } => {
                 let request = SessionRequest {
@@ -57,13 +60,13 @@
                 };
                 self.on_session_request(now, connection, request, record, effects);
             }
-            FromAgent::Tell {
+            AgentToReplica::Report {
                 report,
-                has,
-                seen,
+                record_version: has,
+                call_counts: seen,
                 listed,
-                wants,
-                health,
+                lease_requests: wants,
+                outcomes: health,
             } => {
                 let report = Report {
                     number: *report,
@@ -75,17 +78,17 @@
                 };
                 self.on_report(now, connection, &report, record, effects);
             }
-            FromAgent::Stored { number, refused } => {
+            AgentToReplica::PolicyChecked { number, refused } => {
                 let refused = refused.as_deref();
                 self.on_policy_stored(connection, *number, refused, record, effects);
             }
-            FromAgent::Rules { turn } => {
+            AgentToReplica::PolicyApplied { turn } => {
                 self.on_policy_turn(now, connection, *turn, record, effects);
             }
-            FromAgent::Table(message) => {
+            AgentToReplica::RoutingTable(message) => {
                 self.on_table_message(now, connection, message, record, effects);
             }
-            FromAgent::Leave => self.on_leave(now, connection, effects),
+            AgentToReplica::CloseSession => self.on_leave(now, connection, effects),
         }
     }
 
@@ -106,7 +109,7 @@
             .session_on_mut(connection)
             .filter(|session| session.is_open_on(connection));
         let Some(session) = session else {
-            effects.push(Effect::Send(connection, ToAgent::Unknown));
+            effects.push(Effect::Send(connection, ReplicaToAgent::UnknownSession));
             return;
         };
         session.record_version = report.record_version;
@@ -176,7 +179,7 @@
     ) {
         match self.sender_on(connection) {
             Some(sender) => self.roll.stored(&sender, number, refused, record),
-            None => effects.push(Effect::Send(connection, ToAgent::Unknown)),
+            None => effects.push(Effect::Send(connection, ReplicaToAgent::UnknownSession)),
         }
     }
 
@@ -190,7 +193,7 @@
         effects: &mut Vec<Effect>,
     ) {
         let Some(sender) = self.sender_on(connection) else {
-            effects.push(Effect::Send(connection, ToAgent::Unknown));
+            effects.push(Effect::Send(connection, ReplicaToAgent::UnknownSession));
             return;
         };
         if let Some(change) = self.roll.rules(now, &sender, turn, record) {
@@ -203,13 +206,16 @@
         let sender_names = &self.sender_names;
         let sessions = &self.sessions;
         self.recovery_ramp
-            .issue_grants(now, |session_id, grant: Grant| {
+            .issue_grants(now, |session_id, grant: AttemptLeaseGrant| {
                 let connection = sender_names
                     .get(&session_id)
                     .and_then(|sender| sessions.get(sender))
                     .and_then(|session| session.open_connection());
                 if let Some(connection) = connection {
-                    effects.push(Effect::Send(connection, ToAgent::Grant(grant)));
+                    effects.push(Effect::Send(
+                        connection,
+                        ReplicaToAgent::GrantAttempts(grant),
+                    ));
                 }
             });
     }
--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -8,11 +8,11 @@
 use crate::coordination::leader::{
     ConnectionId, Effect, LeaderDuties, ORDER_TIMEOUT, PROPOSAL_TIMEOUT,
 };
-use crate::coordination::messages::{FromSender, ToAgent, ToPerson};
+use crate::coordination::messages::{AgentTableMessage, OperatorResponse, ReplicaToAgent};
 use crate::coordination::record::{Command, Record};
 use crate::coordination::routing_table::cutover::{self, Switch};
 use crate::coordination::routing_table::tables;
-use crate::coordination::sender_registry::OFFERS;
+use crate::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use crate::Nanos;
 
 /// Nanoseconds after which a view is sent again to a sender that does not come to have it.
@@ -27,15 +27,15 @@
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        message: &FromSender,
+        message: &AgentTableMessage,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
         if let Some(sender) = self.sender_on(connection) {
             self.take_table_message(now, &sender, message, record, effects);
         } else if !self.is_joining_on(connection) {
-            effects.push(Effect::Send(connection, ToAgent::Unknown));
-        } else if let FromSender::Has(tables) = message {
+            effects.push(Effect::Send(connection, ReplicaToAgent::UnknownSession));
+        } else if let AgentTableMessage::StoredTables(tables) = message {
             self.keep_tables_of_joining(connection, tables);
         }
     }
@@ -45,7 +45,7 @@
         &mut self,
         now: Nanos,
         sender: &str,
-        message: &FromSender,
+        message: &AgentTableMessage,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
@@ -53,8 +53,8 @@
         self.switch
             .hear(now, sender, message, record, &mut proposals);
         propose_table_changes(record, proposals, effects);
-        if let FromSender::Has(_) = message {
-            self.announce_tables(now, sender, record, &mut { OFFERS }, effects);
+        if let AgentTableMessage::StoredTables(_) = message {
+            self.announce_tables(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
         }
     }
 
@@ -78,10 +78,10 @@
         self.pending_table_orders.retain(|order| {
             let shown = known.and_then(|known| Switch::shows(&order.command, known));
             let answer = match shown {
-                Some(Ok(version)) => ToPerson::Done(version),
-                Some(Err(why)) => ToPerson::Refused(why),
+                Some(Ok(version)) => OperatorResponse::Done(version),
+                Some(Err(why)) => OperatorResponse::Rejected(why),
                 None if now < order.received_at + ORDER_TIMEOUT => return true,
-                None => ToPerson::Refused(TABLE_ORDER_TIMED_OUT.into()),
+                None => OperatorResponse::Rejected(TABLE_ORDER_TIMED_OUT.into()),
             };
             effects.push(Effect::Reply(order.connection, answer));
             false
@@ -121,7 +121,12 @@
         let Some(connection) = self.connection_of(sender) else {
             return;
         };
-        let send = &mut |message| effects.push(Effect::Send(connection, ToAgent::Table(message)));
+        let send = &mut |message| {
+            effects.push(Effect::Send(
+                connection,
+                ReplicaToAgent::RoutingTable(message),
+            ))
+        };
         self.switch.say(now, sender, record, offers, send);
     }
 
@@ -132,7 +137,7 @@
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
-        let mut offers = OFFERS;
+        let mut offers = MAX_OFFERS_PER_ROUND;
         for sender in self.senders() {
             self.announce_policies(now, &sender, record, &mut offers, effects);
         }
@@ -145,7 +150,7 @@
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
-        let mut offers = OFFERS;
+        let mut offers = MAX_OFFERS_PER_ROUND;
         for sender in self.senders() {
             self.announce_tables(now, &sender, record, &mut offers, effects);
         }
@@ -178,7 +183,10 @@
         version: record.version,
         sent_at: now,
     });
-    effects.push(Effect::Send(connection, ToAgent::View(record.view())));
+    effects.push(Effect::Send(
+        connection,
+        ReplicaToAgent::View(record.view()),
+    ));
 }
 
 /// Turns what the cutover wants proposed into effects.
@@ -193,7 +201,7 @@
 
 /// A change of the site's tables, based on the turn that the record has.
 fn propose_table_change(record: &Record, change: tables::Change) -> Effect {
-    Effect::Propose(Command::Table {
+    Effect::Propose(Command::ChangeTables {
         base: record.tables.turn,
         change: Box::new(change),
     })
--- a/src/coordination/leader/applied.rs
+++ b/src/coordination/leader/applied.rs
@@ -3,7 +3,7 @@
 use crate::coordination::leader::announce::send_view;
 use crate::coordination::leader::sessions::JoinedSender;
 use crate::coordination::leader::{Effect, LeaderDuties};
-use crate::coordination::messages::ToPerson;
+use crate::coordination::messages::OperatorResponse;
 use crate::coordination::record::{Command, Record};
 use crate::coordination::routing_table::tables;
 use crate::Nanos;
@@ -20,7 +20,7 @@
         effects: &mut Vec<Effect>,
     ) {
         match command {
-            Command::Join { sender, boot, zone } => {
+            Command::AddSender { sender, boot, zone } => {
                 let joined = JoinedSender {
                     name: sender,
                     boot: *boot,
@@ -28,15 +28,15 @@
                 };
                 self.on_joined(now, joined, record, effects);
             }
-            Command::Lapse { sender, boot } => self.on_lapsed(sender, *boot, record),
-            Command::Beat { term, beat, .. } => {
+            Command::ExpireSender { sender, boot } => self.on_lapsed(sender, *boot, record),
+            Command::AdvanceClock { term, beat, .. } => {
                 self.on_heartbeat_applied(now, *term, *beat, record, effects);
             }
-            Command::Order { .. } => self.on_zone_order_applied(now, index, record, effects),
-            Command::Wish { .. } => {
+            Command::SetZonePhase { .. } => self.on_zone_order_applied(now, index, record, effects),
+            Command::RequestZoneState { .. } => {
                 self.on_operator_request_applied(now, index, command, record, effects);
             }
-            Command::Slice {
+            Command::AllocateAttempts {
                 term,
                 slice,
                 zone,
@@ -48,14 +48,14 @@
                     self.send_grants(now, effects);
                 }
             }
-            Command::Policy { change, .. } => {
+            Command::ChangePolicies { change, .. } => {
                 self.on_policy_change_applied(now, index, change, record, effects);
             }
-            Command::Table { change, .. } => {
+            Command::ChangeTables { change, .. } => {
                 self.on_table_change_applied(now, index, change, record, effects);
             }
             // The federation's matter alone.
-            Command::Fence { .. } | Command::Voice { .. } => {}
+            Command::FenceMember { .. } | Command::PersistMemberLog { .. } => {}
         }
     }
 
@@ -95,7 +95,10 @@
             .position(|order| order.command == *command);
         let order = position.and_then(|position| self.pending_zone_orders.remove(position));
         if let Some(order) = order {
-            effects.push(Effect::Reply(order.connection, ToPerson::Done(index)));
+            effects.push(Effect::Reply(
+                order.connection,
+                OperatorResponse::Done(index),
+            ));
         }
         self.decide(now, record, effects);
     }
--- a/src/coordination/leader/decide.rs
+++ b/src/coordination/leader/decide.rs
@@ -9,7 +9,7 @@
 use crate::coordination::leader::capacity::share_of;
 use crate::coordination::leader::returns::ReturnsProgress;
 use crate::coordination::leader::{Effect, LeaderDuties, PendingDecision};
-use crate::coordination::messages::ZoneWish;
+use crate::coordination::messages::RequestedZoneState;
 use crate::coordination::record::{Command, Phase, Record, Zone};
 use crate::coordination::zones::evidence::ZoneVerdict;
 use crate::coordination::zones::recovery_ramp::ReturnProgress;
@@ -148,7 +148,7 @@
             epoch: record.epoch,
             proposed_at: now,
         });
-        effects.push(Effect::Propose(Command::Order {
+        effects.push(Effect::Propose(Command::SetZonePhase {
             base: record.epoch,
             zone: decision.zone,
             phase: decision.phase,
@@ -166,7 +166,7 @@
         progress: Option<ReturnProgress>,
         record: &Record,
     ) -> Option<ZoneDecision> {
-        if requested_by_operator(zone) == Some(ZoneWish::Hold) {
+        if requested_by_operator(zone) == Some(RequestedZoneState::Hold) {
             return None;
         }
         let ms_since_order = record.clock_ms.saturating_sub(zone.since_ms);
@@ -185,7 +185,7 @@
         // Load is a mean over this time; before, it does not tell of the last order.
         let load_is_known = ms_since_order >= u64::from(self.rules.zones.load_window_ms);
         let is_out = zone.phase != Phase::Used && !self.recovery_ramp.has_begun(name);
-        let is_return_requested = requested_by_operator(zone) == Some(ZoneWish::Return);
+        let is_return_requested = requested_by_operator(zone) == Some(RequestedZoneState::Return);
         if !load_is_known || !is_out || is_return_requested {
             return None;
         }
@@ -224,7 +224,7 @@
         ms_since_order: u64,
         record: &Record,
     ) -> Option<ZoneDecision> {
-        if requested_by_operator(zone) == Some(ZoneWish::Leave) {
+        if requested_by_operator(zone) == Some(RequestedZoneState::Leave) {
             let evacuated = self.evacuation_shares(name, record).ok()?;
             return Some(ZoneDecision::new(
                 name,
@@ -250,8 +250,8 @@
         ms_since_order: u64,
     ) -> Option<ZoneDecision> {
         let why = match requested_by_operator(zone) {
-            Some(ZoneWish::Leave) => return None,
-            Some(ZoneWish::Return) => OPERATOR_REQUEST,
+            Some(RequestedZoneState::Leave) => return None,
+            Some(RequestedZoneState::Return) => OPERATOR_REQUEST,
             _ => {
                 let is_listed = self.endpoint_lists.destination_count(name) > 0;
                 if ms_since_order < self.return_backoff_ms(zone) || !is_listed {
@@ -285,7 +285,7 @@
         progress: Option<ReturnProgress>,
         ms_since_order: u64,
     ) -> Option<ZoneDecision> {
-        if requested_by_operator(zone) == Some(ZoneWish::Leave) {
+        if requested_by_operator(zone) == Some(RequestedZoneState::Leave) {
             return Some(ZoneDecision::new(
                 name,
                 Phase::Left,
@@ -314,7 +314,7 @@
         zone: &Zone,
         progress: ReturnProgress,
     ) -> Option<&'static str> {
-        if requested_by_operator(zone) == Some(ZoneWish::Return) {
+        if requested_by_operator(zone) == Some(RequestedZoneState::Return) {
             return None;
         }
         if progress == ReturnProgress::Failed {
@@ -429,6 +429,6 @@
 }
 
 /// What an operator's request on a zone says, while it holds.
-pub(super) fn requested_by_operator(zone: &Zone) -> Option<ZoneWish> {
+pub(super) fn requested_by_operator(zone: &Zone) -> Option<RequestedZoneState> {
     zone.wish.map(|request| request.what)
 }
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -7,7 +7,7 @@
 
 use crate::coordination::leader::announce::send_view;
 use crate::coordination::leader::{ConnectionId, Effect, LeaderDuties, PROPOSAL_TIMEOUT};
-use crate::coordination::messages::ToAgent;
+use crate::coordination::messages::ReplicaToAgent;
 use crate::coordination::record::{Command, Record};
 use crate::coordination::zones::ms;
 use crate::Nanos;
@@ -117,7 +117,7 @@
         let passed_ms = self.heartbeats.count_milliseconds(now);
         let beat = self.heartbeats.add_pending(now);
         let gap_ms = self.unknown_gap_ms(record);
-        effects.push(Effect::Propose(Command::Beat {
+        effects.push(Effect::Propose(Command::AdvanceClock {
             term: self.term,
             beat,
             ms: passed_ms.max(gap_ms),
@@ -186,7 +186,7 @@
         if may_renew {
             session.lease_until = session.lease_until.max(lease_until);
             session.unanswered_report = None;
-            let renewed = ToAgent::Renewed { report, lease_ms };
+            let renewed = ReplicaToAgent::LeaseRenewed { report, lease_ms };
             effects.push(Effect::Send(connection, renewed));
         } else {
             session.unanswered_report = Some(report);
@@ -224,7 +224,7 @@
             session.is_ending = true;
             // Proposed again after this time, should it be lost; by then it has no connection.
             session.lease_until = now + PROPOSAL_TIMEOUT;
-            effects.push(Effect::Propose(Command::Lapse {
+            effects.push(Effect::Propose(Command::ExpireSender {
                 sender: sender.clone(),
                 boot: session.boot,
             }));
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -8,10 +8,12 @@
     ConnectionId, Effect, LeaderDuties, PendingPolicyOrder, PendingTableOrder, PendingZoneOrder,
     ORDER_TIMED_OUT, ORDER_TIMEOUT,
 };
-use crate::coordination::messages::{FromPerson, TableOrder, ToPerson, ZoneWish};
+use crate::coordination::messages::{
+    FederationRequest, OperatorRequest, OperatorResponse, RequestedZoneState,
+};
 use crate::coordination::policy_rollout::register::Change;
 use crate::coordination::policy_rollout::rollout::Roll;
-use crate::coordination::record::{Command, Phase, Record, Wish};
+use crate::coordination::record::{Command, Phase, Record, ZoneOverride};
 use crate::coordination::routing_table::cutover::Switch;
 use crate::Nanos;
 
@@ -24,7 +26,7 @@
 /// What an operator orders of a zone.
 struct ZoneRequest<'a> {
     zone: &'a str,
-    wish: ZoneWish,
+    wish: RequestedZoneState,
     /// Seconds for which it holds; 0 until another one.
     for_seconds: u64,
 }
@@ -38,12 +40,12 @@
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        request: &FromPerson,
+        request: &OperatorRequest,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
         let answer = match request {
-            FromPerson::Zone { zone, order, for_s } => {
+            OperatorRequest::RequestZoneState { zone, order, for_s } => {
                 let request = ZoneRequest {
                     zone,
                     wish: *order,
@@ -51,21 +53,25 @@
                 };
                 return self.order_zone(now, connection, request, record, effects);
             }
-            FromPerson::Propose { .. }
-            | FromPerson::Halt { .. }
-            | FromPerson::Resume
-            | FromPerson::Back => {
+            OperatorRequest::ProposePolicy { .. }
+            | OperatorRequest::HaltRollout { .. }
+            | OperatorRequest::ResumeRollout
+            | OperatorRequest::RollBack => {
                 return self.order_policy(now, connection, request, record, effects);
             }
-            FromPerson::Table(order) => {
+            OperatorRequest::Federation(order) => {
                 return self.order_table(now, connection, order, record, effects);
             }
-            FromPerson::Status => ToPerson::Status(Box::new(self.status(record))),
-            FromPerson::Policies => ToPerson::Policies(Box::new(self.roll.status(now, record))),
-            FromPerson::PastPolicies => ToPerson::PastPolicies(Roll::history(record)),
-            FromPerson::Policy { number } => policy_text(*number, record),
-            FromPerson::Add { .. } | FromPerson::Remove { .. } => {
-                ToPerson::Refused("keepers are not the office's to change".into())
+            OperatorRequest::Status => OperatorResponse::Status(Box::new(self.status(record))),
+            OperatorRequest::PolicyStatus => {
+                OperatorResponse::PolicyStatus(Box::new(self.roll.status(now, record)))
+            }
+            OperatorRequest::PolicyHistory => {
+                OperatorResponse::PolicyHistory(Roll::history(record))
+            }
+            OperatorRequest::PolicyText { number } => policy_text(*number, record),
+            OperatorRequest::AddReplica { .. } | OperatorRequest::RemoveReplica { .. } => {
+                OperatorResponse::Rejected("keepers are not the office's to change".into())
             }
         };
         effects.push(Effect::Reply(connection, answer));
@@ -101,18 +107,18 @@
         &mut self,
         request: ZoneRequest<'_>,
         record: &Record,
-    ) -> Result<Command, ToPerson> {
+    ) -> Result<Command, OperatorResponse> {
         self.endpoint_lists.refresh();
         if let Some(why) = self.zone_refusal(&request, record) {
-            return Err(ToPerson::Refused(why));
+            return Err(OperatorResponse::Rejected(why));
         }
         if is_recorded(&request, record) {
-            return Err(ToPerson::Done(record.version));
+            return Err(OperatorResponse::Done(record.version));
         }
         if self.pending_zone_orders.len() >= MAX_PENDING_ORDERS {
-            return Err(ToPerson::Refused(TOO_MANY_ORDERS.into()));
+            return Err(OperatorResponse::Rejected(TOO_MANY_ORDERS.into()));
         }
-        Ok(Command::Wish {
+        Ok(Command::RequestZoneState {
             zone: request.zone.into(),
             wish: request.wish,
             for_ms: self.order_duration_ms(request.for_seconds),
@@ -141,7 +147,7 @@
             return Some("the record names as many zones as it may".into());
         }
         let is_used = zone.is_none_or(|zone| zone.phase == Phase::Used);
-        if request.wish == ZoneWish::Leave && is_used {
+        if request.wish == RequestedZoneState::Leave && is_used {
             let refusal = self.evacuation_shares(name, record).err()?;
             return Some(refusal.to_string());
         }
@@ -154,15 +160,15 @@
         &mut self,
         received_at: Nanos,
         connection: ConnectionId,
-        request: &FromPerson,
+        request: &OperatorRequest,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
         let answer = match self.roll.order(request, record) {
-            Err(why) => ToPerson::Refused(why),
-            Ok(None) => ToPerson::Done(record.version),
+            Err(why) => OperatorResponse::Rejected(why),
+            Ok(None) => OperatorResponse::Done(record.version),
             Ok(Some(_)) if self.pending_policy_orders.len() >= MAX_PENDING_ORDERS => {
-                ToPerson::Refused(TOO_MANY_ORDERS.into())
+                OperatorResponse::Rejected(TOO_MANY_ORDERS.into())
             }
             Ok(Some(change)) => {
                 effects.push(propose_policy_change(record, change.clone()));
@@ -185,46 +191,48 @@
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        order: &TableOrder,
+        order: &FederationRequest,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
         let answer = match order {
-            TableOrder::Status => self.federation_status(now, record),
-            TableOrder::History => self.table_history(),
-            TableOrder::Text { number } => self.table_text(*number, record),
-            TableOrder::Propose { .. }
-            | TableOrder::Abort { .. }
-            | TableOrder::Off { .. }
-            | TableOrder::Join { .. } => {
+            FederationRequest::Status => self.federation_status(now, record),
+            FederationRequest::TableHistory => self.table_history(),
+            FederationRequest::TableText { number } => self.table_text(*number, record),
+            FederationRequest::ProposeTable { .. }
+            | FederationRequest::AbortProposal { .. }
+            | FederationRequest::RemoveSite { .. }
+            | FederationRequest::AddSite { .. } => {
                 return self.change_federation(now, connection, order, record, effects);
             }
         };
         effects.push(Effect::Reply(connection, answer));
     }
 
-    fn federation_status(&self, now: Nanos, record: &Record) -> ToPerson {
+    fn federation_status(&self, now: Nanos, record: &Record) -> OperatorResponse {
         match &self.known {
-            Some(known) => ToPerson::Federation(Box::new(self.switch.status(now, record, known))),
-            None => ToPerson::Refused(NO_FEDERATION.into()),
+            Some(known) => {
+                OperatorResponse::FederationStatus(Box::new(self.switch.status(now, record, known)))
+            }
+            None => OperatorResponse::Rejected(NO_FEDERATION.into()),
         }
     }
 
-    fn table_history(&self) -> ToPerson {
+    fn table_history(&self) -> OperatorResponse {
         match &self.known {
-            Some(known) => ToPerson::PastTables(Switch::history(known)),
-            None => ToPerson::Refused(NO_FEDERATION.into()),
+            Some(known) => OperatorResponse::TableHistory(Switch::history(known)),
+            None => OperatorResponse::Rejected(NO_FEDERATION.into()),
         }
     }
 
-    fn table_text(&self, number: u64, record: &Record) -> ToPerson {
+    fn table_text(&self, number: u64, record: &Record) -> OperatorResponse {
         match Switch::text(number, record, self.known.as_ref()) {
-            Some((number, print, text)) => ToPerson::Table {
+            Some((number, print, text)) => OperatorResponse::TableText {
                 number,
-                print,
+                digest: print,
                 text,
             },
-            None => ToPerson::Refused(format!("no text of table {number} is held")),
+            None => OperatorResponse::Rejected(format!("no text of table {number} is held")),
         }
     }
 
@@ -233,16 +241,16 @@
         &mut self,
         now: Nanos,
         connection: ConnectionId,
-        order: &TableOrder,
+        order: &FederationRequest,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
         let known = self.known.as_ref();
         let answer = match self.switch.order(order, record, known) {
-            Err(why) => ToPerson::Refused(why),
-            Ok(None) => ToPerson::Done(known.map_or(0, |known| known.record.version)),
+            Err(why) => OperatorResponse::Rejected(why),
+            Ok(None) => OperatorResponse::Done(known.map_or(0, |known| known.record.version)),
             Ok(Some(_)) if self.pending_table_orders.len() >= MAX_PENDING_ORDERS => {
-                ToPerson::Refused(TOO_MANY_ORDERS.into())
+                OperatorResponse::Rejected(TOO_MANY_ORDERS.into())
             }
             Ok(Some(command)) => {
                 effects.push(Effect::ProposeToFederation(command.clone()));
@@ -295,7 +303,7 @@
                 ..
             } = &order;
             if was_applied && order.base_turn + 1 == turn && order.change == *change {
-                effects.push(Effect::Reply(*connection, ToPerson::Done(index)));
+                effects.push(Effect::Reply(*connection, OperatorResponse::Done(index)));
             } else {
                 self.order_policy(*received_at, *connection, request, record, effects);
             }
@@ -310,7 +318,7 @@
     pub(super) fn refuse_timed_out_orders(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let has_timed_out = |received_at: Nanos| now >= received_at + ORDER_TIMEOUT;
         let mut refuse = |connection: ConnectionId| {
-            let refused = ToPerson::Refused(ORDER_TIMED_OUT.into());
+            let refused = OperatorResponse::Rejected(ORDER_TIMED_OUT.into());
             effects.push(Effect::Reply(connection, refused));
         };
         while let Some(order) = self.pending_zone_orders.front() {
@@ -344,30 +352,30 @@
 /// always is, as its time begins anew.
 fn is_recorded(request: &ZoneRequest<'_>, record: &Record) -> bool {
     let recorded = record.zones.get(request.zone).and_then(|zone| zone.wish);
-    if request.wish == ZoneWish::Free {
+    if request.wish == RequestedZoneState::Free {
         return recorded.is_none();
     }
-    let same = Wish {
+    let same = ZoneOverride {
         what: request.wish,
         until_ms: 0,
     };
     request.for_seconds == 0 && recorded == Some(same)
 }
 
-fn policy_text(number: u64, record: &Record) -> ToPerson {
+fn policy_text(number: u64, record: &Record) -> OperatorResponse {
     match record.policies.texts.get(&number) {
-        Some(stored) => ToPerson::Policy {
+        Some(stored) => OperatorResponse::PolicyText {
             number,
-            print: stored.print,
+            digest: stored.digest,
             text: stored.text.clone(),
         },
-        None => ToPerson::Refused(format!("the record has no text of policy {number}")),
+        None => OperatorResponse::Rejected(format!("the record has no text of policy {number}")),
     }
 }
 
 /// A change of policies, based on the turn that the record has.
 pub(super) fn propose_policy_change(record: &Record, change: Change) -> Effect {
-    Effect::Propose(Command::Policy {
+    Effect::Propose(Command::ChangePolicies {
         base: record.policies.turn,
         change: Box::new(change),
     })
--- a/src/coordination/leader/returns.rs
+++ b/src/coordination/leader/returns.rs
@@ -6,7 +6,7 @@
 use crate::coordination::leader::capacity::{full_load_per_second, share_of};
 use crate::coordination::leader::decide::requested_by_operator;
 use crate::coordination::leader::{Effect, LeaderDuties};
-use crate::coordination::messages::ZoneWish;
+use crate::coordination::messages::RequestedZoneState;
 use crate::coordination::record::{Command, Phase, Record, Zone};
 use crate::coordination::zones::recovery_ramp::{DestinationBudget, ReturnProgress, ReturningZone};
 use crate::Nanos;
@@ -56,7 +56,7 @@
             };
             let reservation = self.recovery_ramp.reserve_slice(now, name, budget);
             if let Some(reservation) = reservation {
-                effects.push(Effect::Propose(Command::Slice {
+                effects.push(Effect::Propose(Command::AllocateAttempts {
                     term: self.term,
                     slice: reservation.number,
                     zone: name.to_string(),
@@ -76,7 +76,7 @@
     ) -> ReturnsProgress<'a> {
         returning_zones(record)
             .map(|(name, zone)| {
-                let is_held = requested_by_operator(zone) == Some(ZoneWish::Hold);
+                let is_held = requested_by_operator(zone) == Some(RequestedZoneState::Hold);
                 (name, self.recovery_ramp.advance(now, name, is_held))
             })
             .collect()
@@ -90,7 +90,8 @@
     ) {
         for (name, progress) in progress {
             let requested = requested_by_operator(&record.zones[*name]);
-            if *progress == ReturnProgress::Failed && requested == Some(ZoneWish::Return) {
+            if *progress == ReturnProgress::Failed && requested == Some(RequestedZoneState::Return)
+            {
                 self.recovery_ramp.restart(name);
             }
         }
--- a/src/coordination/leader/rules.rs
+++ b/src/coordination/leader/rules.rs
@@ -3,7 +3,7 @@
 //! The keys keep the spelling that the operators' files have; where a field has a clearer name
 //! here, `serde(rename)` gives the key.
 
-use crate::coordination::record::MOST_SENDERS;
+use crate::coordination::record::MAX_SENDERS;
 use crate::coordination::zones::ZoneRules;
 use serde::Deserialize;
 
@@ -33,7 +33,7 @@
             lease_ms: 3_000,
             heartbeat_interval_ms: 500,
             heartbeat_valid_ms: 1_500,
-            max_senders: MOST_SENDERS,
+            max_senders: MAX_SENDERS,
             zones: ZoneRules::default(),
         }
     }
@@ -66,9 +66,9 @@
                 "rules.sure_ms: {heartbeat_valid_ms} is not from two beats to 60000"
             ));
         }
-        if !(1..=MOST_SENDERS).contains(max_senders) {
+        if !(1..=MAX_SENDERS).contains(max_senders) {
             faults.push(format!(
-                "rules.most_senders: {max_senders} is not from 1 to {MOST_SENDERS}"
+                "rules.most_senders: {max_senders} is not from 1 to {MAX_SENDERS}"
             ));
         }
         faults.extend(zones.faults());
--- a/src/coordination/leader/sessions.rs
+++ b/src/coordination/leader/sessions.rs
@@ -6,9 +6,9 @@
 //! and `announce`.
 
 use crate::coordination::leader::{ConnectionId, Effect, LeaderDuties, PROPOSAL_TIMEOUT};
-use crate::coordination::messages::{FromSender, Print, ToAgent};
+use crate::coordination::messages::{AgentTableMessage, Digest, ReplicaToAgent};
 use crate::coordination::record::{Command, Record};
-use crate::coordination::sender_registry::OFFERS;
+use crate::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use crate::Nanos;
 
 /// Nanoseconds for which a session that is ending is not ended again while its sender joins anew:
@@ -62,9 +62,9 @@
     connection: ConnectionId,
     record_version: u64,
     pub(super) requested_at: Nanos,
-    stored_policies: Option<Vec<(u64, Print)>>,
+    stored_policies: Option<Vec<(u64, Digest)>>,
     /// Routing tables that it has stored, once it has said so.
-    stored_tables: Option<Vec<(u64, Print)>>,
+    stored_tables: Option<Vec<(u64, Digest)>>,
 }
 
 /// What a sender asks for a session with.
@@ -73,7 +73,7 @@
     pub(super) boot: u64,
     pub(super) home_zone: &'a str,
     pub(super) record_version: u64,
-    pub(super) stored_policies: Option<&'a [(u64, Print)]>,
+    pub(super) stored_policies: Option<&'a [(u64, Digest)]>,
 }
 
 /// A sender that joined, as the record has it.
@@ -158,7 +158,7 @@
     pub(super) fn keep_tables_of_joining(
         &mut self,
         connection: ConnectionId,
-        tables: &[(u64, Print)],
+        tables: &[(u64, Digest)],
     ) {
         if let Some(joining) = self.joining_on_mut(connection) {
             joining.stored_tables = Some(tables.to_vec());
@@ -184,7 +184,7 @@
                 request.sender,
                 self.rules.max_senders
             );
-            effects.push(Effect::Send(connection, ToAgent::Elsewhere(None)));
+            effects.push(Effect::Send(connection, ReplicaToAgent::NotLeader(None)));
         }
     }
 
@@ -227,7 +227,7 @@
             .meet(sender, request.boot, request.stored_policies);
         self.switch.meet(sender, request.boot);
         // Its lease never comes before what is in force.
-        self.announce_policies(now, sender, record, &mut { OFFERS }, effects);
+        self.announce_policies(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
         self.renew(now, connection, 0, record, effects);
     }
 
@@ -247,7 +247,7 @@
             .filter(|at| now < at + PROPOSAL_TIMEOUT);
         if proposed_at.is_none() {
             self.suspend_end(now, request.sender);
-            effects.push(Effect::Propose(Command::Join {
+            effects.push(Effect::Propose(Command::AddSender {
                 sender: request.sender.to_string(),
                 boot: request.boot,
                 zone: request.home_zone.to_string(),
@@ -303,7 +303,7 @@
     fn refuse_joining(&mut self, sender: &str, boot: u64, effects: &mut Vec<Effect>) {
         let refused = self.joining.remove(sender);
         if let Some(refused) = refused.filter(|joining| joining.boot == boot) {
-            let elsewhere = ToAgent::Elsewhere(None);
+            let elsewhere = ReplicaToAgent::NotLeader(None);
             effects.push(Effect::Send(refused.connection, elsewhere));
         }
     }
@@ -341,9 +341,9 @@
         let stored_policies = joining.stored_policies.as_deref();
         self.roll.meet(sender, joining.boot, stored_policies);
         self.switch.meet(sender, joining.boot);
-        self.announce_policies(now, sender, record, &mut { OFFERS }, effects);
+        self.announce_policies(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
         if let Some(tables) = joining.stored_tables {
-            let message = FromSender::Has(tables);
+            let message = AgentTableMessage::StoredTables(tables);
             self.take_table_message(now, sender, &message, record, effects);
         }
         self.renew(now, connection, 0, record, effects);
@@ -367,7 +367,7 @@
         // The end is proposed again after this time, should it be lost.
         session.lease_until = now + PROPOSAL_TIMEOUT;
         let boot = session.boot;
-        effects.push(Effect::Propose(Command::Lapse { sender, boot }));
+        effects.push(Effect::Propose(Command::ExpireSender { sender, boot }));
     }
 
     /// The record has the end of a session. Invariant: it ends no session of a later process.
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -3,8 +3,8 @@
 //! The texts are the status output of `raildeal fleet`, which operators' scripts read.
 
 use crate::coordination::leader::LeaderDuties;
-use crate::coordination::messages::{Status, ZoneWish};
-use crate::coordination::record::{Phase, Record, Wish, Zone};
+use crate::coordination::messages::{CoordinationStatus, RequestedZoneState};
+use crate::coordination::record::{Phase, Record, Zone, ZoneOverride};
 use crate::coordination::zones::evidence::ZoneVerdict;
 use std::collections::BTreeMap;
 
@@ -25,14 +25,14 @@
 
 impl LeaderDuties {
     /// The status, without what the replica fills in.
-    pub(super) fn status(&self, record: &Record) -> Status {
+    pub(super) fn status(&self, record: &Record) -> CoordinationStatus {
         let (live, lapsed): (Vec<_>, Vec<_>) =
             record.roster.iter().partition(|(_, member)| member.live);
         let with_version = |name: &String| {
             let session = self.sessions.get(name);
             (name.clone(), session.map_or(0, |s| s.record_version))
         };
-        Status {
+        CoordinationStatus {
             term: self.term,
             version: record.version,
             senders: live.iter().map(|(name, _)| with_version(name)).collect(),
@@ -42,7 +42,7 @@
                 .into_iter()
                 .map(|(zone, line)| (zone, line.ordered, line.why))
                 .collect(),
-            ..Status::default()
+            ..CoordinationStatus::default()
         }
     }
 
@@ -127,7 +127,7 @@
 }
 
 /// An operator's request on a zone, and for how long it still holds.
-fn describe_request(wish: Wish, clock_ms: u64) -> String {
+fn describe_request(wish: ZoneOverride, clock_ms: u64) -> String {
     let until = match wish.until_ms {
         0 => "until another word".to_string(),
         until_ms => {
@@ -136,10 +136,10 @@
         }
     };
     let request = match wish.what {
-        ZoneWish::Leave => "leave",
-        ZoneWish::Return => "return",
-        ZoneWish::Hold => "hold",
-        ZoneWish::Free => "free",
+        RequestedZoneState::Leave => "leave",
+        RequestedZoneState::Return => "return",
+        RequestedZoneState::Hold => "hold",
+        RequestedZoneState::Free => "free",
     };
     format!("; a person's word: {request}, {until}")
 }
--- a/src/coordination/messages/tests.rs
+++ b/src/coordination/messages/tests.rs
@@ -2,7 +2,9 @@
 
 #[test]
 fn lots_are_even_and_differ_by_zone() {
-    let lots: Vec<f32> = (0..3_000).map(|n| lot(&format!("n{n}"), "a", 3)).collect();
+    let lots: Vec<f32> = (0..3_000)
+        .map(|n| sender_hash_fraction(&format!("n{n}"), "a", 3))
+        .collect();
     for tenth in 1..10 {
         let under = lots.iter().filter(|l| **l < tenth as f32 / 10.0).count();
         assert!(
@@ -10,5 +12,8 @@
             "{under} under {tenth} tenths"
         );
     }
-    assert_ne!(lot("n1", "a", 3), lot("n1", "b", 3));
+    assert_ne!(
+        sender_hash_fraction("n1", "a", 3),
+        sender_hash_fraction("n1", "b", 3)
+    );
 }
--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -5,7 +5,7 @@
 //! up: each lies over those alone.
 
 use crate::config::{Door, Name};
-use crate::coordination::messages::Print;
+use crate::coordination::messages::Digest;
 use crate::delivery::script_hook::ScriptHook;
 use crate::dispatch::statistics::MS;
 use crate::{Class, DedupScope, Dispatcher, Effect, Settings};
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use sha2::{Digest, Sha256};
+use sha2::{Digest as _, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use toml::de::{DeTable, DeValue};
@@ -325,7 +325,7 @@
     }
 
     /// The print of that.
-    pub fn print(&self) -> Print {
+    pub fn digest(&self) -> Digest {
         Sha256::new()
             .chain_update(KIND)
             .chain_update(self.canonical())
--- a/src/coordination/policy_rollout/document/tests.rs
+++ b/src/coordination/policy_rollout/document/tests.rs
@@ -84,8 +84,8 @@
                  limits.slots = 0x28\nhook = 'fn ingress(message) { true }'\n";
     let other = Document::parse(other).expect("good");
     assert_eq!(
-        (one.canonical(), one.print()),
-        (other.canonical(), other.print())
+        (one.canonical(), one.digest()),
+        (other.canonical(), other.digest())
     );
     assert_eq!(one.diff(&other), vec![]);
     let third = Document::parse(
@@ -94,7 +94,7 @@
             .replace("[limits]\nslots = 40", ""),
     )
     .expect("good");
-    assert_ne!(one.print(), third.print());
+    assert_ne!(one.digest(), third.digest());
     let changed: Vec<String> = one
         .diff(&third)
         .iter()
@@ -102,7 +102,7 @@
         .collect();
     assert_eq!(changed, ["class.bulk.deadline_ms", "limits.slots"]);
     // A print never changes: senders and keepers of different programs compare it.
-    let shown = data_encoding::HEXLOWER.encode(&Document::default().print());
+    let shown = data_encoding::HEXLOWER.encode(&Document::default().digest());
     assert_eq!(
         shown,
         "716ee05c4854b1d7952c6a504e987d9410c861f1764bf02249dd2a92ef60c90c"
--- a/src/coordination/policy_rollout/health.rs
+++ b/src/coordination/policy_rollout/health.rs
@@ -79,9 +79,15 @@
         self.turned_away += other.turned_away;
     }
 
-    fn of(h: &messages::Health) -> Sum {
-        let [taken, late, refused, failed, turned_away] =
-            [h.taken, h.late, h.refused, h.failed, h.turned_away].map(u64::from);
+    fn of(h: &messages::MessageOutcomeCounts) -> Sum {
+        let [taken, late, refused, failed, turned_away] = [
+            h.accepted,
+            h.delivered_late,
+            h.deferred,
+            h.failed,
+            h.rejected,
+        ]
+        .map(u64::from);
         Sum {
             came: taken + turned_away,
             taken,
@@ -212,7 +218,13 @@
 
     /// A sender that stands in this stage reports. In stages that went over only what was taken on
     /// under the policy counts.
-    pub fn hear(&mut self, now: Nanos, stage: usize, only: Option<u64>, told: &[messages::Health]) {
+    pub fn hear(
+        &mut self,
+        now: Nanos,
+        stage: usize,
+        only: Option<u64>,
+        told: &[messages::MessageOutcomeCounts],
+    ) {
         let span = now / SPAN;
         let told = told
             .iter()
--- a/src/coordination/policy_rollout/health/tests.rs
+++ b/src/coordination/policy_rollout/health/tests.rs
@@ -8,15 +8,15 @@
 }
 
 /// Messages of a class in a span, of which some fail.
-fn told(policy: u64, class: &str, taken: u32, failed: u32) -> messages::Health {
+fn told(policy: u64, class: &str, taken: u32, failed: u32) -> messages::MessageOutcomeCounts {
     let delivered = taken - failed;
-    messages::Health {
+    messages::MessageOutcomeCounts {
         policy,
         class: class.into(),
-        taken,
+        accepted: taken,
         delivered,
         failed,
-        ..messages::Health::default()
+        ..messages::MessageOutcomeCounts::default()
     }
 }
 
--- a/src/coordination/policy_rollout/register.rs
+++ b/src/coordination/policy_rollout/register.rs
@@ -6,7 +6,7 @@
 //! are the record's own.
 
 use crate::coordination::cut;
-use crate::coordination::messages::Print;
+use crate::coordination::messages::Digest;
 use crate::coordination::policy_rollout::plan::Plan;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Text {
     /// Its print.
-    pub print: Print,
+    pub digest: Digest,
     /// Its text.
     pub text: String,
 }
@@ -115,7 +115,7 @@
     /// The policy that it went back from; 0 for none.
     pub back_of: u64,
     /// The policy's print.
-    pub print: Print,
+    pub digest: Digest,
     /// Stages in which it was in force, and all.
     pub stages: (u32, u32),
     /// How it ended.
@@ -136,7 +136,7 @@
         /// Its text.
         text: String,
         /// Its print.
-        print: Print,
+        digest: Digest,
         /// Its plan.
         plan: Plan,
     },
@@ -161,7 +161,7 @@
     /// Back to what was before, stage by stage, the last one first.
     Back {
         /// Print of the policy that says nothing.
-        own: Print,
+        own: Digest,
     },
     /// It ends before it changed anything.
     End {
@@ -198,8 +198,8 @@
     }
 
     /// The print of a policy; nothing for 0 and those that are not held any more.
-    pub fn print(&self, number: u64) -> Option<Print> {
-        self.texts.get(&number).map(|t| t.print)
+    pub fn digest(&self, number: u64) -> Option<Digest> {
+        self.texts.get(&number).map(|t| t.digest)
     }
 
     /// Applies a change that was based on this turn; void where another one came first, or where it
@@ -240,7 +240,7 @@
     fn change(&mut self, index: u64, now: u64, change: &Change) -> Option<()> {
         let turn = self.turn + 1;
         match change {
-            Change::Propose { text, print, plan } => {
+            Change::Propose { text, digest, plan } => {
                 if self.rollout.is_some() || plan.stage.is_empty() {
                     return None;
                 }
@@ -249,7 +249,7 @@
                 self.texts.insert(
                     number,
                     Text {
-                        print: *print,
+                        digest: *digest,
                         text: text.clone(),
                     },
                 );
@@ -347,7 +347,7 @@
         }
     }
 
-    fn back(&mut self, index: u64, now: u64, own: &Print) -> Option<()> {
+    fn back(&mut self, index: u64, now: u64, own: &Digest) -> Option<()> {
         let turn = self.turn + 1;
         let r = match (&self.rollout, &self.last) {
             (Some(r), _) | (None, Some(r)) if r.back_of == 0 => r.clone(),
@@ -379,16 +379,16 @@
         };
         // A number for each policy that is gone back to; what was no policy is one that says
         // nothing.
-        let mut numbers: BTreeMap<Print, u64> = BTreeMap::new();
+        let mut numbers: BTreeMap<Digest, u64> = BTreeMap::new();
         let mut to = BTreeMap::new();
         for zone in plan.zones() {
             let before = r.from.get(zone).copied().unwrap_or_default();
             let text = self.texts.get(&before).cloned().filter(|_| before != 0);
             let text = text.unwrap_or(Text {
-                print: *own,
+                digest: *own,
                 text: String::new(),
             });
-            let number = *numbers.entry(text.print).or_insert_with(|| {
+            let number = *numbers.entry(text.digest).or_insert_with(|| {
                 self.given += 1;
                 self.texts.insert(self.given, text);
                 self.given
@@ -419,7 +419,7 @@
         self.past.push_back(Past {
             number: r.number,
             back_of: r.back_of,
-            print: self.print(r.number).unwrap_or_default(),
+            digest: self.digest(r.number).unwrap_or_default(),
             stages: (r.in_force() as u32, r.plan.stage.len() as u32),
             end: end.into(),
             halts: r.halts,
--- a/src/coordination/policy_rollout/register/tests.rs
+++ b/src/coordination/policy_rollout/register/tests.rs
@@ -15,7 +15,7 @@
 fn propose(n: u8) -> Change {
     Change::Propose {
         text: format!("# {n}"),
-        print: [n; 32],
+        digest: [n; 32],
         plan: plan(&[&["a"], &["b", "c"]]),
     }
 }
@@ -123,7 +123,7 @@
         &mut p,
         &[Change::Propose {
             text: "# 0".into(),
-            print: [9; 32],
+            digest: [9; 32],
             plan: plan(&[&["a"]]),
         }],
     );
@@ -144,8 +144,8 @@
     assert_eq!((r.to["a"], r.to["b"], r.to["c"]), (4, 3, 3));
     assert_eq!(
         (
-            p.texts[&4].print,
-            p.texts[&3].print,
+            p.texts[&4].digest,
+            p.texts[&3].digest,
             p.texts[&3].text.as_str()
         ),
         ([9; 32], [0; 32], "")
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -11,13 +11,13 @@
 //! that and the change finds the pause in the record, and takes nothing on before it has heard the
 //! change.
 
-use crate::coordination::messages::{self, FromPerson, Print, Stance, ToAgent};
+use crate::coordination::messages::{self, Digest, OperatorRequest, ReplicaToAgent, SiteAdmission};
 use crate::coordination::policy_rollout::document::Document;
 use crate::coordination::policy_rollout::health::{Health, Verdict};
 use crate::coordination::policy_rollout::plan::Plan;
 use crate::coordination::policy_rollout::register::{Change, Rollout, Step};
-use crate::coordination::record::{Member, Record, MOST_ZONES};
-use crate::coordination::sender_registry::{names, Ears, Known, Live};
+use crate::coordination::record::{Record, RosterEntry, MAX_ZONES};
+use crate::coordination::sender_registry::{names, KnownSender, LiveSender, SenderRegistry};
 use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Roll {
     begun: Nanos,
-    ears: Ears,
+    ears: SenderRegistry,
     health: Health,
     /// The decision that is out: the turn it was based on, and when it was proposed.
     deciding: Option<(u64, Nanos)>,
@@ -74,7 +74,7 @@
     pub fn new(now: Nanos, led: Option<Nanos>) -> Roll {
         Roll {
             begun: now,
-            ears: Ears::default(),
+            ears: SenderRegistry::default(),
             health: Health::default(),
             deciding: None,
             step: (0, now),
@@ -90,7 +90,7 @@
     }
 
     /// A sender has a session, and says what it has. On a line of its own nothing was said yet.
-    pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Print)]>) {
+    pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
         self.ears.meet(sender, boot, stored);
     }
 
@@ -101,12 +101,12 @@
 
     /// It has checked a policy.
     pub fn stored(&mut self, sender: &str, number: u64, refused: Option<&str>, record: &Record) {
-        let Some(print) = record.policies.print(number) else {
+        let Some(digest) = record.policies.digest(number) else {
             return;
         };
         // The record has a few at the most, and only those are asked for.
         let kept = |number| record.policies.texts.contains_key(&number);
-        if let Some(why) = self.ears.checked(sender, (number, print), refused, kept) {
+        if let Some(why) = self.ears.checked(sender, (number, digest), refused, kept) {
             log::warn!(
                 "policy {number}: refused: {sender}: {}",
                 why.replace('\n', "; ")
@@ -134,7 +134,13 @@
     }
 
     /// It reports what became of messages.
-    pub fn hear(&mut self, now: Nanos, zone: &str, told: &[messages::Health], record: &Record) {
+    pub fn hear(
+        &mut self,
+        now: Nanos,
+        zone: &str,
+        told: &[messages::MessageOutcomeCounts],
+        record: &Record,
+    ) {
         let Some(r) = &record.policies.rollout else {
             return;
         };
@@ -217,7 +223,7 @@
     pub fn tick(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         // Whom a pause waits for is counted anew: some may have joined or lapsed.
         self.waits = None;
-        if record.tables.register.stance == Stance::Paused {
+        if record.tables.register.stance == SiteAdmission::Paused {
             self.tables = Some(now);
         }
         self.decide(now, record)
@@ -232,16 +238,16 @@
         zone: &str,
         record: &Record,
         offers: &mut usize,
-        say: &mut dyn FnMut(ToAgent),
+        say: &mut dyn FnMut(ReplicaToAgent),
     ) {
         let policies = &record.policies;
-        if !self.ears.of(sender).is_some_and(Known::follows) {
+        if !self.ears.of(sender).is_some_and(KnownSender::follows) {
             return;
         }
         let register = policies.register(zone);
         if self.ears.is_due(now, sender, register.turn, policies.turn) {
             let turn = policies.turn;
-            say(ToAgent::Rule {
+            say(ReplicaToAgent::ApplyPolicy {
                 turn,
                 number: register.number,
                 paused: register.paused,
@@ -256,10 +262,10 @@
             let Some(text) = policies.texts.get(number) else {
                 continue;
             };
-            if self.ears.lacks(now, sender, *number, &text.print, offers) {
-                say(ToAgent::Offer {
+            if self.ears.lacks(now, sender, *number, &text.digest, offers) {
+                say(ReplicaToAgent::OfferPolicy {
                     number: *number,
-                    print: text.print,
+                    digest: text.digest,
                     text: text.text.clone(),
                 });
             }
@@ -273,13 +279,13 @@
         &'a self,
         record: &'a Record,
         zones: &'a [String],
-    ) -> impl Iterator<Item = Live<'a>> + 'a {
+    ) -> impl Iterator<Item = LiveSender<'a>> + 'a {
         self.ears.live(record, |m| zones.contains(&m.zone))
     }
 
     /// Those of them that have not said that they go by their zone's register.
     fn unheard<'a>(&'a self, record: &'a Record, zones: &'a [String]) -> Vec<&'a String> {
-        let turn = |m: &Member| record.policies.register(&m.zone).turn;
+        let turn = |m: &RosterEntry| record.policies.register(&m.zone).turn;
         self.ears.unheard(record, |m| zones.contains(&m.zone), turn)
     }
 
@@ -290,9 +296,9 @@
         r: &'a Rollout,
         zones: &'a [String],
     ) -> Vec<&'a String> {
-        let needs = |m: &Member| {
+        let needs = |m: &RosterEntry| {
             let number = r.to.get(&m.zone).copied().unwrap_or_default();
-            (number, record.policies.print(number))
+            (number, record.policies.digest(number))
         };
         self.ears
             .unstored(record, |m| zones.contains(&m.zone), needs)
@@ -508,12 +514,12 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn order(&self, word: &FromPerson, record: &Record) -> Result<Option<Change>, String> {
+    pub fn order(&self, word: &OperatorRequest, record: &Record) -> Result<Option<Change>, String> {
         let p = &record.policies;
         let runs = || p.rollout.as_ref().ok_or("no rollout runs".to_string());
         match word {
-            FromPerson::Propose { text, plan } => self.propose(text, plan, record),
-            FromPerson::Halt { why } => Ok(match &runs()?.halted {
+            OperatorRequest::ProposePolicy { text, plan } => self.propose(text, plan, record),
+            OperatorRequest::HaltRollout { why } => Ok(match &runs()?.halted {
                 Some(_) => None,
                 None if why.is_empty() => Some(Change::Halt {
                     why: "a person's word".into(),
@@ -522,12 +528,12 @@
                     why: format!("a person's word: {why}"),
                 }),
             }),
-            FromPerson::Resume => Ok(runs()?.halted.as_ref().map(|_| Change::Resume)),
-            FromPerson::Back => match (&p.rollout, &p.last, p.past.back()) {
+            OperatorRequest::ResumeRollout => Ok(runs()?.halted.as_ref().map(|_| Change::Resume)),
+            OperatorRequest::RollBack => match (&p.rollout, &p.last, p.past.back()) {
                 (Some(r), ..) if r.back_of != 0 => Ok(None),
                 (None, None, Some(past)) if past.back_of != 0 => Ok(None),
                 (Some(_), ..) | (None, Some(_), _) => Ok(Some(Change::Back {
-                    own: Document::default().print(),
+                    own: Document::default().digest(),
                 })),
                 _ => Err("no rollout runs, and none was done that could be gone back from".into()),
             },
@@ -556,9 +562,9 @@
             }
         };
         let p = &record.policies;
-        let print = document.print();
+        let digest = document.digest();
         if let Some(r) = &p.rollout {
-            if r.back_of == 0 && p.print(r.number) == Some(print) && r.plan == plan {
+            if r.back_of == 0 && p.digest(r.number) == Some(digest) && r.plan == plan {
                 return Ok(None);
             }
             let (what, halted) = (r.number, if r.halted.is_some() { ", halted" } else { "" });
@@ -568,7 +574,7 @@
                 r.plan.stage.len()
             ));
         }
-        p.room(&plan, MOST_ZONES)?;
+        p.room(&plan, MAX_ZONES)?;
         let named: BTreeSet<&String> = plan.zones().collect();
         let live: BTreeSet<&String> = record
             .roster
@@ -600,7 +606,7 @@
         match faults.is_empty() {
             true => Ok(Some(Change::Propose {
                 text: text.into(),
-                print,
+                digest,
                 plan,
             })),
             false => Err(faults.join("\n")),
@@ -624,7 +630,7 @@
         let zones =
             zones
                 .into_iter()
-                .map(|(zone, (number, paused, senders))| messages::PolicyZone {
+                .map(|(zone, (number, paused, senders))| messages::ZonePolicy {
                     zone: zone.clone(),
                     number,
                     paused,
@@ -668,10 +674,10 @@
                 let number = r.to.get(&m.zone).copied().unwrap_or_default();
                 Some((name.clone(), known?.refuses(number)?.clone()))
             });
-            messages::PolicyRollout {
+            messages::RolloutStatus {
                 number: r.number,
                 back_of: r.back_of,
-                print: p.print(r.number).unwrap_or_default(),
+                digest: p.digest(r.number).unwrap_or_default(),
                 stage: r.stage + 1,
                 stages: r
                     .plan
@@ -704,16 +710,16 @@
     }
 
     /// Rollouts that are over, the newest first.
-    pub fn history(record: &Record) -> Vec<messages::PolicyPast> {
+    pub fn history(record: &Record) -> Vec<messages::PastRollout> {
         record.policies.past.iter().rev().map(past).collect()
     }
 }
 
-fn past(p: &super::register::Past) -> messages::PolicyPast {
-    messages::PolicyPast {
+fn past(p: &super::register::Past) -> messages::PastRollout {
+    messages::PastRollout {
         number: p.number,
         back_of: p.back_of,
-        print: p.print,
+        digest: p.digest,
         in_force: p.stages.0,
         stages: p.stages.1,
         end: p.end.clone(),
--- a/src/coordination/raft_group.rs
+++ b/src/coordination/raft_group.rs
@@ -2,8 +2,8 @@
 //! keepers of a site are one, which agrees on the site's record; the sites of a federation are
 //! another, of the same code. Below a member is called a keeper.
 //!
-//! What has to be written comes out of [`Group::piece`] and goes back as [`Group::saved`]; only
-//! then come out the messages that rely on it. What is agreed comes out of [`Group::work`], in the
+//! What has to be written comes out of [`RaftGroup::piece`] and goes back as [`RaftGroup::saved`]; only
+//! then come out the messages that rely on it. What is agreed comes out of [`RaftGroup::work`], in the
 //! order in which all keepers see it.
 //!
 //! # Who may vote
@@ -26,7 +26,9 @@
 //!
 //! Numbers of keepers that were removed are never used again; the group refuses them.
 
-use crate::coordination::raft_log::{Base, Batch, Line, Piece, Shelf, BASE_MOST};
+use crate::coordination::raft_log::{
+    Batch, Checkpoint, LogEntry, LogItem, MemoryStorage, MAX_CHECKPOINT_BYTES,
+};
 use crate::coordination::record::{self, Record};
 use crate::coordination::routing_table::federation::{self, Federation};
 use protobuf::Message as _;
@@ -38,20 +40,20 @@
 
 /// Ticks without a word of the leader after which another one stands, at least; at most twice as
 /// many.
-pub const ELECTION: usize = 10;
+pub const ELECTION_TICKS: usize = 10;
 /// Ticks between two words of the leader.
-const HEARTBEAT: usize = 2;
+const HEARTBEAT_TICKS: usize = 2;
 /// Ticks by which others may have heard the leader earlier than it hears of that.
-const SLACK: u64 = 2;
+const HEARD_SLACK_TICKS: u64 = 2;
 /// Messages with entries that are out to one keeper at once.
-const INFLIGHT: usize = 16;
+const MAX_INFLIGHT_APPENDS: usize = 16;
 /// Longest command of a site's record, in bytes: what its voice in a federation writes down is a
-/// [`Piece`] of that.
-pub const COMMAND: usize = 128 * 1024;
+/// [`LogItem`] of that.
+pub const MAX_COMMAND_BYTES: usize = 128 * 1024;
 
 /// What may be how long, in bytes.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct SizeLimits {
     /// A command.
     pub command: usize,
     /// Entries in one message, unless one entry is longer.
@@ -67,13 +69,13 @@
 }
 
 /// What is agreed: each member applies the same commands in the same order and comes to the same.
-pub trait Agreed:
+pub trait ReplicatedState:
     Clone + Default + std::fmt::Debug + PartialEq + Serialize + DeserializeOwned
 {
     /// A change of it.
     type Command: Clone + std::fmt::Debug + PartialEq + Serialize + DeserializeOwned;
     /// What may be how long.
-    const BOUNDS: Bounds;
+    const BOUNDS: SizeLimits;
 
     /// Applies the command that stands at this place of the log.
     fn apply(&mut self, index: u64, command: &Self::Command);
@@ -95,15 +97,15 @@
     }
 }
 
-impl Agreed for Record {
+impl ReplicatedState for Record {
     type Command = record::Command;
-    const BOUNDS: Bounds = Bounds {
-        command: COMMAND,
+    const BOUNDS: SizeLimits = SizeLimits {
+        command: MAX_COMMAND_BYTES,
         message: 64 * 1024,
         proposed: 384 * 1024,
         merged: 256 * 1024,
         tail: 128 * 1024,
-        base: BASE_MOST,
+        base: MAX_CHECKPOINT_BYTES,
     };
 
     fn apply(&mut self, index: u64, command: &record::Command) {
@@ -126,17 +128,17 @@
     }
 }
 
-impl Agreed for Federation {
+impl ReplicatedState for Federation {
     type Command = federation::Command;
     // The snapshot has three tables of 16 KiB and some 20 KiB round them; with its tail, and as any
     // batch, it fits in a command of a site's record.
-    const BOUNDS: Bounds = Bounds {
+    const BOUNDS: SizeLimits = SizeLimits {
         command: 24 * 1024,
         message: 24 * 1024,
         proposed: 48 * 1024,
         merged: 64 * 1024,
         tail: 24 * 1024,
-        base: COMMAND - 4 * 1024,
+        base: MAX_COMMAND_BYTES - 4 * 1024,
     };
 
     fn apply(&mut self, index: u64, command: &federation::Command) {
@@ -146,7 +148,7 @@
 
 /// A keeper as the group knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Member {
+pub struct GroupMember {
     /// Where it listens.
     pub at: String,
     /// Its folder.
@@ -156,16 +158,16 @@
 /// What the group agrees on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(bound = "")]
-pub struct Held<R: Agreed = Record> {
+pub struct GroupState<R: ReplicatedState = Record> {
     /// The record.
     pub record: R,
     /// The keepers.
-    pub members: BTreeMap<u64, Member>,
+    pub members: BTreeMap<u64, GroupMember>,
     /// Numbers that were keepers.
     pub removed: BTreeSet<u64>,
 }
 
-impl<R: Agreed> Held<R> {
+impl<R: ReplicatedState> GroupState<R> {
     /// As it goes into a snapshot. What came later stands behind what older programs wrote.
     pub fn bytes(&self) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
@@ -177,8 +179,8 @@
     ///
     /// # Errors
     /// It is of another form.
-    pub fn read(bytes: &[u8]) -> Result<Held<R>, postcard::Error> {
-        let (mut held, later) = postcard::take_from_bytes::<Held<R>>(bytes)?;
+    pub fn read(bytes: &[u8]) -> Result<GroupState<R>, postcard::Error> {
+        let (mut held, later) = postcard::take_from_bytes::<GroupState<R>>(bytes)?;
         held.record.read_later(later)?;
         Ok(held)
     }
@@ -186,32 +188,32 @@
 
 /// Something that was agreed, or that became of this keeper.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Event<C = record::Command> {
+pub enum GroupEvent<C = record::Command> {
     /// A command was applied to the record.
     Applied(u64, C),
     /// A keeper came or went, by the entry of this number.
-    Member(u64, u64),
+    MembersChanged(u64, u64),
     /// The record came whole, from another keeper.
-    Restored(u64),
+    SnapshotRestored(u64),
     /// Who leads and in which term, where that changed; nobody is 0.
-    Leads(u64, u64),
+    LeaderChanged(u64, u64),
 }
 
 /// Why the group cannot go on; its keeper stops.
 #[derive(Debug, thiserror::Error)]
-pub enum Fatal {
+pub enum GroupFailure {
     /// The library.
     #[error("the group: {0}")]
-    Library(#[from] raft::Error),
+    Raft(#[from] raft::Error),
     /// Something agreed that this program cannot read: it must not go on without it.
     #[error("what was agreed cannot be read: {0}")]
-    Senseless(String),
+    Unreadable(String),
     /// The folder lost what this keeper had acknowledged, and with it maybe a vote.
     #[error(
         "the folder ends at place {last}, and keeper {leader}, which leads, knows that it held {known}: what was acknowledged is lost, \
          and this keeper may not vote again: remove it from the group and add one under another number"
     )]
-    Forgot {
+    LostAcknowledged {
         /// The last place that it has.
         last: u64,
         /// The last one that it had, as far as the leader knows.
@@ -223,44 +225,44 @@
 
 /// Why an order is not carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum No {
+pub enum ProposeError {
     /// Another keeper leads, or none.
     #[error("this keeper does not lead")]
-    Elsewhere,
+    NotLeader,
     /// One change after another.
     #[error("another change of the keepers is not done yet")]
-    Busy,
+    ChangePending,
     /// A number that was used.
     #[error("that number was used: another keeper needs another number")]
-    Used,
+    NumberUsed,
     /// Not a keeper.
     #[error("no keeper has that number")]
-    Unknown,
+    UnknownReplica,
     /// The last one.
     #[error("the last keeper cannot go")]
-    Last,
+    LastReplica,
     /// It leads; another one is asked to lead.
     #[error("it leads: another keeper is asked to lead, order it again there")]
-    Leads,
+    LeadershipTransferring,
     /// Too much at once, or too long.
     #[error("too much is waiting to be agreed")]
-    Full,
+    TooMuchPending,
 }
 
 /// The machine.
-pub struct Group<R: Agreed = Record> {
-    raw: RawNode<Shelf>,
+pub struct RaftGroup<R: ReplicatedState = Record> {
+    raw: RawNode<MemoryStorage>,
     random: fastrand::Rng,
     /// How long it waits for a leader, in ticks, and when that was drawn.
     waits: ((u64, u64, StateRole), usize),
-    base: Base,
-    held: Held<R>,
+    base: Checkpoint,
+    held: GroupState<R>,
     /// The last entry that was applied.
     applied: u64,
     /// Ticks so far, and when each other keeper was last heard.
     ticks: u64,
     heard: BTreeMap<u64, u64>,
-    unsaved: VecDeque<(u64, Piece)>,
+    unsaved: VecDeque<(u64, LogItem)>,
     saving: Option<u64>,
     /// Messages that go when everything up to a number is saved.
     waiting: VecDeque<(u64, Vec<Message>)>,
@@ -268,7 +270,7 @@
     /// A snapshot of another keeper that is not written yet.
     restoring: Option<u64>,
     /// Why it must not go on, as a message shows.
-    forgot: Option<Fatal>,
+    forgot: Option<GroupFailure>,
     leads: (u64, u64),
 }
 
@@ -276,27 +278,29 @@
     slog::Logger::root(slog::Discard, slog::o!())
 }
 
-impl<R: Agreed> Group<R> {
+impl<R: ReplicatedState> RaftGroup<R> {
     /// Goes on with what was written down, perhaps without a sync: so the first that it writes is
     /// that. When it stands for election is drawn from the seed.
-    pub fn new(base: Base, seed: u64) -> Result<Group<R>, Fatal> {
-        let mut group = Group::resumed(base.clone(), seed)?;
-        group.unsaved.push_back((0, Piece::Base(Box::new(base))));
+    pub fn new(base: Checkpoint, seed: u64) -> Result<RaftGroup<R>, GroupFailure> {
+        let mut group = RaftGroup::resumed(base.clone(), seed)?;
+        group
+            .unsaved
+            .push_back((0, LogItem::Checkpoint(Box::new(base))));
         Ok(group)
     }
 
     /// The same where what was written down is known to stay.
-    pub fn resumed(base: Base, seed: u64) -> Result<Group<R>, Fatal> {
-        let held: Held<R> =
-            Held::read(&base.held).map_err(|e| Fatal::Senseless(format!("the snapshot: {e}")))?;
-        let shelf = Shelf::new(&base).map_err(Fatal::Senseless)?;
+    pub fn resumed(base: Checkpoint, seed: u64) -> Result<RaftGroup<R>, GroupFailure> {
+        let held: GroupState<R> = GroupState::read(&base.held)
+            .map_err(|e| GroupFailure::Unreadable(format!("the snapshot: {e}")))?;
+        let shelf = MemoryStorage::new(&base).map_err(GroupFailure::Unreadable)?;
         let config = Config {
             id: base.identity.keeper,
-            election_tick: ELECTION,
-            heartbeat_tick: HEARTBEAT,
+            election_tick: ELECTION_TICKS,
+            heartbeat_tick: HEARTBEAT_TICKS,
             applied: base.index,
             max_size_per_msg: R::BOUNDS.message,
-            max_inflight_msgs: INFLIGHT,
+            max_inflight_msgs: MAX_INFLIGHT_APPENDS,
             check_quorum: true,
             pre_vote: true,
             max_uncommitted_size: R::BOUNDS.proposed,
@@ -304,10 +308,10 @@
             ..Config::default()
         };
         let raw = RawNode::new(&config, shelf, &quiet())?;
-        let mut group = Group {
+        let mut group = RaftGroup {
             raw,
             random: fastrand::Rng::with_seed(seed),
-            waits: ((u64::MAX, 0, StateRole::Follower), ELECTION),
+            waits: ((u64::MAX, 0, StateRole::Follower), ELECTION_TICKS),
             held,
             applied: base.index,
             base: base.bare(),
@@ -334,7 +338,7 @@
             self.raw.raft.state,
         );
         if self.waits.0 != now {
-            self.waits = (now, self.random.usize(ELECTION..2 * ELECTION));
+            self.waits = (now, self.random.usize(ELECTION_TICKS..2 * ELECTION_TICKS));
         }
         self.raw.raft.set_randomized_election_timeout(self.waits.1);
     }
@@ -350,7 +354,7 @@
     }
 
     /// What is agreed.
-    pub fn held(&self) -> &Held<R> {
+    pub fn held(&self) -> &GroupState<R> {
         &self.held
     }
 
@@ -391,7 +395,7 @@
                 || self
                     .heard
                     .get(id)
-                    .is_some_and(|at| self.ticks - at + SLACK < ELECTION as u64)
+                    .is_some_and(|at| self.ticks - at + HEARD_SLACK_TICKS < ELECTION_TICKS as u64)
         };
         let voters = self.voters();
         voters.iter().filter(fresh).count() > voters.len() / 2
@@ -458,7 +462,7 @@
         let leads =
             message.get_msg_type() == MessageType::MsgHeartbeat && message.term >= self.term();
         if leads && known > last {
-            self.forgot = Some(Fatal::Forgot {
+            self.forgot = Some(GroupFailure::LostAcknowledged {
                 last,
                 known,
                 leader: from,
@@ -486,26 +490,33 @@
             .report_snapshot(keeper, raft::SnapshotStatus::Finish);
     }
 
-    /// Brings a command before the group; whether it is agreed is told by [`Event::Applied`], or
+    /// Brings a command before the group; whether it is agreed is told by [`GroupEvent::Applied`], or
     /// never.
-    pub fn propose(&mut self, command: &R::Command) -> Result<(), No> {
-        let data = postcard::to_stdvec(command).map_err(|_| No::Full)?;
+    pub fn propose(&mut self, command: &R::Command) -> Result<(), ProposeError> {
+        let data = postcard::to_stdvec(command).map_err(|_| ProposeError::TooMuchPending)?;
         if self.raw.raft.state != StateRole::Leader {
-            return Err(No::Elsewhere);
+            return Err(ProposeError::NotLeader);
         }
         if data.len() > R::BOUNDS.command {
-            return Err(No::Full);
+            return Err(ProposeError::TooMuchPending);
         }
-        self.raw.propose(Vec::new(), data).map_err(|_| No::Full)
+        self.raw
+            .propose(Vec::new(), data)
+            .map_err(|_| ProposeError::TooMuchPending)
     }
 
-    fn change(&mut self, kind: ConfChangeType, keeper: u64, context: Vec<u8>) -> Result<(), No> {
+    fn change(
+        &mut self,
+        kind: ConfChangeType,
+        keeper: u64,
+        context: Vec<u8>,
+    ) -> Result<(), ProposeError> {
         if !self.is_ready_to_lead() {
-            return Err(No::Elsewhere);
+            return Err(ProposeError::NotLeader);
         }
         // The library would turn it into nothing, silently.
         if self.raw.raft.has_pending_conf() {
-            return Err(No::Busy);
+            return Err(ProposeError::ChangePending);
         }
         let mut change = ConfChange {
             node_id: keeper,
@@ -514,47 +525,50 @@
         change.set_change_type(kind);
         self.raw
             .propose_conf_change(context, change)
-            .map_err(|_| No::Full)
+            .map_err(|_| ProposeError::TooMuchPending)
     }
 
     /// Whether a keeper of this number may be added.
-    pub fn may_add(&self, keeper: u64) -> Result<(), No> {
+    pub fn may_add(&self, keeper: u64) -> Result<(), ProposeError> {
         match keeper {
-            0 => Err(No::Unknown),
+            0 => Err(ProposeError::UnknownReplica),
             n if self.held.removed.contains(&n) || self.held.members.contains_key(&n) => {
-                Err(No::Used)
+                Err(ProposeError::NumberUsed)
             }
             _ => Ok(()),
         }
     }
 
     /// Adds a keeper.
-    pub fn add(&mut self, keeper: u64, member: &Member) -> Result<(), No> {
+    pub fn add(&mut self, keeper: u64, member: &GroupMember) -> Result<(), ProposeError> {
         self.may_add(keeper)?;
-        let context = postcard::to_stdvec(member).map_err(|_| No::Full)?;
+        let context = postcard::to_stdvec(member).map_err(|_| ProposeError::TooMuchPending)?;
         self.change(ConfChangeType::AddNode, keeper, context)
     }
 
     /// Removes a keeper.
-    pub fn remove(&mut self, keeper: u64) -> Result<(), No> {
+    pub fn remove(&mut self, keeper: u64) -> Result<(), ProposeError> {
         if !self.voters().contains(&keeper) {
-            return Err(No::Unknown);
+            return Err(ProposeError::UnknownReplica);
         }
         if self.voters().len() == 1 {
-            return Err(No::Last);
+            return Err(ProposeError::LastReplica);
         }
         if keeper == self.me() {
-            return self.hand_on().and(Err(No::Leads));
+            return self
+                .hand_on()
+                .and(Err(ProposeError::LeadershipTransferring));
         }
         self.change(ConfChangeType::RemoveNode, keeper, Vec::new())
     }
 
     /// Asks another keeper to lead: the one that was heard last.
-    pub fn hand_on(&mut self) -> Result<(), No> {
+    pub fn hand_on(&mut self) -> Result<(), ProposeError> {
         let me = self.me();
         let others = self.voters().iter().filter(|id| **id != me);
         let next = others.max_by_key(|id| self.heard.get(id)).copied();
-        self.raw.transfer_leader(next.ok_or(No::Last)?);
+        self.raw
+            .transfer_leader(next.ok_or(ProposeError::LastReplica)?);
         Ok(())
     }
 
@@ -579,7 +593,7 @@
             data.clone(),
             self.applied,
         );
-        let tail: usize = base.entries.iter().map(Line::size).sum();
+        let tail: usize = base.entries.iter().map(LogEntry::size).sum();
         if tail > R::BOUNDS.tail || data.len() + tail > R::BOUNDS.base {
             return;
         }
@@ -587,23 +601,23 @@
         let number = self.waiting.back().map_or(0, |w| w.0);
         self.base = base.bare();
         self.unsaved
-            .push_back((number, Piece::Base(Box::new(base))));
+            .push_back((number, LogItem::Checkpoint(Box::new(base))));
     }
 
     /// What is to be written next; nothing while something is being written. It is given again
     /// until it is saved.
-    pub fn piece(&mut self) -> Option<Piece> {
+    pub fn piece(&mut self) -> Option<LogItem> {
         if self.saving.is_some() {
             return None;
         }
         let (mut number, mut piece) = self.unsaved.pop_front()?;
-        while let (Piece::Batch(batch), Some((_, Piece::Batch(next)))) =
+        while let (LogItem::Batch(batch), Some((_, LogItem::Batch(next)))) =
             (&mut piece, self.unsaved.front())
         {
             if batch.size() + next.size() > R::BOUNDS.merged {
                 break;
             }
-            if let Some((n, Piece::Batch(next))) = self.unsaved.pop_front() {
+            if let Some((n, LogItem::Batch(next))) = self.unsaved.pop_front() {
                 batch.merge(next);
                 number = n;
             }
@@ -612,7 +626,7 @@
         Some(piece)
     }
 
-    /// What [`Group::piece`] gave is written.
+    /// What [`RaftGroup::piece`] gave is written.
     pub fn saved(&mut self) {
         let Some(number) = self.saving.take() else {
             return;
@@ -653,7 +667,10 @@
 
     /// Goes on as far as it can. Gives messages to send, each with the keeper that it is for, and
     /// tells what happened.
-    pub fn work(&mut self, events: &mut Vec<Event<R::Command>>) -> Result<Vec<Message>, Fatal> {
+    pub fn work(
+        &mut self,
+        events: &mut Vec<GroupEvent<R::Command>>,
+    ) -> Result<Vec<Message>, GroupFailure> {
         if let Some(forgot) = self.forgot.take() {
             return Err(forgot);
         }
@@ -666,8 +683,8 @@
             }
             if !ready.snapshot().is_empty() {
                 let snapshot = ready.snapshot().clone();
-                self.held = Held::read(&snapshot.data)
-                    .map_err(|e| Fatal::Senseless(format!("the snapshot: {e}")))?;
+                self.held = GroupState::read(&snapshot.data)
+                    .map_err(|e| GroupFailure::Unreadable(format!("the snapshot: {e}")))?;
                 self.applied = snapshot.get_metadata().index;
                 let data = snapshot.data.to_vec();
                 self.raw.mut_store().restore(snapshot);
@@ -675,18 +692,18 @@
                 let base = self.base.of(store, store.voters().to_vec(), data, index);
                 self.base = base.bare();
                 self.unsaved
-                    .push_back((number, Piece::Base(Box::new(base))));
+                    .push_back((number, LogItem::Checkpoint(Box::new(base))));
                 self.restoring = Some(number);
-                events.push(Event::Restored(self.applied));
+                events.push(GroupEvent::SnapshotRestored(self.applied));
             }
             self.raw.mut_store().append(ready.entries());
             if ready.must_sync() {
-                let entries = ready.entries().iter().map(Line::of).collect();
+                let entries = ready.entries().iter().map(LogEntry::of).collect();
                 let batch = Batch {
-                    hard: super::raft_log::Hard::of(&self.raw.store().hard),
+                    hard: super::raft_log::PersistedHardState::of(&self.raw.store().hard),
                     entries,
                 };
-                self.unsaved.push_back((number, Piece::Batch(batch)));
+                self.unsaved.push_back((number, LogItem::Batch(batch)));
             }
             self.waiting
                 .push_back((number, ready.take_persisted_messages()));
@@ -703,26 +720,30 @@
         let leads = (self.leader(), self.term());
         if leads != self.leads {
             self.leads = leads;
-            events.push(Event::Leads(leads.0, leads.1));
+            events.push(GroupEvent::LeaderChanged(leads.0, leads.1));
         }
         Ok(std::mem::take(&mut self.out))
     }
 
-    fn apply(&mut self, entry: Entry, events: &mut Vec<Event<R::Command>>) -> Result<(), Fatal> {
+    fn apply(
+        &mut self,
+        entry: Entry,
+        events: &mut Vec<GroupEvent<R::Command>>,
+    ) -> Result<(), GroupFailure> {
         let index = entry.index;
         match entry.get_entry_type() {
             // A leader's first entry, and what the library emptied.
             EntryType::EntryNormal if entry.data.is_empty() => {}
             EntryType::EntryNormal => {
                 let command: R::Command = postcard::from_bytes(&entry.data)
-                    .map_err(|e| Fatal::Senseless(format!("entry {index}: {e}")))?;
+                    .map_err(|e| GroupFailure::Unreadable(format!("entry {index}: {e}")))?;
                 self.held.record.apply(index, &command);
-                events.push(Event::Applied(index, command));
+                events.push(GroupEvent::Applied(index, command));
             }
             EntryType::EntryConfChange => {
                 let mut change = ConfChange::default();
                 let read = change.merge_from_bytes(&entry.data);
-                read.map_err(|e| Fatal::Senseless(format!("entry {index}: {e}")))?;
+                read.map_err(|e| GroupFailure::Unreadable(format!("entry {index}: {e}")))?;
                 let keeper = change.node_id;
                 match change.get_change_type() {
                     ConfChangeType::RemoveNode => {
@@ -731,17 +752,17 @@
                     }
                     _ => {
                         let member = postcard::from_bytes(&entry.context)
-                            .map_err(|e| Fatal::Senseless(format!("entry {index}: {e}")))?;
+                            .map_err(|e| GroupFailure::Unreadable(format!("entry {index}: {e}")))?;
                         self.held.members.insert(keeper, member);
                     }
                 }
                 let conf = self.raw.apply_conf_change(&change)?;
                 let data = self.held.bytes();
                 self.raw.mut_store().set_conf(conf, index, data);
-                events.push(Event::Member(index, keeper));
+                events.push(GroupEvent::MembersChanged(index, keeper));
             }
             EntryType::EntryConfChangeV2 => {
-                return Err(Fatal::Senseless(format!(
+                return Err(GroupFailure::Unreadable(format!(
                     "entry {index}: a change of many keepers at once"
                 )))
             }
--- a/src/coordination/raft_group/tests.rs
+++ b/src/coordination/raft_group/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_snapshot_of_an_older_keeper_is_one_without_policies() {
-    let mut held: Held = Held::read(OLDER).expect("it reads");
+    let mut held: GroupState = GroupState::read(OLDER).expect("it reads");
     assert_eq!(
         (
             held.record.version,
@@ -20,7 +20,7 @@
     );
     assert_eq!(
         held.record.roster["n1"],
-        crate::coordination::record::Member {
+        crate::coordination::record::RosterEntry {
             boot: 9,
             zone: "a".into(),
             live: true,
@@ -29,14 +29,17 @@
     );
     assert_eq!(
         held.members[&1],
-        Member {
+        GroupMember {
             at: "127.0.0.1:7".into(),
             incarnation: 101
         }
     );
     assert_eq!(held.record.policies, Default::default());
     held.record.policies.turn = 7;
-    assert_eq!(Held::read(&held.bytes()).expect("the newer form"), held);
+    assert_eq!(
+        GroupState::read(&held.bytes()).expect("the newer form"),
+        held
+    );
     let torn = &held.bytes()[..held.bytes().len() - 1];
-    assert!(Held::<Record>::read(torn).is_err());
+    assert!(GroupState::<Record>::read(torn).is_err());
 }
