--- a/src/coordination/raft_log.rs
+++ b/src/coordination/raft_log.rs
@@ -1,7 +1,7 @@
 //! What a keeper writes down, on the project's own store, and what it holds of it in memory for the
 //! library.
 //!
-//! Two kinds of items. A [`Base`] is whole in itself: who this folder belongs to, term and vote, a
+//! Two kinds of items. A [`Checkpoint`] is whole in itself: who this folder belongs to, term and vote, a
 //! snapshot and the entries behind it. A [`Batch`] is what came after: term and vote, and entries
 //! that replace all from the first one's place on. Each is one frame of the store, and is synced
 //! before the next is written, so what is found after any stop is a base and an unbroken run of
@@ -29,24 +29,24 @@
 /// The form of what is written. The second one has policies behind the record in a snapshot, the
 /// third routing tables behind those; older ones are read as well, and become the third with the
 /// next snapshot.
-const FORM: u16 = 3;
+const FORMAT_VERSION: u16 = 3;
 /// The oldest form that is read.
-const OLDEST: u16 = 1;
+const OLDEST_FORMAT_VERSION: u16 = 1;
 /// Longest snapshot and base, in bytes: a record of some thousand senders is a tenth of it.
-pub const BASE_MOST: usize = 1024 * 1024;
+pub const MAX_CHECKPOINT_BYTES: usize = 1024 * 1024;
 /// Bytes of batches after which a base is due, at least; or as many as the last base had.
-const COMPACT_AT: u64 = 128 * 1024;
+const COMPACT_AFTER_BYTES: u64 = 128 * 1024;
 /// Most that is set aside: half of what the smallest folder holds.
-const ASIDE_MOST: u64 = 2560 * 1024;
+const MAX_RESERVED_BYTES: u64 = 2560 * 1024;
 /// Segments that a base may add for what is set aside with it.
-const GROWTH: usize = 8;
+const MAX_RESERVE_SEGMENTS: usize = 8;
 /// Entries that stay in memory behind a snapshot, so that a keeper that is a little behind needs no
 /// snapshot.
-const TRAIL: usize = 512;
+const RETAINED_ENTRIES: usize = 512;
 
 /// Whose folder it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Identity {
+pub struct ReplicaIdentity {
     /// The site.
     pub site: String,
     /// The keeper's number.
@@ -57,7 +57,7 @@
 
 /// Term, vote, and how far the log is known to be agreed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct PersistedHardState {
     /// The term.
     pub term: u64,
     /// Who this keeper voted for in it; 0 for nobody.
@@ -66,10 +66,10 @@
     pub commit: u64,
 }
 
-impl Hard {
+impl PersistedHardState {
     /// As the library has it.
-    pub fn of(state: &HardState) -> Hard {
-        Hard {
+    pub fn of(state: &HardState) -> PersistedHardState {
+        PersistedHardState {
             term: state.term,
             vote: state.vote,
             commit: state.commit,
@@ -79,7 +79,7 @@
 
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct LogEntry {
     kind: i32,
     term: u64,
     index: u64,
@@ -87,10 +87,10 @@
     context: ByteBuf,
 }
 
-impl Line {
+impl LogEntry {
     /// From the library's form.
-    pub fn of(entry: &Entry) -> Line {
-        Line {
+    pub fn of(entry: &Entry) -> LogEntry {
+        LogEntry {
             kind: entry.get_entry_type().value(),
             term: entry.term,
             index: entry.index,
@@ -116,17 +116,17 @@
 
 /// All that a keeper has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Base {
-    /// [`FORM`].
+pub struct Checkpoint {
+    /// [`FORMAT_VERSION`].
     pub form: u16,
     /// Whose it is.
-    pub identity: Identity,
+    pub identity: ReplicaIdentity,
     /// Whether it takes part: a first start waits until all keepers know each other.
     pub begun: bool,
     /// Folders of the other keepers, as far as they are known before that.
     pub known: BTreeMap<u64, u64>,
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: PersistedHardState,
     /// The last entry that the snapshot has.
     pub index: u64,
     /// Its term.
@@ -136,23 +136,28 @@
     /// The snapshot.
     pub held: ByteBuf,
     /// The entries behind it.
-    pub entries: Vec<Line>,
+    pub entries: Vec<LogEntry>,
 }
 
-impl Base {
+impl Checkpoint {
     /// What a folder begins with.
-    pub fn new(identity: Identity, index: u64, voters: Vec<u64>, held: Vec<u8>) -> Base {
+    pub fn new(
+        identity: ReplicaIdentity,
+        index: u64,
+        voters: Vec<u64>,
+        held: Vec<u8>,
+    ) -> Checkpoint {
         // A group that begins has a snapshot of nothing as its first entry, so that whoever joins
         // later is sent one.
-        let hard = Hard {
+        let hard = PersistedHardState {
             term: index,
             vote: 0,
             commit: index,
         };
         let (held, term) = (ByteBuf::from(held), index);
         let (known, entries) = (BTreeMap::new(), Vec::new());
-        Base {
-            form: FORM,
+        Checkpoint {
+            form: FORMAT_VERSION,
             identity,
             begun: false,
             known,
@@ -166,9 +171,9 @@
     }
 
     /// The same without what is large.
-    pub fn bare(&self) -> Base {
+    pub fn bare(&self) -> Checkpoint {
         let known = self.known.clone();
-        Base {
+        Checkpoint {
             identity: self.identity.clone(),
             known,
             held: ByteBuf::new(),
@@ -179,14 +184,20 @@
     }
 
     /// The same place, as it stands in memory.
-    pub fn of(&self, shelf: &Shelf, voters: Vec<u64>, held: Vec<u8>, index: u64) -> Base {
+    pub fn of(
+        &self,
+        shelf: &MemoryStorage,
+        voters: Vec<u64>,
+        held: Vec<u8>,
+        index: u64,
+    ) -> Checkpoint {
         let (entries, term) = (shelf.after(index), shelf.term(index).unwrap_or(self.term));
-        let hard = Hard {
+        let hard = PersistedHardState {
             commit: shelf.hard.commit.max(index),
-            ..Hard::of(&shelf.hard)
+            ..PersistedHardState::of(&shelf.hard)
         };
-        Base {
-            form: FORM,
+        Checkpoint {
+            form: FORMAT_VERSION,
             hard,
             index,
             term,
@@ -202,9 +213,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: PersistedHardState,
     /// Entries; they replace all from the first one's place on.
-    pub entries: Vec<Line>,
+    pub entries: Vec<LogEntry>,
 }
 
 impl Batch {
@@ -220,33 +231,33 @@
 
     /// Bytes that it takes, about.
     pub fn size(&self) -> usize {
-        self.entries.iter().map(Line::size).sum::<usize>() + 32
+        self.entries.iter().map(LogEntry::size).sum::<usize>() + 32
     }
 }
 
 /// An item of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Piece {
+pub enum LogItem {
     /// All.
-    Base(Box<Base>),
+    Checkpoint(Box<Checkpoint>),
     /// What came after.
     Batch(Batch),
 }
 
 /// Why something was not written.
 #[derive(Debug, thiserror::Error)]
-pub enum Unsaved {
+pub enum SaveError {
     /// Not now: the same may work at another time.
     #[error("{0}")]
-    Later(String),
+    Retryable(String),
     /// What is written may be lost whatever a later sync says: this keeper must stop.
     #[error("{0}")]
-    Broken(String),
+    Fatal(String),
 }
 
 /// Why a folder cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Unusable {
+pub enum OpenError {
     /// The file system.
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -255,18 +266,18 @@
     Damaged(String),
     /// It is of another keeper.
     #[error("it is of keeper {0} of site {1:?}")]
-    Other(u64, String),
+    ForeignFolder(u64, String),
     /// The file system has too little room.
     #[error(
-        "the file system has too little room for disk_mb: segments of {0} bytes, {BASE_MOST} are needed"
+        "the file system has too little room for disk_mb: segments of {0} bytes, {MAX_CHECKPOINT_BYTES} are needed"
     )]
-    Room(u64),
+    InsufficientSpace(u64),
 }
 
 /// Items stand as they were written; they are read again where they have to move.
-struct Asis;
+struct KeepAsWritten;
 
-impl SnapshotSource for Asis {
+impl SnapshotSource for KeepAsWritten {
     fn snapshot(
         &self,
         _: u64,
@@ -277,11 +288,11 @@
 }
 
 #[derive(Default)]
-struct Found {
-    pieces: BTreeMap<u64, (Piece, usize)>,
+struct ReplayedItems {
+    pieces: BTreeMap<u64, (LogItem, usize)>,
 }
 
-impl Replay for Found {
+impl Replay for ReplayedItems {
     fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
         let piece = postcard::from_bytes(data).map_err(|e| e.to_string())?;
         self.pieces.insert(no, (piece, data.len()));
@@ -302,7 +313,7 @@
 }
 
 /// The owner of the folder's files. All of it blocks.
-pub struct Keep {
+pub struct RaftLogStore {
     log: SegmentLog,
     start: Instant,
     /// The base that counts, and its bytes.
@@ -315,35 +326,37 @@
     behind: u64,
 }
 
-impl Keep {
+impl RaftLogStore {
     /// Opens a folder that may hold `limit` bytes, and gives what stands in it; nothing, where it
     /// is empty.
     pub fn open(
         disk: Arc<dyn Disk>,
         limit: u64,
         seed: u64,
-    ) -> Result<(Keep, Option<Base>), Unusable> {
-        let mut found = Found::default();
+    ) -> Result<(RaftLogStore, Option<Checkpoint>), OpenError> {
+        let mut found = ReplayedItems::default();
         let options = LogOptions {
             limit_bytes: limit,
             seed,
             sync_required: true,
         };
-        let size = |f: &Found, no: u64| f.pieces.get(&no).map_or(0, |p| frame::encoded_len(p.1));
+        let size =
+            |f: &ReplayedItems, no: u64| f.pieces.get(&no).map_or(0, |p| frame::encoded_len(p.1));
         let opened = SegmentLog::open(disk, options, None, &mut found, size)?;
         if !opened.damage.is_empty() {
             let told: Vec<String> = opened.damage.iter().map(ToString::to_string).collect();
-            return Err(Unusable::Damaged(told.join("; ")));
+            return Err(OpenError::Damaged(told.join("; ")));
         }
         let segment = opened.log.occupancy().segment_bytes;
-        if segment < (BASE_MOST + 1024) as u64 {
-            return Err(Unusable::Room(segment));
+        if segment < (MAX_CHECKPOINT_BYTES + 1024) as u64 {
+            return Err(OpenError::InsufficientSpace(segment));
         }
         let over = found.pieces.keys().copied().collect();
-        let base = whole(found.pieces.into_values().map(|p| p.0)).map_err(Unusable::Damaged)?;
+        let base = assemble_checkpoint(found.pieces.into_values().map(|p| p.0))
+            .map_err(OpenError::Damaged)?;
         let (start, batches) = (Instant::now(), Vec::new());
         Ok((
-            Keep {
+            RaftLogStore {
                 log: opened.log,
                 start,
                 base: None,
@@ -356,17 +369,17 @@
     }
 
     /// Writes something down and returns when it outlasts the machine.
-    pub fn save(&mut self, piece: &Piece) -> Result<(), Unsaved> {
-        let later = |e: &dyn std::fmt::Display| Unsaved::Later(e.to_string());
+    pub fn save(&mut self, piece: &LogItem) -> Result<(), SaveError> {
+        let later = |e: &dyn std::fmt::Display| SaveError::Retryable(e.to_string());
         let data = postcard::to_stdvec(piece).map_err(|e| later(&e))?;
         let len = frame::encoded_len(data.len());
         // Room for the next base is set aside with each, so that a file system which others have
         // filled stops neither that nor, with it, the end of what is old.
-        let aside = |len: u64| (3 * (len + COMPACT_AT.max(len))).min(ASIDE_MOST);
-        if let (Piece::Base(_), Some((no, len))) = (piece, self.base) {
+        let aside = |len: u64| (3 * (len + COMPACT_AFTER_BYTES.max(len))).min(MAX_RESERVED_BYTES);
+        if let (LogItem::Checkpoint(_), Some((no, len))) = (piece, self.base) {
             self.log.set_reserved_size(no, len);
         }
-        let put = self.log.put(self.now(), &data, len, &Asis);
+        let put = self.log.put(self.now(), &data, len, &KeepAsWritten);
         if let Some(change) = put.gate_change {
             log::info!("keeper's log: {change}");
         }
@@ -378,7 +391,7 @@
                 }
                 let too_long = matches!(e, PutError::TooLong);
                 return Err(if too_long {
-                    Unsaved::Broken(e.to_string())
+                    SaveError::Fatal(e.to_string())
                 } else {
                     later(&e)
                 });
@@ -386,26 +399,26 @@
         };
         self.sync()?;
         match piece {
-            Piece::Batch(_) => {
+            LogItem::Batch(_) => {
                 self.batches.push(no);
                 self.behind += len;
                 // What was set aside is there for it.
                 if self
                     .base
-                    .is_some_and(|(_, base)| self.behind <= 2 * COMPACT_AT.max(base))
+                    .is_some_and(|(_, base)| self.behind <= 2 * COMPACT_AFTER_BYTES.max(base))
                 {
                     self.log.set_reserved_size(no, 1);
                 }
             }
-            Piece::Base(_) => {
+            LogItem::Checkpoint(_) => {
                 self.over.extend(self.base.map(|b| b.0));
                 self.over.append(&mut self.batches);
                 (self.base, self.behind) = (Some((no, len)), 0);
                 self.log.set_reserved_size(no, aside(len));
                 // What is set aside has to be there; where the file system gives no more, half of
                 // what is left is.
-                for _ in 0..GROWTH {
-                    let _ = self.log.maintain(self.now(), &Asis);
+                for _ in 0..MAX_RESERVE_SEGMENTS {
+                    let _ = self.log.maintain(self.now(), &KeepAsWritten);
                 }
                 let view = self.log.occupancy();
                 if view.live_bytes > view.live_capacity(0) {
@@ -420,18 +433,18 @@
         }
         // That something is over may be lost: a later base says so too.
         while let Some(no) = self.over.last().copied() {
-            if self.log.remove(no, &Asis).is_err() {
+            if self.log.remove(no, &KeepAsWritten).is_err() {
                 break;
             }
             self.over.pop();
         }
-        if let Err(e) = self.log.maintain(self.now(), &Asis) {
+        if let Err(e) = self.log.maintain(self.now(), &KeepAsWritten) {
             log::debug!("keeper's log: {e}");
         }
         Ok(())
     }
 
-    fn sync(&mut self) -> Result<(), Unsaved> {
+    fn sync(&mut self) -> Result<(), SaveError> {
         let unsynced = self.log.take_unsynced();
         match unsynced.sync() {
             Ok(()) => {
@@ -440,7 +453,7 @@
             }
             Err(e) => {
                 self.log.sync_failed(self.now(), unsynced);
-                Err(Unsaved::Broken(format!("sync: {e}")))
+                Err(SaveError::Fatal(format!("sync: {e}")))
             }
         }
     }
@@ -452,26 +465,28 @@
     /// Whether a new base should be written.
     pub fn wants_base(&self) -> bool {
         self.base
-            .is_some_and(|(_, len)| self.behind > len.max(COMPACT_AT))
+            .is_some_and(|(_, len)| self.behind > len.max(COMPACT_AFTER_BYTES))
     }
 }
 
 /// Puts the newest base and what stands behind it together; nothing, where there is no base. Tells
 /// what is wrong with it.
-pub fn whole(pieces: impl Iterator<Item = Piece>) -> Result<Option<Base>, String> {
-    let mut told: Option<Base> = None;
+pub fn assemble_checkpoint(
+    pieces: impl Iterator<Item = LogItem>,
+) -> Result<Option<Checkpoint>, String> {
+    let mut told: Option<Checkpoint> = None;
     for piece in pieces {
         match (piece, &mut told) {
-            (Piece::Base(base), _) if !(OLDEST..=FORM).contains(&base.form) => {
+            (LogItem::Checkpoint(base), _) if !(OLDEST_FORMAT_VERSION..=FORMAT_VERSION).contains(&base.form) => {
                 return Err(format!(
-                    "it has form {}, this program knows {OLDEST} to {FORM}",
+                    "it has form {}, this program knows {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}",
                     base.form
                 ))
             }
-            (Piece::Base(base), told) => *told = Some(*base),
+            (LogItem::Checkpoint(base), told) => *told = Some(*base),
             // Older than the base, and not yet noted as over.
-            (Piece::Batch(_), None) => {}
-            (Piece::Batch(batch), Some(base)) => {
+            (LogItem::Batch(_), None) => {}
+            (LogItem::Batch(batch), Some(base)) => {
                 let mut all = Batch {
                     hard: base.hard,
                     entries: std::mem::take(&mut base.entries),
@@ -493,7 +508,7 @@
 }
 
 /// What the library reads: all in memory, ahead of what is written.
-pub struct Shelf {
+pub struct MemoryStorage {
     /// Term, vote and commit.
     pub hard: HardState,
     conf: ConfState,
@@ -503,9 +518,9 @@
     entries: VecDeque<Entry>,
 }
 
-impl Shelf {
+impl MemoryStorage {
     /// As it was written down.
-    pub fn new(base: &Base) -> Result<Shelf, String> {
+    pub fn new(base: &Checkpoint) -> Result<MemoryStorage, String> {
         let mut hard = HardState::default();
         (hard.term, hard.vote, hard.commit) = (base.hard.term, base.hard.vote, base.hard.commit);
         let conf = ConfState {
@@ -516,11 +531,11 @@
             .entries
             .iter()
             .cloned()
-            .map(Line::entry)
+            .map(LogEntry::entry)
             .collect::<Option<_>>();
         let entries = read.ok_or("an entry of a kind that is not known")?;
         let before = (base.index, base.term);
-        let mut shelf = Shelf {
+        let mut shelf = MemoryStorage {
             hard,
             conf,
             snapshot: Snapshot::default(),
@@ -579,7 +594,11 @@
     pub fn compact(&mut self, index: u64, data: Vec<u8>) {
         let Ok(term) = self.term(index) else { return };
         self.set_snapshot(index, term, data);
-        while self.entries.get(TRAIL).is_some_and(|e| e.index <= index) {
+        while self
+            .entries
+            .get(RETAINED_ENTRIES)
+            .is_some_and(|e| e.index <= index)
+        {
             let Some(first) = self.entries.pop_front() else {
                 break;
             };
@@ -588,11 +607,11 @@
     }
 
     /// Entries behind a place.
-    fn after(&self, index: u64) -> Vec<Line> {
+    fn after(&self, index: u64) -> Vec<LogEntry> {
         self.entries
             .iter()
             .filter(|e| e.index > index)
-            .map(Line::of)
+            .map(LogEntry::of)
             .collect()
     }
 
@@ -601,7 +620,7 @@
     }
 }
 
-impl Storage for Shelf {
+impl Storage for MemoryStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
         Ok(RaftState::new(self.hard.clone(), self.conf.clone()))
     }
--- a/src/coordination/record.rs
+++ b/src/coordination/record.rs
@@ -3,31 +3,31 @@
 //!
 //! The record reads no clock, yet some of it lasts for a time (a person's word, a rest before a
 //! return). So it has a clock of its own, [`Record::clock_ms`]: the leader adds what it counted
-//! itself since its last beat ([`Command::Beat`]). What a leader proposes after its successor was
+//! itself since its last beat ([`Command::AdvanceClock`]). What a leader proposes after its successor was
 //! elected is not committed; a successor counts from the last beat that it saw, and with it the
 //! time between the two: else what is to end in time (a site's lease in its federation) would last
 //! longer with each leader. So two leaders count the same moment for a beat at the most. It is up
 //! to a beat behind: what waits for it may be a beat or two short.
 
-use crate::coordination::messages::{View, ZoneOrder, ZoneWish};
+use crate::coordination::messages::{RequestedZoneState, SenderView, ZoneOrder};
 use crate::coordination::policy_rollout::register::{Change, Policies};
-use crate::coordination::raft_log::Piece;
-use crate::coordination::routing_table::durable_vote::Written;
+use crate::coordination::raft_log::LogItem;
+use crate::coordination::routing_table::durable_vote::DurableVote;
 use crate::coordination::routing_table::tables::{self, Tables};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Senders that the roster names at the most, those that lapsed among them: three fleets of the
 /// largest size that is played. Those that lapsed first go first.
-pub const MOST_SENDERS: usize = 10_000;
+pub const MAX_SENDERS: usize = 10_000;
 /// Zones that the record names at the most: four times as many as any site that is played has.
-pub const MOST_ZONES: usize = 200;
+pub const MAX_ZONES: usize = 200;
 
 /// A change of the record. Nothing in it is read from a clock when it is applied.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// A sender has a session.
-    Join {
+    AddSender {
         /// Its name.
         sender: String,
         /// Its process.
@@ -36,7 +36,7 @@
         zone: String,
     },
     /// Its lease has lapsed, or it ended; says nothing of a later process of that sender.
-    Lapse {
+    ExpireSender {
         /// Its name.
         sender: String,
         /// The process.
@@ -44,7 +44,7 @@
     },
     /// The leader of this term was in office when it proposed this, and has counted so much time
     /// since the last one.
-    Beat {
+    AdvanceClock {
         /// Its term.
         term: u64,
         /// Numbers the beats of a term.
@@ -53,7 +53,7 @@
         ms: u32,
     },
     /// What is to be done with a zone; void where another order was applied since it was decided.
-    Order {
+    SetZonePhase {
         /// [`Record::epoch`] that the decision was based on.
         base: u64,
         /// The zone.
@@ -68,17 +68,17 @@
         why: String,
     },
     /// A person's word on a zone.
-    Wish {
+    RequestZoneState {
         /// The zone.
         zone: String,
-        /// What is wished; [`ZoneWish::Free`] takes the word back.
-        wish: ZoneWish,
+        /// What is wished; [`RequestedZoneState::Free`] takes the word back.
+        wish: RequestedZoneState,
         /// For so long on the record's clock, in milliseconds; 0 until another word.
         for_ms: u64,
     },
     /// Cold calls of a zone that the leader of this term may hand out, and how warm the zone is by
     /// destination. Of another epoch: void.
-    Slice {
+    AllocateAttempts {
         /// The leader's term.
         term: u64,
         /// Numbers the slices of a term.
@@ -93,14 +93,14 @@
         warm: Vec<(u16, u32)>,
     },
     /// What becomes of policies; void where another change came first.
-    Policy {
+    ChangePolicies {
         /// [`Policies::turn`] that the decision was based on.
         base: u64,
         /// What.
         change: Box<Change>,
     },
     /// What becomes of routing tables at this site; void where another change came first.
-    Table {
+    ChangeTables {
         /// [`Tables::turn`] that the decision was based on.
         base: u64,
         /// What.
@@ -108,24 +108,24 @@
     },
     /// The leader of this term is the site's voice in its federation: what earlier ones bring later
     /// is void.
-    Fence {
+    FenceMember {
         /// Its term.
         term: u64,
     },
-    /// What the voice of this term writes down; see [`Written::put`].
-    Voice {
+    /// What the voice of this term writes down; see [`DurableVote::put`].
+    PersistMemberLog {
         /// Its term.
         term: u64,
         /// Numbers the pieces of a term, from 1.
         number: u64,
         /// What.
-        piece: Piece,
+        piece: LogItem,
     },
 }
 
 /// A sender on the roster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
+pub struct RosterEntry {
     /// Its process.
     pub boot: u64,
     /// Where it stands.
@@ -150,9 +150,9 @@
 
 /// A person's word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct ZoneOverride {
     /// What is wished.
-    pub what: ZoneWish,
+    pub what: RequestedZoneState,
     /// It ends when the record's clock is there; never, where it is 0.
     pub until_ms: u64,
 }
@@ -175,7 +175,7 @@
     /// When it was ordered, on the record's clock.
     pub since_ms: u64,
     /// A person's word.
-    pub wish: Option<Wish>,
+    pub wish: Option<ZoneOverride>,
     /// The last slice of its return: the term and the number.
     pub slice: (u64, u64),
     /// How long it has been warming, by destination, in milliseconds.
@@ -188,7 +188,7 @@
     /// Number of the last command that was applied.
     pub version: u64,
     /// The senders.
-    pub roster: BTreeMap<String, Member>,
+    pub roster: BTreeMap<String, RosterEntry>,
     /// The zones.
     pub zones: BTreeMap<String, Zone>,
     /// Epoch of the last order.
@@ -205,7 +205,7 @@
     pub tables: Tables,
     /// What the site's voice in its federation wrote down; behind those.
     #[serde(skip)]
-    pub written: Written,
+    pub written: DurableVote,
 }
 
 impl Record {
@@ -213,8 +213,8 @@
     pub fn apply(&mut self, index: u64, command: &Command) {
         self.version = index;
         match command {
-            Command::Join { sender, boot, zone } => {
-                if !self.roster.contains_key(sender) && self.roster.len() >= MOST_SENDERS {
+            Command::AddSender { sender, boot, zone } => {
+                if !self.roster.contains_key(sender) && self.roster.len() >= MAX_SENDERS {
                     let lapsed = self
                         .roster
                         .iter()
@@ -225,7 +225,7 @@
                         None => return,
                     };
                 }
-                let member = Member {
+                let member = RosterEntry {
                     boot: *boot,
                     zone: zone.clone(),
                     live: true,
@@ -233,7 +233,7 @@
                 };
                 self.roster.insert(sender.clone(), member);
             }
-            Command::Lapse { sender, boot } => {
+            Command::ExpireSender { sender, boot } => {
                 if let Some(m) = self
                     .roster
                     .get_mut(sender)
@@ -242,7 +242,7 @@
                     (m.live, m.since) = (false, index);
                 }
             }
-            Command::Beat { ms, .. } => {
+            Command::AdvanceClock { ms, .. } => {
                 self.clock_ms += u64::from(*ms);
                 let now = self.clock_ms;
                 for zone in self.zones.values_mut() {
@@ -250,7 +250,7 @@
                 }
                 self.tidy();
             }
-            Command::Order {
+            Command::SetZonePhase {
                 base,
                 zone,
                 phase,
@@ -274,22 +274,23 @@
                     self.tidy();
                 }
             }
-            Command::Wish { zone, wish, for_ms } => {
+            Command::RequestZoneState { zone, wish, for_ms } => {
                 if self.has_room(zone) {
                     let until_ms = if *for_ms == 0 {
                         0
                     } else {
                         self.clock_ms.saturating_add(*for_ms)
                     };
-                    let stands = *wish != ZoneWish::Free;
-                    self.zones.entry(zone.clone()).or_default().wish = stands.then_some(Wish {
-                        what: *wish,
-                        until_ms,
-                    });
+                    let stands = *wish != RequestedZoneState::Free;
+                    self.zones.entry(zone.clone()).or_default().wish =
+                        stands.then_some(ZoneOverride {
+                            what: *wish,
+                            until_ms,
+                        });
                     self.tidy();
                 }
             }
-            Command::Slice {
+            Command::AllocateAttempts {
                 term,
                 slice,
                 zone,
@@ -305,14 +306,14 @@
                     (z.slice, z.warm) = ((*term, *slice), warm.clone());
                 }
             }
-            Command::Policy { base, change } => {
+            Command::ChangePolicies { base, change } => {
                 self.policies.apply(index, self.clock_ms, *base, change)
             }
-            Command::Table { base, change } => {
+            Command::ChangeTables { base, change } => {
                 self.tables.apply(index, self.clock_ms, *base, change)
             }
-            Command::Fence { term } => self.written.fence(*term),
-            Command::Voice {
+            Command::FenceMember { term } => self.written.fence(*term),
+            Command::PersistMemberLog {
                 term,
                 number,
                 piece,
@@ -322,7 +323,7 @@
 
     /// Whether a zone is named or may be.
     pub fn has_room(&self, zone: &str) -> bool {
-        self.zones.contains_key(zone) || self.zones.len() < MOST_ZONES
+        self.zones.contains_key(zone) || self.zones.len() < MAX_ZONES
     }
 
     /// A zone in use, without a word and without failed returns, is not named.
@@ -332,7 +333,7 @@
     }
 
     /// What senders are to know of it.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> SenderView {
         let ordered = self.zones.iter().filter(|(_, z)| z.phase != Phase::Used);
         let zones = ordered.map(|(zone, z)| ZoneOrder {
             zone: zone.clone(),
@@ -340,7 +341,7 @@
             returning: z.phase == Phase::Returning,
             out: z.out.clone(),
         });
-        View {
+        SenderView {
             version: self.version,
             zones: zones.collect(),
         }
--- a/src/coordination/record/tests.rs
+++ b/src/coordination/record/tests.rs
@@ -1,7 +1,7 @@
 use crate::coordination::record::*;
 
 fn join(sender: &str, boot: u64) -> Command {
-    Command::Join {
+    Command::AddSender {
         sender: sender.into(),
         boot,
         zone: "a".into(),
@@ -9,7 +9,7 @@
 }
 
 fn order(base: u64, phase: Phase) -> Command {
-    Command::Order {
+    Command::SetZonePhase {
         base,
         zone: "z".into(),
         phase,
@@ -26,7 +26,7 @@
     record.apply(2, &join("n", 2));
     record.apply(
         3,
-        &Command::Lapse {
+        &Command::ExpireSender {
             sender: "n".into(),
             boot: 1,
         },
@@ -34,7 +34,7 @@
     assert!(record.roster["n"].live);
     record.apply(
         4,
-        &Command::Lapse {
+        &Command::ExpireSender {
             sender: "n".into(),
             boot: 2,
         },
@@ -66,15 +66,15 @@
     let mut record = Record::default();
     record.apply(
         1,
-        &Command::Wish {
+        &Command::RequestZoneState {
             zone: "z".into(),
-            wish: ZoneWish::Hold,
+            wish: RequestedZoneState::Hold,
             for_ms: 1_000,
         },
     );
     record.apply(
         2,
-        &Command::Beat {
+        &Command::AdvanceClock {
             term: 1,
             beat: 1,
             ms: 999,
@@ -83,7 +83,7 @@
     assert!(record.zones["z"].wish.is_some());
     record.apply(
         3,
-        &Command::Beat {
+        &Command::AdvanceClock {
             term: 2,
             beat: 1,
             ms: 1,
@@ -95,7 +95,7 @@
 #[test]
 fn the_roster_is_bounded_and_those_that_live_stay() {
     let mut record = Record::default();
-    for n in 0..MOST_SENDERS as u64 {
+    for n in 0..MAX_SENDERS as u64 {
         record.apply(n + 1, &join(&format!("n{n}"), 1));
     }
     let at = record.version;
@@ -103,12 +103,12 @@
     assert!(!record.roster.contains_key("one more"));
     record.apply(
         at + 2,
-        &Command::Lapse {
+        &Command::ExpireSender {
             sender: "n7".into(),
             boot: 1,
         },
     );
     record.apply(at + 3, &join("one more", 1));
     assert!(record.roster.contains_key("one more") && !record.roster.contains_key("n7"));
-    assert_eq!(record.roster.len(), MOST_SENDERS);
+    assert_eq!(record.roster.len(), MAX_SENDERS);
 }
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -5,12 +5,12 @@
 //! `receive` and `requests`. Connections are accepted by `accept`, and opened to other replicas by
 //! `peers` and to other sites by `sites` and `site_links`, both over `transport`.
 
-use crate::coordination::bootstrap::Begin;
+use crate::coordination::bootstrap::Bootstrap;
 use crate::coordination::config::Config;
 use crate::coordination::leader::{ConnectionId, LeaderDuties};
-use crate::coordination::messages::{FromAgent, FromPerson};
-use crate::coordination::raft_group::Group;
-use crate::coordination::raft_log::{Keep, Piece, Unsaved};
+use crate::coordination::messages::{AgentToReplica, OperatorRequest};
+use crate::coordination::raft_group::RaftGroup;
+use crate::coordination::raft_log::{LogItem, RaftLogStore, SaveError};
 use crate::coordination::routing_table::member::Voice;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::store::worker::Offloaded;
@@ -75,9 +75,9 @@
         queue: Sender<Vec<u8>>,
     },
     /// An agent says something.
-    Agent(ConnectionId, FromAgent),
+    Agent(ConnectionId, AgentToReplica),
     /// A person orders something.
-    Person(ConnectionId, FromPerson),
+    Person(ConnectionId, OperatorRequest),
     /// A connection is gone.
     Gone(ConnectionId),
     /// Something of another site.
@@ -101,8 +101,8 @@
 }
 
 enum Stage {
-    Begins(Box<Begin>),
-    Takes(Box<Group>),
+    Begins(Box<Bootstrap>),
+    Takes(Box<RaftGroup>),
 }
 
 struct Replica {
@@ -114,11 +114,11 @@
     /// When a leader's beat was seen in the record last, while there was a leader.
     led: Option<Nanos>,
     /// Lent to its thread while that writes.
-    keep: Offloaded<Keep, Piece, Result<(), Unsaved>>,
+    keep: Offloaded<RaftLogStore, LogItem, Result<(), SaveError>>,
     /// Nothing is acknowledged since then: what is to be written finds no room.
     full: Option<Instant>,
     /// What found no room, and when it is tried again.
-    again: Option<(Piece, Instant)>,
+    again: Option<(LogItem, Instant)>,
     start: Instant,
     ticked: Instant,
     connections: BTreeMap<ConnectionId, Sender<Vec<u8>>>,
--- a/src/coordination/replica/accept.rs
+++ b/src/coordination/replica/accept.rs
@@ -2,9 +2,9 @@
 //! another replica or another site.
 
 use crate::coordination::config::Config;
-use crate::coordination::framing::{self, Broken};
+use crate::coordination::framing::{self, FrameError};
 use crate::coordination::leader::ConnectionId;
-use crate::coordination::messages::{Hello, Who, MOST};
+use crate::coordination::messages::{Handshake, PeerRole, MAX_FRAME_BYTES};
 use crate::coordination::replica::peers::{refuse, serve_peer};
 use crate::coordination::replica::transport::{with_timeout, HANDSHAKE_TIMEOUT, WRITE_TIMEOUT};
 use crate::coordination::replica::{site_links, Context, Incoming, RESOURCE_RETRY_DELAY};
@@ -113,19 +113,19 @@
     context: Context,
     mut stream: Async<TcpStream>,
     permissions: Permissions,
-) -> Result<(), Broken> {
+) -> Result<(), FrameError> {
     let Permissions {
         agent,
         keeper,
         site,
     } = permissions;
-    let hello: Hello = with_timeout(
+    let hello: Handshake = with_timeout(
         &context.wheel,
         HANDSHAKE_TIMEOUT,
-        framing::read(&mut stream, MOST),
+        framing::read(&mut stream, MAX_FRAME_BYTES),
     )
     .await?;
-    if let Who::Site(number) = hello.who {
+    if let PeerRole::Site(number) = hello.role {
         let here = context
             .federation
             .as_ref()
@@ -136,14 +136,14 @@
         };
     }
     let admitted = hello.admit(&context.site);
-    let denied = || Broken::Io(std::io::ErrorKind::PermissionDenied.into());
-    match (hello.who, admitted) {
-        (Who::Keeper(_), Err(e)) => {
+    let denied = || FrameError::Io(std::io::ErrorKind::PermissionDenied.into());
+    match (hello.role, admitted) {
+        (PeerRole::Replica(_), Err(e)) => {
             refuse(&context, stream, e, format!("of site {:?}", context.site)).await
         }
         (_, Err(e)) => Err(e),
-        (Who::Keeper(n), _) if keeper => serve_peer(context, stream, n).await,
-        (Who::Keeper(_), _) => {
+        (PeerRole::Replica(n), _) if keeper => serve_peer(context, stream, n).await,
+        (PeerRole::Replica(_), _) => {
             refuse(
                 &context,
                 stream,
@@ -152,8 +152,8 @@
             )
             .await
         }
-        (Who::Agent, _) if agent => serve_client(context, stream, Incoming::Agent).await,
-        (Who::Person, _) if agent => serve_client(context, stream, Incoming::Person).await,
+        (PeerRole::Agent, _) if agent => serve_client(context, stream, Incoming::Agent).await,
+        (PeerRole::Operator, _) if agent => serve_client(context, stream, Incoming::Person).await,
         _ => Err(denied()),
     }
 }
@@ -163,7 +163,7 @@
     context: Context,
     stream: Async<TcpStream>,
     bring: fn(ConnectionId, T) -> Incoming,
-) -> Result<(), Broken> {
+) -> Result<(), FrameError> {
     let connection = context.next.get() + 1;
     context.next.set(connection);
     let (queue, going) = async_channel::bounded::<Vec<u8>>(CONNECTION_QUEUE);
@@ -175,7 +175,12 @@
     let (inbox, wheel) = (context.inbox.clone(), context.wheel.clone());
     let reading = async {
         loop {
-            let word = with_timeout(&wheel, IDLE_TIMEOUT, framing::read(&mut from, MOST)).await?;
+            let word = with_timeout(
+                &wheel,
+                IDLE_TIMEOUT,
+                framing::read(&mut from, MAX_FRAME_BYTES),
+            )
+            .await?;
             let _ = inbox.send(bring(connection, word)).await;
         }
     };
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -2,9 +2,9 @@
 //! until nothing is left to be done.
 
 use crate::coordination::leader::{Effect, LeaderDuties};
-use crate::coordination::messages::ToPerson;
-use crate::coordination::raft_group::{Event, ELECTION};
-use crate::coordination::raft_log::{Keep, Piece, Unsaved};
+use crate::coordination::messages::OperatorResponse;
+use crate::coordination::raft_group::{GroupEvent, ELECTION_TICKS};
+use crate::coordination::raft_log::{LogItem, RaftLogStore, SaveError};
 use crate::coordination::record::Command;
 use crate::coordination::replica::peers::send;
 use crate::coordination::replica::{Incoming, Replica, Stage, RESOURCE_RETRY_DELAY};
@@ -18,7 +18,7 @@
 const FAREWELL: Duration = Duration::from_millis(400);
 
 /// What was to be written, and what came of it.
-type Wrote = (Piece, Result<(), Unsaved>);
+type Wrote = (LogItem, Result<(), SaveError>);
 
 /// What follows from one step of the group.
 #[derive(Default)]
@@ -85,7 +85,7 @@
         let Stage::Takes(group) = &mut self.stage else {
             return;
         };
-        for _ in 0..due.min(2 * ELECTION as u32) {
+        for _ in 0..due.min(2 * ELECTION_TICKS as u32) {
             group.tick();
         }
         let mut out = Vec::new();
@@ -98,7 +98,7 @@
 
     /// What came of writing.
     fn handle_saved(&mut self, (piece, result): Wrote) -> Result<(), String> {
-        let wants_base = self.keep.idle().is_some_and(Keep::wants_base);
+        let wants_base = self.keep.idle().is_some_and(RaftLogStore::wants_base);
         let who = self.who();
         let Stage::Takes(group) = &mut self.stage else {
             return Ok(());
@@ -114,13 +114,15 @@
                 }
                 Ok(())
             }
-            Err(Unsaved::Later(e)) => {
+            Err(SaveError::Retryable(e)) => {
                 if self.full.is_none() {
                     log::error!("{who}: acknowledges nothing: {e}");
                 }
                 let since = *self.full.get_or_insert_with(Instant::now);
                 // Others may have room.
-                if since.elapsed() > Duration::from_millis(self.config.tick_ms) * ELECTION as u32 {
+                if since.elapsed()
+                    > Duration::from_millis(self.config.tick_ms) * ELECTION_TICKS as u32
+                {
                     let _ = group.hand_on();
                 }
                 self.again = Some((piece, Instant::now() + RESOURCE_RETRY_DELAY));
@@ -176,13 +178,13 @@
     }
 
     /// Something happened in the group.
-    fn event(&mut self, now: Nanos, event: Event, effects: &mut Effects) {
+    fn event(&mut self, now: Nanos, event: GroupEvent, effects: &mut Effects) {
         let Stage::Takes(group) = &self.stage else {
             return;
         };
         match event {
-            Event::Applied(index, command) => self.applied(now, index, &command, effects),
-            Event::Member(index, keeper) => {
+            GroupEvent::Applied(index, command) => self.applied(now, index, &command, effects),
+            GroupEvent::MembersChanged(index, keeper) => {
                 log::info!(
                     "{}: keepers {:?} by entry {index}",
                     self.who(),
@@ -196,22 +198,22 @@
                     if !came {
                         effects
                             .out
-                            .push(Effect::Reply(changing.0, ToPerson::Done(index)));
+                            .push(Effect::Reply(changing.0, OperatorResponse::Done(index)));
                         self.changing = None;
                     }
                 }
             }
-            Event::Restored(index) => {
+            GroupEvent::SnapshotRestored(index) => {
                 log::info!(
                     "{}: has the record up to {index} from another keeper",
                     self.who()
                 );
                 effects.members = true;
             }
-            Event::Leads(leader, term) if leader != 0 && leader != group.me() => {
+            GroupEvent::LeaderChanged(leader, term) if leader != 0 && leader != group.me() => {
                 log::info!("{}: follows {leader} in term {term}", self.who());
             }
-            Event::Leads(..) => {}
+            GroupEvent::LeaderChanged(..) => {}
         }
     }
 
@@ -220,7 +222,7 @@
         let Stage::Takes(group) = &self.stage else {
             return;
         };
-        if let Command::Beat { term, .. } = command {
+        if let Command::AdvanceClock { term, .. } = command {
             // An older one that is only now read says nothing of when its leader lived.
             if *term == group.term() && group.leader() != 0 {
                 self.led = Some(now);
@@ -249,7 +251,7 @@
         if let Some((connection, _, Some(index))) = self.changing.take_if(has) {
             effects
                 .out
-                .push(Effect::Reply(connection, ToPerson::Done(index)));
+                .push(Effect::Reply(connection, OperatorResponse::Done(index)));
         }
     }
 
@@ -270,7 +272,7 @@
             log::info!("{}: leads no more", self.who());
             effects.ends = true;
             self.changing = None;
-            let elsewhere = ToPerson::Elsewhere(Some(group.leader()).filter(|id| *id != 0));
+            let elsewhere = OperatorResponse::NotLeader(Some(group.leader()).filter(|id| *id != 0));
             let asked = std::mem::take(&mut self.asked);
             effects.out.extend(
                 asked
@@ -281,9 +283,9 @@
     }
 
     /// What is to be written next, where nothing is being written.
-    fn next_piece(&mut self) -> Option<Piece> {
+    fn next_piece(&mut self) -> Option<LogItem> {
         self.keep.idle()?;
-        let due = |again: &mut (Piece, Instant)| again.1 <= Instant::now();
+        let due = |again: &mut (LogItem, Instant)| again.1 <= Instant::now();
         if let Some((piece, _)) = self.again.take_if(due) {
             return Some(piece);
         }
--- a/src/coordination/replica/formation.rs
+++ b/src/coordination/replica/formation.rs
@@ -1,8 +1,8 @@
 //! What a replica does before it takes part in the group: it meets the others and writes down whom
 //! it knows.
 
-use crate::coordination::raft_group::Group;
-use crate::coordination::raft_log::{Piece, Unsaved};
+use crate::coordination::raft_group::RaftGroup;
+use crate::coordination::raft_log::{LogItem, SaveError};
 use crate::coordination::replica::{draw, Replica, Stage, RESOURCE_RETRY_DELAY};
 
 impl Replica {
@@ -11,7 +11,7 @@
         let Stage::Begins(begin) = &self.stage else {
             return self.work();
         };
-        let piece = Piece::Base(Box::new(begin.base().clone()));
+        let piece = LogItem::Checkpoint(Box::new(begin.base().clone()));
         self.save_now(piece).await?;
         // One that is alone waits for nobody.
         self.form_group().await?;
@@ -26,7 +26,7 @@
     }
 
     /// Writes something down while nothing else goes on: before this keeper takes part.
-    async fn save_now(&mut self, mut piece: Piece) -> Result<(), String> {
+    async fn save_now(&mut self, mut piece: LogItem) -> Result<(), String> {
         loop {
             self.keep.start_job(piece).map_err(|_| "the log is lent")?;
             let (back, result) = self
@@ -36,7 +36,7 @@
                 .map_err(|e| format!("state: {e}"))?;
             match result {
                 Ok(()) => return Ok(()),
-                Err(Unsaved::Later(e)) => log::warn!("{}: not written yet: {e}", self.who()),
+                Err(SaveError::Retryable(e)) => log::warn!("{}: not written yet: {e}", self.who()),
                 Err(e) => return Err(format!("state: {e}")),
             }
             piece = back;
@@ -49,7 +49,7 @@
         let Stage::Begins(begin) = &self.stage else {
             return Ok(());
         };
-        self.save_now(Piece::Base(Box::new(begin.base().clone())))
+        self.save_now(LogItem::Checkpoint(Box::new(begin.base().clone())))
             .await
     }
 
@@ -68,7 +68,7 @@
             .collect();
         if let Some(base) = begin.finish(&at) {
             log::info!("{}: all keepers know each other, begins", self.who());
-            let group = Group::new(base, draw()).map_err(|e| e.to_string())?;
+            let group = RaftGroup::new(base, draw()).map_err(|e| e.to_string())?;
             self.stage = Stage::Takes(Box::new(group));
         }
         Ok(())
--- a/src/coordination/replica/peers.rs
+++ b/src/coordination/replica/peers.rs
@@ -1,9 +1,9 @@
 //! Connections to the other replicas of the site, one in each direction.
 
-use crate::coordination::framing::{self, Broken};
-use crate::coordination::messages::{Hello, Who, MOST, VERSION};
-use crate::coordination::raft_group::Group;
-use crate::coordination::raft_log::BASE_MOST;
+use crate::coordination::framing::{self, FrameError};
+use crate::coordination::messages::{Handshake, PeerRole, MAX_FRAME_BYTES, PROTOCOL_VERSION};
+use crate::coordination::raft_group::RaftGroup;
+use crate::coordination::raft_log::MAX_CHECKPOINT_BYTES;
 use crate::coordination::replica::transport::{
     receive_messages, retry_delay, send_messages, with_timeout, LinkState, HANDSHAKE_TIMEOUT,
     WRITE_TIMEOUT,
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 
 /// Longest frame between keepers: a snapshot, and what is said with it.
-const PEER_MOST: usize = BASE_MOST + 64 * 1024;
+const PEER_MOST: usize = MAX_CHECKPOINT_BYTES + 64 * 1024;
 
 /// What keepers say to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -51,10 +51,12 @@
 pub(super) async fn refuse(
     context: &Context,
     mut stream: Async<TcpStream>,
-    why: Broken,
+    why: FrameError,
     what: String,
-) -> Result<(), Broken> {
-    let word = PeerMessage::Refused(format!("it came to a keeper {what}, form {VERSION}"));
+) -> Result<(), FrameError> {
+    let word = PeerMessage::Refused(format!(
+        "it came to a keeper {what}, form {PROTOCOL_VERSION}"
+    ));
     with_timeout(
         &context.wheel,
         WRITE_TIMEOUT,
@@ -69,7 +71,7 @@
     context: Context,
     mut stream: Async<TcpStream>,
     keeper: u64,
-) -> Result<(), Broken> {
+) -> Result<(), FrameError> {
     let me = with_timeout(
         &context.wheel,
         HANDSHAKE_TIMEOUT,
@@ -105,7 +107,7 @@
             keeper,
             bytes: bytes.into_vec(),
         }),
-        other => Err(Broken::Io(std::io::Error::other(format!(
+        other => Err(FrameError::Io(std::io::Error::other(format!(
             "{other:?} from a keeper"
         )))),
     };
@@ -123,16 +125,16 @@
 pub(super) async fn handshake(
     context: &Context,
     at: SocketAddr,
-) -> Result<(Async<TcpStream>, PeerMessage), Broken> {
+) -> Result<(Async<TcpStream>, PeerMessage), FrameError> {
     let meeting = async {
         let mut stream = Async::<TcpStream>::connect(at).await?;
         stream.get_ref().set_nodelay(true)?;
-        let hello = Hello {
-            version: VERSION,
+        let hello = Handshake {
+            version: PROTOCOL_VERSION,
             site: context.site.to_string(),
-            who: Who::Keeper(context.keeper),
+            role: PeerRole::Replica(context.keeper),
         };
-        framing::write(&mut stream, &hello, MOST).await?;
+        framing::write(&mut stream, &hello, MAX_FRAME_BYTES).await?;
         framing::write(
             &mut stream,
             &PeerMessage::Me {
@@ -178,7 +180,7 @@
             send_messages::<PeerMessage>(&context, stream, PEER_MOST, &going, &reach.up, || ())
                 .await
         };
-        let ended: Result<(), Broken> = ended.await;
+        let ended: Result<(), FrameError> = ended.await;
         let was_up = reach.up.replace(false);
         reach.ended(&who, ended, was_up);
         context.wheel.sleep(retry_delay()).await;
@@ -187,7 +189,7 @@
 
 /// Sends messages of the group, each as far as there is a connection for it.
 pub(super) fn send(
-    group: &mut Group,
+    group: &mut RaftGroup,
     outgoing: &BTreeMap<u64, OutgoingLink>,
     messages: Vec<Message>,
 ) {
--- a/src/coordination/replica/receive.rs
+++ b/src/coordination/replica/receive.rs
@@ -1,6 +1,6 @@
 //! What is done with each event that the other tasks bring in.
 
-use crate::coordination::bootstrap::{admit, Heard};
+use crate::coordination::bootstrap::{admit, PeerAdmission};
 use crate::coordination::replica::conflicts::Conflict;
 use crate::coordination::replica::peers::PeerMessage;
 use crate::coordination::replica::{Incoming, Replica, Stage};
@@ -57,7 +57,7 @@
     }
 
     /// Whether a keeper with this folder is one of the group.
-    fn heard(&mut self, keeper: u64, incarnation: u64) -> Heard {
+    fn heard(&mut self, keeper: u64, incarnation: u64) -> PeerAdmission {
         match &mut self.stage {
             Stage::Begins(begin) => begin.tells(keeper, incarnation),
             Stage::Takes(group) => admit(group.held(), keeper, incarnation),
@@ -73,11 +73,11 @@
         alive: Sender<()>,
     ) -> Result<(), String> {
         let heard = self.heard(keeper, incarnation);
-        if heard == Heard::New {
+        if heard == PeerAdmission::New {
             self.save_known_replicas().await?;
         }
         let word = match heard {
-            Heard::No(why) => {
+            PeerAdmission::Rejected(why) => {
                 self.note_conflict(keeper, Conflict::Came, &why);
                 PeerMessage::Refused(why)
             }
@@ -96,7 +96,7 @@
     /// A keeper that knows this one answered.
     async fn keeper_answered(&mut self, keeper: u64, incarnation: u64) -> Result<(), String> {
         let heard = self.heard(keeper, incarnation);
-        if let Heard::No(why) = &heard {
+        if let PeerAdmission::Rejected(why) = &heard {
             self.note_conflict(keeper, Conflict::Answers, why);
             // Nothing is said to it.
             self.outgoing
@@ -115,7 +115,7 @@
         if let Stage::Begins(begin) = &mut self.stage {
             begin.knows(keeper);
         }
-        if heard == Heard::New {
+        if heard == PeerAdmission::New {
             self.save_known_replicas().await?;
         }
         self.form_group().await
--- a/src/coordination/replica/requests.rs
+++ b/src/coordination/replica/requests.rs
@@ -3,9 +3,10 @@
 use crate::coordination::framing;
 use crate::coordination::leader::{ConnectionId, Effect};
 use crate::coordination::messages::{
-    FromAgent, FromPerson, Status, TableOrder, ToAgent, ToPerson, MOST,
+    AgentToReplica, CoordinationStatus, FederationRequest, OperatorRequest, OperatorResponse,
+    ReplicaToAgent, MAX_FRAME_BYTES,
 };
-use crate::coordination::raft_group::Member;
+use crate::coordination::raft_group::GroupMember;
 use crate::coordination::replica::peers::{handshake, PeerMessage};
 use crate::coordination::replica::{Incoming, Replica, Stage};
 use serde::Serialize;
@@ -40,7 +41,7 @@
         let Some(queue) = self.connections.get(&connection) else {
             return;
         };
-        let sent = framing::bytes(word, MOST).map_err(|e| e.to_string());
+        let sent = framing::bytes(word, MAX_FRAME_BYTES).map_err(|e| e.to_string());
         let sent = sent.and_then(|bytes| queue.try_send(bytes).map_err(|e| e.to_string()));
         if let Err(e) = sent {
             // Its task sees that nobody writes to it any more.
@@ -49,26 +50,26 @@
         }
     }
 
-    pub(super) fn answer(&mut self, connection: ConnectionId, mut word: ToPerson) {
+    pub(super) fn answer(&mut self, connection: ConnectionId, mut word: OperatorResponse) {
         self.asked.remove(&connection);
-        if let ToPerson::Status(status) = &mut word {
+        if let OperatorResponse::Status(status) = &mut word {
             self.fill_status(status);
         }
         self.send(connection, &word);
     }
 
     /// What the replica knows of how things stand.
-    fn fill_status(&self, status: &mut Status) {
-        (status.site, status.keeper) = (self.config.site.clone(), self.config.keeper);
+    fn fill_status(&self, status: &mut CoordinationStatus) {
+        (status.site, status.replica) = (self.config.site.clone(), self.config.keeper);
         if let Stage::Takes(group) = &self.stage {
             // One that was elected leads when it knows all that was agreed before.
             let leads = group.leader() != group.me() || self.duties.is_some();
             (status.leader, status.term) = (if leads { group.leader() } else { 0 }, group.term());
             status.version = group.record().version;
-            status.keepers = group.voters().to_vec();
-            status.keepers.sort_unstable();
+            status.voters = group.voters().to_vec();
+            status.voters.sort_unstable();
         }
-        status.trouble = self.trouble();
+        status.faults = self.trouble();
     }
 
     pub(super) fn leader(&self) -> Option<u64> {
@@ -81,46 +82,51 @@
         }
     }
 
-    pub(super) fn handle_agent(&mut self, connection: ConnectionId, word: &FromAgent) {
+    pub(super) fn handle_agent(&mut self, connection: ConnectionId, word: &AgentToReplica) {
         let now = self.now();
         let mut out = Vec::new();
         match (&mut self.stage, &mut self.duties) {
             (Stage::Takes(group), Some(duties)) if group.leads_for_certain() => {
                 duties.on_agent_message(now, connection, word, group.record(), &mut out);
             }
-            _ => out.push(Effect::Send(connection, ToAgent::Elsewhere(self.leader()))),
+            _ => out.push(Effect::Send(
+                connection,
+                ReplicaToAgent::NotLeader(self.leader()),
+            )),
         }
         self.carry_out(out);
     }
 
-    pub(super) fn handle_operator(&mut self, connection: ConnectionId, word: FromPerson) {
+    pub(super) fn handle_operator(&mut self, connection: ConnectionId, word: OperatorRequest) {
         let now = self.now();
-        let elsewhere = ToPerson::Elsewhere(self.leader());
+        let elsewhere = OperatorResponse::NotLeader(self.leader());
         let mut out = Vec::new();
         match (&mut self.stage, &mut self.duties) {
             (Stage::Takes(group), Some(duties)) if group.leads_for_certain() => {
                 self.asked.insert(connection);
                 match word {
-                    FromPerson::Table(
-                        order @ (TableOrder::Off { .. } | TableOrder::Join { .. }),
+                    OperatorRequest::Federation(
+                        order @ (FederationRequest::RemoveSite { .. }
+                        | FederationRequest::AddSite { .. }),
                     ) if self.voice.is_some() => {
                         return self.order_site(connection, &order);
                     }
-                    FromPerson::Add { keeper, at } => {
+                    OperatorRequest::AddReplica { keeper, at } => {
                         return self.ask_incarnation(connection, keeper, at)
                     }
-                    FromPerson::Remove { keeper } => match group.remove(keeper) {
+                    OperatorRequest::RemoveReplica { keeper } => match group.remove(keeper) {
                         Ok(()) => self.changing = Some((connection, keeper, None)),
                         // It was removed before: as ordered.
                         Err(_) if group.held().removed.contains(&keeper) => {
                             out.push(Effect::Reply(
                                 connection,
-                                ToPerson::Done(group.record().version),
+                                OperatorResponse::Done(group.record().version),
                             ));
                         }
-                        Err(no) => {
-                            out.push(Effect::Reply(connection, ToPerson::Refused(no.to_string())))
-                        }
+                        Err(no) => out.push(Effect::Reply(
+                            connection,
+                            OperatorResponse::Rejected(no.to_string()),
+                        )),
                     },
                     word => {
                         duties.on_operator_request(
@@ -131,17 +137,23 @@
                             &mut out,
                         );
                         // What the replica knows can be told in any case.
-                        let none = |o: &Effect| matches!(o, Effect::Reply(l, ToPerson::Refused(_)) if *l == connection);
-                        if word == FromPerson::Status && out.iter().any(none) {
+                        let none = |o: &Effect| matches!(o, Effect::Reply(l, OperatorResponse::Rejected(_)) if *l == connection);
+                        if word == OperatorRequest::Status && out.iter().any(none) {
                             out.retain(|o| !none(o));
-                            out.push(Effect::Reply(connection, ToPerson::Status(Box::default())));
+                            out.push(Effect::Reply(
+                                connection,
+                                OperatorResponse::Status(Box::default()),
+                            ));
                         }
                     }
                 }
             }
             // How things stand here may be asked of any keeper.
-            _ if word == FromPerson::Status => {
-                out.push(Effect::Reply(connection, ToPerson::Status(Box::default())));
+            _ if word == OperatorRequest::Status => {
+                out.push(Effect::Reply(
+                    connection,
+                    OperatorResponse::Status(Box::default()),
+                ));
             }
             _ => out.push(Effect::Reply(connection, elsewhere)),
         }
@@ -157,22 +169,22 @@
         if known.is_some_and(|m| m.at == at) {
             // As ordered, already.
             let word = match group.has(keeper, 1) {
-                true => ToPerson::Done(group.record().version),
-                false => ToPerson::Refused(format!(
+                true => OperatorResponse::Done(group.record().version),
+                false => OperatorResponse::Rejected(format!(
                     "keeper {keeper} was added and has not got the record yet"
                 )),
             };
             return self.answer(connection, word);
         }
         if let Err(no) = group.may_add(keeper) {
-            return self.answer(connection, ToPerson::Refused(no.to_string()));
+            return self.answer(connection, OperatorResponse::Rejected(no.to_string()));
         }
         let address = match at.parse::<SocketAddr>() {
             Ok(address) if !address.ip().is_unspecified() && address.port() != 0 => address,
             _ => {
                 return self.answer(
                     connection,
-                    ToPerson::Refused(format!("{at:?}: no address with a port")),
+                    OperatorResponse::Rejected(format!("{at:?}: no address with a port")),
                 )
             }
         };
@@ -209,14 +221,14 @@
         };
         let added = match folder {
             Ok(incarnation) => {
-                let added = group.add(keeper, &Member { at, incarnation });
+                let added = group.add(keeper, &GroupMember { at, incarnation });
                 added.map_err(|no| no.to_string())
             }
             Err(e) => Err(format!("keeper {keeper} at {at}: {e}")),
         };
         match added {
             Ok(()) => self.changing = Some((connection, keeper, None)),
-            Err(e) => self.answer(connection, ToPerson::Refused(e)),
+            Err(e) => self.answer(connection, OperatorResponse::Rejected(e)),
         }
     }
 }
--- a/src/coordination/replica/site_links.rs
+++ b/src/coordination/replica/site_links.rs
@@ -4,8 +4,8 @@
 //! A site is reached at whichever of its keepers leads it. The addresses are tried in turn; one
 //! that does not lead says who does, where it knows.
 
-use crate::coordination::framing::{self, Broken};
-use crate::coordination::messages::{Hello, Who, MOST, VERSION};
+use crate::coordination::framing::{self, FrameError};
+use crate::coordination::messages::{Handshake, PeerRole, MAX_FRAME_BYTES, PROTOCOL_VERSION};
 use crate::coordination::replica::transport::{
     self, receive_messages, retry_delay, send_messages, with_timeout, HANDSHAKE_TIMEOUT,
     WRITE_TIMEOUT,
@@ -103,7 +103,7 @@
     context: Context,
     mut stream: Async<TcpStream>,
     site: u64,
-) -> Result<(), Broken> {
+) -> Result<(), FrameError> {
     let me = with_timeout(
         &context.wheel,
         HANDSHAKE_TIMEOUT,
@@ -139,7 +139,7 @@
     }
     let word = |said| match said {
         Said::Word(word) => Ok(Incoming::Site(Site::Word { site, word })),
-        other => Err(Broken::Io(std::io::Error::other(format!(
+        other => Err(FrameError::Io(std::io::Error::other(format!(
             "{other:?} from a site"
         )))),
     };
@@ -147,12 +147,15 @@
 }
 
 /// Tells one that came to the wrong federation what it came to.
-pub(super) async fn refuse(context: &Context, mut stream: Async<TcpStream>) -> Result<(), Broken> {
+pub(super) async fn refuse(
+    context: &Context,
+    mut stream: Async<TcpStream>,
+) -> Result<(), FrameError> {
     let what = match &context.federation {
         Some((name, number)) => {
-            format!("it came to site {number} of federation {name:?}, form {VERSION}, which may not know its address")
+            format!("it came to site {number} of federation {name:?}, form {PROTOCOL_VERSION}, which may not know its address")
         }
-        None => format!("it came to a keeper in no federation, form {VERSION}"),
+        None => format!("it came to a keeper in no federation, form {PROTOCOL_VERSION}"),
     };
     with_timeout(
         &context.wheel,
@@ -160,7 +163,7 @@
         framing::write(&mut stream, &Said::Refused(what), SITE_MOST),
     )
     .await?;
-    Err(Broken::Io(std::io::ErrorKind::PermissionDenied.into()))
+    Err(FrameError::Io(std::io::ErrorKind::PermissionDenied.into()))
 }
 
 /// Introduces this site to another one's keeper.
@@ -168,16 +171,16 @@
     context: &Context,
     me: &Me,
     at: SocketAddr,
-) -> Result<(Async<TcpStream>, Said), Broken> {
+) -> Result<(Async<TcpStream>, Said), FrameError> {
     let meeting = async {
         let mut stream = Async::<TcpStream>::connect(at).await?;
         stream.get_ref().set_nodelay(true)?;
-        let hello = Hello {
-            version: VERSION,
+        let hello = Handshake {
+            version: PROTOCOL_VERSION,
             site: me.federation.to_string(),
-            who: Who::Site(me.number),
+            role: PeerRole::Site(me.number),
         };
-        framing::write(&mut stream, &hello, MOST).await?;
+        framing::write(&mut stream, &hello, MAX_FRAME_BYTES).await?;
         let word = Said::Me {
             incarnation: me.incarnation,
             term: me.term,
@@ -209,7 +212,7 @@
             let (stream, said) = handshake(&context, &me, at).await?;
             if let Said::Elsewhere(hint) = said {
                 elsewhere = hint;
-                return Err(Broken::Io(std::io::Error::other(
+                return Err(FrameError::Io(std::io::Error::other(
                     "no keeper there leads its site",
                 )));
             }
@@ -231,7 +234,7 @@
                 .send(Incoming::Site(Site::Answered { site, at, said }))
                 .await;
             if let Some(why) = refused {
-                return Err(Broken::Io(std::io::Error::other(why)));
+                return Err(FrameError::Io(std::io::Error::other(why)));
             }
             // One that is not the site that it should be is left; another one may answer there by
             // now.
@@ -246,7 +249,7 @@
             )
             .await
         };
-        let ended: Result<(), Broken> = ended.await;
+        let ended: Result<(), FrameError> = ended.await;
         let was_up = reach.connection.up.replace(false);
         tried = if was_up { 0 } else { tried + 1 };
         let hint = elsewhere.and_then(|hint| places.iter().position(|at| at.to_string() == hint));
--- a/src/coordination/replica/sites.rs
+++ b/src/coordination/replica/sites.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::framing;
 use crate::coordination::leader::ConnectionId;
-use crate::coordination::messages::TableOrder;
+use crate::coordination::messages::FederationRequest;
 use crate::coordination::replica::conflicts::Conflict;
 use crate::coordination::replica::site_links::{
     handshake, send_to_site, LinkState, Me, OutgoingLink, Said, Site, SITE_MOST,
@@ -271,7 +271,7 @@
     }
 
     /// A person's order on the roster.
-    pub(super) fn order_site(&mut self, connection: ConnectionId, order: &TableOrder) {
+    pub(super) fn order_site(&mut self, connection: ConnectionId, order: &FederationRequest) {
         let now = self.now();
         let Some(voice) = &mut self.voice else { return };
         let mut out = Vec::new();
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -1,9 +1,9 @@
 //! Starts a replica: its state folder, its listener, its tasks; and ends it when it is told to.
 
-use crate::coordination::bootstrap::Begin;
+use crate::coordination::bootstrap::Bootstrap;
 use crate::coordination::config::Config;
-use crate::coordination::raft_group::Group;
-use crate::coordination::raft_log::{Base, Identity, Keep, Unusable};
+use crate::coordination::raft_group::RaftGroup;
+use crate::coordination::raft_log::{Checkpoint, OpenError, RaftLogStore, ReplicaIdentity};
 use crate::coordination::replica::accept::Acceptor;
 use crate::coordination::replica::{draw, sites, Context, Incoming, Replica, Stage};
 use crate::delivery::timer_wheel::TimerWheel;
@@ -42,25 +42,25 @@
     flock(&lock, FlockOperation::NonBlockingLockExclusive)
         .map_err(|_| said(&"in use by another process"))?;
     let disk = Arc::new(Folder::new(&config.state));
-    let (keep, found) = Keep::open(disk, config.disk, draw()).map_err(|e| said(&e))?;
+    let (keep, found) = RaftLogStore::open(disk, config.disk, draw()).map_err(|e| said(&e))?;
     let base = match found {
         Some(base)
             if base.identity.site != config.site || base.identity.keeper != config.keeper =>
         {
-            let other = Unusable::Other(base.identity.keeper, base.identity.site);
+            let other = OpenError::ForeignFolder(base.identity.keeper, base.identity.site);
             return Err(said(&other));
         }
         Some(base) => base,
         None => {
             let (site, keeper) = (config.site.clone(), config.keeper);
-            let identity = Identity {
+            let identity = ReplicaIdentity {
                 site,
                 keeper,
                 incarnation: draw(),
             };
             match config.begin {
-                true => Begin::empty(identity, config.peers.keys().copied()),
-                false => Begin::joining(identity),
+                true => Bootstrap::empty(identity, config.peers.keys().copied()),
+                false => Bootstrap::joining(identity),
             }
         }
     };
@@ -112,8 +112,8 @@
 
 async fn serve(
     config: Config,
-    keep: Keep,
-    base: Base,
+    keep: RaftLogStore,
+    base: Checkpoint,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
     let mut ending =
@@ -154,8 +154,8 @@
     /// Begins from what the folder has; nothing is connected yet.
     fn new(
         config: Config,
-        keep: Keep,
-        base: Base,
+        keep: RaftLogStore,
+        base: Checkpoint,
         (inbox, wheel): (Sender<Incoming>, Rc<TimerWheel>),
         executor: Rc<LocalExecutor<'static>>,
     ) -> Result<Replica, String> {
@@ -176,9 +176,9 @@
         let now = Instant::now();
         let stage = match base.begun {
             true => Stage::Takes(Box::new(
-                Group::new(base, draw()).map_err(|e| e.to_string())?,
+                RaftGroup::new(base, draw()).map_err(|e| e.to_string())?,
             )),
-            false => Stage::Begins(Box::new(Begin::new(base))),
+            false => Stage::Begins(Box::new(Bootstrap::new(base))),
         };
         Ok(Replica {
             context,
@@ -189,7 +189,7 @@
             keep: Offloaded::new(
                 Worker::start().map_err(|e| e.to_string())?,
                 keep,
-                Keep::save,
+                RaftLogStore::save,
             ),
             full: None,
             again: None,
--- a/src/coordination/replica/transport.rs
+++ b/src/coordination/replica/transport.rs
@@ -1,7 +1,7 @@
 //! What connections to other replicas and to other sites have in common: limits of time, signs of
 //! life, attempts to connect.
 
-use crate::coordination::framing::{self, Broken};
+use crate::coordination::framing::{self, FrameError};
 use crate::coordination::replica::{Context, Incoming, CONFLICT_LASTS};
 use crate::delivery::timer_wheel::TimerWheel;
 use async_channel::Receiver;
@@ -38,7 +38,7 @@
 
 impl LinkState {
     /// The connection has ended, and why if it broke: told once, and again where that is `new`.
-    pub(super) fn ended(&self, who: &str, ended: Result<(), Broken>, new: bool) {
+    pub(super) fn ended(&self, who: &str, ended: Result<(), FrameError>, new: bool) {
         let why = ended.err().map(|e| e.to_string());
         *self.why.borrow_mut() = why.clone().unwrap_or_default();
         let Some(why) = why else { return };
@@ -56,9 +56,9 @@
 pub(super) async fn with_timeout<T>(
     wheel: &Rc<TimerWheel>,
     time: Duration,
-    work: impl std::future::Future<Output = Result<T, Broken>>,
-) -> Result<T, Broken> {
-    let late = || Broken::Io(std::io::ErrorKind::TimedOut.into());
+    work: impl std::future::Future<Output = Result<T, FrameError>>,
+) -> Result<T, FrameError> {
+    let late = || FrameError::Io(std::io::ErrorKind::TimedOut.into());
     wheel
         .timeout(time, work)
         .await
@@ -72,8 +72,8 @@
     stream: Async<TcpStream>,
     (pulse, most): (&T, usize),
     ended: &Receiver<()>,
-    bring: impl Fn(T) -> Result<Incoming, Broken>,
-) -> Result<(), Broken> {
+    bring: impl Fn(T) -> Result<Incoming, FrameError>,
+) -> Result<(), FrameError> {
     let (mut from, mut to) = split(stream);
     let reading = async {
         loop {
@@ -108,7 +108,7 @@
     going: &Receiver<Vec<u8>>,
     up: &Cell<bool>,
     lives: impl Fn(),
-) -> Result<(), Broken> {
+) -> Result<(), FrameError> {
     let (mut from, mut to) = split(stream);
     let writing = async {
         while let Ok(bytes) = going.recv().await {
--- a/src/coordination/routing_table/cutover.rs
+++ b/src/coordination/routing_table/cutover.rs
@@ -23,15 +23,15 @@
 //! switch waits until it lapses.
 
 use crate::coordination::messages::{
-    FederationStatus, FromSender, Print, ProposalStatus, SiteStatus, Stance, TableOrder, TablePast,
-    ToSender,
+    AgentTableMessage, Digest, FederationRequest, FederationStatus, PastProposal, ProposalStatus,
+    ReplicaTableMessage, SiteAdmission, SiteStatus,
 };
 use crate::coordination::policy_rollout::rollout::APART;
-use crate::coordination::record::{Member, Record};
+use crate::coordination::record::{Record, RosterEntry};
 use crate::coordination::routing_table::document::Document;
 use crate::coordination::routing_table::federation::{Command, Federation, Table, DECIDED};
 use crate::coordination::routing_table::tables::Change;
-use crate::coordination::sender_registry::{names, Ears, Known as Ear};
+use crate::coordination::sender_registry::{names, KnownSender, SenderRegistry};
 use crate::Nanos;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -114,7 +114,7 @@
     /// For how long nobody counted on the record's clock before this leader began; nothing where
     /// that is not known.
     uncounted: Option<Nanos>,
-    ears: Ears,
+    ears: SenderRegistry,
     /// The change that is out: the turn it was based on, and when it was proposed.
     deciding: Option<(u64, Nanos)>,
     /// When this leader saw what stands begin: its place in the log.
@@ -137,7 +137,7 @@
     /// What was said to the federation last, and when.
     said: Option<(Command, Nanos)>,
     /// What the last change left: whether the site takes on, and the table that all senders go by.
-    stance: Stance,
+    stance: SiteAdmission,
     gone_by: u64,
     /// When a pause of rules was last seen.
     rules: Option<Nanos>,
@@ -152,7 +152,7 @@
         Switch {
             begun: now,
             uncounted: led.map(|at| now.saturating_sub(at)),
-            ears: Ears::default(),
+            ears: SenderRegistry::default(),
             deciding: None,
             step: (0, now),
             waits: None,
@@ -163,7 +163,7 @@
             holds: None,
             shut: true,
             said: None,
-            stance: Stance::Open,
+            stance: SiteAdmission::Open,
             gone_by: 0,
             rules: None,
             asked: now,
@@ -191,21 +191,21 @@
         &mut self,
         now: Nanos,
         sender: &str,
-        word: &FromSender,
+        word: &AgentTableMessage,
         record: &Record,
         out: &mut Vec<Out>,
     ) {
         let tables = &record.tables;
         match word {
-            FromSender::Has(stored) => self.ears.has(sender, stored),
-            FromSender::Stored { number, refused } => {
-                let Some(print) = tables.text(*number).map(|t| t.print) else {
+            AgentTableMessage::StoredTables(stored) => self.ears.has(sender, stored),
+            AgentTableMessage::TableChecked { number, refused } => {
+                let Some(digest) = tables.text(*number).map(|t| t.digest) else {
                     return;
                 };
                 let kept = |number| tables.text(number).is_some();
                 let why = self
                     .ears
-                    .checked(sender, (*number, print), refused.as_deref(), kept);
+                    .checked(sender, (*number, digest), refused.as_deref(), kept);
                 if let Some(why) = why {
                     log::warn!(
                         "table {number}: {sender} cannot go by it: {}",
@@ -213,7 +213,7 @@
                     );
                 }
             }
-            FromSender::Rules { turn } => {
+            AgentTableMessage::TableApplied { turn } => {
                 // Nobody can go by what is not yet.
                 if *turn > tables.turn || !self.ears.goes_by(sender, *turn) {
                     return;
@@ -260,7 +260,9 @@
             Change::Hold => log::warn!("lease of the federation is over: nothing new is taken on"),
             Change::GoOn => {}
         }
-        if self.stance == Stance::Held && tables.register.stance != Stance::Held {
+        if self.stance == SiteAdmission::LeaseExpired
+            && tables.register.stance != SiteAdmission::LeaseExpired
+        {
             log::info!("lease of the federation runs again");
         }
         self.stance = tables.register.stance;
@@ -274,7 +276,7 @@
         if record.policies.zones.values().any(|r| r.paused) {
             self.rules = Some(now);
         }
-        if record.tables.register.stance != Stance::Paused && now >= self.asked + ASK_AGAIN {
+        if record.tables.register.stance != SiteAdmission::Paused && now >= self.asked + ASK_AGAIN {
             self.asked = now;
             self.ears.forgive(record.tables.register.number);
             record
@@ -325,7 +327,7 @@
     /// Whether senders are to hear of no open door and have no lease renewed: the site has to be
     /// held, and the record does not say so yet.
     pub fn bars(&self, record: &Record) -> bool {
-        self.shut && record.tables.register.stance != Stance::Held
+        self.shut && record.tables.register.stance != SiteAdmission::LeaseExpired
     }
 
     /// Looks at the lease, and writes down what is left of it.
@@ -396,10 +398,10 @@
     fn next(&mut self, now: Nanos, record: &Record, known: Option<&Known>) -> Option<Change> {
         let tables = &record.tables;
         let stance = tables.register.stance;
-        if known.is_some() && self.shut && stance != Stance::Held {
+        if known.is_some() && self.shut && stance != SiteAdmission::LeaseExpired {
             return Some(Change::Hold);
         }
-        if stance == Stance::Paused {
+        if stance == SiteAdmission::Paused {
             return self.paused(now, record);
         }
         if let Some(change) = known.and_then(|known| self.follow(record, known)) {
@@ -408,13 +410,13 @@
         // One that holds catches up with what this voice itself hears of, and goes on as a site of
         // the roster.
         let runs = known.is_none_or(|k| !k.holds || self.is_told(now) && k.own().is_some());
-        if !self.may(now) || stance == Stance::Held && !runs {
+        if !self.may(now) || stance == SiteAdmission::LeaseExpired && !runs {
             return None;
         }
         let Some(next) = &tables.next else {
             let caught_up =
                 known.is_none_or(|k| !k.holds || tables.register.number == k.record.table.number);
-            return (stance == Stance::Held && caught_up).then_some(Change::GoOn);
+            return (stance == SiteAdmission::LeaseExpired && caught_up).then_some(Change::GoOn);
         };
         let silent = self
             .unheard(record)
@@ -485,7 +487,7 @@
             }
             let all = || {
                 let mut live = self.ears.live(record, |_| true);
-                live.all(|(.., ear)| ear.is_some_and(|e| e.has(number, Some(offered.table.print))))
+                live.all(|(.., ear)| ear.is_some_and(|e| e.has(number, Some(offered.table.digest))))
             };
             if runs && !offered.accepted && self.refusal(record, number).is_none() && all() {
                 return Some(Change::Accept { number });
@@ -567,20 +569,20 @@
         sender: &str,
         record: &Record,
         offers: &mut usize,
-        say: &mut dyn FnMut(ToSender),
+        say: &mut dyn FnMut(ReplicaTableMessage),
     ) {
         let tables = &record.tables;
-        if !self.ears.of(sender).is_some_and(Ear::follows) {
+        if !self.ears.of(sender).is_some_and(KnownSender::follows) {
             return;
         }
         let register = tables.register;
-        let shut = self.shut && register.stance == Stance::Open;
+        let shut = self.shut && register.stance == SiteAdmission::Open;
         if !shut && self.ears.is_due(now, sender, register.turn, register.turn) {
             let (turn, number) = (register.turn, register.number);
-            say(ToSender::Rule {
+            say(ReplicaTableMessage::ApplyTable {
                 turn,
                 number,
-                stance: register.stance,
+                admission: register.stance,
             });
         }
         let offered = tables.offered.as_ref().map(|o| &o.table);
@@ -591,16 +593,16 @@
             if table.number > 0
                 && self
                     .ears
-                    .lacks(now, sender, table.number, &table.print, offers)
+                    .lacks(now, sender, table.number, &table.digest, offers)
             {
                 let Table {
                     number,
-                    print,
+                    digest,
                     text,
                 } = table.clone();
-                say(ToSender::Offer {
+                say(ReplicaTableMessage::OfferTable {
                     number,
-                    print,
+                    digest,
                     text,
                 });
             }
@@ -617,7 +619,7 @@
 
     /// Those that have not said that they have a table that was decided, and do not refuse it.
     fn unstored<'a>(&'a self, record: &'a Record, table: &Table) -> Vec<&'a String> {
-        let needs = |_: &Member| (table.number, Some(table.print));
+        let needs = |_: &RosterEntry| (table.number, Some(table.digest));
         let mut late = self.ears.unstored(record, |_| true, needs);
         late.retain(|name| !self.refuses(name, table.number));
         late
@@ -649,14 +651,14 @@
     /// Why not.
     pub fn order(
         &self,
-        word: &TableOrder,
+        word: &FederationRequest,
         record: &Record,
         known: Option<&Known>,
     ) -> Result<Option<Command>, String> {
         let known = known.ok_or("this site is in no federation")?;
         let federation = &known.record;
         match word {
-            TableOrder::Propose { text, within_s } => {
+            FederationRequest::ProposeTable { text, within_s } => {
                 let by = known
                     .own()
                     .ok_or("this site is not on the roster of its federation")?
@@ -668,14 +670,14 @@
                         .collect::<Vec<_>>()
                 };
                 let document = Document::parse(text).map_err(|faults| lines(faults).join("\n"))?;
-                let print = document.print();
+                let digest = document.digest();
                 if !(1..=MOST_WITHIN_S).contains(within_s) {
                     return Err(format!("{within_s} s are not from 1 to {MOST_WITHIN_S}"));
                 }
                 if federation
                     .proposal
                     .as_ref()
-                    .is_some_and(|p| p.by.0 == by && p.table.print == print)
+                    .is_some_and(|p| p.by.0 == by && p.table.digest == digest)
                 {
                     return Ok(None);
                 }
@@ -683,7 +685,7 @@
                 let deaf = self
                     .ears
                     .live(record, |_| true)
-                    .filter(|(.., ear)| ear.is_some_and(Ear::is_deaf));
+                    .filter(|(.., ear)| ear.is_some_and(KnownSender::is_deaf));
                 let deaf: Vec<&String> = deaf.map(|(name, ..)| name).collect();
                 if !deaf.is_empty() {
                     let told = names(&deaf);
@@ -693,17 +695,17 @@
                 }
                 // The record's version grows with each beat: no two proposals of this site have
                 // one, and it outlasts this leader.
-                let key = record.version << 32 | u64::from(crc32fast::hash(&print));
+                let key = record.version << 32 | u64::from(crc32fast::hash(&digest));
                 let within_ms = u64::from(*within_s) * 1_000;
                 Ok(Some(Command::Propose {
                     by,
                     key,
                     text: text.clone(),
-                    print,
+                    digest,
                     within_ms,
                 }))
             }
-            TableOrder::Abort { why } => {
+            FederationRequest::AbortProposal { why } => {
                 let proposal = federation.proposal.as_ref().ok_or("no table is proposed")?;
                 let word = "a person's word";
                 let why = if why.is_empty() {
@@ -716,11 +718,11 @@
                     why,
                 }))
             }
-            TableOrder::Status
-            | TableOrder::History
-            | TableOrder::Text { .. }
-            | TableOrder::Off { .. }
-            | TableOrder::Join { .. } => Err("that is not the office's to do".into()),
+            FederationRequest::Status
+            | FederationRequest::TableHistory
+            | FederationRequest::TableText { .. }
+            | FederationRequest::RemoveSite { .. }
+            | FederationRequest::AddSite { .. } => Err("that is not the office's to do".into()),
         }
     }
 
@@ -768,7 +770,7 @@
         });
         let proposal = federation.proposal.as_ref().map(|p| ProposalStatus {
             number: p.table.number,
-            print: p.table.print,
+            digest: p.table.digest,
             by: p.by.0.clone(),
             left_ms: p.until_ms.saturating_sub(federation.clock_ms),
             waits: federation.waits(p).map(|s| s.name.clone()).collect(),
@@ -781,26 +783,26 @@
             .or(tables.next.as_ref())
             .or(own);
         let (what, waits) = match (asked, tables.register.stance) {
-            (Some(t), Stance::Open) if !self.unstored(record, t).is_empty() => (
+            (Some(t), SiteAdmission::Open) if !self.unstored(record, t).is_empty() => (
                 format!("to check table {} and write it down", t.number),
                 self.unstored(record, t),
             ),
-            (_, Stance::Open) if tables.next.is_some() && tables.tries > 0 => {
+            (_, SiteAdmission::Open) if tables.next.is_some() && tables.tries > 0 => {
                 let tries = tables.tries;
                 (
                     format!("paused and taken back {tries} times, is tried again; to answer"),
                     self.unheard(record),
                 )
             }
-            (_, Stance::Open) => (
+            (_, SiteAdmission::Open) => (
                 format!("to go by table {}", tables.register.number),
                 self.unheard(record),
             ),
-            (_, Stance::Paused) => (
+            (_, SiteAdmission::Paused) => (
                 "to take nothing on for a moment".into(),
                 self.unheard(record),
             ),
-            (_, Stance::Held) => (
+            (_, SiteAdmission::LeaseExpired) => (
                 "to take nothing on, as the lease of the federation is over".into(),
                 self.unheard(record),
             ),
@@ -829,7 +831,7 @@
             leader: known.name_of(known.leader),
             lease_ms: self.counted().unwrap_or(0).saturating_sub(now) / MS,
             holds: known.holds,
-            table: (tables.register.number, tables.table.print),
+            table: (tables.register.number, tables.table.digest),
             sites: sites.collect(),
             proposal,
             here: (
@@ -841,10 +843,10 @@
     }
 
     /// Proposals that are over, the newest first.
-    pub fn history(known: &Known) -> Vec<TablePast> {
-        let past = known.record.past.iter().rev().map(|p| TablePast {
+    pub fn history(known: &Known) -> Vec<PastProposal> {
+        let past = known.record.past.iter().rev().map(|p| PastProposal {
             number: p.number,
-            print: p.print,
+            digest: p.digest,
             by: p.by.0.clone(),
             end: p.end.clone(),
             took_ms: p.ended_ms.saturating_sub(p.since_ms),
@@ -857,11 +859,11 @@
         number: u64,
         record: &Record,
         known: Option<&Known>,
-    ) -> Option<(u64, Print, String)> {
+    ) -> Option<(u64, Digest, String)> {
         let table = known
             .and_then(|k| k.record.text(number))
             .or_else(|| record.tables.text(number))?;
-        Some((table.number, table.print, table.text.clone()))
+        Some((table.number, table.digest, table.text.clone()))
     }
 }
 
--- a/src/coordination/routing_table/document.rs
+++ b/src/coordination/routing_table/document.rs
@@ -6,7 +6,7 @@
 //! one for all classes; where that is the same too, one that names its tenant. Two routes that say
 //! the same number of these, in the same places, and have a message in common, are a fault.
 
-use crate::coordination::messages::Print;
+use crate::coordination::messages::Digest;
 use crate::coordination::policy_rollout::document::{differences, Difference, Fault, Text};
 use crate::coordination::routing_table::federation::{MOST_SITES, MOST_TEXT};
 use crate::delivery::endpoint::ZoneCapacity;
@@ -14,7 +14,7 @@
 use garde::Validate;
 use serde::de::{Deserializer, Error, Unexpected, Visitor};
 use serde::{Deserialize, Serialize, Serializer};
-use sha2::{Digest, Sha256};
+use sha2::{Digest as _, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use toml::Value;
@@ -371,7 +371,7 @@
     }
 
     /// The print of that.
-    pub fn print(&self) -> Print {
+    pub fn digest(&self) -> Digest {
         Sha256::new()
             .chain_update(KIND)
             .chain_update(self.canonical())
--- a/src/coordination/routing_table/document/tests.rs
+++ b/src/coordination/routing_table/document/tests.rs
@@ -94,8 +94,8 @@
                  { tiers = [{ south = 1, north = 3 }, { c = 7 }] }]\n";
     let other = Document::parse(other).expect("good");
     assert_eq!(
-        (one.canonical(), one.print(), one.diff(&other)),
-        (other.canonical(), other.print(), vec![])
+        (one.canonical(), one.digest(), one.diff(&other)),
+        (other.canonical(), other.digest(), vec![])
     );
     let third = GOOD
         .replace("nobody = true", "tiers = [{ a = 1 }]")
@@ -115,7 +115,7 @@
     assert_eq!(changed, all);
     // A print never changes: senders and keepers of different programs compare it.
     assert_eq!(
-        data_encoding::HEXLOWER.encode(&one.print()),
+        data_encoding::HEXLOWER.encode(&one.digest()),
         "b6f588e79b099c5571ab1ced61af9c77570e15e2989dcd0d27753f6811815bb3"
     );
 }
--- a/src/coordination/routing_table/durable_vote.rs
+++ b/src/coordination/routing_table/durable_vote.rs
@@ -3,32 +3,32 @@
 //! has acknowledged it knows.
 //!
 //! Two keepers may both take themselves for the voice for a while. The first command of each names
-//! its term at the site ([`Written::fence`]); from there on nothing of an earlier one is taken.
+//! its term at the site ([`DurableVote::fence`]); from there on nothing of an earlier one is taken.
 //! What an earlier one had said before relied on what stands here, and stays true.
 
-use crate::coordination::raft_group::COMMAND;
-use crate::coordination::raft_log::{Base, Batch, Line, Piece};
+use crate::coordination::raft_group::MAX_COMMAND_BYTES;
+use crate::coordination::raft_log::{Batch, Checkpoint, LogEntry, LogItem};
 use serde::{Deserialize, Serialize};
 
 /// Entries behind the base after which another one is due, in bytes: as much again as two tables.
-const COMPACT_AT: usize = 32 * 1024;
+const COMPACT_AFTER_BYTES: usize = 32 * 1024;
 /// And how many: four minutes of beats.
-const COMPACT_LINES: usize = 256;
+const COMPACT_AFTER_ENTRIES: usize = 256;
 /// Longest piece that fits in a command with what is said round it, in bytes.
-pub const PIECE: usize = COMMAND - 1024;
+pub const MAX_ITEM_BYTES: usize = MAX_COMMAND_BYTES - 1024;
 
 /// It.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct DurableVote {
     /// The term of the site's leader that writes.
     pub term: u64,
     /// Its last piece that counts.
     pub number: u64,
     /// All that was written: the base with the batches behind it.
-    pub base: Option<Box<Base>>,
+    pub base: Option<Box<Checkpoint>>,
 }
 
-impl Written {
+impl DurableVote {
     /// From now on only the leader of this term writes, if none of a later one does.
     pub fn fence(&mut self, term: u64) {
         if term > self.term {
@@ -40,20 +40,20 @@
     /// before, and what does not go on from what is here. Another identity begins with an empty
     /// base and gives up the earlier one's vote for good: it cannot come back, as it would be drawn
     /// anew.
-    pub fn put(&mut self, term: u64, number: u64, piece: &Piece) {
+    pub fn put(&mut self, term: u64, number: u64, piece: &LogItem) {
         if term != self.term || number != self.number + 1 {
             return;
         }
         self.number = number;
         match (piece, &mut self.base) {
-            (Piece::Base(base), Some(before)) => {
+            (LogItem::Checkpoint(base), Some(before)) => {
                 if before.identity == base.identity || base.index <= 1 && base.hard.vote == 0 {
                     *before = base.clone();
                 }
             }
-            (Piece::Base(base), before) => *before = Some(base.clone()),
-            (Piece::Batch(_), None) => {}
-            (Piece::Batch(batch), Some(base)) => {
+            (LogItem::Checkpoint(base), before) => *before = Some(base.clone()),
+            (LogItem::Batch(_), None) => {}
+            (LogItem::Batch(batch), Some(base)) => {
                 let mut all = Batch {
                     hard: base.hard,
                     entries: std::mem::take(&mut base.entries),
@@ -67,8 +67,8 @@
     /// Whether another base should be written.
     pub fn wants_base(&self) -> bool {
         self.base.as_ref().is_some_and(|base| {
-            base.entries.len() > COMPACT_LINES
-                || base.entries.iter().map(Line::size).sum::<usize>() > COMPACT_AT
+            base.entries.len() > COMPACT_AFTER_ENTRIES
+                || base.entries.iter().map(LogEntry::size).sum::<usize>() > COMPACT_AFTER_BYTES
         })
     }
 }
--- a/src/coordination/routing_table/durable_vote/tests.rs
+++ b/src/coordination/routing_table/durable_vote/tests.rs
@@ -1,18 +1,18 @@
-use crate::coordination::raft_log::{Hard, Identity};
+use crate::coordination::raft_log::{PersistedHardState, ReplicaIdentity};
 use crate::coordination::routing_table::durable_vote::*;
 
-fn base(site: u64, incarnation: u64) -> Base {
-    let identity = Identity {
+fn base(site: u64, incarnation: u64) -> Checkpoint {
+    let identity = ReplicaIdentity {
         site: "land".into(),
         keeper: site,
         incarnation,
     };
-    Base::new(identity, 1, vec![1, 2, 3], Vec::new())
+    Checkpoint::new(identity, 1, vec![1, 2, 3], Vec::new())
 }
 
-fn vote(term: u64, vote: u64) -> Piece {
-    Piece::Batch(Batch {
-        hard: Hard {
+fn vote(term: u64, vote: u64) -> LogItem {
+    LogItem::Batch(Batch {
+        hard: PersistedHardState {
             term,
             vote,
             commit: 1,
@@ -23,9 +23,9 @@
 
 #[test]
 fn only_the_last_leader_writes_and_each_piece_counts_once() {
-    let mut w = Written::default();
+    let mut w = DurableVote::default();
     w.fence(4);
-    w.put(4, 1, &Piece::Base(Box::new(base(2, 7))));
+    w.put(4, 1, &LogItem::Checkpoint(Box::new(base(2, 7))));
     w.put(4, 2, &vote(5, 1));
     w.put(4, 2, &vote(5, 3));
     let stands = w.clone();
@@ -45,23 +45,23 @@
     w.put(6, 1, &vote(6, 2));
     assert_eq!(
         w.base.as_ref().map(|b| b.hard),
-        Some(Hard {
+        Some(PersistedHardState {
             term: 6,
             vote: 2,
             commit: 1
         })
     );
     // Another identity begins with nothing, or not at all.
-    let voted = Base {
-        hard: Hard {
+    let voted = Checkpoint {
+        hard: PersistedHardState {
             term: 7,
             vote: 1,
             commit: 1,
         },
         ..base(4, 9)
     };
-    w.put(6, 2, &Piece::Base(Box::new(voted)));
+    w.put(6, 2, &LogItem::Checkpoint(Box::new(voted)));
     assert_eq!(w.base.as_ref().map(|b| b.identity.keeper), Some(2));
-    w.put(6, 3, &Piece::Base(Box::new(base(4, 9))));
+    w.put(6, 3, &LogItem::Checkpoint(Box::new(base(4, 9))));
     assert_eq!(w.base.as_ref().map(|b| b.identity.keeper), Some(4));
 }
--- a/src/coordination/routing_table/federation.rs
+++ b/src/coordination/routing_table/federation.rs
@@ -9,7 +9,7 @@
 //! on.
 
 use crate::coordination::cut;
-use crate::coordination::messages::Print;
+use crate::coordination::messages::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -54,7 +54,7 @@
         /// Its text.
         text: String,
         /// Its print.
-        print: Print,
+        digest: Digest,
         /// It ends if not all have accepted it after so long, in milliseconds of the record's
         /// clock.
         within_ms: u64,
@@ -124,7 +124,7 @@
     /// again.
     pub number: u64,
     /// Its print.
-    pub print: Print,
+    pub digest: Digest,
     /// Its text.
     pub text: String,
 }
@@ -150,7 +150,7 @@
     /// Its number.
     pub number: u64,
     /// Its print.
-    pub print: Print,
+    pub digest: Digest,
     /// Where it was proposed, and the key.
     pub by: (String, u64),
     /// How it ended; [`DECIDED`], or why it ended nowhere.
@@ -214,14 +214,14 @@
                 by,
                 key,
                 text,
-                print,
+                digest,
                 within_ms,
             } => {
                 if self.may_propose(text).is_ok() && !self.knows(by, *key) {
                     self.given += 1;
                     let table = Table {
                         number: self.given,
-                        print: *print,
+                        digest: *digest,
                         text: text.clone(),
                     };
                     self.proposal = Some(Proposal {
@@ -392,10 +392,10 @@
             ..
         }) = self.proposal.take()
         {
-            let Table { number, print, .. } = table;
+            let Table { number, digest, .. } = table;
             self.past.push_back(Past {
                 number,
-                print,
+                digest,
                 by,
                 end: cut(how, MOST_WHY),
                 since_ms,
--- a/src/coordination/routing_table/federation/tests.rs
+++ b/src/coordination/routing_table/federation/tests.rs
@@ -6,7 +6,7 @@
         by,
         key,
         text,
-        print: [key as u8; 32],
+        digest: [key as u8; 32],
         within_ms: 1_000,
     }
 }
@@ -183,7 +183,7 @@
         by: "n".into(),
         key: 1,
         text: "x".repeat(MOST_TEXT + 1),
-        print: [0; 32],
+        digest: [0; 32],
         within_ms: 1,
     };
     go(&mut f, &[long]);
--- a/src/coordination/routing_table/member.rs
+++ b/src/coordination/routing_table/member.rs
@@ -4,7 +4,7 @@
 //! # Where its vote stands
 //!
 //! What the member has to write down goes into the site's record
-//! ([`Written`](super::written::Written)). The voice begins with a fence there, goes on from what
+//! ([`DurableVote`](super::durable_vote::DurableVote)). The voice begins with a fence there, goes on from what
 //! the record then holds, and says what relies on a piece only when the record has that. So nothing
 //! of an earlier voice can be taken after it began, and whatever an earlier one had said stands in
 //! what it goes on from.
@@ -24,11 +24,13 @@
 //! stands in the record before the first one is given. A new leader counts from its own start what
 //! an earlier one may have given.
 
-use crate::coordination::bootstrap::{admit, Begin, Heard};
+use crate::coordination::bootstrap::{admit, Bootstrap, PeerAdmission};
 use crate::coordination::leader::ConnectionId;
-use crate::coordination::messages::{TableOrder, ToPerson};
-use crate::coordination::raft_group::{Event, Fatal, Group, Member, ELECTION};
-use crate::coordination::raft_log::{Base, Identity, Piece};
+use crate::coordination::messages::{FederationRequest, OperatorResponse};
+use crate::coordination::raft_group::{
+    GroupEvent, GroupFailure, GroupMember, RaftGroup, ELECTION_TICKS,
+};
+use crate::coordination::raft_log::{Checkpoint, LogItem, ReplicaIdentity};
 use crate::coordination::record::{self, Record};
 use crate::coordination::routing_table::cutover::Known;
 use crate::coordination::routing_table::federation::{Command, Federation, DECIDED, SURE_MS};
@@ -118,7 +120,7 @@
         /// Names it at the site that sends it.
         id: u64,
         /// It.
-        order: TableOrder,
+        order: FederationRequest,
     },
     /// What came of it: the version of the record that has it, or why not.
     Ordered {
@@ -140,7 +142,7 @@
     /// whether it has a snapshot.
     Raft(u64, Word, bool),
     /// Answer a person.
-    Answer(ConnectionId, ToPerson),
+    Answer(ConnectionId, OperatorResponse),
     /// Ask a site at these addresses for its incarnation; answered by [`Voice::met`].
     Meet(u64, Vec<SocketAddr>),
 }
@@ -160,8 +162,8 @@
     /// The fence is not in the record yet.
     Fences,
     /// What the member begins with is not in the record yet, or the federation has not begun.
-    Begins(Box<Begin>),
-    Takes(Box<Group<Federation>>),
+    Begins(Box<Bootstrap>),
+    Takes(Box<RaftGroup<Federation>>),
     /// It cannot go on, and why.
     Stuck(String),
 }
@@ -231,7 +233,7 @@
     /// The last piece's number; the piece, when it is not in the record yet; when the last proposal
     /// is to be made again.
     number: u64,
-    saving: Option<Piece>,
+    saving: Option<LogItem>,
     again: Nanos,
     ticked: Nanos,
     heard: BTreeMap<u64, Nanos>,
@@ -269,7 +271,7 @@
     ///
     /// # Errors
     /// It is another one's.
-    pub fn fits(&self, held: &Identity) -> Result<(), String> {
+    pub fn fits(&self, held: &ReplicaIdentity) -> Result<(), String> {
         let number = held.keeper == self.number || Some(held.keeper) == self.formerly;
         match number && held.site == *self.name {
             true => Ok(()),
@@ -290,7 +292,7 @@
         let base = record.written.base.as_deref();
         // Until the group is heard, what the site knew last is what it knows.
         let held = base.and_then(|base| {
-            crate::coordination::raft_group::Held::<Federation>::read(&base.held).ok()
+            crate::coordination::raft_group::GroupState::<Federation>::read(&base.held).ok()
         });
         let known = Known {
             name: settings.name.clone(),
@@ -329,7 +331,7 @@
     }
 
     /// The group, where the site takes part.
-    pub fn group(&self) -> Option<&Group<Federation>> {
+    pub fn group(&self) -> Option<&RaftGroup<Federation>> {
         match &self.stage {
             Stage::Takes(group) => Some(group),
             _ => None,
@@ -368,7 +370,8 @@
                 let others = members
                     .iter()
                     .filter(|(site, _)| **site != self.settings.number);
-                let at = |m: &Member| m.at.split(',').filter_map(|at| at.parse().ok()).collect();
+                let at =
+                    |m: &GroupMember| m.at.split(',').filter_map(|at| at.parse().ok()).collect();
                 others
                     .map(|(site, m)| (*site, named(site).unwrap_or_else(|| at(m))))
                     .collect()
@@ -448,10 +451,10 @@
         self.again = now + AGAIN;
         let term = self.term;
         match (&self.stage, &self.saving) {
-            (Stage::Fences, None) => out.push(Out::Propose(record::Command::Fence { term })),
+            (Stage::Fences, None) => out.push(Out::Propose(record::Command::FenceMember { term })),
             (_, Some(piece)) => {
                 let (number, piece) = (self.number, piece.clone());
-                out.push(Out::Propose(record::Command::Voice {
+                out.push(Out::Propose(record::Command::PersistMemberLog {
                     term,
                     number,
                     piece,
@@ -466,7 +469,7 @@
         self.again = self.again.min(now + SOON);
     }
 
-    fn write(&mut self, now: Nanos, piece: Piece, out: &mut Vec<Out>) {
+    fn write(&mut self, now: Nanos, piece: LogItem, out: &mut Vec<Out>) {
         self.number += 1;
         self.saving = Some(piece);
         self.propose(now, out);
@@ -481,13 +484,13 @@
         out: &mut Vec<Out>,
     ) {
         match command {
-            record::Command::Fence { term } => {
+            record::Command::FenceMember { term } => {
                 let mine = *term == self.term && record.written.term == self.term;
                 if mine && matches!(self.stage, Stage::Fences) && self.saving.is_none() {
                     self.begin(now, record, out);
                 }
             }
-            record::Command::Voice { term, number, .. } => {
+            record::Command::PersistMemberLog { term, number, .. } => {
                 let mine = *term == self.term
                     && record.written.term == self.term
                     && *number == self.number;
@@ -512,18 +515,19 @@
             given_up => {
                 given_up
                     .inspect(|id| log::info!("{}: gives up the number {}", self.who(), id.keeper));
-                let identity = Identity {
+                let identity = ReplicaIdentity {
                     site: name,
                     keeper: number,
                     incarnation: self.rng.u64(..),
                 };
                 let base = match self.settings.begin {
-                    true => {
-                        Begin::empty_of::<Federation>(identity, self.settings.sites.keys().copied())
-                    }
-                    false => Begin::joining_of::<Federation>(identity),
+                    true => Bootstrap::empty_of::<Federation>(
+                        identity,
+                        self.settings.sites.keys().copied(),
+                    ),
+                    false => Bootstrap::joining_of::<Federation>(identity),
                 };
-                self.write(now, Piece::Base(Box::new(base)), out);
+                self.write(now, LogItem::Checkpoint(Box::new(base)), out);
             }
         }
     }
@@ -542,13 +546,13 @@
         }
         self.ticked = now;
         if base.begun {
-            match Group::resumed(base.clone(), self.rng.u64(..)) {
+            match RaftGroup::resumed(base.clone(), self.rng.u64(..)) {
                 Ok(group) => self.stage = Stage::Takes(Box::new(group)),
                 Err(e) => return self.stick(e.to_string()),
             }
             self.work(now, out);
         } else {
-            let begin = Begin::new(base.clone());
+            let begin = Bootstrap::new(base.clone());
             log::info!(
                 "{who}: begins when it and sites {:?} know each other",
                 begin.missing()
@@ -600,9 +604,9 @@
         let done = begin.finish_of::<Federation>(&BTreeMap::new());
         let done =
             done.inspect(|_| log::info!("{}: all sites know each other, begins", self.who()));
-        let base: Base = done.unwrap_or_else(|| begin.base().clone());
+        let base: Checkpoint = done.unwrap_or_else(|| begin.base().clone());
         if record.written.base.as_deref() != Some(&base) {
-            self.write(now, Piece::Base(Box::new(base)), out);
+            self.write(now, LogItem::Checkpoint(Box::new(base)), out);
         }
     }
 
@@ -625,19 +629,19 @@
         };
         self.tend_begin(now, record, out);
         match heard {
-            Heard::No(_) => Came::No(match self.known.record.off.contains(&site) {
+            PeerAdmission::Rejected(_) => Came::No(match self.known.record.off.contains(&site) {
                 true => format!("site {site} is off the roster: it may join under another number"),
                 false => format!(
                     "site {site} is not in this federation, or its record is another one than before: put it off the roster, and let it \
                      join under another number"
                 ),
             }),
-            Heard::Known => match &self.stage {
+            PeerAdmission::Known => match &self.stage {
                 // What it waits for is that it is written down here.
                 Stage::Begins(_) if !self.has_written(site, incarnation, record) => Came::Later,
                 _ => Came::Known,
             },
-            Heard::New => Came::Later,
+            PeerAdmission::New => Came::Later,
         }
     }
 
@@ -656,7 +660,7 @@
         out: &mut Vec<Out>,
     ) -> Came {
         if let Stage::Begins(begin) = &mut self.stage {
-            if !matches!(begin.tells(site, incarnation), Heard::No(_)) {
+            if !matches!(begin.tells(site, incarnation), PeerAdmission::Rejected(_)) {
                 begin.knows(site);
                 self.tend_begin(now, record, out);
                 return Came::Known;
@@ -730,7 +734,8 @@
             Word::Order { id, order } => self.do_order(now, Asker::There(site, id), &order, out),
             Word::Ordered { id, answer } => {
                 if let Some((line, _)) = self.orders.remove(&id) {
-                    let word = answer.map_or_else(ToPerson::Refused, ToPerson::Done);
+                    let word =
+                        answer.map_or_else(OperatorResponse::Rejected, OperatorResponse::Done);
                     out.push(Out::Answer(line, word));
                 }
             }
@@ -752,7 +757,7 @@
             let due = (now - self.ticked) / tick;
             self.ticked += tick * due;
             // After twice the time of an election, a leader that heard nobody leads no more.
-            (0..due.min(2 * ELECTION as u64)).for_each(|_| group.tick());
+            (0..due.min(2 * ELECTION_TICKS as u64)).for_each(|_| group.tick());
         }
         self.tend_begin(now, record, out);
         self.work(now, out);
@@ -773,7 +778,7 @@
         {
             let why =
                 "the site that leads did not answer in 5 s; look at the status and say it again";
-            out.push(Out::Answer(line, ToPerson::Refused(why.into())));
+            out.push(Out::Answer(line, OperatorResponse::Rejected(why.into())));
         }
         self.work(now, out);
     }
@@ -787,7 +792,7 @@
             let mut events = Vec::new();
             let messages = match group.work(&mut events) {
                 Ok(messages) => messages,
-                Err(Fatal::Forgot { last, known, leader }) => {
+                Err(GroupFailure::LostAcknowledged { last, known, leader }) => {
                     return self.stick(format!(
                         "the record ends at place {last}, and site {leader}, which leads, knows that this one held {known}: what was \
                          acknowledged is lost, and it may not vote again: put it off the roster, and let it join under another number"
@@ -828,13 +833,13 @@
         self.tell();
     }
 
-    fn happened(&mut self, event: Event<Command>, out: &mut Vec<Out>) {
+    fn happened(&mut self, event: GroupEvent<Command>, out: &mut Vec<Out>) {
         let who = self.who();
         let Stage::Takes(group) = &self.stage else {
             return;
         };
         match event {
-            Event::Applied(index, command) => {
+            GroupEvent::Applied(index, command) => {
                 log::debug!("{who}: applied {index} {command:?}");
                 if let Some(lead) = &mut self.lead {
                     match &command {
@@ -863,7 +868,7 @@
                     }
                 }
             }
-            Event::Member(index, site) => {
+            GroupEvent::MembersChanged(index, site) => {
                 log::info!("{who}: sites {:?} by entry {index}", group.voters());
                 let came = group.held().members.contains_key(&site);
                 let adds = |d: &&mut Doing| came && d.site == site && matches!(d.step, Step::Adds);
@@ -874,10 +879,10 @@
                     .filter(adds);
                 doing.into_iter().for_each(|d| d.step = Step::Joins);
             }
-            Event::Restored(index) => {
+            GroupEvent::SnapshotRestored(index) => {
                 log::info!("{who}: has the record up to {index} from another site")
             }
-            Event::Leads(leader, term) => {
+            GroupEvent::LeaderChanged(leader, term) => {
                 if leader != 0 && leader != group.me() {
                     log::info!("{who}: follows site {leader} in term {term}");
                 }
@@ -1040,7 +1045,7 @@
         &mut self,
         now: Nanos,
         line: ConnectionId,
-        order: &TableOrder,
+        order: &FederationRequest,
         out: &mut Vec<Out>,
     ) {
         if self.lead.is_some() {
@@ -1064,7 +1069,7 @@
                 return;
             }
         };
-        out.push(Out::Answer(line, ToPerson::Refused(refused)));
+        out.push(Out::Answer(line, OperatorResponse::Rejected(refused)));
     }
 
     /// Asks another site to lead, if this one does.
@@ -1095,7 +1100,7 @@
             .into_values()
             .map(|o| o.0)
             .chain(here);
-        out.extend(lines.map(|line| Out::Answer(line, ToPerson::Elsewhere(None))));
+        out.extend(lines.map(|line| Out::Answer(line, OperatorResponse::NotLeader(None))));
     }
 }
 
--- a/src/coordination/routing_table/member/lead.rs
+++ b/src/coordination/routing_table/member/lead.rs
@@ -1,7 +1,7 @@
 //! What the voice of the site that leads does beyond the group: beats, leases, the roster.
 
-use crate::coordination::messages::{TableOrder, ToPerson};
-use crate::coordination::raft_group::Member;
+use crate::coordination::messages::{FederationRequest, OperatorResponse};
+use crate::coordination::raft_group::GroupMember;
 use crate::coordination::routing_table::federation::Command;
 use crate::coordination::routing_table::member::{
     longer, ms, Asker, Doing, Out, Stage, Step, Voice, Word, AGAIN, BEAT_MS, MOST_AT,
@@ -113,12 +113,14 @@
         &mut self,
         now: Nanos,
         asker: Asker,
-        order: &TableOrder,
+        order: &FederationRequest,
         out: &mut Vec<Out>,
     ) {
         let done = match order {
-            TableOrder::Off { site } => self.off(now, asker, site),
-            TableOrder::Join { site, number, at } => self.join(now, asker, site, *number, at, out),
+            FederationRequest::RemoveSite { site } => self.off(now, asker, site),
+            FederationRequest::AddSite { site, number, at } => {
+                self.join(now, asker, site, *number, at, out)
+            }
             _ => Err("that is not the roster's".into()),
         };
         if let Err(why) = done {
@@ -249,7 +251,7 @@
         };
         let Step::Meets(at) = &doing.step else { return };
         let added = folder.and_then(|incarnation| {
-            let member = Member {
+            let member = GroupMember {
                 at: at.clone(),
                 incarnation,
             };
@@ -272,9 +274,10 @@
 
 pub(super) fn answer(asker: Asker, answer: Result<u64, String>, out: &mut Vec<Out>) {
     out.push(match asker {
-        Asker::Here(line) => {
-            Out::Answer(line, answer.map_or_else(ToPerson::Refused, ToPerson::Done))
-        }
+        Asker::Here(line) => Out::Answer(
+            line,
+            answer.map_or_else(OperatorResponse::Rejected, OperatorResponse::Done),
+        ),
         Asker::There(site, id) => Out::Say(site, Word::Ordered { id, answer }),
     });
 }
--- a/src/coordination/routing_table/tables.rs
+++ b/src/coordination/routing_table/tables.rs
@@ -6,7 +6,7 @@
 //! The site's lease in its federation ends on the record's own clock. That stands between leaders,
 //! so a leader adds what it knows that nobody counted before it believes what is left.
 
-use crate::coordination::messages::Stance;
+use crate::coordination::messages::SiteAdmission;
 use crate::coordination::routing_table::federation::Table;
 use serde::{Deserialize, Serialize};
 
@@ -26,7 +26,7 @@
     /// The table; 0 for the list alone.
     pub number: u64,
     /// Whether anything new is taken on.
-    pub stance: Stance,
+    pub stance: SiteAdmission,
     /// The turn that said so.
     pub turn: u64,
 }
@@ -166,56 +166,60 @@
                 if table.number <= last {
                     return None;
                 }
-                if self.next.is_some() && self.register.stance != Stance::Held {
-                    stands(&mut self.register, Stance::Held);
+                if self.next.is_some() && self.register.stance != SiteAdmission::LeaseExpired {
+                    stands(&mut self.register, SiteAdmission::LeaseExpired);
                 }
                 self.offered = None;
                 (self.next, self.tries) = (Some(table.clone()), 0);
             }
             Change::Pause => {
-                if self.next.is_none() || self.register.stance == Stance::Paused {
+                if self.next.is_none() || self.register.stance == SiteAdmission::Paused {
                     return None;
                 }
-                self.held = self.register.stance == Stance::Held;
-                stands(&mut self.register, Stance::Paused);
+                self.held = self.register.stance == SiteAdmission::LeaseExpired;
+                stands(&mut self.register, SiteAdmission::Paused);
             }
             Change::Commit => {
-                if self.register.stance != Stance::Paused {
+                if self.register.stance != SiteAdmission::Paused {
                     return None;
                 }
                 self.table = self.next.take()?;
                 (self.tries, self.held) = (0, false);
                 self.register = Register {
                     number: self.table.number,
-                    stance: Stance::Open,
+                    stance: SiteAdmission::Open,
                     turn,
                 };
             }
             Change::TakeBack { .. } => {
-                if self.register.stance != Stance::Paused {
+                if self.register.stance != SiteAdmission::Paused {
                     return None;
                 }
                 self.tries = self.tries.saturating_add(1);
                 let held = std::mem::take(&mut self.held);
                 stands(
                     &mut self.register,
-                    if held { Stance::Held } else { Stance::Open },
+                    if held {
+                        SiteAdmission::LeaseExpired
+                    } else {
+                        SiteAdmission::Open
+                    },
                 );
             }
             Change::Lease { .. } => return None,
             Change::Hold => {
-                if self.register.stance == Stance::Held {
+                if self.register.stance == SiteAdmission::LeaseExpired {
                     return None;
                 }
-                stands(&mut self.register, Stance::Held);
+                stands(&mut self.register, SiteAdmission::LeaseExpired);
             }
             Change::GoOn => {
                 // What was decided meanwhile comes first: the others may be beyond what is in force
                 // here.
-                if self.register.stance != Stance::Held || self.next.is_some() {
+                if self.register.stance != SiteAdmission::LeaseExpired || self.next.is_some() {
                     return None;
                 }
-                stands(&mut self.register, Stance::Open);
+                stands(&mut self.register, SiteAdmission::Open);
             }
         }
         Some(())
--- a/src/coordination/routing_table/tables/tests.rs
+++ b/src/coordination/routing_table/tables/tests.rs
@@ -3,7 +3,7 @@
 fn table(number: u64) -> Table {
     Table {
         number,
-        print: [number as u8; 32],
+        digest: [number as u8; 32],
         text: format!("# {number}"),
     }
 }
@@ -34,7 +34,7 @@
         (
             Register {
                 number: 1,
-                stance: Stance::Open,
+                stance: SiteAdmission::Open,
                 turn: 5
             },
             &table(1)
@@ -84,7 +84,7 @@
     );
     assert_eq!(
         (t.register.stance, t.tries, t.register.number),
-        (Stance::Open, 1, 0)
+        (SiteAdmission::Open, 1, 0)
     );
     go(&mut t, &[Change::Pause, Change::Hold]);
     assert_eq!(
@@ -94,9 +94,12 @@
     );
     // It catches up by a pause of its own before it goes on.
     assert_eq!(go(&mut t, &[Change::Pause, Change::Commit]), 2);
-    assert_eq!((t.register.number, t.register.stance), (4, Stance::Open));
+    assert_eq!(
+        (t.register.number, t.register.stance),
+        (4, SiteAdmission::Open)
+    );
     go(&mut t, &[Change::Hold, Change::GoOn]);
-    assert_eq!(t.register.stance, Stance::Open);
+    assert_eq!(t.register.stance, SiteAdmission::Open);
 }
 
 #[test]
@@ -113,7 +116,7 @@
     );
     assert_eq!(
         (t.register.stance, t.register.number),
-        (Stance::Held, 0),
+        (SiteAdmission::LeaseExpired, 0),
         "nobody was open before the pause"
     );
     // It joins again while the others are at 7; what it paused for is void with what it was.
@@ -126,12 +129,15 @@
         0
     );
     assert_eq!(go(&mut t, &[Change::Pause, Change::Commit]), 2);
-    assert_eq!((t.register.stance, t.register.number), (Stance::Open, 7));
+    assert_eq!(
+        (t.register.stance, t.register.number),
+        (SiteAdmission::Open, 7)
+    );
     go(
         &mut t,
         &[Change::Decide { table: table(8) }, Change::Pause, back],
     );
-    assert_eq!(t.register.stance, Stance::Open);
+    assert_eq!(t.register.stance, SiteAdmission::Open);
 }
 
 #[test]
--- a/src/coordination/sender_registry.rs
+++ b/src/coordination/sender_registry.rs
@@ -6,33 +6,33 @@
 //! routing tables ([`super::table::switch`]) have one each.
 
 use crate::coordination::cut;
-use crate::coordination::messages::Print;
-use crate::coordination::record::{Member, Record};
+use crate::coordination::messages::Digest;
+use crate::coordination::record::{Record, RosterEntry};
 use crate::Nanos;
 use std::collections::BTreeMap;
 
 const SECOND: Nanos = 1_000_000_000;
 /// What is said and not answered is said again after this time.
-const AGAIN: Nanos = SECOND / 2;
+const RESEND_AFTER: Nanos = SECOND / 2;
 /// A text that is offered and not answered is offered again after this time: a sender checks and
 /// writes it first.
-const OFFER_AGAIN: Nanos = SECOND;
+const REOFFER_AFTER: Nanos = SECOND;
 /// Offers of one kind in one turn of the office: what is sent at once is a few megabytes, and three
 /// thousand senders have theirs in 6 s.
-pub const OFFERS: usize = 50;
+pub const MAX_OFFERS_PER_ROUND: usize = 50;
 /// Names in a line, at the most.
-const NAMES: usize = 10;
+const MAX_NAMES_SHOWN: usize = 10;
 /// Texts that a sender is known to have, at the most: as many as a record has of one kind.
-const MOST_STORED: usize = 8;
+const MAX_STORED_TEXTS: usize = 8;
 /// Longest reason of a sender that is kept, in bytes.
-const MOST_WHY: usize = 2_000;
+const MAX_REASON_BYTES: usize = 2_000;
 
 /// What a leader knows of a sender, from its words in this session.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct KnownSender {
     boot: u64,
     /// What it has; nothing where it follows none, or has not said yet.
-    stored: Option<BTreeMap<u64, Print>>,
+    stored: Option<BTreeMap<u64, Digest>>,
     /// It has had time to say what it has.
     told_all: bool,
     /// What it cannot go by, and why.
@@ -44,12 +44,12 @@
     offered: BTreeMap<u64, Nanos>,
 }
 
-impl Known {
+impl KnownSender {
     /// Whether it has said that it has this text; number 0 has none.
-    pub fn has(&self, number: u64, print: Option<Print>) -> bool {
+    pub fn has(&self, number: u64, digest: Option<Digest>) -> bool {
         number == 0
-            || print.is_some()
-                && self.stored.as_ref().and_then(|s| s.get(&number)) == print.as_ref()
+            || digest.is_some()
+                && self.stored.as_ref().and_then(|s| s.get(&number)) == digest.as_ref()
     }
 
     /// Whether it has said what it has at all.
@@ -70,33 +70,33 @@
 
 /// A sender that the record has as live, with what is known of it in the session that the record
 /// has.
-pub type Live<'a> = (&'a String, &'a Member, Option<&'a Known>);
+pub type LiveSender<'a> = (&'a String, &'a RosterEntry, Option<&'a KnownSender>);
 
 /// What senders said of one kind of text.
 #[derive(Clone, Debug, Default)]
-pub struct Ears {
-    senders: BTreeMap<String, Known>,
+pub struct SenderRegistry {
+    senders: BTreeMap<String, KnownSender>,
 }
 
-impl Ears {
+impl SenderRegistry {
     /// A sender has a session, and says what it has. On a line of its own nothing was said yet.
-    pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Print)]>) {
+    pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
         let known = self.senders.entry(sender.into()).or_default();
         if known.boot != boot {
-            *known = Known {
+            *known = KnownSender {
                 boot,
-                ..Known::default()
+                ..KnownSender::default()
             };
         }
-        known.stored = stored.map(|all| all.iter().take(MOST_STORED).copied().collect());
+        known.stored = stored.map(|all| all.iter().take(MAX_STORED_TEXTS).copied().collect());
         (known.told, known.offered, known.refused) = (None, BTreeMap::new(), BTreeMap::new());
         known.told_all = false;
     }
 
     /// It says behind its first word what it has.
-    pub fn has(&mut self, sender: &str, stored: &[(u64, Print)]) {
+    pub fn has(&mut self, sender: &str, stored: &[(u64, Digest)]) {
         if let Some(known) = self.senders.get_mut(sender) {
-            known.stored = Some(stored.iter().take(MOST_STORED).copied().collect());
+            known.stored = Some(stored.iter().take(MAX_STORED_TEXTS).copied().collect());
         }
     }
 
@@ -125,14 +125,14 @@
     pub fn checked(
         &mut self,
         sender: &str,
-        (number, print): (u64, Print),
+        (number, digest): (u64, Digest),
         refused: Option<&str>,
         kept: impl Fn(u64) -> bool,
     ) -> Option<String> {
         let known = self.senders.get_mut(sender)?;
         match refused {
             Some(why) => {
-                let why = cut(why, MOST_WHY);
+                let why = cut(why, MAX_REASON_BYTES);
                 let new = known.refused.insert(number, why.clone()).is_none();
                 known.refused.retain(|n, _| kept(*n));
                 new.then_some(why)
@@ -140,7 +140,7 @@
             None => {
                 known.refused.remove(&number);
                 if let Some(stored) = &mut known.stored {
-                    stored.insert(number, print);
+                    stored.insert(number, digest);
                     stored.retain(|n, _| kept(*n));
                 }
                 None
@@ -157,7 +157,7 @@
     }
 
     /// What is known of a sender, in whatever session.
-    pub fn of(&self, sender: &str) -> Option<&Known> {
+    pub fn of(&self, sender: &str) -> Option<&KnownSender> {
         self.senders.get(sender)
     }
 
@@ -169,7 +169,7 @@
         };
         let again = match known.told {
             None => true,
-            Some((told, at)) => told < changed || known.heard < changed && now >= at + AGAIN,
+            Some((told, at)) => told < changed || known.heard < changed && now >= at + RESEND_AFTER,
         };
         if again {
             known.told = Some((turn, now));
@@ -183,7 +183,7 @@
         now: Nanos,
         sender: &str,
         number: u64,
-        print: &Print,
+        digest: &Digest,
         offers: &mut usize,
     ) -> bool {
         let Some(known) = self.senders.get_mut(sender) else {
@@ -192,11 +192,11 @@
         let Some(stored) = &known.stored else {
             return false;
         };
-        let has = stored.get(&number) == Some(print) || known.refused.contains_key(&number);
+        let has = stored.get(&number) == Some(digest) || known.refused.contains_key(&number);
         let waits = known
             .offered
             .get(&number)
-            .is_some_and(|at| now < at + OFFER_AGAIN);
+            .is_some_and(|at| now < at + REOFFER_AFTER);
         if has || waits || *offers == 0 {
             return false;
         }
@@ -217,8 +217,8 @@
     pub fn live<'a>(
         &'a self,
         record: &'a Record,
-        asked: impl Fn(&Member) -> bool + 'a,
-    ) -> impl Iterator<Item = Live<'a>> + 'a {
+        asked: impl Fn(&RosterEntry) -> bool + 'a,
+    ) -> impl Iterator<Item = LiveSender<'a>> + 'a {
         let live = record
             .roster
             .iter()
@@ -230,8 +230,8 @@
     pub fn unheard<'a>(
         &'a self,
         record: &'a Record,
-        asked: impl Fn(&Member) -> bool + 'a,
-        changed: impl Fn(&Member) -> u64,
+        asked: impl Fn(&RosterEntry) -> bool + 'a,
+        changed: impl Fn(&RosterEntry) -> u64,
     ) -> Vec<&'a String> {
         let live = self.live(record, asked);
         live.filter(|(_, m, known)| known.is_none_or(|k| k.heard < changed(m)))
@@ -244,12 +244,12 @@
     pub fn unstored<'a>(
         &'a self,
         record: &'a Record,
-        asked: impl Fn(&Member) -> bool + 'a,
-        needs: impl Fn(&Member) -> (u64, Option<Print>),
+        asked: impl Fn(&RosterEntry) -> bool + 'a,
+        needs: impl Fn(&RosterEntry) -> (u64, Option<Digest>),
     ) -> Vec<&'a String> {
         let late = self.live(record, asked).filter(|(_, m, known)| {
-            let (number, print) = needs(m);
-            !known.is_some_and(|k| k.has(number, print))
+            let (number, digest) = needs(m);
+            !known.is_some_and(|k| k.has(number, digest))
         });
         late.map(|(name, ..)| name).collect()
     }
@@ -257,8 +257,12 @@
 
 /// Some names, and how many more there are.
 pub fn names(all: &[&String]) -> String {
-    let some: Vec<&str> = all.iter().take(NAMES).map(|n| n.as_str()).collect();
-    let more = all.len().saturating_sub(NAMES);
+    let some: Vec<&str> = all
+        .iter()
+        .take(MAX_NAMES_SHOWN)
+        .map(|n| n.as_str())
+        .collect();
+    let more = all.len().saturating_sub(MAX_NAMES_SHOWN);
     let rest = if more > 0 {
         format!(" and {more} more")
     } else {
--- a/src/coordination/zones/evidence.rs
+++ b/src/coordination/zones/evidence.rs
@@ -20,7 +20,7 @@
 //!
 //! The leader owns one [`Evidence`] for its term and is the only caller. It decides nothing here.
 
-use crate::coordination::messages::{Counts, Seen};
+use crate::coordination::messages::{CallCounts, ZoneCallCounts};
 use crate::coordination::zones::{ms, RecentCounts, ZoneRules};
 use crate::Nanos;
 use std::collections::{BTreeMap, VecDeque};
@@ -126,12 +126,12 @@
         &mut self,
         now: Nanos,
         reporter: ReporterId,
-        seen: &[Seen],
+        seen: &[ZoneCallCounts],
         max_load: impl Fn(&str, u16) -> Option<f32>,
     ) {
         self.last_report_at.insert(reporter, now);
         let interval = LoadHistory::interval_at(now, self.rules.load_window_ms);
-        for Seen { zone, dest, counts } in seen {
+        for ZoneCallCounts { zone, dest, counts } in seen {
             let Some(max_load) = max_load(zone, *dest) else {
                 continue;
             };
@@ -223,7 +223,7 @@
         now: Nanos,
         reporter: ReporterId,
         destination: u16,
-        counts: &Counts,
+        counts: &CallCounts,
     ) {
         let key = ReporterDestination {
             reporter,
--- a/src/coordination/zones/evidence/window.rs
+++ b/src/coordination/zones/evidence/window.rs
@@ -1,6 +1,6 @@
 //! What one window of time shows of one zone.
 
-use crate::coordination::messages::Counts;
+use crate::coordination::messages::CallCounts;
 use crate::coordination::zones::evidence::{ReporterId, ZoneObservations};
 use crate::coordination::zones::RecentCounts;
 use crate::Nanos;
@@ -33,15 +33,15 @@
         at: Nanos,
         reporter: ReporterId,
         destination: u16,
-        counts: &Counts,
+        counts: &CallCounts,
     ) -> Observation {
         Observation {
             at,
             reporter,
             destination,
-            accepted: counts.ok as f32,
-            rejected: counts.refused as f32,
-            failed: counts.failed as f32 + counts.late as f32 + counts.unconnected as f32,
+            accepted: counts.delivered as f32,
+            rejected: counts.rejected as f32,
+            failed: counts.failed as f32 + counts.timed_out as f32 + counts.connect_failed as f32,
         }
     }
 
--- a/src/coordination/zones/recovery_ramp.rs
+++ b/src/coordination/zones/recovery_ramp.rs
@@ -49,7 +49,7 @@
 //! on while a process is stopped; that of Linux does, but not while the machine sleeps, which the
 //! operators' page names.
 
-use crate::coordination::messages::Want;
+use crate::coordination::messages::AttemptLeaseRequest;
 use crate::coordination::zones::{ms, ZoneRules};
 #[cfg(doc)]
 use crate::dispatch::slow_start::{max_calls_per_window, SlowStartQuota};
@@ -149,8 +149,14 @@
 
     /// Queues a sender's requests for calls, in place of its earlier ones. `report` is the number
     /// of the report that they came with.
-    pub fn request_grants(&mut self, now: Nanos, sender: u32, report: u64, wants: &[Want]) {
-        for want in wants.iter().filter(|want| want.calls > 0) {
+    pub fn request_grants(
+        &mut self,
+        now: Nanos,
+        sender: u32,
+        report: u64,
+        wants: &[AttemptLeaseRequest],
+    ) {
+        for want in wants.iter().filter(|want| want.attempts > 0) {
             let Some(zone_return) = self.returns.get_mut(&want.zone) else {
                 continue;
             };
@@ -158,7 +164,7 @@
                 sender,
                 report,
                 received_at: now,
-                calls: want.calls,
+                calls: want.attempts,
             };
             zone_return.request(now, want.dest, request);
         }
--- a/src/coordination/zones/recovery_ramp/results.rs
+++ b/src/coordination/zones/recovery_ramp/results.rs
@@ -1,7 +1,7 @@
 //! Results of granted calls: when a zone and its destinations have answered, how far they have
 //! warmed up, and whether the return has failed.
 
-use crate::coordination::messages::Counts;
+use crate::coordination::messages::CallCounts;
 use crate::coordination::zones::recovery_ramp::zone_return::{ReturningDestination, ZoneReturn};
 use crate::coordination::zones::recovery_ramp::{RecoveryRamp, MIN_CONFIRMING_SENDERS};
 use crate::coordination::zones::{ms, RecentCounts, ZoneRules};
@@ -63,7 +63,7 @@
         sender: u32,
         zone: &str,
         destination: u16,
-        counts: &Counts,
+        counts: &CallCounts,
     ) {
         let Some(zone_return) = self.returns.get_mut(zone) else {
             return;
@@ -109,7 +109,7 @@
         &mut self,
         sender: u32,
         destination: u16,
-        counts: &Counts,
+        counts: &CallCounts,
     ) -> Option<RecentCounts> {
         let outstanding = self.outstanding.get_mut(&sender)?;
         if !self.destinations.contains_key(&destination) {
@@ -122,11 +122,11 @@
         };
         let failed = counts
             .failed
-            .saturating_add(counts.late)
-            .saturating_add(counts.unconnected);
+            .saturating_add(counts.timed_out)
+            .saturating_add(counts.connect_failed);
         Some(RecentCounts {
-            accepted: take(counts.ok),
-            rejected: take(counts.refused),
+            accepted: take(counts.delivered),
+            rejected: take(counts.rejected),
             failed: take(failed),
         })
     }
--- a/src/coordination/zones/recovery_ramp/slices.rs
+++ b/src/coordination/zones/recovery_ramp/slices.rs
@@ -1,6 +1,6 @@
 //! Slices of a return's budget: reserved in the record, then granted to the senders that wait.
 
-use crate::coordination::messages::Grant;
+use crate::coordination::messages::AttemptLeaseGrant;
 use crate::coordination::zones::recovery_ramp::budget;
 use crate::coordination::zones::recovery_ramp::zone_return::{
     GrantRequest, OutstandingCalls, ReturningDestination, Slice, SliceCalls, ZoneReturn,
@@ -94,7 +94,7 @@
 
     /// Grants the calls that may be begun now, and hands each grant to `send` with the sender that
     /// it is for. A slice's calls come evenly over its time, to those that wait longest first.
-    pub fn issue_grants(&mut self, now: Nanos, mut send: impl FnMut(u32, Grant)) {
+    pub fn issue_grants(&mut self, now: Nanos, mut send: impl FnMut(u32, AttemptLeaseGrant)) {
         for (zone, zone_return) in &mut self.returns {
             for (sender, grant) in zone_return.issue_grants(now, zone, &self.rules) {
                 send(sender, grant);
@@ -215,7 +215,12 @@
     }
 
     /// Grants what is due of the slice, by destination.
-    fn issue_grants(&mut self, now: Nanos, zone: &str, rules: &ZoneRules) -> Vec<(u32, Grant)> {
+    fn issue_grants(
+        &mut self,
+        now: Nanos,
+        zone: &str,
+        rules: &ZoneRules,
+    ) -> Vec<(u32, AttemptLeaseGrant)> {
         let slice_length = ms(rules.slice_ms);
         let mut grants = Vec::new();
         let slice = self.slice.as_mut().filter(|slice| slice.is_committed);
@@ -230,19 +235,19 @@
             let due = calls.due(elapsed, slice_length);
             for granted in destination.serve_requests(now, due, rules) {
                 calls.remaining -= granted.calls;
-                let grant = Grant {
+                let grant = AttemptLeaseGrant {
                     report: granted.report,
                     zone: zone.to_string(),
                     epoch: self.epoch,
                     dest: *number,
-                    calls: granted.calls,
+                    attempts: granted.calls,
                     within_ms: rules.grant_validity_ms,
                 };
                 grants.push((granted.sender, grant));
             }
         }
         for (sender, grant) in &grants {
-            self.note_granted(now, *sender, grant.calls);
+            self.note_granted(now, *sender, grant.attempts);
         }
         grants
     }
--- a/src/coordination/zones/spare_capacity.rs
+++ b/src/coordination/zones/spare_capacity.rs
@@ -8,7 +8,7 @@
 //! The leader owns one [`EndpointLists`] for its term and is the only caller. Which zone is
 //! evacuated is decided by [`leader`](crate::coordination::leader).
 
-use crate::coordination::messages::Listed;
+use crate::coordination::messages::ListedZoneCapacity;
 use crate::coordination::zones::ZoneRules;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 /// One list, and how many senders hold it.
 #[derive(Clone, Debug)]
 struct SharedList {
-    lines: Vec<Listed>,
+    lines: Vec<ListedZoneCapacity>,
     senders: usize,
 }
 
@@ -63,7 +63,7 @@
     /// Takes the list that a sender holds, in place of the one that it reported before.
     ///
     /// Counts from the next [`EndpointLists::refresh`] on.
-    pub fn report(&mut self, sender: u32, listed: &[Listed]) {
+    pub fn report(&mut self, sender: u32, listed: &[ListedZoneCapacity]) {
         self.remove_sender(sender);
         self.is_stale = true;
         let lines = normalized(listed);
@@ -126,7 +126,7 @@
                 of_route.push(ReportedCapacity {
                     capacity: ListedCapacity {
                         endpoints: line.endpoints,
-                        rate_per_second: f64::from(line.rate),
+                        rate_per_second: f64::from(line.calls_per_second),
                     },
                     senders: shared.senders,
                 });
@@ -165,9 +165,10 @@
 
 /// A list in a form that is the same for all senders that hold it: sorted, without lines that
 /// come twice or have an impossible rate, and cut to the length that counts.
-fn normalized(listed: &[Listed]) -> Vec<Listed> {
-    let mut lines: Vec<Listed> = listed.iter().take(MAX_LINES_PER_LIST).cloned().collect();
-    lines.retain(|line| line.rate.is_finite() && line.rate >= 0.0);
+fn normalized(listed: &[ListedZoneCapacity]) -> Vec<ListedZoneCapacity> {
+    let mut lines: Vec<ListedZoneCapacity> =
+        listed.iter().take(MAX_LINES_PER_LIST).cloned().collect();
+    lines.retain(|line| line.calls_per_second.is_finite() && line.calls_per_second >= 0.0);
     lines.sort_by(|a, b| (&a.zone, a.dest).cmp(&(&b.zone, b.dest)));
     lines.dedup_by(|a, b| a.zone == b.zone && a.dest == b.dest);
     lines
@@ -206,13 +207,13 @@
 const FIELD_END: u8 = 0xff;
 
 impl Digest {
-    fn of_list(lines: &[Listed]) -> Digest {
+    fn of_list(lines: &[ListedZoneCapacity]) -> Digest {
         let mut digest = Digest(FNV_OFFSET_BASIS);
         for line in lines {
             digest.add_field(line.zone.as_bytes());
             digest.add_field(&line.dest.to_be_bytes());
             digest.add_field(&line.endpoints.to_be_bytes());
-            digest.add_field(&line.rate.to_bits().to_be_bytes());
+            digest.add_field(&line.calls_per_second.to_bits().to_be_bytes());
         }
         digest
     }
--- a/src/coordination/zones/spare_capacity/tests.rs
+++ b/src/coordination/zones/spare_capacity/tests.rs
@@ -1,11 +1,11 @@
 use crate::coordination::zones::spare_capacity::*;
 
-fn line(zone: &str, dest: u16, rate: f32) -> Listed {
-    Listed {
+fn line(zone: &str, dest: u16, rate: f32) -> ListedZoneCapacity {
+    ListedZoneCapacity {
         zone: zone.into(),
         dest,
         endpoints: 2,
-        rate,
+        calls_per_second: rate,
     }
 }
 
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -66,12 +66,12 @@
     now: Nanos,
     agent: Machine,
     line: u64,
-    to_keeper: Vec<(Nanos, u64, FromAgent)>,
-    to_agent: Vec<(Nanos, u64, ToAgent)>,
+    to_keeper: Vec<(Nanos, u64, AgentToReplica)>,
+    to_agent: Vec<(Nanos, u64, ReplicaToAgent)>,
     /// When the keeper takes the lease for over, in true time.
     lapses: Nanos,
     reports: BTreeMap<u64, u32>,
-    view: View,
+    view: SenderView,
     /// By epoch and report: calls and when they are lost, in true time.
     granted: BTreeMap<(u64, u64), (u32, Nanos)>,
     evacuations: ZoneEvacuations,
@@ -88,11 +88,11 @@
 impl World {
     fn new(seed: u64) -> World {
         let mut agent = Machine::new(terms(), seed, 0);
-        agent.list(vec![Listed {
+        agent.list(vec![ListedZoneCapacity {
             zone: "a".into(),
             dest: 1,
             endpoints: 1,
-            rate: 9.0,
+            calls_per_second: 9.0,
         }]);
         World {
             dice: fastrand::Rng::with_seed(seed),
@@ -103,7 +103,7 @@
             to_agent: Vec::new(),
             lapses: 0,
             reports: BTreeMap::new(),
-            view: View::default(),
+            view: SenderView::default(),
             granted: BTreeMap::new(),
             evacuations: ZoneEvacuations::default(),
             begun: 0,
@@ -124,7 +124,7 @@
             .collect()
     }
 
-    fn say(&mut self, line: u64, word: ToAgent) {
+    fn say(&mut self, line: u64, word: ReplicaToAgent) {
         for at in self.arrivals() {
             self.to_agent.push((at, line, word.clone()));
         }
@@ -169,51 +169,61 @@
         }
     }
 
-    fn keeper_hears(&mut self, line: u64, word: FromAgent) {
+    fn keeper_hears(&mut self, line: u64, word: AgentToReplica) {
         let number = match word {
-            FromAgent::Open { .. } => 0,
-            FromAgent::Tell {
-                report, ref seen, ..
+            AgentToReplica::OpenSession { .. } => 0,
+            AgentToReplica::Report {
+                report,
+                call_counts: ref seen,
+                ..
             } => {
-                let ok = seen.iter().map(|s| s.counts.ok).sum();
+                let ok = seen.iter().map(|s| s.counts.delivered).sum();
                 self.reports.entry(report).or_insert(ok);
                 report
             }
-            FromAgent::Leave
-            | FromAgent::Stored { .. }
-            | FromAgent::Rules { .. }
-            | FromAgent::Table(_) => return,
+            AgentToReplica::CloseSession
+            | AgentToReplica::PolicyChecked { .. }
+            | AgentToReplica::PolicyApplied { .. }
+            | AgentToReplica::RoutingTable(_) => return,
         };
         self.lapses = self
             .lapses
             .max(self.now + Nanos::from(LEASE_MS) * MS * 100 / 101);
         self.say(
             line,
-            ToAgent::Renewed {
+            ReplicaToAgent::LeaseRenewed {
                 report: number,
                 lease_ms: LEASE_MS,
             },
         );
-        self.say(line, ToAgent::View(self.view.clone()));
+        self.say(line, ReplicaToAgent::View(self.view.clone()));
         let returning = self
             .view
             .zones
             .iter()
             .find(|z| z.returning)
             .map(|z| z.epoch);
-        if let (Some(epoch), FromAgent::Tell { report, wants, .. }) = (returning, word) {
-            let calls = wants.first().map_or(0, |w| w.calls.min(2));
+        if let (
+            Some(epoch),
+            AgentToReplica::Report {
+                report,
+                lease_requests: wants,
+                ..
+            },
+        ) = (returning, word)
+        {
+            let calls = wants.first().map_or(0, |w| w.attempts.min(2));
             let over = self.now + Nanos::from(GRANT_MS) * MS * 100 / 101;
             let first = !self.granted.contains_key(&(epoch, report));
             if calls > 0 && first {
                 self.granted.insert((epoch, report), (calls, over));
                 let grant = |epoch, report| {
-                    ToAgent::Grant(Grant {
+                    ReplicaToAgent::GrantAttempts(AttemptLeaseGrant {
                         report,
                         zone: "a".into(),
                         epoch,
                         dest: 1,
-                        calls,
+                        attempts: calls,
                         within_ms: GRANT_MS,
                     })
                 };
@@ -316,7 +326,7 @@
         for step in 0..6_000u64 {
             if step % 1_200 == 0 {
                 let epoch = step / 1_200 + 2;
-                world.view = View {
+                world.view = SenderView {
                     version: 10 + epoch,
                     zones: vec![order(epoch, epoch % 2 == 1)],
                 };
@@ -365,7 +375,7 @@
         agent.hear(
             SEC,
             1,
-            ToAgent::Renewed {
+            ReplicaToAgent::LeaseRenewed {
                 report: 0,
                 lease_ms: LEASE_MS,
             },
@@ -374,7 +384,7 @@
         agent.hear(
             SEC,
             1,
-            ToAgent::View(View {
+            ReplicaToAgent::View(SenderView {
                 version: 1,
                 zones: vec![order(1, false)],
             }),
@@ -442,7 +452,7 @@
     };
     let keeper = asked(&out).expect("one is asked");
     let leader = keeper % 3 + 1;
-    agent.hear(now, 1, ToAgent::Elsewhere(Some(leader)), &mut out);
+    agent.hear(now, 1, ReplicaToAgent::NotLeader(Some(leader)), &mut out);
     out.clear();
     now = agent.next();
     assert!(now <= SEC + 20 * MS);
@@ -451,7 +461,7 @@
     // Nobody leads: the next one is asked, ever more seldom.
     let mut gaps = Vec::new();
     for line in 2..9 {
-        agent.hear(now, line, ToAgent::Elsewhere(None), &mut out);
+        agent.hear(now, line, ReplicaToAgent::NotLeader(None), &mut out);
         gaps.push(agent.next().min(now + 3 * SEC) - now);
         now += 3 * SEC;
         agent.tick(now, &Wanting, &mut out);
@@ -467,7 +477,7 @@
     agent.hear(
         SEC,
         1,
-        ToAgent::Renewed {
+        ReplicaToAgent::LeaseRenewed {
             report: 0,
             lease_ms: LEASE_MS,
         },
@@ -479,7 +489,12 @@
     ))));
     let mut told = |version, zones: Vec<ZoneOrder>| {
         let mut out = Vec::new();
-        agent.hear(SEC, 1, ToAgent::View(View { version, zones }), &mut out);
+        agent.hear(
+            SEC,
+            1,
+            ReplicaToAgent::View(SenderView { version, zones }),
+            &mut out,
+        );
         out.iter()
             .filter_map(|o| match o {
                 Out::Note(n) => Some(n.clone()),
@@ -862,7 +877,7 @@
     let said = |line: &str| log.said(&format!("fleet: {line}"));
     lines.iter().for_each(|l| assert!(!said(l), "{l}"));
     wait("a session", || said("session with keeper 2"));
-    let order = |version, zones| keeper.told().view = View { version, zones };
+    let order = |version, zones| keeper.told().view = SenderView { version, zones };
     let out = |epoch, returning| {
         vec![ZoneOrder {
             zone: "a".into(),
@@ -937,7 +952,7 @@
             .counts
             .values()
             .flatten()
-            .map(|s| s.counts.ok as usize)
+            .map(|s| s.counts.delivered as usize)
             .sum::<usize>()
     };
     wait("all counts", || {
@@ -949,7 +964,7 @@
         .values()
         .flatten()
         .filter(|s| s.zone == "b")
-        .map(|s| s.counts.ok as usize)
+        .map(|s| s.counts.delivered as usize)
         .sum();
     assert_eq!(counts, calls(&zone_b));
 
--- a/tests/common/keeper.rs
+++ b/tests/common/keeper.rs
@@ -44,20 +44,20 @@
 /// What a keeper that this test plays was told, and what it is to say.
 #[derive(Default)]
 pub struct Told {
-    pub view: View,
+    pub view: SenderView,
     /// Calls that it may still grant.
     pub budget: u32,
-    pub counts: BTreeMap<u64, Vec<Seen>>,
-    pub listed: Vec<Listed>,
+    pub counts: BTreeMap<u64, Vec<ZoneCallCounts>>,
+    pub listed: Vec<ListedZoneCapacity>,
     pub left: bool,
     pub away: bool,
     /// Its register: turn, policy, and whether it is paused; nothing where it has none.
     pub rule: Option<(u64, u64, bool)>,
-    pub offer: Option<(u64, Print, String)>,
+    pub offer: Option<(u64, Digest, String)>,
     pub stored: BTreeMap<u64, Option<String>>,
     /// The highest turn that the sender goes by.
     pub turn: u64,
-    pub health: BTreeMap<u64, Vec<Health>>,
+    pub health: BTreeMap<u64, Vec<MessageOutcomeCounts>>,
 }
 
 #[derive(Clone, Default)]
@@ -83,10 +83,10 @@
     }
 
     fn serve(&self, mut stream: TcpStream, leads: bool) -> io::Result<()> {
-        let hello: Hello = read(&mut stream)?;
+        let hello: Handshake = read(&mut stream)?;
         assert_eq!(
-            (hello.version, hello.site.as_str(), hello.who),
-            (VERSION, "s", Who::Agent)
+            (hello.version, hello.site.as_str(), hello.role),
+            (PROTOCOL_VERSION, "s", PeerRole::Agent)
         );
         let (own, mut said) = (self.clone(), stream.try_clone()?);
         if leads {
@@ -103,13 +103,13 @@
                     if away {
                         return said.shutdown(std::net::Shutdown::Both);
                     }
-                    if let Some((number, print, text)) = offer.filter(|o| o.0 > offered) {
+                    if let Some((number, digest, text)) = offer.filter(|o| o.0 > offered) {
                         offered = number;
                         write(
                             &mut said,
-                            &ToAgent::Offer {
+                            &ReplicaToAgent::OfferPolicy {
                                 number,
-                                print,
+                                digest,
                                 text,
                             },
                         )?;
@@ -118,7 +118,7 @@
                         turn = now;
                         write(
                             &mut said,
-                            &ToAgent::Rule {
+                            &ReplicaToAgent::ApplyPolicy {
                                 turn,
                                 number,
                                 paused,
@@ -127,42 +127,42 @@
                     }
                     if view.version > version {
                         version = view.version;
-                        write(&mut said, &ToAgent::View(view))?;
+                        write(&mut said, &ReplicaToAgent::View(view))?;
                     }
                 }
             });
         }
         loop {
-            let word: FromAgent = read(&mut stream)?;
+            let word: AgentToReplica = read(&mut stream)?;
             if self.told().away {
                 return stream.shutdown(std::net::Shutdown::Both);
             }
             if !leads {
-                write(&mut stream, &ToAgent::Elsewhere(Some(2)))?;
+                write(&mut stream, &ReplicaToAgent::NotLeader(Some(2)))?;
                 continue;
             }
             match word {
-                FromAgent::Open { sender, zone, .. } => {
+                AgentToReplica::OpenSession { sender, zone, .. } => {
                     assert_eq!((sender.as_str(), zone.as_str()), ("n0", "b"));
                     write(
                         &mut stream,
-                        &ToAgent::Renewed {
+                        &ReplicaToAgent::LeaseRenewed {
                             report: 0,
                             lease_ms: 1_500,
                         },
                     )?;
                 }
-                FromAgent::Tell {
+                AgentToReplica::Report {
                     report,
-                    seen,
+                    call_counts: seen,
                     listed,
-                    wants,
-                    health,
+                    lease_requests: wants,
+                    outcomes: health,
                     ..
                 } => {
                     write(
                         &mut stream,
-                        &ToAgent::Renewed {
+                        &ReplicaToAgent::LeaseRenewed {
                             report,
                             lease_ms: 1_500,
                         },
@@ -174,42 +174,42 @@
                     let epoch = told.view.zones.first().map_or(0, |z| z.epoch);
                     for want in wants
                         .into_iter()
-                        .filter(|w| w.calls > 0)
+                        .filter(|w| w.attempts > 0)
                         .take(told.budget as usize)
                     {
                         told.budget -= 1;
                         let (zone, dest) = (want.zone, want.dest);
-                        let grant = Grant {
+                        let grant = AttemptLeaseGrant {
                             report,
                             zone,
                             epoch,
                             dest,
-                            calls: 1,
+                            attempts: 1,
                             within_ms: 2_000,
                         };
-                        write(&mut stream, &ToAgent::Grant(grant))?;
+                        write(&mut stream, &ReplicaToAgent::GrantAttempts(grant))?;
                     }
                 }
-                FromAgent::Stored { number, refused } => {
+                AgentToReplica::PolicyChecked { number, refused } => {
                     _ = self.told().stored.insert(number, refused)
                 }
-                FromAgent::Rules { turn } => {
+                AgentToReplica::PolicyApplied { turn } => {
                     let mut told = self.told();
                     told.turn = told.turn.max(turn);
                 }
-                FromAgent::Leave => self.told().left = true,
-                FromAgent::Table(_) => {}
+                AgentToReplica::CloseSession => self.told().left = true,
+                AgentToReplica::RoutingTable(_) => {}
             }
         }
     }
 }
 
 pub fn read<T: serde::de::DeserializeOwned>(stream: &mut TcpStream) -> io::Result<T> {
-    framing::read_blocking(stream, MOST).map_err(io::Error::other)
+    framing::read_blocking(stream, MAX_FRAME_BYTES).map_err(io::Error::other)
 }
 
 pub fn write<T: serde::Serialize>(stream: &mut TcpStream, word: &T) -> io::Result<()> {
-    framing::write_blocking(stream, word, MOST).map_err(io::Error::other)
+    framing::write_blocking(stream, word, MAX_FRAME_BYTES).map_err(io::Error::other)
 }
 
 pub fn wait(what: &str, done: impl Fn() -> bool) {
--- a/tests/federation.rs
+++ b/tests/federation.rs
@@ -8,13 +8,14 @@
 
 use protobuf::Message as _;
 use raft::eraftpb::{Message, MessageType};
-use raildeal::coordination::bootstrap::{Begin, Heard};
+use raildeal::coordination::bootstrap::{Bootstrap, PeerAdmission};
 use raildeal::coordination::framing;
 use raildeal::coordination::messages::{
-    FromPerson, Hello, Status, TableOrder, ToPerson, Who, MOST, VERSION,
+    CoordinationStatus, FederationRequest, Handshake, OperatorRequest, OperatorResponse, PeerRole,
+    MAX_FRAME_BYTES, PROTOCOL_VERSION,
 };
-use raildeal::coordination::raft_group::{Event, Group};
-use raildeal::coordination::raft_log::{whole, Identity, Piece};
+use raildeal::coordination::raft_group::{GroupEvent, RaftGroup};
+use raildeal::coordination::raft_log::{assemble_checkpoint, LogItem, ReplicaIdentity};
 use raildeal::coordination::record::Command;
 use raildeal::coordination::routing_table::federation::{self, Federation, DECIDED};
 use raildeal::coordination::routing_table::member::{Came, Out, Place, Settings, Voice, Word};
@@ -35,10 +36,10 @@
 
 #[derive(Default)]
 struct Keeper {
-    disk: Vec<Piece>,
-    group: Option<Group>,
+    disk: Vec<LogItem>,
+    group: Option<RaftGroup>,
     voice: Option<Voice>,
-    saving: Option<(Piece, u64)>,
+    saving: Option<(LogItem, u64)>,
     saves: u32,
     /// Down, or frozen with all that it has, until then.
     back_at: u64,
@@ -82,7 +83,7 @@
     believed: BTreeMap<u64, u64>,
     off: BTreeMap<u64, u64>,
     voices: u32,
-    answers: Vec<ToPerson>,
+    answers: Vec<OperatorResponse>,
 }
 
 fn settings(site: u64) -> Settings {
@@ -110,18 +111,18 @@
         let mut keepers = BTreeMap::new();
         for site in 1..=4 {
             for me in 1..=3 {
-                let identity = Identity {
+                let identity = ReplicaIdentity {
                     site: format!("s{site}"),
                     keeper: me,
                     incarnation: 100 + me,
                 };
-                let mut begin = Begin::new(Begin::empty(identity, 1..=3));
+                let mut begin = Bootstrap::new(Bootstrap::empty(identity, 1..=3));
                 for other in (1..=3).filter(|id| *id != me) {
-                    assert_eq!(begin.tells(other, 100 + other), Heard::New);
+                    assert_eq!(begin.tells(other, 100 + other), PeerAdmission::New);
                     begin.knows(other);
                 }
                 let base = begin.finish(&BTreeMap::new()).expect("all know each other");
-                let disk = vec![Piece::Base(Box::new(base))];
+                let disk = vec![LogItem::Checkpoint(Box::new(base))];
                 keepers.insert(
                     (site, me),
                     Keeper {
@@ -217,10 +218,10 @@
                 continue;
             }
             if keeper.group.is_none() {
-                let base = whole(keeper.disk.iter().cloned())
+                let base = assemble_checkpoint(keeper.disk.iter().cloned())
                     .expect("unbroken")
                     .expect("a base");
-                keeper.group = Some(Group::new(base, self.rng.u64(..)).expect("a group"));
+                keeper.group = Some(RaftGroup::new(base, self.rng.u64(..)).expect("a group"));
                 keeper.ticked = now;
             }
             keeper.frozen = false;
@@ -328,7 +329,7 @@
             .collect();
         for (other, theirs) in others {
             let mut said =
-                |at: (u64, u64), does: &dyn Fn(&mut Voice, &Group, &mut Vec<Out>) -> Came| {
+                |at: (u64, u64), does: &dyn Fn(&mut Voice, &RaftGroup, &mut Vec<Out>) -> Came| {
                     let keeper = self.keepers.get_mut(&at).expect("a keeper");
                     let (Some(voice), Some(group)) = (&mut keeper.voice, &keeper.group) else {
                         return Came::Later;
@@ -372,7 +373,7 @@
                     by,
                     key,
                     text,
-                    print: [0; 32],
+                    digest: [0; 32],
                     within_ms: 10_000,
                 };
                 voice.command(self.now, propose, &mut out);
@@ -392,7 +393,7 @@
     }
 
     /// A person's order, said at each voice.
-    fn order(&mut self, order: &TableOrder) {
+    fn order(&mut self, order: &FederationRequest) {
         for at in self.keepers.keys().copied().collect::<Vec<_>>() {
             let keeper = self.keepers.get_mut(&at).expect("a keeper");
             let up = self.now >= keeper.back_at;
@@ -419,8 +420,8 @@
                     } else if self.early
                         && matches!(
                             command,
-                            Command::Voice {
-                                piece: Piece::Batch(_),
+                            Command::PersistMemberLog {
+                                piece: LogItem::Batch(_),
                                 ..
                             }
                         )
@@ -466,7 +467,7 @@
 
     fn say(&mut self, at: (u64, u64), to: u64, word: &Word) {
         let keeper = &self.keepers[&at];
-        let record = keeper.group.as_ref().map(Group::record);
+        let record = keeper.group.as_ref().map(RaftGroup::record);
         let known = keeper
             .voice
             .as_ref()
@@ -527,7 +528,7 @@
             let mut idle = messages.is_empty() && events.is_empty();
             let mut out = Vec::new();
             for event in events {
-                if let (Event::Applied(_, command), Some(voice)) = (event, &mut keeper.voice) {
+                if let (GroupEvent::Applied(_, command), Some(voice)) = (event, &mut keeper.voice) {
                     voice.applied(now, &command, group.record(), &mut out);
                 }
             }
@@ -615,8 +616,8 @@
     }
 }
 
-fn write(disk: &mut Vec<Piece>, piece: Piece) {
-    if matches!(piece, Piece::Base(_)) {
+fn write(disk: &mut Vec<LogItem>, piece: LogItem) {
+    if matches!(piece, LogItem::Checkpoint(_)) {
         disk.clear();
     }
     disk.push(piece);
@@ -626,8 +627,8 @@
 fn play(seed: u64, early: bool) -> (usize, usize, u32) {
     let mut world = World::new(seed);
     world.early = early;
-    let off = TableOrder::Off { site: "s3".into() };
-    let join = TableOrder::Join {
+    let off = FederationRequest::RemoveSite { site: "s3".into() };
+    let join = FederationRequest::AddSite {
         site: "s4".into(),
         number: 4,
         at: vec!["127.0.0.4:1".into()],
@@ -828,26 +829,26 @@
         panic!("{}: {what:?} was not said: {said:#?}", self.site);
     }
 
-    fn order(&self, word: &FromPerson) -> ToPerson {
+    fn order(&self, word: &OperatorRequest) -> OperatorResponse {
         let mut stream = TcpStream::connect(&self.at).expect("connected");
         stream
             .set_read_timeout(Some(Duration::from_secs(60)))
             .expect("set");
-        let hello = Hello {
-            version: VERSION,
+        let hello = Handshake {
+            version: PROTOCOL_VERSION,
             site: self.site.into(),
-            who: Who::Person,
+            role: PeerRole::Operator,
         };
-        framing::write_blocking(&mut stream, &hello, MOST).expect("written");
-        framing::write_blocking(&mut stream, word, MOST).expect("written");
-        framing::read_blocking(&mut stream, MOST).expect("an answer")
+        framing::write_blocking(&mut stream, &hello, MAX_FRAME_BYTES).expect("written");
+        framing::write_blocking(&mut stream, word, MAX_FRAME_BYTES).expect("written");
+        framing::read_blocking(&mut stream, MAX_FRAME_BYTES).expect("an answer")
     }
 
-    fn tells(&self, so: impl Fn(&Status) -> bool) {
+    fn tells(&self, so: impl Fn(&CoordinationStatus) -> bool) {
         let until = Instant::now() + Duration::from_secs(120);
         loop {
-            match self.order(&FromPerson::Status) {
-                ToPerson::Status(status) if so(&status) => return,
+            match self.order(&OperatorRequest::Status) {
+                OperatorResponse::Status(status) if so(&status) => return,
                 other => assert!(Instant::now() < until, "{other:?}"),
             }
             std::thread::sleep(Duration::from_millis(50));
@@ -855,10 +856,14 @@
     }
 
     /// Orders it until the answer is so, and gives that.
-    fn until(&self, order: &TableOrder, so: impl Fn(&ToPerson) -> bool) -> ToPerson {
+    fn until(
+        &self,
+        order: &FederationRequest,
+        so: impl Fn(&OperatorResponse) -> bool,
+    ) -> OperatorResponse {
         let until = Instant::now() + Duration::from_secs(120);
         loop {
-            let answer = self.order(&FromPerson::Table(order.clone()));
+            let answer = self.order(&OperatorRequest::Federation(order.clone()));
             if so(&answer) {
                 return answer;
             }
@@ -868,8 +873,8 @@
     }
 }
 
-fn refused(answer: &ToPerson, what: &str) -> bool {
-    matches!(answer, ToPerson::Refused(why) if why.contains(what))
+fn refused(answer: &OperatorResponse, what: &str) -> bool {
+    matches!(answer, OperatorResponse::Rejected(why) if why.contains(what))
 }
 
 #[test]
@@ -886,7 +891,7 @@
     let (north, south) = (land.start(0), land.start(1));
     // Nobody begins before all know each other.
     north.tells(|s| {
-        s.trouble
+        s.faults
             .iter()
             .any(|(n, why)| *n == 3 && why.contains("has not begun"))
     });
@@ -894,16 +899,16 @@
     for up in [&north, &south, &west] {
         up.says("speaks for site ");
         up.says("site west joins as 3");
-        up.tells(|s| s.trouble.is_empty());
+        up.tells(|s| s.faults.is_empty());
     }
     // An order is carried out wherever it is given.
-    let off = |site: &str| TableOrder::Off { site: site.into() };
+    let off = |site: &str| FederationRequest::RemoveSite { site: site.into() };
     for up in [&north, &south, &west] {
         up.until(&off("east"), |a| refused(a, "no site \"east\""));
     }
     let join = |number| {
         let at = vec![land.ways[2].address.to_string()];
-        TableOrder::Join {
+        FederationRequest::AddSite {
             site: "west".into(),
             number,
             at,
@@ -917,7 +922,7 @@
         refused(&answer, "is fenced with all its senders in"),
         "{answer:?}"
     );
-    south.until(&off("west"), |a| matches!(a, ToPerson::Done(_)));
+    south.until(&off("west"), |a| matches!(a, OperatorResponse::Done(_)));
     for up in [&north, &south] {
         up.says("site west is off the roster");
     }
@@ -928,11 +933,11 @@
     let west = land.start(2);
     west.says("speaks for site 4");
     north.until(&join(3), |a| refused(a, "was used"));
-    north.until(&join(4), |a| matches!(a, ToPerson::Done(_)));
+    north.until(&join(4), |a| matches!(a, OperatorResponse::Done(_)));
     for up in [&north, &south, &west] {
         up.says("site west joins as 4");
     }
     for up in [&north, &south, &west] {
-        up.tells(|s| s.trouble.iter().all(|(_, why)| !why.contains("site")));
+        up.tells(|s| s.faults.iter().all(|(_, why)| !why.contains("site")));
     }
 }
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -6,13 +6,19 @@
 #![cfg(feature = "fleet")]
 
 use protobuf::Message as _;
-use raildeal::coordination::bootstrap::{admit, Begin, Heard};
+use raildeal::coordination::bootstrap::{admit, Bootstrap, PeerAdmission};
 use raildeal::coordination::framing;
 use raildeal::coordination::messages::{
-    FromAgent, FromPerson, Hello, Status, ToAgent, ToPerson, Who, MOST, VERSION,
+    AgentToReplica, CoordinationStatus, Handshake, OperatorRequest, OperatorResponse, PeerRole,
+    ReplicaToAgent, MAX_FRAME_BYTES, PROTOCOL_VERSION,
+};
+use raildeal::coordination::raft_group::{
+    GroupEvent, GroupMember, GroupState, ProposeError, RaftGroup,
+};
+use raildeal::coordination::raft_log::{
+    assemble_checkpoint, Batch, Checkpoint, LogEntry, LogItem, RaftLogStore, ReplicaIdentity,
+    SaveError,
 };
-use raildeal::coordination::raft_group::{Event, Group, Held, Member, No};
-use raildeal::coordination::raft_log::{whole, Base, Batch, Identity, Keep, Line, Piece, Unsaved};
 use raildeal::coordination::record::Command;
 use raildeal::store::faulty::{DiskImage, Fault, FaultyDisk};
 use raildeal_test_harness::relay::{Fault as Cut, Relay};
@@ -32,8 +38,8 @@
         .unwrap_or(few)
 }
 
-fn identity(keeper: u64) -> Identity {
-    Identity {
+fn identity(keeper: u64) -> ReplicaIdentity {
+    ReplicaIdentity {
         site: "north".into(),
         keeper,
         incarnation: 100 + keeper,
@@ -41,7 +47,7 @@
 }
 
 fn command(n: u64) -> Command {
-    Command::Join {
+    Command::AddSender {
         sender: format!("s{}", n % 40),
         boot: n,
         zone: "a".into(),
@@ -52,10 +58,10 @@
 
 struct Node {
     /// What is written, for certain.
-    disk: Vec<Piece>,
-    group: Option<Group>,
+    disk: Vec<LogItem>,
+    group: Option<RaftGroup>,
     /// What is being written, and when that is done.
-    saving: Option<(Piece, u64)>,
+    saving: Option<(LogItem, u64)>,
     back_at: u64,
     saves: u32,
 }
@@ -84,9 +90,9 @@
 impl Net {
     fn new(seed: u64, keepers: u64) -> Net {
         let first = |me: u64| {
-            let mut begin = Begin::new(Begin::empty(identity(me), 1..=keepers));
+            let mut begin = Bootstrap::new(Bootstrap::empty(identity(me), 1..=keepers));
             for other in (1..=keepers).filter(|id| *id != me) {
-                assert_eq!(begin.tells(other, 100 + other), Heard::New);
+                assert_eq!(begin.tells(other, 100 + other), PeerAdmission::New);
                 begin.knows(other);
             }
             begin.finish(&BTreeMap::new()).expect("all know each other")
@@ -115,10 +121,10 @@
     fn start(&mut self, me: u64) {
         let seed = self.rng.u64(..);
         let node = self.nodes.get_mut(&me).expect("a node");
-        let base = whole(node.disk.iter().cloned())
+        let base = assemble_checkpoint(node.disk.iter().cloned())
             .expect("unbroken")
             .expect("a base");
-        node.group = Some(Group::new(base, seed).expect("a group"));
+        node.group = Some(RaftGroup::new(base, seed).expect("a group"));
     }
 
     fn crash(&mut self, me: u64) {
@@ -206,7 +212,7 @@
             let (piece, _) = node.saving.take().expect("being written");
             group.saved();
             node.saves += 1;
-            if !self.forgets || matches!(piece, Piece::Base(_)) {
+            if !self.forgets || matches!(piece, LogItem::Checkpoint(_)) {
                 node.write(piece);
             }
             if self.compacts && node.saves % 25 == 0 {
@@ -224,11 +230,11 @@
         let leads = group.is_ready_to_lead();
         for event in events {
             match event {
-                Event::Leads(leader, term) if leader == me => {
+                GroupEvent::LeaderChanged(leader, term) if leader == me => {
                     let other = *self.leaders.entry(term).or_insert(me);
                     assert_eq!(other, me, "seed {}: two leaders in term {term}", self.seed);
                 }
-                Event::Applied(index, command) => {
+                GroupEvent::Applied(index, command) => {
                     let agreed = self.agreed.entry(index).or_insert_with(|| command.clone());
                     assert_eq!(
                         *agreed, command,
@@ -283,7 +289,7 @@
             self.now += 1;
             self.step();
         }
-        let held: Vec<&Group> = self
+        let held: Vec<&RaftGroup> = self
             .nodes
             .iter()
             .filter(|n| voters.contains(n.0))
@@ -317,7 +323,7 @@
         }
     }
 
-    fn leader(&mut self) -> Option<&mut Group> {
+    fn leader(&mut self) -> Option<&mut RaftGroup> {
         let groups = self.nodes.values_mut().filter_map(|n| n.group.as_mut());
         groups
             .filter(|g| g.is_ready_to_lead())
@@ -327,8 +333,8 @@
     /// Steps until somebody leads who does as ordered.
     fn order(
         &mut self,
-        order: impl Fn(&mut Group) -> Result<(), No>,
-        done: impl Fn(&Held) -> bool,
+        order: impl Fn(&mut RaftGroup) -> Result<(), ProposeError>,
+        done: impl Fn(&GroupState) -> bool,
     ) {
         for _ in 0..4_000 {
             self.step();
@@ -343,9 +349,9 @@
 }
 
 impl Node {
-    fn new(base: Base) -> Node {
+    fn new(base: Checkpoint) -> Node {
         Node {
-            disk: vec![Piece::Base(Box::new(base))],
+            disk: vec![LogItem::Checkpoint(Box::new(base))],
             group: None,
             saving: None,
             back_at: 0,
@@ -353,8 +359,8 @@
         }
     }
 
-    fn write(&mut self, piece: Piece) {
-        if matches!(piece, Piece::Base(_)) {
+    fn write(&mut self, piece: LogItem) {
+        if matches!(piece, LogItem::Checkpoint(_)) {
             self.disk.clear();
         }
         self.disk.push(piece);
@@ -398,9 +404,9 @@
         let mut net = Net::new(seed, 3);
         for (old, new) in [(1, 4), (2, 5), (3, 6)] {
             net.nodes
-                .insert(new, Node::new(Begin::joining(identity(new))));
+                .insert(new, Node::new(Bootstrap::joining(identity(new))));
             net.start(new);
-            let member = Member {
+            let member = GroupMember {
                 at: format!("127.0.0.1:{new}"),
                 incarnation: 100 + new,
             };
@@ -415,13 +421,16 @@
         let group = net.leader().expect("one leads");
         let voters: BTreeSet<u64> = group.voters().iter().copied().collect();
         assert_eq!(voters, BTreeSet::from([4, 5, 6]), "seed {seed}");
-        assert_eq!(group.may_add(1), Err(No::Used));
+        assert_eq!(group.may_add(1), Err(ProposeError::NumberUsed));
         assert_eq!(group.held().members[&4].at, "127.0.0.1:4");
         // Another folder under a number that is known, or a number that was removed, is not heard.
-        assert_eq!(admit(group.held(), 5, 105), Heard::Known);
+        assert_eq!(admit(group.held(), 5, 105), PeerAdmission::Known);
         for (keeper, incarnation) in [(5, 7), (1, 101), (9, 109)] {
             assert!(
-                matches!(admit(group.held(), keeper, incarnation), Heard::No(_)),
+                matches!(
+                    admit(group.held(), keeper, incarnation),
+                    PeerAdmission::Rejected(_)
+                ),
                 "{keeper}"
             );
         }
@@ -473,9 +482,10 @@
         // Nothing is as long yet that a new base would be due: the only snapshot is the one that
         // the site began with.
         (net.compacts, net.faults) = (false, false);
-        net.nodes.insert(4, Node::new(Begin::joining(identity(4))));
+        net.nodes
+            .insert(4, Node::new(Bootstrap::joining(identity(4))));
         net.start(4);
-        let member = Member {
+        let member = GroupMember {
             at: "127.0.0.1:4".into(),
             incarnation: 104,
         };
@@ -503,27 +513,27 @@
 
 #[test]
 fn at_a_first_start_nobody_takes_part_before_all_know_its_folder() {
-    let mut begin = Begin::new(Begin::empty(identity(1), [2, 3].into_iter()));
+    let mut begin = Bootstrap::new(Bootstrap::empty(identity(1), [2, 3].into_iter()));
     let nowhere = BTreeMap::new();
-    assert_eq!(begin.tells(2, 102), Heard::New);
+    assert_eq!(begin.tells(2, 102), PeerAdmission::New);
     begin.knows(2);
     assert_eq!((begin.missing(), begin.finish(&nowhere)), (vec![3], None));
     begin.knows(3);
     assert_eq!(begin.missing(), vec![3], "its own folder is not known yet");
     // Keeper 2 comes without the folder that it was known by.
-    assert!(matches!(begin.tells(2, 7), Heard::No(_)));
-    assert!(matches!(begin.tells(8, 108), Heard::No(_)));
+    assert!(matches!(begin.tells(2, 7), PeerAdmission::Rejected(_)));
+    assert!(matches!(begin.tells(8, 108), PeerAdmission::Rejected(_)));
     // After a stop, those that are written down are known, and have to be met once more.
-    let mut begin = Begin::new(begin.base().clone());
+    let mut begin = Bootstrap::new(begin.base().clone());
     assert_eq!(
         (begin.tells(2, 102), begin.missing()),
-        (Heard::Known, vec![2, 3])
+        (PeerAdmission::Known, vec![2, 3])
     );
-    assert_eq!(begin.tells(3, 103), Heard::New);
+    assert_eq!(begin.tells(3, 103), PeerAdmission::New);
     begin.knows(2);
     begin.knows(3);
     let base = begin.finish(&nowhere).expect("all met");
-    let group: Group = Group::new(base, 1).expect("a group");
+    let group: RaftGroup = RaftGroup::new(base, 1).expect("a group");
     let members: Vec<_> = group
         .held()
         .members
@@ -531,32 +541,35 @@
         .map(|(id, m)| (*id, m.incarnation))
         .collect();
     assert_eq!(members, [(1, 101), (2, 102), (3, 103)]);
-    assert!(matches!(admit(group.held(), 2, 7), Heard::No(_)));
+    assert!(matches!(
+        admit(group.held(), 2, 7),
+        PeerAdmission::Rejected(_)
+    ));
 }
 
 // ---- The log, stopped at each operation of its disk.
 
 const DISK: u64 = 20 * 1024 * 1024;
 
-fn entry(term: u64, index: u64, size: usize) -> Line {
+fn entry(term: u64, index: u64, size: usize) -> LogEntry {
     let mut entry = raft::eraftpb::Entry {
         term,
         index,
         ..Default::default()
     };
     entry.data = vec![index as u8; size].into();
-    Line::of(&entry)
+    LogEntry::of(&entry)
 }
 
 /// What a keeper that writes these pieces one after another should have in the end.
 struct Script {
     rng: fastrand::Rng,
-    now: Base,
+    now: Checkpoint,
 }
 
 impl Script {
     fn new(seed: u64) -> Script {
-        let now = Begin::empty(identity(1), [2, 3].into_iter());
+        let now = Bootstrap::empty(identity(1), [2, 3].into_iter());
         Script {
             rng: fastrand::Rng::with_seed(seed),
             now,
@@ -567,13 +580,13 @@
         self.now.index + self.now.entries.len() as u64
     }
 
-    fn next(&mut self, base: bool) -> Piece {
+    fn next(&mut self, base: bool) -> LogItem {
         if base {
             let upto = (self.last() - self.now.index) / 2;
             self.now.entries.drain(..upto as usize);
             self.now.index += upto;
             self.now.held = serde_bytes::ByteBuf::from(vec![7; 40_000]);
-            return Piece::Base(Box::new(self.now.clone()));
+            return LogItem::Checkpoint(Box::new(self.now.clone()));
         }
         let hard = &mut self.now.hard;
         let mut entries = Vec::new();
@@ -596,12 +609,12 @@
         };
         all.merge(batch.clone());
         self.now.entries = all.entries;
-        Piece::Batch(batch)
+        LogItem::Batch(batch)
     }
 }
 
-fn open(disk: &FaultyDisk) -> (Keep, Option<Base>) {
-    Keep::open(Arc::new(disk.clone()), DISK, 5).expect("a start succeeds")
+fn open(disk: &FaultyDisk) -> (RaftLogStore, Option<Checkpoint>) {
+    RaftLogStore::open(Arc::new(disk.clone()), DISK, 5).expect("a start succeeds")
 }
 
 /// Writes a history, with a fault at one of its operations; looks at what the next process finds.
@@ -617,17 +630,17 @@
     }
     let told = format!("seed {seed}, {fault:?}");
     let mut script = Script::new(seed);
-    let mut saved: Option<Base> = None;
+    let mut saved: Option<Checkpoint> = None;
     let mut trying = script.now.clone();
-    if let Ok((mut keep, found)) = Keep::open(Arc::new(disk.clone()), DISK, 5) {
+    if let Ok((mut keep, found)) = RaftLogStore::open(Arc::new(disk.clone()), DISK, 5) {
         assert!(found.is_none());
-        let mut piece = Piece::Base(Box::new(script.now.clone()));
+        let mut piece = LogItem::Checkpoint(Box::new(script.now.clone()));
         for step in 0..60 {
             trying = script.now.clone();
             match keep.save(&piece) {
                 Ok(()) => saved = Some(trying.clone()),
                 // It is tried again, as the driver does.
-                Err(Unsaved::Later(_)) if !disk.is_killed() && step < 59 => continue,
+                Err(SaveError::Retryable(_)) if !disk.is_killed() && step < 59 => continue,
                 Err(_) => break,
             }
             assert!(disk.size() <= DISK, "{told}: over the limit");
@@ -651,7 +664,7 @@
             ),
         }
         let found = found.expect("some");
-        keep.save(&Piece::Base(Box::new(found.clone())))
+        keep.save(&LogItem::Checkpoint(Box::new(found.clone())))
             .expect("room");
         saved = Some(found);
         image = disk.after_power_cut(|| false);
@@ -719,7 +732,7 @@
     let disk = FaultyDisk::new();
     let (mut keep, _) = open(&disk);
     let mut script = Script::new(3);
-    keep.save(&Piece::Base(Box::new(script.now.clone())))
+    keep.save(&LogItem::Checkpoint(Box::new(script.now.clone())))
         .expect("room");
     disk.quota(Some(disk.size()));
     // With what it has, it goes on: what is over makes room.
@@ -731,7 +744,7 @@
     let saved = script.now.clone();
     let much = |n: u64| {
         let entries = vec![entry(saved.hard.term, script.last() + n, 200_000)];
-        Piece::Batch(Batch {
+        LogItem::Batch(Batch {
             hard: saved.hard,
             entries,
         })
@@ -739,7 +752,7 @@
     let mut kept = 0;
     let full = (1..40).find_map(|n| keep.save(&much(n)).map(|()| kept = n).err());
     assert!(
-        matches!(full, Some(Unsaved::Later(_))),
+        matches!(full, Some(SaveError::Retryable(_))),
         "{full:?} after {kept}"
     );
     let (_, found) = open(&FaultyDisk::from_image(disk.after_power_cut(|| false)));
@@ -760,7 +773,7 @@
     let disk = FaultyDisk::new();
     let (mut keep, _) = open(&disk);
     let mut script = Script::new(9);
-    keep.save(&Piece::Base(Box::new(script.now.clone())))
+    keep.save(&LogItem::Checkpoint(Box::new(script.now.clone())))
         .expect("room");
     for _ in 0..6 {
         let piece = script.next(false);
@@ -772,7 +785,7 @@
         .find(|bytes| bytes.starts_with(b"raildeal store"))
         .expect("a segment");
     written[20_000] ^= 1;
-    let told = Keep::open(Arc::new(FaultyDisk::from_image(image)), DISK, 5)
+    let told = RaftLogStore::open(Arc::new(FaultyDisk::from_image(image)), DISK, 5)
         .err()
         .map(|e| e.to_string());
     assert!(
@@ -873,17 +886,17 @@
     keeper
 }
 
-fn line(at: &str, who: Who) -> TcpStream {
+fn line(at: &str, role: PeerRole) -> TcpStream {
     let mut stream = TcpStream::connect(at).expect("connected");
     stream
         .set_read_timeout(Some(Duration::from_secs(30)))
         .expect("set");
-    let hello = Hello {
-        version: VERSION,
+    let hello = Handshake {
+        version: PROTOCOL_VERSION,
         site: "north".into(),
-        who,
+        role,
     };
-    framing::write_blocking(&mut stream, &hello, MOST).expect("written");
+    framing::write_blocking(&mut stream, &hello, MAX_FRAME_BYTES).expect("written");
     stream
 }
 
@@ -903,19 +916,19 @@
         panic!("{what:?} was not said: {said:#?}");
     }
 
-    fn line(&self, who: Who) -> TcpStream {
-        line(&self.at, who)
+    fn line(&self, role: PeerRole) -> TcpStream {
+        line(&self.at, role)
     }
 
-    fn order(&self, word: &FromPerson) -> ToPerson {
-        let mut stream = self.line(Who::Person);
-        framing::write_blocking(&mut stream, word, MOST).expect("written");
-        framing::read_blocking(&mut stream, MOST).expect("an answer")
+    fn order(&self, word: &OperatorRequest) -> OperatorResponse {
+        let mut stream = self.line(PeerRole::Operator);
+        framing::write_blocking(&mut stream, word, MAX_FRAME_BYTES).expect("written");
+        framing::read_blocking(&mut stream, MAX_FRAME_BYTES).expect("an answer")
     }
 
-    fn status(&self) -> Status {
-        match self.order(&FromPerson::Status) {
-            ToPerson::Status(status) => *status,
+    fn status(&self) -> CoordinationStatus {
+        match self.order(&OperatorRequest::Status) {
+            OperatorResponse::Status(status) => *status,
             other => panic!("{other:?}"),
         }
     }
@@ -923,7 +936,7 @@
 
 impl Keeper {
     /// Waits until its status is as it should be.
-    fn tells(&self, so: impl Fn(&Status) -> bool) -> Status {
+    fn tells(&self, so: impl Fn(&CoordinationStatus) -> bool) -> CoordinationStatus {
         let until = Instant::now() + Duration::from_secs(60);
         loop {
             let status = self.status();
@@ -943,7 +956,7 @@
     while Instant::now() < until {
         let leads = up.iter().find(|k| {
             let status = k.status();
-            status.leader == status.keeper && status.keeper != 0
+            status.leader == status.replica && status.replica != 0
         });
         if let Some(leads) = leads {
             return leads;
@@ -954,10 +967,13 @@
 }
 
 /// Orders something of whoever leads; again, where that has just changed.
-fn order<'a>(up: impl Iterator<Item = &'a Keeper> + Clone, word: &FromPerson) -> ToPerson {
+fn order<'a>(
+    up: impl Iterator<Item = &'a Keeper> + Clone,
+    word: &OperatorRequest,
+) -> OperatorResponse {
     loop {
         match leader(up.clone()).order(word) {
-            ToPerson::Elsewhere(_) => std::thread::sleep(Duration::from_millis(50)),
+            OperatorResponse::NotLeader(_) => std::thread::sleep(Duration::from_millis(50)),
             answer => return answer,
         }
     }
@@ -970,36 +986,37 @@
     let mut keepers: BTreeMap<u64, Keeper> = (1..=3).map(|n| (n, site.start(n))).collect();
     let first = leader(keepers.values()).status();
     assert_eq!(
-        (first.site.as_str(), first.keepers.as_slice()),
+        (first.site.as_str(), first.voters.as_slice()),
         ("north", &[1, 2, 3][..])
     );
     for (n, keeper) in &keepers {
-        let what = if *n == first.keeper {
+        let what = if *n == first.replica {
             "leads in term".into()
         } else {
-            format!("follows {}", first.keeper)
+            format!("follows {}", first.replica)
         };
         keeper.says(&format!("keeper {n} of north: {what}"));
     }
     // An agent is sent on by those that follow.
     let follower = keepers
         .iter()
-        .find(|(n, _)| **n != first.keeper)
+        .find(|(n, _)| **n != first.replica)
         .expect("two follow")
         .1;
-    let open = FromAgent::Open {
+    let open = AgentToReplica::OpenSession {
         sender: "n1".into(),
         boot: 1,
         zone: "a".into(),
-        has: 0,
+        record_version: 0,
         stored: None,
     };
-    let mut line = follower.line(Who::Agent);
-    framing::write_blocking(&mut line, &open, MOST).expect("written");
-    let told: ToAgent = framing::read_blocking(&mut line, MOST).expect("an answer");
-    assert_eq!(told, ToAgent::Elsewhere(Some(first.keeper)));
+    let mut line = follower.line(PeerRole::Agent);
+    framing::write_blocking(&mut line, &open, MAX_FRAME_BYTES).expect("written");
+    let told: ReplicaToAgent =
+        framing::read_blocking(&mut line, MAX_FRAME_BYTES).expect("an answer");
+    assert_eq!(told, ReplicaToAgent::NotLeader(Some(first.replica)));
 
-    drop(keepers.remove(&first.keeper));
+    drop(keepers.remove(&first.replica));
     let gone = Instant::now();
     leader(keepers.values());
     let without = gone.elapsed();
@@ -1007,50 +1024,50 @@
     // The record goes on with two of three: the dead one goes, another one comes.
     let done = order(
         keepers.values(),
-        &FromPerson::Remove {
-            keeper: first.keeper,
+        &OperatorRequest::RemoveReplica {
+            keeper: first.replica,
         },
     );
-    let ToPerson::Done(removed) = done else {
+    let OperatorResponse::Done(removed) = done else {
         panic!("{done:?}")
     };
     let names: Vec<u64> = keepers.keys().copied().collect();
     site.file(4, &names, false);
     let fourth = site.start(4);
-    let add = |keeper| FromPerson::Add {
+    let add = |keeper| OperatorRequest::AddReplica {
         keeper,
         at: site.way(4).address.to_string(),
     };
     let done = order(keepers.values(), &add(4));
     assert!(
-        matches!(done, ToPerson::Done(index) if index > removed),
+        matches!(done, OperatorResponse::Done(index) if index > removed),
         "{done:?}"
     );
     // That is told when the new one has the record.
     let voters = [names[0], names[1], 4];
-    assert_eq!(fourth.status().keepers, voters);
-    let again = order(keepers.values().chain([&fourth]), &add(first.keeper));
+    assert_eq!(fourth.status().voters, voters);
+    let again = order(keepers.values().chain([&fourth]), &add(first.replica));
     assert!(
-        matches!(&again, ToPerson::Refused(why) if why.contains("used")),
+        matches!(&again, OperatorResponse::Rejected(why) if why.contains("used")),
         "{again:?}"
     );
     // All know of it before one more is lost.
     for keeper in keepers.values() {
-        keeper.tells(|status| status.keepers == voters);
+        keeper.tells(|status| status.voters == voters);
     }
 
     // The one that leads loses its folder: what comes again is not heard, and does not begin,
     // though its file says so.
-    let lost = leader(keepers.values().chain([&fourth])).status().keeper;
+    let lost = leader(keepers.values().chain([&fourth])).status().replica;
     let lost = if lost == 4 { names[0] } else { lost };
     drop(keepers.remove(&lost));
     std::fs::remove_dir_all(site.state(lost)).expect("removed");
     let lost = site.start(lost);
     let (_, other) = keepers.first_key_value().expect("one of the first is left");
     other.says("may not vote");
-    assert!(lost.status().keepers.is_empty(), "it takes no part");
+    assert!(lost.status().voters.is_empty(), "it takes no part");
     let status = leader(keepers.values().chain([&fourth])).status();
-    assert_eq!(status.keepers, voters, "the others go on");
+    assert_eq!(status.voters, voters, "the others go on");
 
     // Told to end, they do.
     for keeper in keepers.values_mut() {
@@ -1063,7 +1080,7 @@
 /// What a keeper says of another one that does not take part.
 fn trouble(keeper: &Keeper, of: u64, what: &str) {
     keeper.tells(|s| {
-        s.trouble
+        s.faults
             .iter()
             .any(|(n, why)| *n == of && why.contains(what))
     });
@@ -1077,9 +1094,9 @@
     trouble(&one, 3, "the site has not begun");
     trouble(&two, 3, "not reached at");
     let keepers = [one, two, site.start(3)];
-    let led = leader(keepers.iter()).status().keeper;
+    let led = leader(keepers.iter()).status().replica;
     let (led, third) = (&keepers[led as usize - 1], if led == 3 { 2 } else { 3 });
-    led.tells(|s| s.trouble.is_empty());
+    led.tells(|s| s.faults.is_empty());
     // Nobody listens where the third did; then a keeper of another group does that has the same
     // site and number.
     let way = site.way(third);
@@ -1106,7 +1123,7 @@
     way.aim(foreign.at.parse().expect("an address"));
     trouble(led, third, "a keeper of site \"south\"");
     way.aim(keepers[third as usize - 1].at.parse().expect("an address"));
-    led.tells(|s| s.trouble.is_empty());
+    led.tells(|s| s.faults.is_empty());
     led.says(": is reached");
 }
 
@@ -1117,47 +1134,48 @@
     let keeper = site.start(1);
     keeper.says("keeper 1 of north: leads in term");
     let begun = Instant::now();
-    let mut lines: Vec<TcpStream> = (0..300).map(|_| keeper.line(Who::Agent)).collect();
+    let mut lines: Vec<TcpStream> = (0..300).map(|_| keeper.line(PeerRole::Agent)).collect();
     for (n, line) in lines.iter_mut().enumerate() {
-        let open = FromAgent::Open {
+        let open = AgentToReplica::OpenSession {
             sender: format!("n{n}"),
             boot: 1,
             zone: "a".into(),
-            has: 0,
+            record_version: 0,
             stored: None,
         };
-        framing::write_blocking(line, &open, MOST).expect("written");
+        framing::write_blocking(line, &open, MAX_FRAME_BYTES).expect("written");
     }
     for line in &mut lines {
-        let told: ToAgent = framing::read_blocking(line, MOST).expect("an answer");
-        assert!(!matches!(told, ToAgent::Elsewhere(_)), "{told:?}");
+        let told: ReplicaToAgent =
+            framing::read_blocking(line, MAX_FRAME_BYTES).expect("an answer");
+        assert!(!matches!(told, ReplicaToAgent::NotLeader(_)), "{told:?}");
     }
     eprintln!("300 agents in {} ms", begun.elapsed().as_millis());
     // Each of these ends its own line.
-    let torn = |bytes: &[u8], who: Option<Who>| {
-        let mut stream = match who {
-            Some(who) => keeper.line(who),
+    let torn = |bytes: &[u8], role: Option<PeerRole>| {
+        let mut stream = match role {
+            Some(role) => keeper.line(role),
             None => TcpStream::connect(&keeper.at).expect("connected"),
         };
         stream
             .set_read_timeout(Some(Duration::from_secs(30)))
             .expect("set");
         stream.write_all(bytes).expect("written");
-        let end: Result<ToAgent, _> = framing::read_blocking(&mut stream, MOST);
+        let end: Result<ReplicaToAgent, _> = framing::read_blocking(&mut stream, MAX_FRAME_BYTES);
         assert!(end.is_err(), "{end:?}");
     };
     torn(b"GET / HTTP/1.1\r\nhost: keeper\r\n\r\n", None);
-    torn(&[0xFF; 64], Some(Who::Agent));
-    torn(&[0, 0, 0, 2, 0xFF, 0xFF], Some(Who::Person));
-    torn(&[0, 0, 0, 3, 9, 9, 9], Some(Who::Keeper(7)));
+    torn(&[0xFF; 64], Some(PeerRole::Agent));
+    torn(&[0, 0, 0, 2, 0xFF, 0xFF], Some(PeerRole::Operator));
+    torn(&[0, 0, 0, 3, 9, 9, 9], Some(PeerRole::Replica(7)));
     let mut stream = TcpStream::connect(&keeper.at).expect("connected");
-    let south = Hello {
-        version: VERSION,
+    let south = Handshake {
+        version: PROTOCOL_VERSION,
         site: "south".into(),
-        who: Who::Person,
+        role: PeerRole::Operator,
     };
-    framing::write_blocking(&mut stream, &south, MOST).expect("written");
-    let shut: Result<ToPerson, _> = framing::read_blocking(&mut stream, MOST);
+    framing::write_blocking(&mut stream, &south, MAX_FRAME_BYTES).expect("written");
+    let shut: Result<OperatorResponse, _> = framing::read_blocking(&mut stream, MAX_FRAME_BYTES);
     assert!(shut.is_err(), "{shut:?}");
     assert_eq!(keeper.status().leader, 1);
 }
@@ -1222,25 +1240,25 @@
     let site = Site::new(3);
     (1..=3).for_each(|n| drop(site.file(n, &[1, 2, 3], true)));
     let keepers: Vec<Keeper> = (1..=3).map(|n| site.start(n)).collect();
-    let led = leader(keepers.iter()).status().keeper as usize - 1;
+    let led = leader(keepers.iter()).status().replica as usize - 1;
     (site, keepers, led)
 }
 
 /// Opens a session of a new sender, and gives how long the keepers took to agree to it.
 fn joins(line: &mut TcpStream, sender: &str) -> Duration {
-    let open = FromAgent::Open {
+    let open = AgentToReplica::OpenSession {
         sender: sender.into(),
         boot: 1,
         zone: "a".into(),
-        has: 0,
+        record_version: 0,
         stored: None,
     };
     let asked = Instant::now();
-    framing::write_blocking(line, &open, MOST).expect("written");
+    framing::write_blocking(line, &open, MAX_FRAME_BYTES).expect("written");
     loop {
-        match framing::read_blocking(line, MOST).expect("an answer") {
-            ToAgent::Renewed { report: 0, .. } => return asked.elapsed(),
-            ToAgent::Elsewhere(to) => panic!("{to:?} leads"),
+        match framing::read_blocking(line, MAX_FRAME_BYTES).expect("an answer") {
+            ReplicaToAgent::LeaseRenewed { report: 0, .. } => return asked.elapsed(),
+            ReplicaToAgent::NotLeader(to) => panic!("{to:?} leads"),
             _ => {}
         }
     }
@@ -1275,7 +1293,7 @@
                 .and_then(|()| file.sync_data())
                 .expect("written");
             plain.push(asked.elapsed());
-            let mut line = keepers[led].line(Who::Agent);
+            let mut line = keepers[led].line(PeerRole::Agent);
             agreed.push(joins(&mut line, &format!("n{n}")));
         }
         vec![spread(agreed), spread(plain)]
@@ -1296,7 +1314,7 @@
         let mut keepers: BTreeMap<u64, Keeper> = (1..).zip(keepers).collect();
         let mut without = Vec::new();
         for _ in 0..20 {
-            let led = leader(keepers.values()).status().keeper;
+            let led = leader(keepers.values()).status().replica;
             drop(keepers.remove(&led));
             let gone = Instant::now();
             leader(keepers.values());
@@ -1323,7 +1341,7 @@
             move || {
                 together.wait();
                 let asked = Instant::now();
-                joins(&mut line(at, Who::Agent), &format!("n{n}"));
+                joins(&mut line(at, PeerRole::Agent), &format!("n{n}"));
                 asked.elapsed()
             }
         };
