--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -8,7 +8,7 @@
 #[path = "common/printed.rs"]
 mod printed;
 
-use raildeal::coordination::messages::ToAgent;
+use raildeal::coordination::messages::ReplicaToAgent;
 use raildeal::coordination::policy_rollout::document::Document;
 use raildeal::coordination::policy_rollout::plan::Plan;
 use raildeal::coordination::policy_rollout::register::{Change, Step};
@@ -69,7 +69,7 @@
     leaders: Vec<Leader>,
     senders: [Sender; 3],
     /// Words to senders: which, the line, and what.
-    words: Vec<(usize, (u64, u64), ToAgent)>,
+    words: Vec<(usize, (u64, u64), ReplicaToAgent)>,
     lines: u64,
     /// What still may go wrong: elections, losses (and returns to a deposed leader), doublings,
     /// leases that end, restarts, refusals.
@@ -216,7 +216,7 @@
         let leader = &mut s.leaders[at];
         let base = leader.record.policies.turn;
         if let Some(change) = change.filter(|_| leads) {
-            leader.proposed.push(Command::Policy {
+            leader.proposed.push(Command::ChangePolicies {
                 base,
                 change: Box::new(change),
             });
@@ -276,7 +276,7 @@
                 continue;
             }
             s.were.insert(is.number);
-            let ended = matches!(&command, Command::Policy { change, .. } if matches!(**change, Change::End { .. }));
+            let ended = matches!(&command, Command::ChangePolicies { change, .. } if matches!(**change, Change::End { .. }));
             let live = |n: usize| {
                 record
                     .roster
@@ -300,15 +300,17 @@
         }
         let leader = &mut s.leaders[at];
         match &command {
-            Command::Policy { change, .. } => leader.roll.applied(now, index, change, &record),
-            Command::Join { sender, boot, .. } => {
+            Command::ChangePolicies { change, .. } => {
+                leader.roll.applied(now, index, change, &record)
+            }
+            Command::AddSender { sender, boot, .. } => {
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
                 // It waits for its session on this line.
                 if s.senders[n].boot == *boot && s.senders[n].line.0 == s.leaders[at].term {
                     self.meets(s, at, n);
                 }
             }
-            Command::Lapse { sender, .. } => {
+            Command::ExpireSender { sender, .. } => {
                 leader.roll.part(sender);
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
                 if s.senders[n].line.0 == leader.term {
@@ -327,7 +329,7 @@
         let has = s.senders[n]
             .stored
             .iter()
-            .filter_map(|number| Some((*number, policies.print(*number)?)));
+            .filter_map(|number| Some((*number, policies.digest(*number)?)));
         let stored: Vec<_> = has.collect();
         leader.roll.meet(&name(n), s.senders[n].boot, Some(&stored));
         if !s.senders[n].lease {
@@ -342,7 +344,7 @@
         s: &mut State,
         n: usize,
         line: (u64, u64),
-        word: &ToAgent,
+        word: &ReplicaToAgent,
         lost: bool,
         refuses: bool,
     ) {
@@ -353,7 +355,7 @@
         let at = s.leaders.iter().position(|l| l.term == line.0);
         let mut rules = None;
         match word {
-            ToAgent::Offer { number, .. } => {
+            ReplicaToAgent::OfferPolicy { number, .. } => {
                 if !refuses {
                     sender.stored.insert(*number);
                 }
@@ -367,7 +369,7 @@
                     .filter(|(now, paused)| !paused && now == number && !refuses)
                     .map(|_| turn);
             }
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn,
                 number,
                 paused,
@@ -400,28 +402,28 @@
     fn init_states(&self) -> Vec<State> {
         let mut log = Vec::new();
         for (n, zone) in ZONES.iter().enumerate() {
-            log.push(Command::Join {
+            log.push(Command::AddSender {
                 sender: name(n),
                 boot: 1,
                 zone: zone.to_string(),
             });
         }
-        let print = Document::parse("limits.slots = 9")
+        let digest = Document::parse("limits.slots = 9")
             .expect("a policy")
-            .print();
+            .digest();
         let mut changes = vec![Change::Propose {
             text: "limits.slots = 9".into(),
-            print,
+            digest,
             plan: plan(),
         }];
         if self.back {
             let stage = [Change::Pause, Change::Commit, Change::Next];
             changes.extend(stage.iter().cloned().chain(stage.iter().cloned()));
             changes.push(Change::Back {
-                own: Document::default().print(),
+                own: Document::default().digest(),
             });
         }
-        let policy = |(turn, change)| Command::Policy {
+        let policy = |(turn, change)| Command::ChangePolicies {
             base: turn as u64,
             change: Box::new(change),
         };
@@ -486,7 +488,7 @@
             if s.left[2] > 0 {
                 actions.push(Action::Arrives(at, false, true));
             }
-            if s.left[5] > 0 && matches!(s.words[at].2, ToAgent::Offer { .. }) {
+            if s.left[5] > 0 && matches!(s.words[at].2, ReplicaToAgent::OfferPolicy { .. }) {
                 actions.push(Action::Refuses(at));
             }
         }
@@ -514,7 +516,7 @@
                 && !s.leaders[last]
                     .proposed
                     .iter()
-                    .any(|c| matches!(c, Command::Lapse { .. }))
+                    .any(|c| matches!(c, Command::ExpireSender { .. }))
             {
                 actions.push(Action::Lapses(n));
             }
@@ -582,15 +584,14 @@
                     .roster
                     .get(&name(n))
                     .is_some_and(|m| m.live && m.boot == boot);
-                let ends =
-                    |c: &Command| matches!(c, Command::Lapse { sender, .. } if *sender == name(n));
+                let ends = |c: &Command| matches!(c, Command::ExpireSender { sender, .. } if *sender == name(n));
                 if live && !s.leaders[at].proposed.iter().any(ends) {
                     self.meets(&mut s, at, n);
                 } else {
                     let (sender, zone) = (name(n), ZONES[n].to_string());
                     s.leaders[at]
                         .proposed
-                        .push(Command::Join { sender, boot, zone });
+                        .push(Command::AddSender { sender, boot, zone });
                 }
             }
             Action::Expires(n) => {
@@ -601,7 +602,7 @@
             Action::Lapses(n) => {
                 s.left[3] = s.left[3].saturating_sub(u8::from(s.senders[n].lease));
                 let boot = s.leaders[leads].record.roster[&name(n)].boot;
-                s.leaders[leads].proposed.push(Command::Lapse {
+                s.leaders[leads].proposed.push(Command::ExpireSender {
                     sender: name(n),
                     boot,
                 });
@@ -633,7 +634,7 @@
         fn taken(s: &State, what: fn(&Change) -> bool) -> bool {
             s.log
                 .iter()
-                .any(|c| matches!(c, Command::Policy { change, .. } if what(change)))
+                .any(|c| matches!(c, Command::ChangePolicies { change, .. } if what(change)))
         }
         if self.back {
             properties.push(Property::<Self>::sometimes("it is done", |_, s: &State| {
--- a/tests/model_tables/agreed.rs
+++ b/tests/model_tables/agreed.rs
@@ -94,7 +94,7 @@
         by: "s".into(),
         key,
         text: format!("# {key}"),
-        print: [key as u8; 32],
+        digest: [key as u8; 32],
         within_ms: 1,
     }
 }
--- a/tests/model_tables/sites.rs
+++ b/tests/model_tables/sites.rs
@@ -5,7 +5,9 @@
 //! is in office loses its lease.
 
 use super::printed;
-use raildeal::coordination::messages::{FromSender, Print, Stance, ToSender};
+use raildeal::coordination::messages::{
+    AgentTableMessage, Digest, ReplicaTableMessage, SiteAdmission,
+};
 use raildeal::coordination::record::{Command, Record};
 use raildeal::coordination::routing_table::cutover::{Known, Out, Switch};
 use raildeal::coordination::routing_table::federation::{self, Federation, DECIDED};
@@ -72,9 +74,9 @@
     lease: bool,
     /// Steps without a leader that renews.
     alone: u8,
-    heard: Option<(u64, Stance)>,
+    heard: Option<(u64, SiteAdmission)>,
     turn: u64,
-    stored: BTreeMap<u64, Print>,
+    stored: BTreeMap<u64, Digest>,
 }
 
 #[derive(Clone, Debug)]
@@ -88,7 +90,7 @@
     /// The federation counts it in until then, as far as anybody was told.
     counted: u64,
     /// Words to senders: which, the line, and what.
-    words: Vec<(usize, (u64, u64), ToSender)>,
+    words: Vec<(usize, (u64, u64), ReplicaTableMessage)>,
 }
 
 /// What still may go wrong.
@@ -211,7 +213,7 @@
         let sender = &s.sites[at].senders[n];
         let (number, stance) = sender.heard.filter(|_| sender.lease)?;
         let has = number == 0 || sender.stored.contains_key(&number);
-        (stance == Stance::Open && has).then_some(number)
+        (stance == SiteAdmission::Open && has).then_some(number)
     }
 
     /// What must hold at any time.
@@ -263,7 +265,7 @@
                 let on = before.sites.contains_key(&s.sites[at].number);
                 let site = &s.sites[at];
                 let said = site.log.iter().any(
-                    |c| matches!(c, Command::Table { change, .. } if **change == Change::Accept { number }),
+                    |c| matches!(c, Command::ChangeTables { change, .. } if **change == Change::Accept { number }),
                 );
                 if on && !said {
                     s.wrong.push("decided without the word of all");
@@ -314,7 +316,7 @@
                         continue;
                     }
                     let base = leader.record.tables.turn;
-                    let command = Command::Table {
+                    let command = Command::ChangeTables {
                         base,
                         change: Box::new(change),
                     };
@@ -363,7 +365,7 @@
             .tick(now, &leader.record, Some(&known), &mut out);
         let tables = &leader.record.tables;
         let fault = match self.fault {
-            Fault::Hasty if tables.register.stance == Stance::Paused => Some(Change::Commit),
+            Fault::Hasty if tables.register.stance == SiteAdmission::Paused => Some(Change::Commit),
             Fault::Accepts => {
                 tables
                     .offered
@@ -423,7 +425,7 @@
         self.commit(
             s,
             at,
-            Command::Beat {
+            Command::AdvanceClock {
                 term,
                 beat: 1,
                 ms: (now - led) as u32,
@@ -454,11 +456,11 @@
             }
         }
         match &command {
-            Command::Table { change, .. } => {
+            Command::ChangeTables { change, .. } => {
                 let leader = &mut s.sites[at].leaders[which];
                 leader.switch.applied(now, index, change, &record);
             }
-            Command::Join { sender, boot, .. } => {
+            Command::AddSender { sender, boot, .. } => {
                 let n = (0..SENDERS)
                     .find(|n| name(*n) == *sender)
                     .expect("a sender");
@@ -466,7 +468,7 @@
                     self.meets(s, at, which, n);
                 }
             }
-            Command::Lapse { sender, .. } => {
+            Command::ExpireSender { sender, .. } => {
                 s.sites[at].leaders[which].switch.part(sender);
             }
             _ => {}
@@ -479,11 +481,11 @@
         let site = &mut s.sites[at];
         let (leader, sender) = (&mut site.leaders[which], &mut site.senders[n]);
         leader.switch.meet(&name(n), sender.boot);
-        let has = FromSender::Has(
+        let has = AgentTableMessage::StoredTables(
             sender
                 .stored
                 .iter()
-                .map(|(number, print)| (*number, *print))
+                .map(|(number, digest)| (*number, *digest))
                 .collect(),
         );
         if !sender.lease {
@@ -503,7 +505,7 @@
         &self,
         s: &mut State,
         at: usize,
-        word: (usize, (u64, u64), ToSender),
+        word: (usize, (u64, u64), ReplicaTableMessage),
         lost: bool,
         refuses: bool,
     ) {
@@ -516,9 +518,9 @@
         }
         let mut answers = Vec::new();
         match word {
-            ToSender::Offer { number, print, .. } => {
+            ReplicaTableMessage::OfferTable { number, digest, .. } => {
                 if !refuses {
-                    sender.stored.insert(number, print);
+                    sender.stored.insert(number, digest);
                     while sender.stored.len() > 3 {
                         let uses = sender.heard.map_or(0, |h| h.0);
                         let first = sender
@@ -530,27 +532,29 @@
                         sender.stored.remove(&first);
                     }
                 }
-                answers.push(FromSender::Stored {
+                answers.push(AgentTableMessage::TableChecked {
                     number,
                     refused: refuses.then(|| "no".into()),
                 });
-                if sender.heard == Some((number, Stance::Open)) && !refuses {
-                    answers.push(FromSender::Rules { turn: sender.turn });
+                if sender.heard == Some((number, SiteAdmission::Open)) && !refuses {
+                    answers.push(AgentTableMessage::TableApplied { turn: sender.turn });
                 }
             }
-            ToSender::Rule {
+            ReplicaTableMessage::ApplyTable {
                 turn,
                 number,
-                stance,
+                admission: stance,
             } => {
                 if turn < sender.turn && self.fault != Fault::ObeysEarlier {
                     return;
                 }
                 if sender.lease {
                     (sender.turn, sender.heard) = (turn, Some((number, stance)));
-                    if stance != Stance::Open || number == 0 || sender.stored.contains_key(&number)
+                    if stance != SiteAdmission::Open
+                        || number == 0
+                        || sender.stored.contains_key(&number)
                     {
-                        answers.push(FromSender::Rules { turn });
+                        answers.push(AgentTableMessage::TableApplied { turn });
                     }
                 }
             }
@@ -597,11 +601,12 @@
             .roster
             .get(&name(n))
             .is_some_and(|m| m.live && m.boot == boot);
-        let ends = |c: &Command| matches!(c, Command::Lapse { sender, .. } if *sender == name(n));
+        let ends =
+            |c: &Command| matches!(c, Command::ExpireSender { sender, .. } if *sender == name(n));
         if live && !leader.proposed.iter().any(ends) {
             self.meets(s, at, which, n);
         } else {
-            leader.proposed.push(Command::Join {
+            leader.proposed.push(Command::AddSender {
                 sender: name(n),
                 boot,
                 zone: "a".into(),
@@ -619,7 +624,7 @@
                 self.commit(
                     s,
                     at,
-                    Command::Beat {
+                    Command::AdvanceClock {
                         term,
                         beat: s.now,
                         ms: STEP as u32,
@@ -656,9 +661,9 @@
                     .get(&name(n))
                     .filter(|m| m.live && m.boot <= sender.boot);
                 let gone = !sender.lease || live.is_some_and(|m| m.boot < sender.boot);
-                let waits = leader.proposed.iter().any(|c| matches!(c, Command::Lapse { sender, .. } | Command::Join { sender, .. } if *sender == name(n)));
+                let waits = leader.proposed.iter().any(|c| matches!(c, Command::ExpireSender { sender, .. } | Command::AddSender { sender, .. } if *sender == name(n)));
                 if let Some(m) = live.filter(|_| gone && !dead && !waits) {
-                    leader.proposed.push(Command::Lapse {
+                    leader.proposed.push(Command::ExpireSender {
                         sender: name(n),
                         boot: m.boot,
                     });
@@ -869,7 +874,9 @@
                 if s.left.doubled > 0 {
                     actions.push(Action::Arrives(at, w, false, true));
                 }
-                if s.left.refusals > 0 && matches!(site.words[w].2, ToSender::Offer { .. }) {
+                if s.left.refusals > 0
+                    && matches!(site.words[w].2, ReplicaTableMessage::OfferTable { .. })
+                {
                     actions.push(Action::Refuses(at, w));
                 }
             }
@@ -1025,7 +1032,7 @@
                         by: "s0".into(),
                         key,
                         text: format!("# {key}"),
-                        print: [key as u8; 32],
+                        digest: [key as u8; 32],
                         within_ms: 20 * STEP,
                     },
                 );
--- a/tests/model_zones.rs
+++ b/tests/model_zones.rs
@@ -8,7 +8,10 @@
 mod printed;
 
 use raildeal::coordination::leader::{Effect, LeaderDuties, LeaderRules};
-use raildeal::coordination::messages::{Counts, FromAgent, Listed, Seen, ToAgent, Want};
+use raildeal::coordination::messages::{
+    AgentToReplica, AttemptLeaseRequest, CallCounts, ListedZoneCapacity, ReplicaToAgent,
+    ZoneCallCounts,
+};
 use raildeal::coordination::record::{Command, Phase, Record};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeMap;
@@ -128,13 +131,13 @@
 }
 
 /// Zones 0 and 1 have destination 1 between them alone, 2 and 3 destination 2.
-fn listed() -> Vec<Listed> {
+fn listed() -> Vec<ListedZoneCapacity> {
     (0..4)
-        .map(|z| Listed {
+        .map(|z| ListedZoneCapacity {
             zone: format!("z{z}"),
             dest: 1 + z / 2,
             endpoints: 1,
-            rate: RATE,
+            calls_per_second: RATE,
         })
         .collect()
 }
@@ -161,20 +164,20 @@
         };
         for n in 0..3u64 {
             let (sender, boot, zone) = (format!("n{n}"), s.boots[n as usize], format!("o{n}"));
-            let open = FromAgent::Open {
+            let open = AgentToReplica::OpenSession {
                 sender,
                 boot,
                 zone,
-                has: 1,
+                record_version: 1,
                 stored: None,
             };
-            let tell = FromAgent::Tell {
+            let tell = AgentToReplica::Report {
                 report: s.reports[n as usize],
-                has: 1,
-                seen: Vec::new(),
+                record_version: 1,
+                call_counts: Vec::new(),
                 listed: Some(listed()),
-                wants: Vec::new(),
-                health: Vec::new(),
+                lease_requests: Vec::new(),
+                outcomes: Vec::new(),
             };
             let mut out = Vec::new();
             for word in [open, tell] {
@@ -208,13 +211,13 @@
                     // What one proposes that is deposed is never committed.
                     let leads = s.leaders.iter().all(|l| l.term <= term);
                     if leads
-                        && !matches!(command, Command::Beat { .. })
+                        && !matches!(command, Command::AdvanceClock { .. })
                         && s.leaders[at].proposed.len() < 3
                     {
                         s.leaders[at].proposed.push(command);
                     }
                 }
-                Effect::Send(_, ToAgent::Grant(g)) => {
+                Effect::Send(_, ReplicaToAgent::GrantAttempts(g)) => {
                     let (from, to) = (s.now, s.now + u64::from(g.within_ms));
                     if s.granted.iter().any(|old| old.term < term && old.to > from) {
                         s.wrong.push("granted while an earlier term's grant holds");
@@ -226,7 +229,7 @@
                     s.granted.push(Granted {
                         term,
                         to,
-                        calls: g.calls,
+                        calls: g.attempts,
                     });
                     // All calls of the window's length could come at once.
                     let long = u64::from(rules().zones.overload_window_ms);
@@ -246,8 +249,8 @@
     fn apply(&self, record: &mut Record, index: u64, command: &Command) {
         let mut command = command.clone();
         match (&mut command, self.fault) {
-            (Command::Order { base, .. }, Fault::AnyBase) => *base = record.epoch,
-            (Command::Lapse { sender, boot }, Fault::AnyBoot) => {
+            (Command::SetZonePhase { base, .. }, Fault::AnyBase) => *base = record.epoch,
+            (Command::ExpireSender { sender, boot }, Fault::AnyBoot) => {
                 *boot = record.roster.get(sender).map_or(*boot, |m| m.boot);
             }
             _ => {}
@@ -302,7 +305,7 @@
             if (is_out("z0") && is_out("z1")) || (is_out("z2") && is_out("z3")) {
                 s.wrong.push("a destination's last route");
             }
-            if let Command::Lapse { boot, .. } = &command {
+            if let Command::ExpireSender { boot, .. } = &command {
                 let ended = boots
                     .iter()
                     .any(|(n, b)| b != boot && !after.roster[n].live);
@@ -323,7 +326,7 @@
         let mut record = Record::default();
         let mut log = Vec::new();
         for n in 0..3 {
-            log.push(Command::Join {
+            log.push(Command::AddSender {
                 sender: format!("n{n}"),
                 boot: 1,
                 zone: format!("o{n}"),
@@ -332,7 +335,7 @@
         if self.returning {
             let order = |base, phase| {
                 let (zone, out, why) = ("z0".to_string(), vec![(1, 1.0)], String::new());
-                Command::Order {
+                Command::SetZonePhase {
                     base,
                     zone,
                     phase,
@@ -479,19 +482,19 @@
             Action::Report(n, at, doubled) => {
                 s.reports[n] += 1;
                 s.leaders[at].heard = s.now;
-                let wants = vec![Want {
+                let wants = vec![AttemptLeaseRequest {
                     zone: "z0".into(),
                     dest: 1,
-                    calls: 4,
+                    attempts: 4,
                 }];
                 let (report, seen) = (s.reports[n], Vec::new());
-                let word = FromAgent::Tell {
+                let word = AgentToReplica::Report {
                     report,
-                    has: s.log.len() as u64,
-                    seen,
+                    record_version: s.log.len() as u64,
+                    call_counts: seen,
                     listed: None,
-                    wants,
-                    health: Vec::new(),
+                    lease_requests: wants,
+                    outcomes: Vec::new(),
                 };
                 for _ in 0..1 + u8::from(doubled) {
                     let (now, mut out) = (self.clock(&s, at), Vec::new());
@@ -507,23 +510,23 @@
                 s.words += 1;
                 for n in 0..3 {
                     s.reports[n] += 1;
-                    let counts = Counts {
+                    let counts = CallCounts {
                         failed: 5,
-                        ..Counts::default()
+                        ..CallCounts::default()
                     };
-                    let seen = vec![Seen {
+                    let seen = vec![ZoneCallCounts {
                         zone: format!("z{zone}"),
                         dest: 1 + zone as u16 / 2,
                         counts,
                     }];
                     let (report, has) = (s.reports[n], s.log.len() as u64);
-                    let word = FromAgent::Tell {
+                    let word = AgentToReplica::Report {
                         report,
-                        has,
-                        seen,
+                        record_version: has,
+                        call_counts: seen,
                         listed: None,
-                        wants: Vec::new(),
-                        health: Vec::new(),
+                        lease_requests: Vec::new(),
+                        outcomes: Vec::new(),
                     };
                     let (now, mut out) = (self.clock(&s, at), Vec::new());
                     let leader = &mut s.leaders[at];
@@ -536,11 +539,11 @@
             Action::Restart(at) => {
                 s.boots[2] += 1;
                 let (sender, boot, zone) = ("n2".to_string(), s.boots[2], "o2".to_string());
-                let open = FromAgent::Open {
+                let open = AgentToReplica::OpenSession {
                     sender,
                     boot,
                     zone,
-                    has: 0,
+                    record_version: 0,
                     stored: None,
                 };
                 let (now, mut out) = (self.clock(&s, at), Vec::new());
@@ -554,9 +557,13 @@
                 s.lapses += 1;
                 let (now, mut out) = (self.clock(&s, at), Vec::new());
                 let leader = &mut s.leaders[at];
-                leader
-                    .duties
-                    .on_agent_message(now, 2, &FromAgent::Leave, &leader.record, &mut out);
+                leader.duties.on_agent_message(
+                    now,
+                    2,
+                    &AgentToReplica::CloseSession,
+                    &leader.record,
+                    &mut out,
+                );
                 self.carry(&mut s, at, out);
             }
         }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -5,7 +5,7 @@
 #[path = "common/keeper.rs"]
 mod stand_in;
 
-use raildeal::coordination::messages::Health;
+use raildeal::coordination::messages::MessageOutcomeCounts;
 use raildeal::coordination::policy_rollout::document::Document;
 use raildeal_test_harness::{directory, record::Record, sender::Sender};
 use serde_json::json;
@@ -124,8 +124,8 @@
         )
     };
     let offer = |number: u64, text: String| {
-        let print = Document::parse(&text).expect("usable").print();
-        keeper.told().offer = Some((number, print, text));
+        let digest = Document::parse(&text).expect("usable").digest();
+        keeper.told().offer = Some((number, digest, text));
         wait("stored or refused", || {
             keeper.told().stored.contains_key(&number)
         });
@@ -180,7 +180,7 @@
     let verdict = heard.verdict();
     assert_eq!((verdict.lost, verdict.doubled), (0, 0));
     // Each is told once, under the policy that it was taken on under.
-    let told = |of: fn(&Health) -> u32| -> u32 {
+    let told = |of: fn(&MessageOutcomeCounts) -> u32| -> u32 {
         keeper
             .told()
             .health
@@ -191,9 +191,9 @@
             .sum()
     };
     wait("all told", || {
-        told(|h| h.delivered + h.late + h.refused + h.failed) == taken
+        told(|h| h.delivered + h.delivered_late + h.deferred + h.failed) == taken
     });
-    assert_eq!(told(|h| h.taken), taken);
+    assert_eq!(told(|h| h.accepted), taken);
     let policies: std::collections::BTreeSet<u64> = keeper
         .told()
         .health
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -7,7 +7,7 @@
 use common::{MS, SEC};
 use raildeal::agent::register::{Kind, Register, Without};
 use raildeal::agent::session::{Entrance, Machine, Needs, Out, Terms};
-use raildeal::coordination::messages::{FromAgent, Print, ToAgent};
+use raildeal::coordination::messages::{AgentToReplica, Digest, ReplicaToAgent};
 use raildeal::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,7 +31,7 @@
     n: usize,
     boot: u64,
     without: Without,
-    stored: BTreeMap<u64, Print>,
+    stored: BTreeMap<u64, Digest>,
     last: u64,
 ) -> Machine {
     let (sender, zone, keepers) = (format!("n{n}"), "a".to_string(), vec![1]);
@@ -46,7 +46,7 @@
     Machine::new(terms, boot, 0).following(Register::new(Kind::Policy, without, stored, last))
 }
 
-fn print(number: u64) -> Print {
+fn digest(number: u64) -> Digest {
     [number as u8; 32]
 }
 
@@ -67,7 +67,7 @@
     off: i64,
     line: u64,
     doorway: Entrance,
-    stored: BTreeMap<u64, Print>,
+    stored: BTreeMap<u64, Digest>,
     last: u64,
     said: u64,
 }
@@ -114,9 +114,9 @@
     senders: Vec<Sender>,
     sessions: Vec<Session>,
     has: Vec<BTreeSet<u64>>,
-    to_keeper: Vec<(Nanos, usize, u64, FromAgent)>,
-    to_agent: Vec<(Nanos, usize, u64, ToAgent)>,
-    checks: Vec<(Nanos, usize, u64, Print)>,
+    to_keeper: Vec<(Nanos, usize, u64, AgentToReplica)>,
+    to_agent: Vec<(Nanos, usize, u64, ReplicaToAgent)>,
+    checks: Vec<(Nanos, usize, u64, Digest)>,
     rule: (u64, u64, bool),
     change: Change,
     proposed: u64,
@@ -172,7 +172,7 @@
             .collect()
     }
 
-    fn say(&mut self, n: usize, word: ToAgent) {
+    fn say(&mut self, n: usize, word: ReplicaToAgent) {
         let line = self.sessions[n].line;
         for at in self.arrivals() {
             self.to_agent.push((at, n, line, word.clone()));
@@ -185,7 +185,7 @@
                 Out::Connect { line, .. } => self.senders[n].line = line,
                 Out::HangUp => self.senders[n].line = 0,
                 Out::Say(word) => {
-                    if let FromAgent::Rules { turn } = word {
+                    if let AgentToReplica::PolicyApplied { turn } = word {
                         let sender = &mut self.senders[n];
                         assert!(turn >= sender.said, "turn {turn} after {}", sender.said);
                         sender.said = turn;
@@ -195,9 +195,9 @@
                         self.to_keeper.push((at, n, line, word.clone()));
                     }
                 }
-                Out::Check { number, print, .. } => {
+                Out::Check { number, digest, .. } => {
                     let at = self.now + self.dice.u64(1..300) * MS;
-                    self.checks.push((at, n, number, print));
+                    self.checks.push((at, n, number, digest));
                 }
                 Out::Admit(doorway) => {
                     let sender = &mut self.senders[n];
@@ -224,11 +224,11 @@
         self.now + Nanos::from(LEASE_MS) * MS * 102 / 101
     }
 
-    fn keeper_hears(&mut self, n: usize, line: u64, word: FromAgent) {
+    fn keeper_hears(&mut self, n: usize, line: u64, word: AgentToReplica) {
         let live = self.sessions[n].until > self.now;
         let own = live && self.sessions[n].line == line;
         match word {
-            FromAgent::Open { boot, stored, .. } => {
+            AgentToReplica::OpenSession { boot, stored, .. } => {
                 // One that was said long ago by a process before this one, or on a connection
                 // before this one, is shut out.
                 if boot != self.senders[n].boot
@@ -251,31 +251,31 @@
                 self.say_rule(n);
                 self.say(
                     n,
-                    ToAgent::Renewed {
+                    ReplicaToAgent::LeaseRenewed {
                         report: 0,
                         lease_ms: LEASE_MS,
                     },
                 );
             }
-            FromAgent::Tell { report, .. } if own => {
+            AgentToReplica::Report { report, .. } if own => {
                 self.sessions[n].until = self.sessions[n].until.max(self.counted());
                 self.say(
                     n,
-                    ToAgent::Renewed {
+                    ReplicaToAgent::LeaseRenewed {
                         report,
                         lease_ms: LEASE_MS,
                     },
                 );
             }
-            FromAgent::Tell { .. } => {
-                let unknown = (self.now + MS, n, line, ToAgent::Unknown);
+            AgentToReplica::Report { .. } => {
+                let unknown = (self.now + MS, n, line, ReplicaToAgent::UnknownSession);
                 self.to_agent.push(unknown);
             }
-            FromAgent::Stored {
+            AgentToReplica::PolicyChecked {
                 number,
                 refused: None,
             } if own => _ = self.has[n].insert(number),
-            FromAgent::Rules { turn } if own => {
+            AgentToReplica::PolicyApplied { turn } if own => {
                 self.sessions[n].turn = self.sessions[n].turn.max(turn)
             }
             _ => {}
@@ -286,7 +286,7 @@
         let (turn, number, paused) = self.rule;
         self.say(
             n,
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn,
                 number,
                 paused,
@@ -325,9 +325,9 @@
                     if number > 0 && !self.has[n].contains(&number) {
                         self.say(
                             n,
-                            ToAgent::Offer {
+                            ReplicaToAgent::OfferPolicy {
                                 number,
-                                print: print(number),
+                                digest: digest(number),
                                 text: String::new(),
                             },
                         );
@@ -392,7 +392,7 @@
             .into_iter()
             .partition(|w| due(self.now, &w.0));
         self.to_keeper = later;
-        let words: Vec<(Nanos, usize, u64, FromAgent)> = words;
+        let words: Vec<(Nanos, usize, u64, AgentToReplica)> = words;
         words
             .into_iter()
             .for_each(|(_, n, line, word)| self.keeper_hears(n, line, word));
@@ -400,7 +400,7 @@
             .into_iter()
             .partition(|w| due(self.now, &w.0));
         self.to_agent = later;
-        let words: Vec<(Nanos, usize, u64, ToAgent)> = words;
+        let words: Vec<(Nanos, usize, u64, ReplicaToAgent)> = words;
         for (_, n, line, word) in words {
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
             self.senders[n].machine.hear(now, line, word, &mut out);
@@ -410,10 +410,10 @@
             .into_iter()
             .partition(|c| due(self.now, &c.0));
         self.checks = later;
-        let checks: Vec<(Nanos, usize, u64, Print)> = checks;
-        for (_, n, number, print) in checks {
+        let checks: Vec<(Nanos, usize, u64, Digest)> = checks;
+        for (_, n, number, digest) in checks {
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
-            self.senders[n].stored.insert(number, print);
+            self.senders[n].stored.insert(number, digest);
             self.senders[n]
                 .machine
                 .checked(now, Kind::Policy, number, Ok(()), &mut out);
@@ -506,14 +506,14 @@
 
 /// An agent in a session that has heard this rule, at 1 s by its clock.
 fn in_session(without: Without, stored: &[u64], rule: (u64, u64, bool)) -> (Machine, Vec<Out>) {
-    let stored = stored.iter().map(|n| (*n, print(*n))).collect();
+    let stored = stored.iter().map(|n| (*n, digest(*n))).collect();
     let (mut agent, mut out) = (machine(0, 9, without, stored, 0), Vec::new());
     agent.tick(SEC, &Nothing, &mut out);
     let (turn, number, paused) = rule;
     agent.hear(
         SEC,
         1,
-        ToAgent::Rule {
+        ReplicaToAgent::ApplyPolicy {
             turn,
             number,
             paused,
@@ -523,7 +523,7 @@
     agent.hear(
         SEC,
         1,
-        ToAgent::Renewed {
+        ReplicaToAgent::LeaseRenewed {
             report: 0,
             lease_ms: LEASE_MS,
         },
@@ -546,7 +546,7 @@
 
 fn rules(out: &[Out]) -> Vec<u64> {
     let turn = |o: &Out| {
-        if let Out::Say(FromAgent::Rules { turn }) = o {
+        if let Out::Say(AgentToReplica::PolicyApplied { turn }) = o {
             Some(*turn)
         } else {
             None
@@ -562,13 +562,13 @@
     assert_eq!(doorways(&out), [Entrance::Fenced, open(3, until)]);
     let at = |wanted: fn(&Out) -> bool| out.iter().position(wanted).expect("there");
     let stands = at(|o| matches!(o, Out::Admit(Entrance::Open { .. })));
-    assert!(stands < at(|o| matches!(o, Out::Say(FromAgent::Rules { turn: 4 }))));
+    assert!(stands < at(|o| matches!(o, Out::Say(AgentToReplica::PolicyApplied { turn: 4 }))));
     let mut hear = |turn, number, paused| {
         let mut out = Vec::new();
         agent.hear(
             SEC + MS,
             1,
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn,
                 number,
                 paused,
@@ -588,16 +588,16 @@
     // A policy that is not written down is not gone by, and no word is given before it is.
     assert_eq!(hear(6, 7, false), (vec![Entrance::Fenced], vec![]));
     let mut out = Vec::new();
-    let offer = ToAgent::Offer {
+    let offer = ReplicaToAgent::OfferPolicy {
         number: 7,
-        print: print(7),
+        digest: digest(7),
         text: "x".into(),
     };
     agent.hear(SEC + MS, 1, offer.clone(), &mut out);
     agent.hear(SEC + MS, 1, offer.clone(), &mut out);
     assert_eq!(out.len(), 1, "checked once: {out:?}");
     agent.checked(SEC + MS, Kind::Policy, 7, Ok(()), &mut out);
-    let stored = Out::Say(FromAgent::Stored {
+    let stored = Out::Say(AgentToReplica::PolicyChecked {
         number: 7,
         refused: None,
     });
@@ -606,9 +606,9 @@
     out.clear();
     agent.hear(SEC + MS, 1, offer, &mut out);
     assert_eq!(out, [stored], "written down already");
-    let offer = ToAgent::Offer {
+    let offer = ReplicaToAgent::OfferPolicy {
         number: 8,
-        print: print(8),
+        digest: digest(8),
         text: "x".into(),
     };
     agent.hear(SEC + MS, 1, offer, &mut out);
@@ -620,7 +620,7 @@
         Err("line 3: no".into()),
         &mut out,
     );
-    assert!(out.contains(&Out::Say(FromAgent::Stored {
+    assert!(out.contains(&Out::Say(AgentToReplica::PolicyChecked {
         number: 8,
         refused: Some("line 3: no".into())
     })));
@@ -637,7 +637,7 @@
         agent.hear(
             SEC + MS,
             1,
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn: 5,
                 number: 3,
                 paused: false,
@@ -647,7 +647,7 @@
         agent.hear(
             SEC + MS,
             1,
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn: 6,
                 number: 3,
                 paused: true,
@@ -661,7 +661,7 @@
         agent.hear(
             late,
             1,
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn: 7,
                 number: 3,
                 paused: false,
@@ -671,7 +671,7 @@
         agent.hear(
             late,
             1,
-            ToAgent::Renewed {
+            ReplicaToAgent::LeaseRenewed {
                 report: 1,
                 lease_ms: 60_000,
             },
@@ -695,7 +695,7 @@
         agent.hear(
             now,
             2,
-            ToAgent::Renewed {
+            ReplicaToAgent::LeaseRenewed {
                 report: 0,
                 lease_ms: LEASE_MS,
             },
@@ -705,7 +705,7 @@
         agent.hear(
             now,
             2,
-            ToAgent::Rule {
+            ReplicaToAgent::ApplyPolicy {
                 turn: 9,
                 number: 3,
                 paused: false,
@@ -718,7 +718,7 @@
 
 #[test]
 fn a_sender_that_starts_says_what_it_has_and_goes_by_its_setting() {
-    let stored: BTreeMap<u64, Print> = [(3, print(3))].into();
+    let stored: BTreeMap<u64, Digest> = [(3, digest(3))].into();
     for (without, last, stands) in [
         (Without::Hold, 3, Entrance::Fenced),
         (Without::Last, 3, open(3, None)),
@@ -728,9 +728,9 @@
         agent.tick(SEC, &Nothing, &mut out);
         assert_eq!(doorways(&out), [stands]);
         let has = out.iter().find_map(|o| match o {
-            Out::Say(FromAgent::Open { stored, .. }) => Some(stored.clone()),
+            Out::Say(AgentToReplica::OpenSession { stored, .. }) => Some(stored.clone()),
             _ => None,
         });
-        assert_eq!(has, Some(Some(vec![(3, print(3))])));
+        assert_eq!(has, Some(Some(vec![(3, digest(3))])));
     }
 }
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -10,13 +10,14 @@
 use raildeal::agent::session::{Entrance, Machine, Needs, Out, Terms};
 use raildeal::coordination::leader::{self, LeaderDuties, LeaderRules};
 use raildeal::coordination::messages::{
-    FromAgent, FromPerson, FromSender, Print, Stance, TableOrder, ToAgent, ToPerson, ToSender,
+    AgentTableMessage, AgentToReplica, Digest, FederationRequest, OperatorRequest,
+    OperatorResponse, ReplicaTableMessage, ReplicaToAgent, SiteAdmission,
 };
 use raildeal::coordination::record::{self, Record};
 use raildeal::coordination::routing_table::cutover::{self, Known, Switch};
 use raildeal::coordination::routing_table::federation::{self, Federation};
 use raildeal::coordination::routing_table::tables::Change;
-use raildeal::coordination::sender_registry::OFFERS;
+use raildeal::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use raildeal::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -55,7 +56,7 @@
     AllCounted,
 }
 
-fn machine(n: usize, boot: u64, stored: BTreeMap<u64, Print>, last: u64) -> Machine {
+fn machine(n: usize, boot: u64, stored: BTreeMap<u64, Digest>, last: u64) -> Machine {
     let (sender, zone, keepers) = (format!("n{n}"), "a".to_string(), vec![1]);
     let terms = Terms {
         sender,
@@ -88,7 +89,7 @@
     clock: Clock,
     line: u64,
     entrance: Entrance,
-    stored: BTreeMap<u64, Print>,
+    stored: BTreeMap<u64, Digest>,
     last: u64,
     /// When its last word on each direction of its line arrives, and whether the line has lost one.
     arrives: [Nanos; 2],
@@ -139,9 +140,9 @@
     now: Nanos,
     senders: Vec<Sender>,
     sessions: Vec<Session>,
-    to_keeper: Vec<(Nanos, usize, u64, FromAgent)>,
-    to_agent: Vec<(Nanos, usize, u64, ToAgent)>,
-    checks: Vec<(Nanos, usize, u64, Print, bool)>,
+    to_keeper: Vec<(Nanos, usize, u64, AgentToReplica)>,
+    to_agent: Vec<(Nanos, usize, u64, ReplicaToAgent)>,
+    checks: Vec<(Nanos, usize, u64, Digest, bool)>,
     record: Record,
     index: u64,
     pending: Vec<(Nanos, record::Command)>,
@@ -250,7 +251,7 @@
         vec![sender.arrives[way]; copies.max(1)]
     }
 
-    fn say(&mut self, n: usize, word: ToAgent) {
+    fn say(&mut self, n: usize, word: ReplicaToAgent) {
         let line = self.sessions[n].line;
         for at in self.arrivals(n, 0) {
             self.to_agent.push((at, n, line, word.clone()));
@@ -268,10 +269,12 @@
                 Out::Say(word) => {
                     let line = self.senders[n].line;
                     let at = match word {
-                        FromAgent::Table(FromSender::Has(_)) => self.senders[n].opened.clone(),
+                        AgentToReplica::RoutingTable(AgentTableMessage::StoredTables(_)) => {
+                            self.senders[n].opened.clone()
+                        }
                         _ => self.arrivals(n, 1),
                     };
-                    if let FromAgent::Open { .. } = word {
+                    if let AgentToReplica::OpenSession { .. } = word {
                         self.senders[n].opened.clone_from(&at);
                     }
                     self.to_keeper
@@ -280,7 +283,7 @@
                 Out::Check {
                     kind,
                     number,
-                    print,
+                    digest,
                     ..
                 } => {
                     assert_eq!(kind, Kind::Table);
@@ -292,7 +295,7 @@
                         .as_ref()
                         .is_some_and(|o| !o.accepted);
                     let fits = !self.bad || !runs || self.dice.u8(..40) > 0;
-                    self.checks.push((at, n, number, print, fits));
+                    self.checks.push((at, n, number, digest, fits));
                 }
                 Out::Admit(entrance) => {
                     let sender = &mut self.senders[n];
@@ -319,14 +322,14 @@
         self.now + Nanos::from(LEASE_MS) * MS * 102 / 101
     }
 
-    fn keeper_hears(&mut self, n: usize, line: u64, word: FromAgent) {
+    fn keeper_hears(&mut self, n: usize, line: u64, word: AgentToReplica) {
         let (now, sender) = (self.now, format!("n{n}"));
         let Ok(leader) = &mut self.leader else { return };
         let session = &mut self.sessions[n];
         let own =
             session.until > now && session.line == line && session.boot == self.senders[n].boot;
         match word {
-            FromAgent::Open { boot, .. } => {
+            AgentToReplica::OpenSession { boot, .. } => {
                 if boot != self.senders[n].boot || line < session.line && boot == session.boot {
                     return;
                 }
@@ -342,7 +345,7 @@
                 };
                 leader.switch.meet(&sender, boot);
                 if !live {
-                    self.apply(record::Command::Join {
+                    self.apply(record::Command::AddSender {
                         sender,
                         boot,
                         zone: "a".into(),
@@ -351,25 +354,28 @@
                 self.sessions[n].until = self.counted().max(self.sessions[n].until);
                 self.say(
                     n,
-                    ToAgent::Renewed {
+                    ReplicaToAgent::LeaseRenewed {
                         report: 0,
                         lease_ms: LEASE_MS,
                     },
                 );
             }
-            FromAgent::Tell { report, .. } if own => {
+            AgentToReplica::Report { report, .. } if own => {
                 leader.switch.reports(&sender);
                 self.sessions[n].until = self.sessions[n].until.max(self.counted());
                 self.say(
                     n,
-                    ToAgent::Renewed {
+                    ReplicaToAgent::LeaseRenewed {
                         report,
                         lease_ms: LEASE_MS,
                     },
                 );
             }
-            FromAgent::Tell { .. } => self.to_agent.push((now + MS, n, line, ToAgent::Unknown)),
-            FromAgent::Table(word) if own => {
+            AgentToReplica::Report { .. } => {
+                self.to_agent
+                    .push((now + MS, n, line, ReplicaToAgent::UnknownSession))
+            }
+            AgentToReplica::RoutingTable(word) if own => {
                 let (at, mut out) = (leader.clock.at(now), Vec::new());
                 leader
                     .switch
@@ -387,12 +393,12 @@
             return;
         }
         let (at, mut said) = (leader.clock.at(self.now), Vec::new());
-        let (mut offers, say) = (OFFERS, &mut |word| said.push(word));
+        let (mut offers, say) = (MAX_OFFERS_PER_ROUND, &mut |word| said.push(word));
         leader
             .switch
             .say(at, &format!("n{n}"), &self.record, &mut offers, say);
         said.into_iter()
-            .for_each(|word| self.say(n, ToAgent::Table(word)));
+            .for_each(|word| self.say(n, ReplicaToAgent::RoutingTable(word)));
     }
 
     fn carry_out(&mut self, out: Vec<cutover::Out>) {
@@ -412,7 +418,7 @@
                         }),
                         _ => None,
                     };
-                    let table = |base, change| record::Command::Table {
+                    let table = |base, change| record::Command::ChangeTables {
                         base,
                         change: Box::new(change),
                     };
@@ -431,7 +437,7 @@
     }
 
     /// A sender, as the record has it, if it lives.
-    fn member(&self, n: usize) -> Option<&record::Member> {
+    fn member(&self, n: usize) -> Option<&record::RosterEntry> {
         self.record.roster.get(&format!("n{n}")).filter(|m| m.live)
     }
 
@@ -440,10 +446,10 @@
         self.index += 1;
         let before = self.record.tables.turn;
         self.record.apply(self.index, &command);
-        if let record::Command::Beat { .. } = command {
+        if let record::Command::AdvanceClock { .. } = command {
             self.led = self.now;
         }
-        let record::Command::Table { change, .. } = &command else {
+        let record::Command::ChangeTables { change, .. } = &command else {
             return;
         };
         if let Ok(leader) = &mut self.leader {
@@ -498,12 +504,12 @@
             if (self.bad || quiet) && federation.may_propose("").is_ok() && self.dice.u8(..5) == 0 {
                 self.key += 1;
                 let (by, key, text) = ("s2".into(), self.key, format!("# {}", self.key));
-                let print = [self.key as u8; 32];
+                let digest = [self.key as u8; 32];
                 commands.push(Command::Propose {
                     by,
                     key,
                     text,
-                    print,
+                    digest,
                     within_ms: 8_000,
                 });
             }
@@ -615,7 +621,7 @@
             let (sender, session) = (format!("n{n}"), self.sessions[n]);
             let m = self.record.roster.get(&sender);
             if m.is_some_and(|m| m.live) && session.until <= self.now {
-                self.apply(record::Command::Lapse {
+                self.apply(record::Command::ExpireSender {
                     sender: sender.clone(),
                     boot: session.boot,
                 });
@@ -629,7 +635,7 @@
             leader.counted += Nanos::from(ms) * MS;
             self.pending.push((
                 self.now + 5 * MS,
-                record::Command::Beat {
+                record::Command::AdvanceClock {
                     term: 1,
                     beat: 1,
                     ms,
@@ -694,7 +700,7 @@
             .into_iter()
             .partition(|c| due(self.now, &c.0));
         self.checks = later;
-        for (_, n, number, print, fits) in checks {
+        for (_, n, number, digest, fits) in checks {
             let (mut out, sender) = (Vec::new(), &mut self.senders[n]);
             let now = sender.clock.at(self.now);
             let needs = sender.machine.needs(Kind::Table);
@@ -714,7 +720,7 @@
                 false => Err("line 3: no".to_string()),
             };
             if fits {
-                sender.stored.insert(number, print);
+                sender.stored.insert(number, digest);
                 sender.refused.remove(&number);
             } else {
                 sender.refused.insert(number);
@@ -837,8 +843,8 @@
     /// Whether the other site is heard, and this one counted in.
     linked: bool,
     lease: Option<Nanos>,
-    said: Vec<(u64, ToAgent)>,
-    answers: Vec<ToPerson>,
+    said: Vec<(u64, ReplicaToAgent)>,
+    answers: Vec<OperatorResponse>,
 }
 
 impl Site {
@@ -933,7 +939,7 @@
         }
     }
 
-    fn hear(&mut self, line: u64, words: &[FromAgent]) -> Vec<ToAgent> {
+    fn hear(&mut self, line: u64, words: &[AgentToReplica]) -> Vec<ReplicaToAgent> {
         let mut out = Vec::new();
         self.said.clear();
         // What comes together comes before the record has anything of it.
@@ -945,13 +951,13 @@
         self.said.iter().map(|(_, word)| word.clone()).collect()
     }
 
-    fn order(&mut self, word: TableOrder) {
+    fn order(&mut self, word: FederationRequest) {
         let mut out = Vec::new();
         self.answers.clear();
         self.duties.on_operator_request(
             self.now,
             99,
-            &FromPerson::Table(word),
+            &OperatorRequest::Federation(word),
             &self.record,
             &mut out,
         );
@@ -965,17 +971,23 @@
             self.said.clear();
             self.pass(50 * MS);
             for (line, word) in std::mem::take(&mut self.said) {
-                let ToAgent::Table(word) = word else { continue };
+                let ReplicaToAgent::RoutingTable(word) = word else {
+                    continue;
+                };
                 let answer = match word {
                     _ if !lines.contains(&line) => continue,
-                    ToSender::Offer { number, .. } => FromSender::Stored {
-                        number,
-                        refused: None,
-                    },
-                    ToSender::Rule { turn, .. } => FromSender::Rules { turn },
+                    ReplicaTableMessage::OfferTable { number, .. } => {
+                        AgentTableMessage::TableChecked {
+                            number,
+                            refused: None,
+                        }
+                    }
+                    ReplicaTableMessage::ApplyTable { turn, .. } => {
+                        AgentTableMessage::TableApplied { turn }
+                    }
                 };
                 let before = std::mem::take(&mut self.said);
-                self.hear(line, &[FromAgent::Table(answer)]);
+                self.hear(line, &[AgentToReplica::RoutingTable(answer)]);
                 self.said.extend(before);
             }
             lines
@@ -985,34 +997,38 @@
     }
 }
 
-fn opens(sender: &str) -> FromAgent {
-    FromAgent::Open {
+fn opens(sender: &str) -> AgentToReplica {
+    AgentToReplica::OpenSession {
         sender: sender.into(),
         boot: 7,
         zone: "a".into(),
-        has: 0,
+        record_version: 0,
         stored: None,
     }
 }
 
-fn tell(report: u64) -> FromAgent {
-    FromAgent::Tell {
+fn tell(report: u64) -> AgentToReplica {
+    AgentToReplica::Report {
         report,
-        has: 0,
-        seen: vec![],
+        record_version: 0,
+        call_counts: vec![],
         listed: None,
-        wants: vec![],
-        health: vec![],
+        lease_requests: vec![],
+        outcomes: vec![],
     }
 }
 
-fn has(tables: &[(u64, Print)]) -> FromAgent {
-    FromAgent::Table(FromSender::Has(tables.to_vec()))
+fn has(tables: &[(u64, Digest)]) -> AgentToReplica {
+    AgentToReplica::RoutingTable(AgentTableMessage::StoredTables(tables.to_vec()))
 }
 
-fn rules(said: &[ToAgent]) -> Vec<(u64, Stance)> {
-    let rule = |word: &ToAgent| match word {
-        ToAgent::Table(ToSender::Rule { number, stance, .. }) => Some((*number, *stance)),
+fn rules(said: &[ReplicaToAgent]) -> Vec<(u64, SiteAdmission)> {
+    let rule = |word: &ReplicaToAgent| match word {
+        ReplicaToAgent::RoutingTable(ReplicaTableMessage::ApplyTable {
+            number,
+            admission: stance,
+            ..
+        }) => Some((*number, *stance)),
         _ => None,
     };
     said.iter().filter_map(rule).collect()
@@ -1022,42 +1038,44 @@
 fn the_office_brings_a_table_from_a_persons_word_into_use_and_holds_beyond_the_lease() {
     let mut site = Site::new();
     let said = site.hear(1, &[opens("n1"), has(&[])]);
-    assert_eq!(rules(&said), [(0, Stance::Open)], "{said:?}");
+    assert_eq!(rules(&said), [(0, SiteAdmission::Open)], "{said:?}");
     assert!(
-        !said.contains(&ToAgent::Unknown),
+        !said.contains(&ReplicaToAgent::UnknownSession),
         "what it has comes before its session: {said:?}"
     );
     site.serve(&[1], SEC);
     let text = "list_alone = true\n".to_string();
-    site.order(TableOrder::Propose {
+    site.order(FederationRequest::ProposeTable {
         text: "[[route]]\ntiers = 3\n".into(),
         within_s: 0,
     });
-    assert!(matches!(&site.answers[..], [ToPerson::Refused(why)] if why.contains("line 2")));
-    let propose = TableOrder::Propose { text, within_s: 10 };
+    assert!(
+        matches!(&site.answers[..], [OperatorResponse::Rejected(why)] if why.contains("line 2"))
+    );
+    let propose = FederationRequest::ProposeTable { text, within_s: 10 };
     site.order(propose.clone());
     site.serve(&[1], 3 * SEC);
     assert!(
-        matches!(site.answers[..], [ToPerson::Done(_)]),
+        matches!(site.answers[..], [OperatorResponse::Done(_)]),
         "{:?}",
         site.answers
     );
     let register = site.record.tables.register;
-    assert_eq!((register.number, register.stance), (1, Stance::Open));
+    assert_eq!((register.number, register.stance), (1, SiteAdmission::Open));
     assert_eq!(site.federation.sites[&1].uses, 1);
     // One whose file lets it follow no tables ends a proposal by its name, wherever that was made.
     site.hear(2, &[opens("n2")]);
     site.hear(2, &[tell(1)]);
     site.order(propose);
     assert!(
-        matches!(&site.answers[..], [ToPerson::Refused(why)] if why.contains("n2") && why.contains("[table]"))
+        matches!(&site.answers[..], [OperatorResponse::Rejected(why)] if why.contains("n2") && why.contains("[table]"))
     );
-    let (by, text, print) = ("s2".to_string(), "list_alone = true\n".to_string(), [1; 32]);
+    let (by, text, digest) = ("s2".to_string(), "list_alone = true\n".to_string(), [1; 32]);
     let command = federation::Command::Propose {
         by,
         key: 1,
         text,
-        print,
+        digest,
         within_ms: 60_000,
     };
     site.federation.apply(900, &command);
@@ -1067,18 +1085,21 @@
         site.federation.proposal.is_none() && end.contains("refused by s1: n2"),
         "{end}"
     );
-    site.hear(2, &[FromAgent::Leave]);
+    site.hear(2, &[AgentToReplica::CloseSession]);
     // Nobody is heard for longer than the lease: nothing is taken on, and nobody hears otherwise,
     // also from the next leader.
     site.linked = false;
     site.serve(&[1], 7 * SEC);
-    assert_eq!(site.record.tables.register.stance, Stance::Held);
+    assert_eq!(
+        site.record.tables.register.stance,
+        SiteAdmission::LeaseExpired
+    );
     let sees = |site: &mut Site| {
         site.serve(&[1], SEC);
-        site.order(TableOrder::Status);
+        site.order(FederationRequest::Status);
         site.answers.pop()
     };
-    let Some(ToPerson::Federation(status)) = sees(&mut site) else {
+    let Some(OperatorResponse::FederationStatus(status)) = sees(&mut site) else {
         panic!("no status")
     };
     assert_eq!(
@@ -1087,7 +1108,7 @@
     );
     site.linked = true;
     site.serve(&[1], 2 * SEC);
-    assert_eq!(site.record.tables.register.stance, Stance::Open);
+    assert_eq!(site.record.tables.register.stance, SiteAdmission::Open);
     // A leader that does not know for how long nobody led believes nothing of the lease in the
     // record: no sender hears of an open door.
     (site.linked, site.lease) = (false, None);
@@ -1111,11 +1132,13 @@
     let said = site.hear(3, &[opens("n3"), has(&[])]);
     assert_eq!(rules(&said), [], "{said:?}");
     assert!(
-        !said.iter().any(|w| matches!(w, ToAgent::Renewed { .. })),
+        !said
+            .iter()
+            .any(|w| matches!(w, ReplicaToAgent::LeaseRenewed { .. })),
         "{said:?}"
     );
     site.said.clear();
     site.carry_out(held);
-    let said: Vec<ToAgent> = site.said.iter().map(|(_, word)| word.clone()).collect();
-    assert_eq!(rules(&said), [(1, Stance::Held)], "{said:?}");
+    let said: Vec<ReplicaToAgent> = site.said.iter().map(|(_, word)| word.clone()).collect();
+    assert_eq!(rules(&said), [(1, SiteAdmission::LeaseExpired)], "{said:?}");
 }
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -9,7 +9,7 @@
 mod play;
 
 use play::{calm, name, play, Draw, Plan, Played, State, Trouble, MS, SECOND};
-use raildeal::coordination::messages::{FromPerson, ToPerson, ZoneWish};
+use raildeal::coordination::messages::{OperatorRequest, OperatorResponse, RequestedZoneState};
 use raildeal::coordination::record::Phase;
 
 const DIES: u64 = 8 * SECOND;
@@ -480,7 +480,7 @@
 #[test]
 fn a_person_goes_before_evidence_until_the_word_expires() {
     let word = |order, for_s| {
-        Trouble::Person(FromPerson::Zone {
+        Trouble::Person(OperatorRequest::RequestZoneState {
             zone: "z0".into(),
             order,
             for_s,
@@ -490,18 +490,18 @@
     plan.lasts = 60 * SECOND;
     plan.rules.zones.warmup_ms = 2_000;
     plan.troubles = vec![
-        (2 * SECOND, word(ZoneWish::Hold, 10)),
+        (2 * SECOND, word(RequestedZoneState::Hold, 10)),
         (3 * SECOND, Trouble::Zone(0, State::Down)),
         // Held for ten seconds; then it is left by what is seen.
         (20 * SECOND, Trouble::Zone(0, State::Well)),
-        (21 * SECOND, word(ZoneWish::Return, 10)),
-        (35 * SECOND, word(ZoneWish::Leave, 0)),
-        (36 * SECOND, word(ZoneWish::Leave, 0)),
+        (21 * SECOND, word(RequestedZoneState::Return, 10)),
+        (35 * SECOND, word(RequestedZoneState::Leave, 0)),
+        (36 * SECOND, word(RequestedZoneState::Leave, 0)),
         (
             37 * SECOND,
-            Trouble::Person(FromPerson::Zone {
+            Trouble::Person(OperatorRequest::RequestZoneState {
                 zone: "zz".into(),
-                order: ZoneWish::Leave,
+                order: RequestedZoneState::Leave,
                 for_s: 0,
             }),
         ),
@@ -527,7 +527,7 @@
     let answers: Vec<bool> = played
         .answers
         .iter()
-        .map(|(_, a)| matches!(a, ToPerson::Done(_)))
+        .map(|(_, a)| matches!(a, OperatorResponse::Done(_)))
         .collect();
     assert_eq!(answers, [true, true, true, true, false]);
     // By evidence and by the word; that it is still dead when it is asked is no leave.
