--- a/src/agent/call_statistics.rs
+++ b/src/agent/call_statistics.rs
@@ -1,5 +1,11 @@
-//! What this sender's calls came to, by zone and destination, since it was last told. No I/O, no
-//! clock.
+//! What this sender's calls and messages came to since they were last reported.
+//!
+//! Owns the counts by zone and destination, the calls that are in flight, and the counts of
+//! messages by policy, class and tenant. No I/O, no clock. [`super::observer`] records; the
+//! session's reports take the counts ([`super::session`]).
+//!
+//! Invariants: every ended call and every message's end is counted in one report, once; and the
+//! tables are bounded, so that a report always fits one frame.
 
 use crate::coordination::messages::{CallCounts, MessageOutcomeCounts, ZoneCallCounts};
 use crate::delivery::LifecycleEvent;
@@ -7,81 +13,124 @@
 use crate::{Nanos, Outcome};
 use std::collections::BTreeMap;
 
-/// Zones and destinations that are counted: with names of [`NAME`] bytes all of them fit one word,
-/// beside as many lines of a list.
-pub const GROUPS: usize = 1_024;
+/// Zones and destinations that are counted: with names of [`MAX_ZONE_NAME`] bytes all of them fit
+/// one frame, beside as many entries of a list.
+pub const MAX_GROUPS: usize = 1_024;
 /// Policies, classes and tenants that are counted: nine policies, each with some thirty classes or
 /// tenants.
-pub const FATES: usize = 256;
-/// Longest name of a zone, in bytes; what is in others is not counted.
-pub const NAME: usize = 64;
-/// A call hangs once it is out for longer than this, two reports, and than so many times what calls
-/// usually take there. Who judges zones waits for a silence besides.
-const HANGS: (Nanos, f64) = (400 * MS, 4.0);
-/// What calls are taken to need before one has ended anywhere, in seconds, and the weight of the
-/// newest where there are many.
-const USUAL: (f64, f64) = (0.4, 0.1);
-/// Memory of how many calls a destination gets: seconds, and the part that one more leaves.
-const MEMORY: RateMemory = RateMemory {
+pub const MAX_HEALTH_GROUPS: usize = 256;
+/// Longest name of a zone or class, in bytes; what is in others is not counted.
+pub const MAX_ZONE_NAME: usize = 64;
+/// A call hangs once it is in flight for longer than this (ns): two reports ...
+const MIN_HANGING: Nanos = 400 * MS;
+/// ... and for longer than so many times what calls there usually take. Who judges zones waits for
+/// a silence besides.
+const HANGING_FACTOR: f64 = 4.0;
+/// What calls are taken to need before one has ended anywhere (seconds).
+const DEFAULT_DURATION_SECONDS: f64 = 0.4;
+/// The weight of the newest call in the usual duration, where there are many.
+const NEWEST_WEIGHT: f64 = 0.1;
+/// Memory of a destination's call rate.
+const RATE_MEMORY: RateMemory = RateMemory {
     fade_seconds: 4.0,
     least_kept: 0.9,
 };
 
-/// What calls usually take: the mean of the first ones, then the newer ones weigh more.
+/// What calls usually take: the mean of the first ones, then an exponentially weighted mean.
 #[derive(Clone, Copy, Debug, Default)]
-struct Usual {
-    seconds: f64,
+struct UsualDuration {
+    mean_seconds: f64,
     calls: u32,
 }
 
-impl Usual {
-    fn learn(&mut self, took: f64) {
+impl UsualDuration {
+    fn record(&mut self, seconds: f64) {
         self.calls = self.calls.saturating_add(1);
-        self.seconds += USUAL.1.max(1.0 / f64::from(self.calls)) * (took - self.seconds);
+        let weight = NEWEST_WEIGHT.max(1.0 / f64::from(self.calls));
+        self.mean_seconds += weight * (seconds - self.mean_seconds);
     }
 
     fn seconds(&self) -> Option<f64> {
-        (self.calls > 0).then_some(self.seconds)
+        (self.calls > 0).then_some(self.mean_seconds)
     }
 }
 
-#[derive(Debug)]
-struct Tally {
+/// A zone's name and a destination.
+type Group = (String, u16);
+
+/// Whose messages are counted together.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct HealthGroup {
+    policy: u64,
+    class: String,
+    /// Position in the settings.
+    tenant: u16,
+}
+
+/// The counts of one zone and destination.
+#[derive(Debug, Default)]
+struct GroupStatistics {
     counts: CallCounts,
-    usual: Usual,
+    usual: UsualDuration,
     /// The last report told of calls that hang.
-    hung: bool,
+    reported_hanging: bool,
+}
+
+impl GroupStatistics {
+    /// Whether there is nothing to report.
+    fn is_idle(&self) -> bool {
+        self.counts == CallCounts::default() && !self.reported_hanging
+    }
 }
 
-/// Owner of the counts.
+/// A call that is in flight.
+#[derive(Debug)]
+struct InFlight {
+    group: Group,
+    started: Nanos,
+}
+
+/// The counts since the last report.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    groups: BTreeMap<(String, u16), Tally>,
-    out: BTreeMap<u64, ((String, u16), Nanos)>,
+pub struct CallStatistics {
+    groups: BTreeMap<Group, GroupStatistics>,
+    in_flight: BTreeMap<u64, InFlight>,
+    last_call: u64,
     rates: BTreeMap<u16, Meter>,
-    /// What calls take anywhere: for where none has ended yet, as few of one sender go to each zone
-    /// and destination.
-    usual: Usual,
-    next: u64,
-    /// What became of messages, by policy, class and tenant.
-    fates: BTreeMap<(u64, String, u16), MessageOutcomeCounts>,
+    /// What calls take anywhere: for groups where none has ended yet, as few of one sender go to
+    /// each zone and destination.
+    usual: UsualDuration,
+    health: BTreeMap<HealthGroup, MessageOutcomeCounts>,
 }
 
-impl Ledger {
-    /// This became of a message. Its owner tells each end once.
-    pub fn life(&mut self, policy: u64, class: &str, tenant: u16, life: LifecycleEvent) {
-        let group = (policy, class.to_string(), tenant);
-        if class.len() > NAME || self.fates.len() >= FATES && !self.fates.contains_key(&group) {
-            return;
-        }
-        let fresh = || MessageOutcomeCounts {
+impl CallStatistics {
+    /// Counts what became of a message. Its owner tells each end once.
+    pub fn record_lifecycle_event(
+        &mut self,
+        policy: u64,
+        class: &str,
+        tenant: u16,
+        event: LifecycleEvent,
+    ) {
+        let group = HealthGroup {
             policy,
-            class: class.into(),
+            class: class.to_string(),
             tenant,
-            ..MessageOutcomeCounts::default()
         };
-        let health = self.fates.entry(group).or_insert_with(fresh);
-        let count = match life {
+        let is_full = self.health.len() >= MAX_HEALTH_GROUPS && !self.health.contains_key(&group);
+        if class.len() > MAX_ZONE_NAME || is_full {
+            return;
+        }
+        let health = self
+            .health
+            .entry(group)
+            .or_insert_with(|| MessageOutcomeCounts {
+                policy,
+                class: class.into(),
+                tenant,
+                ..MessageOutcomeCounts::default()
+            });
+        let count = match event {
             LifecycleEvent::Rejected => &mut health.rejected,
             LifecycleEvent::Accepted => &mut health.accepted,
             LifecycleEvent::Delivered => &mut health.delivered,
@@ -94,34 +143,40 @@
 
     /// Takes what became of messages since it was last taken.
     pub fn take_health(&mut self) -> Vec<MessageOutcomeCounts> {
-        std::mem::take(&mut self.fates).into_values().collect()
+        std::mem::take(&mut self.health).into_values().collect()
     }
 
-    /// A call is out to a zone and destination. Its name is for [`Ledger::back`].
-    pub fn out(&mut self, now: Nanos, zone: &str, dest: u16) -> u64 {
-        self.next += 1;
-        self.out.insert(self.next, ((zone.to_string(), dest), now));
-        if self.rates.len() >= GROUPS && !self.rates.contains_key(&dest) {
+    /// A call to a zone and destination starts. Gives its number, for
+    /// [`CallStatistics::call_finished`].
+    pub fn call_started(&mut self, now: Nanos, zone: &str, dest: u16) -> u64 {
+        self.last_call += 1;
+        let call = InFlight {
+            group: (zone.to_string(), dest),
+            started: now,
+        };
+        self.in_flight.insert(self.last_call, call);
+        if self.rates.len() >= MAX_GROUPS && !self.rates.contains_key(&dest) {
             self.rates.pop_first();
         }
         self.rates
             .entry(dest)
-            .or_insert_with(|| Meter::new(now, MEMORY.fade_seconds))
-            .record(now, MEMORY);
-        self.next
+            .or_insert_with(|| Meter::new(now, RATE_MEMORY.fade_seconds))
+            .record(now, RATE_MEMORY);
+        self.last_call
     }
 
-    /// It is not out any more.
-    pub fn back(&mut self, call: u64) {
-        self.out.remove(&call);
+    /// A call is not in flight any more.
+    pub fn call_finished(&mut self, call: u64) {
+        self.in_flight.remove(&call);
     }
 
-    /// A call there ended so. What was called off or never sent counts for nothing.
-    pub fn ended(&mut self, zone: &str, dest: u16, outcome: Outcome, took: Nanos) {
-        let Some(tally) = self.tally(zone, dest) else {
+    /// Counts how a call to a zone and destination ended, after `duration` (ns). What was cancelled
+    /// or never sent does not count.
+    pub fn record_outcome(&mut self, zone: &str, dest: u16, outcome: Outcome, duration: Nanos) {
+        let Some(group) = self.group_mut(zone, dest) else {
             return;
         };
-        let counts = &mut tally.counts;
+        let counts = &mut group.counts;
         let count = match outcome {
             Outcome::Delivered => &mut counts.delivered,
             Outcome::Rejected { .. } => &mut counts.rejected,
@@ -132,71 +187,68 @@
         };
         *count = count.saturating_add(1);
         if outcome == Outcome::Delivered {
-            tally.usual.learn(to_secs(took));
-            self.usual.learn(to_secs(took));
+            group.usual.record(to_secs(duration));
+            self.usual.record(to_secs(duration));
         }
     }
 
     /// Takes what was counted since it was last taken, and how many calls hang now.
-    pub fn take(&mut self, now: Nanos) -> Vec<ZoneCallCounts> {
-        let mut hanging: BTreeMap<(String, u16), u32> = BTreeMap::new();
-        for (group, since) in self.out.values() {
-            let usual = self
-                .groups
-                .get(group)
-                .and_then(|t| t.usual.seconds())
-                .or(self.usual.seconds());
-            let usual = usual.unwrap_or(USUAL.0);
-            if now.saturating_sub(*since) > HANGS.0.max(from_secs(HANGS.1 * usual)) {
-                *hanging.entry(group.clone()).or_default() += 1;
-            }
-        }
+    pub fn take_counts(&mut self, now: Nanos) -> Vec<ZoneCallCounts> {
+        let hanging = self.hanging_calls(now);
         for (zone, dest) in hanging.keys() {
-            self.tally(zone, *dest);
+            self.group_mut(zone, *dest);
         }
         let mut seen = Vec::new();
-        for (group, tally) in &mut self.groups {
-            let mut counts = std::mem::take(&mut tally.counts);
+        for (group, statistics) in &mut self.groups {
+            let mut counts = std::mem::take(&mut statistics.counts);
             counts.hanging = hanging.get(group).copied().unwrap_or(0);
-            // That none hangs any more is told once.
-            let told = counts != CallCounts::default() || tally.hung;
-            tally.hung = counts.hanging > 0;
-            if told {
-                seen.push(ZoneCallCounts {
-                    zone: group.0.clone(),
-                    dest: group.1,
-                    counts,
-                });
+            // That none hangs any more is reported once.
+            let is_news = counts != CallCounts::default() || statistics.reported_hanging;
+            statistics.reported_hanging = counts.hanging > 0;
+            if is_news {
+                let (zone, dest) = group.clone();
+                seen.push(ZoneCallCounts { zone, dest, counts });
             }
         }
         seen
     }
 
-    /// Calls a second that a destination gets of this sender.
-    pub fn rate(&self, now: Nanos, dest: u16) -> f64 {
-        self.rates.get(&dest).map_or(0.0, |r| r.rate(now))
+    /// Calls that are in flight for much longer than is usual there, by group.
+    fn hanging_calls(&self, now: Nanos) -> BTreeMap<Group, u32> {
+        let mut hanging: BTreeMap<Group, u32> = BTreeMap::new();
+        for call in self.in_flight.values() {
+            let usual = self
+                .groups
+                .get(&call.group)
+                .and_then(|statistics| statistics.usual.seconds())
+                .or(self.usual.seconds())
+                .unwrap_or(DEFAULT_DURATION_SECONDS);
+            let limit = MIN_HANGING.max(from_secs(HANGING_FACTOR * usual));
+            if now.saturating_sub(call.started) > limit {
+                *hanging.entry(call.group.clone()).or_default() += 1;
+            }
+        }
+        hanging
     }
 
-    fn tally(&mut self, zone: &str, dest: u16) -> Option<&mut Tally> {
-        let group = (zone.to_string(), dest);
-        if zone.len() > NAME {
+    /// Calls per second that a destination gets of this sender.
+    pub fn calls_per_second(&self, now: Nanos, dest: u16) -> f64 {
+        self.rates.get(&dest).map_or(0.0, |meter| meter.rate(now))
+    }
+
+    /// The statistics of a zone and destination; nothing where there is no room for them.
+    fn group_mut(&mut self, zone: &str, dest: u16) -> Option<&mut GroupStatistics> {
+        if zone.len() > MAX_ZONE_NAME {
             return None;
         }
-        if self.groups.len() >= GROUPS && !self.groups.contains_key(&group) {
-            // One that has nothing to tell makes room; where all have, the newest goes without.
-            let idle = self
-                .groups
-                .iter()
-                .find(|(_, t)| t.counts == CallCounts::default() && !t.hung);
+        let group = (zone.to_string(), dest);
+        if self.groups.len() >= MAX_GROUPS && !self.groups.contains_key(&group) {
+            // One that has nothing to report makes room; where all have, the newest goes without.
+            let idle = self.groups.iter().find(|(_, s)| s.is_idle());
             let idle = idle.map(|(group, _)| group.clone())?;
             self.groups.remove(&idle);
         }
-        let fresh = || Tally {
-            counts: CallCounts::default(),
-            usual: Usual::default(),
-            hung: false,
-        };
-        Some(self.groups.entry(group).or_insert_with(fresh))
+        Some(self.groups.entry(group).or_default())
     }
 }
 
--- a/src/agent/config.rs
+++ b/src/agent/config.rs
@@ -1,186 +1,281 @@
-//! What an agent is told: its site, where its sender stands, and whom it asks.
+//! The fleet file: which site and zone a sender belongs to, which coordination replicas it asks,
+//! and which documents it follows.
+//!
+//! Owns nothing that changes. Read by `main` for the agent and by the `fleet` commands, which use
+//! the site and the replicas alone. The keys keep the names that operators' files have
+//! (`keepers`, `without_keepers`).
 
-use crate::agent::register::Without;
+use crate::agent::register::OnLeaseLoss;
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// Between two reports, if the file says nothing: what happened is known to all well within a
-/// second.
-const REPORT_MS: u64 = 200;
-/// Least and most of it. More often costs the keepers more than it tells; more seldom, and a lease
-/// of some seconds may lapse.
-const REPORTS_MS: (u64, u64) = (20, 2_000);
-/// Most keepers.
-const KEEPERS: usize = 9;
+/// Interval between two reports if the file says nothing (ms): what happened is known to all well
+/// within a second.
+const DEFAULT_REPORT_MS: u64 = 200;
+/// Shortest and longest interval (ms). More often costs the leader more than it tells; more seldom,
+/// and a lease of some seconds may lapse.
+const MIN_REPORT_MS: u64 = 20;
+const MAX_REPORT_MS: u64 = 2_000;
+/// Most replicas.
+const MAX_REPLICAS: usize = 9;
 /// Longest name of a site or zone, in bytes.
-const NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
-/// A fleet's file.
+/// A fleet file, as read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct File {
-    /// The site.
+pub struct FleetConfig {
+    /// Name of the site.
     pub site: String,
-    /// The zone that this sender stands in.
+    /// Name of the zone that this sender runs in.
     pub zone: String,
-    /// The keepers, by number.
-    pub keepers: BTreeMap<u64, SocketAddr>,
-    /// Between two reports.
-    pub report: Duration,
-    /// It follows policies, and does this where it cannot know which is in force; nothing where it
-    /// follows none.
-    pub policy: Option<Without>,
+    /// Addresses of the coordination replicas, by number.
+    pub replicas: BTreeMap<u64, SocketAddr>,
+    /// Interval between two reports.
+    pub report_interval: Duration,
+    /// What the sender does without a lease where it follows policies; nothing where it follows
+    /// none.
+    pub policies: Option<OnLeaseLoss>,
     /// The same of routing tables.
-    pub table: Option<Without>,
+    pub tables: Option<OnLeaseLoss>,
 }
 
-impl File {
-    /// Reads it.
+/// Why a fleet file cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum FleetConfigError {
+    /// It cannot be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the file system says.
+        source: io::Error,
+    },
+    /// Settings in it are wrong.
+    #[error("{}: {}", path.display(), join(faults))]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// All that is wrong with it.
+        faults: Vec<SettingFault>,
+    },
+}
+
+/// What is wrong with one setting.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum SettingFault {
+    /// The text is not TOML.
+    #[error("{}", .0.message())]
+    Syntax(#[source] toml::de::Error),
+    /// A setting that is needed is not there.
+    #[error("{key}: not set")]
+    Missing {
+        /// The setting.
+        key: &'static str,
+    },
+    /// There is no such setting.
+    #[error("{key}: no such setting")]
+    Unknown {
+        /// The setting.
+        key: String,
+    },
+    /// A setting has another value than it may have.
+    #[error("{key}: expected {expected}, got {actual}")]
+    Invalid {
+        /// The setting.
+        key: String,
+        /// What it may be.
+        expected: String,
+        /// What it is.
+        actual: String,
+    },
+}
+
+impl SettingFault {
+    fn invalid(
+        key: impl Into<String>,
+        expected: impl Into<String>,
+        actual: impl ToString,
+    ) -> SettingFault {
+        SettingFault::Invalid {
+            key: key.into(),
+            expected: expected.into(),
+            actual: actual.to_string(),
+        }
+    }
+}
+
+fn join(faults: &[SettingFault]) -> String {
+    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    lines.join("; ")
+}
+
+impl FleetConfig {
+    /// Reads a file.
     ///
     /// # Errors
     /// It cannot be read or used; all that is wrong with it is told, each with its setting.
-    pub fn read(path: &Path) -> Result<File, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| vec![e.to_string()]);
-        let read = text.and_then(|text| File::parse(&text));
-        read.map_err(|faults| format!("{}: {}", path.display(), faults.join("; ")))
+    pub fn read(path: &Path) -> Result<FleetConfig, FleetConfigError> {
+        let text = std::fs::read_to_string(path).map_err(|source| FleetConfigError::Read {
+            path: path.into(),
+            source,
+        })?;
+        FleetConfig::parse(&text).map_err(|faults| FleetConfigError::Invalid {
+            path: path.into(),
+            faults,
+        })
     }
 
     /// Reads a text.
     ///
     /// # Errors
     /// All that is wrong with it, each with its setting.
-    pub fn parse(text: &str) -> Result<File, Vec<String>> {
-        let mut table: Table = text
-            .parse()
-            .map_err(|e: toml::de::Error| vec![e.message().to_string()])?;
+    pub fn parse(text: &str) -> Result<FleetConfig, Vec<SettingFault>> {
+        let mut table: Table = text.parse().map_err(|e| vec![SettingFault::Syntax(e)])?;
         let mut faults = Vec::new();
-        let site = name(&mut table, "site", &mut faults);
-        let zone = name(&mut table, "zone", &mut faults);
-        let keepers = keepers(table.remove("keepers"), &mut faults);
-        let report = match table.remove("report_ms") {
-            None => REPORT_MS,
-            Some(told) => {
-                let ms = told.as_integer().and_then(|ms| u64::try_from(ms).ok());
-                let (least, most) = REPORTS_MS;
-                ms.filter(|ms| (least..=most).contains(ms))
-                    .unwrap_or_else(|| {
-                        faults.push(format!(
-                            "report_ms: {told} is not a number from {least} to {most}"
-                        ));
-                        REPORT_MS
-                    })
-            }
+        let config = FleetConfig {
+            site: parse_name(&mut table, "site", &mut faults),
+            zone: parse_name(&mut table, "zone", &mut faults),
+            replicas: parse_replicas(table.remove("keepers"), &mut faults),
+            report_interval: parse_report_interval(table.remove("report_ms"), &mut faults),
+            policies: parse_followed("policy", table.remove("policy"), &mut faults),
+            tables: parse_followed("table", table.remove("table"), &mut faults),
         };
-        let policy = follows("policy", table.remove("policy"), &mut faults);
-        let tables = follows("table", table.remove("table"), &mut faults);
-        faults.extend(table.keys().map(|key| format!("{key}: no such setting")));
-        match faults.is_empty() {
-            true => {
-                let report = Duration::from_millis(report);
-                Ok(File {
-                    site,
-                    zone,
-                    keepers,
-                    report,
-                    policy,
-                    table: tables,
-                })
-            }
-            false => Err(faults),
+        for key in table.keys().cloned() {
+            faults.push(SettingFault::Unknown { key });
+        }
+        if faults.is_empty() {
+            Ok(config)
+        } else {
+            Err(faults)
         }
     }
 }
 
-fn name(table: &mut Table, key: &str, faults: &mut Vec<String>) -> String {
+fn parse_name(table: &mut Table, key: &'static str, faults: &mut Vec<SettingFault>) -> String {
     match table.remove(key) {
-        Some(Value::String(text)) if (1..=NAME).contains(&text.len()) => text,
-        Some(other) => {
-            faults.push(format!(
-                "{key}: {other} is not a name of up to {NAME} bytes"
+        Some(Value::String(text)) if (1..=MAX_NAME_BYTES).contains(&text.len()) => return text,
+        Some(other) => faults.push(SettingFault::invalid(
+            key,
+            format!("a name of up to {MAX_NAME_BYTES} bytes"),
+            other,
+        )),
+        None => faults.push(SettingFault::Missing { key }),
+    }
+    String::new()
+}
+
+fn parse_report_interval(value: Option<Value>, faults: &mut Vec<SettingFault>) -> Duration {
+    let default = Duration::from_millis(DEFAULT_REPORT_MS);
+    let Some(value) = value else {
+        return default;
+    };
+    match value.as_integer().map(u64::try_from) {
+        Some(Ok(ms)) if (MIN_REPORT_MS..=MAX_REPORT_MS).contains(&ms) => Duration::from_millis(ms),
+        _ => {
+            faults.push(SettingFault::invalid(
+                "report_ms",
+                format!("a number from {MIN_REPORT_MS} to {MAX_REPORT_MS}"),
+                value,
             ));
-            String::new()
-        }
-        None => {
-            faults.push(format!("{key}: not set"));
-            String::new()
+            default
         }
     }
 }
 
-/// What the table of that name says of what is followed.
-fn follows(name: &str, told: Option<Value>, faults: &mut Vec<String>) -> Option<Without> {
-    let mut table = match told? {
+/// What the table `policy` or `table` says; nothing where it is not there.
+fn parse_followed(
+    name: &str,
+    value: Option<Value>,
+    faults: &mut Vec<SettingFault>,
+) -> Option<OnLeaseLoss> {
+    let mut table = match value? {
         Value::Table(table) => table,
         other => {
-            faults.push(format!("{name}: {other} is not a table"));
+            faults.push(SettingFault::invalid(name, "a table", other));
             return None;
         }
     };
-    let without = match table.remove("without_keepers") {
-        None => Without::Hold,
-        Some(told) => told.clone().try_into().unwrap_or_else(|_| {
-            faults.push(format!(
-                "{name}.without_keepers: {told} is neither \"hold\" nor \"last\""
-            ));
-            Without::Hold
-        }),
-    };
-    faults.extend(
-        table
-            .keys()
-            .map(|key| format!("{name}.{key}: no such setting")),
-    );
-    Some(without)
+    let mut on_lease_loss = OnLeaseLoss::StopAccepting;
+    if let Some(value) = table.remove("without_keepers") {
+        match value.clone().try_into() {
+            Ok(known) => on_lease_loss = known,
+            Err(_) => faults.push(SettingFault::invalid(
+                format!("{name}.without_keepers"),
+                "\"hold\" or \"last\"",
+                value,
+            )),
+        }
+    }
+    for key in table.keys() {
+        let key = format!("{name}.{key}");
+        faults.push(SettingFault::Unknown { key });
+    }
+    Some(on_lease_loss)
 }
 
-/// In order from 1, or by number.
-fn keepers(told: Option<Value>, faults: &mut Vec<String>) -> BTreeMap<u64, SocketAddr> {
-    let lines: Vec<(String, Value)> = match told {
-        Some(Value::Array(all)) => all
-            .into_iter()
-            .enumerate()
-            .map(|(at, line)| ((at + 1).to_string(), line))
+/// The replicas: in order from 1, or by number.
+fn parse_replicas(
+    value: Option<Value>,
+    faults: &mut Vec<SettingFault>,
+) -> BTreeMap<u64, SocketAddr> {
+    let by_number: Vec<(String, Value)> = match value {
+        Some(Value::Array(addresses)) => (1..)
+            .map(|number: u64| number.to_string())
+            .zip(addresses)
             .collect(),
-        Some(Value::Table(all)) => all.into_iter().collect(),
+        Some(Value::Table(addresses)) => addresses.into_iter().collect(),
         Some(other) => {
-            faults.push(format!(
-                "keepers: {other} is neither a list of addresses nor a table of them by number"
-            ));
+            let expected = "a list of addresses or a table of them by number";
+            faults.push(SettingFault::invalid("keepers", expected, other));
             return BTreeMap::new();
         }
         None => {
-            faults.push("keepers: not set".into());
+            faults.push(SettingFault::Missing { key: "keepers" });
             return BTreeMap::new();
         }
     };
-    if lines.is_empty() || lines.len() > KEEPERS {
-        faults.push(format!(
-            "keepers: {} are not from 1 to {KEEPERS}",
-            lines.len()
-        ));
+    if by_number.is_empty() || by_number.len() > MAX_REPLICAS {
+        let expected = format!("from 1 to {MAX_REPLICAS} of them");
+        faults.push(SettingFault::invalid("keepers", expected, by_number.len()));
     }
-    let mut keepers = BTreeMap::new();
-    for (number, line) in lines {
-        let at = line
-            .as_str()
-            .and_then(|text| text.parse::<SocketAddr>().ok());
-        match (number.parse::<u64>().ok().filter(|n| *n > 0), at) {
-            (None, _) => faults.push(format!("keepers.{number}: not a number from 1 on")),
-            (_, None) => faults.push(format!(
-                "keepers.{number}: {line} is not an address with a port"
-            )),
-            (_, Some(at)) if at.ip().is_unspecified() || at.port() == 0 => {
-                faults.push(format!("keepers.{number}: nobody can be reached at {at}"));
+    let mut replicas = BTreeMap::new();
+    for (number, address) in by_number {
+        match parse_replica(&number, &address, &replicas) {
+            Ok((number, address)) => _ = replicas.insert(number, address),
+            Err(expected) => {
+                let key = format!("keepers.{number}");
+                faults.push(SettingFault::invalid(key, expected, address));
             }
-            (_, Some(at)) if keepers.values().any(|other| *other == at) => {
-                faults.push(format!("keepers.{number}: {at} is another keeper's"));
-            }
-            (Some(number), Some(at)) => _ = keepers.insert(number, at),
         }
     }
-    keepers
+    replicas
+}
+
+/// The number and the address of a replica, beside `others`.
+///
+/// # Errors
+/// What was expected instead.
+fn parse_replica(
+    number: &str,
+    address: &Value,
+    others: &BTreeMap<u64, SocketAddr>,
+) -> Result<(u64, SocketAddr), &'static str> {
+    let Some(number) = number.parse().ok().filter(|number| *number > 0) else {
+        return Err("a number from 1 on as its key");
+    };
+    let address = address.as_str().and_then(|text| text.parse().ok());
+    let address: SocketAddr = address.ok_or("an address with a port")?;
+    if address.ip().is_unspecified() || address.port() == 0 {
+        return Err("an address where somebody can be reached");
+    }
+    if others.values().any(|other| *other == address) {
+        return Err("an address that no other replica has");
+    }
+    Ok((number, address))
 }
 
 #[cfg(test)]
--- a/src/agent/config/tests.rs
+++ b/src/agent/config/tests.rs
@@ -2,9 +2,11 @@
 
 #[test]
 fn all_faults_are_named_at_once() {
-    let text = "zone = 3\nkeepers = [\"127.0.0.1:7001\", \"0.0.0.0:7002\", \"x\", \"127.0.0.1:7001\"]\nreport_ms = 5\n\
-                lease = 4\nother = true\n[policy]\nwithout_keepers = \"never\"\nsoon = 1\n[table]\nlater = 1";
-    let faults = File::parse(text).expect_err("refused");
+    let text = "zone = 3\n\
+                keepers = [\"127.0.0.1:7001\", \"0.0.0.0:7002\", \"x\", \"127.0.0.1:7001\"]\n\
+                report_ms = 5\nlease = 4\nother = true\n\
+                [policy]\nwithout_keepers = \"never\"\nsoon = 1\n[table]\nlater = 1";
+    let faults = FleetConfig::parse(text).expect_err("refused");
     let named = [
         "site:",
         "zone:",
@@ -21,17 +23,17 @@
     assert_eq!(faults.len(), named.len(), "{faults:?}");
     for name in named {
         assert!(
-            faults.iter().any(|f| f.starts_with(name)),
+            faults.iter().any(|f| f.to_string().starts_with(name)),
             "{name}: {faults:?}"
         );
     }
 }
 
 #[test]
-fn keepers_are_numbered_in_order_or_by_name() {
-    let read = |keepers: &str| {
-        let text = format!("site = \"s\"\nzone = \"a\"\nkeepers = {keepers}");
-        File::parse(&text).map(|f| f.keepers.into_keys().collect::<Vec<_>>())
+fn replicas_are_numbered_in_order_or_by_name() {
+    let read = |addresses: &str| {
+        let text = format!("site = \"s\"\nzone = \"a\"\nkeepers = {addresses}");
+        FleetConfig::parse(&text).map(|config| config.replicas.into_keys().collect::<Vec<_>>())
     };
     assert_eq!(read("[\"127.0.0.1:1\", \"127.0.0.1:2\"]"), Ok(vec![1, 2]));
     assert_eq!(
@@ -45,24 +47,31 @@
 
 #[test]
 fn policies_and_tables_are_followed_only_where_the_file_says_so() {
-    let both = |told: &str| {
-        let text = format!("site = \"s\"\nzone = \"a\"\nkeepers = [\"127.0.0.1:1\"]\n{told}");
-        let file = File::parse(&text).expect("usable");
-        (file.policy, file.table)
+    let read_both = |followed: &str| {
+        let text = format!("site = \"s\"\nzone = \"a\"\nkeepers = [\"127.0.0.1:1\"]\n{followed}");
+        let config = FleetConfig::parse(&text).expect("usable");
+        (config.policies, config.tables)
     };
-    let (read, tables) = (|told: &str| both(told).0, |told: &str| both(told).1);
-    assert_eq!((read(""), read("[policy]")), (None, Some(Without::Hold)));
+    let (read, tables) = (
+        |followed: &str| read_both(followed).0,
+        |followed: &str| read_both(followed).1,
+    );
+    assert_eq!(
+        (read(""), read("[policy]")),
+        (None, Some(OnLeaseLoss::StopAccepting))
+    );
     assert_eq!(
         read("policy.without_keepers = \"last\""),
-        Some(Without::Last)
+        Some(OnLeaseLoss::KeepLast)
     );
     assert_eq!(
         (read("[table]"), tables(""), tables("[table]")),
-        (None, None, Some(Without::Hold))
+        (None, None, Some(OnLeaseLoss::StopAccepting))
     );
 }
 
 #[test]
 fn the_file_under_deploy_is_usable() {
-    assert_eq!(File::read(Path::new("deploy/fleet.toml")).err(), None);
+    let error = FleetConfig::read(Path::new("deploy/fleet.toml")).err();
+    assert_eq!(error.map(|e| e.to_string()), None);
 }
--- /dev/null
+++ b/src/agent/document_store/validation.rs
@@ -0,0 +1,196 @@
+//! What documents are validated against here, and who owns them once they are ready for use:
+//! [`PolicySet`] the policies, [`RoutingTables`] the routing tables.
+
+use super::{DocumentError, StoredDocument};
+use crate::config::Door;
+use crate::coordination::messages::Digest;
+use crate::coordination::policy_rollout::document as policy;
+use crate::coordination::routing_table::document as table;
+use crate::coordination::routing_table::federation::MOST_TEXT as MAX_TABLE_TEXT_BYTES;
+use crate::delivery::endpoint::ZoneCapacity;
+use crate::delivery::policies::{self, Policy, PolicySet};
+use crate::delivery::routing_tables::{self, RoutingTables};
+use crate::delivery::script_hook::ScriptHook;
+use crate::dispatch::routing::Routes;
+use crate::Settings;
+
+/// Fewest bytes that a message takes in the state folder. A policy that has more messages held than
+/// fit is a mistake.
+const MIN_MESSAGE_BYTES: u64 = 256;
+
+impl StoredDocument for PolicySet {
+    const FOLDER: &'static str = "policies";
+    const NAME: &'static str = "policy";
+    const MAX_DOCUMENTS: usize = policies::MAX_POLICIES;
+    const MAX_TEXT_BYTES: usize = policy::MOST_TEXT;
+    type ValidationContext = PolicyValidationContext;
+    type Validated = Policy;
+
+    fn validate(
+        context: &PolicyValidationContext,
+        number: u64,
+        digest: Digest,
+        text: &str,
+    ) -> Result<Policy, DocumentError> {
+        context.validate(number, digest, text)
+    }
+
+    fn add(&self, _: u64, policy: Policy) -> bool {
+        PolicySet::add(self, policy)
+    }
+
+    fn forget(&self, number: u64) -> bool {
+        PolicySet::remove(self, number)
+    }
+
+    fn is_in_use(&self, number: u64) -> bool {
+        PolicySet::is_in_use(self, number)
+    }
+}
+
+impl StoredDocument for RoutingTables {
+    const FOLDER: &'static str = "tables";
+    const NAME: &'static str = "table";
+    const MAX_DOCUMENTS: usize = routing_tables::MAX_TABLES;
+    const MAX_TEXT_BYTES: usize = MAX_TABLE_TEXT_BYTES;
+    type ValidationContext = TableValidationContext;
+    type Validated = Routes;
+
+    fn validate(
+        context: &TableValidationContext,
+        _: u64,
+        digest: Digest,
+        text: &str,
+    ) -> Result<Routes, DocumentError> {
+        context.validate(digest, text)
+    }
+
+    fn add(&self, number: u64, routes: Routes) -> bool {
+        RoutingTables::add(self, number, routes)
+    }
+
+    fn forget(&self, number: u64) -> bool {
+        RoutingTables::remove(self, number)
+    }
+
+    fn is_in_use(&self, number: u64) -> bool {
+        number == self.current_number()
+    }
+}
+
+/// What routing tables are validated against.
+pub struct TableValidationContext {
+    /// Names of the sender's classes.
+    pub classes: Vec<String>,
+    /// How many tenants its settings have.
+    pub tenants: usize,
+    /// What its endpoint list has, by zone. Nothing at a start: a table that was validated once and
+    /// is in force is not refused for a list that has changed.
+    pub listed: Option<Vec<ZoneCapacity>>,
+}
+
+impl TableValidationContext {
+    /// Makes a table ready for use here.
+    ///
+    /// # Errors
+    /// Everything for which this sender cannot go by it.
+    pub fn validate(&self, digest: Digest, text: &str) -> Result<Routes, DocumentError> {
+        let document = table::Document::parse(text).map_err(faults)?;
+        if document.digest() != digest {
+            return Err(DocumentError::DigestMismatch);
+        }
+        let lacks = match &self.listed {
+            Some(listed) => document.lacks(&self.classes, self.tenants, listed),
+            None => Vec::new(),
+        };
+        if !lacks.is_empty() {
+            return Err(DocumentError::Faults(lacks));
+        }
+        Ok(document.routes(&self.classes, self.tenants))
+    }
+}
+
+/// What policies are laid over, and the bounds of this machine.
+pub struct PolicyValidationContext {
+    /// The sender's own settings.
+    pub settings: Settings,
+    /// Names of its classes.
+    pub classes: Vec<String>,
+    /// Its own admission control settings.
+    pub admission: Door,
+    /// Connection slots for clients.
+    pub client_slots: usize,
+    /// Calls in flight for which there are file descriptors.
+    pub max_calls: usize,
+    /// Bytes of the state folder that are for messages.
+    pub disk_bytes: u64,
+}
+
+impl PolicyValidationContext {
+    /// Makes a policy ready for use here.
+    ///
+    /// # Errors
+    /// Everything for which this sender cannot go by it.
+    pub fn validate(
+        &self,
+        number: u64,
+        digest: Digest,
+        text: &str,
+    ) -> Result<Policy, DocumentError> {
+        let document = policy::Document::parse(text).map_err(faults)?;
+        if document.digest() != digest {
+            return Err(DocumentError::DigestMismatch);
+        }
+        let (settings, admission) = document
+            .lay_over(&self.settings, &self.classes, &self.admission)
+            .map_err(faults)?;
+        let mut exceeded = self.exceeded_bounds(&settings);
+        let hook = match compile_hook(&document) {
+            Ok(hook) => hook,
+            Err(fault) => {
+                exceeded.push(fault);
+                None
+            }
+        };
+        if !exceeded.is_empty() {
+            return Err(DocumentError::Faults(exceeded));
+        }
+        Ok(admission.policy(number, &settings, &self.classes, self.client_slots, hook))
+    }
+
+    /// Where a policy's settings ask for more than this machine has.
+    fn exceeded_bounds(&self, settings: &Settings) -> Vec<String> {
+        let mut exceeded = Vec::new();
+        let slots = settings.max_in_flight_calls as usize;
+        if slots > self.max_calls {
+            let calls = self.max_calls;
+            exceeded.push(format!(
+                "limits.slots: {slots} calls at once; there are descriptors for {calls} here"
+            ));
+        }
+        let room = u64::from(settings.max_held_messages);
+        let max_messages = self.disk_bytes / MIN_MESSAGE_BYTES;
+        if room > max_messages && settings.max_held_messages > self.settings.max_held_messages {
+            exceeded.push(format!(
+                "limits.room: {room} messages; there is disk for {max_messages} of the smallest \
+                 here"
+            ));
+        }
+        exceeded
+    }
+}
+
+/// Compiles a policy's own script, if it has one.
+fn compile_hook(document: &policy::Document) -> Result<Option<ScriptHook>, String> {
+    match document.hook.as_deref() {
+        None | Some("") => Ok(None),
+        Some(text) => ScriptHook::compile(text)
+            .map(Some)
+            .map_err(|e| format!("hook: {e}")),
+    }
+}
+
+/// The faults of a text, a line each.
+fn faults<F: ToString>(faults: Vec<F>) -> DocumentError {
+    DocumentError::Faults(faults.iter().map(ToString::to_string).collect())
+}
--- a/src/agent/register.rs
+++ b/src/agent/register.rs
@@ -1,170 +1,185 @@
-//! What a sender takes messages on under, as a register of the record says: that of its zone for
-//! policies, that of its site for routing tables. No I/O, no clock; [`super::machine`] hands words
-//! in and says how long its lease is believed.
+//! One register of the coordinated record, as this sender follows it: the policy register of its
+//! zone, or the routing table register of its site.
 //!
-//! **A turn only grows.** A word of an earlier turn than one that was heard is none; the same one
-//! again is answered again.
+//! Owns which document messages are accepted under, which documents are stored, and what is owed to
+//! the leader as a reply. It does no I/O and has no clock: [`super::session`] passes messages in,
+//! says until when the lease is believed, and carries the [`RegisterEffect`]s out.
 //!
-//! **A lease that lapsed** makes all that was heard doubtful: the record may have gone on without
-//! this sender. It takes nothing on before the register was heard on a connection that was opened
-//! since. While a lease lasts the record cannot go on without this sender's word, also where its
-//! connection is lost and another one comes.
+//! **Turns only grow.** A rule of an earlier turn than one that was received is ignored; the same
+//! one again is answered again.
 //!
-//! **What is said is so.** [`Said::Rules`] is said when the sender goes by that turn: it holds a
-//! lease, and what it takes on under is written down.
+//! **Fencing.** A lease that lapsed makes everything that was received doubtful: the record may
+//! have gone on without this sender. It accepts nothing before the register was received on a
+//! connection that was opened since. While a lease lasts the record cannot go on without this
+//! sender's reply, also where its connection is lost and another one is opened.
+//!
+//! **Replies are true when sent.** [`RegisterReply::Applied`] is sent once the sender goes by that
+//! turn: it holds a lease, and the document that it accepts messages under is stored.
 
 use crate::coordination::messages::{Digest, ReplicaTableMessage, SiteAdmission};
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Texts that are checked at once; what is offered beside them is offered again.
-const CHECKS: usize = 4;
+/// Documents that are checked at once; what is offered beside them is offered again later.
+const MAX_CHECKS: usize = 4;
 
-/// What a register is of.
+/// The kinds of documents that a register names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum DocumentKind {
     /// Policies.
     Policy,
     /// Routing tables.
     Table,
 }
 
-impl Kind {
+impl DocumentKind {
     /// What one of them is called.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Policy => "policy",
-            Kind::Table => "table",
+            DocumentKind::Policy => "policy",
+            DocumentKind::Table => "table",
         }
     }
 
-    /// How messages are taken on with one.
-    fn how(self) -> &'static str {
+    /// How a log line says that messages are accepted with one.
+    fn preposition_and_name(self) -> &'static str {
         match self {
-            Kind::Policy => "under policy",
-            Kind::Table => "by table",
+            DocumentKind::Policy => "under policy",
+            DocumentKind::Table => "by table",
         }
     }
 }
 
-/// What is said to a keeper.
+/// A reply to the leader.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Said {
+pub enum RegisterReply {
     /// Answers an offer.
-    Stored {
-        /// What was offered.
+    Checked {
+        /// The number that was offered.
         number: u64,
-        /// Why it cannot be gone by; nothing where it is checked and written down.
+        /// Why this sender cannot use the document; nothing where it is checked and stored.
         refused: Option<String>,
     },
     /// The sender goes by the rule of this turn.
-    Rules {
+    Applied {
         /// The turn.
         turn: u64,
     },
 }
 
-/// What a sender does that cannot know whether the record has gone on.
+/// What a sender does while it cannot know whether the record has gone on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Without {
-    /// It takes nothing new on, and ends what it owes.
-    Hold,
-    /// It takes on under what it last went by. Two senders may then go by two.
-    Last,
+pub enum OnLeaseLoss {
+    /// It accepts no new messages, and finishes those that it has accepted.
+    #[serde(rename = "hold")]
+    StopAccepting,
+    /// It accepts messages under the document that it last went by. Two senders may then go by two
+    /// documents.
+    #[serde(rename = "last")]
+    KeepLast,
 }
 
-/// Who takes on.
+/// Whether one register lets this sender accept messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Doorway {
-    /// This sender, until that moment; nothing where it keeps no promise.
+pub enum AdmissionGate {
+    /// It may, under a document.
     Open {
-        /// Under this.
+        /// Number of the document; 0 for the sender's own settings, or its list alone.
         number: u64,
-        /// Until when.
+        /// Until when; nothing where no lease bounds it.
         until: Option<Nanos>,
     },
-    /// Nobody, for a moment.
+    /// No sender may, for the moment between two documents.
     Paused,
-    /// Not this sender.
+    /// This sender may not: it has no lease, or lacks the document.
     Fenced,
 }
 
 /// What is to be done, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    /// Check this and write it down; [`Register::checked`] says what came of it.
-    Check {
+pub enum RegisterEffect {
+    /// Check a document and store it; [`Register::on_checked`] is told the result.
+    CheckDocument {
         /// Its number.
         number: u64,
-        /// Its print.
+        /// Its digest.
         digest: Digest,
         /// Its text.
         text: String,
     },
-    /// So messages are taken on from now on.
-    Stand(Doorway),
-    /// Say this on the connection.
-    Say(Said),
-    /// Tell the operators.
-    Note(String),
+    /// Accept messages, or not, as this says from now on.
+    SetGate(AdmissionGate),
+    /// Send this on the connection.
+    Reply(RegisterReply),
+    /// Log this for the operators.
+    Log(String),
 }
 
-/// What the register says.
+/// What the register says, as the leader last told it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Rule {
     turn: u64,
     number: u64,
-    stance: SiteAdmission,
+    admission: SiteAdmission,
 }
 
-/// A sender's side of the register.
+/// A sender's view of one register.
 #[derive(Debug)]
 pub struct Register {
-    kind: Kind,
-    without: Without,
+    kind: DocumentKind,
+    on_lease_loss: OnLeaseLoss,
+    /// Digests of the documents that are stored, by number.
     stored: BTreeMap<u64, Digest>,
+    /// Digests of the documents that are being checked, by number.
     checking: BTreeMap<u64, Digest>,
-    /// The word of the highest turn.
+    /// The rule of the highest turn that was received.
     rule: Option<Rule>,
-    /// It was heard since the lease last lapsed.
-    sure: bool,
-    /// The lease was held when it was last looked.
-    held: bool,
-    /// What it last took on under, also in an earlier process.
-    last: u64,
-    /// What was ordered of the sender last.
-    stands: Option<Doorway>,
-    /// The turn whose [`Said::Rules`] is owed.
-    owed: Option<u64>,
+    /// The rule was received since the lease last lapsed.
+    is_rule_current: bool,
+    /// Whether the lease was held when it was last looked at.
+    held_lease: bool,
+    /// The document that messages were last accepted under, also by an earlier process.
+    last_applied: u64,
+    /// The gate that was last given as an effect.
+    gate: Option<AdmissionGate>,
+    /// The turn for which [`RegisterReply::Applied`] is owed.
+    unanswered_turn: Option<u64>,
 }
 
 impl Register {
-    /// A sender that starts, with what it has written down and the number that it last took on
-    /// under.
-    pub fn new(kind: Kind, without: Without, stored: BTreeMap<u64, Digest>, last: u64) -> Register {
-        let last = if stored.contains_key(&last) { last } else { 0 };
-        let (checking, rule, stands, owed) = (BTreeMap::new(), None, None, None);
+    /// The register of a sender that starts, with what it has stored and the number of the document
+    /// that it last went by.
+    pub fn new(
+        kind: DocumentKind,
+        on_lease_loss: OnLeaseLoss,
+        stored: BTreeMap<u64, Digest>,
+        last_applied: u64,
+    ) -> Register {
+        let last_applied = if stored.contains_key(&last_applied) {
+            last_applied
+        } else {
+            0
+        };
         Register {
             kind,
-            without,
+            on_lease_loss,
             stored,
-            checking,
-            rule,
-            sure: false,
-            held: false,
-            last,
-            stands,
-            owed,
+            checking: BTreeMap::new(),
+            rule: None,
+            is_rule_current: false,
+            held_lease: false,
+            last_applied,
+            gate: None,
+            unanswered_turn: None,
         }
     }
 
-    /// What it is of.
-    pub fn kind(&self) -> Kind {
+    /// The kind of its documents.
+    pub fn kind(&self) -> DocumentKind {
         self.kind
     }
 
-    /// What it has written down, by number.
+    /// Numbers and digests of the documents that are stored.
     pub fn stored(&self) -> Vec<(u64, Digest)> {
         self.stored
             .iter()
@@ -172,72 +187,116 @@
             .collect()
     }
 
-    /// What it may need at once: the one that the record names, and the one that it last went by.
-    pub fn needs(&self) -> [u64; 2] {
-        [self.rule.map_or(0, |r| r.number), self.last]
+    /// Numbers of the documents that may be needed at once: the one that the record names, and the
+    /// one that this sender last went by.
+    pub fn needed_documents(&self) -> [u64; 2] {
+        [self.rule.map_or(0, |r| r.number), self.last_applied]
     }
 
-    /// A keeper's word.
-    pub fn hear(&mut self, word: ReplicaTableMessage, out: &mut Vec<Out>) {
-        match word {
+    /// Takes in a message from the leader. [`Register::update_gate`] gives what follows from a
+    /// rule.
+    pub fn on_message(&mut self, message: ReplicaTableMessage, effects: &mut Vec<RegisterEffect>) {
+        match message {
             ReplicaTableMessage::OfferTable {
                 number,
                 digest,
                 text,
-            } => self.offered(number, digest, text, out),
+            } => self.on_offer(number, digest, text, effects),
             ReplicaTableMessage::ApplyTable {
                 turn,
                 number,
-                admission: stance,
-            } => {
-                let rule = Rule {
-                    turn,
-                    number,
-                    stance,
-                };
-                if self.rule.is_some_and(|heard| turn < heard.turn) {
-                    return;
-                }
-                // One turn has one meaning: what was heard first stands.
-                if self.rule.is_none_or(|heard| turn > heard.turn) {
-                    self.rule = Some(rule);
-                }
-                (self.sure, self.owed) = (true, Some(turn));
-            }
+                admission,
+            } => self.on_rule(Rule {
+                turn,
+                number,
+                admission,
+            }),
+        }
+    }
+
+    fn on_rule(&mut self, rule: Rule) {
+        if self.rule.is_some_and(|known| rule.turn < known.turn) {
+            return;
+        }
+        // One turn has one meaning: what was received first stands.
+        if self.rule.is_none_or(|known| rule.turn > known.turn) {
+            self.rule = Some(rule);
+        }
+        self.is_rule_current = true;
+        self.unanswered_turn = Some(rule.turn);
+    }
+
+    fn on_offer(
+        &mut self,
+        number: u64,
+        digest: Digest,
+        text: String,
+        effects: &mut Vec<RegisterEffect>,
+    ) {
+        if self.stored.get(&number) == Some(&digest) {
+            let refused = None;
+            let reply = RegisterReply::Checked { number, refused };
+            effects.push(RegisterEffect::Reply(reply));
+            return;
+        }
+        if number == 0 {
+            let refused = Some(format!("{} 0 has no text", self.kind.name()));
+            let reply = RegisterReply::Checked { number, refused };
+            effects.push(RegisterEffect::Reply(reply));
+            return;
+        }
+        // One that is being checked is answered once; what there is no room for is offered again.
+        if self.checking.len() < MAX_CHECKS && !self.checking.contains_key(&number) {
+            self.checking.insert(number, digest);
+            effects.push(RegisterEffect::CheckDocument {
+                number,
+                digest,
+                text,
+            });
         }
     }
 
-    /// Whether it held a lease when it was last looked.
-    pub fn holds(&self) -> bool {
-        self.held
+    /// Whether the lease was held when it was last looked at.
+    pub fn held_lease(&self) -> bool {
+        self.held_lease
     }
 
-    /// The lease is held, or not, as it is looked now. True where it has lapsed since the last
-    /// look: nothing that was heard counts any more, and what still comes on that connection must
-    /// not.
-    pub fn lapses(&mut self, holds: bool) -> bool {
-        let lapsed = self.held && !holds;
-        self.held = holds;
-        if lapsed {
-            (self.sure, self.owed) = (false, None);
+    /// Notes whether the lease is held now. True where it has lapsed since the last look: nothing
+    /// that was received counts any more, and what still comes on that connection must not count
+    /// either.
+    pub fn note_lease(&mut self, holds_lease: bool) -> bool {
+        let has_lapsed = self.held_lease && !holds_lease;
+        self.held_lease = holds_lease;
+        if has_lapsed {
+            self.distrust_rule();
         }
-        lapsed
+        has_lapsed
+    }
+
+    /// A connection is opened while no lease is held: only what is received on it counts.
+    pub fn on_connecting_without_lease(&mut self) {
+        self.distrust_rule();
     }
 
-    /// A connection is opened without a lease: only what is heard on it counts.
-    pub fn begins(&mut self) {
-        (self.sure, self.owed) = (false, None);
+    fn distrust_rule(&mut self) {
+        self.is_rule_current = false;
+        self.unanswered_turn = None;
     }
 
-    /// These are not written down any more.
+    /// These documents are not stored any more.
     pub fn forget(&mut self, numbers: &[u64]) {
-        numbers
-            .iter()
-            .for_each(|number| _ = self.stored.remove(number));
+        for number in numbers {
+            self.stored.remove(number);
+        }
     }
 
-    /// What came of a check: it is written down, or cannot be gone by.
-    pub fn checked(&mut self, number: u64, result: Result<(), String>, out: &mut Vec<Out>) {
+    /// Takes in the result of a check: the document is stored, or cannot be used.
+    pub fn on_checked(
+        &mut self,
+        number: u64,
+        result: Result<(), String>,
+        effects: &mut Vec<RegisterEffect>,
+    ) {
         let name = self.kind.name();
         let Some(digest) = self.checking.remove(&number) else {
             return;
@@ -245,119 +304,113 @@
         let refused = match result {
             Ok(()) => {
                 self.stored.insert(number, digest);
-                out.push(Out::Note(format!(
-                    "{name} {number} is checked and written down"
-                )));
+                let line = format!("{name} {number} is checked and written down");
+                effects.push(RegisterEffect::Log(line));
                 None
             }
-            Err(why) => {
-                out.push(Out::Note(format!(
-                    "{name} {number} refused: {}",
-                    why.replace('\n', "; ")
-                )));
-                Some(why)
+            Err(reason) => {
+                let line = format!("{name} {number} refused: {}", reason.replace('\n', "; "));
+                effects.push(RegisterEffect::Log(line));
+                Some(reason)
             }
         };
-        out.push(Out::Say(Said::Stored { number, refused }));
+        let reply = RegisterReply::Checked { number, refused };
+        effects.push(RegisterEffect::Reply(reply));
     }
 
-    /// Orders what follows from what was heard and from the lease, which is believed until then if
-    /// there is one.
-    pub fn settle(&mut self, now: Nanos, lease: Option<Nanos>, out: &mut Vec<Out>) {
-        let holds = lease.filter(|until| now < *until);
-        self.held |= holds.is_some();
-        let rule = self.rule.filter(|_| self.sure && holds.is_some());
-        let known = |number: u64| number == 0 || self.stored.contains_key(&number);
-        let stands = match rule {
-            Some(Rule {
-                stance: SiteAdmission::Paused,
-                ..
-            }) => Doorway::Paused,
-            Some(Rule {
-                stance: SiteAdmission::LeaseExpired,
-                ..
-            }) => Doorway::Fenced,
-            Some(rule) if known(rule.number) => {
-                let until = holds.filter(|_| self.without == Without::Hold);
-                Doorway::Open {
-                    number: rule.number,
-                    until,
-                }
-            }
-            Some(_) => Doorway::Fenced,
-            None if self.without == Without::Last => Doorway::Open {
-                number: self.last,
-                until: None,
-            },
-            None => Doorway::Fenced,
-        };
-        if let (Doorway::Open { number, .. }, Some(_)) = (stands, rule) {
-            self.last = number;
+    /// Gives what follows from the rule and the lease: the gate where it has changed, then the
+    /// reply that is owed. The lease is believed until then, if there is one.
+    pub fn update_gate(
+        &mut self,
+        now: Nanos,
+        lease_until: Option<Nanos>,
+        effects: &mut Vec<RegisterEffect>,
+    ) {
+        let lease_until = lease_until.filter(|until| now < *until);
+        self.held_lease |= lease_until.is_some();
+        let rule = self
+            .rule
+            .filter(|_| self.is_rule_current && lease_until.is_some());
+        let gate = self.gate_by(rule, lease_until);
+        if let (AdmissionGate::Open { number, .. }, Some(_)) = (gate, rule) {
+            self.last_applied = number;
         }
-        if self.stands != Some(stands) {
-            out.extend(self.told(stands, rule).map(Out::Note));
-            self.stands = Some(stands);
-            out.push(Out::Stand(stands));
+        if self.gate != Some(gate) {
+            if let Some(line) = self.describe_change(gate, rule) {
+                effects.push(RegisterEffect::Log(line));
+            }
+            self.gate = Some(gate);
+            effects.push(RegisterEffect::SetGate(gate));
         }
-        // Said after it is so. What is fenced for want of the text does not go by it yet.
-        if rule
-            .is_some_and(|r| r.stance == SiteAdmission::LeaseExpired || stands != Doorway::Fenced)
-        {
-            out.extend(self.owed.take().map(|turn| Out::Say(Said::Rules { turn })));
+        // Sent after it is so. Where the gate is fenced for want of the document, this sender does
+        // not go by the rule yet.
+        let goes_by_rule = rule.is_some_and(|r| {
+            r.admission == SiteAdmission::LeaseExpired || gate != AdmissionGate::Fenced
+        });
+        if goes_by_rule {
+            if let Some(turn) = self.unanswered_turn.take() {
+                effects.push(RegisterEffect::Reply(RegisterReply::Applied { turn }));
+            }
         }
     }
 
-    /// What is new, for the operators; a lease that was renewed is not.
-    fn told(&self, stands: Doorway, rule: Option<Rule>) -> Option<String> {
-        let (name, how) = (self.kind.name(), self.kind.how());
-        let by = rule.map_or("without a keeper's word".into(), |r| {
-            format!("by turn {}", r.turn)
-        });
-        match (self.stands, stands) {
-            (Some(Doorway::Open { number: old, .. }), Doorway::Open { number, .. })
-                if old == number =>
-            {
-                None
-            }
-            (_, Doorway::Open { number, .. }) => Some(format!("takes on {how} {number} {by}")),
-            (_, Doorway::Paused) => Some(format!("takes nothing on for a moment {by}")),
-            (_, Doorway::Fenced) => match rule {
-                Some(Rule {
-                    stance: SiteAdmission::LeaseExpired,
-                    ..
-                }) => Some(format!(
-                    "takes nothing on {by}: the site's lease in its federation is over"
-                )),
-                Some(rule) => Some(format!(
-                    "takes nothing on {by}: {name} {} is not here yet",
-                    rule.number
-                )),
-                None => Some(format!(
-                    "takes nothing on: it may have missed a change of {name}"
-                )),
+    /// The gate that follows from the rule, where that may be trusted, and the lease.
+    fn gate_by(&self, rule: Option<Rule>, lease_until: Option<Nanos>) -> AdmissionGate {
+        let Some(rule) = rule else {
+            return match self.on_lease_loss {
+                OnLeaseLoss::StopAccepting => AdmissionGate::Fenced,
+                OnLeaseLoss::KeepLast => AdmissionGate::Open {
+                    number: self.last_applied,
+                    until: None,
+                },
+            };
+        };
+        let has_document = rule.number == 0 || self.stored.contains_key(&rule.number);
+        match rule.admission {
+            SiteAdmission::Paused => AdmissionGate::Paused,
+            SiteAdmission::LeaseExpired => AdmissionGate::Fenced,
+            SiteAdmission::Open if !has_document => AdmissionGate::Fenced,
+            SiteAdmission::Open => AdmissionGate::Open {
+                number: rule.number,
+                until: match self.on_lease_loss {
+                    OnLeaseLoss::StopAccepting => lease_until,
+                    OnLeaseLoss::KeepLast => None,
+                },
             },
         }
     }
 
-    fn offered(&mut self, number: u64, digest: Digest, text: String, out: &mut Vec<Out>) {
-        if self.stored.get(&number) == Some(&digest) {
-            return out.push(Out::Say(Said::Stored {
-                number,
-                refused: None,
-            }));
-        }
-        if number == 0 {
-            let refused = Some(format!("{} 0 has no text", self.kind.name()));
-            return out.push(Out::Say(Said::Stored { number, refused }));
+    /// The log line for a change of the gate; none where only the lease was renewed.
+    fn describe_change(&self, gate: AdmissionGate, rule: Option<Rule>) -> Option<String> {
+        let by = match rule {
+            None => "without a keeper's word".to_string(),
+            Some(rule) => format!("by turn {}", rule.turn),
+        };
+        match gate {
+            AdmissionGate::Open { number, .. } => {
+                let is_same_document = matches!(
+                    self.gate,
+                    Some(AdmissionGate::Open { number: previous, .. }) if previous == number
+                );
+                let how = self.kind.preposition_and_name();
+                (!is_same_document).then(|| format!("takes on {how} {number} {by}"))
+            }
+            AdmissionGate::Paused => Some(format!("takes nothing on for a moment {by}")),
+            AdmissionGate::Fenced => Some(self.describe_fencing(rule, &by)),
         }
-        // One that is being checked is answered once; what finds no room is offered again.
-        if self.checking.len() < CHECKS && !self.checking.contains_key(&number) {
-            self.checking.insert(number, digest);
-            out.push(Out::Check {
-                number,
-                digest,
-                text,
-            });
+    }
+
+    fn describe_fencing(&self, rule: Option<Rule>, by: &str) -> String {
+        let name = self.kind.name();
+        match rule {
+            Some(rule) if rule.admission == SiteAdmission::LeaseExpired => {
+                format!("takes nothing on {by}: the site's lease in its federation is over")
+            }
+            Some(rule) => format!(
+                "takes nothing on {by}: {name} {} is not here yet",
+                rule.number
+            ),
+            None => format!("takes nothing on: it may have missed a change of {name}"),
         }
     }
 }
--- a/src/cli/fleet/mod.rs
+++ b/src/cli/fleet/mod.rs
@@ -4,7 +4,7 @@
 mod table;
 
 use clap::{Args, Subcommand, ValueEnum};
-use raildeal::agent::config::File;
+use raildeal::agent::config::{FleetConfig, FleetConfigError};
 use raildeal::coordination::framing::{self, FrameError};
 use raildeal::coordination::messages::{
     CoordinationStatus, Handshake, OperatorRequest, OperatorResponse, PeerRole, RequestedZoneState,
@@ -129,8 +129,8 @@
 enum NotDone {
     #[error("--file: the keepers' addresses are needed; RAILDEAL_FLEET may name the file as well")]
     NoFile,
-    #[error("{0}")]
-    File(String),
+    #[error(transparent)]
+    File(FleetConfigError),
     #[error("no keeper that leads answered within {PATIENCE:?}; last: {0}")]
     Unheard(String),
 }
@@ -173,7 +173,7 @@
 impl Site {
     fn ask(&self, word: &OperatorRequest) -> Result<OperatorResponse, NotDone> {
         let file = self.0.as_deref().ok_or(NotDone::NoFile)?;
-        ask(&File::read(file).map_err(NotDone::File)?, word)
+        ask(&FleetConfig::read(file).map_err(NotDone::File)?, word)
     }
 
     /// Asks or orders something and tells the answer.
@@ -191,11 +191,11 @@
 }
 
 /// Asks one keeper after another until one that leads has answered.
-fn ask(fleet: &File, word: &OperatorRequest) -> Result<OperatorResponse, NotDone> {
+fn ask(fleet: &FleetConfig, word: &OperatorRequest) -> Result<OperatorResponse, NotDone> {
     let (begun, mut last) = (Instant::now(), String::from("no keepers are named"));
     while begun.elapsed() < PATIENCE {
         let mut told = Vec::new();
-        for at in fleet.keepers.values().copied() {
+        for at in fleet.replicas.values().copied() {
             match ask_one(&fleet.site, at, word) {
                 Ok(OperatorResponse::NotLeader(leader)) => {
                     last = match leader {
--- a/src/delivery/endpoint_directory/evacuations.rs
+++ b/src/delivery/endpoint_directory/evacuations.rs
@@ -1,8 +1,8 @@
 //! How evacuations change what the decision module is told of listed endpoints.
 //!
-//! Invariants: the decision module is never told that an evacuated endpoint is ready unless attempts
-//! there are leased; and an evacuation never takes the last endpoints that some message could go to
-//! ([`EndpointDirectory::kept_destinations`]).
+//! Invariants: the decision module is never told that an evacuated endpoint is ready unless
+//! attempts there are leased; and an evacuation never takes the last endpoints that some message
+//! could go to ([`EndpointDirectory::kept_destinations`]).
 
 use super::{DirectoryChange, EndpointDirectory};
 use crate::delivery::endpoint::Endpoint;
@@ -25,8 +25,8 @@
 }
 
 impl EndpointDirectory {
-    /// Replaces all evacuation orders by these. [`EndpointDirectory::expire_due`] gives what follows
-    /// from it.
+    /// Replaces all evacuation orders by these. [`EndpointDirectory::expire_due`] gives what
+    /// follows from it.
     pub fn set_evacuations(&self, orders: Vec<EvacuationOrder>) {
         self.evacuations.borrow_mut().set_orders(orders);
     }
@@ -88,11 +88,13 @@
             EvacuationStatus::LeaseAvailable => Some(Condition::Ready),
         };
         if let Some(condition) = condition {
-            let told = ConditionOverride {
+            let current = ConditionOverride {
                 condition,
                 was_leased: was_leased || status == EvacuationStatus::LeaseAvailable,
             };
-            self.overrides.borrow_mut().insert(endpoint.endpoint, told);
+            self.overrides
+                .borrow_mut()
+                .insert(endpoint.endpoint, current);
         }
         if previous.map(|p| p.condition) == condition {
             return;
@@ -135,8 +137,8 @@
         renamed
     }
 
-    /// Overrides conditions of the list by evacuations: a new endpoint in an evacuated zone is never
-    /// told as wanted.
+    /// Overrides conditions of the list by evacuations: a new endpoint in an evacuated zone is
+    /// never told as wanted.
     pub(super) fn override_conditions(&self, listings: &mut [Listing]) {
         if self.evacuations.borrow().is_empty() {
             return;
@@ -155,8 +157,8 @@
             overrides.remove(&listing.endpoint);
             return;
         };
-        if let Some(told) = overrides.get(&listing.endpoint) {
-            listing.condition = told.condition;
+        if let Some(current) = overrides.get(&listing.endpoint) {
+            listing.condition = current.condition;
         } else if self.status(&endpoint, now) != EvacuationStatus::InUse {
             let draining = ConditionOverride {
                 condition: Condition::Draining,
--- a/src/main.rs
+++ b/src/main.rs
@@ -268,7 +268,7 @@
 /// What acts with the fleet in this sender.
 #[cfg(feature = "fleet")]
 struct Fleet(
-    Option<raildeal::agent::config::File>,
+    Option<raildeal::agent::config::FleetConfig>,
     Option<Rc<raildeal::agent::Agent>>,
 );
 
@@ -276,7 +276,7 @@
 impl Fleet {
     fn read() -> Result<Fleet, String> {
         let file = std::env::var_os(FLEET)
-            .map(|path| raildeal::agent::config::File::read(Path::new(&path)));
+            .map(|path| raildeal::agent::config::FleetConfig::read(Path::new(&path)));
         let file = file.transpose().map_err(|e| format!("{FLEET}: {e}"))?;
         Ok(Fleet(file, None))
     }
@@ -285,9 +285,9 @@
     fn store(&self, config: &Config) -> Result<JournalOptions, String> {
         use raildeal::agent::document_store;
         let (policies, tables) = self.follows();
-        let policies = document_store::reserved::<PolicySet>(&config.state, policies);
+        let policies = document_store::reserved_bytes::<PolicySet>(&config.state, policies);
         let both = policies.and_then(|p| {
-            Ok(p + document_store::reserved::<RoutingTables>(&config.state, tables)?)
+            Ok(p + document_store::reserved_bytes::<RoutingTables>(&config.state, tables)?)
         });
         let reserved = both.map_err(|e| format!("state: {}: {e}", config.state.display()))?;
         let limit = config.store.limit_bytes.saturating_sub(reserved);
@@ -306,12 +306,12 @@
     /// Whether it follows policies, and tables.
     fn follows(&self) -> (bool, bool) {
         self.0.as_ref().map_or((false, false), |file| {
-            (file.policy.is_some(), file.table.is_some())
+            (file.policies.is_some(), file.tables.is_some())
         })
     }
 
     fn start(&mut self, wired: &Wired) -> Result<(), String> {
-        use raildeal::agent::{document_store, Agent, Parts};
+        use raildeal::agent::{document_store, Agent, AgentParts};
         use std::sync::Arc;
         let Wired {
             config,
@@ -326,45 +326,46 @@
         let told = |e: std::io::Error| format!("state: {}: {e}", config.state.display());
         // What an earlier process took on may have been under policies, also where none is followed
         // any more.
-        let reserved = document_store::reserved::<PolicySet>(&config.state, policies);
+        let reserved = document_store::reserved_bytes::<PolicySet>(&config.state, policies);
         let policies = (reserved.unwrap_or(0) > 0).then(|| {
-            let ground = Arc::new(document_store::Ground {
+            let validation = Arc::new(document_store::PolicyValidationContext {
                 settings: settings.clone(),
                 classes: context.class_names.clone(),
-                door: config.door.clone(),
-                places: budget.clients,
+                admission: config.door.clone(),
+                client_slots: budget.clients,
                 // One at least is kept of what is kept idle.
-                calls: budget.calls + budget.kept.saturating_sub(1),
-                disk: config.store.limit_bytes,
+                max_calls: budget.calls + budget.kept.saturating_sub(1),
+                disk_bytes: config.store.limit_bytes,
             });
-            let again = ground.clone();
-            let ground_now = Box::new(move || again.clone());
-            document_store::Shelf::<PolicySet>::open(
+            let unchanged = validation.clone();
+            let current = Box::new(move || unchanged.clone());
+            document_store::DocumentStore::<PolicySet>::open(
                 &config.state,
-                &ground,
-                ground_now,
+                &validation,
+                current,
                 context.policies.clone(),
             )
         });
         let policies = policies.transpose().map_err(told)?;
         let tenants = settings.tenants.len();
         let tables = tables.then(|| {
-            let list = move |context: &DeliveryContext, offers| {
+            let validation = move |context: &DeliveryContext, listed| {
                 let classes = context.class_names.clone();
-                document_store::List {
+                document_store::TableValidationContext {
                     classes,
                     tenants,
-                    offers,
+                    listed,
                 }
             };
-            let start = list(context, None);
+            let start = validation(context, None);
             let now = context.clone();
-            let list_now =
-                Box::new(move || Arc::new(list(&now, Some(now.directory.capacity_by_zone()))));
-            document_store::Shelf::<RoutingTables>::open(
+            let current = Box::new(move || {
+                Arc::new(validation(&now, Some(now.directory.capacity_by_zone())))
+            });
+            document_store::DocumentStore::<RoutingTables>::open(
                 &config.state,
                 &start,
-                list_now,
+                current,
                 context.routing_tables.clone(),
             )
         });
@@ -381,11 +382,11 @@
         });
         let (sender, context, executor) = (config.name.clone(), context.clone(), executor.clone());
         let warm_after = settings.slow_start_duration;
-        let parts = Parts {
+        let parts = AgentParts {
             sender,
             seed: salt(),
             warm_after,
-            context,
+            delivery: context,
             policies,
             tables,
             executor,
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -1,5 +1,5 @@
-//! The agent in a sender: its machine over histories of bad lines, orders over the list, and the
-//! real program with a keeper that this test plays.
+//! The agent in a sender: its session over faulty connections, evacuations over the endpoint list,
+//! and the real program with a replica that this test stands in for.
 #![cfg(feature = "fleet")]
 
 mod common;
@@ -7,7 +7,9 @@
 mod stand_in;
 
 use common::{settings, Driver, MS, SEC};
-use raildeal::agent::session::{Machine, Needs, Out, Terms};
+use raildeal::agent::session::{
+    AttemptDemand, SessionConfig, SessionEffect, SessionState, ZoneEvacuation,
+};
 use raildeal::coordination::messages::*;
 use raildeal::delivery::endpoint::{Endpoint, EndpointEntry, EndpointListUpdate};
 use raildeal::delivery::endpoint_directory::{DirectoryChange, EndpointDirectory};
@@ -28,24 +30,23 @@
 
 struct Wanting;
 
-impl Needs for Wanting {
-    fn waiting(&self, _: u16) -> u32 {
+impl AttemptDemand for Wanting {
+    fn waiting_messages(&self, _: u16) -> u32 {
         3
     }
 
-    fn left(&self, _: &str, _: u16) -> u32 {
+    fn leased_attempts_left(&self, _: &str, _: u16) -> u32 {
         0
     }
 }
 
-fn terms() -> Terms {
-    let keepers = vec![1, 2, 3];
-    Terms {
+fn session_config() -> SessionConfig {
+    SessionConfig {
         sender: "n0".into(),
         boot: 9,
         zone: "b".into(),
-        keepers,
-        report: 200 * MS,
+        replicas: vec![1, 2, 3],
+        report_interval: 200 * MS,
         warm_after: 10 * SEC,
     }
 }
@@ -64,7 +65,7 @@
 struct World {
     dice: fastrand::Rng,
     now: Nanos,
-    agent: Machine,
+    agent: SessionState,
     line: u64,
     to_keeper: Vec<(Nanos, u64, AgentToReplica)>,
     to_agent: Vec<(Nanos, u64, ReplicaToAgent)>,
@@ -87,8 +88,8 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let mut agent = Machine::new(terms(), seed, 0);
-        agent.list(vec![ListedZoneCapacity {
+        let mut agent = SessionState::new(session_config(), seed, 0);
+        agent.set_listed(vec![ListedZoneCapacity {
             zone: "a".into(),
             dest: 1,
             endpoints: 1,
@@ -130,19 +131,19 @@
         }
     }
 
-    fn act(&mut self, out: Vec<Out>) {
+    fn act(&mut self, out: Vec<SessionEffect>) {
         for out in out {
             match out {
-                Out::Connect { line, .. } => self.line = line,
-                Out::HangUp => self.line = 0,
-                Out::Say(word) => {
+                SessionEffect::Connect { connection, .. } => self.line = connection,
+                SessionEffect::Disconnect => self.line = 0,
+                SessionEffect::Send(word) => {
                     for at in self.arrivals() {
                         self.to_keeper.push((at, self.line, word.clone()));
                     }
                 }
-                Out::Stand(orders) => {
+                SessionEffect::SetEvacuations(orders) => {
                     let at = |t| self.base + Duration::from_nanos(t);
-                    let order = |o: raildeal::agent::session::Aside| EvacuationOrder {
+                    let order = |o: ZoneEvacuation| EvacuationOrder {
                         zone: o.zone,
                         dest: o.dest,
                         epoch: o.epoch,
@@ -151,20 +152,22 @@
                     let orders = orders.into_iter().map(order).collect();
                     self.evacuations.set_orders(orders);
                 }
-                Out::Lend {
+                SessionEffect::GrantLease {
                     zone,
                     dest,
                     epoch,
-                    calls,
+                    attempts,
                     until,
                 } => {
                     let lease = AttemptLease {
-                        attempts: calls,
+                        attempts,
                         until: self.base + Duration::from_nanos(until),
                     };
                     self.evacuations.grant_lease(&zone, dest, epoch, lease);
                 }
-                Out::Check { .. } | Out::Admit(_) | Out::Note(_) => {}
+                SessionEffect::CheckDocument { .. }
+                | SessionEffect::SetAdmission(_)
+                | SessionEffect::Log(_) => {}
             }
         }
     }
@@ -240,7 +243,7 @@
         let now = by_agent(self.now);
         if self.bad && self.dice.u32(..400) == 0 {
             let (line, lost) = (self.line, self.dice.bool());
-            self.agent.lost(now, line);
+            self.agent.on_connection_lost(now, line);
             if lost {
                 self.to_agent.clear();
                 self.to_keeper.clear();
@@ -260,15 +263,15 @@
         let due: Vec<_> = due;
         for (_, line, word) in due {
             let mut out = Vec::new();
-            self.agent.hear(now, line, word, &mut out);
+            self.agent.on_message(now, line, word, &mut out);
             self.act(out);
         }
         let mut out = Vec::new();
-        self.agent.tick(now, &Wanting, &mut out);
+        self.agent.on_tick(now, &Wanting, &mut out);
         self.act(out);
         // A lease is never believed for longer than the keeper believes in it.
         assert!(
-            !self.agent.holds(now) || self.now < self.lapses,
+            !self.agent.holds_lease(now) || self.now < self.lapses,
             "at {}: over at {}",
             self.now,
             self.lapses
@@ -318,7 +321,8 @@
 }
 
 #[test]
-fn over_bad_lines_no_lease_is_believed_too_long_no_grant_overspent_and_no_count_lost_or_doubled() {
+fn over_faulty_connections_no_lease_is_overextended_no_grant_overspent_and_no_count_lost_or_doubled(
+) {
     let (mut begun, mut alone, mut held) = (0, 0, 0);
     for seed in 0..150 {
         let mut world = World::new(seed);
@@ -334,19 +338,19 @@
             if world.dice.u8(..20) == 0 {
                 world
                     .agent
-                    .ledger
-                    .ended("a", 1, Outcome::Delivered, 100 * MS);
+                    .statistics
+                    .record_outcome("a", 1, Outcome::Delivered, 100 * MS);
                 ended += 1;
             }
             world.step();
-            alone += u32::from(world.agent.is_alone());
-            held += u32::from(world.agent.holds(by_agent(world.now)));
+            alone += u32::from(world.agent.is_standalone());
+            held += u32::from(world.agent.holds_lease(by_agent(world.now)));
         }
         world.bad = false;
         (0..3_000).for_each(|_| world.step());
         assert_eq!(world.reports.values().sum::<u32>(), ended, "seed {seed}");
         assert!(
-            !world.agent.is_alone() && world.agent.has() == world.view.version,
+            !world.agent.is_standalone() && world.agent.record_version() == world.view.version,
             "seed {seed}"
         );
         begun += world.begun;
@@ -359,20 +363,20 @@
 }
 
 #[test]
-fn what_was_ordered_left_comes_back_by_lot_over_the_warm_up_once_no_keeper_answers() {
+fn evacuated_zones_are_returned_to_by_lot_over_the_warm_up_once_no_replica_answers() {
     let (mut ends, count) = (Vec::new(), 300);
     for n in 0..count {
-        let mut agent = Machine::new(
-            Terms {
+        let mut agent = SessionState::new(
+            SessionConfig {
                 sender: format!("n{n}"),
-                ..terms()
+                ..session_config()
             },
             n,
             0,
         );
         let mut out = Vec::new();
-        agent.tick(SEC, &Wanting, &mut out);
-        agent.hear(
+        agent.on_tick(SEC, &Wanting, &mut out);
+        agent.on_message(
             SEC,
             1,
             ReplicaToAgent::LeaseRenewed {
@@ -381,7 +385,7 @@
             },
             &mut out,
         );
-        agent.hear(
+        agent.on_message(
             SEC,
             1,
             ReplicaToAgent::View(SenderView {
@@ -390,19 +394,22 @@
             }),
             &mut out,
         );
-        let all = |out: &[Out]| {
+        let all = |out: &[SessionEffect]| {
             out.iter().rev().find_map(|o| match o {
-                Out::Stand(s) => Some(s.clone()),
+                SessionEffect::SetEvacuations(s) => Some(s.clone()),
                 _ => None,
             })
         };
         let left = all(&out).expect("orders");
         assert_eq!((left.len(), left[0].epoch, left[0].until), (1, 1, None));
         let lapse = SEC + 2_940 * MS;
-        agent.tick(lapse, &Wanting, &mut out);
+        agent.on_tick(lapse, &Wanting, &mut out);
         let alone = all(&out).expect("orders");
         assert!(
-            agent.is_alone() && out.contains(&Out::Note("no keeper answers; goes on alone".into()))
+            agent.is_standalone()
+                && out.contains(&SessionEffect::Log(
+                    "no keeper answers; goes on alone".into()
+                ))
         );
         ends.extend(
             alone
@@ -422,59 +429,59 @@
 }
 
 /// Whom it asks.
-fn asked(out: &[Out]) -> Option<u64> {
-    let keeper = |o: &Out| {
-        if let Out::Connect { keeper, .. } = o {
-            Some(*keeper)
+fn asked(out: &[SessionEffect]) -> Option<u64> {
+    let replica = |o: &SessionEffect| {
+        if let SessionEffect::Connect { replica, .. } = o {
+            Some(*replica)
         } else {
             None
         }
     };
-    out.iter().find_map(keeper)
+    out.iter().find_map(replica)
 }
 
 #[test]
-fn leaders_are_followed_and_three_hundred_agents_do_not_come_in_step() {
+fn redirects_to_the_leader_are_followed_and_three_hundred_agents_do_not_synchronize() {
     let mut first: Vec<Nanos> = (0..300)
-        .map(|n| Machine::new(terms(), n, 0).next())
+        .map(|n| SessionState::new(session_config(), n, 0).next_deadline())
         .collect();
     first.sort_unstable();
     assert!(first[290] - first[10] > 150 * MS);
-    let mut agent = Machine::new(terms(), 7, 0);
+    let mut agent = SessionState::new(session_config(), 7, 0);
     let mut out = Vec::new();
     let mut now = SEC;
-    agent.tick(now, &Wanting, &mut out);
-    let asked = |out: &[Out]| {
+    agent.on_tick(now, &Wanting, &mut out);
+    let asked = |out: &[SessionEffect]| {
         out.iter().find_map(|o| match o {
-            Out::Connect { keeper, .. } => Some(*keeper),
+            SessionEffect::Connect { replica, .. } => Some(*replica),
             _ => None,
         })
     };
     let keeper = asked(&out).expect("one is asked");
     let leader = keeper % 3 + 1;
-    agent.hear(now, 1, ReplicaToAgent::NotLeader(Some(leader)), &mut out);
+    agent.on_message(now, 1, ReplicaToAgent::NotLeader(Some(leader)), &mut out);
     out.clear();
-    now = agent.next();
+    now = agent.next_deadline();
     assert!(now <= SEC + 20 * MS);
-    agent.tick(now, &Wanting, &mut out);
+    agent.on_tick(now, &Wanting, &mut out);
     assert_eq!(asked(&out), Some(leader));
     // Nobody leads: the next one is asked, ever more seldom.
     let mut gaps = Vec::new();
     for line in 2..9 {
-        agent.hear(now, line, ReplicaToAgent::NotLeader(None), &mut out);
-        gaps.push(agent.next().min(now + 3 * SEC) - now);
+        agent.on_message(now, line, ReplicaToAgent::NotLeader(None), &mut out);
+        gaps.push(agent.next_deadline().min(now + 3 * SEC) - now);
         now += 3 * SEC;
-        agent.tick(now, &Wanting, &mut out);
+        agent.on_tick(now, &Wanting, &mut out);
     }
     assert!(gaps[0] <= 100 * MS && gaps[5] >= SEC, "{gaps:?}");
 }
 
 #[test]
-fn older_records_and_orders_count_for_nothing() {
-    let mut agent = Machine::new(terms(), 7, 0);
+fn outdated_records_and_orders_are_ignored() {
+    let mut agent = SessionState::new(session_config(), 7, 0);
     let mut out = Vec::new();
-    agent.tick(SEC, &Wanting, &mut out);
-    agent.hear(
+    agent.on_tick(SEC, &Wanting, &mut out);
+    agent.on_message(
         SEC,
         1,
         ReplicaToAgent::LeaseRenewed {
@@ -483,13 +490,13 @@
         },
         &mut out,
     );
-    assert!(out.contains(&Out::Note(format!(
+    assert!(out.contains(&SessionEffect::Log(format!(
         "session with keeper {}",
         asked(&out).expect("asked")
     ))));
     let mut told = |version, zones: Vec<ZoneOrder>| {
         let mut out = Vec::new();
-        agent.hear(
+        agent.on_message(
             SEC,
             1,
             ReplicaToAgent::View(SenderView { version, zones }),
@@ -497,7 +504,7 @@
         );
         out.iter()
             .filter_map(|o| match o {
-                Out::Note(n) => Some(n.clone()),
+                SessionEffect::Log(n) => Some(n.clone()),
                 _ => None,
             })
             .collect::<Vec<_>>()
@@ -722,7 +729,7 @@
 }
 
 #[test]
-fn an_order_makes_the_list_no_newer_and_answers_no_ask() {
+fn an_evacuation_does_not_refresh_the_list_or_answer_a_poll() {
     let of = |event: Event| {
         let mut driver = Driver::new(
             Settings {
@@ -742,7 +749,7 @@
 }
 
 #[test]
-fn what_is_lent_goes_in_its_time_also_in_a_fleet_of_hundreds() {
+fn leased_attempts_are_used_in_time_also_in_a_fleet_of_hundreds() {
     // One message a second for a destination with three routes in use; a fourth comes back by a
     // call that is lent for a second.
     let used = |rate: f32| {
@@ -817,7 +824,7 @@
 }
 
 #[test]
-fn a_sender_leaves_a_zone_returns_by_what_is_lent_and_goes_on_alone() {
+fn a_sender_evacuates_a_zone_returns_by_leased_attempts_and_continues_standalone() {
     let (zone_a, zone_b, only) = (
         Arc::<Record>::default(),
         Arc::<Record>::default(),
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -1,12 +1,14 @@
-//! Three senders' agents and a record whose words are lost, doubled, late and out of order: never
-//! two policies at once.
+//! Three senders' agents and a record whose messages are lost, duplicated, delayed and reordered:
+//! never two policies at once.
 #![cfg(feature = "fleet")]
 
 mod common;
 
 use common::{MS, SEC};
-use raildeal::agent::register::{Kind, Register, Without};
-use raildeal::agent::session::{Entrance, Machine, Needs, Out, Terms};
+use raildeal::agent::register::{DocumentKind, OnLeaseLoss, Register};
+use raildeal::agent::session::{
+    AdmissionRequirement, AttemptDemand, SessionConfig, SessionEffect, SessionState,
+};
 use raildeal::coordination::messages::{AgentToReplica, Digest, ReplicaToAgent};
 use raildeal::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,41 +19,45 @@
 
 struct Nothing;
 
-impl Needs for Nothing {
-    fn waiting(&self, _: u16) -> u32 {
+impl AttemptDemand for Nothing {
+    fn waiting_messages(&self, _: u16) -> u32 {
         0
     }
 
-    fn left(&self, _: &str, _: u16) -> u32 {
+    fn leased_attempts_left(&self, _: &str, _: u16) -> u32 {
         0
     }
 }
 
-fn machine(
+fn session(
     n: usize,
     boot: u64,
-    without: Without,
+    on_lease_loss: OnLeaseLoss,
     stored: BTreeMap<u64, Digest>,
     last: u64,
-) -> Machine {
-    let (sender, zone, keepers) = (format!("n{n}"), "a".to_string(), vec![1]);
-    let terms = Terms {
-        sender,
+) -> SessionState {
+    let config = SessionConfig {
+        sender: format!("n{n}"),
         boot,
-        zone,
-        keepers,
-        report: 100 * MS,
+        zone: "a".into(),
+        replicas: vec![1],
+        report_interval: 100 * MS,
         warm_after: SEC,
     };
-    Machine::new(terms, boot, 0).following(Register::new(Kind::Policy, without, stored, last))
+    SessionState::new(config, boot, 0).with_register(Register::new(
+        DocumentKind::Policy,
+        on_lease_loss,
+        stored,
+        last,
+    ))
 }
 
 fn digest(number: u64) -> Digest {
     [number as u8; 32]
 }
 
-fn open(number: u64, until: Option<Nanos>) -> Entrance {
-    Entrance::Open {
+fn open(number: u64, until: Option<Nanos>) -> AdmissionRequirement {
+    AdmissionRequirement::Open {
         policy: Some(number),
         table: None,
         until,
@@ -60,13 +66,13 @@
 
 /// A sender, by its own clock.
 struct Sender {
-    machine: Machine,
+    session: SessionState,
     boot: u64,
     /// Its clock began at this true time, and runs so many parts in 10,000 wrong.
     began: Nanos,
     off: i64,
     line: u64,
-    doorway: Entrance,
+    admission: AdmissionRequirement,
     stored: BTreeMap<u64, Digest>,
     last: u64,
     said: u64,
@@ -79,8 +85,8 @@
     }
 
     fn takes_on(&self, now: Nanos) -> Option<u64> {
-        match self.doorway {
-            Entrance::Open {
+        match self.admission {
+            AdmissionRequirement::Open {
                 policy: Some(number),
                 until,
                 ..
@@ -109,7 +115,7 @@
 
 struct World {
     dice: fastrand::Rng,
-    without: Without,
+    on_lease_loss: OnLeaseLoss,
     now: Nanos,
     senders: Vec<Sender>,
     sessions: Vec<Session>,
@@ -126,17 +132,17 @@
 }
 
 impl World {
-    fn new(seed: u64, without: Without) -> World {
+    fn new(seed: u64, on_lease_loss: OnLeaseLoss) -> World {
         let mut dice = fastrand::Rng::with_seed(seed);
         let senders = (0..3).map(|n| {
             let boot = dice.u64(1..);
             Sender {
-                machine: machine(n, boot, without, BTreeMap::new(), 0),
+                session: session(n, boot, on_lease_loss, BTreeMap::new(), 0),
                 boot,
                 began: SEC,
                 off: [-99, 0, 99][n],
                 line: 0,
-                doorway: Entrance::Fenced,
+                admission: AdmissionRequirement::Fenced,
                 stored: BTreeMap::new(),
                 last: 0,
                 said: 0,
@@ -144,7 +150,7 @@
         });
         World {
             senders: senders.collect(),
-            without,
+            on_lease_loss,
             dice,
             now: SEC,
             sessions: vec![Session::default(); 3],
@@ -179,12 +185,14 @@
         }
     }
 
-    fn act(&mut self, n: usize, out: Vec<Out>) {
+    fn act(&mut self, n: usize, out: Vec<SessionEffect>) {
         for out in out {
             match out {
-                Out::Connect { line, .. } => self.senders[n].line = line,
-                Out::HangUp => self.senders[n].line = 0,
-                Out::Say(word) => {
+                SessionEffect::Connect {
+                    connection: line, ..
+                } => self.senders[n].line = line,
+                SessionEffect::Disconnect => self.senders[n].line = 0,
+                SessionEffect::Send(word) => {
                     if let AgentToReplica::PolicyApplied { turn } = word {
                         let sender = &mut self.senders[n];
                         assert!(turn >= sender.said, "turn {turn} after {}", sender.said);
@@ -195,17 +203,17 @@
                         self.to_keeper.push((at, n, line, word.clone()));
                     }
                 }
-                Out::Check { number, digest, .. } => {
+                SessionEffect::CheckDocument { number, digest, .. } => {
                     let at = self.now + self.dice.u64(1..300) * MS;
                     self.checks.push((at, n, number, digest));
                 }
-                Out::Admit(doorway) => {
+                SessionEffect::SetAdmission(admission) => {
                     let sender = &mut self.senders[n];
-                    sender.doorway = doorway;
-                    if let Entrance::Open {
+                    sender.admission = admission;
+                    if let AdmissionRequirement::Open {
                         policy: Some(number),
                         ..
-                    } = doorway
+                    } = admission
                     {
                         assert!(
                             number == 0 || sender.stored.contains_key(&number),
@@ -214,7 +222,9 @@
                         sender.last = number;
                     }
                 }
-                Out::Stand(_) | Out::Lend { .. } | Out::Note(_) => {}
+                SessionEffect::SetEvacuations(_)
+                | SessionEffect::GrantLease { .. }
+                | SessionEffect::Log(_) => {}
             }
         }
     }
@@ -369,20 +379,20 @@
             let at = self.senders[n].now(self.now);
             if self.bad && self.dice.u32(..500) == 0 {
                 let line = self.senders[n].line;
-                self.senders[n].machine.lost(at, line);
+                self.senders[n].session.on_connection_lost(at, line);
             }
             if self.bad && self.dice.u32(..3_000) == 0 {
                 let sender = &mut self.senders[n];
                 sender.boot += 1;
-                sender.machine = machine(
+                sender.session = session(
                     n,
                     sender.boot,
-                    self.without,
+                    self.on_lease_loss,
                     sender.stored.clone(),
                     sender.last,
                 );
-                (sender.began, sender.doorway, sender.line, sender.said) =
-                    (self.now, Entrance::Fenced, 0, 0);
+                (sender.began, sender.admission, sender.line, sender.said) =
+                    (self.now, AdmissionRequirement::Fenced, 0, 0);
                 self.to_agent.retain(|w| w.1 != n);
                 self.checks.retain(|c| c.1 != n);
             }
@@ -403,7 +413,9 @@
         let words: Vec<(Nanos, usize, u64, ReplicaToAgent)> = words;
         for (_, n, line, word) in words {
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
-            self.senders[n].machine.hear(now, line, word, &mut out);
+            self.senders[n]
+                .session
+                .on_message(now, line, word, &mut out);
             self.act(n, out);
         }
         let (checks, later) = std::mem::take(&mut self.checks)
@@ -414,9 +426,13 @@
         for (_, n, number, digest) in checks {
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
             self.senders[n].stored.insert(number, digest);
-            self.senders[n]
-                .machine
-                .checked(now, Kind::Policy, number, Ok(()), &mut out);
+            self.senders[n].session.on_document_checked(
+                now,
+                DocumentKind::Policy,
+                number,
+                Ok(()),
+                &mut out,
+            );
             self.act(n, out);
         }
         for n in 0..3 {
@@ -425,7 +441,7 @@
                 continue;
             }
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
-            self.senders[n].machine.tick(now, &Nothing, &mut out);
+            self.senders[n].session.on_tick(now, &Nothing, &mut out);
             self.act(n, out);
         }
         self.keep();
@@ -451,10 +467,10 @@
 }
 
 #[test]
-fn over_bad_lines_and_restarts_no_two_senders_ever_take_on_under_two_policies() {
+fn over_faulty_connections_and_restarts_no_two_senders_accept_under_two_policies() {
     let (mut committed, mut taken_back, mut open) = (0, 0, 0);
     for seed in 0..200 {
-        let mut world = World::new(seed, Without::Hold);
+        let mut world = World::new(seed, OnLeaseLoss::StopAccepting);
         for _ in 0..8_000 {
             world.step();
             open += world
@@ -490,10 +506,10 @@
 }
 
 #[test]
-fn senders_that_give_the_promise_up_do_break_it() {
+fn senders_that_keep_the_last_policy_without_a_lease_do_diverge() {
     let breaks = |seed| {
         let played = std::panic::catch_unwind(|| {
-            let mut world = World::new(seed, Without::Last);
+            let mut world = World::new(seed, OnLeaseLoss::KeepLast);
             (0..8_000).for_each(|_| world.step());
         });
         played.is_err_and(|e| {
@@ -505,12 +521,16 @@
 }
 
 /// An agent in a session that has heard this rule, at 1 s by its clock.
-fn in_session(without: Without, stored: &[u64], rule: (u64, u64, bool)) -> (Machine, Vec<Out>) {
+fn in_session(
+    on_lease_loss: OnLeaseLoss,
+    stored: &[u64],
+    rule: (u64, u64, bool),
+) -> (SessionState, Vec<SessionEffect>) {
     let stored = stored.iter().map(|n| (*n, digest(*n))).collect();
-    let (mut agent, mut out) = (machine(0, 9, without, stored, 0), Vec::new());
-    agent.tick(SEC, &Nothing, &mut out);
+    let (mut agent, mut out) = (session(0, 9, on_lease_loss, stored, 0), Vec::new());
+    agent.on_tick(SEC, &Nothing, &mut out);
     let (turn, number, paused) = rule;
-    agent.hear(
+    agent.on_message(
         SEC,
         1,
         ReplicaToAgent::ApplyPolicy {
@@ -520,7 +540,7 @@
         },
         &mut out,
     );
-    agent.hear(
+    agent.on_message(
         SEC,
         1,
         ReplicaToAgent::LeaseRenewed {
@@ -532,11 +552,11 @@
     (agent, out)
 }
 
-fn doorways(out: &[Out]) -> Vec<Entrance> {
+fn requirements(out: &[SessionEffect]) -> Vec<AdmissionRequirement> {
     out.iter()
         .filter_map(|o| {
-            if let Out::Admit(d) = o {
-                Some(*d)
+            if let SessionEffect::SetAdmission(requirement) = o {
+                Some(*requirement)
             } else {
                 None
             }
@@ -544,9 +564,9 @@
         .collect()
 }
 
-fn rules(out: &[Out]) -> Vec<u64> {
-    let turn = |o: &Out| {
-        if let Out::Say(AgentToReplica::PolicyApplied { turn }) = o {
+fn rules(out: &[SessionEffect]) -> Vec<u64> {
+    let turn = |o: &SessionEffect| {
+        if let SessionEffect::Send(AgentToReplica::PolicyApplied { turn }) = o {
             Some(*turn)
         } else {
             None
@@ -556,16 +576,30 @@
 }
 
 #[test]
-fn a_sender_goes_by_the_highest_turn_says_so_after_it_is_so_and_answers_doubled_words() {
+fn a_sender_applies_the_highest_turn_replies_once_applied_and_answers_duplicates() {
     let until = Some(SEC + Nanos::from(LEASE_MS) * MS * 98 / 100);
-    let (mut agent, out) = in_session(Without::Hold, &[3], (4, 3, false));
-    assert_eq!(doorways(&out), [Entrance::Fenced, open(3, until)]);
-    let at = |wanted: fn(&Out) -> bool| out.iter().position(wanted).expect("there");
-    let stands = at(|o| matches!(o, Out::Admit(Entrance::Open { .. })));
-    assert!(stands < at(|o| matches!(o, Out::Say(AgentToReplica::PolicyApplied { turn: 4 }))));
+    let (mut agent, out) = in_session(OnLeaseLoss::StopAccepting, &[3], (4, 3, false));
+    assert_eq!(
+        requirements(&out),
+        [AdmissionRequirement::Fenced, open(3, until)]
+    );
+    let at = |wanted: fn(&SessionEffect) -> bool| out.iter().position(wanted).expect("there");
+    let opened = at(|o| {
+        matches!(
+            o,
+            SessionEffect::SetAdmission(AdmissionRequirement::Open { .. })
+        )
+    });
+    assert!(
+        opened
+            < at(|o| matches!(
+                o,
+                SessionEffect::Send(AgentToReplica::PolicyApplied { turn: 4 })
+            ))
+    );
     let mut hear = |turn, number, paused| {
         let mut out = Vec::new();
-        agent.hear(
+        agent.on_message(
             SEC + MS,
             1,
             ReplicaToAgent::ApplyPolicy {
@@ -575,10 +609,13 @@
             },
             &mut out,
         );
-        (doorways(&out), rules(&out))
+        (requirements(&out), rules(&out))
     };
     assert_eq!(hear(4, 3, false), (vec![], vec![4]), "doubled");
-    assert_eq!(hear(5, 3, true), (vec![Entrance::Paused], vec![5]));
+    assert_eq!(
+        hear(5, 3, true),
+        (vec![AdmissionRequirement::Paused], vec![5])
+    );
     assert_eq!(hear(4, 3, false), (vec![], vec![]), "of before");
     assert_eq!(
         hear(5, 3, false),
@@ -586,55 +623,60 @@
         "one turn has one meaning"
     );
     // A policy that is not written down is not gone by, and no word is given before it is.
-    assert_eq!(hear(6, 7, false), (vec![Entrance::Fenced], vec![]));
+    assert_eq!(
+        hear(6, 7, false),
+        (vec![AdmissionRequirement::Fenced], vec![])
+    );
     let mut out = Vec::new();
     let offer = ReplicaToAgent::OfferPolicy {
         number: 7,
         digest: digest(7),
         text: "x".into(),
     };
-    agent.hear(SEC + MS, 1, offer.clone(), &mut out);
-    agent.hear(SEC + MS, 1, offer.clone(), &mut out);
+    agent.on_message(SEC + MS, 1, offer.clone(), &mut out);
+    agent.on_message(SEC + MS, 1, offer.clone(), &mut out);
     assert_eq!(out.len(), 1, "checked once: {out:?}");
-    agent.checked(SEC + MS, Kind::Policy, 7, Ok(()), &mut out);
-    let stored = Out::Say(AgentToReplica::PolicyChecked {
+    agent.on_document_checked(SEC + MS, DocumentKind::Policy, 7, Ok(()), &mut out);
+    let stored = SessionEffect::Send(AgentToReplica::PolicyChecked {
         number: 7,
         refused: None,
     });
     assert!(out.contains(&stored) && rules(&out) == [6]);
-    assert_eq!(doorways(&out), [open(7, until)]);
+    assert_eq!(requirements(&out), [open(7, until)]);
     out.clear();
-    agent.hear(SEC + MS, 1, offer, &mut out);
+    agent.on_message(SEC + MS, 1, offer, &mut out);
     assert_eq!(out, [stored], "written down already");
     let offer = ReplicaToAgent::OfferPolicy {
         number: 8,
         digest: digest(8),
         text: "x".into(),
     };
-    agent.hear(SEC + MS, 1, offer, &mut out);
+    agent.on_message(SEC + MS, 1, offer, &mut out);
     out.clear();
-    agent.checked(
+    agent.on_document_checked(
         SEC + MS,
-        Kind::Policy,
+        DocumentKind::Policy,
         8,
         Err("line 3: no".into()),
         &mut out,
     );
-    assert!(out.contains(&Out::Say(AgentToReplica::PolicyChecked {
-        number: 8,
-        refused: Some("line 3: no".into())
-    })));
+    assert!(
+        out.contains(&SessionEffect::Send(AgentToReplica::PolicyChecked {
+            number: 8,
+            refused: Some("line 3: no".into())
+        }))
+    );
 }
 
 #[test]
-fn a_lease_that_lapsed_takes_another_session_and_word() {
-    for (without, after) in [
-        (Without::Hold, Entrance::Fenced),
-        (Without::Last, open(3, None)),
+fn a_lapsed_lease_requires_a_new_session_and_rule() {
+    for (on_lease_loss, after) in [
+        (OnLeaseLoss::StopAccepting, AdmissionRequirement::Fenced),
+        (OnLeaseLoss::KeepLast, open(3, None)),
     ] {
-        let (mut agent, _) = in_session(without, &[3], (4, 3, true));
+        let (mut agent, _) = in_session(on_lease_loss, &[3], (4, 3, true));
         let mut out = Vec::new();
-        agent.hear(
+        agent.on_message(
             SEC + MS,
             1,
             ReplicaToAgent::ApplyPolicy {
@@ -644,7 +686,7 @@
             },
             &mut out,
         );
-        agent.hear(
+        agent.on_message(
             SEC + MS,
             1,
             ReplicaToAgent::ApplyPolicy {
@@ -657,8 +699,8 @@
         out.clear();
         // What comes on that connection after the lapse counts for nothing, though it was said
         // before.
-        let late = agent.next().max(SEC + 2 * SEC);
-        agent.hear(
+        let late = agent.next_deadline().max(SEC + 2 * SEC);
+        agent.on_message(
             late,
             1,
             ReplicaToAgent::ApplyPolicy {
@@ -668,7 +710,7 @@
             },
             &mut out,
         );
-        agent.hear(
+        agent.on_message(
             late,
             1,
             ReplicaToAgent::LeaseRenewed {
@@ -677,22 +719,22 @@
             },
             &mut out,
         );
-        assert!(out.contains(&Out::HangUp), "{out:?}");
+        assert!(out.contains(&SessionEffect::Disconnect), "{out:?}");
         assert_eq!(
-            (doorways(&out), rules(&out)),
+            (requirements(&out), rules(&out)),
             (vec![after], vec![]),
-            "{without:?}"
+            "{on_lease_loss:?}"
         );
         out.clear();
         let now = late + 20 * MS;
-        agent.tick(now, &Nothing, &mut out);
+        agent.on_tick(now, &Nothing, &mut out);
         assert!(
             out.iter()
-                .any(|o| matches!(o, Out::Connect { line: 2, .. })),
+                .any(|o| matches!(o, SessionEffect::Connect { connection: 2, .. })),
             "{out:?}"
         );
         out.clear();
-        agent.hear(
+        agent.on_message(
             now,
             2,
             ReplicaToAgent::LeaseRenewed {
@@ -702,7 +744,7 @@
             &mut out,
         );
         assert!(rules(&out).is_empty(), "not heard yet");
-        agent.hear(
+        agent.on_message(
             now,
             2,
             ReplicaToAgent::ApplyPolicy {
@@ -717,18 +759,21 @@
 }
 
 #[test]
-fn a_sender_that_starts_says_what_it_has_and_goes_by_its_setting() {
+fn a_starting_sender_reports_stored_documents_and_follows_its_setting() {
     let stored: BTreeMap<u64, Digest> = [(3, digest(3))].into();
-    for (without, last, stands) in [
-        (Without::Hold, 3, Entrance::Fenced),
-        (Without::Last, 3, open(3, None)),
-        (Without::Last, 4, open(0, None)),
+    for (on_lease_loss, last, expected) in [
+        (OnLeaseLoss::StopAccepting, 3, AdmissionRequirement::Fenced),
+        (OnLeaseLoss::KeepLast, 3, open(3, None)),
+        (OnLeaseLoss::KeepLast, 4, open(0, None)),
     ] {
-        let (mut agent, mut out) = (machine(0, 9, without, stored.clone(), last), Vec::new());
-        agent.tick(SEC, &Nothing, &mut out);
-        assert_eq!(doorways(&out), [stands]);
+        let (mut agent, mut out) = (
+            session(0, 9, on_lease_loss, stored.clone(), last),
+            Vec::new(),
+        );
+        agent.on_tick(SEC, &Nothing, &mut out);
+        assert_eq!(requirements(&out), [expected]);
         let has = out.iter().find_map(|o| match o {
-            Out::Say(AgentToReplica::OpenSession { stored, .. }) => Some(stored.clone()),
+            SessionEffect::Send(AgentToReplica::OpenSession { stored, .. }) => Some(stored.clone()),
             _ => None,
         });
         assert_eq!(has, Some(Some(vec![(3, digest(3))])));
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -6,8 +6,10 @@
 mod common;
 
 use common::{MS, SEC};
-use raildeal::agent::register::{Kind, Register, Without};
-use raildeal::agent::session::{Entrance, Machine, Needs, Out, Terms};
+use raildeal::agent::register::{DocumentKind, OnLeaseLoss, Register};
+use raildeal::agent::session::{
+    AdmissionRequirement, AttemptDemand, SessionConfig, SessionEffect, SessionState,
+};
 use raildeal::coordination::leader::{self, LeaderDuties, LeaderRules};
 use raildeal::coordination::messages::{
     AgentTableMessage, AgentToReplica, Digest, FederationRequest, OperatorRequest,
@@ -31,12 +33,12 @@
 
 struct Nothing;
 
-impl Needs for Nothing {
-    fn waiting(&self, _: u16) -> u32 {
+impl AttemptDemand for Nothing {
+    fn waiting_messages(&self, _: u16) -> u32 {
         0
     }
 
-    fn left(&self, _: &str, _: u16) -> u32 {
+    fn leased_attempts_left(&self, _: &str, _: u16) -> u32 {
         0
     }
 }
@@ -56,17 +58,21 @@
     AllCounted,
 }
 
-fn machine(n: usize, boot: u64, stored: BTreeMap<u64, Digest>, last: u64) -> Machine {
-    let (sender, zone, keepers) = (format!("n{n}"), "a".to_string(), vec![1]);
-    let terms = Terms {
-        sender,
+fn machine(n: usize, boot: u64, stored: BTreeMap<u64, Digest>, last: u64) -> SessionState {
+    let config = SessionConfig {
+        sender: format!("n{n}"),
         boot,
-        zone,
-        keepers,
-        report: 100 * MS,
+        zone: "a".into(),
+        replicas: vec![1],
+        report_interval: 100 * MS,
         warm_after: SEC,
     };
-    Machine::new(terms, boot, 0).following(Register::new(Kind::Table, Without::Hold, stored, last))
+    SessionState::new(config, boot, 0).with_register(Register::new(
+        DocumentKind::Table,
+        OnLeaseLoss::StopAccepting,
+        stored,
+        last,
+    ))
 }
 
 /// A clock that began at this true time, and runs so many parts in 10,000 wrong.
@@ -84,11 +90,11 @@
 }
 
 struct Sender {
-    machine: Machine,
+    machine: SessionState,
     boot: u64,
     clock: Clock,
     line: u64,
-    entrance: Entrance,
+    entrance: AdmissionRequirement,
     stored: BTreeMap<u64, Digest>,
     last: u64,
     /// When its last word on each direction of its line arrives, and whether the line has lost one.
@@ -103,7 +109,7 @@
 impl Sender {
     fn takes_on(&self, now: Nanos) -> Option<u64> {
         match self.entrance {
-            Entrance::Open {
+            AdmissionRequirement::Open {
                 table: Some(number),
                 until,
                 ..
@@ -180,7 +186,7 @@
                     off: [-99, 0, 99][n],
                 },
                 line: 0,
-                entrance: Entrance::Fenced,
+                entrance: AdmissionRequirement::Fenced,
                 stored: BTreeMap::new(),
                 last: 0,
                 arrives: [0; 2],
@@ -258,15 +264,17 @@
         }
     }
 
-    fn act(&mut self, n: usize, out: Vec<Out>) {
+    fn act(&mut self, n: usize, out: Vec<SessionEffect>) {
         for out in out {
             match out {
-                Out::Connect { line, .. } => {
+                SessionEffect::Connect {
+                    connection: line, ..
+                } => {
                     let (sender, now) = (&mut self.senders[n], self.now);
                     (sender.line, sender.broken, sender.arrives) = (line, false, [now; 2]);
                 }
-                Out::HangUp => self.senders[n].line = 0,
-                Out::Say(word) => {
+                SessionEffect::Disconnect => self.senders[n].line = 0,
+                SessionEffect::Send(word) => {
                     let line = self.senders[n].line;
                     let at = match word {
                         AgentToReplica::RoutingTable(AgentTableMessage::StoredTables(_)) => {
@@ -280,13 +288,13 @@
                     self.to_keeper
                         .extend(at.into_iter().map(|at| (at, n, line, word.clone())));
                 }
-                Out::Check {
+                SessionEffect::CheckDocument {
                     kind,
                     number,
                     digest,
                     ..
                 } => {
-                    assert_eq!(kind, Kind::Table);
+                    assert_eq!(kind, DocumentKind::Table);
                     let at = self.now + self.dice.u64(1..300) * MS;
                     let runs = self
                         .record
@@ -297,10 +305,10 @@
                     let fits = !self.bad || !runs || self.dice.u8(..40) > 0;
                     self.checks.push((at, n, number, digest, fits));
                 }
-                Out::Admit(entrance) => {
+                SessionEffect::SetAdmission(entrance) => {
                     let sender = &mut self.senders[n];
                     sender.entrance = entrance;
-                    if let Entrance::Open {
+                    if let AdmissionRequirement::Open {
                         table: Some(number),
                         ..
                     } = entrance
@@ -312,7 +320,9 @@
                         sender.last = number;
                     }
                 }
-                Out::Stand(_) | Out::Lend { .. } | Out::Note(_) => {}
+                SessionEffect::SetEvacuations(_)
+                | SessionEffect::GrantLease { .. }
+                | SessionEffect::Log(_) => {}
             }
         }
     }
@@ -596,7 +606,7 @@
                     };
                 }
                 let (line, at) = (self.senders[n].line, self.senders[n].clock.at(self.now));
-                self.senders[n].machine.lost(at, line);
+                self.senders[n].machine.on_connection_lost(at, line);
             }
         }
         if self.bad && self.dice.u32(..1_500) == 0 {
@@ -665,14 +675,14 @@
             let at = self.senders[n].clock.at(self.now);
             if self.bad && self.dice.u32(..500) == 0 {
                 let line = self.senders[n].line;
-                self.senders[n].machine.lost(at, line);
+                self.senders[n].machine.on_connection_lost(at, line);
             }
             if self.bad && self.dice.u32(..3_000) == 0 {
                 let sender = &mut self.senders[n];
                 sender.boot += 1;
                 sender.machine = machine(n, sender.boot, sender.stored.clone(), sender.last);
                 (sender.clock.began, sender.entrance, sender.line) =
-                    (self.now, Entrance::Fenced, 0);
+                    (self.now, AdmissionRequirement::Fenced, 0);
                 self.to_agent.retain(|w| w.1 != n);
                 self.checks.retain(|c| c.1 != n);
             }
@@ -693,7 +703,9 @@
         words.sort_by_key(|w| w.0);
         for (_, n, line, word) in words {
             let (mut out, now) = (Vec::new(), self.senders[n].clock.at(self.now));
-            self.senders[n].machine.hear(now, line, word, &mut out);
+            self.senders[n]
+                .machine
+                .on_message(now, line, word, &mut out);
             self.act(n, out);
         }
         let (checks, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.checks)
@@ -703,7 +715,7 @@
         for (_, n, number, digest, fits) in checks {
             let (mut out, sender) = (Vec::new(), &mut self.senders[n]);
             let now = sender.clock.at(self.now);
-            let needs = sender.machine.needs(Kind::Table);
+            let needs = sender.machine.needed_documents(DocumentKind::Table);
             // Three are kept, as on a sender's shelf.
             let oldest = sender
                 .stored
@@ -713,7 +725,9 @@
             let oldest = oldest.filter(|_| sender.stored.len() >= 3 && fits);
             if let Some(oldest) = oldest {
                 sender.stored.remove(&oldest);
-                sender.machine.forget(Kind::Table, &[oldest]);
+                sender
+                    .machine
+                    .forget_documents(DocumentKind::Table, &[oldest]);
             }
             let result = match fits {
                 true => Ok(()),
@@ -727,7 +741,7 @@
             }
             sender
                 .machine
-                .checked(now, Kind::Table, number, result, &mut out);
+                .on_document_checked(now, DocumentKind::Table, number, result, &mut out);
             self.act(n, out);
         }
         for n in 0..3 {
@@ -736,7 +750,7 @@
                 continue;
             }
             let (mut out, now) = (Vec::new(), self.senders[n].clock.at(self.now));
-            self.senders[n].machine.tick(now, &Nothing, &mut out);
+            self.senders[n].machine.on_tick(now, &Nothing, &mut out);
             self.act(n, out);
         }
         self.federate();
