--- a/benches/store.rs
+++ b/benches/store.rs
@@ -162,7 +162,7 @@
         folder.path().join("journal"),
     );
     let begun = Instant::now();
-    fs::write(&new, v1::file(&accounts)).expect("written");
+    fs::write(&new, v1::encode_file(&accounts)).expect("written");
     fs::rename(&new, &path).expect("renamed");
     begun.elapsed()
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -317,15 +317,19 @@
         "file        segment        size        used      frames    messages        live"
     )?;
     for s in &seen.segments {
-        let (file, seq) = (&s.file, s.seq);
+        let (file, seq) = (&s.file, s.sequence);
         writeln!(
             out,
             "{file:<10} {seq:>8} {:>11} {:>11} {:>11} {:>11} {:>11}",
-            s.size, s.used, s.frames, s.messages, s.live
+            s.size_bytes, s.used_bytes, s.frames, s.messages, s.live_bytes
         )?;
     }
-    writeln!(out, "{} free files, {} bytes", seen.free.0, seen.free.1)?;
-    if let Some(bytes) = seen.first_form {
+    writeln!(
+        out,
+        "{} free files, {} bytes",
+        seen.free_files.count, seen.free_files.bytes
+    )?;
+    if let Some(bytes) = seen.legacy_bytes {
         writeln!(
             out,
             "journal of the first form, {bytes} bytes, copied as the program serves"
@@ -337,13 +341,13 @@
         .iter()
         .filter(|m| m.verdict.is_none() && m.may_have_run.is_some())
         .count();
-    let bodies: usize = seen.messages.iter().map(|m| m.body).sum();
+    let bodies: usize = seen.messages.iter().map(|m| m.body_bytes).sum();
     let open = seen.messages.len();
     writeln!(out, "{open} messages open: {decided} with their final answer untold, {ran} that may have run; {bodies} bytes of bodies")?;
     writeln!(
         out,
         "{:.1}% of what is written is garbage",
-        seen.garbage * 100.0
+        seen.garbage_fraction * 100.0
     )?;
     if messages {
         for m in &seen.messages {
@@ -354,7 +358,7 @@
             writeln!(
                 out,
                 "{:>8} {} class {} dest {} body {} calls {} ran {ran} left {} ms answer {verdict}",
-                m.no, m.id, m.class, m.dest, m.body, m.attempts, m.left_ms
+                m.item, m.id, m.class, m.destination, m.body_bytes, m.attempts, m.time_left_ms
             )?;
         }
     }
@@ -367,18 +371,18 @@
     for damage in &seen.damage {
         writeln!(out, "damaged: {damage}")?;
     }
-    if seen.torn > 0 {
+    if seen.torn_bytes > 0 {
         writeln!(
             out,
             "{} bytes at the end are part of a line that was not finished",
-            seen.torn
+            seen.torn_bytes
         )?;
     }
-    if seen.doubted > 0 {
+    if seen.messages_in_doubt > 0 {
         writeln!(
             out,
             "{} open messages may have lost lines; they are taken for ones that may have run",
-            seen.doubted
+            seen.messages_in_doubt
         )?;
     }
     let frames: u64 = seen.segments.iter().map(|s| s.frames).sum();
--- a/src/coordination/raft_log.rs
+++ b/src/coordination/raft_log.rs
@@ -14,8 +14,8 @@
 
 use crate::store::disk::Disk;
 use crate::store::frame;
-use crate::store::log::{LogOptions, PutError, SegmentLog, SnapshotSource};
-use crate::store::recover::Replay;
+use crate::store::log::{LogOptions, PutError, ReadStored, SegmentLog, SnapshotSource};
+use crate::store::recover::{Replay, ReplayError};
 use protobuf::ProtobufEnum;
 use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
@@ -278,12 +278,8 @@
 struct KeepAsWritten;
 
 impl SnapshotSource for KeepAsWritten {
-    fn snapshot(
-        &self,
-        _: u64,
-        old: &mut dyn FnMut() -> io::Result<Vec<u8>>,
-    ) -> io::Result<Vec<u8>> {
-        old()
+    fn snapshot(&self, _: u64, read_stored: ReadStored<'_>) -> io::Result<Vec<u8>> {
+        read_stored()
     }
 }
 
@@ -293,14 +289,14 @@
 }
 
 impl Replay for ReplayedItems {
-    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
-        let piece = postcard::from_bytes(data).map_err(|e| e.to_string())?;
+    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), ReplayError> {
+        let piece = postcard::from_bytes(data)?;
         self.pieces.insert(no, (piece, data.len()));
         Ok(())
     }
 
-    fn on_update(&mut self, no: u64, _: &[u8]) -> Result<(), String> {
-        Err(format!("a note on item {no}, where none are written"))
+    fn on_update(&mut self, no: u64, _: &[u8]) -> Result<(), ReplayError> {
+        Err(ReplayError::UnexpectedUpdate { item: no })
     }
 
     fn on_remove(&mut self, no: u64) {
--- a/src/delivery/journal/inspect.rs
+++ b/src/delivery/journal/inspect.rs
@@ -1,25 +1,29 @@
 //! Looks into a journal's folder without changing it, also while a process serves from it.
+//!
+//! For `raildeal journal inspect` and `verify`, which print what this finds; the JSON keys are
+//! those of [`JournalInspection`] as it is serialized.
 
-use crate::delivery::journal::legacy_v1 as v1;
-use crate::delivery::journal::wall_clock::WallClock;
-use crate::delivery::journal::{JournalReplay, MessageRecord};
-use crate::delivery::unix_ms;
+use super::legacy_v1;
+use super::record::MessageRecord;
+use super::replay::JournalReplay;
+use super::wall_clock::WallClock;
+use crate::delivery::{unix_ms, Verdict};
 use crate::store::disk::Folder;
 use crate::store::frame;
-use crate::store::recover::{self, segment_file_name};
+use crate::store::recover::{self, segment_file_name, RecoveredLog, RecoveredSegment};
 use rustix::fs::{flock, FlockOperation};
 use serde::Serialize;
 use std::collections::BTreeMap;
-use std::fs::{self, File};
+use std::fs::File;
 use std::io;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How often a folder is read again that a process writes to, where something in it could not be
+/// How often a folder that a process writes to is read again, where something in it could not be
 /// read.
-const LOOKS: usize = 5;
-/// Time between that.
-const BETWEEN: Duration = Duration::from_millis(20);
+const READ_RETRIES: usize = 5;
+/// Time between those.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A segment that counts.
 #[derive(Debug, Serialize)]
@@ -27,46 +31,70 @@
     /// Its file.
     pub file: String,
     /// Its place in the sequence.
-    pub seq: u64,
+    #[serde(rename = "seq")]
+    pub sequence: u64,
     /// Bytes of the file.
-    pub size: u64,
-    /// Bytes written.
-    pub used: u64,
+    #[serde(rename = "size")]
+    pub size_bytes: u64,
+    /// Bytes of frames.
+    #[serde(rename = "used")]
+    pub used_bytes: u64,
     /// Frames written.
     pub frames: u64,
-    /// Messages whose last whole line stands here.
+    /// Messages whose last `Put` stands here.
     pub messages: u64,
-    /// Bytes of those lines.
-    pub live: u64,
+    /// Bytes of those frames.
+    #[serde(rename = "live")]
+    pub live_bytes: u64,
 }
 
 /// A message that is not over.
 #[derive(Debug, Serialize)]
 pub struct MessageSummary {
     /// Its number in the store.
-    pub no: u64,
+    #[serde(rename = "no")]
+    pub item: u64,
     /// Its id.
     pub id: String,
-    /// The policy that it was taken on under; 0 for none.
+    /// Number of the policy that it was accepted under; 0 for none.
     pub policy: u64,
-    /// The routing table that it was taken on under; 0 for the list alone.
+    /// Number of the routing table that it was accepted under; 0 for the endpoint list alone.
     pub table: u64,
-    /// Class and destination, as numbers.
+    /// Class, as a number.
     pub class: u16,
     /// Tenant, as a number; 65535 for none where the settings have some.
     pub tenant: u16,
-    /// Destination.
-    pub dest: u16,
+    /// Destination, as a number.
+    #[serde(rename = "dest")]
+    pub destination: u16,
     /// Bytes of its body.
-    pub body: usize,
-    /// Calls that went.
+    #[serde(rename = "body")]
+    pub body_bytes: usize,
+    /// Attempts that went.
     pub attempts: u16,
-    /// Zone of the first call that may have run.
+    /// Zone of the first attempt that may have run.
     pub may_have_run: Option<String>,
     /// Its final answer, where it is decided.
     pub verdict: Option<String>,
-    /// Milliseconds that it has left.
-    pub left_ms: u64,
+    /// Time that it has left, in milliseconds.
+    #[serde(rename = "left_ms")]
+    pub time_left_ms: u64,
+}
+
+/// Segment files that are free, serialized as count and bytes.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
+#[serde(into = "(usize, u64)")]
+pub struct FreeFiles {
+    /// How many there are.
+    pub count: usize,
+    /// Bytes that they have together.
+    pub bytes: u64,
+}
+
+impl From<FreeFiles> for (usize, u64) {
+    fn from(free: FreeFiles) -> Self {
+        (free.count, free.bytes)
+    }
 }
 
 /// What was found.
@@ -76,139 +104,190 @@
     pub in_use: bool,
     /// Segments that count, oldest first.
     pub segments: Vec<SegmentSummary>,
-    /// Files that are free, and their bytes.
-    pub free: (usize, u64),
-    /// Bytes of a file of the first form, where there is one.
-    pub first_form: Option<u64>,
+    /// Files that are free.
+    #[serde(rename = "free")]
+    pub free_files: FreeFiles,
+    /// Bytes of a [`legacy_v1`] file, where there is one.
+    #[serde(rename = "first_form")]
+    pub legacy_bytes: Option<u64>,
     /// Messages that are not over.
     pub messages: Vec<MessageSummary>,
-    /// Part of the written bytes that no message needs any more.
-    pub garbage: f64,
+    /// Part of the written bytes that no message needs any more, from 0 to 1.
+    #[serde(rename = "garbage")]
+    pub garbage_fraction: f64,
     /// What cannot be read.
     pub damage: Vec<String>,
-    /// Bytes at the end that hold part of a line.
-    pub torn: u64,
+    /// Bytes at the end that hold part of a frame.
+    #[serde(rename = "torn")]
+    pub torn_bytes: u64,
     /// Messages of which more may have happened than was kept.
-    pub doubted: usize,
+    #[serde(rename = "doubted")]
+    pub messages_in_doubt: usize,
     /// Time that reading took, in milliseconds.
     pub took_ms: u64,
 }
 
 /// Looks into a folder.
+///
+/// # Errors
+/// The folder or a file in it cannot be read.
 pub fn inspect(folder: &Path) -> io::Result<JournalInspection> {
-    let in_use = in_use(folder)?;
-    let mut seen = look(folder, in_use)?;
-    for _ in 0..LOOKS {
+    let in_use = is_in_use(folder)?;
+    let mut inspection = inspect_once(folder, in_use)?;
+    for _ in 0..READ_RETRIES {
         // What a process was writing, or used again, while it was read is no damage.
-        if !in_use || (seen.damage.is_empty() && seen.torn == 0) {
+        let is_whole = inspection.damage.is_empty() && inspection.torn_bytes == 0;
+        if !in_use || is_whole {
             break;
         }
-        std::thread::sleep(BETWEEN);
-        seen = look(folder, in_use)?;
+        std::thread::sleep(READ_RETRY_DELAY);
+        inspection = inspect_once(folder, in_use)?;
     }
-    Ok(seen)
+    Ok(inspection)
 }
 
-fn in_use(folder: &Path) -> io::Result<bool> {
+fn is_in_use(folder: &Path) -> io::Result<bool> {
     // The lock is gone with the file, at the end of this function.
     Ok(flock(File::open(folder)?, FlockOperation::NonBlockingLockShared).is_err())
 }
 
-fn look(folder: &Path, in_use: bool) -> io::Result<JournalInspection> {
+fn inspect_once(folder: &Path, in_use: bool) -> io::Result<JournalInspection> {
     let begun = Instant::now();
-    let mut replayed = JournalReplay::new(u64::MAX);
-    let old = match fs::read(folder.join(v1::NAME)) {
-        Err(e) if e.kind() == io::ErrorKind::NotFound => None,
-        other => Some(other?),
-    };
+    let legacy = legacy_v1::read_file(folder)?;
+    let mut replay = JournalReplay::new(u64::MAX);
     let mut damage = Vec::new();
-    let numbers = match old.as_deref().map(v1::replay) {
-        Some(Some((open, good))) => {
-            let cut = old.as_ref().map_or(0, |bytes| bytes.len() - good);
-            damage.extend(
-                (cut > 0).then(|| format!("{}: {cut} bytes at its end are not whole", v1::NAME)),
-            );
-            replayed.first_form(open)
-        }
-        Some(None) => {
-            damage.push(format!("{}: not a journal", v1::NAME));
-            Vec::new()
-        }
+    let legacy_items = match &legacy {
+        Some(bytes) => replay_legacy(bytes, &mut replay, &mut damage),
         None => Vec::new(),
     };
-    let scan = recover::scan(
-        &Folder::read_only(folder),
-        u64::from(old.is_none()),
-        &mut replayed,
-    )?;
-    if scan.oldest > 0 {
-        numbers
-            .iter()
-            .filter(|no| !scan.locations.contains_key(no))
-            .for_each(|no| replayed.forget(*no));
-    }
-    let mut live: BTreeMap<u64, (u64, u64)> = BTreeMap::new();
-    for home in scan.locations.values() {
-        let (messages, bytes) = live.entry(home.sequence).or_default();
-        (*messages, *bytes) = (*messages + 1, *bytes + frame::encoded_len(home.data));
-    }
-    let segments = scan.found.iter().map(|f| {
-        let (messages, live) = live.get(&f.header.sequence).copied().unwrap_or_default();
-        let (file, seq, size) = (segment_file_name(f.slot), f.header.sequence, f.size);
-        SegmentSummary {
-            file,
-            seq,
-            size,
-            used: f.len - frame::FRAMES_OFFSET,
-            frames: f.frames,
-            messages,
-            live,
-        }
-    });
-    let segments: Vec<_> = segments.collect();
-    let (used, needed) = segments
-        .iter()
-        .fold((0, 0), |(u, l), s| (u + s.used, l + s.live));
-    damage.extend(scan.damage.iter().map(ToString::to_string));
-    let clock = WallClock {
-        now_ms: unix_ms(),
-        newest_ms: 0,
+    let disk = Folder::read_only(folder);
+    let oldest_sequence = u64::from(legacy.is_none());
+    let recovered = recover::scan(&disk, oldest_sequence, &mut replay)?;
+    forget_copied(&legacy_items, &recovered, &mut replay);
+    damage.extend(recovered.damage.iter().map(ToString::to_string));
+    let segments = summarize_segments(&recovered);
+    let wall_clock = WallClock {
+        now_unix_ms: unix_ms(),
+        newest_unix_ms: 0,
     };
     Ok(JournalInspection {
         in_use,
+        garbage_fraction: garbage_fraction(&segments),
         segments,
-        free: (scan.free.len(), scan.free.iter().map(|f| f.1).sum()),
-        first_form: old.map(|bytes| bytes.len() as u64),
-        messages: replayed
+        free_files: FreeFiles {
+            count: recovered.free_files.len(),
+            bytes: recovered.free_files.iter().map(|f| f.size_bytes).sum(),
+        },
+        legacy_bytes: legacy.map(|bytes| bytes.len() as u64),
+        messages: replay
             .open()
-            .map(|(no, account)| message(no, account, &clock))
+            .map(|(item, record)| summarize_message(item, record, &wall_clock))
             .collect(),
-        garbage: if used == 0 {
-            0.0
-        } else {
-            1.0 - needed as f64 / used as f64
-        },
         damage,
-        torn: scan.torn,
-        doubted: replayed.doubted(),
+        torn_bytes: recovered.torn_bytes,
+        messages_in_doubt: replay.in_doubt(),
         took_ms: begun.elapsed().as_millis() as u64,
     })
 }
 
-fn message(no: u64, account: &MessageRecord, clock: &WallClock) -> MessageSummary {
-    let envelope = &account.envelope;
+/// Replays a [`legacy_v1`] file, and gives the numbers of the messages in it.
+fn replay_legacy(bytes: &[u8], replay: &mut JournalReplay, damage: &mut Vec<String>) -> Vec<u64> {
+    let name = legacy_v1::FILE_NAME;
+    let Some(legacy) = legacy_v1::replay(bytes) else {
+        damage.push(format!("{name}: not a journal"));
+        return Vec::new();
+    };
+    let cut = bytes.len() - legacy.valid_bytes;
+    if cut > 0 {
+        damage.push(format!("{name}: {cut} bytes at its end are not whole"));
+    }
+    replay.add_legacy(legacy.open)
+}
+
+/// Once the log begins behind the [`legacy_v1`] file, what the log does not have of it is over.
+fn forget_copied(legacy_items: &[u64], recovered: &RecoveredLog, replay: &mut JournalReplay) {
+    if recovered.oldest_sequence == 0 {
+        return;
+    }
+    for item in legacy_items {
+        if !recovered.locations.contains_key(item) {
+            replay.forget(*item);
+        }
+    }
+}
+
+/// What still counts in one segment.
+#[derive(Clone, Copy, Default)]
+struct LiveFrames {
+    messages: u64,
+    bytes: u64,
+}
+
+fn summarize_segments(recovered: &RecoveredLog) -> Vec<SegmentSummary> {
+    let mut live: BTreeMap<u64, LiveFrames> = BTreeMap::new();
+    for location in recovered.locations.values() {
+        let in_segment = live.entry(location.sequence).or_default();
+        in_segment.messages += 1;
+        in_segment.bytes += frame::encoded_len(location.data_len);
+    }
+    let live_in = |sequence| live.get(&sequence).copied().unwrap_or_default();
+    recovered
+        .segments
+        .iter()
+        .map(|segment| summarize_segment(segment, live_in(segment.header.sequence)))
+        .collect()
+}
+
+fn summarize_segment(segment: &RecoveredSegment, live: LiveFrames) -> SegmentSummary {
+    SegmentSummary {
+        file: segment_file_name(segment.slot),
+        sequence: segment.header.sequence,
+        size_bytes: segment.size_bytes,
+        used_bytes: segment.end - frame::FRAMES_OFFSET,
+        frames: segment.frames,
+        messages: live.messages,
+        live_bytes: live.bytes,
+    }
+}
+
+fn garbage_fraction(segments: &[SegmentSummary]) -> f64 {
+    let used: u64 = segments.iter().map(|s| s.used_bytes).sum();
+    let live: u64 = segments.iter().map(|s| s.live_bytes).sum();
+    if used == 0 {
+        return 0.0;
+    }
+    1.0 - live as f64 / used as f64
+}
+
+fn summarize_message(item: u64, record: &MessageRecord, clock: &WallClock) -> MessageSummary {
+    let envelope = &record.envelope;
+    let time_left = clock.time_left(record.accepted_unix_ms, record.expires_unix_ms);
     MessageSummary {
-        no,
+        item,
         id: envelope.id.clone(),
-        policy: account.policy,
-        tenant: account.envelope.tenant,
-        table: account.table,
+        policy: record.policy,
+        table: record.table,
         class: envelope.class,
-        dest: envelope.dest,
-        body: envelope.body_size(),
-        attempts: account.attempts,
-        may_have_run: account.may_have_run().map(|s| s.zone.clone()),
-        verdict: account.verdict.map(|v| format!("{v:?}")),
-        left_ms: clock.left(account.taken_ms, account.expires_ms).as_millis() as u64,
+        tenant: envelope.tenant,
+        destination: envelope.dest,
+        body_bytes: envelope.body_size(),
+        attempts: record.attempts,
+        may_have_run: record.may_have_run().map(|attempt| attempt.zone.clone()),
+        verdict: record.verdict.map(verdict_text),
+        time_left_ms: time_left.as_millis() as u64,
     }
 }
+
+/// A final answer as it is printed; scripts read it from the JSON, so it stays as it is.
+fn verdict_text(verdict: Verdict) -> String {
+    match verdict {
+        Verdict::Delivered => "Delivered".into(),
+        Verdict::Deferred { retry_after_ms } => {
+            format!("Deferred {{ again_ms: {retry_after_ms} }}")
+        }
+        Verdict::Undeliverable => "Undeliverable".into(),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/delivery/journal/open.rs
@@ -0,0 +1,192 @@
+//! Opens a journal: locks the folder, takes a file of the first form in, and recovers the log.
+
+use super::group_sync::SyncProgress;
+use super::legacy_v1;
+use super::record_table::RecordTable;
+use super::replay::JournalReplay;
+use super::state::JournalState;
+use super::wall_clock::WallClock;
+use super::{Journal, JournalOptions, MonotonicClock, OpenRecord};
+use crate::delivery::unix_ms;
+use crate::store::disk::{Disk, Folder};
+use crate::store::log::{LegacyFile, OpenedLog, SegmentLog};
+use crate::store::worker::Worker;
+use rustix::fs::{flock, FlockOperation};
+use rustix::io::Errno;
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::fs::{self, File};
+use std::io;
+use std::path::Path;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The file by which earlier versions locked a folder.
+const LOCK_FILE: &str = "lock";
+/// How often a folder that is in use is tried again at the start: `inspect` holds it for a moment.
+const LOCK_RETRIES: usize = 5;
+/// Time between those.
+const LOCK_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+impl Journal {
+    /// Opens the journal of a folder, and gives the records that an earlier process left open.
+    ///
+    /// # Errors
+    /// Another process has the folder open, what stands in it is of another form, or the file
+    /// system fails.
+    pub fn open(folder: &Path, options: JournalOptions) -> io::Result<(Rc<Self>, Vec<OpenRecord>)> {
+        let locks = lock(folder)?;
+        let legacy = legacy_v1::read_file(folder)?;
+        let _ = fs::remove_file(folder.join(legacy_v1::UNFINISHED_FILE_NAME));
+        let start = Instant::now();
+        let disk = Arc::new(Folder::new(folder));
+        let clock = Box::new(move || start.elapsed());
+        Journal::open_on(disk, options, legacy, locks, clock)
+    }
+
+    /// Opens it on any disk. `legacy` has the bytes of the [`legacy_v1`] file, if there is one.
+    ///
+    /// # Errors
+    /// As [`Journal::open`].
+    pub fn open_on(
+        disk: Arc<dyn Disk>,
+        options: JournalOptions,
+        legacy: Option<Vec<u8>>,
+        locks: Vec<File>,
+        monotonic_clock: MonotonicClock,
+    ) -> io::Result<(Rc<Self>, Vec<OpenRecord>)> {
+        let mut replay = JournalReplay::new(options.cached_body_bytes);
+        let legacy = legacy
+            .map(|bytes| replay_legacy(&bytes, &mut replay))
+            .transpose()?;
+        let opened = SegmentLog::open(
+            disk,
+            options.log_options(),
+            legacy,
+            &mut replay,
+            JournalReplay::reserved_bytes,
+        )?;
+        log_recovery(&opened, replay.in_doubt());
+        let wall_clock = WallClock {
+            now_unix_ms: unix_ms(),
+            newest_unix_ms: replay.newest_unix_ms(),
+        };
+        log_clock(&wall_clock);
+        let worker = options.needs_worker().then(Worker::start).transpose()?;
+        let mut records = replay.into_records();
+        set_ages(&mut records, &wall_clock);
+        let ids: Vec<u64> = records.ids().collect();
+        let state = JournalState {
+            log: opened.log,
+            records,
+            unclosed: BTreeSet::new(),
+        };
+        let journal = Rc::new(Journal {
+            _locks: locks,
+            state: RefCell::new(state),
+            options,
+            monotonic_clock,
+            wall_clock,
+            worker,
+            sync: SyncProgress::default(),
+        });
+        let open = ids
+            .into_iter()
+            .map(|id| OpenRecord::new(journal.clone(), id));
+        let open = open.collect();
+        Ok((journal, open))
+    }
+}
+
+/// Locks a folder: the folder itself, which takes no room, and the file by which earlier versions
+/// did.
+fn lock(folder: &Path) -> io::Result<Vec<File>> {
+    let mut locks = vec![File::open(folder)?];
+    match File::options().write(true).open(folder.join(LOCK_FILE)) {
+        Err(e) if e.kind() == io::ErrorKind::NotFound => {}
+        other => locks.push(other?),
+    }
+    for file in &locks {
+        match lock_with_retries(file) {
+            Err(Errno::WOULDBLOCK) => {
+                return Err(io::Error::new(
+                    io::ErrorKind::WouldBlock,
+                    "in use by another process",
+                ))
+            }
+            Err(e) => log::warn!("journal: no lock: {e}"),
+            Ok(()) => {}
+        }
+    }
+    Ok(locks)
+}
+
+fn lock_with_retries(file: &File) -> Result<(), Errno> {
+    let mut locked = flock(file, FlockOperation::NonBlockingLockExclusive);
+    for _ in 0..LOCK_RETRIES {
+        if locked != Err(Errno::WOULDBLOCK) {
+            break;
+        }
+        std::thread::sleep(LOCK_RETRY_DELAY);
+        locked = flock(file, FlockOperation::NonBlockingLockExclusive);
+    }
+    locked
+}
+
+/// Takes the records of a file of the first form in. It counts as the oldest segment until they
+/// were copied.
+fn replay_legacy(bytes: &[u8], replay: &mut JournalReplay) -> io::Result<LegacyFile> {
+    let replayed = legacy_v1::replay(bytes)
+        .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "a journal of another form"))?;
+    if replayed.valid_bytes < bytes.len() {
+        log::warn!(
+            "journal: {} bytes at its end are not whole and are left out",
+            bytes.len() - replayed.valid_bytes
+        );
+    }
+    Ok(LegacyFile {
+        name: legacy_v1::FILE_NAME.into(),
+        size_bytes: bytes.len() as u64,
+        items: replay.add_legacy(replayed.open),
+    })
+}
+
+fn log_recovery(opened: &OpenedLog, in_doubt: usize) {
+    for damage in &opened.damage {
+        log::error!("store: damaged: {damage}");
+    }
+    if !opened.damage.is_empty() {
+        log::error!(
+            "store: {in_doubt} messages were open where lines may be lost; \
+             they are taken for ones that may have run"
+        );
+    }
+    if opened.torn_bytes > 0 {
+        log::warn!(
+            "store: {} bytes at its end are part of a line that was not finished",
+            opened.torn_bytes
+        );
+    }
+}
+
+fn log_clock(clock: &WallClock) {
+    if clock.was_set_back() {
+        let by = clock.newest_unix_ms - clock.now_unix_ms;
+        log::warn!(
+            "store: the clock was set back by {by} ms or more: \
+             calls that may have run are not repeated"
+        );
+    }
+}
+
+/// Converts the wall clock times of attempts that may have run to this process's clock.
+fn set_ages(records: &mut RecordTable, wall_clock: &WallClock) {
+    let now = Instant::now();
+    for entry in records.entries_mut() {
+        let attempt = entry.record.may_have_run();
+        let age = attempt.and_then(|attempt| wall_clock.least_age(attempt.at_unix_ms));
+        entry.possible_run_at = age.and_then(|age| now.checked_sub(age));
+        entry.in_flight_since = entry.possible_run_at;
+    }
+}
--- /dev/null
+++ b/src/delivery/journal/restart_state/tests.rs
@@ -0,0 +1,91 @@
+use super::*;
+
+/// What is read, with faults as they are logged.
+fn loaded(folder: &Path, now_unix_ms: u64) -> (RestartState, Vec<String>) {
+    let notes = load(folder, now_unix_ms);
+    let faults = notes.faults.iter().map(ToString::to_string).collect();
+    (notes.state, faults)
+}
+
+#[test]
+fn a_planned_end_counts_once_and_only_soon_after() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let load_at = |now| loaded(folder.path(), now);
+    let nothing = RestartState::default();
+    let planned = RestartState {
+        planned: true,
+        ..RestartState::default()
+    };
+    assert_eq!(load_at(5), (nothing, vec![]));
+    for (now, found) in [(1_700, planned), (61_000, planned), (61_001, nothing)] {
+        note_planned_end(folder.path(), 1_000).expect("written");
+        assert_eq!((load_at(now).0, load_at(now)), (found, (nothing, vec![])));
+    }
+    note_planned_end(folder.path(), 1_000).expect("written");
+    assert_eq!(
+        load_at(999),
+        (nothing, vec!["ended: from the future".to_string()])
+    );
+}
+
+#[test]
+fn a_note_that_is_torn_or_cannot_be_read_does_not_count_and_is_reported() {
+    let folder = tempfile::tempdir().expect("a folder");
+    for torn in ["", "17", "17 \n", "17\n\n", "-1\n", "soon\n", "17 18 19\n"] {
+        fs::write(folder.path().join(PLANNED_END.name), torn).expect("written");
+        fs::write(folder.path().join(LIST_POLL.name), torn).expect("written");
+        let (found, faults) = loaded(folder.path(), 18);
+        assert_eq!(
+            (found, faults),
+            (
+                RestartState::default(),
+                vec!["ended: torn".into(), "asked: torn".into()]
+            ),
+            "{torn:?}"
+        );
+    }
+    fs::create_dir(folder.path().join(PLANNED_END.name)).expect("a folder");
+    assert!(note_planned_end(folder.path(), 1).is_err());
+    assert!(!load(folder.path(), 18).state.planned);
+}
+
+#[test]
+fn a_list_is_trusted_as_long_as_was_noted_and_not_at_all_by_a_spoilt_note() {
+    const MS: Nanos = 1_000_000;
+    let folder = tempfile::tempdir().expect("a folder");
+    let left = |now| load(folder.path(), now).state.remaining_freshness;
+    assert_eq!(left(5), None, "no process was before");
+    for at in [1_000, 99_000] {
+        note_list_freshness(folder.path(), at, Duration::from_secs(6)).expect("written");
+        assert_eq!(
+            [left(at), left(at + 600), left(at + 60_000)],
+            [Some(6_000 * MS), Some(5_400 * MS), Some(0)]
+        );
+    }
+    for torn in ["", "17", "17 18", "17\n", "soon 17\n"] {
+        fs::write(folder.path().join(LIST_FRESHNESS.name), torn).expect("written");
+        assert_eq!(left(18), Some(0), "{torn:?}");
+    }
+    note_list_freshness(folder.path(), 1_000, Duration::from_secs(6)).expect("written");
+    assert_eq!(left(999), Some(0), "from the future");
+}
+
+#[test]
+fn what_a_poll_took_counts_for_an_hour_and_within_bounds() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let cost = |took_ms, now| {
+        let took = Duration::from_millis(took_ms);
+        note_list_poll(folder.path(), 1_000, took).expect("written");
+        load(folder.path(), now).state.poll_cost_seconds
+    };
+    assert_eq!(cost(36, 1_000), Some(0.036));
+    assert_eq!(
+        (cost(36, 3_601_000), cost(36, 3_601_001)),
+        (Some(0.036), None)
+    );
+    // A line is no cost, and a directory that has just started may be slower than it was.
+    assert_eq!(
+        (cost(2_900, 1_000), cost(1, 1_000)),
+        (Some(0.055), Some(0.0275))
+    );
+}
--- a/src/delivery/message.rs
+++ b/src/delivery/message.rs
@@ -5,7 +5,7 @@
 use crate::delivery::client_quota::{Client, ClientQuotaGuard, ClientQuotas};
 use crate::delivery::driver::{DispatchOrder, DispatcherDriver, MessageHandle};
 use crate::delivery::endpoint_directory::EndpointDirectory;
-use crate::delivery::journal::{Journal, OpenRecord, WRITE_RETRY_DELAY};
+use crate::delivery::journal::{Journal, OpenRecord, RecordedRun, WRITE_RETRY_DELAY};
 use crate::delivery::policies::{Policy, PolicyHold, PolicySet};
 use crate::delivery::routing_tables::RoutingTables;
 use crate::delivery::script_hook::HookDecision;
@@ -358,7 +358,7 @@
     let ago = |age: Option<Duration>| age.map_or(unknown, |age| age.as_nanos() as Nanos);
     let ran = record
         .first_possible_run()
-        .map(|(zone, age)| (ago(age), context.directory.zone_number(&zone)));
+        .map(|run| (ago(run.age), context.directory.zone_number(&run.zone)));
     log::debug!(
         "{}: {}{left:?} left, {} calls made, ran: {ran:?}",
         envelope.id,
@@ -730,21 +730,18 @@
     }
 
     /// Whether a keyed message that may have run may go to this zone now.
-    fn may_repeat(
-        &self,
-        class: Option<&Class>,
-        ran: Option<(String, Option<Duration>)>,
-        zone: u16,
-    ) -> bool {
+    fn may_repeat(&self, class: Option<&Class>, ran: Option<RecordedRun>, zone: u16) -> bool {
         let Some(class) = class else { return false };
-        let Some((ran, age)) = ran else { return true };
+        let Some(ran) = ran else { return true };
         match class.effect {
             Effect::Idempotent => true,
             Effect::NotIdempotent => false,
             Effect::IdempotentWithKey => {
                 let near = class.dedup_scope == crate::DedupScope::All
-                    || self.directory.zone_number(&ran) == zone;
-                near && age.is_some_and(|age| age < duration(class.dedup_window))
+                    || self.directory.zone_number(&ran.zone) == zone;
+                near && ran
+                    .age
+                    .is_some_and(|age| age < duration(class.dedup_window))
             }
         }
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -242,12 +242,12 @@
 
 /// What the process before this one left.
 fn known_from_before(config: &Config) -> RestartState {
-    let (found, faults) = restart_state::load(&config.state, unix_ms());
-    faults
-        .iter()
-        .for_each(|fault| log::warn!("state: a note does not count: {fault}"));
-    log::debug!("state: {found:?}");
-    found
+    let notes = restart_state::load(&config.state, unix_ms());
+    for fault in &notes.faults {
+        log::warn!("state: a note does not count: {fault}");
+    }
+    log::debug!("state: {:?}", notes.state);
+    notes.state
 }
 
 /// Names the file of the fleet that this sender acts with, if it does.
--- a/src/store/capacity.rs
+++ b/src/store/capacity.rs
@@ -1,44 +1,54 @@
-//! What the store decides: how large segments are, what is admitted, when room is added or given
-//! back, how much is cleaned for each byte written, when the door shuts and opens. No I/O and no
-//! clock: sizes and times come in.
+//! What the store decides about room: how large segments are, what is admitted, when a segment is
+//! added or given back, and how much is cleaned.
+//!
+//! No I/O and no clock: sizes and times come in. [`super::log`] calls it, and so does the
+//! simulator.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Smallest and largest file of a segment. The smallest holds two of the longest messages.
-const SEGMENT: (u64, u64) = (144 * 1024, 4 * 1024 * 1024);
-/// Files of segments are multiples of this.
-const BLOCK: u64 = 4096;
-/// Of the folder's limit, left for what is no segment.
-const OTHERS: u64 = 4096;
-/// Segments that a limit is cut into, and the fewest of them; below that, segments are made
-/// smaller.
-const PARTS: (u64, u64) = (16, 7);
-/// Segments that hold nothing for certain: the one being written, and two that cleaning may need.
-const SPARE: u32 = 3;
-/// Of them, those that only cleaning may take.
-pub const KEPT: u32 = 2;
+/// Smallest file of a segment, where the limit allows it: it holds two of the longest messages.
+const MIN_SEGMENT_BYTES: u64 = 144 * 1024;
+/// Largest file of a segment: what a recovery reads at once.
+const MAX_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
+/// Files of segments are multiples of this many bytes, a file system's block.
+const SEGMENT_GRANULARITY: u64 = 4096;
+/// Bytes of the folder's limit that are left for what is no segment.
+const OTHER_FILES_BYTES: u64 = 4096;
+/// Segments that a limit is cut into.
+const SEGMENTS_AIMED_AT: u64 = 16;
+/// The fewest of them; below that, segments are made smaller.
+const MIN_SEGMENTS: u64 = 7;
+/// Segments that hold nothing for certain: the one being written, and the cleaner's reserve.
+const RESERVED_SEGMENTS: u32 = 3;
+/// Free segments that only the cleaner may take: it copies into one while it empties another.
+pub const CLEANER_RESERVE: u32 = 2;
 /// Part of what segments can hold that may be live: the more, the more is copied for each byte
 /// written.
-const SHARE: f64 = 0.6;
-/// Above this part of the live share, room is added in idle moments.
-const SNUG: f64 = 0.75;
+const MAX_LIVE_FRACTION: f64 = 0.6;
+/// Above this part of what may be live, a segment is added in idle moments.
+const GROW_AHEAD_FRACTION: f64 = 0.75;
 /// Cleaning begins when no more than this part of the segments is free.
-const LOW: f64 = 0.33;
+const LOW_FREE_FRACTION: f64 = 0.33;
 /// Cleaning runs ahead of what it must do by this factor.
-const AHEAD: f64 = 1.25;
-/// Most bytes that are copied in one go, and in one idle moment.
-pub const SLICE: (u64, u64) = (256 * 1024, 64 * 1024);
-/// A door that shut for want of room of our own opens at this part of it.
-const REOPEN: f64 = 0.875;
-/// A shut door stays shut for so long at least.
-const SHUT: Duration = Duration::from_millis(100);
-/// Room is asked of the file system no more often than this.
-const REST: Duration = Duration::from_millis(500);
-/// Segments are given back after being needless for so long, and one in each of the further times.
-const NEEDLESS: (Duration, Duration) = (Duration::from_secs(60), Duration::from_secs(1));
-
-/// How a folder is cut up.
+const CLEANING_LEAD: f64 = 1.25;
+/// Most bytes that are copied for one frame, which bounds its pause.
+const MAX_CLEANING_BYTES: u64 = 256 * 1024;
+/// Bytes that are copied in one idle moment.
+pub const IDLE_CLEANING_BYTES: u64 = 64 * 1024;
+/// A gate that closed for want of the folder's own room reopens at this part of it, so that it does
+/// not flutter.
+const REOPEN_FRACTION: f64 = 0.875;
+/// A closed gate stays closed for so long at least.
+const MIN_CLOSED_TIME: Duration = Duration::from_millis(100);
+/// The file system is asked for room no more often than this.
+const GROWTH_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// The first surplus segment is given back after there was one for so long.
+const SURPLUS_GRACE: Duration = Duration::from_secs(60);
+/// Time between further ones.
+const SURPLUS_RELEASE_INTERVAL: Duration = Duration::from_secs(1);
+
+/// How a folder is cut into segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentLayout {
     /// Bytes of a segment's file.
@@ -48,27 +58,31 @@
 }
 
 impl SegmentLayout {
-    /// For a folder that may hold `limit` bytes, of which the file system has `room` (its own files
-    /// included).
-    pub fn for_folder(limit: u64, room: u64) -> Self {
-        let limit = limit.saturating_sub(OTHERS);
-        let least = (limit.min(room) / PARTS.1).min(SEGMENT.0);
-        let segment = (limit.min(room) / PARTS.0).clamp(least, SEGMENT.1) / BLOCK * BLOCK;
-        // Where there is no room at all now, some may come.
-        let segment = if segment == 0 {
-            SEGMENT.0.min(limit / PARTS.1 / BLOCK * BLOCK)
-        } else {
-            segment
-        };
-        let segment = segment.max(BLOCK);
+    /// For a folder that may hold `limit_bytes`, of which the file system has `available_bytes`
+    /// (the folder's own files included).
+    pub fn for_folder(limit_bytes: u64, available_bytes: u64) -> Self {
+        let limit = limit_bytes.saturating_sub(OTHER_FILES_BYTES);
+        let usable = limit.min(available_bytes);
+        let least = (usable / MIN_SEGMENTS).min(MIN_SEGMENT_BYTES);
+        let mut segment_bytes =
+            round_down((usable / SEGMENTS_AIMED_AT).clamp(least, MAX_SEGMENT_BYTES));
+        if segment_bytes == 0 {
+            // There is no room at all now, but some may come.
+            segment_bytes = MIN_SEGMENT_BYTES.min(round_down(limit / MIN_SEGMENTS));
+        }
+        let segment_bytes = segment_bytes.max(SEGMENT_GRANULARITY);
         SegmentLayout {
-            segment_bytes: segment,
-            max_segments: u32::try_from(limit / segment).unwrap_or(u32::MAX),
+            segment_bytes,
+            max_segments: u32::try_from(limit / segment_bytes).unwrap_or(u32::MAX),
         }
     }
 }
 
-/// The store as it stands.
+fn round_down(bytes: u64) -> u64 {
+    bytes / SEGMENT_GRANULARITY * SEGMENT_GRANULARITY
+}
+
+/// How full the store is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Occupancy {
     /// Bytes that a segment holds.
@@ -77,7 +91,7 @@
     pub segments: u32,
     /// Segments there may be.
     pub max_segments: u32,
-    /// Those of them that are free.
+    /// Those that are free.
     pub free_segments: u32,
     /// Bytes left in the one being written.
     pub tail_bytes: u64,
@@ -88,100 +102,97 @@
 }
 
 impl Occupancy {
-    /// Bytes of items that so many segments take. Of two neighbours, the second begins with what
-    /// the first had no room for, so they are half full at least.
-    fn holds(&self, segments: u32, largest: u64) -> u64 {
-        let each = self
-            .segment_bytes
-            .saturating_sub(largest)
-            .max(self.segment_bytes / 2);
-        u64::from(segments.saturating_sub(SPARE)) * each
+    /// Bytes of items that so many segments take for certain. Of two neighbours, the second begins
+    /// with what the first had no room for, so they are half full at least.
+    fn guaranteed_bytes(&self, segments: u32, largest_item_bytes: u64) -> u64 {
+        let half = self.segment_bytes / 2;
+        let each = self.segment_bytes.saturating_sub(largest_item_bytes);
+        u64::from(segments.saturating_sub(RESERVED_SEGMENTS)) * each.max(half)
     }
 
     /// Bytes that may be live, with an item of this size among them.
-    pub fn live_capacity(&self, size: u64) -> u64 {
-        (self.holds(self.segments, self.largest_item_bytes.max(size)) as f64 * SHARE) as u64
+    pub fn live_capacity(&self, item_bytes: u64) -> u64 {
+        let largest = self.largest_item_bytes.max(item_bytes);
+        (self.guaranteed_bytes(self.segments, largest) as f64 * MAX_LIVE_FRACTION) as u64
     }
 
-    fn fits(&self, size: u64, part: f64) -> bool {
-        (self.live_bytes + size) as f64 <= self.live_capacity(size) as f64 * part
+    fn fits(&self, item_bytes: u64, fraction: f64) -> bool {
+        let capacity = self.live_capacity(item_bytes) as f64;
+        (self.live_bytes + item_bytes) as f64 <= capacity * fraction
     }
 
     fn is_low_on_free_segments(&self) -> bool {
-        self.free_segments <= (f64::from(self.segments) * LOW).max(f64::from(KEPT) + 1.0) as u32
+        let low = f64::from(self.segments) * LOW_FREE_FRACTION;
+        self.free_segments <= low.max(f64::from(CLEANER_RESERVE) + 1.0) as u32
     }
 
-    /// Bytes to copy for so many that are about to be written; nothing while there is enough that
-    /// is free.
-    pub fn cleaning_quota(&self, written: u64) -> Option<u64> {
-        let ahead = u64::from(self.free_segments.saturating_sub(KEPT)) * self.segment_bytes
-            + self.tail_bytes;
-        let pace = AHEAD * self.live_bytes as f64 / ahead.max(1) as f64;
-        self.is_low_on_free_segments()
-            .then(|| ((written as f64 * pace) as u64).min(SLICE.0))
+    /// Bytes to copy for so many that are about to be written; none while enough is free.
+    pub fn cleaning_quota(&self, written_bytes: u64) -> Option<u64> {
+        if !self.is_low_on_free_segments() {
+            return None;
+        }
+        let free_segments = self.free_segments.saturating_sub(CLEANER_RESERVE);
+        let free_bytes = u64::from(free_segments) * self.segment_bytes + self.tail_bytes;
+        let pace = CLEANING_LEAD * self.live_bytes as f64 / free_bytes.max(1) as f64;
+        Some(((written_bytes as f64 * pace) as u64).min(MAX_CLEANING_BYTES))
     }
 
-    /// Bytes to copy in an idle moment; nothing where it would gain little.
+    /// Bytes to copy in an idle moment; none where it would gain little.
     pub fn idle_cleaning_quota(&self) -> Option<u64> {
-        let used = u64::from(self.segments.saturating_sub(self.free_segments)) * self.segment_bytes;
+        let used_segments = self.segments.saturating_sub(self.free_segments);
+        let used = u64::from(used_segments) * self.segment_bytes;
         let garbage = used.saturating_sub(self.tail_bytes + self.live_bytes);
-        (self.is_low_on_free_segments() && garbage > 2 * self.segment_bytes).then_some(SLICE.1)
+        let is_worthwhile = garbage > 2 * self.segment_bytes;
+        (self.is_low_on_free_segments() && is_worthwhile).then_some(IDLE_CLEANING_BYTES)
     }
 
     /// Whether a segment is to be added ahead of need.
     pub fn wants_segment(&self) -> bool {
-        self.segments < self.max_segments && (self.segments <= SPARE || !self.fits(0, SNUG))
+        let is_needed = self.segments <= RESERVED_SEGMENTS || !self.fits(0, GROW_AHEAD_FRACTION);
+        self.segments < self.max_segments && is_needed
     }
 
     /// Whether a free segment could be given back and the rest would still be ample.
     fn has_surplus_segment(&self) -> bool {
-        let fewer = Occupancy {
+        let three_quarters = Occupancy {
             segments: self.segments.saturating_sub(self.segments.div_ceil(4)),
             ..*self
         };
-        self.segments > SPARE + 2 && self.free_segments > KEPT + 2 && fewer.fits(0, SNUG / 2.0)
+        self.segments > RESERVED_SEGMENTS + 2
+            && self.free_segments > CLEANER_RESERVE + 2
+            && three_quarters.fits(0, GROW_AHEAD_FRACTION / 2.0)
     }
 }
 
-/// Why nothing is taken on.
+/// Why no new item is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectReason {
     /// The folder's limit.
     #[error("what is held takes the room that limits.disk_mb leaves")]
     FolderLimit,
-    /// The file system.
+    /// The file system is full.
     #[error("the file system gives no more room")]
     FileSystemFull,
-    /// The device.
+    /// The device fails.
     #[error("the file system fails")]
     DeviceError,
 }
 
-/// What is to be done about an item that wants in.
+/// What is to be done about a new item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityDecision {
-    /// It may come in.
+    /// It may be written.
     Admit,
-    /// Add a segment, tell [`CapacityGate::on_growth`], and ask again.
+    /// Add a segment, tell [`CapacityGate::on_growth`], and request again.
     AddSegment,
-    /// It is refused.
+    /// It is rejected.
     Reject(RejectReason),
 }
 
-/// The door for what is new. What is held already needs no asking.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct CapacityGate {
-    shut: Option<(RejectReason, Duration)>,
-    /// Asked of the file system no sooner than this.
-    ask_at: Duration,
-    /// When the next needless segment goes.
-    give_at: Option<Duration>,
-}
-
-/// A change of the door's state, worth one line of the log.
+/// A change of the gate's state, worth one line of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateChange {
-    /// Shut, and why.
+    /// Closed, and why.
     Closed(RejectReason),
     /// Open again, after so long.
     Reopened(Duration),
@@ -190,7 +201,7 @@
 impl fmt::Display for GateChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            GateChange::Closed(why) => write!(f, "takes nothing on: {why}"),
+            GateChange::Closed(reason) => write!(f, "takes nothing on: {reason}"),
             GateChange::Reopened(after) => {
                 write!(f, "takes messages on again after {} ms", after.as_millis())
             }
@@ -198,246 +209,111 @@
     }
 }
 
+/// Why and since when a gate is closed.
+#[derive(Clone, Copy, Debug)]
+struct Closed {
+    reason: RejectReason,
+    since: Duration,
+}
+
+/// The gate for new items. What is held already passes without asking.
+///
+/// Times are counted from any start, never back.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct CapacityGate {
+    closed: Option<Closed>,
+    /// The file system is asked for room no sooner than this.
+    next_growth_at: Duration,
+    /// When the next surplus segment is given back.
+    next_release_at: Option<Duration>,
+}
+
 impl CapacityGate {
-    /// Whether an item of this size may come in at this time (counted from any start, never back).
+    /// Whether an item of this size may be written now.
     pub fn request(
         &mut self,
         now: Duration,
-        view: &Occupancy,
-        size: u64,
+        occupancy: &Occupancy,
+        item_bytes: u64,
     ) -> (CapacityDecision, Option<GateChange>) {
-        match self.shut {
-            None if view.fits(size, 1.0) => (CapacityDecision::Admit, None),
-            None if view.segments < view.max_segments && now >= self.ask_at => {
-                (CapacityDecision::AddSegment, None)
-            }
-            None if view.segments < view.max_segments => {
-                self.close(RejectReason::FileSystemFull, now)
+        let has_more_segments = occupancy.segments < occupancy.max_segments;
+        let may_grow = has_more_segments && now >= self.next_growth_at;
+        let Some(closed) = self.closed else {
+            if occupancy.fits(item_bytes, 1.0) {
+                return (CapacityDecision::Admit, None);
             }
-            None => self.close(RejectReason::FolderLimit, now),
-            Some((why, since)) if now < since + SHUT => (CapacityDecision::Reject(why), None),
-            Some((_, since)) if view.fits(size, REOPEN) => {
-                self.shut = None;
-                (
-                    CapacityDecision::Admit,
-                    Some(GateChange::Reopened(now.saturating_sub(since))),
-                )
+            if may_grow {
+                return (CapacityDecision::AddSegment, None);
             }
-            Some(_) if view.segments < view.max_segments && now >= self.ask_at => {
-                (CapacityDecision::AddSegment, None)
-            }
-            Some((why, _)) => (CapacityDecision::Reject(why), None),
+            let reason = match has_more_segments {
+                true => RejectReason::FileSystemFull,
+                false => RejectReason::FolderLimit,
+            };
+            let change = self.close(reason, now);
+            return (CapacityDecision::Reject(reason), change);
+        };
+        if now < closed.since + MIN_CLOSED_TIME {
+            return (CapacityDecision::Reject(closed.reason), None);
+        }
+        if occupancy.fits(item_bytes, REOPEN_FRACTION) {
+            self.closed = None;
+            let after = now.saturating_sub(closed.since);
+            return (CapacityDecision::Admit, Some(GateChange::Reopened(after)));
         }
+        if may_grow {
+            return (CapacityDecision::AddSegment, None);
+        }
+        (CapacityDecision::Reject(closed.reason), None)
     }
 
     /// A segment was added, or could not be.
     pub fn on_growth(&mut self, now: Duration, failed: Option<RejectReason>) -> Option<GateChange> {
-        let why = failed?;
-        self.ask_at = now + REST;
-        self.close(why, now).1
+        let reason = failed?;
+        self.defer_growth(now);
+        self.close(reason, now)
     }
 
-    /// Whether room may be asked of the file system ahead of need.
+    /// Whether the file system may be asked for room ahead of need.
     pub fn may_grow(&self, now: Duration) -> bool {
-        self.shut.is_none() && now >= self.ask_at
+        self.closed.is_none() && now >= self.next_growth_at
     }
 
-    /// It gave none, and nothing needs it yet.
+    /// The file system gave no room: it is not asked again for a while.
     pub fn defer_growth(&mut self, now: Duration) {
-        self.ask_at = now + REST;
+        self.next_growth_at = now + GROWTH_RETRY_INTERVAL;
     }
 
-    /// An item that was let in could not be written.
+    /// An item that was admitted could not be written.
     pub fn on_write_error(&mut self, now: Duration) -> Option<GateChange> {
-        self.close(RejectReason::DeviceError, now).1
+        self.close(RejectReason::DeviceError, now)
     }
 
-    /// When it makes sense to come back.
+    /// When it makes sense to request again.
     pub fn retry_after(&self) -> Duration {
-        REST
+        GROWTH_RETRY_INTERVAL
     }
 
     /// Whether a free segment is to be given back now.
-    pub fn should_release_segment(&mut self, now: Duration, view: &Occupancy) -> bool {
-        if !view.has_surplus_segment() {
-            self.give_at = None;
+    pub fn should_release_segment(&mut self, now: Duration, occupancy: &Occupancy) -> bool {
+        if !occupancy.has_surplus_segment() {
+            self.next_release_at = None;
             return false;
         }
-        let due = now >= *self.give_at.get_or_insert(now + NEEDLESS.0);
-        if due {
-            self.give_at = Some(now + NEEDLESS.1);
+        let is_due = now >= *self.next_release_at.get_or_insert(now + SURPLUS_GRACE);
+        if is_due {
+            self.next_release_at = Some(now + SURPLUS_RELEASE_INTERVAL);
         }
-        due
+        is_due
     }
 
-    fn close(
-        &mut self,
-        why: RejectReason,
-        now: Duration,
-    ) -> (CapacityDecision, Option<GateChange>) {
-        let turned = self.shut.is_none().then_some(GateChange::Closed(why));
-        // Why it stays shut may change; since when it is shut for the log does not.
-        let since = self.shut.map_or(now, |(_, since)| since);
-        self.shut = Some((why, since));
-        (CapacityDecision::Reject(why), turned)
+    /// Closes the gate. Why it stays closed may change; since when does not.
+    fn close(&mut self, reason: RejectReason, now: Duration) -> Option<GateChange> {
+        let was_open = self.closed.is_none();
+        let since = self.closed.map_or(now, |closed| closed.since);
+        self.closed = Some(Closed { reason, since });
+        was_open.then_some(GateChange::Closed(reason))
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const KB: u64 = 1024;
-    const MS: Duration = Duration::from_millis(1);
-
-    fn view(segments: u32, free: u32, live: u64) -> Occupancy {
-        Occupancy {
-            segment_bytes: 190 * KB,
-            segments,
-            max_segments: 15,
-            free_segments: free,
-            tail_bytes: 0,
-            live_bytes: live,
-            largest_item_bytes: 2 * KB,
-        }
-    }
-
-    #[test]
-    fn limits_from_none_to_gigabytes_are_cut_into_segments_that_stay_under_them() {
-        for (limit, room) in [
-            (3_000_000, u64::MAX),
-            (3_000_000, 1_000_000),
-            (3_000_000, 0),
-            (1_000_000, 1 << 30),
-            (100_000, 1 << 30),
-            (20_000, 0),
-            (1 << 30, 1 << 40),
-            (64 << 30, 1 << 40),
-        ] {
-            let shape = SegmentLayout::for_folder(limit, room);
-            assert!(
-                shape.segment_bytes * u64::from(shape.max_segments) <= limit,
-                "{limit} {room}: {shape:?}"
-            );
-            assert!(
-                shape.segment_bytes >= BLOCK && shape.segment_bytes <= SEGMENT.1,
-                "{limit} {room}: {shape:?}"
-            );
-            assert!(
-                limit < 100_000 || shape.max_segments >= 7,
-                "{limit} {room}: {shape:?}"
-            );
-        }
-        assert!(
-            SegmentLayout::for_folder(3_000_000, u64::MAX).segment_bytes >= 2 * 66 * KB,
-            "two of the longest bodies"
-        );
-        assert!(
-            SegmentLayout::for_folder(3_000_000, 1_100_000).segment_bytes * 7 <= 1_100_000,
-            "what is there, not what is told"
-        );
-    }
-
-    #[test]
-    fn nothing_is_cleaned_while_much_is_free_and_all_of_it_before_the_free_is_gone() {
-        assert_eq!(view(15, 9, 500 * KB).cleaning_quota(1000), None);
-        // Written on and on, what is live is copied before the last free segment is touched.
-        let (mut v, mut copied) = (view(15, 4, 1300 * KB), 0);
-        let (mut left, live) = (2 * v.segment_bytes, v.live_bytes);
-        while copied < live {
-            v.free_segments = KEPT + (left / v.segment_bytes) as u32;
-            v.tail_bytes = left % v.segment_bytes;
-            copied += v.cleaning_quota(500).expect("low");
-            left = left.checked_sub(500).expect("cleaned in time");
-        }
-    }
-
-    #[test]
-    fn the_door_shuts_once_asks_seldom_and_opens_with_room_to_spare() {
-        let (mut door, size) = (CapacityGate::default(), 1000);
-        let room = view(15, 9, 0).live_capacity(size);
-        assert_eq!(
-            door.request(Duration::ZERO, &view(15, 9, room - size), size),
-            (CapacityDecision::Admit, None)
-        );
-        let shut = Some(GateChange::Closed(RejectReason::FolderLimit));
-        assert_eq!(
-            door.request(MS, &view(15, 9, room), size),
-            (CapacityDecision::Reject(RejectReason::FolderLimit), shut)
-        );
-        assert_eq!(
-            door.request(2 * MS, &view(15, 9, room), size),
-            (CapacityDecision::Reject(RejectReason::FolderLimit), None)
-        );
-        // A little room, or much of it too soon, is not enough.
-        assert_eq!(
-            door.request(700 * MS, &view(15, 9, room - size), size).0,
-            CapacityDecision::Reject(RejectReason::FolderLimit)
-        );
-        assert_eq!(
-            door.request(90 * MS, &view(15, 9, 0), size).0,
-            CapacityDecision::Reject(RejectReason::FolderLimit)
-        );
-        let (ask, turned) = door.request(701 * MS, &view(15, 9, room / 2), size);
-        assert_eq!(
-            (ask, turned),
-            (
-                CapacityDecision::Admit,
-                Some(GateChange::Reopened(700 * MS))
-            )
-        );
-    }
-
-    #[test]
-    fn a_full_file_system_is_asked_twice_a_second_and_no_more() {
-        let (mut door, full) = (CapacityGate::default(), view(4, 2, 150 * KB));
-        let (mut asked, mut lines) = (0, 0);
-        for ms in 0..3000 {
-            let (ask, turned) = door.request(ms * MS, &full, 1000);
-            lines += u32::from(turned.is_some());
-            if ask == CapacityDecision::AddSegment {
-                asked += 1;
-                lines += u32::from(
-                    door.on_growth(ms * MS, Some(RejectReason::FileSystemFull))
-                        .is_some(),
-                );
-                assert_eq!(
-                    door.request(ms * MS, &full, 1000).0,
-                    CapacityDecision::Reject(RejectReason::FileSystemFull)
-                );
-            }
-        }
-        assert_eq!((asked, lines), (6, 1));
-        assert_eq!(
-            door.request(3000 * MS, &full, 1000).0,
-            CapacityDecision::AddSegment
-        );
-        assert_eq!(door.on_growth(3000 * MS, None), None);
-        assert_eq!(
-            door.request(3000 * MS, &view(9, 5, 150 * KB), 1000).0,
-            CapacityDecision::Admit
-        );
-    }
-
-    #[test]
-    fn needless_segments_go_one_by_one_after_a_minute() {
-        let (mut door, v) = (CapacityGate::default(), view(15, 13, 10 * KB));
-        assert!(
-            !door.should_release_segment(Duration::ZERO, &v)
-                && !door.should_release_segment(59_000 * MS, &v)
-        );
-        assert!(
-            door.should_release_segment(60_000 * MS, &v)
-                && !door.should_release_segment(60_500 * MS, &v)
-        );
-        assert!(door.should_release_segment(61_000 * MS, &v));
-        assert!(
-            !door.should_release_segment(70_000 * MS, &view(15, 4, 900 * KB)),
-            "not while they are used"
-        );
-        assert!(
-            !door.should_release_segment(71_000 * MS, &v),
-            "the minute begins again"
-        );
-    }
-}
+mod tests;
--- a/src/store/faulty.rs
+++ b/src/store/faulty.rs
@@ -1,12 +1,18 @@
 //! A disk in memory that fails as it is told: at the nth operation, for want of room, or by the end
-//! of process or machine in the middle of a write. Everything about it is decided by its script and
-//! a seed, so a run can be repeated.
+//! of process or machine in the middle of a write.
+//!
+//! For tests. Everything about it is decided by its script and a seed, so a run can be repeated.
+//! Operations are what changes something: writes, syncs, files made or removed. Reads are not
+//! counted.
 
 use super::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
+/// Errno of a device that fails.
+const EIO: i32 = 5;
+
 /// What happens at an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
@@ -23,24 +29,31 @@
     Torn(u8),
 }
 
-/// Operations that change something: writes, syncs, files made or removed. Reads are not counted.
 #[derive(Default)]
 struct DiskState {
     files: BTreeMap<String, FileContent>,
-    done: u64,
+    /// Operations so far.
+    operations: u64,
+    /// Faults by the operation that they happen at.
     faults: BTreeMap<u64, Fault>,
-    dead: bool,
-    quota: Option<u64>,
+    killed: bool,
+    quota_bytes: Option<u64>,
     /// Bytes that were written, for write amplification.
-    written: u64,
+    written_bytes: u64,
 }
 
 #[derive(Clone, Default)]
 struct FileContent {
-    now: Vec<u8>,
-    synced: Vec<u8>,
+    current: Vec<u8>,
+    durable: Vec<u8>,
     /// Writes since the last sync, in order.
-    pending: Vec<(usize, Vec<u8>)>,
+    unsynced_writes: Vec<UnsyncedWrite>,
+}
+
+#[derive(Clone)]
+struct UnsyncedWrite {
+    offset: usize,
+    bytes: Vec<u8>,
 }
 
 /// The disk. Clones are the same disk.
@@ -59,16 +72,13 @@
     /// A disk that holds these files, synced.
     pub fn from_image(image: DiskImage) -> Self {
         let disk = FaultyDisk::new();
-        let files = image.into_iter().map(|(name, now)| {
-            let synced = now.clone();
-            (
-                name,
-                FileContent {
-                    now,
-                    synced,
-                    pending: Vec::new(),
-                },
-            )
+        let files = image.into_iter().map(|(name, bytes)| {
+            let content = FileContent {
+                durable: bytes.clone(),
+                current: bytes,
+                unsynced_writes: Vec::new(),
+            };
+            (name, content)
         });
         disk.state().files.extend(files);
         disk
@@ -82,33 +92,33 @@
     /// Has the nth operation from now fail, counted from 0.
     pub fn fail(&self, nth: u64, fault: Fault) {
         let mut state = self.state();
-        let at = state.done + nth;
+        let at = state.operations + nth;
         state.faults.insert(at, fault);
     }
 
     /// The most bytes that all files may have together from now on; others may have taken the rest.
-    pub fn quota(&self, bytes: Option<u64>) {
-        self.state().quota = bytes;
+    pub fn set_quota(&self, bytes: Option<u64>) {
+        self.state().quota_bytes = bytes;
     }
 
     /// Operations so far.
     pub fn operations(&self) -> u64 {
-        self.state().done
+        self.state().operations
     }
 
     /// Bytes written so far.
-    pub fn written(&self) -> u64 {
-        self.state().written
+    pub fn written_bytes(&self) -> u64 {
+        self.state().written_bytes
     }
 
     /// Whether the process has ended.
     pub fn is_killed(&self) -> bool {
-        self.state().dead
+        self.state().killed
     }
 
     /// Bytes that all files have together.
-    pub fn size(&self) -> u64 {
-        self.state().size()
+    pub fn total_bytes(&self) -> u64 {
+        self.state().total_bytes()
     }
 
     /// What the next process finds.
@@ -116,53 +126,71 @@
         self.state()
             .files
             .iter()
-            .map(|(name, c)| (name.clone(), c.now.clone()))
+            .map(|(name, content)| (name.clone(), content.current.clone()))
             .collect()
     }
 
-    /// What is found after a power cut: all that was synced, and of other writes those that `kept`
-    /// says, in order.
-    pub fn after_power_cut(&self, mut kept: impl FnMut() -> bool) -> DiskImage {
-        let mut left = |c: &FileContent| {
-            let mut bytes = c.synced.clone();
-            bytes.resize(c.now.len(), 0);
-            for (at, write) in &c.pending {
-                if kept() {
-                    bytes[*at..at + write.len()].copy_from_slice(write);
-                }
-            }
-            bytes
-        };
+    /// What is found after a power cut: all that was synced, and of other writes those that
+    /// `is_kept` says, in order.
+    pub fn after_power_cut(&self, mut is_kept: impl FnMut() -> bool) -> DiskImage {
         self.state()
             .files
             .iter()
-            .map(|(name, c)| (name.clone(), left(c)))
+            .map(|(name, content)| (name.clone(), content.after_power_cut(&mut is_kept)))
             .collect()
     }
 }
 
+impl FileContent {
+    fn after_power_cut(&self, is_kept: &mut impl FnMut() -> bool) -> Vec<u8> {
+        let mut bytes = self.durable.clone();
+        bytes.resize(self.current.len(), 0);
+        for write in &self.unsynced_writes {
+            if is_kept() {
+                bytes[write.offset..write.offset + write.bytes.len()].copy_from_slice(&write.bytes);
+            }
+        }
+        bytes
+    }
+}
+
 impl DiskState {
-    fn size(&self) -> u64 {
-        self.files.values().map(|c| c.now.len() as u64).sum()
+    fn total_bytes(&self) -> u64 {
+        self.files.values().map(|c| c.current.len() as u64).sum()
     }
 
-    /// Counts an operation, and says what part of it is done.
-    fn begin(&mut self) -> io::Result<Option<Fault>> {
-        if self.dead {
+    fn file(&self, name: &str) -> io::Result<&FileContent> {
+        Ok(self.files.get(name).ok_or(io::ErrorKind::NotFound)?)
+    }
+
+    fn file_mut(&mut self, name: &str) -> io::Result<&mut FileContent> {
+        Ok(self.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?)
+    }
+
+    /// Reads count as no operation, and fail only once the process has ended.
+    fn check_alive(&self) -> io::Result<()> {
+        if self.killed {
             return Err(killed());
         }
-        let at = self.done;
-        self.done += 1;
+        Ok(())
+    }
+
+    /// Counts an operation. Gives the fault that changes what it does; one that lets it do nothing
+    /// is an error.
+    fn begin_operation(&mut self) -> io::Result<Option<Fault>> {
+        self.check_alive()?;
+        let at = self.operations;
+        self.operations += 1;
         match self.faults.remove(&at) {
             Some(Fault::NoSpace) => Err(io::ErrorKind::StorageFull.into()),
-            Some(Fault::Io) => Err(io::Error::from_raw_os_error(5)),
+            Some(Fault::Io) => Err(io::Error::from_raw_os_error(EIO)),
             Some(Fault::Kill) => {
-                self.dead = true;
+                self.killed = true;
                 Err(killed())
             }
-            Some(Fault::Torn(n)) => {
-                self.dead = true;
-                Ok(Some(Fault::Torn(n)))
+            Some(Fault::Torn(sixteenths)) => {
+                self.killed = true;
+                Ok(Some(Fault::Torn(sixteenths)))
             }
             other => Ok(other),
         }
@@ -180,67 +208,52 @@
 
 impl DiskFile for FaultyFile {
     fn size(&self) -> io::Result<u64> {
-        let state = self.disk.state();
-        Ok(state
-            .files
-            .get(&self.name)
-            .ok_or(io::ErrorKind::NotFound)?
-            .now
-            .len() as u64)
+        Ok(self.disk.state().file(&self.name)?.current.len() as u64)
     }
 
-    fn read_at(&self, into: &mut [u8], at: u64) -> io::Result<usize> {
+    fn read_at(&self, into: &mut [u8], offset: u64) -> io::Result<usize> {
         let state = self.disk.state();
-        if state.dead {
-            return Err(killed());
-        }
-        let bytes = &state
-            .files
-            .get(&self.name)
-            .ok_or(io::ErrorKind::NotFound)?
-            .now;
-        let from = bytes.get(at as usize..).unwrap_or_default();
-        let n = from.len().min(into.len());
-        into[..n].copy_from_slice(&from[..n]);
-        Ok(n)
+        state.check_alive()?;
+        let bytes = &state.file(&self.name)?.current;
+        let from = bytes.get(offset as usize..).unwrap_or_default();
+        let len = from.len().min(into.len());
+        into[..len].copy_from_slice(&from[..len]);
+        Ok(len)
     }
 
-    fn write_at(&self, bytes: &[u8], at: u64) -> io::Result<usize> {
+    fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<usize> {
         let mut state = self.disk.state();
-        let fault = state.begin()?;
-        let n = match fault {
+        let fault = state.begin_operation()?;
+        let len = match fault {
             Some(Fault::Short) => bytes.len().div_ceil(2),
-            Some(Fault::Torn(n)) => bytes.len() * usize::from(n.min(16)) / 16,
+            Some(Fault::Torn(sixteenths)) => bytes.len() * usize::from(sixteenths.min(16)) / 16,
             _ => bytes.len(),
         };
-        state.written += n as u64;
-        let file = state
-            .files
-            .get_mut(&self.name)
-            .ok_or(io::ErrorKind::NotFound)?;
-        let at = at as usize;
+        state.written_bytes += len as u64;
+        let file = state.file_mut(&self.name)?;
+        let offset = offset as usize;
         // Files have all their room from the start; one that grows would escape the reserve.
         let place = file
-            .now
-            .get_mut(at..at + n)
+            .current
+            .get_mut(offset..offset + len)
             .ok_or(io::ErrorKind::FileTooLarge)?;
-        place.copy_from_slice(&bytes[..n]);
-        file.pending.push((at, bytes[..n].to_vec()));
+        place.copy_from_slice(&bytes[..len]);
+        file.unsynced_writes.push(UnsyncedWrite {
+            offset,
+            bytes: bytes[..len].to_vec(),
+        });
         match fault {
             Some(Fault::Torn(_)) => Err(killed()),
-            _ => Ok(n),
+            _ => Ok(len),
         }
     }
 
     fn sync(&self) -> io::Result<()> {
         let mut state = self.disk.state();
-        state.begin()?;
-        let file = state
-            .files
-            .get_mut(&self.name)
-            .ok_or(io::ErrorKind::NotFound)?;
-        file.synced.clone_from(&file.now);
-        file.pending.clear();
+        state.begin_operation()?;
+        let file = state.file_mut(&self.name)?;
+        file.durable.clone_from(&file.current);
+        file.unsynced_writes.clear();
         Ok(())
     }
 }
@@ -248,73 +261,69 @@
 impl Disk for FaultyDisk {
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
         let state = self.state();
-        if state.dead {
-            return Err(killed());
-        }
-        Ok(state
-            .files
-            .iter()
-            .map(|(name, c)| (name.clone(), c.now.len() as u64))
+        state.check_alive()?;
+        let files = state.files.iter();
+        Ok(files
+            .map(|(name, content)| (name.clone(), content.current.len() as u64))
             .collect())
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
-        let opened = FaultyFile {
+        let file = FaultyFile {
             disk: self.clone(),
             name: name.into(),
         };
-        opened.size()?;
-        Ok(Arc::new(opened))
+        file.size()?;
+        Ok(Arc::new(file))
     }
 
     fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn DiskFile>> {
         let mut state = self.state();
-        let fault = state.begin()?;
+        let fault = state.begin_operation()?;
         if state.files.contains_key(name) {
             return Err(io::ErrorKind::AlreadyExists.into());
         }
-        if state.quota.is_some_and(|most| state.size() + size > most) {
+        let total_bytes = state.total_bytes() + size;
+        if state.quota_bytes.is_some_and(|quota| total_bytes > quota) {
             return Err(io::ErrorKind::StorageFull.into());
         }
         // A process that ends while it allocates leaves a file that is too short.
-        let (size, ends) = match fault {
-            Some(Fault::Torn(n)) => (size * u64::from(n.min(16)) / 16, true),
-            _ => (size, false),
+        let allocated = match fault {
+            Some(Fault::Torn(sixteenths)) => size * u64::from(sixteenths.min(16)) / 16,
+            _ => size,
         };
-        state.files.insert(
-            name.into(),
-            FileContent {
-                now: vec![0; size as usize],
-                ..FileContent::default()
-            },
-        );
-        match ends {
-            true => Err(killed()),
-            false => Ok(Arc::new(FaultyFile {
-                disk: self.clone(),
-                name: name.into(),
-            })),
+        let content = FileContent {
+            current: vec![0; allocated as usize],
+            ..FileContent::default()
+        };
+        state.files.insert(name.into(), content);
+        if let Some(Fault::Torn(_)) = fault {
+            return Err(killed());
         }
+        Ok(Arc::new(FaultyFile {
+            disk: self.clone(),
+            name: name.into(),
+        }))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.state();
-        state.begin()?;
-        state
-            .files
-            .remove(name)
-            .map(drop)
-            .ok_or(io::ErrorKind::NotFound.into())
+        state.begin_operation()?;
+        match state.files.remove(name) {
+            Some(_) => Ok(()),
+            None => Err(io::ErrorKind::NotFound.into()),
+        }
     }
 
     fn free_bytes(&self) -> io::Result<u64> {
         let state = self.state();
-        Ok(state
-            .quota
-            .map_or(u64::MAX / 2, |most| most.saturating_sub(state.size())))
+        Ok(match state.quota_bytes {
+            Some(quota) => quota.saturating_sub(state.total_bytes()),
+            None => u64::MAX / 2,
+        })
     }
 
     fn sync(&self) -> io::Result<()> {
-        self.state().begin().map(drop)
+        self.state().begin_operation().map(drop)
     }
 }
--- /dev/null
+++ b/src/store/recover/segment.rs
@@ -0,0 +1,179 @@
+//! Reads one segment, frame by frame.
+
+use super::{segment_file_name, Damage, FrameLocation, LogPosition, Scanner};
+use crate::store::disk::read_full;
+use crate::store::frame::{self, Frame, FrameKind, FRAMES_OFFSET};
+use std::io;
+
+/// The segment that is being read.
+struct CurrentSegment {
+    file: String,
+    sequence: u64,
+    salt: u64,
+    /// Its header says that frames tell what was synced.
+    has_durable_marks: bool,
+    /// Nothing was written behind it.
+    is_newest: bool,
+    /// Where frames end, where the next segment's header says so.
+    known_end: Option<u64>,
+    size_bytes: u64,
+}
+
+impl Scanner<'_> {
+    /// Replays one segment; `buffer` is used for one after another.
+    pub(super) fn read_segment(
+        &mut self,
+        index: usize,
+        known_end: Option<u64>,
+        buffer: &mut Vec<u8>,
+    ) -> io::Result<()> {
+        let segment = &self.log.segments[index];
+        let current = CurrentSegment {
+            file: segment_file_name(segment.slot),
+            sequence: segment.header.sequence,
+            salt: segment.header.salt,
+            has_durable_marks: segment.header.has_durable_marks,
+            is_newest: index + 1 == self.log.segments.len(),
+            known_end,
+            size_bytes: segment.size_bytes,
+        };
+        self.read_file(&current, buffer)?;
+        let (end, frames) = self.replay_frames(&current, buffer);
+        let segment = &mut self.log.segments[index];
+        segment.end = known_end.unwrap_or(end).max(end);
+        segment.frames = frames;
+        Ok(())
+    }
+
+    /// Reads the file up to where frames end.
+    fn read_file(&mut self, current: &CurrentSegment, buffer: &mut Vec<u8>) -> io::Result<()> {
+        buffer.resize(current.size_bytes as usize, 0);
+        // One file at a time: there may be more of them than descriptors.
+        let read = read_full(&*self.disk.open(&current.file)?, buffer, 0)?;
+        self.log.read_bytes += read as u64;
+        // A file may have been cut short, too.
+        let end = current.known_end.unwrap_or(current.size_bytes);
+        buffer.truncate(read.min(end as usize));
+        Ok(())
+    }
+
+    /// Replays all frames, stepping over what cannot be read. Gives the offset at which they end,
+    /// and how many were whole.
+    fn replay_frames(&mut self, current: &CurrentSegment, bytes: &[u8]) -> (u64, u64) {
+        let mut offset = FRAMES_OFFSET as usize;
+        let mut frames = 0;
+        loop {
+            let rest = bytes.get(offset..).unwrap_or_default();
+            if let Some(frame) = frame::decode(current.salt, rest) {
+                frames += 1;
+                self.replay_frame(current, offset as u64, &frame);
+                offset += frame.len as usize;
+                continue;
+            }
+            let is_end = match current.known_end {
+                Some(end) => offset as u64 >= end,
+                None => frame::is_end_of_frames(rest),
+            };
+            if is_end {
+                break;
+            }
+            let Some(next) = frame::find_next(current.salt, bytes, offset + 1) else {
+                self.end_in_unreadable_bytes(current, offset as u64, rest);
+                break;
+            };
+            self.report_unreadable_bytes(current, offset as u64, next as u64);
+            offset = next;
+        }
+        (offset as u64, frames)
+    }
+
+    /// Nothing can be read from here on: a write that was cut, at the end of the log, or damage.
+    fn end_in_unreadable_bytes(&mut self, current: &CurrentSegment, offset: u64, rest: &[u8]) {
+        if current.is_newest && current.known_end.is_none() {
+            self.log.torn_bytes = torn_bytes(rest);
+        } else {
+            let end = current.known_end.unwrap_or(current.size_bytes);
+            self.report_unreadable_bytes(current, offset, end);
+        }
+    }
+
+    fn report_unreadable_bytes(&mut self, current: &CurrentSegment, from: u64, to: u64) {
+        let at = LogPosition {
+            sequence: current.sequence,
+            offset: from,
+        };
+        let damage = Damage::Bytes {
+            file: current.file.clone(),
+            sequence: current.sequence,
+            from,
+            to,
+        };
+        self.report_possible_loss(at, current.has_durable_marks, damage);
+    }
+
+    fn replay_frame(&mut self, current: &CurrentSegment, offset: u64, frame: &Frame<'_>) {
+        let number = frame.number;
+        if frame.kind.is_on_item() {
+            self.log.next_item = self.log.next_item.max(number + 1);
+        }
+        let replayed = match frame.kind {
+            FrameKind::Put => self.replay.on_put(number, frame.data),
+            FrameKind::Update => self.replay.on_update(number, frame.data),
+            FrameKind::Remove => {
+                self.log.locations.remove(&number);
+                self.replay.on_remove(number);
+                return;
+            }
+            FrameKind::LogStart => {
+                self.log.oldest_sequence = self.log.oldest_sequence.max(number);
+                return;
+            }
+            FrameKind::DurableUpTo => {
+                let offset = frame
+                    .data
+                    .first_chunk()
+                    .map_or(0, |b| u64::from_le_bytes(*b));
+                let durable = LogPosition {
+                    sequence: number,
+                    offset,
+                };
+                self.durable_up_to = self.durable_up_to.max(durable);
+                return;
+            }
+        };
+        let sequence = current.sequence;
+        match replayed {
+            Ok(()) if frame.kind == FrameKind::Put => {
+                let location = FrameLocation {
+                    sequence,
+                    offset,
+                    data_len: frame.data.len(),
+                };
+                self.log.locations.insert(number, location);
+            }
+            Ok(()) => {}
+            Err(problem) => {
+                let damage = Damage::MalformedItem {
+                    file: current.file.clone(),
+                    offset,
+                    item: number,
+                    problem,
+                };
+                self.report_possible_loss(LogPosition { sequence, offset }, false, damage);
+            }
+        }
+    }
+}
+
+/// How many bytes of a frame that was cut off are there: up to the last that is not zero, and no
+/// more than it would have had.
+fn torn_bytes(rest: &[u8]) -> u64 {
+    let payload_len = rest
+        .first_chunk()
+        .map_or(0, |len| u32::from_le_bytes(*len) as usize);
+    let most = frame::encoded_len(payload_len).min(rest.len() as u64) as usize;
+    rest[..most]
+        .iter()
+        .rposition(|b| *b != 0)
+        .map_or(0, |last| last as u64 + 1)
+}
--- a/src/store/sync.rs
+++ b/src/store/sync.rs
@@ -1,5 +1,7 @@
-//! What threads share by hand stands on these, and on nothing else of that kind: a checker of
-//! orders puts its own in their place.
+//! The primitives that threads of the store share by hand, and nothing else of that kind.
+//!
+//! [`super::worker`] takes its own from here alone, so that `tests/orders.rs` can put those of a
+//! model checker in their place.
 
 pub use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 pub use std::thread;
--- a/src/store/worker.rs
+++ b/src/store/worker.rs
@@ -1,7 +1,7 @@
 //! A thread of its own for what blocks: syncs, and reads of bodies that are not in memory.
 //!
 //! All that threads share by hand is in this file, on the primitives of [`super::sync`]. The tests
-//! run it as it stands on those of a checker that plays all orders.
+//! run it as it stands on those of a model checker that plays all orders (`tests/orders.rs`).
 
 use super::sync::{thread, Arc, Condvar, Mutex, MutexGuard};
 use std::collections::VecDeque;
@@ -15,17 +15,17 @@
 type Job = Box<dyn FnOnce() + Send>;
 
 #[derive(Default)]
-struct Queue {
+struct JobQueue {
     jobs: VecDeque<Job>,
     /// Nobody brings more.
     closed: bool,
-    /// Nobody takes any.
+    /// The thread takes no more.
     ended: bool,
 }
 
 struct Shared {
-    queue: Mutex<Queue>,
-    more: Condvar,
+    queue: Mutex<JobQueue>,
+    changed: Condvar,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -44,7 +44,7 @@
                 return None;
             }
             queue = self
-                .more
+                .changed
                 .wait(queue)
                 .unwrap_or_else(PoisonError::into_inner);
         }
@@ -62,7 +62,7 @@
             queue.ended = true;
             std::mem::take(&mut queue.jobs)
         };
-        // Who waits for one of these is told.
+        // Dropping a job wakes who waits for it.
         drop(left);
     }
 }
@@ -74,28 +74,31 @@
 
 impl Worker {
     /// Starts it.
+    ///
+    /// # Errors
+    /// The system gives no thread.
     pub fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared {
-            queue: Mutex::new(Queue::default()),
-            more: Condvar::new(),
+            queue: Mutex::new(JobQueue::default()),
+            changed: Condvar::new(),
         });
-        let works = shared.clone();
+        let on_thread = shared.clone();
         thread::Builder::new()
             .name("store".into())
-            .spawn(move || works.work())?;
+            .spawn(move || on_thread.work())?;
         Ok(Worker { shared })
     }
 
-    /// Has some work done there, after all that was brought before. Dropping what comes of it does
-    /// not stop the work.
+    /// Has some work done there, after all that was brought before. Dropping the handle does not
+    /// stop the work.
     pub fn run<T: Send + 'static>(
         &self,
         work: impl FnOnce() -> T + Send + 'static,
     ) -> JobHandle<T> {
-        let slot = Arc::new(Mutex::new(JobState::Open(None)));
-        let promise = JobCompletion(slot.clone());
-        let job: Job = Box::new(move || promise.put(JobState::Done(work())));
-        let refused = {
+        let state = Arc::new(Mutex::new(JobState::Pending(None)));
+        let completion = JobCompletion(state.clone());
+        let job: Job = Box::new(move || completion.set(JobState::Done(work())));
+        let rejected = {
             let mut queue = lock(&self.shared.queue);
             match queue.ended {
                 true => Some(job),
@@ -105,38 +108,39 @@
                 }
             }
         };
-        drop(refused);
-        self.shared.more.notify_one();
-        JobHandle(slot)
+        // Outside the lock: dropping a job wakes who waits for it.
+        drop(rejected);
+        self.shared.changed.notify_one();
+        JobHandle(state)
     }
 }
 
 impl Drop for Worker {
     fn drop(&mut self) {
         lock(&self.shared.queue).closed = true;
-        self.shared.more.notify_one();
+        self.shared.changed.notify_one();
     }
 }
 
 enum JobState<T> {
-    /// Who is to be woken.
-    Open(Option<Waker>),
+    /// Not done yet; who is to be woken.
+    Pending(Option<Waker>),
     Done(T),
     /// It never comes, or has been taken.
     Gone,
 }
 
-/// The side of the one that works: kept, or broken when it is dropped.
+/// The thread's side of a job: when it is dropped unset, the job will never be done.
 struct JobCompletion<T>(Arc<Mutex<JobState<T>>>);
 
 impl<T> JobCompletion<T> {
-    fn put(&self, what: JobState<T>) {
-        let mut slot = lock(&self.0);
-        if !matches!(*slot, JobState::Open(_)) {
+    fn set(&self, end: JobState<T>) {
+        let mut state = lock(&self.0);
+        if !matches!(*state, JobState::Pending(_)) {
             return;
         }
-        if let JobState::Open(Some(waker)) = std::mem::replace(&mut *slot, what) {
-            drop(slot);
+        if let JobState::Pending(Some(waker)) = std::mem::replace(&mut *state, end) {
+            drop(state);
             waker.wake();
         }
     }
@@ -144,11 +148,11 @@
 
 impl<T> Drop for JobCompletion<T> {
     fn drop(&mut self) {
-        self.put(JobState::Gone);
+        self.set(JobState::Gone);
     }
 }
 
-/// What comes of a job. It fails when the thread has ended without doing it.
+/// Waits for what a job gives. It fails when the thread has ended without doing it.
 #[must_use]
 pub struct JobHandle<T>(Arc<Mutex<JobState<T>>>);
 
@@ -156,10 +160,10 @@
     type Output = io::Result<T>;
 
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
-        let mut slot = lock(&self.0);
-        match std::mem::replace(&mut *slot, JobState::Gone) {
-            JobState::Open(_) => {
-                *slot = JobState::Open(Some(cx.waker().clone()));
+        let mut state = lock(&self.0);
+        match std::mem::replace(&mut *state, JobState::Gone) {
+            JobState::Pending(_) => {
+                *state = JobState::Pending(Some(cx.waker().clone()));
                 Poll::Pending
             }
             JobState::Done(done) => Poll::Ready(Ok(done)),
@@ -168,53 +172,59 @@
     }
 }
 
-/// Something that is lent to the thread with one piece of work after another, and is either here or
-/// there.
+/// A resource that the thread uses for one job after another; between jobs it is here.
 pub struct Offloaded<K, J, R> {
     worker: Worker,
     work: fn(&mut K, &J) -> R,
+    /// The resource, while no job runs.
     idle: Option<K>,
     running: Option<JobHandle<(K, J, R)>>,
 }
 
 impl<K: Send + 'static, J: Send + 'static, R: Send + 'static> Offloaded<K, J, R> {
-    /// It is here; `work` is what the thread does with it.
-    pub fn new(worker: Worker, thing: K, work: fn(&mut K, &J) -> R) -> Self {
+    /// No job runs; `work` is what the thread does with the resource for one.
+    pub fn new(worker: Worker, resource: K, work: fn(&mut K, &J) -> R) -> Self {
         Offloaded {
             worker,
             work,
-            idle: Some(thing),
+            idle: Some(resource),
             running: None,
         }
     }
 
-    /// What is lent, where it is here.
+    /// The resource, where no job runs.
     pub fn idle(&self) -> Option<&K> {
         self.idle.as_ref()
     }
 
-    /// Lends it with a piece of work, or gives that back where it is lent already.
+    /// Starts a job.
+    ///
+    /// # Errors
+    /// Another one runs: the job is given back.
     pub fn start_job(&mut self, job: J) -> Result<(), J> {
-        let Some(mut thing) = self.idle.take() else {
+        let Some(mut resource) = self.idle.take() else {
             return Err(job);
         };
         let work = self.work;
         self.running = Some(self.worker.run(move || {
-            let came = work(&mut thing, &job);
-            (thing, job, came)
+            let result = work(&mut resource, &job);
+            (resource, job, result)
         }));
         Ok(())
     }
 
-    /// Waits until it is back, for ever where it is not lent; gives the piece of work and what came
-    /// of it. Dropped while it waits, it loses nothing: the next call waits for the same. Fails,
-    /// also each time after, when the thread has ended.
+    /// Waits until the job is done, for ever where none runs; gives the job and what came of it.
+    /// Dropped while it waits, it loses nothing: the next call waits for the same.
+    ///
+    /// # Errors
+    /// The thread has ended; then also each time after.
     pub async fn finished(&mut self) -> io::Result<(J, R)> {
-        let Some(out) = &mut self.running else {
+        let Some(running) = &mut self.running else {
             return pending().await;
         };
-        let (thing, job, came) = out.await?;
-        (self.idle, self.running) = (Some(thing), None);
-        Ok((job, came))
+        let (resource, job, result) = running.await?;
+        self.idle = Some(resource);
+        self.running = None;
+        Ok((job, result))
     }
 }
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -7,8 +7,10 @@
 };
 use raildeal::delivery::{unix_ms, Envelope, Verdict};
 use raildeal::store::disk::Folder;
-use raildeal::store::log::{LogOptions, PutError, SegmentLog, SnapshotSource, MAX_OPEN_FILES};
-use raildeal::store::recover::Replay;
+use raildeal::store::log::{
+    LogOptions, PutError, ReadStored, SegmentLog, SnapshotSource, MAX_OPEN_FILES,
+};
+use raildeal::store::recover::{Replay, ReplayError};
 use raildeal::NO_TENANT;
 use serde::Serialize;
 use std::fs;
@@ -81,10 +83,14 @@
             .unwrap_or_else(|_| panic!("three"))
             .map(|r| r.snapshot());
         assert_eq!(
-            (&*a.envelope, a.expires_ms - a.taken_ms, a.attempts),
+            (
+                &*a.envelope,
+                a.expires_unix_ms - a.accepted_unix_ms,
+                a.attempts
+            ),
             (&envelope("a", 200), 16_000, 1)
         );
-        assert_eq!(a.out.as_ref().map(|s| s.zone.as_str()), Some("x"));
+        assert_eq!(a.in_flight.as_ref().map(|s| s.zone.as_str()), Some("x"));
         assert_eq!((b.may_have_run(), b.attempts, b.verdict), (None, 1, None));
         assert_eq!(
             c.may_have_run().map(|s| s.zone.as_str()),
@@ -174,16 +180,16 @@
 struct Fresh;
 
 impl SnapshotSource for Fresh {
-    fn snapshot(&self, _: u64, _: &mut dyn FnMut() -> io::Result<Vec<u8>>) -> io::Result<Vec<u8>> {
+    fn snapshot(&self, _: u64, _: ReadStored<'_>) -> io::Result<Vec<u8>> {
         unreachable!("there is nothing to clean")
     }
 }
 
 impl Replay for Fresh {
-    fn on_put(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_put(&mut self, _: u64, _: &[u8]) -> Result<(), ReplayError> {
         Ok(())
     }
-    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), ReplayError> {
         Ok(())
     }
     fn on_remove(&mut self, _: u64) {}
@@ -198,11 +204,11 @@
     #[derive(Serialize)]
     struct Before {
         envelope: Envelope,
-        taken_ms: u64,
-        expires_ms: u64,
+        accepted_unix_ms: u64,
+        expires_unix_ms: u64,
         attempts: u16,
-        ran: Option<AttemptStart>,
-        out: Option<AttemptStart>,
+        possible_run: Option<AttemptStart>,
+        in_flight: Option<AttemptStart>,
         verdict: Option<Verdict>,
     }
     let folder = TempDir::new().expect("a folder");
@@ -217,15 +223,15 @@
         .log;
     let behind: [&[u64]; 3] = [&[], &[300], &[0, 7]];
     for (n, behind) in behind.iter().enumerate() {
-        let (taken_ms, expires_ms) = (unix_ms(), unix_ms() + 16_000);
+        let (accepted_unix_ms, expires_unix_ms) = (unix_ms(), unix_ms() + 16_000);
         let envelope = envelope(&format!("m{n}"), 50);
         let before = Before {
             envelope,
-            taken_ms,
-            expires_ms,
+            accepted_unix_ms,
+            expires_unix_ms,
             attempts: 2,
-            ran: None,
-            out: None,
+            possible_run: None,
+            in_flight: None,
             verdict: None,
         };
         let bytes = postcard::to_stdvec(&before).expect("encodes");
@@ -277,7 +283,7 @@
     let (journal, records) = open(&folder, ROOM);
     assert_eq!(records.len(), 1);
     assert_eq!(
-        records[0].snapshot().ran,
+        records[0].snapshot().possible_run,
         None,
         "a torn end says nothing of what is whole"
     );
@@ -311,21 +317,21 @@
 fn the_first_form_is_read_and_gone_once_all_is_copied() {
     let folder = TempDir::new().expect("a folder");
     let sent = AttemptStart {
-        at_ms: unix_ms() - 500,
+        at_unix_ms: unix_ms() - 500,
         zone: "x".into(),
     };
     let account = |id: &str| MessageRecord {
         envelope: Rc::new(envelope(id, 300)),
-        taken_ms: 0,
-        expires_ms: unix_ms() + 9_000,
+        accepted_unix_ms: 0,
+        expires_unix_ms: unix_ms() + 9_000,
         attempts: 1,
-        ran: None,
-        out: Some(sent.clone()),
+        possible_run: None,
+        in_flight: Some(sent.clone()),
         verdict: None,
         policy: 0,
         table: 0,
     };
-    let old = v1::file(&[(5, account("a")), (9, account("b"))]);
+    let old = v1::encode_file(&[(5, account("a")), (9, account("b"))]);
     // A line that was torn, and a compaction that never ended.
     fs::write(
         folder.path().join("journal"),
@@ -351,28 +357,36 @@
 fn after_a_clock_was_set_back_no_call_looks_recent_and_no_message_gains_time() {
     for (ahead, knows) in [(0, true), (3_600_000, false)] {
         let folder = TempDir::new().expect("a folder");
-        let out = Some(AttemptStart {
-            at_ms: unix_ms() + ahead - 100,
+        let in_flight = Some(AttemptStart {
+            at_unix_ms: unix_ms() + ahead - 100,
             zone: "x".into(),
         });
-        let (envelope, taken_ms) = (Rc::new(envelope("a", 300)), unix_ms() + ahead - 200);
-        let expires_ms = taken_ms + 9_000;
+        let (envelope, accepted_unix_ms) = (Rc::new(envelope("a", 300)), unix_ms() + ahead - 200);
+        let expires_unix_ms = accepted_unix_ms + 9_000;
         let account = MessageRecord {
             envelope,
-            taken_ms,
-            expires_ms,
+            accepted_unix_ms,
+            expires_unix_ms,
             attempts: 1,
-            ran: None,
-            out,
+            possible_run: None,
+            in_flight,
             verdict: None,
             policy: 0,
             table: 0,
         };
-        fs::write(folder.path().join("journal"), v1::file(&[(1, account)])).expect("written");
+        fs::write(
+            folder.path().join("journal"),
+            v1::encode_file(&[(1, account)]),
+        )
+        .expect("written");
         let (_journal, records) = open(&folder, ROOM);
         records[0].attempt_ended(true);
-        let (zone, age) = records[0].first_possible_run().expect("it may have run");
-        assert_eq!((zone.as_str(), age.is_some()), ("x", knows), "{ahead}");
+        let run = records[0].first_possible_run().expect("it may have run");
+        assert_eq!(
+            (run.zone.as_str(), run.age.is_some()),
+            ("x", knows),
+            "{ahead}"
+        );
     }
 }
 
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -643,7 +643,7 @@
                 Err(SaveError::Retryable(_)) if !disk.is_killed() && step < 59 => continue,
                 Err(_) => break,
             }
-            assert!(disk.size() <= DISK, "{told}: over the limit");
+            assert!(disk.total_bytes() <= DISK, "{told}: over the limit");
             piece = script.next(keep.wants_base());
         }
     }
@@ -734,7 +734,7 @@
     let mut script = Script::new(3);
     keep.save(&LogItem::Checkpoint(Box::new(script.now.clone())))
         .expect("room");
-    disk.quota(Some(disk.size()));
+    disk.set_quota(Some(disk.total_bytes()));
     // With what it has, it goes on: what is over makes room.
     for _ in 0..300 {
         let piece = script.next(keep.wants_base());
@@ -763,7 +763,7 @@
         saved.entries.len() as u64 + kept
     );
     // Room again.
-    disk.quota(None);
+    disk.set_quota(None);
     std::thread::sleep(Duration::from_millis(700));
     keep.save(&much(kept + 1)).expect("room again");
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -9,8 +9,8 @@
 use futures_lite::FutureExt;
 use raildeal::store::disk::{Disk, DiskFile};
 use raildeal::store::faulty::FaultyDisk;
-use raildeal::store::log::{LogOptions, SegmentLog, SnapshotSource};
-use raildeal::store::recover::Replay;
+use raildeal::store::log::{LogOptions, ReadStored, SegmentLog, SnapshotSource};
+use raildeal::store::recover::{Replay, ReplayError};
 use std::collections::BTreeMap;
 use std::io;
 use std::process::Command as Process;
@@ -368,12 +368,12 @@
 struct Found(BTreeMap<u64, Vec<u8>>);
 
 impl Replay for Found {
-    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
+    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), ReplayError> {
         self.0.insert(no, data.into());
         Ok(())
     }
 
-    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), ReplayError> {
         Ok(())
     }
 
@@ -389,12 +389,8 @@
 struct Asis;
 
 impl SnapshotSource for Asis {
-    fn snapshot(
-        &self,
-        _: u64,
-        old: &mut dyn FnMut() -> io::Result<Vec<u8>>,
-    ) -> io::Result<Vec<u8>> {
-        old()
+    fn snapshot(&self, _: u64, read_stored: ReadStored<'_>) -> io::Result<Vec<u8>> {
+        read_stored()
     }
 }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -12,7 +12,7 @@
 use raildeal::net::platform::{http, ingress, list};
 use raildeal::store::faulty::FaultyDisk;
 use raildeal::store::frame::SegmentHeader;
-use raildeal::store::recover::{self, Replay};
+use raildeal::store::recover::{self, Replay, ReplayError};
 
 fn fixed() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(0x0071_da1d);
@@ -28,11 +28,11 @@
 struct Nothing(usize);
 
 impl Replay for Nothing {
-    fn on_put(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_put(&mut self, _: u64, _: &[u8]) -> Result<(), ReplayError> {
         self.0 += 1;
         Ok(())
     }
-    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), String> {
+    fn on_update(&mut self, _: u64, _: &[u8]) -> Result<(), ReplayError> {
         self.0 += 1;
         Ok(())
     }
@@ -149,9 +149,9 @@
         prop_assert!(ingress::remaining(&text).is_none_or(|t| t.as_secs() <= 86_400));
         let _ = ingress::destination(&text);
         let journal = [b"raildeal journal 1\n", &bytes[..]].concat();
-        prop_assert!(v1::replay(&journal).is_some_and(|(_, read)| read <= journal.len()));
+        prop_assert!(v1::replay(&journal).is_some_and(|replayed| replayed.valid_bytes <= journal.len()));
         // The same where a segment's frames should be.
-        let segment = [SegmentHeader { sequence: 1, salt: 7, ..SegmentHeader::default() }.bytes(), bytes.clone()].concat();
+        let segment = [SegmentHeader { sequence: 1, salt: 7, ..SegmentHeader::default() }.encode(), bytes.clone()].concat();
         let mut none = Nothing(0);
         let scan = recover::scan(&FaultyDisk::from_image([("0000.seg".into(), segment)].into()), 1, &mut none);
         prop_assert_eq!((scan.expect("read").locations.len(), none.0), (0, 0));
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -102,7 +102,10 @@
             (25..=31, _) => drop(self.journal.maintain_once()),
             (_, Some(id)) => self.go_on(&id),
         }
-        assert!(self.disk.size() <= self.setup.limit_bytes, "over the limit");
+        assert!(
+            self.disk.total_bytes() <= self.setup.limit_bytes,
+            "over the limit"
+        );
     }
 
     fn take_on(&mut self) {
@@ -437,11 +440,11 @@
             // succeeds in between.
             world
                 .disk
-                .quota((round % 3 != 2).then_some(world.disk.size()));
+                .set_quota((round % 3 != 2).then_some(world.disk.total_bytes()));
             if round % 7 == 3 {
-                let (image, quota) = (world.disk.after_kill(), world.disk.size());
+                let (image, quota) = (world.disk.after_kill(), world.disk.total_bytes());
                 world.restart(image);
-                world.disk.quota(Some(quota));
+                world.disk.set_quota(Some(quota));
             }
         }
         world.finish();
