--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -153,3 +153,6 @@
         format!("keeper {} of {}", self.config.keeper, self.config.site)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/replica/peers.rs
+++ b/src/coordination/replica/peers.rs
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 
 /// Longest frame between keepers: a snapshot, and what is said with it.
-const PEER_MOST: usize = MAX_CHECKPOINT_BYTES + 64 * 1024;
+pub(super) const PEER_MOST: usize = MAX_CHECKPOINT_BYTES + 64 * 1024;
 
 /// What keepers say to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
