--- /dev/null
+++ b/src/coordination/policy_rollout/health/estimate.rs
@@ -0,0 +1,96 @@
+//! An observed share, and the bounds that hold for it.
+
+use crate::coordination::policy_rollout::health::counts::{MessageCounts, ShareKind};
+
+/// Messages by which the difference of two groups before a change is drawn to nothing: a few say
+/// little of it.
+const SHRINKAGE_MESSAGES: f64 = 2.0;
+/// Halvings by which a bound is found: thirty are finer than a share of any number of messages.
+const BISECTIONS: u32 = 30;
+
+/// A share, and how many messages that come singly it is worth.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ShareEstimate {
+    pub(super) bad: f64,
+    pub(super) total: f64,
+    /// The number of independent messages that say as much: less than `total`, as ends of messages
+    /// come in heaps.
+    pub(super) effective_total: f64,
+}
+
+impl ShareEstimate {
+    pub(super) fn new(counts: &MessageCounts, kind: ShareKind, dispersion: f64) -> ShareEstimate {
+        let ends = counts.bad_ends(kind);
+        ShareEstimate {
+            bad: ends.bad,
+            total: ends.total,
+            effective_total: ends.total / dispersion,
+        }
+    }
+
+    /// The share; 0 where there is no message.
+    pub(super) fn share(&self) -> f64 {
+        if self.total > 0.0 {
+            self.bad / self.total
+        } else {
+            0.0
+        }
+    }
+
+    /// By how much it exceeds another one, and one standard error more: so much is no surprise
+    /// later. Nothing where nobody looked.
+    pub(super) fn excess_over(&self, other: &ShareEstimate) -> f64 {
+        if self.total == 0.0 || other.total == 0.0 {
+            return 0.0;
+        }
+        let expected = other.share();
+        let dispersion = self.total / self.effective_total;
+        let weight = self.total + SHRINKAGE_MESSAGES;
+        let share = (self.bad + SHRINKAGE_MESSAGES * expected) / weight;
+        let spread = share.max(expected);
+        let standard_error = (spread * (1.0 - spread) * dispersion / weight).sqrt();
+        (share - expected + standard_error).max(0.0)
+    }
+
+    /// The least that it may be with an error of `exp(-certainty)`.
+    pub(super) fn lower_bound(&self, certainty: f64) -> f64 {
+        self.bound_towards(0.0, certainty)
+    }
+
+    /// The most that it may be with an error of `exp(-certainty)`.
+    pub(super) fn upper_bound(&self, certainty: f64) -> f64 {
+        self.bound_towards(1.0, certainty)
+    }
+
+    /// Chernoff's bound on the side of `end`: the first share that the observed one rules out.
+    fn bound_towards(&self, end: f64, certainty: f64) -> f64 {
+        let observed = self.share();
+        if self.effective_total <= 0.0 {
+            return end;
+        }
+        let mut possible = observed;
+        let mut ruled_out = end;
+        for _ in 0..BISECTIONS {
+            let middle = (possible + ruled_out) / 2.0;
+            if self.effective_total * relative_entropy(observed, middle) <= certainty {
+                possible = middle;
+            } else {
+                ruled_out = middle;
+            }
+        }
+        ruled_out
+    }
+}
+
+/// How strongly an observed share speaks against a true one, for each message: the relative entropy
+/// of two coins.
+fn relative_entropy(observed: f64, true_share: f64) -> f64 {
+    let term = |p: f64, q: f64| {
+        if p <= 0.0 {
+            0.0
+        } else {
+            p * (p / q.max(1e-300)).ln()
+        }
+    };
+    term(observed, true_share) + term(1.0 - observed, 1.0 - true_share)
+}
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -13,7 +13,7 @@
 
 use crate::coordination::messages::{self, Digest, OperatorRequest, ReplicaToAgent, SiteAdmission};
 use crate::coordination::policy_rollout::document::Document;
-use crate::coordination::policy_rollout::health::{Health, Verdict};
+use crate::coordination::policy_rollout::health::{RolloutHealth, StageVerdict};
 use crate::coordination::policy_rollout::plan::Plan;
 use crate::coordination::policy_rollout::register::{Change, Rollout, Step};
 use crate::coordination::record::{Record, RosterEntry, MAX_ZONES};
@@ -46,7 +46,7 @@
 pub struct Roll {
     begun: Nanos,
     ears: SenderRegistry,
-    health: Health,
+    health: RolloutHealth,
     /// The decision that is out: the turn it was based on, and when it was proposed.
     deciding: Option<(u64, Nanos)>,
     /// When this leader saw the step that runs begin: its place in the log.
@@ -61,7 +61,7 @@
     /// Since when this leader watches the zones of the stage that is next.
     watched: Nanos,
     /// What the last look said.
-    verdict: Option<Verdict>,
+    verdict: Option<StageVerdict>,
     /// For how long nobody led, as far as that is known.
     unled: bool,
     /// When a pause for a routing table was last seen.
@@ -75,7 +75,7 @@
         Roll {
             begun: now,
             ears: SenderRegistry::default(),
-            health: Health::default(),
+            health: RolloutHealth::default(),
             deciding: None,
             step: (0, now),
             waits: None,
@@ -148,7 +148,7 @@
             return;
         };
         let only = (stage < r.in_force()).then(|| r.to.get(zone).copied().unwrap_or_default());
-        self.health.hear(now, stage, only, told);
+        self.health.record_report(now, stage, only, told);
     }
 
     /// A change of policies was applied.
@@ -183,7 +183,7 @@
                 log::info!("policy {number}: stage {stage} paused by turn {turn}");
             }
             Change::Commit => {
-                self.health.change(now, false);
+                self.health.on_stage_changed(now);
                 self.verdict = None;
                 log::info!("policy {number}: stage {stage} in force by turn {turn}");
                 log::info!("policy {number}: stage {stage} soaks");
@@ -201,7 +201,7 @@
             }
             Change::Halt { why } => log::warn!("policy {number}: halted: {why}"),
             Change::Resume => {
-                self.health.change(now, true);
+                self.health.restart_observation(now);
                 (self.verdict, self.unled) = (None, false);
                 self.silent.clear();
                 log::info!("policy {number}: resumed by turn {turn}");
@@ -376,7 +376,7 @@
             // It began under another leader, who may have waited long.
             (self.step, self.waits) = ((r.at, self.begun), None);
             if r.step == Step::Soaking {
-                self.health.change(now, false);
+                self.health.on_stage_changed(now);
             }
         }
         let change = self.next(now, record, r);
@@ -488,15 +488,17 @@
                 let verdict = self.health.judge(now, stage, &r.plan);
                 self.verdict = Some(verdict.clone());
                 match verdict {
-                    Verdict::Worse(why) => halt(format!("stage {} is worse: {why}", r.stage + 1)),
-                    Verdict::TooFew(what) if passed >= r.plan.most_soak() * SECOND => {
+                    StageVerdict::Worse(why) => {
+                        halt(format!("stage {} is worse: {why}", r.stage + 1))
+                    }
+                    StageVerdict::TooFewMessages(what) if passed >= r.plan.most_soak() * SECOND => {
                         halt(format!(
                             "too few to judge stage {}: {what} in {} s",
                             r.stage + 1,
                             passed / SECOND
                         ))
                     }
-                    Verdict::Well
+                    StageVerdict::Healthy
                         if passed >= Nanos::from(r.plan.soak_s) * SECOND
                             && self.missing.is_none()
                             && done(self) =>
@@ -659,13 +661,13 @@
                 }
             };
             let seen = match &self.verdict {
-                Some(Verdict::TooFew(what)) if r.step == Step::Soaking => {
+                Some(StageVerdict::TooFewMessages(what)) if r.step == Step::Soaking => {
                     format!("too few to judge so far: {what}")
                 }
-                Some(Verdict::Well) if r.step == Step::Soaking => {
+                Some(StageVerdict::Healthy) if r.step == Step::Soaking => {
                     format!(
                         "nothing speaks against it in {} messages",
-                        self.health.came(r.stage as usize)
+                        self.health.messages_since_change(r.stage as usize)
                     )
                 }
                 _ => String::new(),
