--- a/tests/pins/command_line.rs
+++ b/tests/pins/command_line.rs
@@ -181,24 +181,26 @@
     assert_code(&["trace"], 2);
 }
 
+/// Links stand where a copy would do, as a file that was just written may be open for writing in
+/// another test's process when it is run.
 #[test]
 fn lab_becomes_the_program_beside_it_and_ends_with_2_where_there_is_none() {
-    use std::os::unix::fs::PermissionsExt;
-    let files = Files::new();
-    let program = files.path("raildeal");
-    fs::copy(env!("CARGO_BIN_EXE_raildeal"), &program).expect("copied");
+    let built = Path::new(env!("CARGO_BIN_EXE_raildeal"));
+    let folder = TempDir::new_in(built.parent().expect("a folder")).expect("a folder");
+    let program = folder.path().join("raildeal");
+    fs::hard_link(built, &program).expect("linked");
     let run = |args: &[&str]| {
-        let mut command = command(Path::new(&program), args);
+        let mut command = command(&program, args);
         command
-            .env("PATH", files.0.path())
+            .env("PATH", folder.path())
             .output()
             .expect("it runs")
     };
     assert_eq!(run(&["lab"]).status.code(), Some(2));
-    let beside = files.write("raildeal-simulator", "#!/bin/sh\necho \"$@\"\nexit 7\n");
-    let executable = fs::Permissions::from_mode(0o755);
-    fs::set_permissions(&beside, executable).expect("executable");
-    let told = run(&["lab", "play", "--help", "x"]);
+    let beside = folder.path().join("raildeal-simulator");
+    std::os::unix::fs::symlink("/bin/sh", beside).expect("linked");
+    let script = "echo \"$@\"; exit 7";
+    let told = run(&["lab", "-c", script, "sh", "play", "--help", "x"]);
     assert_eq!(told.status.code(), Some(7));
     assert_eq!(text(&told.stdout), "play --help x\n");
 }
--- a/tests/pins/settings_keys.rs
+++ b/tests/pins/settings_keys.rs
@@ -609,7 +609,7 @@
 #[cfg(feature = "fleet")]
 mod fleet {
     use super::*;
-    use raildeal::agent::config::File as AgentFile;
+    use raildeal::agent::config::FleetConfig as AgentFile;
     use raildeal::coordination::config::Config as ReplicaConfig;
     use raildeal::coordination::policy_rollout::document::Document as PolicyDocument;
     use raildeal::coordination::policy_rollout::plan::Plan;
--- a/tests/pins/state_folder.rs
+++ b/tests/pins/state_folder.rs
@@ -10,7 +10,7 @@
 use raildeal::net::mqtt::sessions::ReplyTo;
 use raildeal::store::disk::Folder;
 use raildeal::store::log::{LogOptions, SegmentLog, SnapshotSource};
-use raildeal::store::recover::Replay;
+use raildeal::store::recover::{Replay, ReplayError};
 use raildeal::NO_TENANT;
 use std::collections::BTreeMap;
 use std::fs;
@@ -56,11 +56,11 @@
 fn account(envelope: Envelope) -> MessageRecord {
     MessageRecord {
         envelope: Rc::new(envelope),
-        taken_ms: TAKEN_MS,
-        expires_ms: TAKEN_MS + LIFE_MS,
+        accepted_unix_ms: TAKEN_MS,
+        expires_unix_ms: TAKEN_MS + LIFE_MS,
         attempts: 0,
-        ran: None,
-        out: None,
+        possible_run: None,
+        in_flight: None,
         verdict: None,
         policy: 0,
         table: 0,
@@ -69,7 +69,7 @@
 
 fn sent(zone: &str) -> AttemptStart {
     AttemptStart {
-        at_ms: SENT_MS,
+        at_unix_ms: SENT_MS,
         zone: zone.into(),
     }
 }
@@ -78,13 +78,13 @@
 fn open_accounts() -> Vec<MessageRecord> {
     let out = MessageRecord {
         attempts: 1,
-        out: Some(sent("a")),
+        in_flight: Some(sent("a")),
         ..account(envelope("sent"))
     };
     let ran = MessageRecord {
         attempts: 2,
-        ran: Some(sent("a")),
-        out: Some(sent("b")),
+        possible_run: Some(sent("a")),
+        in_flight: Some(sent("b")),
         ..account(envelope("sent again"))
     };
     let without_body = |id: &str| Envelope {
@@ -144,12 +144,12 @@
 }
 
 impl Replay for Frames {
-    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
+    fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), ReplayError> {
         self.0.push(("put", no, data.to_vec()));
         Ok(())
     }
 
-    fn on_update(&mut self, no: u64, data: &[u8]) -> Result<(), String> {
+    fn on_update(&mut self, no: u64, data: &[u8]) -> Result<(), ReplayError> {
         self.0.push(("note", no, data.to_vec()));
         Ok(())
     }
@@ -171,7 +171,7 @@
     };
     let disk = Arc::new(Folder::new(folder));
     let opened = SegmentLog::open(disk, options, None, replay, |_, _| 1).expect("opened");
-    assert_eq!((opened.damage, opened.torn), (vec![], 0));
+    assert_eq!((opened.damage, opened.torn_bytes), (vec![], 0));
     opened.log
 }
 
@@ -223,8 +223,8 @@
         let left = Duration::from_millis(LIFE_MS);
         let record = journal.append_accepted(envelope, left, policy, table);
         let record = record.expect("room");
-        times.insert(record.snapshot().taken_ms, TAKEN_MS);
-        times.insert(record.snapshot().expires_ms, TAKEN_MS + LIFE_MS);
+        times.insert(record.snapshot().accepted_unix_ms, TAKEN_MS);
+        times.insert(record.snapshot().expires_unix_ms, TAKEN_MS + LIFE_MS);
         record
     };
     let records: Vec<OpenRecord> = [
@@ -250,8 +250,8 @@
     std::thread::sleep(Duration::from_millis(2));
     let mut send = |record: &OpenRecord, zone| {
         record.attempt_started(zone).expect("written");
-        let out = record.snapshot().out.expect("a call that is out");
-        times.insert(out.at_ms, SENT_MS);
+        let out = record.snapshot().in_flight.expect("a call that is out");
+        times.insert(out.at_unix_ms, SENT_MS);
     };
     send(&records[1], "a");
     send(&records[2], "a");
@@ -323,14 +323,14 @@
 fn a_journal_of_the_first_form_is_read_as_pinned() {
     let mut pins = Pins::of(include_str!("journal_first_form.txt"));
     let old = |id: &str| MessageRecord {
-        taken_ms: 0,
+        accepted_unix_ms: 0,
         ..account(envelope(id))
     };
     // Open; open, sent, back, sent; open, sent, back, ended; open, closed.
     let ran = MessageRecord {
         attempts: 2,
-        ran: Some(sent("a")),
-        out: Some(sent("b")),
+        possible_run: Some(sent("a")),
+        in_flight: Some(sent("b")),
         ..old("o2")
     };
     let mut ended = MessageRecord {
@@ -342,15 +342,18 @@
     };
     Rc::make_mut(&mut ended.envelope).body = Vec::new();
     let all = pins.literal("every-line");
-    let (open, good) = legacy_v1::replay(&all).expect("that form");
-    assert_eq!(good, all.len(), "all of it is whole");
+    let read = legacy_v1::replay(&all).expect("that form");
+    assert_eq!(read.valid_bytes, all.len(), "all of it is whole");
     let expected = BTreeMap::from([(1, old("o1")), (2, ran.clone()), (3, ended.clone())]);
-    assert_eq!(open, expected);
+    assert_eq!(read.open, expected);
 
     let literal = pins.literal("open-lines");
-    let written = legacy_v1::file(&[(1, old("o1")), (2, ran), (3, ended)]);
+    let written = legacy_v1::encode_file(&[(1, old("o1")), (2, ran), (3, ended)]);
     pins.written("open-lines", &literal, &written);
-    assert_eq!(legacy_v1::replay(&literal).expect("that form").0, expected);
+    assert_eq!(
+        legacy_v1::replay(&literal).expect("that form").open,
+        expected
+    );
     pins.finish();
 }
 
@@ -395,8 +398,9 @@
     write("ended", "1700000000000\n");
     write("asked", "1700000000000 36000\n");
     write("trusted", "00000001700000000000 00000001700000006000\n");
-    let (earlier, faults) = restart_state::load(folder.path(), now + 1_000);
-    assert_eq!(faults, Vec::<String>::new());
+    let notes = restart_state::load(folder.path(), now + 1_000);
+    assert!(notes.faults.is_empty(), "{:?}", notes.faults);
+    let earlier = notes.state;
     assert!(earlier.planned);
     assert_eq!(earlier.poll_cost_seconds, Some(0.036));
     assert_eq!(earlier.remaining_freshness, Some(5_000_000_000));
--- a/tests/pins/stored_documents.rs
+++ b/tests/pins/stored_documents.rs
@@ -3,7 +3,9 @@
 
 use crate::support::{from_hex, to_hex};
 use futures_lite::future::block_on;
-use raildeal::agent::document_store::{Ground, Kept, List, Shelf};
+use raildeal::agent::document_store::{
+    DocumentStore, PolicyValidationContext, StoredDocument, TableValidationContext,
+};
 use raildeal::config::{platform_settings, Door};
 use raildeal::coordination::messages::Digest;
 use raildeal::coordination::policy_rollout::document::Document as PolicyDocument;
@@ -42,50 +44,50 @@
     from_hex(hex).try_into().expect("32 bytes")
 }
 
-fn ground() -> Ground {
+fn ground() -> PolicyValidationContext {
     let settings = serde_json::json!({
         "categories": [{ "name": "event", "promise": 2_000_000_000_u64, "deadline": 16_000_000_000_u64 }],
         "familyInfo": { "maxCalls": 10 },
         "limits": { "openCap": 100, "maxAttempts": 3 },
     });
     let deployment = platform_settings::from_json(&settings).expect("settings");
-    Ground {
+    PolicyValidationContext {
         settings: deployment.settings,
         classes: deployment.classes,
-        door: Door::default(),
-        places: 50,
-        calls: 100,
-        disk: 1_000_000,
+        admission: Door::default(),
+        client_slots: 50,
+        max_calls: 100,
+        disk_bytes: 1_000_000,
     }
 }
 
-fn list() -> List {
-    List {
+fn list() -> TableValidationContext {
+    TableValidationContext {
         classes: vec!["event".into()],
         tenants: 0,
-        offers: None,
+        listed: None,
     }
 }
 
-fn policies(state: &Path) -> Shelf<PolicySet> {
+fn policies(state: &Path) -> DocumentStore<PolicySet> {
     let ground = Arc::new(ground());
     let (settings, classes) = (&ground.settings, &ground.classes);
-    let own = Door::default().policy(0, settings, classes, ground.places, None);
+    let own = Door::default().policy(0, settings, classes, ground.client_slots, None);
     let now = ground.clone();
     let now = Box::new(move || now.clone());
-    Shelf::open(state, &*ground, now, PolicySet::new(own)).expect("opened")
+    DocumentStore::open(state, &*ground, now, PolicySet::new(own)).expect("opened")
 }
 
-fn tables(state: &Path) -> Shelf<RoutingTables> {
+fn tables(state: &Path) -> DocumentStore<RoutingTables> {
     let now = Box::new(|| Arc::new(list()));
-    Shelf::open(state, &list(), now, Rc::new(RoutingTables::default())).expect("opened")
+    DocumentStore::open(state, &list(), now, Rc::new(RoutingTables::default())).expect("opened")
 }
 
 /// Stores a document and notes that it is gone by.
-fn store<K: Kept>(shelf: &Shelf<K>, number: u64, hex: &str, text: &str) {
+fn store<K: StoredDocument>(shelf: &DocumentStore<K>, number: u64, hex: &str, text: &str) {
     let added = shelf.add(number, print(hex), text.into(), Vec::new());
-    assert_eq!(block_on(added), Ok(()));
-    block_on(shelf.goes_by(number));
+    block_on(added).expect("stored");
+    block_on(shelf.note_applied(number));
 }
 
 #[test]
@@ -123,8 +125,8 @@
     write("tables/last", "7\n");
     let policies = policies(state.path());
     let stored = BTreeMap::from([(4, print(POLICY_PRINT))]);
-    assert_eq!((policies.stored(), policies.last()), (stored, 4));
+    assert_eq!((policies.stored(), policies.last_applied()), (stored, 4));
     let tables = tables(state.path());
     let stored = BTreeMap::from([(7, print(TABLE_PRINT))]);
-    assert_eq!((tables.stored(), tables.last()), (stored, 7));
+    assert_eq!((tables.stored(), tables.last_applied()), (stored, 7));
 }
