--- a/simulator/src/tables.rs
+++ b/simulator/src/tables.rs
@@ -1,5 +1,5 @@
 //! Routing tables agreed by all sites of a federation, in virtual time: the keepers' own machines
-//! ([`Switch`], [`Record`], [`Federation`]) with senders, sessions and lines round them that are
+//! ([`Cutover`], [`Record`], [`Federation`]) with senders, sessions and lines round them that are
 //! simpler than the program's. The sites' consensus is an agreed log with the delays of one: a way
 //! to the site that leads, a round trip and a write for a majority, a way back. All is drawn from
 //! one seed.
@@ -9,8 +9,9 @@
     AgentTableMessage, Digest, ReplicaTableMessage, SiteAdmission,
 };
 use raildeal::coordination::record::{Command, Record};
-use raildeal::coordination::routing_table::cutover::{Known, Out, Switch};
+use raildeal::coordination::routing_table::cutover::{Cutover, CutoverEffect};
 use raildeal::coordination::routing_table::federation::{self, Federation};
+use raildeal::coordination::routing_table::federation_view::FederationView;
 use raildeal::coordination::routing_table::tables::Change;
 use raildeal::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use raildeal::Nanos;
@@ -118,7 +119,7 @@
     record: Record,
     index: u64,
     /// The leader's, by term; nobody leads where there is none.
-    switch: Option<Switch>,
+    cutover: Option<Cutover>,
     term: u64,
     led: Nanos,
     beat: Nanos,
@@ -184,7 +185,7 @@
     let site = |at: usize| Site {
         record: Record::default(),
         index: 0,
-        switch: Some(Switch::new(0, Some(0))),
+        cutover: Some(Cutover::new(0, Some(0))),
         term: 1,
         led: 0,
         beat: 0,
@@ -264,8 +265,8 @@
                 }
                 let mut out = Vec::new();
                 let site = &mut self.sites[at];
-                if let Some(switch) = &mut site.switch {
-                    switch.hear(now, &name(n), &word, &site.record, &mut out);
+                if let Some(cutover) = &mut site.cutover {
+                    cutover.on_sender_message(now, &name(n), &word, &site.record, &mut out);
                 }
                 self.out(at, out);
                 self.say(at, &[n]);
@@ -274,7 +275,7 @@
             Event::Stored(n, line, word) => self.stores(n, line, word),
             Event::Applies(at, term, command) => {
                 // What a leader proposed that is gone is lost with its term.
-                if self.sites[at].term == term && self.sites[at].switch.is_some() {
+                if self.sites[at].term == term && self.sites[at].cutover.is_some() {
                     self.apply(at, &command);
                 }
             }
@@ -291,7 +292,7 @@
                     let runs = known.proposal.as_ref().map(|p| p.table.number);
                     site.said.retain(|(c, _)| match c {
                         federation::Command::Accept { number, .. } => runs == Some(*number),
-                        federation::Command::Switched { site, number } => {
+                        federation::Command::CutOver { site, number } => {
                             known.sites.get(site).is_some_and(|s| s.uses != *number)
                         }
                         _ => false,
@@ -307,7 +308,7 @@
             Event::Leads(at, term) => {
                 let site = &mut self.sites[at];
                 if site.term == term {
-                    site.switch = Some(Switch::new(now, Some(site.led)));
+                    site.cutover = Some(Cutover::new(now, Some(site.led)));
                     // The first beat of a term counts the time in which nobody led.
                     let ms = ((now - site.led) / MS) as u32;
                     site.beat = now;
@@ -317,7 +318,7 @@
             Event::Happens(Trouble::Cut(at, lasts)) => self.sites[at].cut = now + lasts,
             Event::Happens(Trouble::Dies(at)) => {
                 let site = &mut self.sites[at];
-                site.switch = None;
+                site.cutover = None;
                 (site.term, site.lease, site.led) = (site.term + 1, None, now);
                 let term = site.term;
                 for n in self.sites[at].senders.clone() {
@@ -414,7 +415,7 @@
         self.asks += if asks { ASKS } else { 0 };
         for at in 0..self.sites.len() {
             let site = &mut self.sites[at];
-            if site.switch.is_none() {
+            if site.cutover.is_none() {
                 continue;
             }
             site.led = now;
@@ -466,10 +467,10 @@
         let site = &mut self.sites[at];
         // A leader renews nothing while its site has to be held and the record does not say so yet.
         let bars = site
-            .switch
+            .cutover
             .as_ref()
-            .is_some_and(|switch| switch.bars(&site.record));
-        let Some(switch) = site.switch.as_mut().filter(|_| !bars) else {
+            .is_some_and(|cutover| cutover.must_withhold_leases(&site.record));
+        let Some(cutover) = site.cutover.as_mut().filter(|_| !bars) else {
             return;
         };
         let s = &mut self.senders[n];
@@ -477,7 +478,7 @@
         if !s.open {
             s.open = true;
             let live = site.record.roster.get(&name(n)).is_some_and(|m| m.live);
-            switch.meet(&name(n), 1);
+            cutover.on_session_opened(&name(n), 1);
             let (line, has) = (
                 s.line,
                 s.stored
@@ -509,7 +510,7 @@
         let stance = site.record.tables.register.stance;
         site.record.apply(index, command);
         if let Command::ChangeTables { change, .. } = command {
-            if site.record.tables.at == index && matches!(**change, Change::TakeBack { .. }) {
+            if site.record.tables.at == index && matches!(**change, Change::RollBack { .. }) {
                 self.played.taken_back += 1;
             }
             // Before it is counted in for the first time each site holds.
@@ -518,8 +519,8 @@
             if held && now >= PROPOSED {
                 self.played.held += site.senders.len() as u64;
             }
-            if let Some(switch) = &mut site.switch {
-                switch.applied(now, index, change, &site.record);
+            if let Some(cutover) = &mut site.cutover {
+                cutover.on_applied(now, index, change, &site.record);
             }
         }
         self.tick(at);
@@ -530,21 +531,21 @@
         let leader = 1;
         let all: BTreeSet<u64> = (1..=self.sites.len() as u64).collect();
         let site = &mut self.sites[at];
-        let Some(switch) = &mut site.switch else {
+        let Some(cutover) = &mut site.cutover else {
             return;
         };
         let heard = if now < site.cut { BTreeSet::new() } else { all };
-        let known = Known {
+        let known = FederationView {
             name: "f".into(),
-            me: at as u64 + 1,
+            own_site: at as u64 + 1,
             record: site.known.clone(),
             leader,
-            heard,
-            lease: site.lease,
-            holds: true,
+            reachable_sites: heard,
+            lease_until: site.lease,
+            holds_after_lease: true,
         };
         let mut out = Vec::new();
-        switch.tick(now, &site.record, Some(&known), &mut out);
+        cutover.on_tick(now, &site.record, Some(&known), &mut out);
         self.out(at, out);
         let senders = self.sites[at].senders.clone();
         self.say(at, &senders);
@@ -556,12 +557,12 @@
         let mut says = Vec::new();
         let mut offers = MAX_OFFERS_PER_ROUND;
         let site = &mut self.sites[at];
-        if let Some(switch) = &mut site.switch {
+        if let Some(cutover) = &mut site.cutover {
             for n in senders.iter().copied() {
                 let s = &self.senders[n];
                 if s.open && site.record.roster.contains_key(&s.name) {
                     let record = &site.record;
-                    switch.say(now, &s.name, record, &mut offers, &mut |word| {
+                    cutover.send_due_messages(now, &s.name, record, &mut offers, &mut |word| {
                         says.push((n, s.line, word))
                     });
                 }
@@ -572,10 +573,10 @@
         }
     }
 
-    fn out(&mut self, at: usize, out: Vec<Out>) {
+    fn out(&mut self, at: usize, out: Vec<CutoverEffect>) {
         for out in out {
             match out {
-                Out::Site(change) => {
+                CutoverEffect::ProposeToSite(change) => {
                     let site = &self.sites[at];
                     let (term, base) = (site.term, site.record.tables.turn);
                     let command = Command::ChangeTables {
@@ -584,7 +585,7 @@
                     };
                     self.at(self.now + COMMIT, Event::Applies(at, term, command));
                 }
-                Out::Federation(command) => self.brings(at, command),
+                CutoverEffect::ProposeToFederation(command) => self.brings(at, command),
             }
         }
     }
--- a/src/agent/document_store/validation.rs
+++ b/src/agent/document_store/validation.rs
@@ -6,7 +6,7 @@
 use crate::coordination::messages::Digest;
 use crate::coordination::policy_rollout::document as policy;
 use crate::coordination::routing_table::document as table;
-use crate::coordination::routing_table::federation::MOST_TEXT as MAX_TABLE_TEXT_BYTES;
+use crate::coordination::routing_table::federation::MAX_TEXT_BYTES as MAX_TABLE_TEXT_BYTES;
 use crate::delivery::endpoint::ZoneCapacity;
 use crate::delivery::policies::{self, Policy, PolicySet};
 use crate::delivery::routing_tables::{self, RoutingTables};
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -1,8 +1,10 @@
 //! The file of a keeper. All its faults are told at the start, each by the name of its field.
 
 use crate::coordination::leader::LeaderRules;
-use crate::coordination::routing_table::federation::MOST_SITES;
-use crate::coordination::routing_table::member::{Place, Settings, MOST_AT};
+use crate::coordination::routing_table::federation::MAX_SITES;
+use crate::coordination::routing_table::member::settings::{
+    is_valid_name, MemberSettings, SiteAddress, MAX_ADDRESSES_PER_SITE, MAX_NAME_BYTES,
+};
 use ipnet::IpNet;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -17,8 +19,6 @@
 const TICK_MS: (u64, u64) = (10, 100);
 /// Keepers that a file may name: more of them only make every word slower.
 const KEEPERS: usize = 9;
-/// Longest name of a site, in bytes.
-const SITE: usize = 64;
 
 /// Length of a tick in the federation, in milliseconds: an election takes 10 to 20 of them, so the
 /// shortest one bears lines of some 100 ms there and back, and with the longest one a site that led
@@ -147,13 +147,7 @@
     /// What the leader goes by.
     pub rules: LeaderRules,
     /// The federation that the site is in.
-    pub federation: Option<Settings>,
-}
-
-/// Whether a site or a federation may be called so.
-pub fn is_name(name: &str) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-    (1..=SITE).contains(&name.len()) && name.chars().all(plain)
+    pub federation: Option<MemberSettings>,
 }
 
 impl Config {
@@ -168,21 +162,21 @@
         if !faults.is_empty() {
             return Err(faults);
         }
-        let federation = file.federation.map(|f| Settings {
-            name: f.name.into(),
-            number: f.number,
-            site: file.site.clone(),
-            begin: f.begin,
-            formerly: f.formerly,
-            sites: f
+        let federation = file.federation.map(|f| MemberSettings {
+            federation: f.name.into(),
+            site_number: f.number,
+            site_name: file.site.clone(),
+            bootstrap: f.begin,
+            former_number: f.formerly,
+            other_sites: f
                 .site
                 .into_iter()
                 .map(|s| {
                     (
                         s.number,
-                        Place {
+                        SiteAddress {
                             name: s.name,
-                            at: s.at,
+                            addresses: s.at,
                         },
                     )
                 })
@@ -190,7 +184,7 @@
             lease_ms: f.lease_s * 1_000,
             fence_ms: f.fence_s * 1_000,
             tick_ms: f.tick_ms,
-            holds: f.without == Without::Hold,
+            holds_after_lease: f.without == Without::Hold,
         });
         Ok(Config {
             federation,
@@ -220,7 +214,7 @@
         let mut faults = Vec::new();
         let mut fault = |wrong: bool, told: String| faults.extend(wrong.then_some(told));
         fault(
-            !is_name(&self.site),
+            !is_valid_name(&self.site),
             format!("site: {}", no_name(&self.site)),
         );
         fault(self.keeper == 0, "keeper: 0: numbers begin at 1".into());
@@ -290,7 +284,7 @@
 }
 
 fn no_name(name: &str) -> String {
-    format!("{name:?}: 1 to {SITE} letters, digits, -, _ or . are a name")
+    format!("{name:?}: 1 to {MAX_NAME_BYTES} letters, digits, -, _ or . are a name")
 }
 
 impl FederationFile {
@@ -299,7 +293,7 @@
         let mut fault =
             |wrong: bool, told: String| faults.extend(wrong.then(|| format!("federation.{told}")));
         fault(
-            !is_name(&self.name),
+            !is_valid_name(&self.name),
             format!("name: {}", no_name(&self.name)),
         );
         fault(self.number == 0, "number: 0: numbers begin at 1".into());
@@ -339,7 +333,7 @@
             !fits,
             format!("tick_ms: {}: {least} to {most} may be", self.tick_ms),
         );
-        let most = MOST_SITES - 1;
+        let most = MAX_SITES - 1;
         fault(
             self.site.len() > most,
             format!("site: {} of them, {most} may be", self.site.len()),
@@ -357,14 +351,17 @@
             );
             let twice = before.iter().any(|s| s.number == *number);
             fault(twice, format!("site[{n}].number: {number}: named twice"));
-            fault(!is_name(name), format!("site[{n}].name: {}", no_name(name)));
+            fault(
+                !is_valid_name(name),
+                format!("site[{n}].name: {}", no_name(name)),
+            );
             let twice = before.iter().any(|s| s.name == *name) || *name == file.site;
             fault(twice, format!("site[{n}].name: {name}: named twice"));
-            let many = !(1..=MOST_AT).contains(&at.len());
+            let many = !(1..=MAX_ADDRESSES_PER_SITE).contains(&at.len());
             fault(
                 many,
                 format!(
-                    "site[{n}].at: {} addresses, 1 to {MOST_AT} may be",
+                    "site[{n}].at: {} addresses, 1 to {MAX_ADDRESSES_PER_SITE} may be",
                     at.len()
                 ),
             );
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -38,8 +38,9 @@
 use crate::coordination::policy_rollout::register::Change;
 use crate::coordination::policy_rollout::rollout::Roll;
 use crate::coordination::record::{Command, Record};
-use crate::coordination::routing_table::cutover::{Known, Switch};
+use crate::coordination::routing_table::cutover::Cutover;
 use crate::coordination::routing_table::federation;
+use crate::coordination::routing_table::federation_view::FederationView;
 use crate::coordination::zones::evidence::{Evidence, ZoneVerdict};
 use crate::coordination::zones::recovery_ramp::RecoveryRamp;
 use crate::coordination::zones::spare_capacity::EndpointLists;
@@ -146,9 +147,9 @@
     pending_policy_orders: Vec<PendingPolicyOrder>,
     pending_table_orders: Vec<PendingTableOrder>,
     roll: Roll,
-    switch: Switch,
+    cutover: Cutover,
     /// The federation, where the site is in one.
-    known: Option<Known>,
+    known: Option<FederationView>,
     evidence: Evidence,
     endpoint_lists: EndpointLists,
     recovery_ramp: RecoveryRamp,
@@ -174,7 +175,7 @@
             pending_policy_orders: Vec::new(),
             pending_table_orders: Vec::new(),
             roll: Roll::new(now, Some(now)),
-            switch: Switch::new(now, Some(now)),
+            cutover: Cutover::new(now, Some(now)),
             known: None,
             evidence: Evidence::new(rules.zones.clone()),
             endpoint_lists: EndpointLists::default(),
@@ -197,7 +198,7 @@
     /// The time since then counts with the first heartbeat, as nobody else counts it.
     pub fn with_last_leader_seen(mut self, now: Nanos, at: Option<Nanos>) -> LeaderDuties {
         self.roll = Roll::new(now, at);
-        self.switch = Switch::new(now, at);
+        self.cutover = Cutover::new(now, at);
         self.heartbeats.count_since(now, at);
         self
     }
@@ -229,7 +230,7 @@
     pub fn on_federation_state(
         &mut self,
         now: Nanos,
-        known: Option<Known>,
+        known: Option<FederationView>,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
--- a/src/coordination/leader/agent_messages.rs
+++ b/src/coordination/leader/agent_messages.rs
@@ -103,7 +103,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if let Some(sender) = self.connections.get(&connection) {
-            self.switch.reports(sender);
+            self.cutover.on_report(sender);
         }
         let session = self
             .session_on_mut(connection)
--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -10,7 +10,7 @@
 };
 use crate::coordination::messages::{AgentTableMessage, OperatorResponse, ReplicaToAgent};
 use crate::coordination::record::{Command, Record};
-use crate::coordination::routing_table::cutover::{self, Switch};
+use crate::coordination::routing_table::cutover::{self, Cutover, OrderOutcome};
 use crate::coordination::routing_table::tables;
 use crate::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use crate::Nanos;
@@ -50,8 +50,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let mut proposals = Vec::new();
-        self.switch
-            .hear(now, sender, message, record, &mut proposals);
+        self.cutover
+            .on_sender_message(now, sender, message, record, &mut proposals);
         propose_table_changes(record, proposals, effects);
         if let AgentTableMessage::StoredTables(_) = message {
             self.announce_tables(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
@@ -67,8 +67,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let mut proposals = Vec::new();
-        self.switch
-            .tick(now, record, self.known.as_ref(), &mut proposals);
+        self.cutover
+            .on_tick(now, record, self.known.as_ref(), &mut proposals);
         propose_table_changes(record, proposals, effects);
         self.answer_table_orders(now, effects);
     }
@@ -76,12 +76,14 @@
     fn answer_table_orders(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let known = self.known.as_ref();
         self.pending_table_orders.retain(|order| {
-            let shown = known.and_then(|known| Switch::shows(&order.command, known));
-            let answer = match shown {
-                Some(Ok(version)) => OperatorResponse::Done(version),
-                Some(Err(why)) => OperatorResponse::Rejected(why),
-                None if now < order.received_at + ORDER_TIMEOUT => return true,
-                None => OperatorResponse::Rejected(TABLE_ORDER_TIMED_OUT.into()),
+            let outcome = known.map_or(OrderOutcome::Pending, |known| {
+                Cutover::order_outcome(&order.command, known)
+            });
+            let answer = match outcome {
+                OrderOutcome::Done(version) => OperatorResponse::Done(version),
+                OrderOutcome::Failed(why) => OperatorResponse::Rejected(why),
+                OrderOutcome::Pending if now < order.received_at + ORDER_TIMEOUT => return true,
+                OrderOutcome::Pending => OperatorResponse::Rejected(TABLE_ORDER_TIMED_OUT.into()),
             };
             effects.push(Effect::Reply(order.connection, answer));
             false
@@ -127,7 +129,8 @@
                 ReplicaToAgent::RoutingTable(message),
             ))
         };
-        self.switch.say(now, sender, record, offers, send);
+        self.cutover
+            .send_due_messages(now, sender, record, offers, send);
     }
 
     /// Sends every sender what concerns policies.
@@ -190,11 +193,17 @@
 }
 
 /// Turns what the cutover wants proposed into effects.
-fn propose_table_changes(record: &Record, proposals: Vec<cutover::Out>, effects: &mut Vec<Effect>) {
+fn propose_table_changes(
+    record: &Record,
+    proposals: Vec<cutover::CutoverEffect>,
+    effects: &mut Vec<Effect>,
+) {
     for proposal in proposals {
         effects.push(match proposal {
-            cutover::Out::Site(change) => propose_table_change(record, change),
-            cutover::Out::Federation(command) => Effect::ProposeToFederation(command),
+            cutover::CutoverEffect::ProposeToSite(change) => propose_table_change(record, change),
+            cutover::CutoverEffect::ProposeToFederation(command) => {
+                Effect::ProposeToFederation(command)
+            }
         });
     }
 }
--- a/src/coordination/leader/applied.rs
+++ b/src/coordination/leader/applied.rs
@@ -128,7 +128,7 @@
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
-        self.switch.applied(now, index, change, record);
+        self.cutover.on_applied(now, index, change, record);
         if record.tables.at == index {
             self.announce_tables_to_all(now, record, effects);
         }
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -177,7 +177,8 @@
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
-        let may_renew = self.has_proved_leadership(now) && !self.switch.bars(record);
+        let may_renew =
+            self.has_proved_leadership(now) && !self.cutover.must_withhold_leases(record);
         let lease_ms = self.rules.lease_ms;
         let lease_until = self.lease_until(now);
         let Some(session) = self.session_on_mut(connection) else {
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -14,7 +14,7 @@
 use crate::coordination::policy_rollout::register::Change;
 use crate::coordination::policy_rollout::rollout::Roll;
 use crate::coordination::record::{Command, Phase, Record, ZoneOverride};
-use crate::coordination::routing_table::cutover::Switch;
+use crate::coordination::routing_table::cutover::Cutover;
 use crate::Nanos;
 
 /// Most orders of each kind that wait for the record: more than operators have at hand, and few
@@ -211,26 +211,26 @@
 
     fn federation_status(&self, now: Nanos, record: &Record) -> OperatorResponse {
         match &self.known {
-            Some(known) => {
-                OperatorResponse::FederationStatus(Box::new(self.switch.status(now, record, known)))
-            }
+            Some(known) => OperatorResponse::FederationStatus(Box::new(
+                self.cutover.status(now, record, known),
+            )),
             None => OperatorResponse::Rejected(NO_FEDERATION.into()),
         }
     }
 
     fn table_history(&self) -> OperatorResponse {
         match &self.known {
-            Some(known) => OperatorResponse::TableHistory(Switch::history(known)),
+            Some(known) => OperatorResponse::TableHistory(Cutover::history(known)),
             None => OperatorResponse::Rejected(NO_FEDERATION.into()),
         }
     }
 
     fn table_text(&self, number: u64, record: &Record) -> OperatorResponse {
-        match Switch::text(number, record, self.known.as_ref()) {
-            Some((number, print, text)) => OperatorResponse::TableText {
-                number,
-                digest: print,
-                text,
+        match Cutover::text(number, record, self.known.as_ref()) {
+            Some(table) => OperatorResponse::TableText {
+                number: table.number,
+                digest: table.digest,
+                text: table.text.clone(),
             },
             None => OperatorResponse::Rejected(format!("no text of table {number} is held")),
         }
@@ -246,8 +246,8 @@
         effects: &mut Vec<Effect>,
     ) {
         let known = self.known.as_ref();
-        let answer = match self.switch.order(order, record, known) {
-            Err(why) => OperatorResponse::Rejected(why),
+        let answer = match self.cutover.command_for_order(order, record, known) {
+            Err(rejected) => OperatorResponse::Rejected(rejected.to_string()),
             Ok(None) => OperatorResponse::Done(known.map_or(0, |known| known.record.version)),
             Ok(Some(_)) if self.pending_table_orders.len() >= MAX_PENDING_ORDERS => {
                 OperatorResponse::Rejected(TOO_MANY_ORDERS.into())
--- a/src/coordination/leader/sessions.rs
+++ b/src/coordination/leader/sessions.rs
@@ -119,7 +119,7 @@
         self.evidence.remove_reporter(session.id);
         self.endpoint_lists.remove_sender(session.id);
         self.roll.part(sender);
-        self.switch.part(sender);
+        self.cutover.on_session_closed(sender);
     }
 
     /// The session of the sender that spoke on a connection last.
@@ -225,7 +225,7 @@
         self.connections.insert(connection, sender.to_string());
         self.roll
             .meet(sender, request.boot, request.stored_policies);
-        self.switch.meet(sender, request.boot);
+        self.cutover.on_session_opened(sender, request.boot);
         // Its lease never comes before what is in force.
         self.announce_policies(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
         self.renew(now, connection, 0, record, effects);
@@ -340,7 +340,7 @@
         self.connections.insert(connection, sender.to_string());
         let stored_policies = joining.stored_policies.as_deref();
         self.roll.meet(sender, joining.boot, stored_policies);
-        self.switch.meet(sender, joining.boot);
+        self.cutover.on_session_opened(sender, joining.boot);
         self.announce_policies(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
         if let Some(tables) = joining.stored_tables {
             let message = AgentTableMessage::StoredTables(tables);
--- a/src/coordination/record.rs
+++ b/src/coordination/record.rs
@@ -13,7 +13,7 @@
 use crate::coordination::policy_rollout::register::{Change, Policies};
 use crate::coordination::raft_log::LogItem;
 use crate::coordination::routing_table::durable_vote::DurableVote;
-use crate::coordination::routing_table::tables::{self, Tables};
+use crate::coordination::routing_table::tables::{self, SiteTables};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -101,7 +101,7 @@
     },
     /// What becomes of routing tables at this site; void where another change came first.
     ChangeTables {
-        /// [`Tables::turn`] that the decision was based on.
+        /// [`SiteTables::turn`] that the decision was based on.
         base: u64,
         /// What.
         change: Box<tables::Change>,
@@ -202,7 +202,7 @@
     pub policies: Policies,
     /// Routing tables, which came even later and stand behind those.
     #[serde(skip)]
-    pub tables: Tables,
+    pub tables: SiteTables,
     /// What the site's voice in its federation wrote down; behind those.
     #[serde(skip)]
     pub written: DurableVote,
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -11,7 +11,7 @@
 use crate::coordination::messages::{AgentToReplica, OperatorRequest};
 use crate::coordination::raft_group::RaftGroup;
 use crate::coordination::raft_log::{LogItem, RaftLogStore, SaveError};
-use crate::coordination::routing_table::member::Voice;
+use crate::coordination::routing_table::member::FederationMember;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::store::worker::Offloaded;
 use crate::Nanos;
@@ -135,7 +135,7 @@
     wrong: BTreeMap<(u64, Conflict), (Instant, String)>,
     removed: bool,
     /// The site's part in its federation, as long as this keeper leads it.
-    voice: Option<Voice>,
+    voice: Option<FederationMember>,
     sites: sites::Sites,
 }
 
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -8,7 +8,7 @@
 use crate::coordination::record::Command;
 use crate::coordination::replica::peers::send;
 use crate::coordination::replica::{Incoming, Replica, Stage, RESOURCE_RETRY_DELAY};
-use crate::coordination::routing_table::member::{self, Voice};
+use crate::coordination::routing_table::member::{self, FederationMember};
 use crate::Nanos;
 use async_channel::Receiver;
 use futures_lite::FutureExt;
@@ -26,7 +26,7 @@
     /// What the leader duties want.
     out: Vec<Effect>,
     /// What the voice wants.
-    said: Vec<member::Out>,
+    said: Vec<member::MemberEffect>,
     /// Keepers came or went.
     members: bool,
     /// The leader duties begin.
@@ -233,7 +233,7 @@
         let print = crc32fast::hash(told.as_bytes());
         log::debug!("{}: applied {index} {kind} {print:08x}", self.who());
         if let Some(voice) = &mut self.voice {
-            voice.applied(now, command, group.record(), &mut effects.said);
+            voice.on_applied(now, command, group.record(), &mut effects.said);
         }
         if let Some(duties) = &mut self.duties {
             duties.on_applied(now, index, command, group.record(), &mut effects.out);
@@ -299,7 +299,11 @@
     /// A leader asks another one to lead before it ends.
     pub(super) async fn hand_over(&mut self, coming: &Receiver<Incoming>) -> Result<(), String> {
         // The federation has another leader before the site has.
-        if self.voice.as_mut().is_some_and(Voice::hand_on) {
+        if self
+            .voice
+            .as_mut()
+            .is_some_and(FederationMember::transfer_leadership)
+        {
             self.tick_voice();
             self.run(coming, Some(Instant::now() + FAREWELL)).await?;
         }
--- a/src/coordination/replica/receive.rs
+++ b/src/coordination/replica/receive.rs
@@ -45,7 +45,7 @@
             Incoming::Gone(connection) => {
                 self.voice
                     .iter_mut()
-                    .for_each(|voice| voice.hung_up(connection));
+                    .for_each(|voice| voice.on_connection_closed(connection));
                 self.connections.remove(&connection);
                 self.asked.remove(&connection);
                 self.duties
--- a/src/coordination/replica/requests.rs
+++ b/src/coordination/replica/requests.rs
@@ -30,7 +30,7 @@
                     let (now, mut said) = (self.now(), Vec::new());
                     self.voice
                         .iter_mut()
-                        .for_each(|voice| voice.command(now, command.clone(), &mut said));
+                        .for_each(|voice| voice.submit(now, command.clone(), &mut said));
                     self.carry_voice(said);
                 }
             }
--- a/src/coordination/replica/site_links.rs
+++ b/src/coordination/replica/site_links.rs
@@ -11,7 +11,7 @@
     WRITE_TIMEOUT,
 };
 use crate::coordination::replica::{Context, Incoming};
-use crate::coordination::routing_table::member::Word;
+use crate::coordination::routing_table::member::MemberMessage;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use async_io::Async;
@@ -42,7 +42,7 @@
     /// A sign of life.
     Pulse,
     /// What a voice says.
-    Word(Word),
+    Word(MemberMessage),
 }
 
 /// What comes in of other sites.
@@ -62,7 +62,7 @@
         said: Said,
     },
     /// One says something.
-    Word { site: u64, word: Word },
+    Word { site: u64, word: MemberMessage },
     /// One was asked for its incarnation, in order to add it.
     Met {
         site: u64,
--- a/src/coordination/replica/sites.rs
+++ b/src/coordination/replica/sites.rs
@@ -12,7 +12,9 @@
 };
 use crate::coordination::replica::transport::HEARTBEAT_TIMEOUT;
 use crate::coordination::replica::{draw, Incoming, Replica, Stage, PEER_QUEUE};
-use crate::coordination::routing_table::member::{Came, Out, Voice, Word};
+use crate::coordination::routing_table::member::{
+    FederationMember, IncarnationUnknown, MemberAdmission, MemberEffect, MemberMessage,
+};
 use async_channel::Sender;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,7 +41,7 @@
         let (Some(settings), Stage::Takes(group)) = (&self.config.federation, &self.stage) else {
             return;
         };
-        let voice = Voice::new(
+        let voice = FederationMember::new(
             settings.clone(),
             group.term(),
             self.now(),
@@ -54,7 +56,7 @@
     pub(super) fn end_voice(&mut self) {
         if let Some(mut voice) = self.voice.take() {
             let mut out = Vec::new();
-            voice.ends(&mut out);
+            voice.shut_down(&mut out);
             self.carry_voice(out);
             let allowed = self.sites.allowed.clone();
             self.sites = Sites {
@@ -70,22 +72,22 @@
             return;
         };
         let mut places: BTreeMap<u64, Vec<SocketAddr>> = settings
-            .sites
+            .other_sites
             .iter()
-            .map(|(site, place)| (*site, place.at.clone()))
+            .map(|(site, place)| (*site, place.addresses.clone()))
             .collect();
         let (mut me, mut named) = (None, BTreeSet::new());
         if let (Some(voice), Stage::Takes(group)) = (&self.voice, &self.stage) {
             if let Some(incarnation) = voice.incarnation(group.record()) {
-                let (number, term) = (settings.number, voice.term());
+                let (number, term) = (settings.site_number, voice.term());
                 me = Some(Me {
-                    federation: (&*settings.name).into(),
+                    federation: (&*settings.federation).into(),
                     number,
                     incarnation,
                     term,
                 });
             }
-            let file = std::mem::replace(&mut places, voice.places());
+            let file = std::mem::replace(&mut places, voice.peer_addresses());
             // One that joins is spoken to from addresses that its file names.
             named.extend(file.values().flatten().copied());
         }
@@ -138,11 +140,11 @@
                     .get()
                     .is_some_and(|at| at.elapsed() < HEARTBEAT_TIMEOUT)
             {
-                voice.lives(now, *site);
+                voice.on_heartbeat(now, *site);
             }
         }
         let mut out = Vec::new();
-        voice.tick(now, group.record(), &mut out);
+        voice.on_tick(now, group.record(), &mut out);
         self.carry_voice(out);
         self.connect_sites();
         self.tell_leader(true);
@@ -156,8 +158,8 @@
         else {
             return;
         };
-        let known = voice.known();
-        let stands = Some((known.record.version, known.leader, known.lease));
+        let known = voice.view();
+        let stands = Some((known.record.version, known.leader, known.lease_until));
         if !group.leads_for_certain() || !tick && self.sites.told == stands {
             return;
         }
@@ -168,11 +170,11 @@
     }
 
     /// Does what the voice wants.
-    pub(super) fn carry_voice(&mut self, out: Vec<Out>) {
+    pub(super) fn carry_voice(&mut self, out: Vec<MemberEffect>) {
         let now = self.now();
         for what in out {
             match what {
-                Out::Propose(command) => {
+                MemberEffect::ProposeToSite(command) => {
                     let Stage::Takes(group) = &mut self.stage else {
                         continue;
                     };
@@ -181,25 +183,31 @@
                             "keeper {}: a voice's piece is not proposed: {no}",
                             group.me()
                         );
-                        self.voice.iter_mut().for_each(|voice| voice.refused(now));
+                        self.voice
+                            .iter_mut()
+                            .for_each(|voice| voice.on_proposal_refused(now));
                     }
                 }
-                Out::Say(site, word) => {
-                    self.say_site(site, word);
+                MemberEffect::Send { to, message } => {
+                    self.say_site(to, message);
                 }
-                Out::Raft(site, word, snapshot) => {
-                    let went = self.say_site(site, word);
+                MemberEffect::SendRaft {
+                    to,
+                    message,
+                    has_snapshot,
+                } => {
+                    let went = self.say_site(to, message);
                     self.voice
                         .iter_mut()
-                        .for_each(|voice| voice.sent(site, snapshot, went));
+                        .for_each(|voice| voice.on_sent(to, has_snapshot, went));
                 }
-                Out::Answer(connection, word) => self.answer(connection, word),
-                Out::Meet(site, at) => self.meet(site, at),
+                MemberEffect::Answer { connection, answer } => self.answer(connection, answer),
+                MemberEffect::RequestIncarnation { site, addresses } => self.meet(site, addresses),
             }
         }
     }
 
-    fn say_site(&mut self, site: u64, word: Word) -> bool {
+    fn say_site(&mut self, site: u64, word: MemberMessage) -> bool {
         let Some(connection) = self
             .sites
             .outgoing
@@ -228,9 +236,9 @@
         let Some(incarnation) = voice.incarnation(group.record()) else {
             return;
         };
-        let (number, term) = (settings.number, voice.term());
+        let (number, term) = (settings.site_number, voice.term());
         let me = Me {
-            federation: (&*settings.name).into(),
+            federation: (&*settings.federation).into(),
             number,
             incarnation,
             term,
@@ -275,7 +283,7 @@
         let now = self.now();
         let Some(voice) = &mut self.voice else { return };
         let mut out = Vec::new();
-        voice.order(now, connection, order, &mut out);
+        voice.submit_roster_order(now, connection, order, &mut out);
         self.carry_voice(out);
     }
 
@@ -333,14 +341,14 @@
                 else {
                     return;
                 };
-                if let Err(e) = voice.hear(now, site, word, &mut out) {
-                    log::warn!("federation {}: site {site} sent {e}", voice.known().name);
+                if let Err(e) = voice.on_message(now, site, word, &mut out) {
+                    log::warn!("federation {}: site {site} sent {e}", voice.view().name);
                     self.sites.incoming.remove(&site);
                 }
             }
             Site::Met { site, folder } => {
                 let Some(voice) = &mut self.voice else { return };
-                voice.met(now, site, folder, &mut out);
+                voice.on_incarnation(now, site, folder.map_err(IncarnationUnknown), &mut out);
             }
         }
         self.carry_voice(out);
@@ -355,7 +363,7 @@
         at: SocketAddr,
         number: u64,
         (incarnation, term): (u64, u64),
-        out: &mut Vec<Out>,
+        out: &mut Vec<MemberEffect>,
     ) {
         let now = self.now();
         let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else {
@@ -366,25 +374,25 @@
             .filter(|seen| seen.0 == incarnation)
             .map_or(0, |seen| seen.1);
         let came = match number == site {
-            true if term < seen => Came::Later,
-            true => voice.answered(now, site, incarnation, group.record(), out),
-            false => Came::No(format!("it is site {number}")),
+            true if term < seen => MemberAdmission::NotYet,
+            true => voice.on_peer_answer(now, site, incarnation, group.record(), out),
+            false => MemberAdmission::Rejected(format!("it is site {number}")),
         };
         if let Some(o) = self.sites.outgoing.get(&site) {
-            if came != Came::Known {
+            if came != MemberAdmission::Admitted {
                 // Nothing is said to it.
                 o.reach.connection.up.set(false);
             } else if o.reach.connection.told.take().is_some() {
                 log::info!(
                     "federation {}: site {site} at {at}: is reached",
-                    voice.known().name
+                    voice.view().name
                 );
             }
         }
         match came {
-            Came::No(why) => self.site_is_wrong(site, Conflict::SiteAnswers, &why),
-            Came::Later => {}
-            Came::Known => {
+            MemberAdmission::Rejected(why) => self.site_is_wrong(site, Conflict::SiteAnswers, &why),
+            MemberAdmission::NotYet => {}
+            MemberAdmission::Admitted => {
                 self.sites.terms.insert(site, (incarnation, term));
                 self.wrong.remove(&(site, Conflict::SiteAnswers));
                 self.wrong.remove(&(site, Conflict::SiteShut));
@@ -392,7 +400,13 @@
         }
     }
 
-    fn site_came(&mut self, site: u64, incarnation: u64, term: u64, out: &mut Vec<Out>) -> Said {
+    fn site_came(
+        &mut self,
+        site: u64,
+        incarnation: u64,
+        term: u64,
+        out: &mut Vec<MemberEffect>,
+    ) -> Said {
         let now = self.now();
         let leader = self
             .leader()
@@ -401,7 +415,7 @@
         let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else {
             return Said::Elsewhere(leader);
         };
-        let (number, own) = (voice.known().me, voice.incarnation(group.record()));
+        let (number, own) = (voice.view().own_site, voice.incarnation(group.record()));
         let Some(own) = own.filter(|_| group.leads_for_certain()) else {
             return Said::Elsewhere(leader);
         };
@@ -413,14 +427,14 @@
         {
             return Said::Elsewhere(None);
         }
-        match voice.came(now, site, incarnation, group.record(), out) {
-            Came::Known => Said::Known {
+        match voice.admit_peer(now, site, incarnation, group.record(), out) {
+            MemberAdmission::Admitted => Said::Known {
                 number,
                 incarnation: own,
                 term: voice.term(),
             },
-            Came::Later => Said::Elsewhere(None),
-            Came::No(why) => {
+            MemberAdmission::NotYet => Said::Elsewhere(None),
+            MemberAdmission::Rejected(why) => {
                 self.site_is_wrong(site, Conflict::SiteCame, &why);
                 Said::Refused(why)
             }
@@ -432,12 +446,12 @@
             let name = self
                 .voice
                 .as_ref()
-                .map_or_else(|| site.to_string(), |v| v.name_of(site));
+                .map_or_else(|| site.to_string(), |v| v.site_name(site));
             let who = self
                 .config
                 .federation
                 .as_ref()
-                .map(|f| format!("federation {}", f.name))
+                .map(|f| format!("federation {}", f.federation))
                 .unwrap_or_default();
             match how {
                 Conflict::SiteCame => log::error!("{who}: refuses site {name}: {why}"),
@@ -454,11 +468,11 @@
         let Some(voice) = &self.voice else {
             return Vec::new();
         };
-        let mut told = voice.trouble();
+        let mut told = voice.problems();
         for (site, o) in &self.sites.outgoing {
             let why = o.reach.connection.why.borrow();
             if !o.reach.connection.up.get() && !why.is_empty() {
-                let (name, at) = (voice.name_of(*site), &o.at);
+                let (name, at) = (voice.site_name(*site), &o.at);
                 told.push((*site, format!("site {name}: not reached at {at:?}: {why}")));
             }
         }
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -168,7 +168,7 @@
             federation: config
                 .federation
                 .as_ref()
-                .map(|f| ((&*f.name).into(), f.number)),
+                .map(|f| ((&*f.federation).into(), f.site_number)),
             open: Rc::default(),
             most: most_connections(),
             next: Rc::default(),
@@ -219,7 +219,7 @@
         };
         match &self.config.federation {
             Some(settings) => {
-                let told = settings.fits(&base.identity);
+                let told = settings.check_identity(&base.identity);
                 told.map_err(|e| format!("state: {}: {e}", self.config.state.display()))
             }
             None => {
--- a/src/coordination/replica/tests.rs
+++ b/src/coordination/replica/tests.rs
@@ -1,7 +1,7 @@
 use crate::coordination::framing;
 use crate::coordination::replica::peers::{PeerMessage, PEER_MOST};
 use crate::coordination::replica::site_links::{Said, SITE_MOST};
-use crate::coordination::routing_table::member::Word;
+use crate::coordination::routing_table::member::MemberMessage;
 use data_encoding::HEXLOWER;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -50,5 +50,8 @@
     frame(elsewhere, "0000001002010d31302e302e302e313a37303030");
     frame(Said::Refused("no".into()), "0000000403026e6f");
     frame(Said::Pulse, "0000000104");
-    frame(Said::Word(Word::Ask(300)), "000000040502ac02");
+    frame(
+        Said::Word(MemberMessage::LeaseRequest(300)),
+        "000000040502ac02",
+    );
 }
--- /dev/null
+++ b/src/coordination/routing_table/cutover/senders.rs
@@ -0,0 +1,183 @@
+//! What the site's senders have, refuse and go by, and what is sent to them.
+
+use crate::coordination::messages::{ReplicaTableMessage, SiteAdmission};
+use crate::coordination::record::{Record, RosterEntry};
+use crate::coordination::routing_table::cutover::{Cutover, CutoverEffect, REFUSAL_RETRY_INTERVAL};
+use crate::coordination::routing_table::federation::RoutingTable;
+use crate::coordination::sender_registry::KnownSender;
+use crate::Nanos;
+
+impl Cutover {
+    /// A sender has checked a table and persisted it, or refuses it.
+    pub(super) fn on_checked(
+        &mut self,
+        sender: &str,
+        number: u64,
+        refused: Option<&str>,
+        record: &Record,
+    ) {
+        let tables = &record.tables;
+        let Some(digest) = tables.text(number).map(|t| t.digest) else {
+            return;
+        };
+        let has_text = |number| tables.text(number).is_some();
+        let refusal = self
+            .senders
+            .checked(sender, (number, digest), refused, has_text);
+        if let Some(why) = refusal {
+            let why = why.replace('\n', "; ");
+            log::warn!("table {number}: {sender} cannot go by it: {why}");
+        }
+    }
+
+    /// A sender goes by a turn. The last one that a pause waits for ends the pause at once.
+    pub(super) fn on_turn_taken(
+        &mut self,
+        now: Nanos,
+        sender: &str,
+        turn: u64,
+        record: &Record,
+        effects: &mut Vec<CutoverEffect>,
+    ) {
+        let is_in_future = turn > record.tables.turn;
+        if is_in_future || !self.senders.goes_by(sender, turn) {
+            return;
+        }
+        let Some(awaited) = &mut self.awaited else {
+            return;
+        };
+        if awaited.remove(sender) && awaited.is_empty() {
+            let end_pause = |cutover: &mut Cutover| cutover.end_pause(now, record);
+            self.propose_change(now, record, end_pause, effects);
+        }
+    }
+
+    /// Asks senders again that cannot go by what was decided.
+    pub(super) fn ask_refusing_senders_again(&mut self, now: Nanos, record: &Record) {
+        let tables = &record.tables;
+        let is_due = now >= self.refusals_asked_at + REFUSAL_RETRY_INTERVAL;
+        if tables.register.stance == SiteAdmission::Paused || !is_due {
+            return;
+        }
+        self.refusals_asked_at = now;
+        self.senders.forgive(tables.register.number);
+        if let Some(next) = &tables.next {
+            self.senders.forgive(next.number);
+        }
+    }
+
+    /// Sends a sender what is due: the turn in force where it has not said that it goes by it, and
+    /// tables that it lacks, while `offers` last.
+    pub fn send_due_messages(
+        &mut self,
+        now: Nanos,
+        sender: &str,
+        record: &Record,
+        offers: &mut usize,
+        send: &mut dyn FnMut(ReplicaTableMessage),
+    ) {
+        if !self.senders.of(sender).is_some_and(KnownSender::follows) {
+            return;
+        }
+        self.send_due_turn(now, sender, record, send);
+        self.send_missing_tables(now, sender, record, offers, send);
+        let tables = &record.tables;
+        self.senders
+            .forget(sender, |number| tables.text(number).is_some());
+    }
+
+    fn send_due_turn(
+        &mut self,
+        now: Nanos,
+        sender: &str,
+        record: &Record,
+        send: &mut dyn FnMut(ReplicaTableMessage),
+    ) {
+        let active = record.tables.register;
+        if self.lease.is_shut() && active.stance == SiteAdmission::Open {
+            return;
+        }
+        let turn = active.turn;
+        if self.senders.is_due(now, sender, turn, turn) {
+            send(ReplicaTableMessage::ApplyTable {
+                turn,
+                number: active.number,
+                admission: active.stance,
+            });
+        }
+    }
+
+    fn send_missing_tables(
+        &mut self,
+        now: Nanos,
+        sender: &str,
+        record: &Record,
+        offers: &mut usize,
+        send: &mut dyn FnMut(ReplicaTableMessage),
+    ) {
+        let tables = &record.tables;
+        let offered = tables.offered.as_ref().map(|o| &o.table);
+        let all = [Some(&tables.table), tables.next.as_ref(), offered];
+        for table in all.into_iter().flatten().filter(|t| t.number > 0) {
+            let senders = &mut self.senders;
+            if senders.lacks(now, sender, table.number, &table.digest, offers) {
+                send(ReplicaTableMessage::OfferTable {
+                    number: table.number,
+                    digest: table.digest,
+                    text: table.text.clone(),
+                });
+            }
+        }
+    }
+
+    /// Live senders that have not said that they go by the turn in force.
+    pub(super) fn not_on_turn<'a>(&'a self, record: &'a Record) -> Vec<&'a String> {
+        let turn = record.tables.register.turn;
+        self.senders.unheard(record, |_| true, |_| turn)
+    }
+
+    /// Live senders that have not said that they have a table, and do not refuse it.
+    pub(super) fn not_storing<'a>(
+        &'a self,
+        record: &'a Record,
+        table: &RoutingTable,
+    ) -> Vec<&'a String> {
+        let needs = |_: &RosterEntry| (table.number, Some(table.digest));
+        let mut late = self.senders.unstored(record, |_| true, needs);
+        late.retain(|name| !self.refuses(name, table.number));
+        late
+    }
+
+    /// Whether all live senders have said that they have a table.
+    pub(super) fn is_stored_by_all(&self, record: &Record, table: &RoutingTable) -> bool {
+        let mut live = self.senders.live(record, |_| true);
+        live.all(|(.., sender)| sender.is_some_and(|s| s.has(table.number, Some(table.digest))))
+    }
+
+    pub(super) fn refuses(&self, sender: &str, number: u64) -> bool {
+        let known = self.senders.of(sender);
+        known.is_some_and(|sender| sender.refuses(number).is_some())
+    }
+
+    /// Live senders that follow no tables.
+    pub(super) fn not_following<'a>(&'a self, record: &'a Record) -> Vec<&'a String> {
+        let live = self.senders.live(record, |_| true);
+        live.filter(|(.., sender)| sender.is_some_and(KnownSender::is_deaf))
+            .map(|(name, ..)| name)
+            .collect()
+    }
+
+    /// Why live senders cannot go by a table, for people: the first of them.
+    pub(super) fn refusal(&self, record: &Record, number: u64) -> Option<String> {
+        let mut live = self.senders.live(record, |_| true);
+        live.find_map(|(name, _, sender)| {
+            let sender = sender?;
+            if sender.is_deaf() {
+                return Some(format!(
+                    "{name}: its fleet file has no table [table], so it follows none"
+                ));
+            }
+            sender.refuses(number).map(|why| format!("{name}: {why}"))
+        })
+    }
+}
--- a/src/coordination/routing_table/document/tests.rs
+++ b/src/coordination/routing_table/document/tests.rs
@@ -1,4 +1,8 @@
+use crate::coordination::policy_rollout::document::Fault;
+use crate::coordination::routing_table::document::sender_check::MAX_LACKS;
 use crate::coordination::routing_table::document::*;
+use crate::coordination::routing_table::federation::MAX_TEXT_BYTES;
+use crate::delivery::endpoint::ZoneCapacity;
 use crate::dispatch::routing::RouteKey;
 
 const GOOD: &str = r#"
@@ -82,11 +86,11 @@
         faults(&format!("list_alone = true\n{GOOD}")),
         ["line 1: list_alone: routes stand beside it"]
     );
-    assert!(faults(&" ".repeat(MOST_TEXT + 1))[0].contains("may be"));
+    assert!(faults(&" ".repeat(MAX_TEXT_BYTES + 1))[0].contains("may be"));
 }
 
 #[test]
-fn texts_that_mean_the_same_have_one_print() {
+fn texts_that_mean_the_same_have_one_digest() {
     let one = Document::parse(GOOD).expect("good");
     let other = "site.south.zones = ['c']\nsite.north.zones = ['b', 'a']\n\
                  route = [{ dests = ['9-9'], nobody = true },\n\
@@ -113,7 +117,7 @@
         ("route for destinations 9", true, true),
     ];
     assert_eq!(changed, all);
-    // A print never changes: senders and keepers of different programs compare it.
+    // A digest never changes: senders and keepers of different programs compare it.
     assert_eq!(
         data_encoding::HEXLOWER.encode(&one.digest()),
         "b6f588e79b099c5571ab1ced61af9c77570e15e2989dcd0d27753f6811815bb3"
@@ -151,7 +155,7 @@
     told.sort_by_key(|line| lacks.iter().position(|l| l == line));
     assert_eq!(told, lacks);
     let many: Vec<ZoneCapacity> = (10..200).map(|dest| offer("d", dest)).collect();
-    assert_eq!(table.lacks(&classes(), 1, &many).len(), MOST_TOLD);
+    assert_eq!(table.lacks(&classes(), 1, &many).len(), MAX_LACKS);
     // What leaves all to the list lacks nothing anywhere.
     let alone = Document::parse("list_alone = true\n").expect("good");
     assert!(alone.lacks(&classes(), 1, &many).is_empty() && alone.routes(&classes(), 1).is_empty());
--- /dev/null
+++ b/src/coordination/routing_table/document/validate.rs
@@ -0,0 +1,108 @@
+//! Faults of a table that no field shows by itself: zones of two sites, names with two meanings,
+//! tiers that name a zone twice, and routes that are for the same message.
+
+use crate::coordination::policy_rollout::document::{Fault, Text};
+use crate::coordination::routing_table::document::Document;
+use std::collections::{BTreeMap, BTreeSet};
+
+impl Document {
+    /// Finds faults of what was read; `unread` are those of what was not.
+    pub(super) fn check_meaning(&self, text: &Text, unread: &[Fault], faults: &mut Vec<Fault>) {
+        self.check_sites(text, faults);
+        for n in 0..self.route.len() {
+            self.check_tiers(n, text, faults);
+            self.check_conflict(n, text, unread, faults);
+        }
+    }
+
+    /// A zone belongs to one site, and no site has the name of another one's zone.
+    fn check_sites(&self, text: &Text, faults: &mut Vec<Fault>) {
+        let mut site_of_zone: BTreeMap<&str, &str> = BTreeMap::new();
+        for (name, site) in &self.site {
+            let at = format!("site.{name}.zones");
+            for zone in &site.zones {
+                match site_of_zone.insert(zone, name) {
+                    Some(other) if other == name => {
+                        faults.push(text.fault(&at, format!("{zone} stands twice")));
+                    }
+                    Some(other) => {
+                        faults.push(text.fault(&at, format!("{zone} is a zone of {other}")));
+                    }
+                    None => {}
+                }
+            }
+        }
+        for (name, site) in &self.site {
+            if site_of_zone.contains_key(name.as_str()) && site.zones != [name.as_str()] {
+                let problem = "is the name of a zone as well, and a tier could mean either";
+                faults.push(text.fault(&format!("site.{name}"), problem));
+            }
+        }
+    }
+
+    /// The tiers of a route name sites or their zones, each zone once in a tier.
+    fn check_tiers(&self, n: usize, text: &Text, faults: &mut Vec<Fault>) {
+        for (tier, shares) in self.route[n].tiers.iter().enumerate() {
+            let mut seen = BTreeSet::new();
+            for name in shares.keys() {
+                let at = format!("route[{n}].tiers[{tier}].{name}");
+                let Some(zones) = self.zones_of(name) else {
+                    faults.push(text.fault(&at, "is neither a site nor a zone of one"));
+                    continue;
+                };
+                if let Some(zone) = zones.into_iter().find(|zone| !seen.insert(*zone)) {
+                    let problem = format!("zone {zone} stands twice in this tier");
+                    faults.push(text.fault(&at, problem));
+                }
+            }
+        }
+    }
+
+    /// No earlier route is for the same message without one of them being more specific.
+    fn check_conflict(&self, n: usize, text: &Text, unread: &[Fault], faults: &mut Vec<Fault>) {
+        if !is_scope_read(n, unread) {
+            return;
+        }
+        let earlier = self.route[..n].iter().enumerate();
+        let conflict = earlier
+            .filter(|(m, _)| is_scope_read(*m, unread))
+            .find_map(|(m, other)| Some((m, self.route[n].conflict_with(other)?)));
+        let Some((m, message)) = conflict else {
+            return;
+        };
+        let line = match self.route[m].line {
+            Some(line) => format!(" (line {line})"),
+            None => String::new(),
+        };
+        let problem =
+            format!("{message}: route[{m}]{line} is for it as well, and neither is more specific");
+        faults.push(text.fault(&format!("route[{n}]"), problem));
+    }
+
+    /// A table has routes, or says that it leaves all to the list.
+    pub(super) fn check_presence(&self, text: &Text, unread: &[Fault], faults: &mut Vec<Fault>) {
+        let has_routes = !self.route.is_empty();
+        if self.list_alone && has_routes {
+            faults.push(text.fault("list_alone", "routes stand beside it"));
+        } else if !self.list_alone && !has_routes && unread.is_empty() {
+            let problem = "has no route; where all is left to the list, say list_alone = true";
+            faults.push(text.fault("", problem));
+        }
+    }
+}
+
+/// Whether all of what a route is for did read; only then its scope counts.
+fn is_scope_read(n: usize, unread: &[Fault]) -> bool {
+    let route = format!("route[{n}]");
+    let tiers = format!("{route}.tiers");
+    let is_of_scope =
+        |fault: &Fault| is_within(&fault.setting, &route) && !is_within(&fault.setting, &tiers);
+    !unread.iter().any(is_of_scope)
+}
+
+/// Whether a setting is this one, or stands in it.
+pub(super) fn is_within(setting: &str, of: &str) -> bool {
+    setting
+        .strip_prefix(of)
+        .is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
+}
--- a/src/coordination/routing_table/federation.rs
+++ b/src/coordination/routing_table/federation.rs
@@ -1,46 +1,50 @@
-//! What all sites of a federation agree on. Each applies the same commands in the same order and
-//! comes to the same record.
+//! The replicated state of a federation: its roster of sites and its routing tables. Each site
+//! applies the same commands in the same order and comes to the same record.
 //!
-//! A table is decided when the last site of the roster has accepted it, by the command that says so
-//! and by nothing else. No proposal is taken before all sites go by the table that was decided
-//! last: so at no time more than two are in use, and those follow each other.
+//! It owns how commands apply and which are void; it proposes none itself. The raft group of the
+//! sites' members ([`member`](super::member)) applies them, and [`cutover`](super::cutover) and
+//! operators' orders propose them.
 //!
-//! Like a site's record it reads no clock and has one of its own, which the site that leads moves
-//! on.
+//! Invariant: a table is decided when the last site of the roster has accepted it, by the command
+//! that says so and by nothing else. No proposal is taken before all sites go by the table that was
+//! decided last: so at no time more than two are in use, and those follow each other.
+//!
+//! Like a site's record it reads no clock and has one of its own, which the leading site moves on.
 
 use crate::coordination::cut;
 use crate::coordination::messages::Digest;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Sites, at the most: each accepts by a word of its own, and five speak in one room.
-pub const MOST_SITES: usize = 50;
-/// Proposals that are over and told.
-pub const MOST_PAST: usize = 50;
-/// Numbers of sites that were on the roster and are told one by one; all up to the highest that is
-/// forgotten count as used.
-pub const MOST_OFF: usize = 1_000;
+/// Sites, at the most: each accepts by a command of its own, and five are played in one room.
+pub const MAX_SITES: usize = 50;
+/// Proposals that are over and still listed.
+pub const MAX_PAST_PROPOSALS: usize = 50;
+/// Numbers of removed sites that are listed one by one; all up to the highest that is forgotten
+/// count as used.
+pub const MAX_REMOVED_SITES: usize = 1_000;
 /// Longest text of a table, in bytes: 200 routes of some 80 bytes. Three of them and what stands
-/// round them fit in one entry.
-pub const MOST_TEXT: usize = 16 * 1024;
-/// The site that leads gives leases for so long after a beat that the record has, in milliseconds:
-/// two beats and a slow line.
-pub const SURE_MS: u32 = 3_000;
-/// Longest reason that is kept, in bytes.
-const MOST_WHY: usize = 1_000;
-/// All that are kept, in bytes: with three tables the record still fits in one entry of a site's.
-const MOST_WHYS: usize = 8 * 1024;
+/// round them fit in one log entry.
+pub const MAX_TEXT_BYTES: usize = 16 * 1024;
+/// The leading site grants leases for this time after a committed heartbeat, in milliseconds: two
+/// heartbeats and a slow line.
+pub const LEASE_GRANT_WINDOW_MS: u32 = 3_000;
+/// Longest reason for the end of a proposal that is kept, in bytes.
+const MAX_REASON_BYTES: usize = 1_000;
+/// All reasons that are kept, in bytes: with three tables the record still fits in one entry of a
+/// site's log.
+const MAX_REASONS_BYTES: usize = 8 * 1024;
 
-/// A change of the federation's record. Each may be said again: what it says already stands then,
-/// or is void.
+/// A command of the federation's log. Each may be proposed again: what it says already stands then,
+/// or it is void.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// The site that leads in this term was in office when it proposed this, and has counted so
-    /// much time since the last one.
+    /// A heartbeat: the site that leads in this term proposed it, and has counted so much time
+    /// since the last one.
     Beat {
-        /// Its term.
+        /// Its raft term.
         term: u64,
-        /// Numbers the beats of a term.
+        /// Numbers the heartbeats of a term.
         beat: u64,
         /// Milliseconds on its clock.
         ms: u32,
@@ -49,11 +53,11 @@
     Propose {
         /// The site where it was.
         by: String,
-        /// Names this proposal among those of the site: said again, it is not a second one.
+        /// Names this proposal among those of the site: submitted again, it is not a second one.
         key: u64,
         /// Its text.
         text: String,
-        /// Its print.
+        /// Its digest.
         digest: Digest,
         /// It ends if not all have accepted it after so long, in milliseconds of the record's
         /// clock.
@@ -66,7 +70,7 @@
         /// The table.
         number: u64,
     },
-    /// A site cannot go by it: it ends nowhere.
+    /// A site cannot go by it: the proposal ends without a decision.
     Refuse {
         /// The site.
         site: u64,
@@ -75,15 +79,15 @@
         /// Why.
         why: String,
     },
-    /// It ends nowhere, by a person's word.
+    /// An operator ends the proposal without a decision.
     Abort {
         /// The table.
         number: u64,
         /// Why.
         why: String,
     },
-    /// A site goes by the table that was decided.
-    Switched {
+    /// A site has cut over: all its senders go by the table that was decided.
+    CutOver {
         /// The site.
         site: u64,
         /// The table.
@@ -101,7 +105,7 @@
         /// The site.
         site: u64,
     },
-    /// The site that leads gives leases of so long from now on.
+    /// The leading site grants leases of this length from now on.
     Leases {
         /// In milliseconds.
         ms: u32,
@@ -119,78 +123,87 @@
 
 /// A table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Table {
+pub struct RoutingTable {
     /// Its number; 0 is the list alone. Numbers grow, and those that ended nowhere are not used
     /// again.
     pub number: u64,
-    /// Its print.
+    /// Its digest.
     pub digest: Digest,
     /// Its text.
     pub text: String,
 }
 
+/// Names a proposal: the site where it was made, and its key among those of that site.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProposalKey {
+    /// Name of the site.
+    pub site: String,
+    /// The key that the site gave.
+    pub key: u64,
+}
+
 /// A proposal that runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
     /// What is proposed.
-    pub table: Table,
-    /// Where, by the site's name, and the key that it gave.
-    pub by: (String, u64),
+    pub table: RoutingTable,
+    /// Where it was proposed.
+    pub by: ProposalKey,
     /// Sites that have accepted it.
     pub accepted: BTreeSet<u64>,
-    /// When it came and when it ends, on the record's clock.
+    /// When it was proposed, on the record's clock, in milliseconds.
     pub since_ms: u64,
-    /// See above.
+    /// When it ends without a decision, on the record's clock, in milliseconds.
     pub until_ms: u64,
 }
 
-/// One that is over.
+/// A proposal that is over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct EndedProposal {
     /// Its number.
     pub number: u64,
-    /// Its print.
+    /// Its digest.
     pub digest: Digest,
-    /// Where it was proposed, and the key.
-    pub by: (String, u64),
+    /// Where it was proposed.
+    pub by: ProposalKey,
     /// How it ended; [`DECIDED`], or why it ended nowhere.
     pub end: String,
-    /// When it came and ended, on the record's clock.
+    /// When it was proposed, on the record's clock, in milliseconds.
     pub since_ms: u64,
-    /// See above.
+    /// When it ended, on the record's clock, in milliseconds.
     pub ended_ms: u64,
 }
 
 /// How one ends that all sites have accepted.
 pub const DECIDED: &str = "decided";
 
-/// The record.
+/// The federation's record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Federation {
     /// Number of the last command that was applied.
     pub version: u64,
-    /// Time that those that led counted, in milliseconds.
+    /// The record's clock: time that the leading sites counted, in milliseconds.
     pub clock_ms: u64,
     /// The roster, by number.
     pub sites: BTreeMap<u64, Site>,
-    /// Numbers that were on it.
+    /// Numbers of sites that were removed from it.
     pub off: BTreeSet<u64>,
     /// All up to this one count as used.
     pub used: u64,
-    /// How long leases are, in milliseconds; 0 before the first one.
+    /// Length of leases, in milliseconds; 0 before the first one.
     pub lease_ms: u32,
-    /// Until when those of another length may run, on the record's clock.
+    /// Until when leases of an earlier length may run, on the record's clock, in milliseconds.
     pub earlier_ms: u64,
     /// The table that was decided last.
-    pub table: Table,
+    pub table: RoutingTable,
     /// The one before it, which sites may still go by.
-    pub before: Table,
+    pub before: RoutingTable,
     /// The last number that was given.
     pub given: u64,
     /// What is proposed.
     pub proposal: Option<Proposal>,
     /// Proposals that are over, the newest last.
-    pub past: VecDeque<Past>,
+    pub past: VecDeque<EndedProposal>,
 }
 
 impl Federation {
@@ -198,18 +211,7 @@
     pub fn apply(&mut self, index: u64, command: &Command) {
         self.version = index;
         match command {
-            Command::Beat { ms, .. } => {
-                self.clock_ms += u64::from(*ms);
-                let late = self
-                    .proposal
-                    .as_ref()
-                    .filter(|p| p.until_ms <= self.clock_ms);
-                if let Some(p) = late {
-                    let waits: Vec<&str> = self.waits(p).map(|site| site.name.as_str()).collect();
-                    let why = format!("not accepted in time by {}", waits.join(", "));
-                    self.ends(&why);
-                }
-            }
+            Command::Beat { ms, .. } => self.advance_clock(*ms),
             Command::Propose {
                 by,
                 key,
@@ -217,152 +219,197 @@
                 digest,
                 within_ms,
             } => {
-                if self.may_propose(text).is_ok() && !self.knows(by, *key) {
-                    self.given += 1;
-                    let table = Table {
-                        number: self.given,
-                        digest: *digest,
-                        text: text.clone(),
-                    };
-                    self.proposal = Some(Proposal {
-                        table,
-                        by: (by.clone(), *key),
-                        accepted: BTreeSet::new(),
-                        since_ms: self.clock_ms,
-                        until_ms: self.clock_ms.saturating_add(*within_ms),
-                    });
-                }
-            }
-            Command::Accept { site, number } => {
-                let runs = self.proposal.as_mut().filter(|p| p.table.number == *number);
-                if let Some(p) = runs.filter(|_| self.sites.contains_key(site)) {
-                    p.accepted.insert(*site);
-                    if self.sites.keys().all(|site| p.accepted.contains(site)) {
-                        self.before = std::mem::replace(&mut self.table, p.table.clone());
-                        self.ends(DECIDED);
-                    }
-                }
-            }
-            Command::Refuse { site, number, why } => {
-                if let Some(name) = self.sites.get(site).map(|s| s.name.clone()) {
-                    self.ends_one(*number, &format!("refused by {name}: {why}"));
-                }
-            }
-            Command::Abort { number, why } => self.ends_one(*number, why),
-            Command::Switched { site, number } => {
-                // Nobody goes back, and nobody goes by what is not decided.
-                if *number == self.table.number {
-                    self.sites
-                        .get_mut(site)
-                        .into_iter()
-                        .for_each(|s| s.uses = *number);
-                }
-            }
-            Command::Join { site, name } => {
-                if self.may_join(*site, name).is_ok() {
-                    // What has accepted before it came has not asked it.
-                    self.ends(&format!("{name} joins"));
-                    self.sites.insert(
-                        *site,
-                        Site {
-                            name: name.clone(),
-                            uses: 0,
-                        },
-                    );
-                }
-            }
-            Command::Leases { ms } => {
-                self.earlier_ms = self.clock_ms + self.leases_left_ms();
-                self.lease_ms = *ms;
-            }
-            Command::Off { site } => {
-                if let Some(gone) = self.sites.remove(site) {
-                    self.off.insert(*site);
-                    if self.off.len() > MOST_OFF {
-                        self.used = self.off.pop_first().unwrap_or(0);
-                    }
-                    self.ends(&format!("{} is off the roster", gone.name));
-                }
+                let by = ProposalKey {
+                    site: by.clone(),
+                    key: *key,
+                };
+                self.propose(by, text, *digest, *within_ms);
             }
+            Command::Accept { site, number } => self.accept(*site, *number),
+            Command::Refuse { site, number, why } => self.refuse(*site, *number, why),
+            Command::Abort { number, why } => self.end_proposal_of(*number, why),
+            Command::CutOver { site, number } => self.cut_over(*site, *number),
+            Command::Join { site, name } => self.join(*site, name),
+            Command::Off { site } => self.remove(*site),
+            Command::Leases { ms } => self.set_lease_length(*ms),
+        }
+    }
+
+    /// Moves the clock on; a proposal that is late ends.
+    fn advance_clock(&mut self, ms: u32) {
+        self.clock_ms += u64::from(ms);
+        let Some(proposal) = &self.proposal else {
+            return;
+        };
+        if proposal.until_ms > self.clock_ms {
+            return;
         }
+        let missing: Vec<&str> = self
+            .not_accepted_by(proposal)
+            .map(|site| site.name.as_str())
+            .collect();
+        let why = format!("not accepted in time by {}", missing.join(", "));
+        self.end_proposal(&why);
     }
 
-    /// What may be left of any lease that was given before now, in milliseconds, on the clock of
-    /// whoever comes in office now.
+    /// Void while another proposal runs, before all sites go by the table in force, and where the
+    /// same proposal was made before.
+    fn propose(&mut self, by: ProposalKey, text: &str, digest: Digest, within_ms: u64) {
+        if self.check_proposal(text).is_err() || self.has_seen(&by) {
+            return;
+        }
+        self.given += 1;
+        self.proposal = Some(Proposal {
+            table: RoutingTable {
+                number: self.given,
+                digest,
+                text: text.into(),
+            },
+            by,
+            accepted: BTreeSet::new(),
+            since_ms: self.clock_ms,
+            until_ms: self.clock_ms.saturating_add(within_ms),
+        });
+    }
+
+    /// The last acceptance decides the table.
+    fn accept(&mut self, site: u64, number: u64) {
+        let Some(proposal) = &mut self.proposal else {
+            return;
+        };
+        if proposal.table.number != number || !self.sites.contains_key(&site) {
+            return;
+        }
+        proposal.accepted.insert(site);
+        if self
+            .sites
+            .keys()
+            .all(|site| proposal.accepted.contains(site))
+        {
+            self.before = std::mem::replace(&mut self.table, proposal.table.clone());
+            self.end_proposal(DECIDED);
+        }
+    }
+
+    fn refuse(&mut self, site: u64, number: u64, why: &str) {
+        if let Some(site) = self.sites.get(&site) {
+            let why = format!("refused by {}: {why}", site.name);
+            self.end_proposal_of(number, &why);
+        }
+    }
+
+    /// No site goes back to an earlier table, and none goes by what is not decided.
+    fn cut_over(&mut self, site: u64, number: u64) {
+        if number != self.table.number {
+            return;
+        }
+        if let Some(site) = self.sites.get_mut(&site) {
+            site.uses = number;
+        }
+    }
+
+    /// A proposal that runs ends: it was accepted by others without the site that joins.
+    fn join(&mut self, number: u64, name: &str) {
+        if self.check_join(number, name).is_err() {
+            return;
+        }
+        self.end_proposal(&format!("{name} joins"));
+        let site = Site {
+            name: name.into(),
+            uses: 0,
+        };
+        self.sites.insert(number, site);
+    }
+
+    fn remove(&mut self, number: u64) {
+        let Some(removed) = self.sites.remove(&number) else {
+            return;
+        };
+        self.off.insert(number);
+        if self.off.len() > MAX_REMOVED_SITES {
+            self.used = self.off.pop_first().unwrap_or(0);
+        }
+        self.end_proposal(&format!("{} is off the roster", removed.name));
+    }
+
+    fn set_lease_length(&mut self, ms: u32) {
+        self.earlier_ms = self.clock_ms + self.leases_left_ms();
+        self.lease_ms = ms;
+    }
+
+    /// What may be left of any lease that was granted before now, in milliseconds, on the clock of
+    /// whichever site begins to lead now.
     pub fn leases_left_ms(&self) -> u64 {
-        let now = if self.lease_ms == 0 {
+        let current = if self.lease_ms == 0 {
             0
         } else {
-            u64::from(self.lease_ms) + u64::from(SURE_MS)
+            u64::from(self.lease_ms) + u64::from(LEASE_GRANT_WINDOW_MS)
         };
-        now.max(self.earlier_ms.saturating_sub(self.clock_ms))
+        current.max(self.earlier_ms.saturating_sub(self.clock_ms))
     }
 
-    /// Whether a table may be proposed: why not.
+    /// Checks that a table may be proposed.
     ///
     /// # Errors
-    /// Another one is, or sites do not go by the one in force, or it is too long.
-    pub fn may_propose(&self, text: &str) -> Result<(), String> {
-        if text.len() > MOST_TEXT {
-            return Err(format!(
-                "{} bytes; a table has {MOST_TEXT} at the most",
-                text.len()
-            ));
+    /// Another one is proposed, or sites do not go by the one in force, or it is too long.
+    pub fn check_proposal(&self, text: &str) -> Result<(), ProposalRejected> {
+        if text.len() > MAX_TEXT_BYTES {
+            return Err(ProposalRejected::TooLong(text.len()));
         }
-        if let Some(p) = &self.proposal {
-            let number = p.table.number;
-            return Err(format!(
-                "table {number} is proposed by {}; only one is at a time",
-                p.by.0
-            ));
+        if let Some(running) = &self.proposal {
+            return Err(ProposalRejected::AnotherRuns {
+                number: running.table.number,
+                site: running.by.site.clone(),
+            });
         }
         let late = self.sites.values().filter(|s| s.uses != self.table.number);
         let late: Vec<&str> = late.map(|s| s.name.as_str()).collect();
-        match late.is_empty() {
-            true => Ok(()),
-            false => Err(format!(
-                "table {} is not in use yet at {}",
-                self.table.number,
-                late.join(", ")
-            )),
+        if late.is_empty() {
+            return Ok(());
         }
+        Err(ProposalRejected::NotInUse {
+            number: self.table.number,
+            sites: late.join(", "),
+        })
     }
 
-    /// Whether a site may join under a number: why not.
+    /// Checks that a site may join under a number.
     ///
     /// # Errors
-    /// Its number was used, its name is, or there are as many as may be.
-    pub fn may_join(&self, site: u64, name: &str) -> Result<(), String> {
-        if site <= self.used || self.sites.contains_key(&site) || self.off.contains(&site) {
-            return Err(format!(
-                "the number {site} was used: a site that joins needs another one"
-            ));
+    /// Its number was used, its name is, or there are as many sites as may be.
+    pub fn check_join(&self, number: u64, name: &str) -> Result<(), JoinRejected> {
+        let was_used = number <= self.used || self.off.contains(&number);
+        if was_used || self.sites.contains_key(&number) {
+            return Err(JoinRejected::NumberUsed(number));
         }
         if self.sites.values().any(|s| s.name == name) {
-            return Err(format!("{name} is on the roster"));
+            return Err(JoinRejected::NameTaken(name.into()));
         }
-        match self.sites.len() < MOST_SITES {
-            true => Ok(()),
-            false => Err(format!("{MOST_SITES} sites are the most")),
+        if self.sites.len() >= MAX_SITES {
+            return Err(JoinRejected::Full);
         }
+        Ok(())
     }
 
-    /// Whether a proposal of that site and key runs or ran.
-    pub fn knows(&self, by: &str, key: u64) -> bool {
-        let same = |(site, k): &(String, u64)| site == by && *k == key;
-        self.proposal.as_ref().is_some_and(|p| same(&p.by)) || self.past.iter().any(|p| same(&p.by))
+    /// Whether this proposal runs or ran.
+    pub fn has_seen(&self, by: &ProposalKey) -> bool {
+        let runs = self.proposal.as_ref().is_some_and(|p| p.by == *by);
+        runs || self.past.iter().any(|p| p.by == *by)
     }
 
     /// Sites that have not accepted a proposal.
-    pub fn waits<'a>(&'a self, p: &'a Proposal) -> impl Iterator<Item = &'a Site> + 'a {
+    pub fn not_accepted_by<'a>(
+        &'a self,
+        proposal: &'a Proposal,
+    ) -> impl Iterator<Item = &'a Site> + 'a {
         self.sites
             .iter()
-            .filter(|(site, _)| !p.accepted.contains(site))
-            .map(|(_, s)| s)
+            .filter(|(number, _)| !proposal.accepted.contains(number))
+            .map(|(_, site)| site)
     }
 
     /// The text of a table that is in force, was before, or is proposed.
-    pub fn text(&self, number: u64) -> Option<&Table> {
+    pub fn text(&self, number: u64) -> Option<&RoutingTable> {
         let all = [
             Some(&self.table),
             Some(&self.before),
@@ -373,40 +420,73 @@
             .find(|t| t.number == number && number > 0)
     }
 
-    fn ends_one(&mut self, number: u64, why: &str) {
-        if self
-            .proposal
-            .as_ref()
-            .is_some_and(|p| p.table.number == number)
-        {
-            self.ends(why);
+    /// Ends the proposal of this number, if it runs.
+    fn end_proposal_of(&mut self, number: u64, why: &str) {
+        let running = self.proposal.as_ref().map(|p| p.table.number);
+        if running == Some(number) {
+            self.end_proposal(why);
         }
     }
 
-    /// The proposal that runs, if one does, is over.
-    fn ends(&mut self, how: &str) {
-        if let Some(Proposal {
-            table,
-            by,
-            since_ms,
-            ..
-        }) = self.proposal.take()
-        {
-            let Table { number, digest, .. } = table;
-            self.past.push_back(Past {
-                number,
-                digest,
-                by,
-                end: cut(how, MOST_WHY),
-                since_ms,
-                ended_ms: self.clock_ms,
-            });
-            let all = |past: &VecDeque<Past>| past.iter().map(|p| p.end.len()).sum::<usize>();
-            while self.past.len() > MOST_PAST || all(&self.past) > MOST_WHYS {
-                self.past.pop_front();
-            }
+    /// Ends the proposal that runs, if one does.
+    fn end_proposal(&mut self, how: &str) {
+        let Some(proposal) = self.proposal.take() else {
+            return;
+        };
+        self.past.push_back(EndedProposal {
+            number: proposal.table.number,
+            digest: proposal.table.digest,
+            by: proposal.by,
+            end: cut(how, MAX_REASON_BYTES),
+            since_ms: proposal.since_ms,
+            ended_ms: self.clock_ms,
+        });
+        while self.past.len() > MAX_PAST_PROPOSALS || self.reasons_bytes() > MAX_REASONS_BYTES {
+            self.past.pop_front();
         }
     }
+
+    fn reasons_bytes(&self) -> usize {
+        self.past.iter().map(|p| p.end.len()).sum()
+    }
+}
+
+/// Why a table may not be proposed.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ProposalRejected {
+    /// It has so many bytes, which are too many.
+    #[error("{0} bytes; a table has {max} at the most", max = MAX_TEXT_BYTES)]
+    TooLong(usize),
+    /// Another table is proposed.
+    #[error("table {number} is proposed by {site}; only one is at a time")]
+    AnotherRuns {
+        /// Its number.
+        number: u64,
+        /// Name of the site where it was.
+        site: String,
+    },
+    /// Sites do not go by the table in force yet.
+    #[error("table {number} is not in use yet at {sites}")]
+    NotInUse {
+        /// Number of the table in force.
+        number: u64,
+        /// Names of the sites.
+        sites: String,
+    },
+}
+
+/// Why a site may not join.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum JoinRejected {
+    /// Its number is or was another site's.
+    #[error("the number {0} was used: a site that joins needs another one")]
+    NumberUsed(u64),
+    /// Its name is another site's.
+    #[error("{0} is on the roster")]
+    NameTaken(String),
+    /// There are as many sites as may be.
+    #[error("{max} sites are the most", max = MAX_SITES)]
+    Full,
 }
 
 #[cfg(test)]
--- a/src/coordination/routing_table/federation/tests.rs
+++ b/src/coordination/routing_table/federation/tests.rs
@@ -36,7 +36,7 @@
 }
 
 fn switched(site: u64, number: u64) -> Command {
-    Command::Switched { site, number }
+    Command::CutOver { site, number }
 }
 
 #[test]
@@ -63,7 +63,7 @@
         (1, 0, DECIDED)
     );
     go(&mut f, &[switched(1, 1), switched(2, 1), propose(3)]);
-    assert!(f.proposal.is_none() && f.may_propose("").unwrap_err().contains("s3"));
+    assert!(f.proposal.is_none() && f.check_proposal("").unwrap_err().to_string().contains("s3"));
     // What was proposed and decided is not proposed again by a word that comes late.
     go(&mut f, &[switched(3, 1), propose(1)]);
     assert!(f.proposal.is_none());
@@ -107,7 +107,7 @@
             ],
         );
         assert!(
-            f.proposal.is_none() && f.table == Table::default(),
+            f.proposal.is_none() && f.table == RoutingTable::default(),
             "{end:?}"
         );
         assert_ne!(f.past[0].end, DECIDED);
@@ -182,7 +182,7 @@
     let long = Command::Propose {
         by: "n".into(),
         key: 1,
-        text: "x".repeat(MOST_TEXT + 1),
+        text: "x".repeat(MAX_TEXT_BYTES + 1),
         digest: [0; 32],
         within_ms: 1,
     };
@@ -200,7 +200,7 @@
             ],
         );
     }
-    assert_eq!((f.past.len(), f.given), (MOST_PAST, 80));
+    assert_eq!((f.past.len(), f.given), (MAX_PAST_PROPOSALS, 80));
     for key in 80..100 {
         go(
             &mut f,
@@ -215,7 +215,7 @@
     }
     assert_eq!(
         (f.past.len(), f.past[0].end.len()),
-        (MOST_WHYS / MOST_WHY, MOST_WHY)
+        (MAX_REASONS_BYTES / MAX_REASON_BYTES, MAX_REASON_BYTES)
     );
     for site in 2..1_200 {
         go(
@@ -232,9 +232,9 @@
     assert_eq!(
         (
             f.off.len(),
-            f.may_join(2, "s").is_err(),
-            f.may_join(1_200, "s")
+            f.check_join(2, "s").is_err(),
+            f.check_join(1_200, "s")
         ),
-        (MOST_OFF, true, Ok(()))
+        (MAX_REMOVED_SITES, true, Ok(()))
     );
 }
--- /dev/null
+++ b/src/coordination/routing_table/member/peers.rs
@@ -0,0 +1,223 @@
+//! The other members: the first start of a federation, who may connect, and who is reachable.
+//!
+//! Invariant: a member is admitted only under the incarnation that this site's record holds of it,
+//! so a site whose record was lost cannot vote a second time under its old number.
+
+use crate::coordination::bootstrap::{admit, PeerAdmission};
+use crate::coordination::raft_group::GroupMember;
+use crate::coordination::raft_log::{Checkpoint, LogItem};
+use crate::coordination::record::Record;
+use crate::coordination::routing_table::federation::Federation;
+use crate::coordination::routing_table::member::{FederationMember, MemberEffect, Stage};
+use crate::Nanos;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// A site counts as reachable for this time after a message or a heartbeat, in nanoseconds.
+const REACHABLE_FOR: Nanos = 3_000_000_000;
+
+/// Whether another site's member may speak to this one.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum MemberAdmission {
+    /// It may: this site's record knows it.
+    Admitted,
+    /// Not before this site's record knows it.
+    NotYet,
+    /// It may not, and why.
+    Rejected(String),
+}
+
+impl FederationMember {
+    /// A first start: persists which sites are known, and begins when none is missing.
+    pub(super) fn continue_bootstrap(
+        &mut self,
+        now: Nanos,
+        record: &Record,
+        effects: &mut Vec<MemberEffect>,
+    ) {
+        let Stage::Bootstrapping(begin) = &self.stage else {
+            return;
+        };
+        if self.write.is_in_flight() {
+            return;
+        }
+        let complete = begin.finish_of::<Federation>(&BTreeMap::new());
+        if complete.is_some() {
+            log::info!("{}: all sites know each other, begins", self.log_name());
+        }
+        let base: Checkpoint = complete.unwrap_or_else(|| begin.base().clone());
+        if record.written.base.as_deref() != Some(&base) {
+            self.persist(now, LogItem::Checkpoint(Box::new(base)), effects);
+        }
+    }
+
+    /// Another site's member connected under this incarnation.
+    pub fn admit_peer(
+        &mut self,
+        now: Nanos,
+        site: u64,
+        incarnation: u64,
+        record: &Record,
+        effects: &mut Vec<MemberEffect>,
+    ) -> MemberAdmission {
+        let heard = match &mut self.stage {
+            Stage::Bootstrapping(begin) => begin.tells(site, incarnation),
+            Stage::Participating(group) => admit(group.held(), site, incarnation),
+            Stage::Fencing => return MemberAdmission::NotYet,
+            Stage::Failed(why) => return MemberAdmission::Rejected(why.clone()),
+        };
+        self.continue_bootstrap(now, record, effects);
+        match heard {
+            PeerAdmission::Rejected(_) => MemberAdmission::Rejected(self.rejection(site)),
+            PeerAdmission::New => MemberAdmission::NotYet,
+            PeerAdmission::Known if self.awaits_persisting(site, incarnation, record) => {
+                MemberAdmission::NotYet
+            }
+            PeerAdmission::Known => MemberAdmission::Admitted,
+        }
+    }
+
+    /// Why a site is not admitted, for people.
+    fn rejection(&self, site: u64) -> String {
+        if self.view.record.off.contains(&site) {
+            format!("site {site} is off the roster: it may join under another number")
+        } else {
+            format!(
+                "site {site} is not in this federation, or its record is another one than before: \
+                 put it off the roster, and let it join under another number"
+            )
+        }
+    }
+
+    /// In a first start the other site waits for being persisted here.
+    fn awaits_persisting(&self, site: u64, incarnation: u64, record: &Record) -> bool {
+        let base = record.written.base.as_ref();
+        let is_persisted = base.is_some_and(|base| base.known.get(&site) == Some(&incarnation));
+        matches!(self.stage, Stage::Bootstrapping(_)) && !is_persisted
+    }
+
+    /// Another site's member answered that it knows this one, and told its incarnation.
+    pub fn on_peer_answer(
+        &mut self,
+        now: Nanos,
+        site: u64,
+        incarnation: u64,
+        record: &Record,
+        effects: &mut Vec<MemberEffect>,
+    ) -> MemberAdmission {
+        if let Stage::Bootstrapping(begin) = &mut self.stage {
+            if !matches!(begin.tells(site, incarnation), PeerAdmission::Rejected(_)) {
+                begin.knows(site);
+                self.continue_bootstrap(now, record, effects);
+                return MemberAdmission::Admitted;
+            }
+        }
+        self.admit_peer(now, site, incarnation, record, effects)
+    }
+
+    /// A heartbeat of a site arrived.
+    pub fn on_heartbeat(&mut self, now: Nanos, site: u64) {
+        self.last_heard.insert(site, now);
+    }
+
+    /// Forgets sites that were not heard for a while.
+    pub(super) fn expire_reachability(&mut self, now: Nanos) {
+        self.last_heard.retain(|_, at| now < *at + REACHABLE_FOR);
+        self.view.reachable_sites = self.last_heard.keys().copied().collect();
+    }
+
+    /// Sites that this one has to be connected to, and where their replicas listen: the members of
+    /// the group, or before it began those of the file. The file's addresses go before recorded
+    /// ones.
+    pub fn peer_addresses(&self) -> BTreeMap<u64, Vec<SocketAddr>> {
+        let members = self.group().map(|group| &group.held().members);
+        let Some(members) = members.filter(|members| !members.is_empty()) else {
+            return self
+                .settings
+                .other_sites
+                .iter()
+                .map(|(site, address)| (*site, address.addresses.clone()))
+                .collect();
+        };
+        members
+            .iter()
+            .filter(|(site, _)| **site != self.settings.site_number)
+            .map(|(site, member)| (*site, self.addresses_of(*site, member)))
+            .collect()
+    }
+
+    fn addresses_of(&self, site: u64, member: &GroupMember) -> Vec<SocketAddr> {
+        match self.settings.other_sites.get(&site) {
+            Some(address) => address.addresses.clone(),
+            None => member
+                .at
+                .split(',')
+                .filter_map(|at| at.parse().ok())
+                .collect(),
+        }
+    }
+
+    /// The name of a site: that of the roster, of the file, or its number.
+    pub fn site_name(&self, site: u64) -> String {
+        if let Some(on_roster) = self.view.record.sites.get(&site) {
+            return on_roster.name.clone();
+        }
+        match self.settings.other_sites.get(&site) {
+            Some(address) => address.name.clone(),
+            None => site.to_string(),
+        }
+    }
+
+    /// What keeps sites from taking part, as this site knows it: a line for people by site.
+    pub fn problems(&self) -> Vec<(u64, String)> {
+        match &self.stage {
+            Stage::Fencing => Vec::new(),
+            Stage::Failed(why) => {
+                vec![(
+                    self.settings.site_number,
+                    format!("{}: {why}", self.log_name()),
+                )]
+            }
+            Stage::Bootstrapping(begin) => self.problems_of(
+                &begin.missing(),
+                "not met yet: the federation has not begun",
+            ),
+            Stage::Participating(group) => {
+                let mut problems = self.problems_of(
+                    &group.without_record(),
+                    "has not got the federation's record yet",
+                );
+                problems.extend(self.own_roster_problems());
+                problems
+            }
+        }
+    }
+
+    /// The same problem of several sites.
+    fn problems_of(&self, sites: &[u64], problem: &str) -> Vec<(u64, String)> {
+        let line = |site: &u64| format!("site {}: {problem}", self.site_name(*site));
+        sites.iter().map(|site| (*site, line(site))).collect()
+    }
+
+    /// How the roster names this site otherwise than its file does.
+    fn own_roster_problems(&self) -> Vec<(u64, String)> {
+        let own_number = self.settings.site_number;
+        let record = &self.view.record;
+        let mut problems = Vec::new();
+        if let Some(on_roster) = record.sites.get(&own_number) {
+            if on_roster.name != self.settings.site_name {
+                let line = format!(
+                    "{}: it knows this site as {}",
+                    self.log_name(),
+                    on_roster.name
+                );
+                problems.push((own_number, line));
+            }
+        }
+        if record.off.contains(&own_number) {
+            let line = format!("{}: this site is off the roster", self.log_name());
+            problems.push((own_number, line));
+        }
+        problems
+    }
+}
--- /dev/null
+++ b/src/coordination/routing_table/member/roster_change.rs
@@ -0,0 +1,363 @@
+//! Changes of the roster that the leading site carries out: a site is removed once it is fenced; a
+//! site that joins is asked for its incarnation, added to the raft group, put on the roster, and
+//! done when it has the record.
+
+use crate::coordination::leader::ConnectionId;
+use crate::coordination::messages::{FederationRequest, OperatorResponse};
+use crate::coordination::raft_group::{GroupMember, ProposeError};
+use crate::coordination::routing_table::federation::{Command, JoinRejected};
+use crate::coordination::routing_table::member::leadership::{granter_share, Leadership};
+use crate::coordination::routing_table::member::settings::is_valid_name;
+use crate::coordination::routing_table::member::{
+    nanos_of_ms, FederationMember, MemberEffect, MemberMessage, Stage, MAX_ADDRESSES_PER_SITE,
+};
+use crate::Nanos;
+use std::net::SocketAddr;
+
+/// A change of the roster that nothing else ends is given up after this time, in nanoseconds.
+const CHANGE_TIMEOUT: Nanos = 20_000_000_000;
+/// A site that is to be removed is granted no lease for this time after the order, in nanoseconds;
+/// longer where its fence takes longer, by half of this.
+const LEASE_WITHHELD_FOR: Nanos = 60_000_000_000;
+
+/// Who ordered a change of the roster.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Requester {
+    /// An operator on a connection of this replica.
+    Local(ConnectionId),
+    /// Another site, for an operator there.
+    Remote {
+        /// The site.
+        site: u64,
+        /// Its identifier of the order.
+        id: u64,
+    },
+}
+
+/// A change of the roster that is under way.
+pub(super) struct RosterChange {
+    pub(super) requester: Requester,
+    pub(super) ordered_at: Nanos,
+    pub(super) site: u64,
+    pub(super) name: String,
+    pub(super) step: ChangeStep,
+}
+
+/// What the change waits for.
+pub(super) enum ChangeStep {
+    /// The site's incarnation.
+    RequestingIncarnation {
+        /// The site's addresses, as the group records them.
+        addresses: String,
+    },
+    /// The group to add the site.
+    Adding,
+    /// The command that puts the site on the roster.
+    Joining,
+    /// The site to have the log up to this index.
+    Replicating {
+        /// Where it was put on the roster.
+        index: u64,
+    },
+    /// The command that puts the site off the roster.
+    Removing,
+}
+
+/// Why a change of the roster is not carried out.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum RosterChangeError {
+    #[error("that is not the roster's")]
+    NotARosterOrder,
+    #[error("this site does not lead the federation")]
+    NotLeader,
+    #[error("another change of the roster is not done yet")]
+    Busy,
+    #[error("the sites did not agree in 20 s; look at the status and say it again")]
+    Timeout,
+    #[error("no site {0:?} is on the roster")]
+    UnknownSite(String),
+    #[error("the last site cannot go")]
+    LastSite,
+    #[error("{0} leads the federation: another site is asked to, order it again there")]
+    SiteLeads(String),
+    #[error(
+        "{name} is given no lease any more for {withheld_s} s, and is fenced with all its senders \
+         in {fenced_in_s} s: order it again then"
+    )]
+    NotFencedYet {
+        name: String,
+        withheld_s: u64,
+        fenced_in_s: u64,
+    },
+    #[error("{0} has joined and has not got the record yet")]
+    AwaitingRecord(String),
+    #[error("{0:?} is no name")]
+    InvalidName(String),
+    #[error("{0:?}: 1 to {max} addresses with a port are needed", max = MAX_ADDRESSES_PER_SITE)]
+    InvalidAddresses(Vec<String>),
+    #[error("site {name} at {addresses}: {why}")]
+    NotAdded {
+        name: String,
+        addresses: String,
+        why: String,
+    },
+    #[error(transparent)]
+    Join(#[from] JoinRejected),
+    #[error(transparent)]
+    Group(#[from] ProposeError),
+}
+
+/// Why the incarnation of a site that is to join is not known, for people.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct IncarnationUnknown(pub String);
+
+/// Whole seconds, rounded up.
+fn seconds(time: Nanos) -> u64 {
+    time.div_ceil(1_000_000_000)
+}
+
+/// Tells who ordered a change what came of it: the record's version that has it, or why not.
+pub(super) fn reply(
+    requester: Requester,
+    result: Result<u64, RosterChangeError>,
+    effects: &mut Vec<MemberEffect>,
+) {
+    let answer = result.map_err(|error| error.to_string());
+    effects.push(match requester {
+        Requester::Local(connection) => MemberEffect::Answer {
+            connection,
+            answer: answer.map_or_else(OperatorResponse::Rejected, OperatorResponse::Done),
+        },
+        Requester::Remote { site, id } => MemberEffect::Send {
+            to: site,
+            message: MemberMessage::RosterOrderResult { id, answer },
+        },
+    });
+}
+
+impl RosterChange {
+    fn new(now: Nanos, requester: Requester, site: u64, name: &str, step: ChangeStep) -> Self {
+        RosterChange {
+            requester,
+            ordered_at: now,
+            site,
+            name: name.into(),
+            step,
+        }
+    }
+
+    pub(super) fn is_overdue(&self, now: Nanos) -> bool {
+        now >= self.ordered_at + CHANGE_TIMEOUT
+    }
+}
+
+impl Leadership {
+    /// A site is a member of the group now.
+    pub(super) fn on_member_added(&mut self, site: u64) {
+        if let Some(change) = &mut self.change {
+            if change.site == site && matches!(change.step, ChangeStep::Adding) {
+                change.step = ChangeStep::Joining;
+            }
+        }
+    }
+
+    /// The command that puts a site on the roster is committed; under this name it stands there.
+    pub(super) fn on_join_committed(&mut self, index: u64, site: u64, on_roster: Option<&str>) {
+        if let Some(change) = &mut self.change {
+            if change.site == site && on_roster == Some(change.name.as_str()) {
+                change.step = ChangeStep::Replicating { index };
+            }
+        }
+    }
+
+    /// The command that puts a site off the roster is committed.
+    pub(super) fn on_removal_committed(
+        &mut self,
+        index: u64,
+        site: u64,
+        effects: &mut Vec<MemberEffect>,
+    ) {
+        let is_done = |change: &mut RosterChange| {
+            change.site == site && matches!(change.step, ChangeStep::Removing)
+        };
+        if let Some(change) = self.change.take_if(is_done) {
+            reply(change.requester, Ok(index), effects);
+        }
+    }
+}
+
+impl FederationMember {
+    /// Carries an order on the roster out, as the leading site.
+    pub(super) fn carry_out_order(
+        &mut self,
+        now: Nanos,
+        requester: Requester,
+        order: &FederationRequest,
+        effects: &mut Vec<MemberEffect>,
+    ) {
+        let started = match order {
+            FederationRequest::RemoveSite { site } => self.start_removal(now, requester, site),
+            FederationRequest::AddSite { site, number, at } => {
+                self.start_join(now, requester, site, *number, at, effects)
+            }
+            _ => Err(RosterChangeError::NotARosterOrder),
+        };
+        if let Err(error) = started {
+            reply(requester, Err(error), effects);
+        }
+    }
+
+    /// Puts a site off the roster once it is fenced: from the first order on it is granted no
+    /// lease, and the order is refused until every lease it may hold is over and its senders' too.
+    fn start_removal(
+        &mut self,
+        now: Nanos,
+        requester: Requester,
+        name: &str,
+    ) -> Result<(), RosterChangeError> {
+        let (Some(leadership), Stage::Participating(group)) =
+            (&mut self.leadership, &mut self.stage)
+        else {
+            return Err(RosterChangeError::NotLeader);
+        };
+        let record = group.record();
+        let Some((&site, _)) = record.sites.iter().find(|(_, s)| s.name == name) else {
+            return Err(RosterChangeError::UnknownSite(name.into()));
+        };
+        if record.sites.len() == 1 {
+            return Err(RosterChangeError::LastSite);
+        }
+        if site == group.me() {
+            let _ = group.hand_on();
+            return Err(RosterChangeError::SiteLeads(name.into()));
+        }
+        let removes_member = group.voters().iter().any(|site| record.off.contains(site));
+        if leadership.change.is_some() || removes_member {
+            return Err(RosterChangeError::Busy);
+        }
+        let lease = nanos_of_ms(self.settings.lease_ms);
+        let fence = nanos_of_ms(self.settings.fence_ms);
+        let until_fenced = granter_share(lease) + fence + LEASE_WITHHELD_FOR / 2;
+        let withheld_until = now + LEASE_WITHHELD_FOR.max(until_fenced);
+        leadership.lease_withheld_until.insert(site, withheld_until);
+        let fenced_at = leadership.last_grant_of(site) + granter_share(fence);
+        if now < fenced_at {
+            return Err(RosterChangeError::NotFencedYet {
+                name: name.into(),
+                withheld_s: seconds(withheld_until - now),
+                fenced_in_s: seconds(fenced_at - now),
+            });
+        }
+        group.propose(&Command::Off { site })?;
+        let step = ChangeStep::Removing;
+        leadership.change = Some(RosterChange::new(now, requester, site, name, step));
+        Ok(())
+    }
+
+    /// Lets a site join under a number that was never used. Ordered again, it is answered at once
+    /// where the site is on the roster already.
+    fn start_join(
+        &mut self,
+        now: Nanos,
+        requester: Requester,
+        name: &str,
+        site: u64,
+        addresses: &[String],
+        effects: &mut Vec<MemberEffect>,
+    ) -> Result<(), RosterChangeError> {
+        let (Some(leadership), Stage::Participating(group)) = (&mut self.leadership, &self.stage)
+        else {
+            return Err(RosterChangeError::NotLeader);
+        };
+        if leadership.change.is_some() {
+            return Err(RosterChangeError::Busy);
+        }
+        let record = group.record();
+        let addresses: Vec<String> = addresses.iter().map(|at| at.trim().into()).collect();
+        let member = group.held().members.get(&site);
+        let is_member = member.is_some_and(|m| m.at == addresses.join(","));
+        if is_member && record.sites.get(&site).is_some_and(|s| s.name == name) {
+            if !group.has(site, 1) {
+                return Err(RosterChangeError::AwaitingRecord(name.into()));
+            }
+            reply(requester, Ok(record.version), effects);
+            return Ok(());
+        }
+        record.check_join(site, name)?;
+        if !is_valid_name(name) {
+            return Err(RosterChangeError::InvalidName(name.into()));
+        }
+        let sockets = parse_addresses(&addresses)?;
+        let step = if is_member {
+            ChangeStep::Joining
+        } else {
+            group.may_add(site)?;
+            effects.push(MemberEffect::RequestIncarnation {
+                site,
+                addresses: sockets,
+            });
+            let addresses = addresses.join(",");
+            ChangeStep::RequestingIncarnation { addresses }
+        };
+        leadership.last_upkeep = 0;
+        leadership.change = Some(RosterChange::new(now, requester, site, name, step));
+        Ok(())
+    }
+
+    /// A site that is to join was asked for its incarnation.
+    pub fn on_incarnation(
+        &mut self,
+        now: Nanos,
+        site: u64,
+        incarnation: Result<u64, IncarnationUnknown>,
+        effects: &mut Vec<MemberEffect>,
+    ) {
+        let (Some(leadership), Stage::Participating(group)) =
+            (&mut self.leadership, &mut self.stage)
+        else {
+            return;
+        };
+        let Some(change) = leadership.change.as_mut().filter(|c| c.site == site) else {
+            return;
+        };
+        let ChangeStep::RequestingIncarnation { addresses } = &change.step else {
+            return;
+        };
+        let added = incarnation
+            .map_err(|unknown| unknown.to_string())
+            .and_then(|incarnation| {
+                let at = addresses.clone();
+                let member = GroupMember { at, incarnation };
+                group.add(site, &member).map_err(|no| no.to_string())
+            });
+        match added {
+            Ok(()) => {
+                change.step = ChangeStep::Adding;
+                leadership.last_upkeep = 0;
+            }
+            Err(why) => {
+                let error = RosterChangeError::NotAdded {
+                    name: change.name.clone(),
+                    addresses: addresses.clone(),
+                    why,
+                };
+                reply(change.requester, Err(error), effects);
+                leadership.change = None;
+            }
+        }
+        self.run_group(now, effects);
+    }
+}
+
+/// Reads addresses of a site's replicas.
+fn parse_addresses(addresses: &[String]) -> Result<Vec<SocketAddr>, RosterChangeError> {
+    let is_usable = |at: &SocketAddr| !at.ip().is_unspecified() && at.port() != 0;
+    let sockets: Vec<SocketAddr> = addresses.iter().filter_map(|at| at.parse().ok()).collect();
+    let are_all_usable = sockets.len() == addresses.len() && sockets.iter().all(is_usable);
+    let is_count_allowed = (1..=MAX_ADDRESSES_PER_SITE).contains(&sockets.len());
+    if !are_all_usable || !is_count_allowed {
+        return Err(RosterChangeError::InvalidAddresses(addresses.to_vec()));
+    }
+    Ok(sockets)
+}
--- /dev/null
+++ b/src/coordination/routing_table/member/settings.rs
@@ -0,0 +1,89 @@
+//! Settings of a site's member of the federation, and the limits that the replica's file and
+//! orders on the roster share.
+//!
+//! This module stands below both `coordination::config`, which reads the file, and the member,
+//! which goes by what was read; it uses neither.
+
+use crate::coordination::raft_log::ReplicaIdentity;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// Replicas of one site that a file or an order may name.
+pub const MAX_ADDRESSES_PER_SITE: usize = 9;
+/// Longest name of a site or of a federation, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
+
+/// Whether a site or a federation may have this name: letters, digits, `-`, `_` and `.`.
+pub fn is_valid_name(name: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.chars().all(is_allowed)
+}
+
+/// Another site of the federation, as the replica's file names it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SiteAddress {
+    /// Its name.
+    pub name: String,
+    /// Where its replicas listen.
+    pub addresses: Vec<SocketAddr>,
+}
+
+/// Settings of a member, from the replica's file.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct MemberSettings {
+    /// Name of the federation.
+    pub federation: Arc<str>,
+    /// Number of this site in it.
+    pub site_number: u64,
+    /// Name of this site.
+    pub site_name: String,
+    /// Whether the federation starts for the first time, with this site and all others of the file.
+    pub bootstrap: bool,
+    /// The number that this site had before, and that it gives up.
+    pub former_number: Option<u64>,
+    /// The other sites, by number.
+    pub other_sites: BTreeMap<u64, SiteAddress>,
+    /// Length of a site's lease, in milliseconds.
+    pub lease_ms: u32,
+    /// After the end of its lease a site's senders are certainly fenced in this time, in
+    /// milliseconds.
+    pub fence_ms: u32,
+    /// Length of a tick of the raft clock, in milliseconds.
+    pub tick_ms: u32,
+    /// Whether the site admits nothing new beyond its lease.
+    pub holds_after_lease: bool,
+}
+
+/// The site's record belongs to another site or federation than the file says.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error(
+    "the site's record is of site {recorded_site} of federation {recorded_federation:?}, the \
+     keeper's file says {site} of {federation:?}"
+)]
+pub struct IdentityMismatch {
+    recorded_site: u64,
+    recorded_federation: String,
+    site: u64,
+    federation: Arc<str>,
+}
+
+impl MemberSettings {
+    /// Checks that a record in which this identity wrote is this site's.
+    ///
+    /// # Errors
+    /// The identity is that of another site or federation.
+    pub fn check_identity(&self, recorded: &ReplicaIdentity) -> Result<(), IdentityMismatch> {
+        let is_own_number =
+            recorded.keeper == self.site_number || Some(recorded.keeper) == self.former_number;
+        if is_own_number && recorded.site == *self.federation {
+            return Ok(());
+        }
+        Err(IdentityMismatch {
+            recorded_site: recorded.keeper,
+            recorded_federation: recorded.site.clone(),
+            site: self.site_number,
+            federation: self.federation.clone(),
+        })
+    }
+}
--- /dev/null
+++ b/src/coordination/routing_table/member/vote_persistence.rs
@@ -0,0 +1,193 @@
+//! Fencing earlier members of the site, and persisting the raft state in the site's record.
+//!
+//! Invariant: one piece is in flight at a time, and what relies on it is sent only after the site's
+//! record has it.
+
+use crate::coordination::bootstrap::Bootstrap;
+use crate::coordination::raft_group::RaftGroup;
+use crate::coordination::raft_log::{LogItem, ReplicaIdentity};
+use crate::coordination::record::{self, Record};
+use crate::coordination::routing_table::federation::Federation;
+use crate::coordination::routing_table::member::{
+    FederationMember, MemberEffect, Stage, PROPOSAL_TIMEOUT,
+};
+use crate::Nanos;
+
+/// A proposal that the site's log refused as too much waited is made again after this time, in
+/// nanoseconds.
+const REFUSED_PROPOSAL_PAUSE: Nanos = 100_000_000;
+
+/// The write to the site's record that is in flight.
+pub(super) struct PendingWrite {
+    /// Number of the last piece of this term.
+    number: u64,
+    /// The piece, while the record does not have it.
+    piece: Option<LogItem>,
+    /// When the last proposal is to be made again.
+    repeat_at: Nanos,
+}
+
+impl PendingWrite {
+    pub(super) fn new(now: Nanos) -> PendingWrite {
+        PendingWrite {
+            number: 0,
+            piece: None,
+            repeat_at: now,
+        }
+    }
+
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.piece.is_some()
+    }
+}
+
+impl FederationMember {
+    /// Proposes the fence or the piece in flight again when that is due.
+    pub(super) fn repeat_overdue_proposal(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
+        let waits = self.write.is_in_flight() || matches!(self.stage, Stage::Fencing);
+        if waits && now >= self.write.repeat_at {
+            self.propose_to_site(now, effects);
+        }
+    }
+
+    fn propose_to_site(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
+        self.write.repeat_at = now + PROPOSAL_TIMEOUT;
+        let term = self.site_term;
+        let command = match (&self.stage, &self.write.piece) {
+            (_, Some(piece)) => record::Command::PersistMemberLog {
+                term,
+                number: self.write.number,
+                piece: piece.clone(),
+            },
+            (Stage::Fencing, None) => record::Command::FenceMember { term },
+            (_, None) => return,
+        };
+        effects.push(MemberEffect::ProposeToSite(command));
+    }
+
+    /// The site's log refused a proposal, as too much waited.
+    pub fn on_proposal_refused(&mut self, now: Nanos) {
+        self.write.repeat_at = self.write.repeat_at.min(now + REFUSED_PROPOSAL_PAUSE);
+    }
+
+    /// Persists a piece: the next one in this term.
+    pub(super) fn persist(&mut self, now: Nanos, piece: LogItem, effects: &mut Vec<MemberEffect>) {
+        self.write.number += 1;
+        self.write.piece = Some(piece);
+        self.propose_to_site(now, effects);
+    }
+
+    /// A command of a member was applied to the site's record, which stands as given.
+    pub fn on_applied(
+        &mut self,
+        now: Nanos,
+        command: &record::Command,
+        record: &Record,
+        effects: &mut Vec<MemberEffect>,
+    ) {
+        match command {
+            record::Command::FenceMember { term } => {
+                let is_own = self.owns_record(*term, record);
+                let is_expected =
+                    matches!(self.stage, Stage::Fencing) && !self.write.is_in_flight();
+                if is_own && is_expected {
+                    self.on_fenced(now, record, effects);
+                }
+            }
+            record::Command::PersistMemberLog { term, number, .. } => {
+                let is_own = self.owns_record(*term, record) && *number == self.write.number;
+                if is_own && self.write.piece.take().is_some() {
+                    self.on_persisted(now, record, effects);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Whether a command of this term is this member's and no later member has fenced it off.
+    fn owns_record(&self, command_term: u64, record: &Record) -> bool {
+        command_term == self.site_term && record.written.term == self.site_term
+    }
+
+    /// The fence is committed: resumes from what the record holds, or begins with a new identity.
+    fn on_fenced(&mut self, now: Nanos, record: &Record, effects: &mut Vec<MemberEffect>) {
+        let Some(base) = &record.written.base else {
+            return self.persist_new_identity(now, effects);
+        };
+        let recorded = &base.identity;
+        if let Err(mismatch) = self.settings.check_identity(recorded) {
+            return self.fail(mismatch.to_string());
+        }
+        if recorded.keeper == self.settings.site_number {
+            return self.resume(now, record, effects);
+        }
+        let former = recorded.keeper;
+        log::info!("{}: gives up the number {former}", self.log_name());
+        self.persist_new_identity(now, effects);
+    }
+
+    /// Persists the identity of a site that is new in the federation. Nothing may be sent before
+    /// the record has it.
+    fn persist_new_identity(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
+        let identity = ReplicaIdentity {
+            site: self.settings.federation.to_string(),
+            keeper: self.settings.site_number,
+            incarnation: self.rng.u64(..),
+        };
+        let base = if self.settings.bootstrap {
+            let others = self.settings.other_sites.keys().copied();
+            Bootstrap::empty_of::<Federation>(identity, others)
+        } else {
+            Bootstrap::joining_of::<Federation>(identity)
+        };
+        self.persist(now, LogItem::Checkpoint(Box::new(base)), effects);
+    }
+
+    /// Resumes from what the record holds.
+    fn resume(&mut self, now: Nanos, record: &Record, effects: &mut Vec<MemberEffect>) {
+        let Some(base) = record.written.base.as_deref() else {
+            return;
+        };
+        let name = self.log_name();
+        if matches!(self.stage, Stage::Fencing) {
+            let (site, term) = (self.settings.site_number, self.site_term);
+            log::info!("{name}: speaks for site {site} in term {term}");
+        }
+        self.ticked_until = now;
+        if !base.begun {
+            let begin = Bootstrap::new(base.clone());
+            let missing = begin.missing();
+            log::info!("{name}: begins when it and sites {missing:?} know each other");
+            self.stage = Stage::Bootstrapping(Box::new(begin));
+            return self.continue_bootstrap(now, record, effects);
+        }
+        match RaftGroup::resumed(base.clone(), self.rng.u64(..)) {
+            Ok(group) => self.stage = Stage::Participating(Box::new(group)),
+            Err(error) => return self.fail(error.to_string()),
+        }
+        self.run_group(now, effects);
+    }
+
+    /// The record has the piece that was in flight.
+    fn on_persisted(&mut self, now: Nanos, record: &Record, effects: &mut Vec<MemberEffect>) {
+        match &mut self.stage {
+            Stage::Fencing => self.resume(now, record, effects),
+            Stage::Bootstrapping(_) => {
+                let base = record.written.base.as_deref();
+                if base.is_some_and(|base| base.begun) {
+                    self.resume(now, record, effects);
+                } else {
+                    self.continue_bootstrap(now, record, effects);
+                }
+            }
+            Stage::Participating(group) => {
+                group.saved();
+                if record.written.wants_base() {
+                    group.compact();
+                }
+                self.run_group(now, effects);
+            }
+            Stage::Failed(_) => {}
+        }
+    }
+}
--- a/src/coordination/routing_table/tables/tests.rs
+++ b/src/coordination/routing_table/tables/tests.rs
@@ -1,14 +1,14 @@
 use crate::coordination::routing_table::tables::*;
 
-fn table(number: u64) -> Table {
-    Table {
+fn table(number: u64) -> RoutingTable {
+    RoutingTable {
         number,
         digest: [number as u8; 32],
         text: format!("# {number}"),
     }
 }
 
-fn go(t: &mut Tables, changes: &[Change]) -> usize {
+fn go(t: &mut SiteTables, changes: &[Change]) -> usize {
     let mut applied = 0;
     for change in changes {
         let turn = t.turn;
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_table_is_offered_accepted_decided_and_comes_into_force_once() {
-    let mut t = Tables::default();
+    let mut t = SiteTables::default();
     let all = [
         Change::Offer { table: table(1) },
         Change::Accept { number: 1 },
@@ -32,7 +32,7 @@
     assert_eq!(
         (t.register, &t.table),
         (
-            Register {
+            ActiveTable {
                 number: 1,
                 stance: SiteAdmission::Open,
                 turn: 5
@@ -46,7 +46,7 @@
 
 #[test]
 fn what_is_dropped_leaves_no_trace_and_what_is_based_on_an_earlier_turn_is_void() {
-    let mut t = Tables::default();
+    let mut t = SiteTables::default();
     let (offer, accept) = (
         Change::Offer { table: table(2) },
         Change::Accept { number: 2 },
@@ -65,7 +65,7 @@
     );
     assert_eq!(
         (t.offered.is_none(), t.register),
-        (true, Register::default())
+        (true, ActiveTable::default())
     );
     let before = t.clone();
     t.apply(9, 9, t.turn - 1, &Change::Decide { table: table(3) });
@@ -74,8 +74,8 @@
 
 #[test]
 fn a_pause_is_taken_back_and_a_hold_goes_before_it() {
-    let mut t = Tables::default();
-    let back = Change::TakeBack {
+    let mut t = SiteTables::default();
+    let back = Change::RollBack {
         silent: "n1".into(),
     };
     go(
@@ -98,19 +98,19 @@
         (t.register.number, t.register.stance),
         (4, SiteAdmission::Open)
     );
-    go(&mut t, &[Change::Hold, Change::GoOn]);
+    go(&mut t, &[Change::Hold, Change::Resume]);
     assert_eq!(t.register.stance, SiteAdmission::Open);
 }
 
 #[test]
 fn a_site_that_was_off_the_roster_opens_by_nothing_but_the_newest() {
-    let mut t = Tables::default();
-    let back = Change::TakeBack {
+    let mut t = SiteTables::default();
+    let back = Change::RollBack {
         silent: "n1".into(),
     };
     go(&mut t, &[Change::Decide { table: table(4) }, Change::Hold]);
     assert_eq!(
-        go(&mut t, &[Change::GoOn, Change::Pause, back.clone()]),
+        go(&mut t, &[Change::Resume, Change::Pause, back.clone()]),
         2,
         "it waits for what was decided"
     );
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_lease_only_grows_and_changes_nothing_else() {
-    let mut t = Tables::default();
+    let mut t = SiteTables::default();
     t.apply(1, 0, 7, &Change::Lease { until_ms: 500 });
     t.apply(2, 0, 0, &Change::Lease { until_ms: 300 });
     assert_eq!((t.lease_ms, t.turn), (500, 0));
--- a/tests/federation.rs
+++ b/tests/federation.rs
@@ -1,4 +1,4 @@
-//! Sites that agree: whole sites of three keepers each, with the voice that each leader has, in a
+//! Sites that agree: whole sites of three keepers each, with the member that each leader has, in a
 //! net that loses, doubles and is late, with leaders killed, frozen or cut off from their site
 //! while they speak on to others; and real processes.
 //!
@@ -18,7 +18,10 @@
 use raildeal::coordination::raft_log::{assemble_checkpoint, LogItem, ReplicaIdentity};
 use raildeal::coordination::record::Command;
 use raildeal::coordination::routing_table::federation::{self, Federation, DECIDED};
-use raildeal::coordination::routing_table::member::{Came, Out, Place, Settings, Voice, Word};
+use raildeal::coordination::routing_table::member::{
+    FederationMember, IncarnationUnknown, MemberAdmission, MemberEffect, MemberMessage,
+    MemberSettings, SiteAddress,
+};
 use raildeal_test_harness::relay::Relay;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader};
@@ -38,7 +41,7 @@
 struct Keeper {
     disk: Vec<LogItem>,
     group: Option<RaftGroup>,
-    voice: Option<Voice>,
+    member: Option<FederationMember>,
     saving: Option<(LogItem, u64)>,
     saves: u32,
     /// Down, or frozen with all that it has, until then.
@@ -61,7 +64,7 @@
         from: u64,
         incarnation: u64,
         to: u64,
-        word: Word,
+        word: MemberMessage,
     },
 }
 
@@ -82,27 +85,27 @@
     records: BTreeMap<u64, Arc<Federation>>,
     believed: BTreeMap<u64, u64>,
     off: BTreeMap<u64, u64>,
-    voices: u32,
+    members: u32,
     answers: Vec<OperatorResponse>,
 }
 
-fn settings(site: u64) -> Settings {
+fn settings(site: u64) -> MemberSettings {
     let others = (1..=3).filter(|n| *n != site);
-    let place = |n: u64| Place {
+    let place = |n: u64| SiteAddress {
         name: format!("s{n}"),
-        at: vec![([127, 0, 0, n as u8], 1).into()],
+        addresses: vec![([127, 0, 0, n as u8], 1).into()],
     };
-    Settings {
-        name: "land".into(),
-        number: site,
-        site: format!("s{site}"),
-        begin: site <= 3,
-        formerly: None,
-        sites: others.map(|n| (n, place(n))).collect(),
+    MemberSettings {
+        federation: "land".into(),
+        site_number: site,
+        site_name: format!("s{site}"),
+        bootstrap: site <= 3,
+        former_number: None,
+        other_sites: others.map(|n| (n, place(n))).collect(),
         lease_ms: 4_000,
         fence_ms: (FENCE / 1_000_000) as u32,
         tick_ms: 100,
-        holds: true,
+        holds_after_lease: true,
     }
 }
 
@@ -147,7 +150,7 @@
             records: BTreeMap::new(),
             believed: BTreeMap::new(),
             off: BTreeMap::new(),
-            voices: 0,
+            members: 0,
             answers: Vec::new(),
         }
     }
@@ -176,7 +179,7 @@
         let leads = self
             .keepers
             .iter()
-            .find(|((s, _), k)| *s == site && k.voice.is_some())
+            .find(|((s, _), k)| *s == site && k.member.is_some())
             .map(|(at, _)| *at);
         let at = leads
             .filter(|_| self.rng.u32(..4) > 0)
@@ -188,7 +191,7 @@
                 if let Some((piece, _)) = keeper.saving.take().filter(|_| coin) {
                     write(&mut keeper.disk, piece);
                 }
-                (keeper.group, keeper.voice, keeper.back_at, keeper.frozen) =
+                (keeper.group, keeper.member, keeper.back_at, keeper.frozen) =
                     (None, None, until, false);
             }
             1 => (keeper.back_at, keeper.frozen) = (until, keeper.group.is_some()),
@@ -240,11 +243,11 @@
                 }
             }
             let mut out = Vec::new();
-            if let (Some(voice), Some(group)) = (&mut keeper.voice, &keeper.group) {
+            if let (Some(member), Some(group)) = (&mut keeper.member, &keeper.group) {
                 (1..=4)
                     .filter(|site| *site != at.0)
-                    .for_each(|site| voice.lives(now, site));
-                voice.tick(now, group.record(), &mut out);
+                    .for_each(|site| member.on_heartbeat(now, site));
+                member.on_tick(now, group.record(), &mut out);
             }
             self.carry(at, out);
             self.work(at);
@@ -283,8 +286,8 @@
                 if self.cut.contains_key(&from) || self.cut.contains_key(&to) {
                     return;
                 }
-                // It comes to any that takes itself for the voice.
-                let up = |k: &Keeper| k.voice.is_some() && now >= k.back_at;
+                // It comes to any that takes itself for the member.
+                let up = |k: &Keeper| k.member.is_some() && now >= k.back_at;
                 let here: Vec<_> = self
                     .keepers
                     .iter()
@@ -294,14 +297,16 @@
                     return;
                 };
                 let keeper = self.keepers.get_mut(&at).expect("a keeper");
-                let (Some(voice), Some(group)) = (&mut keeper.voice, &keeper.group) else {
+                let (Some(member), Some(group)) = (&mut keeper.member, &keeper.group) else {
                     return;
                 };
                 let mut out = Vec::new();
-                if voice.came(now, from, incarnation, group.record(), &mut out) == Came::Known {
-                    voice
-                        .hear(now, from, word, &mut out)
-                        .expect("a voice's word");
+                if member.admit_peer(now, from, incarnation, group.record(), &mut out)
+                    == MemberAdmission::Admitted
+                {
+                    member
+                        .on_message(now, from, word, &mut out)
+                        .expect("a member's word");
                 }
                 self.carry(at, out);
                 self.work(at);
@@ -311,7 +316,7 @@
 
     /// What lines say when they begin.
     fn introduce(&mut self, at: (u64, u64)) {
-        let incarnation = |k: &Keeper| k.voice.as_ref()?.incarnation(k.group.as_ref()?.record());
+        let incarnation = |k: &Keeper| k.member.as_ref()?.incarnation(k.group.as_ref()?.record());
         let Some(own) = incarnation(&self.keepers[&at]) else {
             return;
         };
@@ -328,23 +333,27 @@
             .filter_map(|(o, k)| Some((*o, incarnation(k)?)))
             .collect();
         for (other, theirs) in others {
-            let mut said =
-                |at: (u64, u64), does: &dyn Fn(&mut Voice, &RaftGroup, &mut Vec<Out>) -> Came| {
-                    let keeper = self.keepers.get_mut(&at).expect("a keeper");
-                    let (Some(voice), Some(group)) = (&mut keeper.voice, &keeper.group) else {
-                        return Came::Later;
-                    };
-                    let mut out = Vec::new();
-                    let came = does(voice, group, &mut out);
-                    self.carry(at, out);
-                    came
+            let mut said = |at: (u64, u64),
+                            does: &dyn Fn(
+                &mut FederationMember,
+                &RaftGroup,
+                &mut Vec<MemberEffect>,
+            ) -> MemberAdmission| {
+                let keeper = self.keepers.get_mut(&at).expect("a keeper");
+                let (Some(member), Some(group)) = (&mut keeper.member, &keeper.group) else {
+                    return MemberAdmission::NotYet;
                 };
-            if said(other, &|voice, group, out| {
-                voice.came(now, at.0, own, group.record(), out)
-            }) == Came::Known
+                let mut out = Vec::new();
+                let came = does(member, group, &mut out);
+                self.carry(at, out);
+                came
+            };
+            if said(other, &|member, group, out| {
+                member.admit_peer(now, at.0, own, group.record(), out)
+            }) == MemberAdmission::Admitted
             {
-                said(at, &|voice, group, out| {
-                    voice.answered(now, other.0, theirs, group.record(), out)
+                said(at, &|member, group, out| {
+                    member.on_peer_answer(now, other.0, theirs, group.record(), out)
                 });
             }
         }
@@ -353,15 +362,15 @@
     /// Proposes, accepts and switches, as an office would.
     fn office(&mut self, at: (u64, u64)) {
         let (chance, key) = (self.rng.u32(..40), self.rng.u64(..));
-        let Some(voice) = &mut self.keepers.get_mut(&at).expect("a keeper").voice else {
+        let Some(member) = &mut self.keepers.get_mut(&at).expect("a keeper").member else {
             return;
         };
-        let (record, site) = (voice.known().record.clone(), at.0);
+        let (record, site) = (member.view().record.clone(), at.0);
         let mut out = Vec::new();
         match &record.proposal {
             Some(p) if chance < 8 => {
                 let number = p.table.number;
-                voice.command(
+                member.submit(
                     self.now,
                     federation::Command::Accept { site, number },
                     &mut out,
@@ -376,13 +385,13 @@
                     digest: [0; 32],
                     within_ms: 10_000,
                 };
-                voice.command(self.now, propose, &mut out);
+                member.submit(self.now, propose, &mut out);
             }
             _ if chance < 12 => {
                 let number = record.table.number;
-                voice.command(
+                member.submit(
                     self.now,
-                    federation::Command::Switched { site, number },
+                    federation::Command::CutOver { site, number },
                     &mut out,
                 );
             }
@@ -392,31 +401,31 @@
         self.work(at);
     }
 
-    /// A person's order, said at each voice.
+    /// A person's order, said at each member.
     fn order(&mut self, order: &FederationRequest) {
         for at in self.keepers.keys().copied().collect::<Vec<_>>() {
             let keeper = self.keepers.get_mut(&at).expect("a keeper");
             let up = self.now >= keeper.back_at;
-            if let Some(voice) = keeper.voice.as_mut().filter(|_| up) {
+            if let Some(member) = keeper.member.as_mut().filter(|_| up) {
                 let mut out = Vec::new();
-                voice.order(self.now, 1, order, &mut out);
+                member.submit_roster_order(self.now, 1, order, &mut out);
                 self.carry(at, out);
                 self.work(at);
             }
         }
     }
 
-    fn carry(&mut self, at: (u64, u64), out: Vec<Out>) {
+    fn carry(&mut self, at: (u64, u64), out: Vec<MemberEffect>) {
         let now = self.now;
         for what in out {
             let keeper = self.keepers.get_mut(&at).expect("a keeper");
-            let (Some(voice), Some(group)) = (&mut keeper.voice, &mut keeper.group) else {
+            let (Some(member), Some(group)) = (&mut keeper.member, &mut keeper.group) else {
                 return;
             };
             match what {
-                Out::Propose(command) => {
+                MemberEffect::ProposeToSite(command) => {
                     if group.propose(&command).is_err() {
-                        voice.refused(now);
+                        member.on_proposal_refused(now);
                     } else if self.early
                         && matches!(
                             command,
@@ -429,34 +438,38 @@
                         let mut record = group.record().clone();
                         record.apply(record.version, &command);
                         let mut out = Vec::new();
-                        voice.applied(now, &command, &record, &mut out);
+                        member.on_applied(now, &command, &record, &mut out);
                         self.carry(at, out);
                     }
                 }
-                Out::Say(to, word) => self.say(at, to, &word),
-                Out::Raft(to, word, snapshot) => {
-                    voice.sent(to, snapshot, true);
-                    if let Word::Raft(bytes) = &word {
+                MemberEffect::Send { to, message } => self.say(at, to, &message),
+                MemberEffect::SendRaft {
+                    to,
+                    message,
+                    has_snapshot,
+                } => {
+                    member.on_sent(to, has_snapshot, true);
+                    if let MemberMessage::Raft(bytes) = &message {
                         self.observe(at.0, bytes);
                     }
-                    self.say(at, to, &word);
+                    self.say(at, to, &message);
                 }
-                Out::Answer(_, word) => self.answers.push(word),
-                Out::Meet(site, _) => {
+                MemberEffect::Answer { answer, .. } => self.answers.push(answer),
+                MemberEffect::RequestIncarnation { site, .. } => {
                     let mut there = self.keepers.iter().filter(|(o, _)| o.0 == site);
                     let met = there.find_map(|(_, k)| {
-                        k.voice.as_ref()?.incarnation(k.group.as_ref()?.record())
+                        k.member.as_ref()?.incarnation(k.group.as_ref()?.record())
                     });
                     let mut out = Vec::new();
-                    let voice = self
+                    let member = self
                         .keepers
                         .get_mut(&at)
-                        .and_then(|k| k.voice.as_mut())
+                        .and_then(|k| k.member.as_mut())
                         .expect("it asked");
-                    voice.met(
+                    member.on_incarnation(
                         now,
                         site,
-                        met.ok_or_else(|| "nobody speaks".into()),
+                        met.ok_or_else(|| IncarnationUnknown("nobody speaks".into())),
                         &mut out,
                     );
                     self.carry(at, out);
@@ -465,14 +478,14 @@
         }
     }
 
-    fn say(&mut self, at: (u64, u64), to: u64, word: &Word) {
+    fn say(&mut self, at: (u64, u64), to: u64, word: &MemberMessage) {
         let keeper = &self.keepers[&at];
         let record = keeper.group.as_ref().map(RaftGroup::record);
         let known = keeper
-            .voice
+            .member
             .as_ref()
             .zip(record)
-            .and_then(|(voice, record)| voice.incarnation(record));
+            .and_then(|(member, record)| member.incarnation(record));
         let Some(incarnation) = known else { return };
         self.post(|| Packet::Word {
             from: at.0,
@@ -528,19 +541,26 @@
             let mut idle = messages.is_empty() && events.is_empty();
             let mut out = Vec::new();
             for event in events {
-                if let (GroupEvent::Applied(_, command), Some(voice)) = (event, &mut keeper.voice) {
-                    voice.applied(now, &command, group.record(), &mut out);
+                if let (GroupEvent::Applied(_, command), Some(member)) = (event, &mut keeper.member)
+                {
+                    member.on_applied(now, &command, group.record(), &mut out);
                 }
             }
             if keeper.saving.is_none() {
                 keeper.saving = group.piece().map(|piece| (piece, now + wait));
             }
             if group.leader() != group.me() {
-                keeper.voice = None;
-            } else if group.is_ready_to_lead() && keeper.voice.is_none() {
+                keeper.member = None;
+            } else if group.is_ready_to_lead() && keeper.member.is_none() {
                 let (term, seed) = (group.term(), self.rng.u64(..));
-                keeper.voice = Some(Voice::new(settings(at.0), term, now, group.record(), seed));
-                self.voices += 1;
+                keeper.member = Some(FederationMember::new(
+                    settings(at.0),
+                    term,
+                    now,
+                    group.record(),
+                    seed,
+                ));
+                self.members += 1;
                 idle = false;
             }
             idle &= out.is_empty();
@@ -572,10 +592,10 @@
 
     /// One record for each version, and no lease beyond what is counted.
     fn look(&mut self, at: (u64, u64)) {
-        let Some(voice) = &self.keepers[&at].voice else {
+        let Some(member) = &self.keepers[&at].member else {
             return;
         };
-        let known = voice.known().clone();
+        let known = member.view().clone();
         let record = self
             .records
             .entry(known.record.version)
@@ -586,7 +606,7 @@
             self.seed
         );
         let believed = self.believed.entry(at.0).or_default();
-        *believed = (*believed).max(known.lease.unwrap_or_default());
+        *believed = (*believed).max(known.lease_until.unwrap_or_default());
         for site in &known.record.off {
             let end = self.believed.get(site).copied().unwrap_or_default();
             let since = *self.off.entry(*site).or_insert(self.now);
@@ -623,7 +643,7 @@
     disk.push(piece);
 }
 
-/// Gives how many tables were decided, under how many leaders, with how many voices.
+/// Gives how many tables were decided, under how many leaders, with how many members.
 fn play(seed: u64, early: bool) -> (usize, usize, u32) {
     let mut world = World::new(seed);
     world.early = early;
@@ -658,8 +678,8 @@
     let trouble: Vec<_> = world
         .keepers
         .values()
-        .filter_map(|k| k.voice.as_ref())
-        .flat_map(Voice::trouble)
+        .filter_map(|k| k.member.as_ref())
+        .flat_map(FederationMember::problems)
         .collect();
     assert!(
         !trouble.iter().any(|(_, why)| why.contains("is lost")),
@@ -676,15 +696,15 @@
         "seed {seed}"
     );
     for ((site, _), keeper) in world.keepers.iter().filter(|(at, _)| sites.contains(&at.0)) {
-        if let Some(known) = keeper.voice.as_ref().map(Voice::known) {
+        if let Some(known) = keeper.member.as_ref().map(FederationMember::view) {
             let late = newest.version - known.record.version;
             assert!(
-                late < 20 && known.lease.is_some_and(|at| at > world.now),
+                late < 20 && known.lease_until.is_some_and(|at| at > world.now),
                 "seed {seed}: site {site}"
             );
         }
     }
-    (world.decided(), world.leaders.len(), world.voices)
+    (world.decided(), world.leaders.len(), world.members)
 }
 
 fn seeds(few: u64) -> std::ops::Range<u64> {
@@ -696,20 +716,20 @@
 
 #[test]
 fn sites_agree_whoever_speaks_for_them_and_one_that_is_off_was_fenced() {
-    let (mut decided, mut leaders, mut voices) = (0, 0, 0);
+    let (mut decided, mut leaders, mut members) = (0, 0, 0);
     for seed in seeds(6) {
         let (d, l, v) = play(seed, false);
-        (decided, leaders, voices) = (decided + d, leaders + l, voices + v);
+        (decided, leaders, members) = (decided + d, leaders + l, members + v);
     }
-    eprintln!("{decided} tables decided under {leaders} leaders, by {voices} voices");
+    eprintln!("{decided} tables decided under {leaders} leaders, by {members} members");
     assert!(
-        decided > 20 && leaders > 12 && voices > 60,
-        "too little happened: {decided} {leaders} {voices}"
+        decided > 20 && leaders > 12 && members > 60,
+        "too little happened: {decided} {leaders} {members}"
     );
 }
 
 #[test]
-fn a_voice_that_speaks_before_the_record_has_it_is_found_out() {
+fn a_member_that_sends_before_the_record_has_it_is_found_out() {
     // It breaks a promise, or the library sees that what was acknowledged is lost.
     let told = |seed: u64| {
         let panic = std::panic::catch_unwind(|| play(seed, true)).err()?;
--- a/tests/model_tables/agreed.rs
+++ b/tests/model_tables/agreed.rs
@@ -214,7 +214,7 @@
                     why: "late".into(),
                 });
                 if n != s.record.table.number {
-                    late.push(Command::Switched { site, number: n });
+                    late.push(Command::CutOver { site, number: n });
                 }
             }
         }
@@ -353,7 +353,7 @@
             Action::Learns(at) => s.sites[at].knows = s.record.table.number,
             Action::Goes(at) => s.sites[at].uses = s.sites[at].knows,
             Action::Switched(at) => {
-                let switched = Command::Switched {
+                let switched = Command::CutOver {
                     site: of(&s, at),
                     number: s.sites[at].uses,
                 };
--- a/tests/model_tables/sites.rs
+++ b/tests/model_tables/sites.rs
@@ -1,6 +1,6 @@
 //! Orders, drawn from a seed, of what can happen between a federation, two sites with a leader each
 //! (of which one is deposed and goes on), and two senders a site, over the unchanged machines:
-//! [`Switch`], [`Record`] and [`Federation`]. Agreed logs stand for the keepers and for the sites'
+//! [`Cutover`], [`Record`] and [`Federation`]. Agreed logs stand for the keepers and for the sites'
 //! consensus. Senders' leases are counted in steps: a sender that is not renewed by the leader that
 //! is in office loses its lease.
 
@@ -9,8 +9,9 @@
     AgentTableMessage, Digest, ReplicaTableMessage, SiteAdmission,
 };
 use raildeal::coordination::record::{Command, Record};
-use raildeal::coordination::routing_table::cutover::{Known, Out, Switch};
+use raildeal::coordination::routing_table::cutover::{Cutover, CutoverEffect};
 use raildeal::coordination::routing_table::federation::{self, Federation, DECIDED};
+use raildeal::coordination::routing_table::federation_view::FederationView;
 use raildeal::coordination::routing_table::tables::Change;
 use stateright::{Checker, HasDiscoveries, Model, Property, UniformChooser};
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,7 +56,7 @@
 #[derive(Clone, Debug)]
 struct Leader {
     term: u64,
-    switch: Switch,
+    cutover: Cutover,
     record: Record,
     proposed: Vec<Command>,
     /// The federation as far as its voice has heard, and until when that knows the site to be
@@ -137,7 +138,7 @@
                 let leaders: Vec<_> = s
                     .leaders
                     .iter()
-                    .map(|l| (&l.switch, &l.record.tables, &l.proposed, l.heard, l.lease))
+                    .map(|l| (&l.cutover, &l.record.tables, &l.proposed, l.heard, l.lease))
                     .collect();
                 (leaders, &s.senders, &s.words, s.counted)
             })
@@ -285,21 +286,21 @@
         }
         let words = &mut site.words;
         leader
-            .switch
-            .say(now, &name(n), &leader.record, &mut 10, &mut |word| {
+            .cutover
+            .send_due_messages(now, &name(n), &leader.record, &mut 10, &mut |word| {
                 if !words.contains(&(n, line, word.clone())) {
                     words.push((n, line, word));
                 }
             });
     }
 
-    fn out(&self, s: &mut State, at: usize, which: usize, out: Vec<Out>) {
+    fn out(&self, s: &mut State, at: usize, which: usize, out: Vec<CutoverEffect>) {
         let leads = which == self.last(s, at);
         for out in out {
             let site = &mut s.sites[at];
             let leader = &mut site.leaders[which];
             match out {
-                Out::Site(change) => {
+                CutoverEffect::ProposeToSite(change) => {
                     if let Change::Accept { number } = &change {
                         // One that joins before the record has it finds itself asked again.
                         let live = |n: usize| {
@@ -325,9 +326,9 @@
                         leader.proposed.push(command);
                     }
                 }
-                Out::Federation(command) => {
+                CutoverEffect::ProposeToFederation(command) => {
                     let silent = self.fault == Fault::Silent
-                        && matches!(command, federation::Command::Switched { .. });
+                        && matches!(command, federation::Command::CutOver { .. });
                     if !silent && s.cut != Some(at) && !s.words.contains(&command) {
                         s.words.push(command);
                     }
@@ -336,20 +337,20 @@
         }
     }
 
-    fn known(&self, s: &State, at: usize, which: usize) -> Known {
+    fn known(&self, s: &State, at: usize, which: usize) -> FederationView {
         let (site, leader) = (&s.sites[at], &s.sites[at].leaders[which]);
-        Known {
+        FederationView {
             name: "f".into(),
-            me: site.number,
+            own_site: site.number,
             record: leader.federation.clone(),
             leader: 1,
-            heard: if s.cut.is_none() {
+            reachable_sites: if s.cut.is_none() {
                 leader.federation.sites.keys().copied().collect()
             } else {
                 BTreeSet::new()
             },
-            lease: leader.lease.map(|until| until * MS),
-            holds: true,
+            lease_until: leader.lease.map(|until| until * MS),
+            holds_after_lease: true,
         }
     }
 
@@ -361,8 +362,8 @@
         }
         let mut out = Vec::new();
         leader
-            .switch
-            .tick(now, &leader.record, Some(&known), &mut out);
+            .cutover
+            .on_tick(now, &leader.record, Some(&known), &mut out);
         let tables = &leader.record.tables;
         let fault = match self.fault {
             Fault::Hasty if tables.register.stance == SiteAdmission::Paused => Some(Change::Commit),
@@ -384,7 +385,7 @@
                 }),
             _ => None,
         };
-        out.extend(fault.map(Out::Site));
+        out.extend(fault.map(CutoverEffect::ProposeToSite));
         self.out(s, at, which, out);
         (0..SENDERS).for_each(|n| self.say(s, at, which, n));
     }
@@ -412,7 +413,7 @@
             .for_each(|(index, c)| federation.apply(index as u64 + 1, c));
         site.leaders.push(Leader {
             term,
-            switch: Switch::new(now * MS, Some(led * MS)),
+            cutover: Cutover::new(now * MS, Some(led * MS)),
             record,
             proposed: Vec::new(),
             heard: joined,
@@ -458,7 +459,7 @@
         match &command {
             Command::ChangeTables { change, .. } => {
                 let leader = &mut s.sites[at].leaders[which];
-                leader.switch.applied(now, index, change, &record);
+                leader.cutover.on_applied(now, index, change, &record);
             }
             Command::AddSender { sender, boot, .. } => {
                 let n = (0..SENDERS)
@@ -469,7 +470,7 @@
                 }
             }
             Command::ExpireSender { sender, .. } => {
-                s.sites[at].leaders[which].switch.part(sender);
+                s.sites[at].leaders[which].cutover.on_session_closed(sender);
             }
             _ => {}
         }
@@ -480,7 +481,7 @@
         let now = s.now * MS;
         let site = &mut s.sites[at];
         let (leader, sender) = (&mut site.leaders[which], &mut site.senders[n]);
-        leader.switch.meet(&name(n), sender.boot);
+        leader.cutover.on_session_opened(&name(n), sender.boot);
         let has = AgentTableMessage::StoredTables(
             sender
                 .stored
@@ -494,8 +495,8 @@
         sender.alone = 0;
         let mut out = Vec::new();
         leader
-            .switch
-            .hear(now, &name(n), &has, &leader.record, &mut out);
+            .cutover
+            .on_sender_message(now, &name(n), &has, &leader.record, &mut out);
         self.out(s, at, which, out);
         self.say(s, at, which, n);
     }
@@ -574,8 +575,8 @@
         }
         for answer in answers {
             leader
-                .switch
-                .hear(now, &name(n), &answer, &leader.record, &mut out);
+                .cutover
+                .on_sender_message(now, &name(n), &answer, &leader.record, &mut out);
         }
         self.out(s, at, which, out);
         (0..SENDERS).for_each(|n| self.say(s, at, which, n));
@@ -637,8 +638,9 @@
             let (term, dead) = (leader.term, leader.dead);
             // A leader renews nothing while its site is to be held and the record does not say so
             // yet.
-            let renews =
-                !dead && (!leader.switch.bars(&leader.record) || self.fault == Fault::NoHold);
+            let renews = !dead
+                && (!leader.cutover.must_withhold_leases(&leader.record)
+                    || self.fault == Fault::NoHold);
             let deposed = self.fault == Fault::DeposedRenews;
             for sender in &mut site.senders {
                 let on = sender.line.0 == term && renews
--- a/tests/pins/fleet_frames.rs
+++ b/tests/pins/fleet_frames.rs
@@ -7,7 +7,7 @@
 use raildeal::coordination::policy_rollout::register::Change;
 use raildeal::coordination::record::{Command, Phase};
 use raildeal::coordination::routing_table::federation::Command as FederationCommand;
-use raildeal::coordination::routing_table::member::Word;
+use raildeal::coordination::routing_table::member::MemberMessage;
 use raildeal::coordination::routing_table::tables;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -416,13 +416,13 @@
 #[test]
 fn messages_between_sites_keep_their_bytes() {
     let mut pins = Pins::of(include_str!("between_sites.txt"));
-    let raft = Word::Raft(ByteBuf::from(vec![1, 2, 3]));
+    let raft = MemberMessage::Raft(ByteBuf::from(vec![1, 2, 3]));
     frame(&mut pins, "raft", raft);
     for (name, command) in federation_commands() {
-        frame(&mut pins, name, Word::Command(Box::new(command)));
+        frame(&mut pins, name, MemberMessage::Command(Box::new(command)));
     }
-    frame(&mut pins, "ask", Word::Ask(300));
-    let granted = Word::Granted {
+    frame(&mut pins, "ask", MemberMessage::LeaseRequest(300));
+    let granted = MemberMessage::LeaseGranted {
         ask: 300,
         lease_ms: 4_000,
         version: 18,
@@ -430,9 +430,13 @@
     frame(&mut pins, "granted", granted);
     for (name, order) in table_orders() {
         let name = name.replace("table-", "order-");
-        frame(&mut pins, &name, Word::Order { id: 5, order });
+        frame(
+            &mut pins,
+            &name,
+            MemberMessage::RosterOrder { id: 5, order },
+        );
     }
-    let ordered = |answer| Word::Ordered { id: 5, answer };
+    let ordered = |answer| MemberMessage::RosterOrderResult { id: 5, answer };
     frame(&mut pins, "ordered", ordered(Ok(18)));
     frame(&mut pins, "ordered-refused", ordered(Err("no".into())));
     pins.finish();
@@ -472,7 +476,7 @@
         ("abort", abort),
         (
             "switched",
-            FederationCommand::Switched { site: 2, number: 7 },
+            FederationCommand::CutOver { site: 2, number: 7 },
         ),
         ("join", join),
         ("off", FederationCommand::Off { site: 3 }),
@@ -572,7 +576,7 @@
 
 fn table_changes() -> [(&'static str, tables::Change); 10] {
     use tables::Change::*;
-    let take_back = TakeBack {
+    let take_back = RollBack {
         silent: "s1".into(),
     };
     [
@@ -585,6 +589,6 @@
         ("table-take-back", take_back),
         ("table-lease", Lease { until_ms: 9_000 }),
         ("table-hold", Hold),
-        ("table-go-on", GoOn),
+        ("table-go-on", Resume),
     ]
 }
--- a/tests/pins/fleet_values.rs
+++ b/tests/pins/fleet_values.rs
@@ -6,7 +6,7 @@
 use raildeal::coordination::raft_log::{
     Batch, Checkpoint, LogEntry, LogItem, PersistedHardState, ReplicaIdentity,
 };
-use raildeal::coordination::routing_table::federation::Table;
+use raildeal::coordination::routing_table::federation::RoutingTable;
 use serde_bytes::ByteBuf;
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
 pub const DIGEST: Digest = [0xab; 32];
 
 /// A routing table.
-pub fn table() -> Table {
-    Table {
+pub fn table() -> RoutingTable {
+    RoutingTable {
         number: 7,
         digest: DIGEST,
         text: "routes".into(),
--- a/tests/pins/replica_log.rs
+++ b/tests/pins/replica_log.rs
@@ -13,9 +13,9 @@
 use raildeal::coordination::record::{Phase, Record, RosterEntry as Sender, Zone, ZoneOverride};
 use raildeal::coordination::routing_table::durable_vote::DurableVote;
 use raildeal::coordination::routing_table::federation::{
-    Federation, Past as PastTable, Proposal, Site, Table,
+    EndedProposal as PastTable, Federation, Proposal, ProposalKey, RoutingTable, Site,
 };
-use raildeal::coordination::routing_table::tables::{Offered, Register as TableRegister, Tables};
+use raildeal::coordination::routing_table::tables::{ActiveTable, OfferedTable, SiteTables};
 use raildeal::store::disk::Folder;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::path::Path;
@@ -70,12 +70,12 @@
     let mut pins = Pins::of(include_str!("snapshots_of_earlier_forms.txt"));
     let only_zones = Record {
         policies: Policies::default(),
-        tables: Tables::default(),
+        tables: SiteTables::default(),
         written: DurableVote::default(),
         ..record()
     };
     let without_tables = Record {
-        tables: Tables::default(),
+        tables: SiteTables::default(),
         written: DurableVote::default(),
         ..record()
     };
@@ -182,17 +182,17 @@
     }
 }
 
-fn tables() -> Tables {
-    let register = TableRegister {
+fn tables() -> SiteTables {
+    let register = ActiveTable {
         number: 7,
         stance: SiteAdmission::LeaseExpired,
         turn: 8,
     };
-    let offered = Offered {
+    let offered = OfferedTable {
         table: table(),
         accepted: true,
     };
-    Tables {
+    SiteTables {
         turn: 8,
         at: 27,
         register,
@@ -222,14 +222,17 @@
         name: "north".into(),
         uses: 7,
     };
-    let before = Table {
+    let before = RoutingTable {
         number: 6,
         digest: [0xcd; 32],
         text: "before".into(),
     };
     let proposal = Proposal {
         table: table(),
-        by: ("north".into(), 9),
+        by: ProposalKey {
+            site: "north".into(),
+            key: 9,
+        },
         accepted: BTreeSet::from([1]),
         since_ms: 3_000,
         until_ms: 63_000,
@@ -237,7 +240,10 @@
     let past = PastTable {
         number: 5,
         digest: DIGEST,
-        by: ("south".into(), 8),
+        by: ProposalKey {
+            site: "south".into(),
+            key: 8,
+        },
         end: "decided".into(),
         since_ms: 1_000,
         ended_ms: 2_000,
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -16,8 +16,9 @@
     OperatorResponse, ReplicaTableMessage, ReplicaToAgent, SiteAdmission,
 };
 use raildeal::coordination::record::{self, Record};
-use raildeal::coordination::routing_table::cutover::{self, Known, Switch};
+use raildeal::coordination::routing_table::cutover::{self, Cutover};
 use raildeal::coordination::routing_table::federation::{self, Federation};
+use raildeal::coordination::routing_table::federation_view::FederationView;
 use raildeal::coordination::routing_table::tables::Change;
 use raildeal::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use raildeal::Nanos;
@@ -129,7 +130,7 @@
 
 /// A leader, by its own clock.
 struct Leader {
-    switch: Switch,
+    cutover: Cutover,
     clock: Clock,
     counted: Nanos,
     lease: Option<Nanos>,
@@ -353,7 +354,7 @@
                     line,
                     until: session.until,
                 };
-                leader.switch.meet(&sender, boot);
+                leader.cutover.on_session_opened(&sender, boot);
                 if !live {
                     self.apply(record::Command::AddSender {
                         sender,
@@ -371,7 +372,7 @@
                 );
             }
             AgentToReplica::Report { report, .. } if own => {
-                leader.switch.reports(&sender);
+                leader.cutover.on_report(&sender);
                 self.sessions[n].until = self.sessions[n].until.max(self.counted());
                 self.say(
                     n,
@@ -388,8 +389,8 @@
             AgentToReplica::RoutingTable(word) if own => {
                 let (at, mut out) = (leader.clock.at(now), Vec::new());
                 leader
-                    .switch
-                    .hear(at, &sender, &word, &self.record, &mut out);
+                    .cutover
+                    .on_sender_message(at, &sender, &word, &self.record, &mut out);
                 self.carry_out(out);
                 self.tell(n);
             }
@@ -405,17 +406,17 @@
         let (at, mut said) = (leader.clock.at(self.now), Vec::new());
         let (mut offers, say) = (MAX_OFFERS_PER_ROUND, &mut |word| said.push(word));
         leader
-            .switch
-            .say(at, &format!("n{n}"), &self.record, &mut offers, say);
+            .cutover
+            .send_due_messages(at, &format!("n{n}"), &self.record, &mut offers, say);
         said.into_iter()
             .for_each(|word| self.say(n, ReplicaToAgent::RoutingTable(word)));
     }
 
-    fn carry_out(&mut self, out: Vec<cutover::Out>) {
+    fn carry_out(&mut self, out: Vec<cutover::CutoverEffect>) {
         for out in out {
             let soon = self.now + self.dice.u64(1..20) * MS;
             match out {
-                cutover::Out::Site(change) => {
+                cutover::CutoverEffect::ProposeToSite(change) => {
                     let base = self.record.tables.turn;
                     let live = |n: &usize| Some((*n, self.member(*n)?.boot));
                     let live: Vec<_> = (0..3).filter_map(|n| live(&n)).collect();
@@ -436,7 +437,7 @@
                     self.pending
                         .extend(then.map(|change| (soon + MS, table(base + 1, change))));
                 }
-                cutover::Out::Federation(command) => {
+                cutover::CutoverEffect::ProposeToFederation(command) => {
                     let lost = self.cut > self.now || self.bad && self.dice.u8(..5) == 0;
                     if !lost {
                         self.words.push((soon, command));
@@ -464,8 +465,8 @@
         };
         if let Ok(leader) = &mut self.leader {
             leader
-                .switch
-                .applied(leader.clock.at(self.now), self.index, change, &self.record);
+                .cutover
+                .on_applied(leader.clock.at(self.now), self.index, change, &self.record);
         }
         if self.record.tables.turn == before {
             return;
@@ -476,7 +477,7 @@
                 self.switched += 1;
                 self.all_have(before, self.record.tables.register.number);
             }
-            Change::TakeBack { .. } => self.taken_back += 1,
+            Change::RollBack { .. } => self.taken_back += 1,
             Change::Hold => self.held += 1,
             _ => {}
         }
@@ -511,7 +512,10 @@
             });
             let federation = &self.federation;
             let quiet = !self.bad && federation.table.number == 0;
-            if (self.bad || quiet) && federation.may_propose("").is_ok() && self.dice.u8(..5) == 0 {
+            if (self.bad || quiet)
+                && federation.check_proposal("").is_ok()
+                && self.dice.u8(..5) == 0
+            {
                 self.key += 1;
                 let (by, key, text) = ("s2".into(), self.key, format!("# {}", self.key));
                 let digest = [self.key as u8; 32];
@@ -532,7 +536,7 @@
                     false => Command::Accept { site: 2, number: p },
                 });
             }
-            commands.push(Command::Switched {
+            commands.push(Command::CutOver {
                 site: 2,
                 number: federation.table.number,
             });
@@ -589,7 +593,7 @@
                 _ => saw.then(|| clock.at(self.led)),
             };
             self.leader = Ok(Leader {
-                switch: Switch::new(at, led),
+                cutover: Cutover::new(at, led),
                 clock,
                 counted: at,
                 lease: None,
@@ -635,7 +639,9 @@
                     sender: sender.clone(),
                     boot: session.boot,
                 });
-                self.leader.iter_mut().for_each(|l| l.switch.part(&sender));
+                self.leader
+                    .iter_mut()
+                    .for_each(|l| l.cutover.on_session_closed(&sender));
             }
         }
         let Ok(leader) = &mut self.leader else { return };
@@ -653,17 +659,19 @@
             ));
         }
         if turn {
-            let known = Known {
+            let known = FederationView {
                 name: "f".into(),
-                me: self.me,
+                own_site: self.me,
                 record: self.heard.clone(),
                 leader: 2,
-                heard: BTreeSet::new(),
-                lease: leader.lease,
-                holds: self.fault != Fault::NoHold,
+                reachable_sites: BTreeSet::new(),
+                lease_until: leader.lease,
+                holds_after_lease: self.fault != Fault::NoHold,
             };
             let mut out = Vec::new();
-            leader.switch.tick(at, &self.record, Some(&known), &mut out);
+            leader
+                .cutover
+                .on_tick(at, &self.record, Some(&known), &mut out);
             self.carry_out(out);
             (0..3).for_each(|n| self.tell(n));
         }
@@ -925,7 +933,7 @@
                         site: 2,
                         number: self.federation.given,
                     },
-                    federation::Command::Switched {
+                    federation::Command::CutOver {
                         site: 2,
                         number: self.federation.table.number,
                     },
@@ -934,14 +942,14 @@
                     self.federation.apply(version, &command);
                 }
             }
-            let known = Known {
+            let known = FederationView {
                 name: "f".into(),
-                me: 1,
+                own_site: 1,
                 record: Arc::new(self.federation.clone()),
                 leader: 2,
-                heard: BTreeSet::new(),
-                lease: self.lease,
-                holds: true,
+                reachable_sites: BTreeSet::new(),
+                lease_until: self.lease,
+                holds_after_lease: true,
             };
             let mut out = Vec::new();
             self.duties
@@ -1128,14 +1136,14 @@
     (site.linked, site.lease) = (false, None);
     site.duties = LeaderDuties::new(LeaderRules::default(), 2, site.now, &site.record)
         .with_last_leader_seen(site.now, None);
-    let known = Known {
+    let known = FederationView {
         name: "f".into(),
-        me: 1,
+        own_site: 1,
         record: Arc::new(site.federation.clone()),
         leader: 0,
-        heard: BTreeSet::new(),
-        lease: None,
-        holds: true,
+        reachable_sites: BTreeSet::new(),
+        lease_until: None,
+        holds_after_lease: true,
     };
     let mut out = Vec::new();
     site.duties
