--- a/tests/pins/settings_keys.rs
+++ b/tests/pins/settings_keys.rs
@@ -766,12 +766,15 @@
         assert_eq!(config.tick_ms, 51);
         assert_eq!(config.peers[&2].to_string(), "127.0.0.1:7102");
         let federation = config.federation.expect("a federation");
-        assert_eq!((federation.number, federation.formerly), (1, Some(4)));
+        assert_eq!(
+            (federation.site_number, federation.former_number),
+            (1, Some(4))
+        );
         assert_eq!((federation.lease_ms, federation.fence_ms), (11_000, 16_000));
         assert_eq!(federation.tick_ms, 151);
-        assert!(!federation.holds);
+        assert!(!federation.holds_after_lease);
         let hold = read(&REPLICA.replace("without = \"last\"", "without = \"hold\""));
-        assert!(hold.federation.expect("a federation").holds);
+        assert!(hold.federation.expect("a federation").holds_after_lease);
     }
 
     const AGENT: &str = r#"
