--- a/src/coordination/leader/decide.rs
+++ b/src/coordination/leader/decide.rs
@@ -7,7 +7,7 @@
 //! operator's request on a zone is in the record.
 
 use crate::coordination::leader::capacity::share_of;
-use crate::coordination::leader::returns::ReturnsProgress;
+use crate::coordination::leader::returns::{requested_by_operator, ReturnsProgress};
 use crate::coordination::leader::{Effect, LeaderDuties, PendingDecision};
 use crate::coordination::messages::RequestedZoneState;
 use crate::coordination::record::{Command, Phase, Record, Zone};
@@ -427,8 +427,3 @@
     seen_by: usize,
     of: usize,
 }
-
-/// What an operator's request on a zone says, while it holds.
-pub(super) fn requested_by_operator(zone: &Zone) -> Option<RequestedZoneState> {
-    zone.wish.map(|request| request.what)
-}
--- a/src/coordination/leader/returns.rs
+++ b/src/coordination/leader/returns.rs
@@ -4,7 +4,6 @@
 //! [recovery ramp]: crate::coordination::zones::recovery_ramp
 
 use crate::coordination::leader::capacity::{full_load_per_second, share_of};
-use crate::coordination::leader::decide::requested_by_operator;
 use crate::coordination::leader::{Effect, LeaderDuties};
 use crate::coordination::messages::RequestedZoneState;
 use crate::coordination::record::{Command, Phase, Record, Zone};
@@ -106,3 +105,8 @@
         .filter(|(_, zone)| zone.phase == Phase::Returning)
         .map(|(name, zone)| (name.as_str(), zone))
 }
+
+/// What an operator's request on a zone says, while it holds.
+pub(super) fn requested_by_operator(zone: &Zone) -> Option<RequestedZoneState> {
+    zone.wish.map(|request| request.what)
+}
--- a/src/delivery/endpoint.rs
+++ b/src/delivery/endpoint.rs
@@ -1,8 +1,7 @@
 //! The types that describe listed endpoints: what a list says of them, and how this process knows
 //! them.
 //!
-//! Owns no state. Whoever reads a list (platform, DNS, the configuration) fills in
-//! [`EndpointListUpdate`]; [`super::endpoint_directory`] makes [`Endpoint`]s of it;
+//! Owns no state. Whoever reads a list fills in [`EndpointListUpdate`]; [`super::endpoint_directory`] makes [`Endpoint`]s of it;
 //! [`super::evacuation`], the clients of endpoints and the agent read those.
 
 use crate::{Condition, DestinationId, EndpointAddress, Listing};
--- a/src/delivery/message/accept.rs
+++ b/src/delivery/message/accept.rs
@@ -5,8 +5,9 @@
 //! client has received that its message is accepted, `deliver` goes on. Called by
 //! [`receive`](super::receive).
 
-use super::deliver::MessageInDelivery;
 use super::held_messages::{AcceptanceDecision, Duplicate, MessageIdGuard};
+use super::in_delivery::MessageInDelivery;
+use super::step;
 use super::{
     class_name, dispatcher_message, lacks_required_key, log_step, ClientReply, DeliveryContext,
 };
@@ -21,7 +22,6 @@
 use crate::delivery::script_hook::HookDecision;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{duration, Envelope, LifecycleEvent};
-use crate::message_trace::step;
 use crate::store::log::PutError;
 use std::io;
 use std::rc::Rc;
--- a/src/delivery/message/attempt.rs
+++ b/src/delivery/message/attempt.rs
@@ -5,14 +5,14 @@
 //! dispatcher saw when it chose the endpoint may have changed meanwhile. Called by `deliver` for
 //! each order to attempt; the connection itself is the [`EndpointClient`]'s.
 
-use super::deliver::MessageInDelivery;
+use super::in_delivery::MessageInDelivery;
 use super::log_step;
+use super::step;
 use crate::delivery::driver::{AttemptPermit, DispatcherDriver};
 use crate::delivery::endpoint::Endpoint;
 use crate::delivery::endpoint_directory::EndpointDirectory;
 use crate::delivery::routing_tables::RoutingTables;
 use crate::delivery::{duration, AttemptReport, AttemptRequest, EndpointClient};
-use crate::message_trace::step;
 use crate::{Condition, DedupScope, Effect, EndpointAddress, Outcome};
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/delivery/message/final_answer.rs
+++ b/src/delivery/message/final_answer.rs
@@ -4,14 +4,14 @@
 //! left. How a final answer travels is its frontend's business. Called by `deliver` once the
 //! verdict is known, and by [`resume`](super::resume) for one that an earlier process decided.
 
-use super::deliver::MessageInDelivery;
+use super::in_delivery::MessageInDelivery;
+use super::step;
 use super::{class_name, log_step};
 use crate::delivery::driver::DispatcherDriver;
 use crate::delivery::journal::{OpenRecord, WRITE_RETRY_DELAY};
 use crate::delivery::policies::Policy;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{duration, Envelope, Frontend, LifecycleEvent, Verdict};
-use crate::message_trace::step;
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
--- a/src/delivery/message/mod.rs
+++ b/src/delivery/message/mod.rs
@@ -18,6 +18,8 @@
 mod deliver;
 mod final_answer;
 pub mod held_messages;
+mod in_delivery;
+pub mod step;
 
 use crate::delivery::admission::Admission;
 use crate::delivery::client_quota::{Client, ClientQuotas};
@@ -28,13 +30,12 @@
 use crate::delivery::routing_tables::RoutingTables;
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{duration, EndpointClient, Envelope, Frontend, LocalBoxFuture};
-use crate::message_trace::step;
 use crate::{Class, Effect, Message, Nanos, PossibleRun, PriorAttempts};
 use accept::AcceptanceChecks;
 use attempt::AttemptExecutor;
-use deliver::MessageInDelivery;
 use final_answer::FinalAnswerReporter;
 use held_messages::{AcceptanceDecision, HeldMessages};
+use in_delivery::MessageInDelivery;
 use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
@@ -47,7 +48,7 @@
 macro_rules! log_step {
     ($level:ident, $id:expr, $($text:tt)+) => {
         log::$level!(
-            target: crate::message_trace::step::LOG_TARGET,
+            target: crate::delivery::message::step::LOG_TARGET,
             "{}: {}",
             $id,
             format_args!($($text)+)
--- a/src/main.rs
+++ b/src/main.rs
@@ -26,6 +26,7 @@
 use raildeal::delivery::timer_wheel::TimerWheel;
 use raildeal::delivery::{duration, unix_ms, EndpointClient as _, Frontend};
 use raildeal::dispatch::list_polling;
+use raildeal::log_filter::with_present_paths;
 use raildeal::loop_latency::LoopLatency;
 use raildeal::net::by_kind::ByKind;
 use raildeal::net::calls::Calls;
@@ -86,7 +87,11 @@
         Some(command) => return command.run(),
         None => cli.config,
     };
-    env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
+    let filters = std::env::var("RUST_LOG").unwrap_or_else(|_| "info".into());
+    env_logger::Builder::new()
+        .parse_filters(&with_present_paths(&filters))
+        .parse_write_style(&std::env::var("RUST_LOG_STYLE").unwrap_or_default())
+        .init();
     let config = configuration(source.as_deref());
     let executor = Rc::new(LocalExecutor::new());
     let turns = LoopLatency::default();
--- a/src/message_trace.rs
+++ b/src/message_trace.rs
@@ -10,66 +10,12 @@
 use std::fmt::Write;
 use std::io::{self, BufRead};
 
-/// The text of each step's line, behind `id: `.
-pub mod step {
-    use crate::delivery::{Envelope, Verdict};
-    use std::time::Duration;
-
-    /// The target under which each step is logged, whatever file of the delivery writes it.
-    pub const LOG_TARGET: &str = "raildeal::delivery::message";
-
-    /// The whole line of a message that is accepted, under a routing table where there is one.
-    pub fn accepted(envelope: &Envelope, table: u64, time_left: Duration) -> String {
-        let Envelope {
-            class, dest, key, ..
-        } = envelope;
-        let key = match key {
-            Some(key) => format!("{KEY}{key}"),
-            None => String::new(),
-        };
-        let under = match table {
-            0 => String::new(),
-            table => format!(", table {table}"),
-        };
-        format!("{ACCEPTED}class {class}, dest {dest}{under}{key}, {time_left:?}{TIME_LEFT}")
-    }
-
-    /// The whole line of a message that is over.
-    pub fn decided(
-        envelope: &Envelope,
-        table: u64,
-        verdict: Verdict,
-        time_left: Duration,
-    ) -> String {
-        let under = match table {
-            0 => String::new(),
-            table => format!(" under table {table}"),
-        };
-        let dest = envelope.dest;
-        format!("{DECIDED}{dest}{under} {verdict:?}, {time_left:?}{TIME_LEFT}")
-    }
-
-    /// Written down and given to the dispatcher; goes on with class, destination, key and time
-    /// left.
-    pub const ACCEPTED: &str = "taken on, ";
-    /// Between the words before and the key, where the message has one.
-    pub const KEY: &str = ", key ";
-    /// Behind a time left.
-    pub const TIME_LEFT: &str = " left";
-    /// Its client has been written that it is accepted.
-    pub const ACKNOWLEDGED: &str = "its client is told that it is taken on";
-    /// Resumed by a process that found it in its journal; goes on with time left and attempts.
-    pub const RESUMED: &str = "taken up with ";
-    /// An attempt; goes on with number and endpoint.
-    pub const ATTEMPT: &str = "call ";
-    /// Its end; goes on with destination, verdict and time left.
-    pub const DECIDED: &str = "dest ";
-    /// The final answer was heard, or none is owed.
-    pub const NOTIFIED: &str = "final answer told";
-}
+pub use crate::delivery::message::step;
 
 /// What stands before the id in every line of a message.
 const MESSAGE_LOG_TARGET: &str = "raildeal::delivery::message] ";
+/// The same in logs that were written before the module had its present path.
+const EARLIER_MESSAGE_LOG_TARGET: &str = "raildeal::core::invocation] ";
 /// In a line of [`step::RESUMED`]: no attempt went before.
 const NO_ATTEMPTS: &str = " 0 calls made";
 /// In a line of [`step::DECIDED`]: the message failed for good.
@@ -141,7 +87,10 @@
     }
 
     fn read_line(&mut self, sender: &str, line: &str) {
-        let Some((before, message)) = line.split_once(MESSAGE_LOG_TARGET) else {
+        let found = line
+            .split_once(MESSAGE_LOG_TARGET)
+            .or_else(|| line.split_once(EARLIER_MESSAGE_LOG_TARGET));
+        let Some((before, message)) = found else {
             return;
         };
         let Some((id, text)) = message.split_once(": ") else {
