--- a/simulator/src/zones.rs
+++ b/simulator/src/zones.rs
@@ -465,7 +465,7 @@
             zone,
             phase,
             out,
-            why,
+            reason: why,
             ..
         } = command
         {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -205,17 +205,12 @@
 #[cfg(feature = "fleet")]
 fn keeper(file: &Path) -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
-    let text = std::fs::read_to_string(file).map_err(|e| vec![e.to_string()]);
-    let config = text.and_then(|text| raildeal::coordination::config::Config::from_toml(&text));
-    let faults = match config {
+    let faults: Vec<String> = match raildeal::coordination::config::Config::load(file) {
         Ok(config) => raildeal::coordination::replica::run(config)
             .err()
             .into_iter()
             .collect(),
-        Err(faults) => faults
-            .into_iter()
-            .map(|fault| format!("{}: {fault}", file.display()))
-            .collect::<Vec<_>>(),
+        Err(errors) => errors.iter().map(ToString::to_string).collect(),
     };
     faults
         .iter()
--- a/src/coordination/bootstrap.rs
+++ b/src/coordination/bootstrap.rs
@@ -1,164 +1,172 @@
-//! The first start of a site: the keepers get to know each other's folders. [`super::group`] says
-//! what for.
-
-use crate::coordination::raft_group::{GroupMember, GroupState, ReplicatedState};
+//! The first start of a site: the replicas learn each other's folders before one of them votes.
+//!
+//! [`super::raft_group`] says why a vote belongs to a folder. This module owns the state of a
+//! replica that does not take part yet ([`Bootstrap`]), and the check of whether another replica's
+//! messages may be taken ([`admit`]). It neither sends nor writes: [`super::replica`] and
+//! [`super::routing_table::member`] bring it what others say and write its checkpoint.
+
+use crate::coordination::raft_group::{GroupMember, GroupState};
 use crate::coordination::raft_log::{Checkpoint, ReplicaIdentity};
 use crate::coordination::record::Record;
+use crate::coordination::replicated_state::ReplicatedState;
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether a keeper may be heard.
+/// Whether another replica's messages may be taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerAdmission {
-    /// It may, and is known already.
+    /// They may: its folder is known already.
     Known,
-    /// It may, once what is now known is written down.
+    /// They may, once its folder, which is now known, is written down.
     New,
-    /// It may not.
+    /// They may not, for this reason.
     Rejected(String),
 }
 
-/// A keeper that does not take part yet.
+/// A replica that does not take part yet.
 pub struct Bootstrap {
-    base: Checkpoint,
+    checkpoint: Checkpoint,
     peers: BTreeSet<u64>,
-    /// Those that have written this one down.
+    /// Peers that have written down this replica's folder.
     known_to: BTreeSet<u64>,
 }
 
 impl Bootstrap {
-    /// What an empty folder begins with, as one of the first keepers of a site.
-    pub fn empty(identity: ReplicaIdentity, peers: impl Iterator<Item = u64>) -> Checkpoint {
-        Bootstrap::empty_of::<Record>(identity, peers)
+    /// What an empty folder begins with, as one of the first replicas of a site.
+    pub fn first_checkpoint(
+        identity: ReplicaIdentity,
+        peers: impl Iterator<Item = u64>,
+    ) -> Checkpoint {
+        Bootstrap::first_checkpoint_of::<Record>(identity, peers)
     }
 
-    /// The same for a group that agrees on something else.
-    pub fn empty_of<R: ReplicatedState>(
+    /// The same as [`Bootstrap::first_checkpoint`], for a group that agrees on something else.
+    pub fn first_checkpoint_of<R: ReplicatedState>(
         identity: ReplicaIdentity,
         peers: impl Iterator<Item = u64>,
     ) -> Checkpoint {
-        let voters: BTreeSet<u64> = peers.chain([identity.keeper]).collect();
-        Checkpoint::new(
-            identity,
-            1,
-            voters.into_iter().collect(),
-            GroupState::<R>::default().bytes(),
-        )
+        let voters: BTreeSet<u64> = peers.chain([identity.replica]).collect();
+        let state = GroupState::<R>::default().encode();
+        Checkpoint::new(identity, 1, voters.into_iter().collect(), state)
     }
 
-    /// What an empty folder begins with where the group is there already.
-    pub fn joining(identity: ReplicaIdentity) -> Checkpoint {
-        Bootstrap::joining_of::<Record>(identity)
+    /// What an empty folder begins with where the group exists already.
+    pub fn joining_checkpoint(identity: ReplicaIdentity) -> Checkpoint {
+        Bootstrap::joining_checkpoint_of::<Record>(identity)
     }
 
-    /// The same for a group that agrees on something else.
-    pub fn joining_of<R: ReplicatedState>(identity: ReplicaIdentity) -> Checkpoint {
+    /// The same as [`Bootstrap::joining_checkpoint`], for a group that agrees on something else.
+    pub fn joining_checkpoint_of<R: ReplicatedState>(identity: ReplicaIdentity) -> Checkpoint {
+        let state = GroupState::<R>::default().encode();
         Checkpoint {
-            begun: true,
-            ..Checkpoint::new(identity, 0, Vec::new(), GroupState::<R>::default().bytes())
+            takes_part: true,
+            ..Checkpoint::new(identity, 0, Vec::new(), state)
         }
     }
 
     /// Goes on with a first start.
-    pub fn new(base: Checkpoint) -> Bootstrap {
-        let me = base.identity.keeper;
-        let peers = base.voters.iter().copied().filter(|id| *id != me).collect();
+    pub fn new(checkpoint: Checkpoint) -> Bootstrap {
+        let own = checkpoint.identity.replica;
+        let voters = checkpoint.voters.iter().copied();
         Bootstrap {
-            base,
-            peers,
+            peers: voters.filter(|id| *id != own).collect(),
+            checkpoint,
             known_to: BTreeSet::new(),
         }
     }
 
-    /// As it is to be written down.
-    pub fn base(&self) -> &Checkpoint {
-        &self.base
+    /// The checkpoint as it is to be written.
+    pub fn checkpoint(&self) -> &Checkpoint {
+        &self.checkpoint
     }
 
-    /// Another keeper tells its folder.
-    pub fn tells(&mut self, keeper: u64, incarnation: u64) -> PeerAdmission {
-        if !self.peers.contains(&keeper) {
-            return PeerAdmission::Rejected(format!("keeper {keeper} is none of the first"));
+    /// Learns the incarnation of a peer's folder. One folder is known for a number, for good.
+    pub fn learn_incarnation(&mut self, replica: u64, incarnation: u64) -> PeerAdmission {
+        if !self.peers.contains(&replica) {
+            return PeerAdmission::Rejected(format!("keeper {replica} is none of the first"));
         }
-        match self.base.known.get(&keeper) {
+        match self.checkpoint.known_incarnations.get(&replica) {
             Some(known) if *known == incarnation => PeerAdmission::Known,
-            Some(_) => PeerAdmission::Rejected(lost(keeper)),
+            Some(_) => PeerAdmission::Rejected(another_folder(replica)),
             None => {
-                self.base.known.insert(keeper, incarnation);
+                let known = &mut self.checkpoint.known_incarnations;
+                known.insert(replica, incarnation);
                 PeerAdmission::New
             }
         }
     }
 
-    /// Another keeper says that it has written this one down.
-    pub fn knows(&mut self, keeper: u64) {
-        if self.peers.contains(&keeper) {
-            self.known_to.insert(keeper);
+    /// Notes that a peer has written down this replica's incarnation.
+    pub fn note_known_to(&mut self, replica: u64) {
+        if self.peers.contains(&replica) {
+            self.known_to.insert(replica);
         }
     }
 
-    /// Those that are waited for.
+    /// Peers that are waited for.
     pub fn missing(&self) -> Vec<u64> {
-        let met = |id: &&u64| self.known_to.contains(id) && self.base.known.contains_key(id);
-        self.peers.iter().filter(|id| !met(id)).copied().collect()
+        let known = &self.checkpoint.known_incarnations;
+        let is_met = |id: &u64| self.known_to.contains(id) && known.contains_key(id);
+        let missing = self.peers.iter().filter(|id| !is_met(id));
+        missing.copied().collect()
     }
 
-    /// Takes part, when nobody is missing.
-    pub fn finish(&self, at: &BTreeMap<u64, String>) -> Option<Checkpoint> {
-        self.finish_of::<Record>(at)
+    /// The checkpoint that the replica takes part with; nothing while a peer is missing.
+    pub fn finish(&self, addresses: &BTreeMap<u64, String>) -> Option<Checkpoint> {
+        self.finish_of::<Record>(addresses)
     }
 
-    /// The same for a group that agrees on something else.
-    pub fn finish_of<R: ReplicatedState>(&self, at: &BTreeMap<u64, String>) -> Option<Checkpoint> {
+    /// The same as [`Bootstrap::finish`], for a group that agrees on something else.
+    pub fn finish_of<R: ReplicatedState>(
+        &self,
+        addresses: &BTreeMap<u64, String>,
+    ) -> Option<Checkpoint> {
         if !self.missing().is_empty() {
             return None;
         }
-        let me = &self.base.identity;
-        let folders = self
-            .base
-            .known
-            .iter()
-            .map(|(id, i)| (*id, *i))
-            .chain([(me.keeper, me.incarnation)]);
-        let members = folders.map(|(id, incarnation)| {
-            let at = at.get(&id).cloned().unwrap_or_default();
+        let own = &self.checkpoint.identity;
+        let mut incarnations = self.checkpoint.known_incarnations.clone();
+        incarnations.insert(own.replica, own.incarnation);
+        let members = incarnations.into_iter().map(|(id, incarnation)| {
+            let at = addresses.get(&id).cloned().unwrap_or_default();
             (id, GroupMember { at, incarnation })
         });
-        let held = GroupState::<R> {
+        let state = GroupState::<R> {
             members: members.collect(),
             ..GroupState::default()
         };
         Some(Checkpoint {
-            begun: true,
-            held: ByteBuf::from(held.bytes()),
-            ..self.base.clone()
+            takes_part: true,
+            state: ByteBuf::from(state.encode()),
+            ..self.checkpoint.clone()
         })
     }
 }
 
-/// Whether a keeper that says so is one of these, from the folder that is known.
+/// Decides whether the messages of another replica may be taken: it is a member, and has the folder
+/// that the group knows.
 pub fn admit<R: ReplicatedState>(
-    held: &GroupState<R>,
-    keeper: u64,
+    state: &GroupState<R>,
+    replica: u64,
     incarnation: u64,
 ) -> PeerAdmission {
-    match held.members.get(&keeper) {
+    match state.members.get(&replica) {
         Some(member) if member.incarnation == incarnation => PeerAdmission::Known,
-        Some(_) => PeerAdmission::Rejected(lost(keeper)),
-        // One that joins knows nobody yet, and has nothing to lose.
-        None if held.members.is_empty() => PeerAdmission::Known,
-        None if held.removed.contains(&keeper) => {
-            PeerAdmission::Rejected(format!("keeper {keeper} was removed"))
+        Some(_) => PeerAdmission::Rejected(another_folder(replica)),
+        // A replica that joins knows nobody yet, and has nothing to lose.
+        None if state.members.is_empty() => PeerAdmission::Known,
+        None if state.removed.contains(&replica) => {
+            PeerAdmission::Rejected(format!("keeper {replica} was removed"))
         }
         None => PeerAdmission::Rejected(format!(
-            "keeper {keeper} is not in the group: an order adds it"
+            "keeper {replica} is not in the group: an order adds it"
         )),
     }
 }
 
-fn lost(keeper: u64) -> String {
+fn another_folder(replica: u64) -> String {
     format!(
-        "keeper {keeper} has another folder than before, or is of another group, and may not vote: if its folder is lost, remove it \
-         and add one under another number"
+        "keeper {replica} has another folder than before, or is of another group, and may not \
+         vote: if its folder is lost, remove it and add one under another number"
     )
 }
--- a/src/coordination/config/tests.rs
+++ b/src/coordination/config/tests.rs
@@ -14,16 +14,22 @@
         at = "127.0.0.1:7103"
     "#;
 
+/// The lines that an operator reads of a file that is refused.
+fn fault_lines(text: &str) -> Vec<String> {
+    let faults = Config::from_toml(text).expect_err("a file with faults");
+    faults.iter().map(ToString::to_string).collect()
+}
+
 #[test]
 fn a_short_file_is_enough() {
     let config = Config::from_toml(GOOD).expect("good");
     assert_eq!(
-        (config.tick_ms, config.disk >> 20, config.begin),
+        (config.tick_ms, config.disk_bytes >> 20, config.begin),
         (50, 64, false)
     );
-    assert!(config.may_ask([127, 3, 2, 1].into()) && !config.may_ask([10, 0, 0, 1].into()));
+    assert!(config.may_connect([127, 3, 2, 1].into()) && !config.may_connect([10, 0, 0, 1].into()));
     let mapped: IpAddr = "::ffff:127.0.0.1".parse().expect("an address");
-    assert!(config.may_ask(mapped));
+    assert!(config.may_connect(mapped));
 }
 
 #[test]
@@ -37,7 +43,7 @@
         .replace("127.0.0.1:0", "0.0.0.0:7101")
         .replace("[\"127.0.0.0/8\", \"::1/128\"]", "[]");
     let text = format!("{text}\n[[peer]]\nkeeper = 2\nat = \"127.0.0.1:7102\"\n");
-    let faults = Config::from_toml(&text).expect_err("bad");
+    let faults = fault_lines(&text);
     for field in [
         "site:",
         "listen:",
@@ -60,7 +66,7 @@
          [[federation.site]]\nnumber = 2\nname = \"north\"\nat = [\"127.0.0.1:7102\", \"0.0.0.0:1\"]\n\
          [[federation.site]]\nnumber = 0\nname = \"south\"\nat = []\n"
     );
-    let faults = Config::from_toml(&text).expect_err("bad");
+    let faults = fault_lines(&text);
     let told: Vec<&str> = faults.iter().filter_map(|f| f.split(": ").next()).collect();
     let fields = "name formerly formerly lease_s fence_s tick_ms site[0].number site[0].name site[0].at[0] site[0].at[1] \
                   site[1].number site[1].at";
@@ -69,8 +75,8 @@
         .map(|f| format!("federation.{f}"))
         .collect();
     assert_eq!(told, fields, "{faults:#?}");
-    let unknown = Config::from_toml(&format!("colour = 1\n{GOOD}")).expect_err("unknown");
+    let unknown = fault_lines(&format!("colour = 1\n{GOOD}"));
     assert!(unknown[0].contains("colour"), "{unknown:?}");
-    let typed = Config::from_toml(&GOOD.replace("127.0.0.1:7103", "here")).expect_err("no address");
+    let typed = fault_lines(&GOOD.replace("127.0.0.1:7103", "here"));
     assert!(typed[0].starts_with("peer[1].at"), "{typed:?}");
 }
--- a/src/coordination/framing.rs
+++ b/src/coordination/framing.rs
@@ -1,5 +1,10 @@
-//! Frames on a line: a length of four bytes (big end first), then a [`postcard`] body. One that is
-//! torn, too long or makes no sense is an error of its line, and of nothing else.
+//! Frames on a stream: a length of four bytes (big end first), then a body that [`postcard`]
+//! encodes.
+//!
+//! This module owns the encoding and its limits. It opens no connection and gives no frame a
+//! meaning: agents, the `fleet` commands and the replicas call it with the types of
+//! [`super::messages`]. A frame that is torn, too long or malformed ends its connection, and
+//! nothing else.
 
 use crate::coordination::messages::{Handshake, PROTOCOL_VERSION};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -7,123 +12,141 @@
 use serde::Serialize;
 use std::io::{self, Read, Write};
 
-/// Bytes before a body.
-const HEAD: usize = 4;
+/// Bytes of the length before a body.
+const LENGTH_BYTES: usize = 4;
 
-/// Why a line is ended.
+/// Why a connection is ended.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The other side ended it between two frames.
+    /// The other side closed it between two frames.
     #[error("the line was ended")]
     Closed,
     /// It failed, or ended in the middle of a frame.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A frame is longer than may be.
+    /// A frame has more bytes than the limit.
     #[error("a frame of {0} bytes, of {1} that may be")]
     TooLong(usize, usize),
-    /// A frame makes no sense.
+    /// A body is not what was expected here.
     #[error("a frame that makes no sense: {0}")]
     Malformed(#[from] postcard::Error),
-    /// The other side speaks another form.
+    /// The other side speaks another version of the protocol.
     #[error("it speaks form {0}, this one speaks {PROTOCOL_VERSION}")]
     VersionMismatch(u16),
-    /// It is of another site.
+    /// The other side is of another site.
     #[error("it is of site {0:?}")]
     SiteMismatch(String),
 }
 
-/// The bytes of a word, with its length before it; refused where it is longer than `most` bytes.
-pub fn bytes<T: Serialize>(word: &T, most: usize) -> Result<Vec<u8>, FrameError> {
-    let mut bytes = postcard::to_extend(word, vec![0; HEAD])?;
-    let len = bytes.len() - HEAD;
+/// Encodes a message as a frame, with its length.
+///
+/// # Errors
+/// The body is longer than `max_bytes`.
+pub fn encode<T: Serialize>(message: &T, max_bytes: usize) -> Result<Vec<u8>, FrameError> {
+    let mut frame = postcard::to_extend(message, vec![0; LENGTH_BYTES])?;
+    let len = frame.len() - LENGTH_BYTES;
     match u32::try_from(len) {
-        Ok(told) if len <= most => bytes[..HEAD].copy_from_slice(&told.to_be_bytes()),
-        _ => return Err(FrameError::TooLong(len, most)),
+        Ok(length) if len <= max_bytes => {
+            frame[..LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
+            Ok(frame)
+        }
+        _ => Err(FrameError::TooLong(len, max_bytes)),
     }
-    Ok(bytes)
 }
 
-/// How long the body is, if it may be.
-fn length(head: [u8; HEAD], most: usize) -> Result<usize, FrameError> {
+/// Decodes the length of a body, if it is within the limit.
+fn decode_length(head: [u8; LENGTH_BYTES], max_bytes: usize) -> Result<usize, FrameError> {
     let len = u32::from_be_bytes(head) as usize;
-    if len > most {
-        return Err(FrameError::TooLong(len, most));
+    if len > max_bytes {
+        return Err(FrameError::TooLong(len, max_bytes));
     }
     Ok(len)
 }
 
-/// A body as a word. Bytes behind it are a fault.
-fn word<T: DeserializeOwned>(body: &[u8]) -> Result<T, FrameError> {
+/// Decodes a body. Bytes behind the message are a fault.
+fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, FrameError> {
     match postcard::take_from_bytes(body)? {
-        (word, []) => Ok(word),
+        (message, []) => Ok(message),
         _ => Err(FrameError::Malformed(
             postcard::Error::DeserializeBadEncoding,
         )),
     }
 }
 
-/// Reads a word of at most so many bytes.
+/// Reads a message with a body of at most `max_bytes`.
+///
+/// # Errors
+/// The connection ended or failed, or the frame is not what was expected.
 pub async fn read<T: DeserializeOwned>(
     from: &mut (impl AsyncRead + Unpin),
-    most: usize,
+    max_bytes: usize,
 ) -> Result<T, FrameError> {
-    let mut head = [0; HEAD];
+    let mut head = [0; LENGTH_BYTES];
     // An end before the first byte is in order.
     if from.read(&mut head[..1]).await? == 0 {
         return Err(FrameError::Closed);
     }
     from.read_exact(&mut head[1..]).await?;
-    let mut body = vec![0; length(head, most)?];
+    let mut body = vec![0; decode_length(head, max_bytes)?];
     from.read_exact(&mut body).await?;
-    word(&body)
+    decode_body(&body)
 }
 
-/// Writes a word of at most so many bytes.
+/// Writes a message with a body of at most `max_bytes`.
+///
+/// # Errors
+/// The connection failed, or the body is longer.
 pub async fn write<T: Serialize>(
     to: &mut (impl AsyncWrite + Unpin),
-    word: &T,
-    most: usize,
+    message: &T,
+    max_bytes: usize,
 ) -> Result<(), FrameError> {
-    Ok(to.write_all(&bytes(word, most)?).await?)
+    Ok(to.write_all(&encode(message, max_bytes)?).await?)
 }
 
-/// The same as [`read`], for a client that waits.
+/// The same as [`read`], for a client that blocks.
+///
+/// # Errors
+/// As [`read`].
 pub fn read_blocking<T: DeserializeOwned>(
     from: &mut impl Read,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<T, FrameError> {
-    let mut head = [0; HEAD];
+    let mut head = [0; LENGTH_BYTES];
     if from.read(&mut head[..1])? == 0 {
         return Err(FrameError::Closed);
     }
     from.read_exact(&mut head[1..])?;
-    let mut body = vec![0; length(head, most)?];
+    let mut body = vec![0; decode_length(head, max_bytes)?];
     from.read_exact(&mut body)?;
-    word(&body)
+    decode_body(&body)
 }
 
-/// The same as [`write`](fn@write), for a client that waits.
+/// The same as [`write`](fn@write), for a client that blocks.
+///
+/// # Errors
+/// As [`write`](fn@write).
 pub fn write_blocking<T: Serialize>(
     to: &mut impl Write,
-    word: &T,
-    most: usize,
+    message: &T,
+    max_bytes: usize,
 ) -> Result<(), FrameError> {
-    Ok(to.write_all(&bytes(word, most)?)?)
+    Ok(to.write_all(&encode(message, max_bytes)?)?)
 }
 
 impl Handshake {
-    /// Whether one who says so may go on, at this site.
+    /// Checks the version and the site of whoever opens a connection to a replica of `site`.
+    ///
+    /// # Errors
+    /// One of them is another.
     pub fn admit(&self, site: &str) -> Result<(), FrameError> {
-        match self {
-            Handshake { version, .. } if *version != PROTOCOL_VERSION => {
-                Err(FrameError::VersionMismatch(*version))
-            }
-            Handshake { site: theirs, .. } if theirs != site => {
-                Err(FrameError::SiteMismatch(theirs.clone()))
-            }
-            _ => Ok(()),
+        if self.version != PROTOCOL_VERSION {
+            return Err(FrameError::VersionMismatch(self.version));
+        }
+        if self.site != site {
+            return Err(FrameError::SiteMismatch(self.site.clone()));
         }
+        Ok(())
     }
 }
 
--- a/src/coordination/framing/tests.rs
+++ b/src/coordination/framing/tests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn torn_long_and_senseless_frames_are_told_apart() {
-    let whole = bytes(&hello(), MAX_FRAME_BYTES).expect("short");
+    let whole = encode(&hello(), MAX_FRAME_BYTES).expect("short");
     assert_eq!(
         read_blocking::<Handshake>(&mut &whole[..], MAX_FRAME_BYTES).expect("whole"),
         hello()
@@ -43,7 +43,7 @@
         "{len}"
     );
     assert!(matches!(
-        bytes(&vec![0u8; MAX_FRAME_BYTES], MAX_FRAME_BYTES),
+        encode(&vec![0u8; MAX_FRAME_BYTES], MAX_FRAME_BYTES),
         Err(FrameError::TooLong(..))
     ));
 }
--- a/src/coordination/leader/applied.rs
+++ b/src/coordination/leader/applied.rs
@@ -4,7 +4,7 @@
 use crate::coordination::leader::sessions::JoinedSender;
 use crate::coordination::leader::{Effect, LeaderDuties};
 use crate::coordination::messages::OperatorResponse;
-use crate::coordination::record::{Command, Record};
+use crate::coordination::record::{Command, Record, SliceId};
 use crate::coordination::routing_table::tables;
 use crate::Nanos;
 
@@ -114,10 +114,14 @@
         record: &Record,
     ) -> bool {
         term == self.term
-            && record
-                .zones
-                .get(zone)
-                .is_some_and(|zone| zone.slice == (term, slice) && zone.epoch == epoch)
+            && record.zones.get(zone).is_some_and(|zone| {
+                zone.last_slice
+                    == SliceId {
+                        term,
+                        number: slice,
+                    }
+                    && zone.epoch == epoch
+            })
     }
 
     fn on_table_change_applied(
--- a/src/coordination/leader/decide.rs
+++ b/src/coordination/leader/decide.rs
@@ -153,8 +153,8 @@
             zone: decision.zone,
             phase: decision.phase,
             out: decision.evacuated,
-            tries: decision.recent_returns,
-            why: decision.why,
+            return_attempts: decision.recent_returns,
+            reason: decision.why,
         }));
     }
 
@@ -195,7 +195,7 @@
             name,
             Phase::Left,
             evacuated,
-            zone.tries,
+            zone.return_attempts,
             why,
         ))
     }
@@ -230,12 +230,12 @@
                 name,
                 Phase::Left,
                 evacuated,
-                zone.tries,
+                zone.return_attempts,
                 OPERATOR_REQUEST,
             ));
         }
         let reset_ms = u64::from(self.rules.zones.return_history_reset_ms);
-        if zone.tries == 0 || ms_since_order < reset_ms {
+        if zone.return_attempts == 0 || ms_since_order < reset_ms {
             return None;
         }
         let why = "in use for long";
@@ -264,7 +264,7 @@
             name,
             Phase::Returning,
             zone.out.clone(),
-            zone.tries,
+            zone.return_attempts,
             why,
         ))
     }
@@ -273,7 +273,7 @@
     fn return_backoff_ms(&self, zone: &Zone) -> u64 {
         let rules = &self.rules.zones;
         let backoff_ms =
-            u64::from(rules.return_backoff_ms) << zone.tries.min(MAX_BACKOFF_DOUBLINGS);
+            u64::from(rules.return_backoff_ms) << zone.return_attempts.min(MAX_BACKOFF_DOUBLINGS);
         backoff_ms.min(rules.max_return_backoff_ms.into())
     }
 
@@ -290,7 +290,7 @@
                 name,
                 Phase::Left,
                 zone.left.clone(),
-                zone.tries,
+                zone.return_attempts,
                 OPERATOR_REQUEST,
             ));
         }
@@ -300,7 +300,7 @@
                 name,
                 Phase::Left,
                 zone.left.clone(),
-                zone.tries.saturating_add(1),
+                zone.return_attempts.saturating_add(1),
                 why,
             ));
         }
@@ -348,14 +348,20 @@
         if !evacuated.is_empty() {
             let why = "it bears more";
             let phase = Phase::Returning;
-            return Some(ZoneDecision::new(name, phase, evacuated, zone.tries, why));
+            return Some(ZoneDecision::new(
+                name,
+                phase,
+                evacuated,
+                zone.return_attempts,
+                why,
+            ));
         }
         let why = if progress == ReturnProgress::Unused {
             "nobody calls there"
         } else {
             "warm"
         };
-        let returns = zone.tries.saturating_add(1);
+        let returns = zone.return_attempts.saturating_add(1);
         Some(ZoneDecision::new(
             name,
             Phase::Used,
@@ -388,11 +394,11 @@
         failing.sort_by_key(|zone| Reverse(zone.seen_by));
         failing.into_iter().find_map(|failing| {
             let recorded = record.zones.get(failing.name);
-            if recorded.is_some_and(|zone| zone.phase != Phase::Used || zone.wish.is_some()) {
+            if recorded.is_some_and(|zone| zone.phase != Phase::Used || zone.request.is_some()) {
                 return None;
             }
             let evacuated = self.evacuation_shares(failing.name, record).ok()?;
-            let recent_returns = recorded.map_or(0, |zone| zone.tries);
+            let recent_returns = recorded.map_or(0, |zone| zone.return_attempts);
             let FailingZone { name, seen_by, of } = failing;
             let why = format!("seen failing by {seen_by} of {of} senders");
             Some(ZoneDecision::new(
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -120,7 +120,7 @@
         }
         Ok(Command::RequestZoneState {
             zone: request.zone.into(),
-            wish: request.wish,
+            state: request.wish,
             for_ms: self.order_duration_ms(request.for_seconds),
         })
     }
@@ -351,12 +351,12 @@
 /// Whether the record has exactly this order: then it is not written again. An order for some time
 /// always is, as its time begins anew.
 fn is_recorded(request: &ZoneRequest<'_>, record: &Record) -> bool {
-    let recorded = record.zones.get(request.zone).and_then(|zone| zone.wish);
+    let recorded = record.zones.get(request.zone).and_then(|zone| zone.request);
     if request.wish == RequestedZoneState::Free {
         return recorded.is_none();
     }
     let same = ZoneOverride {
-        what: request.wish,
+        state: request.wish,
         until_ms: 0,
     };
     request.for_seconds == 0 && recorded == Some(same)
--- a/src/coordination/leader/returns.rs
+++ b/src/coordination/leader/returns.rs
@@ -108,5 +108,5 @@
 
 /// What an operator's request on a zone says, while it holds.
 pub(super) fn requested_by_operator(zone: &Zone) -> Option<RequestedZoneState> {
-    zone.wish.map(|request| request.what)
+    zone.request.map(|request| request.state)
 }
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -69,12 +69,12 @@
     }
 
     fn recorded_line(&self, name: &str, zone: &Zone, record: &Record) -> ZoneLine {
-        let request = zone.wish.map_or(String::new(), |wish| {
+        let request = zone.request.map_or(String::new(), |wish| {
             describe_request(wish, record.clock_ms)
         });
         ZoneLine {
             ordered: self.describe_order(name, zone),
-            why: format!("{}{request}", zone.why),
+            why: format!("{}{request}", zone.reason),
         }
     }
 
@@ -135,7 +135,7 @@
             format!("for {seconds} s more")
         }
     };
-    let request = match wish.what {
+    let request = match wish.state {
         RequestedZoneState::Leave => "leave",
         RequestedZoneState::Return => "return",
         RequestedZoneState::Hold => "hold",
--- a/src/coordination/policy_rollout/register.rs
+++ b/src/coordination/policy_rollout/register.rs
@@ -5,9 +5,9 @@
 //! it decides is therefore decided about the record as it stands. Nothing here reads a clock; times
 //! are the record's own.
 
-use crate::coordination::cut;
 use crate::coordination::messages::Digest;
 use crate::coordination::policy_rollout::plan::Plan;
+use crate::coordination::truncate_utf8;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -315,8 +315,11 @@
             }
             Change::Halt { why } => {
                 let r = self.rollout.as_mut().filter(|r| r.halted.is_none())?;
-                (r.halted, r.halts, r.at) =
-                    (Some(cut(why, MOST_WHY)), r.halts.saturating_add(1), index);
+                (r.halted, r.halts, r.at) = (
+                    Some(truncate_utf8(why, MOST_WHY)),
+                    r.halts.saturating_add(1),
+                    index,
+                );
                 if r.step == Step::Paused {
                     (r.step, r.since_ms) = (Step::Ready, now);
                     self.go_on(turn);
@@ -333,7 +336,7 @@
                     .as_ref()
                     .filter(|r| r.in_force() == 0 && r.step == Step::Ready)?;
                 let r = r.clone();
-                self.over(&r, now, &cut(why, MOST_WHY));
+                self.over(&r, now, &truncate_utf8(why, MOST_WHY));
                 self.rollout = None;
             }
         }
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -17,7 +17,7 @@
 use crate::coordination::policy_rollout::plan::Plan;
 use crate::coordination::policy_rollout::register::{Change, Rollout, Step};
 use crate::coordination::record::{Record, RosterEntry, MAX_ZONES};
-use crate::coordination::sender_registry::{names, KnownSender, LiveSender, SenderRegistry};
+use crate::coordination::sender_registry::{format_names, KnownSender, LiveSender, SenderRegistry};
 use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Roll {
     begun: Nanos,
-    ears: SenderRegistry,
+    registry: SenderRegistry,
     health: RolloutHealth,
     /// The decision that is out: the turn it was based on, and when it was proposed.
     deciding: Option<(u64, Nanos)>,
@@ -74,7 +74,7 @@
     pub fn new(now: Nanos, led: Option<Nanos>) -> Roll {
         Roll {
             begun: now,
-            ears: SenderRegistry::default(),
+            registry: SenderRegistry::default(),
             health: RolloutHealth::default(),
             deciding: None,
             step: (0, now),
@@ -91,12 +91,12 @@
 
     /// A sender has a session, and says what it has. On a line of its own nothing was said yet.
     pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
-        self.ears.meet(sender, boot, stored);
+        self.registry.open_session(sender, boot, stored);
     }
 
     /// Its session is over.
     pub fn part(&mut self, sender: &str) {
-        self.ears.part(sender);
+        self.registry.close_session(sender);
     }
 
     /// It has checked a policy.
@@ -106,7 +106,10 @@
         };
         // The record has a few at the most, and only those are asked for.
         let kept = |number| record.policies.texts.contains_key(&number);
-        if let Some(why) = self.ears.checked(sender, (number, digest), refused, kept) {
+        if let Some(why) = self
+            .registry
+            .record_check(sender, (number, digest), refused, kept)
+        {
             log::warn!(
                 "policy {number}: refused: {sender}: {}",
                 why.replace('\n', "; ")
@@ -123,7 +126,7 @@
         record: &Record,
     ) -> Option<Change> {
         // Nobody can go by what is not yet.
-        if turn > record.policies.turn || !self.ears.goes_by(sender, turn) {
+        if turn > record.policies.turn || !self.registry.record_applied(sender, turn) {
             return None;
         }
         let waits = self.waits.as_mut()?;
@@ -241,11 +244,18 @@
         say: &mut dyn FnMut(ReplicaToAgent),
     ) {
         let policies = &record.policies;
-        if !self.ears.of(sender).is_some_and(KnownSender::follows) {
+        if !self
+            .registry
+            .get(sender)
+            .is_some_and(KnownSender::has_reported)
+        {
             return;
         }
         let register = policies.register(zone);
-        if self.ears.is_due(now, sender, register.turn, policies.turn) {
+        if self
+            .registry
+            .claim_announcement(now, sender, register.turn, policies.turn)
+        {
             let turn = policies.turn;
             say(ReplicaToAgent::ApplyPolicy {
                 turn,
@@ -262,7 +272,10 @@
             let Some(text) = policies.texts.get(number) else {
                 continue;
             };
-            if self.ears.lacks(now, sender, *number, &text.digest, offers) {
+            if self
+                .registry
+                .claim_offer(now, sender, *number, &text.digest, offers)
+            {
                 say(ReplicaToAgent::OfferPolicy {
                     number: *number,
                     digest: text.digest,
@@ -270,8 +283,8 @@
                 });
             }
         }
-        self.ears
-            .forget(sender, |number| policies.texts.contains_key(&number));
+        self.registry
+            .forget_offers(sender, |number| policies.texts.contains_key(&number));
     }
 
     /// Live senders of some zones, with what is known of each in the session that the record has.
@@ -280,13 +293,14 @@
         record: &'a Record,
         zones: &'a [String],
     ) -> impl Iterator<Item = LiveSender<'a>> + 'a {
-        self.ears.live(record, |m| zones.contains(&m.zone))
+        self.registry.live(record, |m| zones.contains(&m.zone))
     }
 
     /// Those of them that have not said that they go by their zone's register.
     fn unheard<'a>(&'a self, record: &'a Record, zones: &'a [String]) -> Vec<&'a String> {
         let turn = |m: &RosterEntry| record.policies.register(&m.zone).turn;
-        self.ears.unheard(record, |m| zones.contains(&m.zone), turn)
+        self.registry
+            .unconfirmed(record, |m| zones.contains(&m.zone), turn)
     }
 
     /// Those that have not said that they have what they are to go by.
@@ -300,22 +314,23 @@
             let number = r.to.get(&m.zone).copied().unwrap_or_default();
             (number, record.policies.digest(number))
         };
-        self.ears
-            .unstored(record, |m| zones.contains(&m.zone), needs)
+        self.registry
+            .without_document(record, |m| zones.contains(&m.zone), needs)
     }
 
     /// Why live senders of these zones cannot go by it, the first of them.
     fn refusal(&self, record: &Record, r: &Rollout, zones: &[String]) -> Option<String> {
-        self.live(record, zones).find_map(|(name, m, known)| {
-            let number = r.to.get(&m.zone).copied().unwrap_or_default();
-            let known = known?;
-            if !known.follows() {
-                return Some(format!(
-                    "{name}: its fleet file has no table [policy], so it follows none"
-                ));
-            }
-            known.refuses(number).map(|why| format!("{name}: {why}"))
-        })
+        self.live(record, zones)
+            .find_map(|LiveSender { name, entry, known }| {
+                let number = r.to.get(&entry.zone).copied().unwrap_or_default();
+                let known = known?;
+                if !known.has_reported() {
+                    return Some(format!(
+                        "{name}: its fleet file has no table [policy], so it follows none"
+                    ));
+                }
+                known.refusal(number).map(|why| format!("{name}: {why}"))
+            })
     }
 
     /// A zone of these without a live sender, and a zone of senders that the plan does not name.
@@ -340,7 +355,7 @@
                 let part = lapsed.len() as f64 / (live.len() + lapsed.len()).max(1) as f64;
                 (part > r.plan.health.lapsed).then(|| {
                     let gone: Vec<&String> = lapsed.iter().map(|(name, _)| *name).collect();
-                    format!("senders of the stage lapsed: {}", names(&gone))
+                    format!("senders of the stage lapsed: {}", format_names(&gone))
                 })
             }
             None => None,
@@ -422,7 +437,10 @@
                 if !unstored.is_empty() {
                     let late = passed >= Nanos::from(r.plan.offer_s) * SECOND;
                     return match late {
-                        true => end(format!("no answer to the offer from {}", names(&unstored))),
+                        true => end(format!(
+                            "no answer to the offer from {}",
+                            format_names(&unstored)
+                        )),
                         false => None,
                     };
                 }
@@ -459,7 +477,7 @@
                 if late.is_empty() {
                     return Some(Change::Commit);
                 }
-                let silent = names(&late);
+                let silent = format_names(&late);
                 let late: BTreeSet<String> = late.into_iter().cloned().collect();
                 if over {
                     self.silent = late;
@@ -595,12 +613,12 @@
                 .map(|zone| format!("plan: zone {zone}: no sender that lives stands there")),
         );
         let deaf = self
-            .ears
+            .registry
             .live(record, |_| true)
-            .filter(|(.., known)| known.is_some_and(|k| !k.follows()));
-        let deaf: Vec<&String> = deaf.map(|(name, ..)| name).collect();
+            .filter(|LiveSender { known, .. }| known.is_some_and(|k| !k.has_reported()));
+        let deaf: Vec<&String> = deaf.map(|sender| sender.name).collect();
         if !deaf.is_empty() {
-            let told = names(&deaf);
+            let told = format_names(&deaf);
             faults.push(format!(
                 "{told}: a fleet file without a table [policy], so no policy is followed there"
             ));
@@ -672,10 +690,12 @@
                 }
                 _ => String::new(),
             };
-            let refused = self.live(record, &all).filter_map(|(name, m, known)| {
-                let number = r.to.get(&m.zone).copied().unwrap_or_default();
-                Some((name.clone(), known?.refuses(number)?.clone()))
-            });
+            let refused =
+                self.live(record, &all)
+                    .filter_map(|LiveSender { name, entry, known }| {
+                        let number = r.to.get(&entry.zone).copied().unwrap_or_default();
+                        Some((name.clone(), known?.refusal(number)?.clone()))
+                    });
             messages::RolloutStatus {
                 number: r.number,
                 back_of: r.back_of,
--- /dev/null
+++ b/src/coordination/raft_group/error.rs
@@ -0,0 +1,84 @@
+//! What a group refuses, and what it cannot go on after.
+
+/// Why the group cannot go on; its replica stops.
+#[derive(Debug, thiserror::Error)]
+pub enum GroupFailure {
+    /// The library failed.
+    #[error("the group: {0}")]
+    Raft(#[from] raft::Error),
+    /// Something committed that this program cannot read: it must not go on without it.
+    #[error("what was agreed cannot be read: {0}")]
+    Unreadable(String),
+    /// The folder lost what this replica had acknowledged, and with it maybe a vote.
+    #[error(
+        "the folder ends at place {last}, and keeper {leader}, which leads, knows that it held \
+         {known}: what was acknowledged is lost, and this keeper may not vote again: remove it from \
+         the group and add one under another number"
+    )]
+    LostAcknowledged {
+        /// Index of the last entry that it has.
+        last: u64,
+        /// Index of the last entry that it had, as far as the leader knows.
+        known: u64,
+        /// The leader.
+        leader: u64,
+    },
+}
+
+impl GroupFailure {
+    /// A snapshot that cannot be read.
+    pub(super) fn snapshot(error: impl std::fmt::Display) -> GroupFailure {
+        GroupFailure::Unreadable(format!("the snapshot: {error}"))
+    }
+
+    /// An entry that cannot be read.
+    pub(super) fn entry(index: u64, error: impl std::fmt::Display) -> GroupFailure {
+        GroupFailure::Unreadable(format!("entry {index}: {error}"))
+    }
+}
+
+/// Why an order is not carried out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ProposeError {
+    /// Another replica leads, or none.
+    #[error("this keeper does not lead")]
+    NotLeader,
+    /// Members change one after the other: so any two majorities, before and after a change, have a
+    /// replica in common.
+    #[error("another change of the keepers is not done yet")]
+    ChangePending,
+    /// The number was used before: a vote of the earlier replica might be counted for the new one.
+    #[error("that number was used: another keeper needs another number")]
+    NumberUsed,
+    /// No member has that number.
+    #[error("no keeper has that number")]
+    UnknownReplica,
+    /// The last member stays.
+    #[error("the last keeper cannot go")]
+    LastReplica,
+    /// The replica leads; another one is asked to lead.
+    #[error("it leads: another keeper is asked to lead, order it again there")]
+    LeadershipTransferring,
+    /// Too much is proposed at once, or a command is too long.
+    #[error("too much is waiting to be agreed")]
+    TooMuchPending,
+}
+
+/// Why a message of another replica is refused.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RefusedMessage {
+    /// It cannot be decoded.
+    #[error("{0}")]
+    Malformed(String),
+    /// It is not from the replica that sent it, or not for this one.
+    #[error("a message from {from} to {to}")]
+    Misdirected {
+        /// Sender that it names.
+        from: u64,
+        /// Receiver that it names.
+        to: u64,
+    },
+    /// Replicas do not send this kind.
+    #[error("a message of kind {0}")]
+    Kind(String),
+}
--- a/src/coordination/raft_group/tests.rs
+++ b/src/coordination/raft_group/tests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_snapshot_of_an_older_keeper_is_one_without_policies() {
-    let mut held: GroupState = GroupState::read(OLDER).expect("it reads");
+    let mut held: GroupState = GroupState::decode(OLDER).expect("it reads");
     assert_eq!(
         (
             held.record.version,
@@ -37,9 +37,9 @@
     assert_eq!(held.record.policies, Default::default());
     held.record.policies.turn = 7;
     assert_eq!(
-        GroupState::read(&held.bytes()).expect("the newer form"),
+        GroupState::decode(&held.encode()).expect("the newer form"),
         held
     );
-    let torn = &held.bytes()[..held.bytes().len() - 1];
-    assert!(GroupState::<Record>::read(torn).is_err());
+    let torn = &held.encode()[..held.encode().len() - 1];
+    assert!(GroupState::<Record>::decode(torn).is_err());
 }
--- /dev/null
+++ b/src/coordination/raft_log/item.rs
@@ -0,0 +1,300 @@
+//! The items of a replica's log and how they add up. Their bytes (`postcard`: order and types of
+//! variants and fields) are those on disk and stay as they are; older forms are read as well.
+
+use super::MemoryStorage;
+use protobuf::ProtobufEnum;
+use raft::eraftpb::{Entry, EntryType, HardState};
+use raft::Storage;
+use serde::{Deserialize, Serialize};
+use serde_bytes::ByteBuf;
+use std::collections::BTreeMap;
+
+/// Version of the form that is written. The second one has policies behind the record in a
+/// snapshot, the third routing tables behind those. Older ones are read as well, and become the
+/// third with the next snapshot.
+const FORMAT_VERSION: u16 = 3;
+/// Oldest version of the form that is read.
+const OLDEST_FORMAT_VERSION: u16 = 1;
+/// What an entry or a batch takes besides its data, about, in bytes.
+const OVERHEAD_BYTES: usize = 32;
+
+/// Whose folder it is.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ReplicaIdentity {
+    /// The site.
+    pub site: String,
+    /// Number of the replica.
+    pub replica: u64,
+    /// Drawn when the folder was created: another folder of the same replica has another one.
+    pub incarnation: u64,
+}
+
+/// Term, vote and commit index, as they are written to disk.
+///
+/// It protects that a replica votes once in a term, also across a restart: the vote is synced
+/// before the message that carries it is sent.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct PersistedHardState {
+    /// The term.
+    pub term: u64,
+    /// Replica that this one voted for in that term; 0 for none.
+    pub vote: u64,
+    /// Index of the last entry that is known to be committed.
+    pub commit: u64,
+}
+
+impl PersistedHardState {
+    /// Converts the library's form.
+    pub fn of(state: &HardState) -> PersistedHardState {
+        PersistedHardState {
+            term: state.term,
+            vote: state.vote,
+            commit: state.commit,
+        }
+    }
+
+    /// Converts to the library's form.
+    pub(super) fn to_library(self) -> HardState {
+        HardState {
+            term: self.term,
+            vote: self.vote,
+            commit: self.commit,
+            ..HardState::default()
+        }
+    }
+}
+
+/// An entry of the log.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct LogEntry {
+    kind: i32,
+    term: u64,
+    index: u64,
+    data: ByteBuf,
+    context: ByteBuf,
+}
+
+impl LogEntry {
+    /// Converts the library's form.
+    pub fn of(entry: &Entry) -> LogEntry {
+        LogEntry {
+            kind: entry.get_entry_type().value(),
+            term: entry.term,
+            index: entry.index,
+            data: ByteBuf::from(entry.data.to_vec()),
+            context: ByteBuf::from(entry.context.to_vec()),
+        }
+    }
+
+    /// Converts to the library's form; nothing for an entry of an unknown kind.
+    pub(super) fn into_library(self) -> Option<Entry> {
+        let mut entry = Entry::default();
+        entry.set_entry_type(EntryType::from_i32(self.kind)?);
+        entry.term = self.term;
+        entry.index = self.index;
+        entry.data = self.data.into_vec().into();
+        entry.context = self.context.into_vec().into();
+        Some(entry)
+    }
+
+    /// Bytes that it takes, about.
+    pub fn size(&self) -> usize {
+        self.data.len() + self.context.len() + OVERHEAD_BYTES
+    }
+}
+
+/// All that a replica has, complete in itself.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Checkpoint {
+    /// Version of the form.
+    pub format_version: u16,
+    /// Whose folder it is.
+    pub identity: ReplicaIdentity,
+    /// Whether the replica takes part: at a site's first start it waits until all replicas know
+    /// each other.
+    pub takes_part: bool,
+    /// Incarnations of the other replicas, as far as they are known before that.
+    pub known_incarnations: BTreeMap<u64, u64>,
+    /// Term, vote and commit index.
+    pub hard_state: PersistedHardState,
+    /// Index of the last entry that the snapshot contains.
+    pub index: u64,
+    /// Term of that entry.
+    pub term: u64,
+    /// Replicas that vote.
+    pub voters: Vec<u64>,
+    /// The snapshot: a [`GroupState`](crate::coordination::raft_group::GroupState).
+    pub state: ByteBuf,
+    /// The entries behind the snapshot.
+    pub entries: Vec<LogEntry>,
+}
+
+impl Checkpoint {
+    /// What a folder begins with. A group that begins has a snapshot of nothing as its entry 1, so
+    /// that a replica which joins later is sent one; a replica that joins a group begins at 0.
+    pub fn new(
+        identity: ReplicaIdentity,
+        index: u64,
+        voters: Vec<u64>,
+        state: Vec<u8>,
+    ) -> Checkpoint {
+        Checkpoint {
+            format_version: FORMAT_VERSION,
+            identity,
+            takes_part: false,
+            known_incarnations: BTreeMap::new(),
+            hard_state: PersistedHardState {
+                term: index,
+                vote: 0,
+                commit: index,
+            },
+            index,
+            term: index,
+            voters,
+            state: ByteBuf::from(state),
+            entries: Vec::new(),
+        }
+    }
+
+    /// Copies it without snapshot, entries and voters.
+    pub fn without_state(&self) -> Checkpoint {
+        Checkpoint {
+            identity: self.identity.clone(),
+            known_incarnations: self.known_incarnations.clone(),
+            state: ByteBuf::new(),
+            entries: Vec::new(),
+            voters: Vec::new(),
+            ..*self
+        }
+    }
+
+    /// The next checkpoint of the same replica: a snapshot as of `index`, with what `storage` has
+    /// behind it.
+    pub fn next(
+        &self,
+        storage: &MemoryStorage,
+        voters: Vec<u64>,
+        state: Vec<u8>,
+        index: u64,
+    ) -> Checkpoint {
+        let hard_state = PersistedHardState::of(&storage.hard_state);
+        Checkpoint {
+            format_version: FORMAT_VERSION,
+            hard_state: PersistedHardState {
+                commit: hard_state.commit.max(index),
+                ..hard_state
+            },
+            index,
+            term: storage.term(index).unwrap_or(self.term),
+            voters,
+            state: ByteBuf::from(state),
+            entries: storage.entries_after(index),
+            ..self.clone()
+        }
+    }
+
+    /// Adds what was written after it.
+    pub fn append(&mut self, batch: Batch) {
+        let mut merged = Batch {
+            hard_state: self.hard_state,
+            entries: std::mem::take(&mut self.entries),
+        };
+        merged.merge(batch);
+        self.hard_state = merged.hard_state;
+        self.entries = merged.entries;
+    }
+
+    /// Bytes of the entries behind the snapshot, about.
+    pub fn entries_size(&self) -> usize {
+        self.entries.iter().map(LogEntry::size).sum()
+    }
+
+    /// Whether the entries behind the snapshot are an unbroken run.
+    fn is_unbroken(&self) -> bool {
+        let indexes = self.index + 1..;
+        self.entries
+            .iter()
+            .zip(indexes)
+            .all(|(entry, index)| entry.index == index)
+    }
+}
+
+/// What was written after a checkpoint.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Batch {
+    /// Term, vote and commit index.
+    pub hard_state: PersistedHardState,
+    /// Entries; they replace all from the first one's index on.
+    pub entries: Vec<LogEntry>,
+}
+
+impl Batch {
+    /// Makes one batch of this one and the one behind it.
+    pub fn merge(&mut self, later: Batch) {
+        self.hard_state = later.hard_state;
+        if let Some(first) = later.entries.first() {
+            let from = first.index;
+            self.entries.retain(|e| e.index < from);
+        }
+        self.entries.extend(later.entries);
+    }
+
+    /// Bytes that it takes, about.
+    pub fn size(&self) -> usize {
+        self.entries.iter().map(LogEntry::size).sum::<usize>() + OVERHEAD_BYTES
+    }
+}
+
+/// An item of the log.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum LogItem {
+    /// All that the replica has.
+    Checkpoint(Box<Checkpoint>),
+    /// What came after it.
+    Batch(Batch),
+}
+
+/// Why items that were read add up to nothing that a replica may go on from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum UnreadableLog {
+    /// A checkpoint of a form that this program does not know.
+    #[error("it has form {0}, this program knows {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}")]
+    Form(u16),
+    /// Entries between the checkpoint and its last entry are not there.
+    #[error("entries are missing")]
+    EntriesMissing,
+    /// An entry of a kind that this program does not know.
+    #[error("an entry of a kind that is not known")]
+    EntryKind,
+}
+
+/// Adds up the newest checkpoint and the batches behind it; nothing, where there is no checkpoint.
+///
+/// # Errors
+/// The items add up to nothing that a replica may go on from.
+pub fn assemble_checkpoint(
+    items: impl Iterator<Item = LogItem>,
+) -> Result<Option<Checkpoint>, UnreadableLog> {
+    let mut newest: Option<Checkpoint> = None;
+    for item in items {
+        match item {
+            LogItem::Checkpoint(checkpoint) => {
+                if !(OLDEST_FORMAT_VERSION..=FORMAT_VERSION).contains(&checkpoint.format_version) {
+                    return Err(UnreadableLog::Form(checkpoint.format_version));
+                }
+                newest = Some(*checkpoint);
+            }
+            LogItem::Batch(batch) => {
+                // Without a checkpoint before it, it is older than the checkpoint, and not yet
+                // noted as obsolete.
+                if let Some(checkpoint) = &mut newest {
+                    checkpoint.append(batch);
+                    if !checkpoint.is_unbroken() {
+                        return Err(UnreadableLog::EntriesMissing);
+                    }
+                }
+            }
+        }
+    }
+    Ok(newest)
+}
--- a/src/coordination/record/tests.rs
+++ b/src/coordination/record/tests.rs
@@ -14,8 +14,8 @@
         zone: "z".into(),
         phase,
         out: vec![(1, 1.0)],
-        tries: 0,
-        why: String::new(),
+        return_attempts: 0,
+        reason: String::new(),
     }
 }
 
@@ -68,7 +68,7 @@
         1,
         &Command::RequestZoneState {
             zone: "z".into(),
-            wish: RequestedZoneState::Hold,
+            state: RequestedZoneState::Hold,
             for_ms: 1_000,
         },
     );
@@ -80,7 +80,7 @@
             ms: 999,
         },
     );
-    assert!(record.zones["z"].wish.is_some());
+    assert!(record.zones["z"].request.is_some());
     record.apply(
         3,
         &Command::AdvanceClock {
--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -150,7 +150,7 @@
     }
 
     fn who(&self) -> String {
-        format!("keeper {} of {}", self.config.keeper, self.config.site)
+        format!("keeper {} of {}", self.config.replica, self.config.site)
     }
 }
 
--- a/src/coordination/replica/accept.rs
+++ b/src/coordination/replica/accept.rs
@@ -76,7 +76,7 @@
             };
             let from = from.ip().to_canonical();
             let (agent, keeper) = (
-                self.config.may_ask(from),
+                self.config.may_connect(from),
                 self.allowed.borrow().contains(&from),
             );
             let permissions = Permissions {
--- a/src/coordination/replica/conflicts.rs
+++ b/src/coordination/replica/conflicts.rs
@@ -82,7 +82,7 @@
         }
         let (left, what) = match &self.stage {
             Stage::Begins(begin) => (begin.missing(), "not met yet: the site has not begun"),
-            Stage::Takes(group) => (group.without_record(), "has not got the record yet"),
+            Stage::Takes(group) => (group.voters_without_record(), "has not got the record yet"),
         };
         told.extend(left.into_iter().map(|keeper| (keeper, what.into())));
         told.extend(self.site_trouble());
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -89,7 +89,7 @@
             group.tick();
         }
         let mut out = Vec::new();
-        if let Some(duties) = self.duties.as_mut().filter(|_| group.leads_for_certain()) {
+        if let Some(duties) = self.duties.as_mut().filter(|_| group.holds_leader_lease()) {
             duties.on_tick(now, group.record(), &mut out);
         }
         self.carry_out(out);
@@ -98,14 +98,14 @@
 
     /// What came of writing.
     fn handle_saved(&mut self, (piece, result): Wrote) -> Result<(), String> {
-        let wants_base = self.keep.idle().is_some_and(RaftLogStore::wants_base);
+        let wants_base = self.keep.idle().is_some_and(RaftLogStore::wants_checkpoint);
         let who = self.who();
         let Stage::Takes(group) = &mut self.stage else {
             return Ok(());
         };
         match result {
             Ok(()) => {
-                group.saved();
+                group.item_saved();
                 if self.full.take().is_some() {
                     log::info!("{who}: writes again");
                 }
@@ -123,7 +123,7 @@
                 if since.elapsed()
                     > Duration::from_millis(self.config.tick_ms) * ELECTION_TICKS as u32
                 {
-                    let _ = group.hand_on();
+                    let _ = group.transfer_leadership();
                 }
                 self.again = Some((piece, Instant::now() + RESOURCE_RETRY_DELAY));
                 Ok(())
@@ -145,7 +145,9 @@
             return Ok(false);
         };
         let mut events = Vec::new();
-        let messages = group.work(&mut events).map_err(|e| e.to_string())?;
+        let messages = group
+            .process_ready(&mut events)
+            .map_err(|e| e.to_string())?;
         let idle = messages.is_empty() && events.is_empty();
         send(group, &self.outgoing, messages);
         let mut effects = Effects::default();
@@ -191,8 +193,8 @@
                     group.voters()
                 );
                 effects.members = true;
-                self.removed = group.held().removed.contains(&group.me());
-                let came = group.held().members.contains_key(&keeper);
+                self.removed = group.state().removed.contains(&group.id());
+                let came = group.state().members.contains_key(&keeper);
                 if let Some(changing) = self.changing.as_mut().filter(|c| c.1 == keeper) {
                     changing.2 = Some(index).filter(|_| came);
                     if !came {
@@ -210,7 +212,7 @@
                 );
                 effects.members = true;
             }
-            GroupEvent::LeaderChanged(leader, term) if leader != 0 && leader != group.me() => {
+            GroupEvent::LeaderChanged(leader, term) if leader != 0 && leader != group.id() => {
                 log::info!("{}: follows {leader} in term {term}", self.who());
             }
             GroupEvent::LeaderChanged(..) => {}
@@ -246,7 +248,7 @@
             return;
         };
         let has = |(_, keeper, index): &mut (_, u64, Option<u64>)| {
-            index.is_some_and(|index| group.has(*keeper, index))
+            index.is_some_and(|index| group.has_replicated(*keeper, index))
         };
         if let Some((connection, _, Some(index))) = self.changing.take_if(has) {
             effects
@@ -268,7 +270,7 @@
             let duties = LeaderDuties::new(self.config.rules.clone(), term, now, group.record());
             self.duties = Some(duties.with_last_leader_seen(now, self.led));
         }
-        if group.leader() != group.me() && self.duties.take().is_some() {
+        if group.leader() != group.id() && self.duties.take().is_some() {
             log::info!("{}: leads no more", self.who());
             effects.ends = true;
             self.changing = None;
@@ -291,7 +293,7 @@
         }
         // Nothing, while something is to be written again.
         match &mut self.stage {
-            Stage::Takes(group) => group.piece(),
+            Stage::Takes(group) => group.next_item(),
             Stage::Begins(_) => None,
         }
     }
@@ -308,7 +310,9 @@
             self.run(coming, Some(Instant::now() + FAREWELL)).await?;
         }
         let handed = match &mut self.stage {
-            Stage::Takes(group) if group.leader() == group.me() => group.hand_on().is_ok(),
+            Stage::Takes(group) if group.leader() == group.id() => {
+                group.transfer_leadership().is_ok()
+            }
             _ => false,
         };
         if handed {
--- a/src/coordination/replica/formation.rs
+++ b/src/coordination/replica/formation.rs
@@ -11,7 +11,7 @@
         let Stage::Begins(begin) = &self.stage else {
             return self.work();
         };
-        let piece = LogItem::Checkpoint(Box::new(begin.base().clone()));
+        let piece = LogItem::Checkpoint(Box::new(begin.checkpoint().clone()));
         self.save_now(piece).await?;
         // One that is alone waits for nobody.
         self.form_group().await?;
@@ -49,7 +49,7 @@
         let Stage::Begins(begin) = &self.stage else {
             return Ok(());
         };
-        self.save_now(LogItem::Checkpoint(Box::new(begin.base().clone())))
+        self.save_now(LogItem::Checkpoint(Box::new(begin.checkpoint().clone())))
             .await
     }
 
@@ -64,7 +64,7 @@
             .iter()
             .map(|(id, at)| (*id, at.to_string()));
         let at = peers
-            .chain([(self.config.keeper, self.config.listen.to_string())])
+            .chain([(self.config.replica, self.config.listen.to_string())])
             .collect();
         if let Some(base) = begin.finish(&at) {
             log::info!("{}: all keepers know each other, begins", self.who());
--- a/src/coordination/replica/peers.rs
+++ b/src/coordination/replica/peers.rs
@@ -201,21 +201,21 @@
         let connection = outgoing.get(&to).filter(|o| o.reach.up.get());
         let bytes = message.write_to_bytes().map_err(|e| e.to_string());
         let framed = bytes.and_then(|b| {
-            framing::bytes(&PeerMessage::Raft(ByteBuf::from(b)), PEER_MOST)
+            framing::encode(&PeerMessage::Raft(ByteBuf::from(b)), PEER_MOST)
                 .map_err(|e| e.to_string())
         });
         let sent = match (framed, connection) {
             (Ok(bytes), Some(connection)) => connection.queue.try_send(bytes).is_ok(),
             (Ok(_), None) => false,
             (Err(e), _) => {
-                log::error!("keeper {}: a message to keeper {to}: {e}", group.me());
+                log::error!("keeper {}: a message to keeper {to}: {e}", group.id());
                 false
             }
         };
         match (sent, snapshot) {
-            (true, true) => group.snapshot_sent(to),
+            (true, true) => group.report_snapshot_sent(to),
             (true, false) => {}
-            (false, snapshot) => group.unreachable(to, snapshot),
+            (false, snapshot) => group.report_unreachable(to, snapshot),
         }
     }
 }
@@ -225,7 +225,7 @@
     pub(super) fn address_of(&self, keeper: u64) -> Option<SocketAddr> {
         let known = match &self.stage {
             Stage::Takes(group) => group
-                .held()
+                .state()
                 .members
                 .get(&keeper)
                 .and_then(|m| m.at.parse().ok()),
@@ -238,12 +238,12 @@
     pub(super) fn connect_replicas(&mut self) {
         let mut wanted: BTreeSet<u64> = self.config.peers.keys().copied().collect();
         if let Stage::Takes(group) = &self.stage {
-            let held = group.held();
+            let held = group.state();
             if !held.members.is_empty() {
                 wanted = held.members.keys().copied().collect();
             }
         }
-        wanted.remove(&self.config.keeper);
+        wanted.remove(&self.config.replica);
         let at: BTreeMap<u64, SocketAddr> = wanted
             .iter()
             .filter_map(|id| Some((*id, self.address_of(*id)?)))
--- a/src/coordination/replica/receive.rs
+++ b/src/coordination/replica/receive.rs
@@ -59,8 +59,8 @@
     /// Whether a keeper with this folder is one of the group.
     fn heard(&mut self, keeper: u64, incarnation: u64) -> PeerAdmission {
         match &mut self.stage {
-            Stage::Begins(begin) => begin.tells(keeper, incarnation),
-            Stage::Takes(group) => admit(group.held(), keeper, incarnation),
+            Stage::Begins(begin) => begin.learn_incarnation(keeper, incarnation),
+            Stage::Takes(group) => admit(group.state(), keeper, incarnation),
         }
     }
 
@@ -113,7 +113,7 @@
             }
         }
         if let Stage::Begins(begin) = &mut self.stage {
-            begin.knows(keeper);
+            begin.note_known_to(keeper);
         }
         if heard == PeerAdmission::New {
             self.save_known_replicas().await?;
--- a/src/coordination/replica/requests.rs
+++ b/src/coordination/replica/requests.rs
@@ -41,7 +41,7 @@
         let Some(queue) = self.connections.get(&connection) else {
             return;
         };
-        let sent = framing::bytes(word, MAX_FRAME_BYTES).map_err(|e| e.to_string());
+        let sent = framing::encode(word, MAX_FRAME_BYTES).map_err(|e| e.to_string());
         let sent = sent.and_then(|bytes| queue.try_send(bytes).map_err(|e| e.to_string()));
         if let Err(e) = sent {
             // Its task sees that nobody writes to it any more.
@@ -60,10 +60,10 @@
 
     /// What the replica knows of how things stand.
     fn fill_status(&self, status: &mut CoordinationStatus) {
-        (status.site, status.replica) = (self.config.site.clone(), self.config.keeper);
+        (status.site, status.replica) = (self.config.site.clone(), self.config.replica);
         if let Stage::Takes(group) = &self.stage {
             // One that was elected leads when it knows all that was agreed before.
-            let leads = group.leader() != group.me() || self.duties.is_some();
+            let leads = group.leader() != group.id() || self.duties.is_some();
             (status.leader, status.term) = (if leads { group.leader() } else { 0 }, group.term());
             status.version = group.record().version;
             status.voters = group.voters().to_vec();
@@ -76,7 +76,7 @@
         match &self.stage {
             Stage::Takes(group) => {
                 // One that leads and may not speak yet, or no more, knows of nobody.
-                Some(group.leader()).filter(|id| *id != 0 && *id != group.me())
+                Some(group.leader()).filter(|id| *id != 0 && *id != group.id())
             }
             Stage::Begins(_) => None,
         }
@@ -86,7 +86,7 @@
         let now = self.now();
         let mut out = Vec::new();
         match (&mut self.stage, &mut self.duties) {
-            (Stage::Takes(group), Some(duties)) if group.leads_for_certain() => {
+            (Stage::Takes(group), Some(duties)) if group.holds_leader_lease() => {
                 duties.on_agent_message(now, connection, word, group.record(), &mut out);
             }
             _ => out.push(Effect::Send(
@@ -102,7 +102,7 @@
         let elsewhere = OperatorResponse::NotLeader(self.leader());
         let mut out = Vec::new();
         match (&mut self.stage, &mut self.duties) {
-            (Stage::Takes(group), Some(duties)) if group.leads_for_certain() => {
+            (Stage::Takes(group), Some(duties)) if group.holds_leader_lease() => {
                 self.asked.insert(connection);
                 match word {
                     OperatorRequest::Federation(
@@ -114,20 +114,22 @@
                     OperatorRequest::AddReplica { keeper, at } => {
                         return self.ask_incarnation(connection, keeper, at)
                     }
-                    OperatorRequest::RemoveReplica { keeper } => match group.remove(keeper) {
-                        Ok(()) => self.changing = Some((connection, keeper, None)),
-                        // It was removed before: as ordered.
-                        Err(_) if group.held().removed.contains(&keeper) => {
-                            out.push(Effect::Reply(
+                    OperatorRequest::RemoveReplica { keeper } => {
+                        match group.remove_member(keeper) {
+                            Ok(()) => self.changing = Some((connection, keeper, None)),
+                            // It was removed before: as ordered.
+                            Err(_) if group.state().removed.contains(&keeper) => {
+                                out.push(Effect::Reply(
+                                    connection,
+                                    OperatorResponse::Done(group.record().version),
+                                ));
+                            }
+                            Err(no) => out.push(Effect::Reply(
                                 connection,
-                                OperatorResponse::Done(group.record().version),
-                            ));
+                                OperatorResponse::Rejected(no.to_string()),
+                            )),
                         }
-                        Err(no) => out.push(Effect::Reply(
-                            connection,
-                            OperatorResponse::Rejected(no.to_string()),
-                        )),
-                    },
+                    }
                     word => {
                         duties.on_operator_request(
                             now,
@@ -165,10 +167,10 @@
         let Stage::Takes(group) = &self.stage else {
             return;
         };
-        let known = group.held().members.get(&keeper);
+        let known = group.state().members.get(&keeper);
         if known.is_some_and(|m| m.at == at) {
             // As ordered, already.
-            let word = match group.has(keeper, 1) {
+            let word = match group.has_replicated(keeper, 1) {
                 true => OperatorResponse::Done(group.record().version),
                 false => OperatorResponse::Rejected(format!(
                     "keeper {keeper} was added and has not got the record yet"
@@ -221,7 +223,7 @@
         };
         let added = match folder {
             Ok(incarnation) => {
-                let added = group.add(keeper, &GroupMember { at, incarnation });
+                let added = group.add_member(keeper, &GroupMember { at, incarnation });
                 added.map_err(|no| no.to_string())
             }
             Err(e) => Err(format!("keeper {keeper} at {at}: {e}")),
--- a/src/coordination/replica/sites.rs
+++ b/src/coordination/replica/sites.rs
@@ -160,7 +160,7 @@
         };
         let known = voice.view();
         let stands = Some((known.record.version, known.leader, known.lease_until));
-        if !group.leads_for_certain() || !tick && self.sites.told == stands {
+        if !group.holds_leader_lease() || !tick && self.sites.told == stands {
             return;
         }
         self.sites.told = stands;
@@ -181,7 +181,7 @@
                     if let Err(no) = group.propose(&command) {
                         log::debug!(
                             "keeper {}: a voice's piece is not proposed: {no}",
-                            group.me()
+                            group.id()
                         );
                         self.voice
                             .iter_mut()
@@ -216,10 +216,10 @@
         else {
             return false;
         };
-        match framing::bytes(&Said::Word(word), SITE_MOST) {
+        match framing::encode(&Said::Word(word), SITE_MOST) {
             Ok(bytes) => connection.queue.try_send(bytes).is_ok(),
             Err(e) => {
-                log::error!("keeper {}: a word to site {site}: {e}", self.config.keeper);
+                log::error!("keeper {}: a word to site {site}: {e}", self.config.replica);
                 false
             }
         }
@@ -416,7 +416,7 @@
             return Said::Elsewhere(leader);
         };
         let (number, own) = (voice.view().own_site, voice.incarnation(group.record()));
-        let Some(own) = own.filter(|_| group.leads_for_certain()) else {
+        let Some(own) = own.filter(|_| group.holds_leader_lease()) else {
             return Said::Elsewhere(leader);
         };
         if self
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -35,32 +35,33 @@
 /// Runs a keeper until it is told to end. All that keeps it from starting, or from going on, is
 /// told.
 pub fn run(config: Config) -> Result<(), String> {
-    let folder = config.state.display().to_string();
+    let folder = config.folder.display().to_string();
     let said = |e: &dyn std::fmt::Display| format!("state: {folder}: {e}");
-    fs::create_dir_all(&config.state).map_err(|e| said(&e))?;
-    let lock = File::open(&config.state).map_err(|e| said(&e))?;
+    fs::create_dir_all(&config.folder).map_err(|e| said(&e))?;
+    let lock = File::open(&config.folder).map_err(|e| said(&e))?;
     flock(&lock, FlockOperation::NonBlockingLockExclusive)
         .map_err(|_| said(&"in use by another process"))?;
-    let disk = Arc::new(Folder::new(&config.state));
-    let (keep, found) = RaftLogStore::open(disk, config.disk, draw()).map_err(|e| said(&e))?;
+    let disk = Arc::new(Folder::new(&config.folder));
+    let (keep, found) =
+        RaftLogStore::open(disk, config.disk_bytes, draw()).map_err(|e| said(&e))?;
     let base = match found {
         Some(base)
-            if base.identity.site != config.site || base.identity.keeper != config.keeper =>
+            if base.identity.site != config.site || base.identity.replica != config.replica =>
         {
-            let other = OpenError::ForeignFolder(base.identity.keeper, base.identity.site);
+            let other = OpenError::ForeignFolder(base.identity.replica, base.identity.site);
             return Err(said(&other));
         }
         Some(base) => base,
         None => {
-            let (site, keeper) = (config.site.clone(), config.keeper);
+            let (site, keeper) = (config.site.clone(), config.replica);
             let identity = ReplicaIdentity {
                 site,
-                keeper,
+                replica: keeper,
                 incarnation: draw(),
             };
             match config.begin {
-                true => Bootstrap::empty(identity, config.peers.keys().copied()),
-                false => Bootstrap::joining(identity),
+                true => Bootstrap::first_checkpoint(identity, config.peers.keys().copied()),
+                false => Bootstrap::joining_checkpoint(identity),
             }
         }
     };
@@ -104,7 +105,7 @@
         .map_err(|e| format!("listen: {e}"))?;
     log::info!(
         "keeper {} of {}: listens at {at}",
-        config.keeper,
+        config.replica,
         config.site
     );
     Ok(listener)
@@ -163,7 +164,7 @@
             inbox,
             wheel,
             site: config.site.as_str().into(),
-            keeper: config.keeper,
+            keeper: config.replica,
             incarnation: base.identity.incarnation,
             federation: config
                 .federation
@@ -174,7 +175,7 @@
             next: Rc::default(),
         };
         let now = Instant::now();
-        let stage = match base.begun {
+        let stage = match base.takes_part {
             true => Stage::Takes(Box::new(
                 RaftGroup::new(base, draw()).map_err(|e| e.to_string())?,
             )),
@@ -214,13 +215,13 @@
         let Stage::Takes(group) = &self.stage else {
             return Ok(());
         };
-        let Some(base) = &group.record().written.base else {
+        let Some(base) = &group.record().durable_vote.base else {
             return Ok(());
         };
         match &self.config.federation {
             Some(settings) => {
                 let told = settings.check_identity(&base.identity);
-                told.map_err(|e| format!("state: {}: {e}", self.config.state.display()))
+                told.map_err(|e| format!("state: {}: {e}", self.config.folder.display()))
             }
             None => {
                 log::warn!(
--- a/src/coordination/replica/tests.rs
+++ b/src/coordination/replica/tests.rs
@@ -13,7 +13,7 @@
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
-    let written = framing::bytes(&message, most).expect("short enough");
+    let written = framing::encode(&message, most).expect("short enough");
     assert_eq!(HEXLOWER.encode(&written), hex, "{message:?}");
     let literal = HEXLOWER.decode(hex.as_bytes()).expect("hexadecimal digits");
     let read: T = framing::read_blocking(&mut &literal[..], most).expect("a frame");
--- a/src/coordination/routing_table/cutover/decisions.rs
+++ b/src/coordination/routing_table/cutover/decisions.rs
@@ -6,7 +6,7 @@
 use crate::coordination::routing_table::cutover::{Cutover, MS, SECOND};
 use crate::coordination::routing_table::federation_view::FederationView;
 use crate::coordination::routing_table::tables::Change;
-use crate::coordination::sender_registry::names;
+use crate::coordination::sender_registry::format_names;
 use crate::Nanos;
 use std::collections::BTreeSet;
 
@@ -94,7 +94,7 @@
         let silent = if late.is_empty() {
             "the federation is".into()
         } else {
-            names(&late)
+            format_names(&late)
         };
         let late: BTreeSet<String> = late.into_iter().cloned().collect();
         if is_over {
--- a/src/coordination/routing_table/cutover/mod.rs
+++ b/src/coordination/routing_table/cutover/mod.rs
@@ -148,17 +148,17 @@
     /// A sender has a session on a connection of its own, on which it has not said yet whether it
     /// follows tables.
     pub fn on_session_opened(&mut self, sender: &str, boot: u64) {
-        self.senders.meet(sender, boot, None);
+        self.senders.open_session(sender, boot, None);
     }
 
     /// A sender's load report arrived. One that has not said by now what it has follows no tables.
     pub fn on_report(&mut self, sender: &str) {
-        self.senders.is_told(sender);
+        self.senders.note_inventory_due(sender);
     }
 
     /// A sender's session is over.
     pub fn on_session_closed(&mut self, sender: &str) {
-        self.senders.part(sender);
+        self.senders.close_session(sender);
     }
 
     /// A sender says what it has, checked, or goes by.
@@ -171,7 +171,7 @@
         effects: &mut Vec<CutoverEffect>,
     ) {
         match message {
-            AgentTableMessage::StoredTables(stored) => self.senders.has(sender, stored),
+            AgentTableMessage::StoredTables(stored) => self.senders.set_stored(sender, stored),
             AgentTableMessage::TableChecked { number, refused } => {
                 self.on_checked(sender, *number, refused.as_deref(), record);
             }
--- a/src/coordination/routing_table/cutover/orders.rs
+++ b/src/coordination/routing_table/cutover/orders.rs
@@ -9,7 +9,7 @@
     Command, EndedProposal, ProposalKey, ProposalRejected, DECIDED,
 };
 use crate::coordination::routing_table::federation_view::FederationView;
-use crate::coordination::sender_registry::names;
+use crate::coordination::sender_registry::format_names;
 
 /// Longest time that a proposal may have, in seconds: a day.
 const MAX_WITHIN_S: u32 = 24 * 3_600;
@@ -103,7 +103,9 @@
         federation.check_proposal(text)?;
         let not_following = self.not_following(record);
         if !not_following.is_empty() {
-            return Err(OrderRejected::SendersFollowNone(names(&not_following)));
+            return Err(OrderRejected::SendersFollowNone(format_names(
+                &not_following,
+            )));
         }
         // The record's version grows with each heartbeat: no two proposals of this site have one,
         // and it outlasts this leader.
--- a/src/coordination/routing_table/cutover/senders.rs
+++ b/src/coordination/routing_table/cutover/senders.rs
@@ -4,7 +4,7 @@
 use crate::coordination::record::{Record, RosterEntry};
 use crate::coordination::routing_table::cutover::{Cutover, CutoverEffect, REFUSAL_RETRY_INTERVAL};
 use crate::coordination::routing_table::federation::RoutingTable;
-use crate::coordination::sender_registry::KnownSender;
+use crate::coordination::sender_registry::{KnownSender, LiveSender};
 use crate::Nanos;
 
 impl Cutover {
@@ -23,7 +23,7 @@
         let has_text = |number| tables.text(number).is_some();
         let refusal = self
             .senders
-            .checked(sender, (number, digest), refused, has_text);
+            .record_check(sender, (number, digest), refused, has_text);
         if let Some(why) = refusal {
             let why = why.replace('\n', "; ");
             log::warn!("table {number}: {sender} cannot go by it: {why}");
@@ -40,7 +40,7 @@
         effects: &mut Vec<CutoverEffect>,
     ) {
         let is_in_future = turn > record.tables.turn;
-        if is_in_future || !self.senders.goes_by(sender, turn) {
+        if is_in_future || !self.senders.record_applied(sender, turn) {
             return;
         }
         let Some(awaited) = &mut self.awaited else {
@@ -60,9 +60,9 @@
             return;
         }
         self.refusals_asked_at = now;
-        self.senders.forgive(tables.register.number);
+        self.senders.clear_refusals(tables.register.number);
         if let Some(next) = &tables.next {
-            self.senders.forgive(next.number);
+            self.senders.clear_refusals(next.number);
         }
     }
 
@@ -76,14 +76,18 @@
         offers: &mut usize,
         send: &mut dyn FnMut(ReplicaTableMessage),
     ) {
-        if !self.senders.of(sender).is_some_and(KnownSender::follows) {
+        if !self
+            .senders
+            .get(sender)
+            .is_some_and(KnownSender::has_reported)
+        {
             return;
         }
         self.send_due_turn(now, sender, record, send);
         self.send_missing_tables(now, sender, record, offers, send);
         let tables = &record.tables;
         self.senders
-            .forget(sender, |number| tables.text(number).is_some());
+            .forget_offers(sender, |number| tables.text(number).is_some());
     }
 
     fn send_due_turn(
@@ -98,7 +102,7 @@
             return;
         }
         let turn = active.turn;
-        if self.senders.is_due(now, sender, turn, turn) {
+        if self.senders.claim_announcement(now, sender, turn, turn) {
             send(ReplicaTableMessage::ApplyTable {
                 turn,
                 number: active.number,
@@ -120,7 +124,7 @@
         let all = [Some(&tables.table), tables.next.as_ref(), offered];
         for table in all.into_iter().flatten().filter(|t| t.number > 0) {
             let senders = &mut self.senders;
-            if senders.lacks(now, sender, table.number, &table.digest, offers) {
+            if senders.claim_offer(now, sender, table.number, &table.digest, offers) {
                 send(ReplicaTableMessage::OfferTable {
                     number: table.number,
                     digest: table.digest,
@@ -133,7 +137,7 @@
     /// Live senders that have not said that they go by the turn in force.
     pub(super) fn not_on_turn<'a>(&'a self, record: &'a Record) -> Vec<&'a String> {
         let turn = record.tables.register.turn;
-        self.senders.unheard(record, |_| true, |_| turn)
+        self.senders.unconfirmed(record, |_| true, |_| turn)
     }
 
     /// Live senders that have not said that they have a table, and do not refuse it.
@@ -143,7 +147,7 @@
         table: &RoutingTable,
     ) -> Vec<&'a String> {
         let needs = |_: &RosterEntry| (table.number, Some(table.digest));
-        let mut late = self.senders.unstored(record, |_| true, needs);
+        let mut late = self.senders.without_document(record, |_| true, needs);
         late.retain(|name| !self.refuses(name, table.number));
         late
     }
@@ -151,33 +155,36 @@
     /// Whether all live senders have said that they have a table.
     pub(super) fn is_stored_by_all(&self, record: &Record, table: &RoutingTable) -> bool {
         let mut live = self.senders.live(record, |_| true);
-        live.all(|(.., sender)| sender.is_some_and(|s| s.has(table.number, Some(table.digest))))
+        live.all(|sender| {
+            let known = sender.known;
+            known.is_some_and(|k| k.has_stored(table.number, Some(table.digest)))
+        })
     }
 
     pub(super) fn refuses(&self, sender: &str, number: u64) -> bool {
-        let known = self.senders.of(sender);
-        known.is_some_and(|sender| sender.refuses(number).is_some())
+        let known = self.senders.get(sender);
+        known.is_some_and(|sender| sender.refusal(number).is_some())
     }
 
     /// Live senders that follow no tables.
     pub(super) fn not_following<'a>(&'a self, record: &'a Record) -> Vec<&'a String> {
         let live = self.senders.live(record, |_| true);
-        live.filter(|(.., sender)| sender.is_some_and(KnownSender::is_deaf))
-            .map(|(name, ..)| name)
+        live.filter(|sender| sender.known.is_some_and(KnownSender::failed_to_report))
+            .map(|sender| sender.name)
             .collect()
     }
 
     /// Why live senders cannot go by a table, for people: the first of them.
     pub(super) fn refusal(&self, record: &Record, number: u64) -> Option<String> {
         let mut live = self.senders.live(record, |_| true);
-        live.find_map(|(name, _, sender)| {
-            let sender = sender?;
-            if sender.is_deaf() {
+        live.find_map(|LiveSender { name, known, .. }| {
+            let known = known?;
+            if known.failed_to_report() {
                 return Some(format!(
                     "{name}: its fleet file has no table [table], so it follows none"
                 ));
             }
-            sender.refuses(number).map(|why| format!("{name}: {why}"))
+            known.refusal(number).map(|why| format!("{name}: {why}"))
         })
     }
 }
--- a/src/coordination/routing_table/cutover/status.rs
+++ b/src/coordination/routing_table/cutover/status.rs
@@ -7,6 +7,7 @@
 use crate::coordination::routing_table::cutover::{Cutover, MS};
 use crate::coordination::routing_table::federation::{Federation, RoutingTable};
 use crate::coordination::routing_table::federation_view::FederationView;
+use crate::coordination::sender_registry::LiveSender;
 use crate::Nanos;
 
 /// Names of senders that are waited for in a status, at the most.
@@ -78,11 +79,11 @@
             return Vec::new();
         };
         let live = self.senders.live(record, |_| true);
-        let refusals = live.filter_map(|(name, _, sender)| {
-            let sender = sender?;
-            let why = match sender.refuses(table.number) {
+        let refusals = live.filter_map(|LiveSender { name, known, .. }| {
+            let known = known?;
+            let why = match known.refusal(table.number) {
                 Some(why) => why.clone(),
-                None if sender.is_deaf() => "its fleet file has no table [table]".into(),
+                None if known.failed_to_report() => "its fleet file has no table [table]".into(),
                 None => return None,
             };
             Some((name.clone(), why))
--- a/src/coordination/routing_table/durable_vote.rs
+++ b/src/coordination/routing_table/durable_vote.rs
@@ -9,8 +9,8 @@
 //! term is appended after it. Invariant: the site votes once in a raft term, and has whatever it
 //! has acknowledged, whichever replica leads it next.
 
-use crate::coordination::raft_group::MAX_COMMAND_BYTES;
 use crate::coordination::raft_log::{Batch, Checkpoint, LogEntry, LogItem};
+use crate::coordination::replicated_state::MAX_COMMAND_BYTES;
 use serde::{Deserialize, Serialize};
 
 /// Entries behind the base after which another base is due, in bytes: as much again as two tables.
@@ -60,7 +60,7 @@
     fn replace_base(&mut self, base: &Checkpoint) {
         if let Some(before) = &self.base {
             let is_same_identity = before.identity == base.identity;
-            let is_empty = base.index <= 1 && base.hard.vote == 0;
+            let is_empty = base.index <= 1 && base.hard_state.vote == 0;
             if !is_same_identity && !is_empty {
                 return;
             }
@@ -73,11 +73,11 @@
             return;
         };
         let mut all = Batch {
-            hard: base.hard,
+            hard_state: base.hard_state,
             entries: std::mem::take(&mut base.entries),
         };
         all.merge(batch.clone());
-        base.hard = all.hard;
+        base.hard_state = all.hard_state;
         base.entries = all.entries;
     }
 
--- a/src/coordination/routing_table/durable_vote/tests.rs
+++ b/src/coordination/routing_table/durable_vote/tests.rs
@@ -4,7 +4,7 @@
 fn base(site: u64, incarnation: u64) -> Checkpoint {
     let identity = ReplicaIdentity {
         site: "land".into(),
-        keeper: site,
+        replica: site,
         incarnation,
     };
     Checkpoint::new(identity, 1, vec![1, 2, 3], Vec::new())
@@ -12,7 +12,7 @@
 
 fn vote(term: u64, vote: u64) -> LogItem {
     LogItem::Batch(Batch {
-        hard: PersistedHardState {
+        hard_state: PersistedHardState {
             term,
             vote,
             commit: 1,
@@ -33,7 +33,7 @@
         stands
             .base
             .as_ref()
-            .map(|b| (b.hard.vote, b.identity.incarnation)),
+            .map(|b| (b.hard_state.vote, b.identity.incarnation)),
         Some((1, 7))
     );
     // One that was deposed, one that comes too early, and a fence that is late.
@@ -44,7 +44,7 @@
     assert_eq!((w.base.clone(), w.term, w.number), (stands.base, 6, 0));
     w.put(6, 1, &vote(6, 2));
     assert_eq!(
-        w.base.as_ref().map(|b| b.hard),
+        w.base.as_ref().map(|b| b.hard_state),
         Some(PersistedHardState {
             term: 6,
             vote: 2,
@@ -53,7 +53,7 @@
     );
     // Another identity begins with nothing, or not at all.
     let voted = Checkpoint {
-        hard: PersistedHardState {
+        hard_state: PersistedHardState {
             term: 7,
             vote: 1,
             commit: 1,
@@ -61,7 +61,7 @@
         ..base(4, 9)
     };
     w.put(6, 2, &LogItem::Checkpoint(Box::new(voted)));
-    assert_eq!(w.base.as_ref().map(|b| b.identity.keeper), Some(2));
+    assert_eq!(w.base.as_ref().map(|b| b.identity.replica), Some(2));
     w.put(6, 3, &LogItem::Checkpoint(Box::new(base(4, 9))));
-    assert_eq!(w.base.as_ref().map(|b| b.identity.keeper), Some(4));
+    assert_eq!(w.base.as_ref().map(|b| b.identity.replica), Some(4));
 }
--- a/src/coordination/routing_table/federation.rs
+++ b/src/coordination/routing_table/federation.rs
@@ -11,8 +11,9 @@
 //!
 //! Like a site's record it reads no clock and has one of its own, which the leading site moves on.
 
-use crate::coordination::cut;
 use crate::coordination::messages::Digest;
+use crate::coordination::replicated_state::{ReplicatedState, SizeLimits, MAX_COMMAND_BYTES};
+use crate::coordination::truncate_utf8;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -437,7 +438,7 @@
             number: proposal.table.number,
             digest: proposal.table.digest,
             by: proposal.by,
-            end: cut(how, MAX_REASON_BYTES),
+            end: truncate_utf8(how, MAX_REASON_BYTES),
             since_ms: proposal.since_ms,
             ended_ms: self.clock_ms,
         });
@@ -489,5 +490,23 @@
     Full,
 }
 
+impl ReplicatedState for Federation {
+    type Command = Command;
+    // The snapshot has three tables of 16 KiB and some 20 KiB round them; with its entries, and as
+    // any batch, it fits in a command of a site's record.
+    const LIMITS: SizeLimits = SizeLimits {
+        command: 24 * 1024,
+        message: 24 * 1024,
+        uncommitted: 48 * 1024,
+        merged_batch: 64 * 1024,
+        checkpoint_entries: 24 * 1024,
+        checkpoint: MAX_COMMAND_BYTES - 4 * 1024,
+    };
+
+    fn apply(&mut self, index: u64, command: &Command) {
+        Federation::apply(self, index, command);
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/coordination/routing_table/member/leadership.rs
+++ b/src/coordination/routing_table/member/leadership.rs
@@ -133,7 +133,7 @@
     /// Ends a change whose new site has the record.
     fn finish_join(&mut self, group: &RaftGroup<Federation>, effects: &mut Vec<MemberEffect>) {
         let has_record = |change: &mut RosterChange| match change.step {
-            ChangeStep::Replicating { index } => group.has(change.site, index),
+            ChangeStep::Replicating { index } => group.has_replicated(change.site, index),
             _ => false,
         };
         if let Some(change) = self.change.take_if(has_record) {
@@ -222,7 +222,7 @@
             let _ = group.propose(&command);
         }
         for site in to_remove {
-            let _ = group.remove(site);
+            let _ = group.remove_member(site);
         }
     }
 
@@ -255,7 +255,7 @@
         };
         let record = group.record();
         let lease_ms = self.settings.lease_ms;
-        let leads_certainly = group.leads_for_certain() && now < leadership.grant_until;
+        let leads_certainly = group.holds_leader_lease() && now < leadership.grant_until;
         let is_length_committed = record.lease_ms == lease_ms;
         let is_withheld = leadership.lease_withheld_until.contains_key(&site);
         let is_on_roster = record.sites.contains_key(&site);
--- a/src/coordination/routing_table/member/messages.rs
+++ b/src/coordination/routing_table/member/messages.rs
@@ -3,6 +3,7 @@
 //! They travel as postcard frames: the order of variants and fields is the wire format.
 
 use crate::coordination::messages::FederationRequest;
+use crate::coordination::raft_group::RefusedMessage;
 use crate::coordination::routing_table::federation::{Command, Federation};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
@@ -47,8 +48,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// The raft group cannot take the message.
-    #[error("{0}")]
-    InvalidRaftMessage(String),
+    #[error(transparent)]
+    InvalidRaftMessage(#[from] RefusedMessage),
 }
 
 /// Whether a site may ask for this command: it speaks for itself alone, and what only the leader
--- a/src/coordination/routing_table/member/mod.rs
+++ b/src/coordination/routing_table/member/mod.rs
@@ -207,8 +207,8 @@
     pub fn incarnation(&self, record: &Record) -> Option<u64> {
         match &self.stage {
             Stage::Bootstrapping(_) | Stage::Participating(_) => {
-                let identity = &record.written.base.as_ref()?.identity;
-                (identity.keeper == self.settings.site_number).then_some(identity.incarnation)
+                let identity = &record.durable_vote.base.as_ref()?.identity;
+                (identity.replica == self.settings.site_number).then_some(identity.incarnation)
             }
             Stage::Fencing | Stage::Failed(_) => None,
         }
@@ -291,7 +291,7 @@
 
 /// What the site knew last of the federation's record: all it knows until the group is heard.
 fn last_persisted_record(record: &Record) -> Federation {
-    let base = record.written.base.as_deref();
-    let snapshot = base.and_then(|base| GroupState::<Federation>::read(&base.held).ok());
+    let base = record.durable_vote.base.as_deref();
+    let snapshot = base.and_then(|base| GroupState::<Federation>::decode(&base.state).ok());
     snapshot.unwrap_or_default().record
 }
--- a/src/coordination/routing_table/member/peers.rs
+++ b/src/coordination/routing_table/member/peers.rs
@@ -45,8 +45,8 @@
         if complete.is_some() {
             log::info!("{}: all sites know each other, begins", self.log_name());
         }
-        let base: Checkpoint = complete.unwrap_or_else(|| begin.base().clone());
-        if record.written.base.as_deref() != Some(&base) {
+        let base: Checkpoint = complete.unwrap_or_else(|| begin.checkpoint().clone());
+        if record.durable_vote.base.as_deref() != Some(&base) {
             self.persist(now, LogItem::Checkpoint(Box::new(base)), effects);
         }
     }
@@ -61,8 +61,8 @@
         effects: &mut Vec<MemberEffect>,
     ) -> MemberAdmission {
         let heard = match &mut self.stage {
-            Stage::Bootstrapping(begin) => begin.tells(site, incarnation),
-            Stage::Participating(group) => admit(group.held(), site, incarnation),
+            Stage::Bootstrapping(begin) => begin.learn_incarnation(site, incarnation),
+            Stage::Participating(group) => admit(group.state(), site, incarnation),
             Stage::Fencing => return MemberAdmission::NotYet,
             Stage::Failed(why) => return MemberAdmission::Rejected(why.clone()),
         };
@@ -91,8 +91,9 @@
 
     /// In a first start the other site waits for being persisted here.
     fn awaits_persisting(&self, site: u64, incarnation: u64, record: &Record) -> bool {
-        let base = record.written.base.as_ref();
-        let is_persisted = base.is_some_and(|base| base.known.get(&site) == Some(&incarnation));
+        let base = record.durable_vote.base.as_ref();
+        let is_persisted =
+            base.is_some_and(|base| base.known_incarnations.get(&site) == Some(&incarnation));
         matches!(self.stage, Stage::Bootstrapping(_)) && !is_persisted
     }
 
@@ -106,8 +107,11 @@
         effects: &mut Vec<MemberEffect>,
     ) -> MemberAdmission {
         if let Stage::Bootstrapping(begin) = &mut self.stage {
-            if !matches!(begin.tells(site, incarnation), PeerAdmission::Rejected(_)) {
-                begin.knows(site);
+            if !matches!(
+                begin.learn_incarnation(site, incarnation),
+                PeerAdmission::Rejected(_)
+            ) {
+                begin.note_known_to(site);
                 self.continue_bootstrap(now, record, effects);
                 return MemberAdmission::Admitted;
             }
@@ -130,7 +134,7 @@
     /// the group, or before it began those of the file. The file's addresses go before recorded
     /// ones.
     pub fn peer_addresses(&self) -> BTreeMap<u64, Vec<SocketAddr>> {
-        let members = self.group().map(|group| &group.held().members);
+        let members = self.group().map(|group| &group.state().members);
         let Some(members) = members.filter(|members| !members.is_empty()) else {
             return self
                 .settings
@@ -184,7 +188,7 @@
             ),
             Stage::Participating(group) => {
                 let mut problems = self.problems_of(
-                    &group.without_record(),
+                    &group.voters_without_record(),
                     "has not got the federation's record yet",
                 );
                 problems.extend(self.own_roster_problems());
--- a/src/coordination/routing_table/member/replication.rs
+++ b/src/coordination/routing_table/member/replication.rs
@@ -35,7 +35,7 @@
                 return;
             };
             let mut events = Vec::new();
-            let messages = match group.work(&mut events) {
+            let messages = match group.process_ready(&mut events) {
                 Ok(messages) => messages,
                 Err(error) => return self.fail(reason_to_stop(&error)),
             };
@@ -75,7 +75,7 @@
         if self.write.is_in_flight() {
             return false;
         }
-        let Some(piece) = group.piece() else {
+        let Some(piece) = group.next_item() else {
             return false;
         };
         self.persist(now, piece, effects);
@@ -88,9 +88,9 @@
             return;
         };
         if !was_sent {
-            group.unreachable(to, has_snapshot);
+            group.report_unreachable(to, has_snapshot);
         } else if has_snapshot {
-            group.snapshot_sent(to);
+            group.report_snapshot_sent(to);
         }
     }
 
@@ -138,7 +138,7 @@
         };
         let name = self.log_name();
         log::info!("{name}: sites {:?} by entry {index}", group.voters());
-        let is_member = group.held().members.contains_key(&site);
+        let is_member = group.state().members.contains_key(&site);
         if let Some(leadership) = self.leadership.as_mut().filter(|_| is_member) {
             leadership.on_member_added(site);
         }
@@ -158,13 +158,13 @@
             return;
         };
         let term = group.term();
-        let is_raft_leader = group.leader() == group.me();
+        let is_raft_leader = group.leader() == group.id();
         if !is_raft_leader || self.leadership.as_ref().is_some_and(|l| l.term() != term) {
             self.leadership = None;
         }
         if group.is_ready_to_lead() && self.leadership.is_none() {
             let name = self.log_name();
-            log::info!("{name}: site {} leads in term {term}", group.me());
+            log::info!("{name}: site {} leads in term {term}", group.id());
             self.leadership = Some(Leadership::new(now, term, group.record()));
         }
         let is_leader_ready = !is_raft_leader || self.leadership.is_some();
@@ -215,7 +215,9 @@
     /// Asks another site to lead, if this one does. Returns whether it did.
     pub fn transfer_leadership(&mut self) -> bool {
         match &mut self.stage {
-            Stage::Participating(group) if self.leadership.is_some() => group.hand_on().is_ok(),
+            Stage::Participating(group) if self.leadership.is_some() => {
+                group.transfer_leadership().is_ok()
+            }
             _ => false,
         }
     }
--- a/src/coordination/routing_table/member/roster_change.rs
+++ b/src/coordination/routing_table/member/roster_change.rs
@@ -228,8 +228,8 @@
         if record.sites.len() == 1 {
             return Err(RosterChangeError::LastSite);
         }
-        if site == group.me() {
-            let _ = group.hand_on();
+        if site == group.id() {
+            let _ = group.transfer_leadership();
             return Err(RosterChangeError::SiteLeads(name.into()));
         }
         let removes_member = group.voters().iter().any(|site| record.off.contains(site));
@@ -275,10 +275,10 @@
         }
         let record = group.record();
         let addresses: Vec<String> = addresses.iter().map(|at| at.trim().into()).collect();
-        let member = group.held().members.get(&site);
+        let member = group.state().members.get(&site);
         let is_member = member.is_some_and(|m| m.at == addresses.join(","));
         if is_member && record.sites.get(&site).is_some_and(|s| s.name == name) {
-            if !group.has(site, 1) {
+            if !group.has_replicated(site, 1) {
                 return Err(RosterChangeError::AwaitingRecord(name.into()));
             }
             reply(requester, Ok(record.version), effects);
@@ -329,7 +329,7 @@
             .and_then(|incarnation| {
                 let at = addresses.clone();
                 let member = GroupMember { at, incarnation };
-                group.add(site, &member).map_err(|no| no.to_string())
+                group.add_member(site, &member).map_err(|no| no.to_string())
             });
         match added {
             Ok(()) => {
--- a/src/coordination/routing_table/member/settings.rs
+++ b/src/coordination/routing_table/member/settings.rs
@@ -75,12 +75,12 @@
     /// The identity is that of another site or federation.
     pub fn check_identity(&self, recorded: &ReplicaIdentity) -> Result<(), IdentityMismatch> {
         let is_own_number =
-            recorded.keeper == self.site_number || Some(recorded.keeper) == self.former_number;
+            recorded.replica == self.site_number || Some(recorded.replica) == self.former_number;
         if is_own_number && recorded.site == *self.federation {
             return Ok(());
         }
         Err(IdentityMismatch {
-            recorded_site: recorded.keeper,
+            recorded_site: recorded.replica,
             recorded_federation: recorded.site.clone(),
             site: self.site_number,
             federation: self.federation.clone(),
--- a/src/coordination/routing_table/member/vote_persistence.rs
+++ b/src/coordination/routing_table/member/vote_persistence.rs
@@ -57,7 +57,7 @@
             (_, Some(piece)) => record::Command::PersistMemberLog {
                 term,
                 number: self.write.number,
-                piece: piece.clone(),
+                item: piece.clone(),
             },
             (Stage::Fencing, None) => record::Command::FenceMember { term },
             (_, None) => return,
@@ -106,22 +106,22 @@
 
     /// Whether a command of this term is this member's and no later member has fenced it off.
     fn owns_record(&self, command_term: u64, record: &Record) -> bool {
-        command_term == self.site_term && record.written.term == self.site_term
+        command_term == self.site_term && record.durable_vote.term == self.site_term
     }
 
     /// The fence is committed: resumes from what the record holds, or begins with a new identity.
     fn on_fenced(&mut self, now: Nanos, record: &Record, effects: &mut Vec<MemberEffect>) {
-        let Some(base) = &record.written.base else {
+        let Some(base) = &record.durable_vote.base else {
             return self.persist_new_identity(now, effects);
         };
         let recorded = &base.identity;
         if let Err(mismatch) = self.settings.check_identity(recorded) {
             return self.fail(mismatch.to_string());
         }
-        if recorded.keeper == self.settings.site_number {
+        if recorded.replica == self.settings.site_number {
             return self.resume(now, record, effects);
         }
-        let former = recorded.keeper;
+        let former = recorded.replica;
         log::info!("{}: gives up the number {former}", self.log_name());
         self.persist_new_identity(now, effects);
     }
@@ -131,21 +131,21 @@
     fn persist_new_identity(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
         let identity = ReplicaIdentity {
             site: self.settings.federation.to_string(),
-            keeper: self.settings.site_number,
+            replica: self.settings.site_number,
             incarnation: self.rng.u64(..),
         };
         let base = if self.settings.bootstrap {
             let others = self.settings.other_sites.keys().copied();
-            Bootstrap::empty_of::<Federation>(identity, others)
+            Bootstrap::first_checkpoint_of::<Federation>(identity, others)
         } else {
-            Bootstrap::joining_of::<Federation>(identity)
+            Bootstrap::joining_checkpoint_of::<Federation>(identity)
         };
         self.persist(now, LogItem::Checkpoint(Box::new(base)), effects);
     }
 
     /// Resumes from what the record holds.
     fn resume(&mut self, now: Nanos, record: &Record, effects: &mut Vec<MemberEffect>) {
-        let Some(base) = record.written.base.as_deref() else {
+        let Some(base) = record.durable_vote.base.as_deref() else {
             return;
         };
         let name = self.log_name();
@@ -154,7 +154,7 @@
             log::info!("{name}: speaks for site {site} in term {term}");
         }
         self.ticked_until = now;
-        if !base.begun {
+        if !base.takes_part {
             let begin = Bootstrap::new(base.clone());
             let missing = begin.missing();
             log::info!("{name}: begins when it and sites {missing:?} know each other");
@@ -173,16 +173,16 @@
         match &mut self.stage {
             Stage::Fencing => self.resume(now, record, effects),
             Stage::Bootstrapping(_) => {
-                let base = record.written.base.as_deref();
-                if base.is_some_and(|base| base.begun) {
+                let base = record.durable_vote.base.as_deref();
+                if base.is_some_and(|base| base.takes_part) {
                     self.resume(now, record, effects);
                 } else {
                     self.continue_bootstrap(now, record, effects);
                 }
             }
             Stage::Participating(group) => {
-                group.saved();
-                if record.written.wants_base() {
+                group.item_saved();
+                if record.durable_vote.wants_base() {
                     group.compact();
                 }
                 self.run_group(now, effects);
--- a/src/coordination/sender_registry.rs
+++ b/src/coordination/sender_registry.rs
@@ -1,86 +1,107 @@
-//! What a leader knows of senders by their own words: what each has checked and written down, what
-//! it refuses, and the turn that it goes by.
+//! What a leader knows of senders by their own messages: the documents that each has stored, those
+//! that it refuses, and the turn that it goes by.
 //!
-//! It forgets all of it with its office: the next leader hears it again from those that live, so
-//! nothing goes on by a word that only an earlier one heard. Rules ([`super::policy::rollout`]) and
-//! routing tables ([`super::table::switch`]) have one each.
+//! One registry is kept for each kind of document: policies ([`super::policy_rollout::rollout`])
+//! and routing tables ([`super::routing_table::cutover`]). It belongs to one leadership: the next
+//! leader begins with an empty one and hears everything again from the senders that live, so
+//! nothing goes on by a message that only an earlier leader got. It sends nothing itself; it says
+//! what is due to be sent, and counts it as sent.
 
-use crate::coordination::cut;
 use crate::coordination::messages::Digest;
 use crate::coordination::record::{Record, RosterEntry};
+use crate::coordination::truncate_utf8;
 use crate::Nanos;
 use std::collections::BTreeMap;
 
 const SECOND: Nanos = 1_000_000_000;
-/// What is said and not answered is said again after this time.
+/// What is announced and not confirmed is announced again after this time.
 const RESEND_AFTER: Nanos = SECOND / 2;
-/// A text that is offered and not answered is offered again after this time: a sender checks and
-/// writes it first.
+/// A document that is offered and not answered is offered again after this time: a sender validates
+/// and stores it first.
 const REOFFER_AFTER: Nanos = SECOND;
-/// Offers of one kind in one turn of the office: what is sent at once is a few megabytes, and three
-/// thousand senders have theirs in 6 s.
+/// Offers of one kind in one round of the leader: what is sent at once is a few megabytes, and
+/// three thousand senders have theirs in 6 s.
 pub const MAX_OFFERS_PER_ROUND: usize = 50;
 /// Names in a line, at the most.
 const MAX_NAMES_SHOWN: usize = 10;
-/// Texts that a sender is known to have, at the most: as many as a record has of one kind.
-const MAX_STORED_TEXTS: usize = 8;
+/// Documents that a sender is known to have, at the most: as many as a record has of one kind.
+const MAX_STORED_DOCUMENTS: usize = 8;
 /// Longest reason of a sender that is kept, in bytes.
 const MAX_REASON_BYTES: usize = 2_000;
 
-/// What a leader knows of a sender, from its words in this session.
+/// A turn that was announced to a sender.
+#[derive(Clone, Copy, Debug)]
+struct Announcement {
+    turn: u64,
+    at: Nanos,
+}
+
+/// What a leader knows of a sender, from its messages in this session.
 #[derive(Clone, Debug, Default)]
 pub struct KnownSender {
     boot: u64,
-    /// What it has; nothing where it follows none, or has not said yet.
+    /// Documents that it has, by number; nothing where it follows none, or has not reported yet.
     stored: Option<BTreeMap<u64, Digest>>,
-    /// It has had time to say what it has.
-    told_all: bool,
-    /// What it cannot go by, and why.
+    /// It has sent something that it sends after the report of what it has stored.
+    inventory_due: bool,
+    /// Documents that it cannot go by, and why.
     refused: BTreeMap<u64, String>,
     /// The turn that it goes by.
-    heard: u64,
-    /// The turn that was said on its line, and when.
-    told: Option<(u64, Nanos)>,
-    offered: BTreeMap<u64, Nanos>,
+    applied_turn: u64,
+    /// The turn that was last announced on its connection.
+    announced: Option<Announcement>,
+    /// When each document was last offered.
+    offered_at: BTreeMap<u64, Nanos>,
 }
 
 impl KnownSender {
-    /// Whether it has said that it has this text; number 0 has none.
-    pub fn has(&self, number: u64, digest: Option<Digest>) -> bool {
-        number == 0
-            || digest.is_some()
-                && self.stored.as_ref().and_then(|s| s.get(&number)) == digest.as_ref()
+    /// Whether it has reported this document as stored. Number 0 stands for none, which everybody
+    /// has.
+    pub fn has_stored(&self, number: u64, digest: Option<Digest>) -> bool {
+        if number == 0 {
+            return true;
+        }
+        let stored = self.stored.as_ref().and_then(|s| s.get(&number));
+        digest.is_some() && stored == digest.as_ref()
     }
 
-    /// Whether it has said what it has at all.
-    pub fn follows(&self) -> bool {
+    /// Whether it has reported what it has stored at all.
+    pub fn has_reported(&self) -> bool {
         self.stored.is_some()
     }
 
-    /// Whether it would have said by now what it has, and has not.
-    pub fn is_deaf(&self) -> bool {
-        self.told_all && self.stored.is_none()
+    /// Whether it would have reported by now what it has stored, and has not.
+    pub fn failed_to_report(&self) -> bool {
+        self.inventory_due && self.stored.is_none()
     }
 
-    /// Why it cannot go by that.
-    pub fn refuses(&self, number: u64) -> Option<&String> {
+    /// Why it cannot go by a document; nothing where it has not refused it.
+    pub fn refusal(&self, number: u64) -> Option<&String> {
         self.refused.get(&number)
     }
 }
 
-/// A sender that the record has as live, with what is known of it in the session that the record
-/// has.
-pub type LiveSender<'a> = (&'a String, &'a RosterEntry, Option<&'a KnownSender>);
+/// A sender that holds a lease by the record.
+#[derive(Clone, Copy, Debug)]
+pub struct LiveSender<'a> {
+    /// Its name.
+    pub name: &'a String,
+    /// Its entry on the roster.
+    pub entry: &'a RosterEntry,
+    /// What is known of it in the session that the record has.
+    pub known: Option<&'a KnownSender>,
+}
 
-/// What senders said of one kind of text.
+/// What senders reported of one kind of document.
 #[derive(Clone, Debug, Default)]
 pub struct SenderRegistry {
     senders: BTreeMap<String, KnownSender>,
 }
 
 impl SenderRegistry {
-    /// A sender has a session, and says what it has. On a line of its own nothing was said yet.
-    pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
+    /// A sender opens a session, perhaps on another connection, where nothing was announced or
+    /// offered yet. It may report what it has stored with that.
+    pub fn open_session(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
         let known = self.senders.entry(sender.into()).or_default();
         if known.boot != boot {
             *known = KnownSender {
@@ -88,97 +109,102 @@
                 ..KnownSender::default()
             };
         }
-        known.stored = stored.map(|all| all.iter().take(MAX_STORED_TEXTS).copied().collect());
-        (known.told, known.offered, known.refused) = (None, BTreeMap::new(), BTreeMap::new());
-        known.told_all = false;
+        known.stored = stored.map(bounded);
+        known.announced = None;
+        known.offered_at.clear();
+        known.refused.clear();
+        known.inventory_due = false;
     }
 
-    /// It says behind its first word what it has.
-    pub fn has(&mut self, sender: &str, stored: &[(u64, Digest)]) {
+    /// A sender reports what it has stored behind the message that opened its session.
+    pub fn set_stored(&mut self, sender: &str, stored: &[(u64, Digest)]) {
         if let Some(known) = self.senders.get_mut(sender) {
-            known.stored = Some(stored.iter().take(MAX_STORED_TEXTS).copied().collect());
+            known.stored = Some(bounded(stored));
         }
     }
 
-    /// It says something that it says after what it has.
-    pub fn is_told(&mut self, sender: &str) {
-        self.senders
-            .get_mut(sender)
-            .into_iter()
-            .for_each(|known| known.told_all = true);
+    /// A sender sent something that it sends after the report of what it has stored.
+    pub fn note_inventory_due(&mut self, sender: &str) {
+        if let Some(known) = self.senders.get_mut(sender) {
+            known.inventory_due = true;
+        }
     }
 
-    /// A text that senders cannot go by may be offered to them again.
-    pub fn forgive(&mut self, number: u64) {
-        self.senders
-            .values_mut()
-            .for_each(|known| _ = known.refused.remove(&number));
+    /// Forgets who refused a document: it may be offered to them again.
+    pub fn clear_refusals(&mut self, number: u64) {
+        for known in self.senders.values_mut() {
+            known.refused.remove(&number);
+        }
     }
 
-    /// Its session is over.
-    pub fn part(&mut self, sender: &str) {
+    /// A sender's session is over.
+    pub fn close_session(&mut self, sender: &str) {
         self.senders.remove(sender);
     }
 
-    /// It has checked a text of that print. Gives the reason for which it cannot go by it, where
-    /// that is new. What is not `kept` any more is not asked for again.
-    pub fn checked(
+    /// A sender has validated a document. Gives the reason for which it cannot go by it, where that
+    /// is new. Documents for which `is_kept` says no are forgotten.
+    pub fn record_check(
         &mut self,
         sender: &str,
         (number, digest): (u64, Digest),
         refused: Option<&str>,
-        kept: impl Fn(u64) -> bool,
+        is_kept: impl Fn(u64) -> bool,
     ) -> Option<String> {
         let known = self.senders.get_mut(sender)?;
-        match refused {
-            Some(why) => {
-                let why = cut(why, MAX_REASON_BYTES);
-                let new = known.refused.insert(number, why.clone()).is_none();
-                known.refused.retain(|n, _| kept(*n));
-                new.then_some(why)
+        let Some(reason) = refused else {
+            known.refused.remove(&number);
+            if let Some(stored) = &mut known.stored {
+                stored.insert(number, digest);
+                stored.retain(|n, _| is_kept(*n));
             }
-            None => {
-                known.refused.remove(&number);
-                if let Some(stored) = &mut known.stored {
-                    stored.insert(number, digest);
-                    stored.retain(|n, _| kept(*n));
-                }
-                None
-            }
-        }
+            return None;
+        };
+        let reason = truncate_utf8(reason, MAX_REASON_BYTES);
+        let is_new = known.refused.insert(number, reason.clone()).is_none();
+        known.refused.retain(|n, _| is_kept(*n));
+        is_new.then_some(reason)
     }
 
-    /// It goes by a turn; false where nothing is known of it.
-    pub fn goes_by(&mut self, sender: &str, turn: u64) -> bool {
-        let known = self.senders.get_mut(sender);
-        known
-            .map(|known| known.heard = known.heard.max(turn))
-            .is_some()
+    /// A sender goes by a turn; false where nothing is known of it.
+    pub fn record_applied(&mut self, sender: &str, turn: u64) -> bool {
+        let Some(known) = self.senders.get_mut(sender) else {
+            return false;
+        };
+        known.applied_turn = known.applied_turn.max(turn);
+        true
     }
 
     /// What is known of a sender, in whatever session.
-    pub fn of(&self, sender: &str) -> Option<&KnownSender> {
+    pub fn get(&self, sender: &str) -> Option<&KnownSender> {
         self.senders.get(sender)
     }
 
-    /// Whether a sender is to be told now what its register says, that changed last by this turn.
-    /// It counts as told.
-    pub fn is_due(&mut self, now: Nanos, sender: &str, changed: u64, turn: u64) -> bool {
+    /// Whether what a sender is to go by, which changed last with the turn `changed`, is to be
+    /// announced to it now. If so, it counts as announced, as of `turn`.
+    pub fn claim_announcement(
+        &mut self,
+        now: Nanos,
+        sender: &str,
+        changed: u64,
+        turn: u64,
+    ) -> bool {
         let Some(known) = self.senders.get_mut(sender) else {
             return false;
         };
-        let again = match known.told {
-            None => true,
-            Some((told, at)) => told < changed || known.heard < changed && now >= at + RESEND_AFTER,
-        };
-        if again {
-            known.told = Some((turn, now));
+        let is_due = known.announced.is_none_or(|last| {
+            let is_unconfirmed = known.applied_turn < changed;
+            last.turn < changed || is_unconfirmed && now >= last.at + RESEND_AFTER
+        });
+        if is_due {
+            known.announced = Some(Announcement { turn, at: now });
         }
-        again
+        is_due
     }
 
-    /// Whether a sender is to be offered this now, while `offers` last. It counts as offered.
-    pub fn lacks(
+    /// Whether a sender is to be offered a document now, while `offers` last. If so, it counts as
+    /// offered.
+    pub fn claim_offer(
         &mut self,
         now: Nanos,
         sender: &str,
@@ -192,81 +218,90 @@
         let Some(stored) = &known.stored else {
             return false;
         };
-        let has = stored.get(&number) == Some(digest) || known.refused.contains_key(&number);
-        let waits = known
-            .offered
-            .get(&number)
-            .is_some_and(|at| now < at + REOFFER_AFTER);
-        if has || waits || *offers == 0 {
+        let is_checked = stored.get(&number) == Some(digest) || known.refused.contains_key(&number);
+        let last = known.offered_at.get(&number);
+        let is_waited_for = last.is_some_and(|at| now < at + REOFFER_AFTER);
+        if is_checked || is_waited_for || *offers == 0 {
             return false;
         }
         *offers -= 1;
-        known.offered.insert(number, now);
+        known.offered_at.insert(number, now);
         true
     }
 
-    /// What is not `kept` any more was never offered.
-    pub fn forget(&mut self, sender: &str, kept: impl Fn(u64) -> bool) {
-        self.senders
-            .get_mut(sender)
-            .into_iter()
-            .for_each(|known| known.offered.retain(|n, _| kept(*n)));
+    /// Forgets offers to a sender of documents for which `is_kept` says no.
+    pub fn forget_offers(&mut self, sender: &str, is_kept: impl Fn(u64) -> bool) {
+        if let Some(known) = self.senders.get_mut(sender) {
+            known.offered_at.retain(|n, _| is_kept(*n));
+        }
     }
 
-    /// Live senders of those that are asked for.
+    /// Live senders of those that `is_asked` names.
     pub fn live<'a>(
         &'a self,
         record: &'a Record,
-        asked: impl Fn(&RosterEntry) -> bool + 'a,
+        is_asked: impl Fn(&RosterEntry) -> bool + 'a,
     ) -> impl Iterator<Item = LiveSender<'a>> + 'a {
         let live = record
             .roster
             .iter()
-            .filter(move |(_, m)| m.live && asked(m));
-        live.map(|(name, m)| (name, m, self.senders.get(name).filter(|k| k.boot == m.boot)))
+            .filter(move |(_, entry)| entry.live && is_asked(entry));
+        live.map(|(name, entry)| {
+            let known = self.senders.get(name);
+            LiveSender {
+                name,
+                entry,
+                known: known.filter(|k| k.boot == entry.boot),
+            }
+        })
     }
 
-    /// Those of them that have not said that they go by their register, as it stands since a turn.
-    pub fn unheard<'a>(
+    /// Live senders that have not confirmed the turn with which what they go by last changed.
+    pub fn unconfirmed<'a>(
         &'a self,
         record: &'a Record,
-        asked: impl Fn(&RosterEntry) -> bool + 'a,
+        is_asked: impl Fn(&RosterEntry) -> bool + 'a,
         changed: impl Fn(&RosterEntry) -> u64,
     ) -> Vec<&'a String> {
-        let live = self.live(record, asked);
-        live.filter(|(_, m, known)| known.is_none_or(|k| k.heard < changed(m)))
-            .map(|(name, ..)| name)
-            .collect()
+        let live = self.live(record, is_asked);
+        let behind = live.filter(|sender| {
+            let changed = changed(sender.entry);
+            sender.known.is_none_or(|k| k.applied_turn < changed)
+        });
+        behind.map(|sender| sender.name).collect()
     }
 
-    /// Those of them that have not said that they have what they are to go by: its number, and its
-    /// print.
-    pub fn unstored<'a>(
+    /// Live senders that have not reported as stored what they are to go by: its number and its
+    /// digest.
+    pub fn without_document<'a>(
         &'a self,
         record: &'a Record,
-        asked: impl Fn(&RosterEntry) -> bool + 'a,
-        needs: impl Fn(&RosterEntry) -> (u64, Option<Digest>),
+        is_asked: impl Fn(&RosterEntry) -> bool + 'a,
+        document: impl Fn(&RosterEntry) -> (u64, Option<Digest>),
     ) -> Vec<&'a String> {
-        let late = self.live(record, asked).filter(|(_, m, known)| {
-            let (number, digest) = needs(m);
-            !known.is_some_and(|k| k.has(number, digest))
+        let live = self.live(record, is_asked);
+        let without = live.filter(|sender| {
+            let (number, digest) = document(sender.entry);
+            !sender.known.is_some_and(|k| k.has_stored(number, digest))
         });
-        late.map(|(name, ..)| name).collect()
+        without.map(|sender| sender.name).collect()
     }
 }
 
-/// Some names, and how many more there are.
-pub fn names(all: &[&String]) -> String {
-    let some: Vec<&str> = all
+fn bounded(stored: &[(u64, Digest)]) -> BTreeMap<u64, Digest> {
+    stored.iter().take(MAX_STORED_DOCUMENTS).copied().collect()
+}
+
+/// Formats some names, and how many more there are.
+pub fn format_names(all: &[&String]) -> String {
+    let shown: Vec<&str> = all
         .iter()
         .take(MAX_NAMES_SHOWN)
         .map(|n| n.as_str())
         .collect();
-    let more = all.len().saturating_sub(MAX_NAMES_SHOWN);
-    let rest = if more > 0 {
-        format!(" and {more} more")
-    } else {
-        String::new()
-    };
-    format!("{}{rest}", some.join(", "))
+    let shown = shown.join(", ");
+    match all.len().saturating_sub(MAX_NAMES_SHOWN) {
+        0 => shown,
+        more => format!("{shown} and {more} more"),
+    }
 }
--- a/tests/federation.rs
+++ b/tests/federation.rs
@@ -116,13 +116,16 @@
             for me in 1..=3 {
                 let identity = ReplicaIdentity {
                     site: format!("s{site}"),
-                    keeper: me,
+                    replica: me,
                     incarnation: 100 + me,
                 };
-                let mut begin = Bootstrap::new(Bootstrap::empty(identity, 1..=3));
+                let mut begin = Bootstrap::new(Bootstrap::first_checkpoint(identity, 1..=3));
                 for other in (1..=3).filter(|id| *id != me) {
-                    assert_eq!(begin.tells(other, 100 + other), PeerAdmission::New);
-                    begin.knows(other);
+                    assert_eq!(
+                        begin.learn_incarnation(other, 100 + other),
+                        PeerAdmission::New
+                    );
+                    begin.note_known_to(other);
                 }
                 let base = begin.finish(&BTreeMap::new()).expect("all know each other");
                 let disk = vec![LogItem::Checkpoint(Box::new(base))];
@@ -235,7 +238,7 @@
             (0..due.min(20)).for_each(|_| group.tick());
             if keeper.saving.as_ref().is_some_and(|(_, at)| *at <= now) {
                 let (piece, _) = keeper.saving.take().expect("being written");
-                group.saved();
+                group.item_saved();
                 write(&mut keeper.disk, piece);
                 keeper.saves += 1;
                 if keeper.saves % 40 == 0 {
@@ -430,7 +433,7 @@
                         && matches!(
                             command,
                             Command::PersistMemberLog {
-                                piece: LogItem::Batch(_),
+                                item: LogItem::Batch(_),
                                 ..
                             }
                         )
@@ -537,7 +540,7 @@
                 return;
             };
             let mut events = Vec::new();
-            let messages = group.work(&mut events).expect("the group goes on");
+            let messages = group.process_ready(&mut events).expect("the group goes on");
             let mut idle = messages.is_empty() && events.is_empty();
             let mut out = Vec::new();
             for event in events {
@@ -547,9 +550,9 @@
                 }
             }
             if keeper.saving.is_none() {
-                keeper.saving = group.piece().map(|piece| (piece, now + wait));
+                keeper.saving = group.next_item().map(|piece| (piece, now + wait));
             }
-            if group.leader() != group.me() {
+            if group.leader() != group.id() {
                 keeper.member = None;
             } else if group.is_ready_to_lead() && keeper.member.is_none() {
                 let (term, seed) = (group.term(), self.rng.u64(..));
@@ -579,7 +582,7 @@
                         .get_mut(&at)
                         .and_then(|k| k.group.as_mut())
                         .expect("up");
-                    group.snapshot_sent(to);
+                    group.report_snapshot_sent(to);
                 }
             }
             self.carry(at, out);
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -41,7 +41,7 @@
 fn identity(keeper: u64) -> ReplicaIdentity {
     ReplicaIdentity {
         site: "north".into(),
-        keeper,
+        replica: keeper,
         incarnation: 100 + keeper,
     }
 }
@@ -90,10 +90,13 @@
 impl Net {
     fn new(seed: u64, keepers: u64) -> Net {
         let first = |me: u64| {
-            let mut begin = Bootstrap::new(Bootstrap::empty(identity(me), 1..=keepers));
+            let mut begin = Bootstrap::new(Bootstrap::first_checkpoint(identity(me), 1..=keepers));
             for other in (1..=keepers).filter(|id| *id != me) {
-                assert_eq!(begin.tells(other, 100 + other), PeerAdmission::New);
-                begin.knows(other);
+                assert_eq!(
+                    begin.learn_incarnation(other, 100 + other),
+                    PeerAdmission::New
+                );
+                begin.note_known_to(other);
             }
             begin.finish(&BTreeMap::new()).expect("all know each other")
         };
@@ -210,7 +213,7 @@
         (0..ticks).for_each(|_| group.tick());
         if node.saving.as_ref().is_some_and(|(_, at)| *at <= self.now) {
             let (piece, _) = node.saving.take().expect("being written");
-            group.saved();
+            group.item_saved();
             node.saves += 1;
             if !self.forgets || matches!(piece, LogItem::Checkpoint(_)) {
                 node.write(piece);
@@ -223,9 +226,9 @@
             return;
         };
         let mut events = Vec::new();
-        let messages = group.work(&mut events).expect("the group goes on");
+        let messages = group.process_ready(&mut events).expect("the group goes on");
         if node.saving.is_none() {
-            node.saving = group.piece().map(|piece| (piece, self.now + wait));
+            node.saving = group.next_item().map(|piece| (piece, self.now + wait));
         }
         let leads = group.is_ready_to_lead();
         for event in events {
@@ -265,7 +268,7 @@
                     .get_mut(&me)
                     .and_then(|n| n.group.as_mut())
                     .expect("up")
-                    .snapshot_sent(message.to);
+                    .report_snapshot_sent(message.to);
             }
         }
     }
@@ -296,7 +299,7 @@
             .filter_map(|n| n.1.group.as_ref())
             .collect();
         assert_eq!(held.len(), voters.len());
-        let newest = held.iter().map(|g| g.applied()).min().expect("some");
+        let newest = held.iter().map(|g| g.applied_index()).min().expect("some");
         assert!(
             newest >= told,
             "seed {}: {told} was told, {newest} is there",
@@ -310,7 +313,7 @@
         // What each has applied, and nothing else, makes its record.
         for group in held {
             let mut record = raildeal::coordination::record::Record::default();
-            for (index, command) in self.agreed.range(..=group.applied()) {
+            for (index, command) in self.agreed.range(..=group.applied_index()) {
                 record.apply(*index, command);
             }
             assert_eq!(
@@ -318,7 +321,7 @@
                 record,
                 "seed {}: keeper {}",
                 self.seed,
-                group.me()
+                group.id()
             );
         }
     }
@@ -339,7 +342,7 @@
         for _ in 0..4_000 {
             self.step();
             let Some(group) = self.leader() else { continue };
-            if done(group.held()) {
+            if done(group.state()) {
                 return;
             }
             let _ = order(group);
@@ -404,17 +407,17 @@
         let mut net = Net::new(seed, 3);
         for (old, new) in [(1, 4), (2, 5), (3, 6)] {
             net.nodes
-                .insert(new, Node::new(Bootstrap::joining(identity(new))));
+                .insert(new, Node::new(Bootstrap::joining_checkpoint(identity(new))));
             net.start(new);
             let member = GroupMember {
                 at: format!("127.0.0.1:{new}"),
                 incarnation: 100 + new,
             };
             net.order(
-                |g| g.add(new, &member),
+                |g| g.add_member(new, &member),
                 |held| held.members.contains_key(&new),
             );
-            net.order(|g| g.remove(old), |held| held.removed.contains(&old));
+            net.order(|g| g.remove_member(old), |held| held.removed.contains(&old));
             net.nodes.remove(&old);
         }
         net.settle();
@@ -422,13 +425,13 @@
         let voters: BTreeSet<u64> = group.voters().iter().copied().collect();
         assert_eq!(voters, BTreeSet::from([4, 5, 6]), "seed {seed}");
         assert_eq!(group.may_add(1), Err(ProposeError::NumberUsed));
-        assert_eq!(group.held().members[&4].at, "127.0.0.1:4");
+        assert_eq!(group.state().members[&4].at, "127.0.0.1:4");
         // Another folder under a number that is known, or a number that was removed, is not heard.
-        assert_eq!(admit(group.held(), 5, 105), PeerAdmission::Known);
+        assert_eq!(admit(group.state(), 5, 105), PeerAdmission::Known);
         for (keeper, incarnation) in [(5, 7), (1, 101), (9, 109)] {
             assert!(
                 matches!(
-                    admit(group.held(), keeper, incarnation),
+                    admit(group.state(), keeper, incarnation),
                     PeerAdmission::Rejected(_)
                 ),
                 "{keeper}"
@@ -460,7 +463,7 @@
             .step(2, &message.write_to_bytes().expect("bytes"))
             .expect("heard");
         group
-            .work(&mut Vec::new())
+            .process_ready(&mut Vec::new())
             .map(drop)
             .map_err(|fatal| fatal.to_string())
     };
@@ -483,29 +486,32 @@
         // the site began with.
         (net.compacts, net.faults) = (false, false);
         net.nodes
-            .insert(4, Node::new(Bootstrap::joining(identity(4))));
+            .insert(4, Node::new(Bootstrap::joining_checkpoint(identity(4))));
         net.start(4);
         let member = GroupMember {
             at: "127.0.0.1:4".into(),
             incarnation: 104,
         };
-        net.order(|g| g.remove(1), |held| held.removed.contains(&1));
+        net.order(|g| g.remove_member(1), |held| held.removed.contains(&1));
         net.nodes.remove(&1);
-        net.order(|g| g.add(4, &member), |held| held.members.contains_key(&4));
+        net.order(
+            |g| g.add_member(4, &member),
+            |held| held.members.contains_key(&4),
+        );
         (0..200).for_each(|_| net.step());
         let joined = net.nodes[&4].group.as_ref().expect("up");
         assert!(
-            joined.held().members.contains_key(&4),
+            joined.state().members.contains_key(&4),
             "seed {seed}: it has {}",
-            joined.applied()
+            joined.applied_index()
         );
         // With it, the group bears the loss of its leader.
-        let led = net.leader().expect("one leads").me();
+        let led = net.leader().expect("one leads").id();
         net.crash(led);
         net.nodes.get_mut(&led).expect("a node").back_at = u64::MAX;
         (0..200).for_each(|_| net.step());
         assert!(
-            net.leader().is_some_and(|g| g.me() != led),
+            net.leader().is_some_and(|g| g.id() != led),
             "seed {seed}: nobody leads without {led}"
         );
     }
@@ -513,36 +519,42 @@
 
 #[test]
 fn at_a_first_start_nobody_takes_part_before_all_know_its_folder() {
-    let mut begin = Bootstrap::new(Bootstrap::empty(identity(1), [2, 3].into_iter()));
+    let mut begin = Bootstrap::new(Bootstrap::first_checkpoint(identity(1), [2, 3].into_iter()));
     let nowhere = BTreeMap::new();
-    assert_eq!(begin.tells(2, 102), PeerAdmission::New);
-    begin.knows(2);
+    assert_eq!(begin.learn_incarnation(2, 102), PeerAdmission::New);
+    begin.note_known_to(2);
     assert_eq!((begin.missing(), begin.finish(&nowhere)), (vec![3], None));
-    begin.knows(3);
+    begin.note_known_to(3);
     assert_eq!(begin.missing(), vec![3], "its own folder is not known yet");
     // Keeper 2 comes without the folder that it was known by.
-    assert!(matches!(begin.tells(2, 7), PeerAdmission::Rejected(_)));
-    assert!(matches!(begin.tells(8, 108), PeerAdmission::Rejected(_)));
+    assert!(matches!(
+        begin.learn_incarnation(2, 7),
+        PeerAdmission::Rejected(_)
+    ));
+    assert!(matches!(
+        begin.learn_incarnation(8, 108),
+        PeerAdmission::Rejected(_)
+    ));
     // After a stop, those that are written down are known, and have to be met once more.
-    let mut begin = Bootstrap::new(begin.base().clone());
+    let mut begin = Bootstrap::new(begin.checkpoint().clone());
     assert_eq!(
-        (begin.tells(2, 102), begin.missing()),
+        (begin.learn_incarnation(2, 102), begin.missing()),
         (PeerAdmission::Known, vec![2, 3])
     );
-    assert_eq!(begin.tells(3, 103), PeerAdmission::New);
-    begin.knows(2);
-    begin.knows(3);
+    assert_eq!(begin.learn_incarnation(3, 103), PeerAdmission::New);
+    begin.note_known_to(2);
+    begin.note_known_to(3);
     let base = begin.finish(&nowhere).expect("all met");
     let group: RaftGroup = RaftGroup::new(base, 1).expect("a group");
     let members: Vec<_> = group
-        .held()
+        .state()
         .members
         .iter()
         .map(|(id, m)| (*id, m.incarnation))
         .collect();
     assert_eq!(members, [(1, 101), (2, 102), (3, 103)]);
     assert!(matches!(
-        admit(group.held(), 2, 7),
+        admit(group.state(), 2, 7),
         PeerAdmission::Rejected(_)
     ));
 }
@@ -569,7 +581,7 @@
 
 impl Script {
     fn new(seed: u64) -> Script {
-        let now = Bootstrap::empty(identity(1), [2, 3].into_iter());
+        let now = Bootstrap::first_checkpoint(identity(1), [2, 3].into_iter());
         Script {
             rng: fastrand::Rng::with_seed(seed),
             now,
@@ -585,10 +597,10 @@
             let upto = (self.last() - self.now.index) / 2;
             self.now.entries.drain(..upto as usize);
             self.now.index += upto;
-            self.now.held = serde_bytes::ByteBuf::from(vec![7; 40_000]);
+            self.now.state = serde_bytes::ByteBuf::from(vec![7; 40_000]);
             return LogItem::Checkpoint(Box::new(self.now.clone()));
         }
-        let hard = &mut self.now.hard;
+        let hard = &mut self.now.hard_state;
         let mut entries = Vec::new();
         if self.rng.u32(..4) == 0 {
             (hard.term, hard.vote) = (hard.term + 1, self.rng.u64(1..=3));
@@ -600,11 +612,11 @@
             entries.extend((from..from + 2).map(|index| entry(hard.term, index, size)));
         }
         let batch = Batch {
-            hard: *hard,
+            hard_state: *hard,
             entries,
         };
         let mut all = Batch {
-            hard: self.now.hard,
+            hard_state: self.now.hard_state,
             entries: std::mem::take(&mut self.now.entries),
         };
         all.merge(batch.clone());
@@ -644,7 +656,7 @@
                 Err(_) => break,
             }
             assert!(disk.total_bytes() <= DISK, "{told}: over the limit");
-            piece = script.next(keep.wants_base());
+            piece = script.next(keep.wants_checkpoint());
         }
     }
     let operations = disk.operations();
@@ -658,9 +670,13 @@
             (found, saved) => assert!(
                 found == saved || found.as_ref() == Some(&trying),
                 "{told}: saved {:?}, trying {:?}, found {:?}",
-                saved.as_ref().map(|b| (b.hard, b.index, b.entries.len())),
-                (trying.hard, trying.index, trying.entries.len()),
-                found.as_ref().map(|b| (b.hard, b.index, b.entries.len()))
+                saved
+                    .as_ref()
+                    .map(|b| (b.hard_state, b.index, b.entries.len())),
+                (trying.hard_state, trying.index, trying.entries.len()),
+                found
+                    .as_ref()
+                    .map(|b| (b.hard_state, b.index, b.entries.len()))
             ),
         }
         let found = found.expect("some");
@@ -737,15 +753,15 @@
     disk.set_quota(Some(disk.total_bytes()));
     // With what it has, it goes on: what is over makes room.
     for _ in 0..300 {
-        let piece = script.next(keep.wants_base());
+        let piece = script.next(keep.wants_checkpoint());
         keep.save(&piece).expect("room was set aside");
     }
     // More than there is room for, and none of it over.
     let saved = script.now.clone();
     let much = |n: u64| {
-        let entries = vec![entry(saved.hard.term, script.last() + n, 200_000)];
+        let entries = vec![entry(saved.hard_state.term, script.last() + n, 200_000)];
         LogItem::Batch(Batch {
-            hard: saved.hard,
+            hard_state: saved.hard_state,
             entries,
         })
     };
@@ -757,7 +773,7 @@
     );
     let (_, found) = open(&FaultyDisk::from_image(disk.after_power_cut(|| false)));
     let found = found.expect("all of it");
-    assert_eq!(found.hard, saved.hard);
+    assert_eq!(found.hard_state, saved.hard_state);
     assert_eq!(
         found.entries.len() as u64,
         saved.entries.len() as u64 + kept
--- a/tests/model_zones.rs
+++ b/tests/model_zones.rs
@@ -340,8 +340,8 @@
                     zone,
                     phase,
                     out,
-                    tries: 0,
-                    why,
+                    return_attempts: 0,
+                    reason: why,
                 }
             };
             log.extend([order(0, Phase::Left), order(1, Phase::Returning)]);
--- a/tests/pins/fleet_frames.rs
+++ b/tests/pins/fleet_frames.rs
@@ -20,7 +20,7 @@
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
     let literal = pins.literal(name);
-    let written = framing::bytes(&value, MAX_FRAME_BYTES).expect("short enough");
+    let written = framing::encode(&value, MAX_FRAME_BYTES).expect("short enough");
     pins.written(name, &literal, &written);
     match framing::read_blocking::<T>(&mut &literal[..], MAX_FRAME_BYTES) {
         Ok(read) if read == value => {}
@@ -509,15 +509,15 @@
         zone: "a".into(),
         phase,
         out: vec![(3, 0.5)],
-        tries: 1,
-        why: "faults".into(),
+        return_attempts: 1,
+        reason: "faults".into(),
     };
     frame(&mut pins, "order-used", order(Phase::Used));
     frame(&mut pins, "order-left", order(Phase::Left));
     frame(&mut pins, "order-returning", order(Phase::Returning));
     let wish = |wish| Command::RequestZoneState {
         zone: "a".into(),
-        wish,
+        state: wish,
         for_ms: 60_000,
     };
     frame(&mut pins, "wish-leave", wish(RequestedZoneState::Leave));
@@ -545,7 +545,7 @@
     let voice = |piece| Command::PersistMemberLog {
         term: 2,
         number: 1,
-        piece,
+        item: piece,
     };
     frame(&mut pins, "vote-base", voice(base()));
     frame(&mut pins, "vote-batch", voice(batch()));
--- a/tests/pins/fleet_values.rs
+++ b/tests/pins/fleet_values.rs
@@ -76,7 +76,7 @@
 pub fn base() -> LogItem {
     let identity = ReplicaIdentity {
         site: "north".into(),
-        keeper: 2,
+        replica: 2,
         incarnation: 0x0123_4567_89ab_cdef,
     };
     let hard = PersistedHardState {
@@ -85,15 +85,15 @@
         commit: 41,
     };
     LogItem::Checkpoint(Box::new(Checkpoint {
-        form: 3,
+        format_version: 3,
         identity,
-        begun: true,
-        known: BTreeMap::from([(1, 77), (3, 88)]),
-        hard,
+        takes_part: true,
+        known_incarnations: BTreeMap::from([(1, 77), (3, 88)]),
+        hard_state: hard,
         index: 40,
         term: 4,
         voters: vec![1, 2, 3],
-        held: ByteBuf::from(vec![9, 8, 7]),
+        state: ByteBuf::from(vec![9, 8, 7]),
         entries: vec![line(EntryType::EntryNormal, 4, 41, &[1, 2], &[])],
     }))
 }
@@ -110,5 +110,8 @@
         line(EntryType::EntryConfChange, 6, 43, &[4, 5], &[6]),
         line(EntryType::EntryConfChangeV2, 6, 44, &[7], &[8, 9]),
     ];
-    LogItem::Batch(Batch { hard, entries })
+    LogItem::Batch(Batch {
+        hard_state: hard,
+        entries,
+    })
 }
--- a/tests/pins/replica_log.rs
+++ b/tests/pins/replica_log.rs
@@ -8,9 +8,12 @@
 use raildeal::coordination::policy_rollout::register::{
     Past as PastRollout, Policies, Register as PolicyRegister, Rollout, Step, Text,
 };
-use raildeal::coordination::raft_group::{GroupMember as Replica, GroupState, ReplicatedState};
+use raildeal::coordination::raft_group::{GroupMember as Replica, GroupState};
 use raildeal::coordination::raft_log::{Checkpoint, LogItem, RaftLogStore};
-use raildeal::coordination::record::{Phase, Record, RosterEntry as Sender, Zone, ZoneOverride};
+use raildeal::coordination::record::{
+    Phase, Record, RosterEntry as Sender, SliceId, Zone, ZoneOverride,
+};
+use raildeal::coordination::replicated_state::ReplicatedState;
 use raildeal::coordination::routing_table::durable_vote::DurableVote;
 use raildeal::coordination::routing_table::federation::{
     EndedProposal as PastTable, Federation, Proposal, ProposalKey, RoutingTable, Site,
@@ -44,8 +47,8 @@
 /// Compares a snapshot with its literal, in both directions.
 fn snapshot<R: ReplicatedState>(pins: &mut Pins, name: &str, held: &GroupState<R>) {
     let literal = pins.literal(name);
-    pins.written(name, &literal, &held.bytes());
-    let read = GroupState::<R>::read(&literal);
+    pins.written(name, &literal, &held.encode());
+    let read = GroupState::<R>::decode(&literal);
     if read.as_ref() != Ok(held) {
         pins.fault(format!("{name} is read as {read:?}"));
     }
@@ -71,17 +74,17 @@
     let only_zones = Record {
         policies: Policies::default(),
         tables: SiteTables::default(),
-        written: DurableVote::default(),
+        durable_vote: DurableVote::default(),
         ..record()
     };
     let without_tables = Record {
         tables: SiteTables::default(),
-        written: DurableVote::default(),
+        durable_vote: DurableVote::default(),
         ..record()
     };
     for (name, record) in [("first", only_zones), ("second", without_tables)] {
         let literal = pins.literal(name);
-        let read = GroupState::<Record>::read(&literal);
+        let read = GroupState::<Record>::decode(&literal);
         assert_eq!(read.as_ref(), Ok(&held(record)), "{name}");
     }
     pins.finish();
@@ -107,7 +110,7 @@
         since: 12,
     };
     let wish = ZoneOverride {
-        what: RequestedZoneState::Hold,
+        state: RequestedZoneState::Hold,
         until_ms: 60_000,
     };
     let zone = Zone {
@@ -115,11 +118,11 @@
         epoch: 4,
         out: vec![(3, 0.5)],
         left: vec![(3, 1.0)],
-        tries: 2,
-        why: "faults".into(),
+        return_attempts: 2,
+        reason: "faults".into(),
         since_ms: 5_000,
-        wish: Some(wish),
-        slice: (6, 7),
+        request: Some(wish),
+        last_slice: SliceId { term: 6, number: 7 },
         warm: vec![(3, 2_000)],
     };
     Record {
@@ -131,7 +134,7 @@
         clock_ms: 8_000,
         policies: policies(),
         tables: tables(),
-        written: written(),
+        durable_vote: written(),
     }
 }
 
@@ -291,9 +294,9 @@
     let LogItem::Checkpoint(mut expected) = base() else {
         unreachable!("a base is a base");
     };
-    expected.hard.term = 6;
-    expected.hard.vote = 2;
-    expected.hard.commit = 43;
+    expected.hard_state.term = 6;
+    expected.hard_state.vote = 2;
+    expected.hard_state.commit = 43;
     expected.entries = vec![
         line(EntryType::EntryNormal, 4, 41, &[1, 2], &[]),
         line(EntryType::EntryNormal, 6, 42, &[3], &[]),
--- a/tests/pins/settings_keys.rs
+++ b/tests/pins/settings_keys.rs
@@ -761,8 +761,8 @@
     fn settings_of_a_replica_keep_their_meaning_and_units() {
         let read = |text: &str| ReplicaConfig::from_toml(text).expect("usable");
         let config = read(REPLICA);
-        assert_eq!((config.site.as_str(), config.keeper), ("north", 1));
-        assert_eq!(config.disk, 65 * 1024 * 1024);
+        assert_eq!((config.site.as_str(), config.replica), ("north", 1));
+        assert_eq!(config.disk_bytes, 65 * 1024 * 1024);
         assert_eq!(config.tick_ms, 51);
         assert_eq!(config.peers[&2].to_string(), "127.0.0.1:7102");
         let federation = config.federation.expect("a federation");
