--- a/src/coordination/routing_table/member/leadership.rs
+++ b/src/coordination/routing_table/member/leadership.rs
@@ -7,7 +7,7 @@
 use crate::coordination::raft_group::RaftGroup;
 use crate::coordination::routing_table::federation::{Command, Federation, LEASE_GRANT_WINDOW_MS};
 use crate::coordination::routing_table::member::lease::Grant;
-use crate::coordination::routing_table::member::roster_change::{
+use crate::coordination::routing_table::member::pending_roster_change::{
     reply, ChangeStep, Requester, RosterChange, RosterChangeError,
 };
 use crate::coordination::routing_table::member::{
--- a/src/coordination/routing_table/member/mod.rs
+++ b/src/coordination/routing_table/member/mod.rs
@@ -55,6 +55,7 @@
 mod lease;
 pub mod messages;
 mod peers;
+mod pending_roster_change;
 mod replication;
 mod roster_change;
 mod roster_orders;
@@ -63,7 +64,7 @@
 
 pub use messages::{MemberMessage, MessageError};
 pub use peers::MemberAdmission;
-pub use roster_change::IncarnationUnknown;
+pub use pending_roster_change::IncarnationUnknown;
 pub use settings::{MemberSettings, SiteAddress, MAX_ADDRESSES_PER_SITE};
 
 /// A proposal that is not committed within this time is made again, in nanoseconds: ten times what
@@ -255,7 +256,7 @@
                 version,
             } => self.on_lease_granted(from, ask, lease_ms, version),
             MemberMessage::RosterOrder { id, order } => {
-                let requester = roster_change::Requester::Remote { site: from, id };
+                let requester = pending_roster_change::Requester::Remote { site: from, id };
                 self.carry_out_order(now, requester, &order, effects);
             }
             MemberMessage::RosterOrderResult { id, answer } => {
--- /dev/null
+++ b/src/coordination/routing_table/member/pending_roster_change.rs
@@ -0,0 +1,147 @@
+//! A change of the roster while it is under way: who ordered it, what it waits for, why it may fail,
+//! and the answer to whoever ordered it. What carries it out is in `roster_change`.
+
+use crate::coordination::leader::ConnectionId;
+use crate::coordination::messages::OperatorResponse;
+use crate::coordination::raft_group::ProposeError;
+use crate::coordination::routing_table::federation::JoinRejected;
+use crate::coordination::routing_table::member::{
+    MemberEffect, MemberMessage, MAX_ADDRESSES_PER_SITE,
+};
+use crate::Nanos;
+
+/// A change of the roster that nothing else ends is given up after this time, in nanoseconds.
+const CHANGE_TIMEOUT: Nanos = 20_000_000_000;
+
+/// Who ordered a change of the roster.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Requester {
+    /// An operator on a connection of this replica.
+    Local(ConnectionId),
+    /// Another site, for an operator there.
+    Remote {
+        /// The site.
+        site: u64,
+        /// Its identifier of the order.
+        id: u64,
+    },
+}
+
+/// A change of the roster that is under way.
+pub(super) struct RosterChange {
+    pub(super) requester: Requester,
+    pub(super) ordered_at: Nanos,
+    pub(super) site: u64,
+    pub(super) name: String,
+    pub(super) step: ChangeStep,
+}
+
+/// What the change waits for.
+pub(super) enum ChangeStep {
+    /// The site's incarnation.
+    RequestingIncarnation {
+        /// The site's addresses, as the group records them.
+        addresses: String,
+    },
+    /// The group to add the site.
+    Adding,
+    /// The command that puts the site on the roster.
+    Joining,
+    /// The site to have the log up to this index.
+    Replicating {
+        /// Where it was put on the roster.
+        index: u64,
+    },
+    /// The command that puts the site off the roster.
+    Removing,
+}
+
+/// Why a change of the roster is not carried out.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum RosterChangeError {
+    #[error("that is not the roster's")]
+    NotARosterOrder,
+    #[error("this site does not lead the federation")]
+    NotLeader,
+    #[error("another change of the roster is not done yet")]
+    Busy,
+    #[error("the sites did not agree in 20 s; look at the status and say it again")]
+    Timeout,
+    #[error("no site {0:?} is on the roster")]
+    UnknownSite(String),
+    #[error("the last site cannot go")]
+    LastSite,
+    #[error("{0} leads the federation: another site is asked to, order it again there")]
+    SiteLeads(String),
+    #[error(
+        "{name} is given no lease any more for {withheld_s} s, and is fenced with all its senders \
+         in {fenced_in_s} s: order it again then"
+    )]
+    NotFencedYet {
+        name: String,
+        withheld_s: u64,
+        fenced_in_s: u64,
+    },
+    #[error("{0} has joined and has not got the record yet")]
+    AwaitingRecord(String),
+    #[error("{0:?} is no name")]
+    InvalidName(String),
+    #[error("{0:?}: 1 to {max} addresses with a port are needed", max = MAX_ADDRESSES_PER_SITE)]
+    InvalidAddresses(Vec<String>),
+    #[error("site {name} at {addresses}: {why}")]
+    NotAdded {
+        name: String,
+        addresses: String,
+        why: String,
+    },
+    #[error(transparent)]
+    Join(#[from] JoinRejected),
+    #[error(transparent)]
+    Group(#[from] ProposeError),
+}
+
+/// Why the incarnation of a site that is to join is not known, for people.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+pub struct IncarnationUnknown(pub String);
+
+/// Tells who ordered a change what came of it: the record's version that has it, or why not.
+pub(super) fn reply(
+    requester: Requester,
+    result: Result<u64, RosterChangeError>,
+    effects: &mut Vec<MemberEffect>,
+) {
+    let answer = result.map_err(|error| error.to_string());
+    effects.push(match requester {
+        Requester::Local(connection) => MemberEffect::Answer {
+            connection,
+            answer: answer.map_or_else(OperatorResponse::Rejected, OperatorResponse::Done),
+        },
+        Requester::Remote { site, id } => MemberEffect::Send {
+            to: site,
+            message: MemberMessage::RosterOrderResult { id, answer },
+        },
+    });
+}
+
+impl RosterChange {
+    pub(super) fn new(
+        now: Nanos,
+        requester: Requester,
+        site: u64,
+        name: &str,
+        step: ChangeStep,
+    ) -> Self {
+        RosterChange {
+            requester,
+            ordered_at: now,
+            site,
+            name: name.into(),
+            step,
+        }
+    }
+
+    pub(super) fn is_overdue(&self, now: Nanos) -> bool {
+        now >= self.ordered_at + CHANGE_TIMEOUT
+    }
+}
--- a/src/coordination/routing_table/member/roster_change.rs
+++ b/src/coordination/routing_table/member/roster_change.rs
@@ -2,156 +2,29 @@
 //! site that joins is asked for its incarnation, added to the raft group, put on the roster, and
 //! done when it has the record.
 
-use crate::coordination::leader::ConnectionId;
-use crate::coordination::messages::{FederationRequest, OperatorResponse};
-use crate::coordination::raft_group::{GroupMember, ProposeError};
-use crate::coordination::routing_table::federation::{Command, JoinRejected};
+use crate::coordination::messages::FederationRequest;
+use crate::coordination::raft_group::GroupMember;
+use crate::coordination::routing_table::federation::Command;
 use crate::coordination::routing_table::member::leadership::{granter_share, Leadership};
+use crate::coordination::routing_table::member::pending_roster_change::{
+    reply, ChangeStep, IncarnationUnknown, Requester, RosterChange, RosterChangeError,
+};
 use crate::coordination::routing_table::member::settings::is_valid_name;
 use crate::coordination::routing_table::member::{
-    nanos_of_ms, FederationMember, MemberEffect, MemberMessage, Stage, MAX_ADDRESSES_PER_SITE,
+    nanos_of_ms, FederationMember, MemberEffect, Stage, MAX_ADDRESSES_PER_SITE,
 };
 use crate::Nanos;
 use std::net::SocketAddr;
 
-/// A change of the roster that nothing else ends is given up after this time, in nanoseconds.
-const CHANGE_TIMEOUT: Nanos = 20_000_000_000;
 /// A site that is to be removed is granted no lease for this time after the order, in nanoseconds;
 /// longer where its fence takes longer, by half of this.
 const LEASE_WITHHELD_FOR: Nanos = 60_000_000_000;
 
-/// Who ordered a change of the roster.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Requester {
-    /// An operator on a connection of this replica.
-    Local(ConnectionId),
-    /// Another site, for an operator there.
-    Remote {
-        /// The site.
-        site: u64,
-        /// Its identifier of the order.
-        id: u64,
-    },
-}
-
-/// A change of the roster that is under way.
-pub(super) struct RosterChange {
-    pub(super) requester: Requester,
-    pub(super) ordered_at: Nanos,
-    pub(super) site: u64,
-    pub(super) name: String,
-    pub(super) step: ChangeStep,
-}
-
-/// What the change waits for.
-pub(super) enum ChangeStep {
-    /// The site's incarnation.
-    RequestingIncarnation {
-        /// The site's addresses, as the group records them.
-        addresses: String,
-    },
-    /// The group to add the site.
-    Adding,
-    /// The command that puts the site on the roster.
-    Joining,
-    /// The site to have the log up to this index.
-    Replicating {
-        /// Where it was put on the roster.
-        index: u64,
-    },
-    /// The command that puts the site off the roster.
-    Removing,
-}
-
-/// Why a change of the roster is not carried out.
-#[derive(Debug, thiserror::Error)]
-pub(super) enum RosterChangeError {
-    #[error("that is not the roster's")]
-    NotARosterOrder,
-    #[error("this site does not lead the federation")]
-    NotLeader,
-    #[error("another change of the roster is not done yet")]
-    Busy,
-    #[error("the sites did not agree in 20 s; look at the status and say it again")]
-    Timeout,
-    #[error("no site {0:?} is on the roster")]
-    UnknownSite(String),
-    #[error("the last site cannot go")]
-    LastSite,
-    #[error("{0} leads the federation: another site is asked to, order it again there")]
-    SiteLeads(String),
-    #[error(
-        "{name} is given no lease any more for {withheld_s} s, and is fenced with all its senders \
-         in {fenced_in_s} s: order it again then"
-    )]
-    NotFencedYet {
-        name: String,
-        withheld_s: u64,
-        fenced_in_s: u64,
-    },
-    #[error("{0} has joined and has not got the record yet")]
-    AwaitingRecord(String),
-    #[error("{0:?} is no name")]
-    InvalidName(String),
-    #[error("{0:?}: 1 to {max} addresses with a port are needed", max = MAX_ADDRESSES_PER_SITE)]
-    InvalidAddresses(Vec<String>),
-    #[error("site {name} at {addresses}: {why}")]
-    NotAdded {
-        name: String,
-        addresses: String,
-        why: String,
-    },
-    #[error(transparent)]
-    Join(#[from] JoinRejected),
-    #[error(transparent)]
-    Group(#[from] ProposeError),
-}
-
-/// Why the incarnation of a site that is to join is not known, for people.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0}")]
-pub struct IncarnationUnknown(pub String);
-
 /// Whole seconds, rounded up.
 fn seconds(time: Nanos) -> u64 {
     time.div_ceil(1_000_000_000)
 }
 
-/// Tells who ordered a change what came of it: the record's version that has it, or why not.
-pub(super) fn reply(
-    requester: Requester,
-    result: Result<u64, RosterChangeError>,
-    effects: &mut Vec<MemberEffect>,
-) {
-    let answer = result.map_err(|error| error.to_string());
-    effects.push(match requester {
-        Requester::Local(connection) => MemberEffect::Answer {
-            connection,
-            answer: answer.map_or_else(OperatorResponse::Rejected, OperatorResponse::Done),
-        },
-        Requester::Remote { site, id } => MemberEffect::Send {
-            to: site,
-            message: MemberMessage::RosterOrderResult { id, answer },
-        },
-    });
-}
-
-impl RosterChange {
-    fn new(now: Nanos, requester: Requester, site: u64, name: &str, step: ChangeStep) -> Self {
-        RosterChange {
-            requester,
-            ordered_at: now,
-            site,
-            name: name.into(),
-            step,
-        }
-    }
-
-    pub(super) fn is_overdue(&self, now: Nanos) -> bool {
-        now >= self.ordered_at + CHANGE_TIMEOUT
-    }
-}
-
 impl Leadership {
     /// A site is a member of the group now.
     pub(super) fn on_member_added(&mut self, site: u64) {
--- a/src/coordination/routing_table/member/roster_orders.rs
+++ b/src/coordination/routing_table/member/roster_orders.rs
@@ -3,7 +3,7 @@
 
 use crate::coordination::leader::ConnectionId;
 use crate::coordination::messages::{FederationRequest, OperatorResponse};
-use crate::coordination::routing_table::member::roster_change::Requester;
+use crate::coordination::routing_table::member::pending_roster_change::Requester;
 use crate::coordination::routing_table::member::{
     FederationMember, MemberEffect, MemberMessage, Stage,
 };
--- a/tests/resumed.rs
+++ b/tests/resumed.rs
@@ -43,10 +43,7 @@
             10 * SEC,
             PriorAttempts {
                 attempts: 2,
-                may_have_run: Some(PossibleRun {
-                    age: SEC,
-                    zone: zone,
-                }),
+                may_have_run: Some(PossibleRun { age: SEC, zone }),
             },
         );
         assert_eq!(targets(&actions), [at(zone as u8 + 1)]);
