--- a/src/delivery/endpoint.rs
+++ b/src/delivery/endpoint.rs
@@ -26,7 +26,7 @@
     pub rate: f32,
 }
 
-/// One update from whoever publishes the endpoint list.
+/// One update of the endpoint list by its source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListUpdate {
     /// Revision of the list that this update leads to.
--- a/src/delivery/message/accept.rs
+++ b/src/delivery/message/accept.rs
@@ -7,10 +7,10 @@
 
 use super::held_messages::{AcceptanceDecision, Duplicate, MessageIdGuard};
 use super::in_delivery::MessageInDelivery;
-use super::step;
 use super::{
     class_name, dispatcher_message, lacks_required_key, log_step, ClientReply, DeliveryContext,
 };
+use super::{step, CLIENT_ANSWER_TIMEOUT};
 use crate::admission_control::message_limits::Kept;
 use crate::delivery::admission::{Admission, AdmissionClosed, Admitted};
 use crate::delivery::client_quota::{Client, ClientQuotaGuard, ClientQuotas};
@@ -31,9 +31,6 @@
 /// takes.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A client receives its answer within this time, or will not receive it any more.
-pub(super) const CLIENT_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-
 /// A message that was handed in and is not yet written down.
 pub(super) struct Submission {
     client: Client,
--- a/src/delivery/message/held_messages.rs
+++ b/src/delivery/message/held_messages.rs
@@ -16,7 +16,7 @@
 
 /// A duplicate waits this long for the decision on the message that it repeats: one that takes
 /// longer is about to be closed, as its client does not receive the answer.
-const DECISION_TIMEOUT: Duration = super::accept::CLIENT_ANSWER_TIMEOUT;
+const DECISION_TIMEOUT: Duration = super::CLIENT_ANSWER_TIMEOUT;
 
 /// Owner of the ids of all messages that are held.
 #[derive(Default)]
--- a/src/delivery/message/mod.rs
+++ b/src/delivery/message/mod.rs
@@ -57,6 +57,9 @@
 }
 use log_step;
 
+/// A client receives its answer within this time, or will not receive it any more.
+const CLIENT_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+
 /// The answer that a client waits for when it hands a message in.
 pub trait ClientReply {
     /// The message is accepted.
