--- a/tests/pins/support.rs
+++ b/tests/pins/support.rs
@@ -64,6 +64,7 @@
     }
 
     /// Notes any other fault.
+    #[cfg(feature = "fleet")]
     pub fn fault(&mut self, fault: String) {
         self.faults.push(fault);
     }
