--- a/tests/sockets/held_log.rs
+++ b/tests/sockets/held_log.rs
@@ -9,7 +9,7 @@
 
 /// What a delivery logs, in this order; the last one comes before its record is closed.
 const LINES: [&str; 3] = [
-    "m1: p Ok",
+    "m1: p Delivered",
     "m1: dest 7 Delivered, 15.999999999s left",
     "m1: final answer told",
 ];
@@ -51,7 +51,7 @@
     drop((held, written));
     let log = rig.program.whole_log();
     let out =
-        ["m1: p Ok", "m1: dest 7 Delivered", "m1: final answer told"].map(|l| log.contains(l));
+        ["m1: p Delivered", "m1: dest 7 Delivered", "m1: final answer told"].map(|l| log.contains(l));
     let out = out.iter().filter(|o| **o).count();
     // Once in 5 s it tells how long its tables are, which takes the room of a line.
     assert!(
--- a/tests/sockets/mqtt_only.rs
+++ b/tests/sockets/mqtt_only.rs
@@ -60,7 +60,7 @@
         PubackReasonCode::Success
     );
     rig.call().answer(Answer::Delivered);
-    rig.program.says("m1: p Ok");
+    rig.program.says("m1: p Delivered");
     drop(stream);
     // The first one that subscribes goes away without a word; the next one gets it again.
     let mut first = connect(rig.address);
--- a/tests/sockets/platform_only.rs
+++ b/tests/sockets/platform_only.rs
@@ -234,7 +234,7 @@
     let call = rig.call();
     assert_eq!(call.message.id, "m1");
     call.answer(Answer::Delivered);
-    program.says("m1: p Ok");
+    program.says("m1: p Delivered");
     rig.finish(&[]);
 }
 
@@ -271,7 +271,7 @@
     let call = rig.call();
     assert_eq!(call.message.id, "m1");
     call.answer(Answer::Delivered);
-    program.says("m1: p Ok");
+    program.says("m1: p Delivered");
     let noted = std::fs::read_to_string(&note).expect("a note");
     let until_ms: u64 = noted
         .trim()
--- a/tests/sockets/reload.rs
+++ b/tests/sockets/reload.rs
@@ -41,7 +41,7 @@
     }
     assert!((0..3).all(|i| rig.end(&format!("m{i}")) != End::Delivered));
     out.answer(Answer::Delivered);
-    rig.program.says("held: p Ok");
+    rig.program.says("held: p Delivered");
     rig.finish(&["held"]);
 }
 
@@ -173,6 +173,6 @@
         202
     );
     rig.call().answer(Answer::Delivered);
-    program.says("m1: p Ok");
+    program.says("m1: p Delivered");
     rig.finish(&[]);
 }
--- a/tests/sockets/scenarios.rs
+++ b/tests/sockets/scenarios.rs
@@ -227,7 +227,7 @@
         assert!(wait > Duration::ZERO && wait <= Duration::from_secs(2));
     }
     out.answer(Answer::Delivered);
-    rig.program.says("m1: p Ok");
+    rig.program.says("m1: p Delivered");
     rig.take_on(&message("m2"));
     rig.call().answer(Answer::Delivered);
     rig.finish(&["m1", "m2"]);
@@ -329,7 +329,7 @@
             call.answer(Answer::Delivered);
         }
         let log = rig.program.log();
-        left.retain(|id| !log.contains(&format!("{id}: p Ok")));
+        left.retain(|id| !log.contains(&format!("{id}: p Delivered")));
     }
     bound(&rig.program, None);
     std::thread::sleep(600 * MS);
@@ -363,7 +363,7 @@
         // They may come in either order.
         let call = rig.call();
         call.answer(Answer::Delivered);
-        rig.program.says(&format!("{}: p Ok", call.message.id));
+        rig.program.says(&format!("{}: p Delivered", call.message.id));
     }
     std::thread::sleep(wait);
     rig.take_on(&message("m3"));
--- a/tests/sockets/spoilt.rs
+++ b/tests/sockets/spoilt.rs
@@ -15,7 +15,7 @@
     let first = rig.call();
     let since = Instant::now();
     first.answer(Answer::Raw(bytes));
-    rig.program.says("m1: p Ok");
+    rig.program.says("m1: p Delivered");
     assert!(
         since.elapsed() < Duration::from_secs(1),
         "its slot was kept"
@@ -116,11 +116,11 @@
     rig.discovery.list("q", address, "a", Http::KIND, "active");
     rig.program.says("provider q ");
     first.answer(Answer::Delivered);
-    rig.program.says("m1: p Ok");
+    rig.program.says("m1: p Delivered");
     rig.take_on(&Message { ..message("m2") });
     let second = rig.call();
     assert_ne!(second.connection, first.connection);
     second.answer(Answer::Delivered);
-    rig.program.says("m2: q Ok");
+    rig.program.says("m2: q Delivered");
     rig.finish(&["m1", "m2"]);
 }
