--- a/tests/sockets/held_log.rs
+++ b/tests/sockets/held_log.rs
@@ -50,8 +50,12 @@
     rig.program.kill();
     drop((held, written));
     let log = rig.program.whole_log();
-    let out =
-        ["m1: p Delivered", "m1: dest 7 Delivered", "m1: final answer told"].map(|l| log.contains(l));
+    let out = [
+        "m1: p Delivered",
+        "m1: dest 7 Delivered",
+        "m1: final answer told",
+    ]
+    .map(|l| log.contains(l));
     let out = out.iter().filter(|o| **o).count();
     // Once in 5 s it tells how long its tables are, which takes the room of a line.
     assert!(
--- a/tests/sockets/scenarios.rs
+++ b/tests/sockets/scenarios.rs
@@ -363,7 +363,8 @@
         // They may come in either order.
         let call = rig.call();
         call.answer(Answer::Delivered);
-        rig.program.says(&format!("{}: p Delivered", call.message.id));
+        rig.program
+            .says(&format!("{}: p Delivered", call.message.id));
     }
     std::thread::sleep(wait);
     rig.take_on(&message("m3"));
