--- a/src/dispatch/api/mod.rs
+++ b/src/dispatch/api/mod.rs
@@ -1,6 +1,6 @@
-//! What goes into the decision module and what comes out: settings, events, actions.
+//! Inputs and outputs of the decision module: settings, events and actions.
 //!
-//! No decision is made here. Callers: whatever embeds the module, and all its parts.
+//! No decision is made here. Callers: the embedding program and all parts of the module.
 
 mod settings;
 
@@ -12,12 +12,12 @@
 /// A point in time or a span, in nanoseconds. The clock of the embedding program may start
 /// anywhere.
 pub type Nanos = u64;
-/// Id of a message, chosen by the embedding program; never used twice in one process.
+/// Id of a message, chosen by the embedding program; unique within one process.
 pub type MessageId = u32;
 /// Number of a destination. One destination has one or more endpoints.
 pub type DestinationId = u16;
 
-/// Address of one endpoint; compared as a whole, never read for meaning.
+/// Address of one endpoint; compared as a whole, never interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointAddress {
     /// Four bytes of address.
@@ -26,22 +26,22 @@
     pub port: u16,
 }
 
-/// What the list says of an endpoint. It says nothing of health.
+/// Condition of an endpoint by the list, which says nothing of its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
     /// Listed.
     Ready,
-    /// To be sent nothing new.
+    /// Must not be sent new calls.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// The rate that an endpoint is listed with while attempts there are leased to this sender, which
-/// are to go there first and at once: no rate that is told of an endpoint comes near it.
+/// Rate with which an endpoint is listed while attempts to it are leased to this sender, which are
+/// made there first and at once. No real rate comes near it.
 pub const LEASED_RATE: f32 = 1e12;
 
-/// A line of the list of endpoints.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct Listing {
     /// The endpoint.
@@ -54,68 +54,68 @@
     pub dest: DestinationId,
     /// Its condition.
     pub condition: Condition,
-    /// Calls a second that its destination (or the endpoint, where endpoints are separate routes)
-    /// takes from all senders together, as far as [`Settings::listed_rates`] says. Any number may
-    /// come.
+    /// Calls per second that its destination (or the endpoint, where endpoints are separate routes)
+    /// accepts from all senders together, as reliable as [`Settings::listed_rates`] says. Any
+    /// number may be listed.
     pub rate: f32,
 }
 
-/// The tenant of a message that names none where the settings have tenants: it is within nobody's
-/// share.
+/// Tenant of a message that names none where the settings have tenants: the message is within no
+/// tenant's share.
 pub const NO_TENANT: u16 = u16::MAX;
 
-/// A message handed to this sender, which owes it one final answer.
+/// A message handed to this sender, which must give it one final answer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Message {
     /// Its id.
     pub id: MessageId,
-    /// Its tenant, as a position in [`Settings::tenants`]; one that is not there, as [`NO_TENANT`],
-    /// is within nobody's share.
+    /// Its tenant, as a position in [`Settings::tenants`]; a message with an unknown position, such
+    /// as [`NO_TENANT`], is within no tenant's share.
     pub tenant: u16,
     /// Its class, as a position in [`Settings::classes`].
     pub class: u16,
-    /// What it is about, for ordered classes; 0 for none.
+    /// Ordering key, for ordered classes; 0 for none.
     pub key: u64,
-    /// Time left until it is given up.
+    /// Time left until it is ended undelivered.
     pub ttl: Nanos,
     /// Its destination.
     pub dest: DestinationId,
 }
 
-/// What an earlier process did for a message.
+/// Attempts of an earlier process for a message.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PriorAttempts {
-    /// Attempts made; the next one is numbered so.
+    /// Number of attempts made, and number of the next one.
     pub attempts: u16,
-    /// The first attempt that may have taken effect, if one may have.
+    /// The first attempt that may have taken effect, if any.
     pub may_have_run: Option<PossibleRun>,
 }
 
 /// An attempt of an earlier process that may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PossibleRun {
-    /// How long ago it was sent. The embedding program's clock must have started further back than
+    /// Time since it was sent. The clock of the embedding program must have started earlier than
     /// that.
     pub age: Nanos,
     /// The zone it was sent to.
     pub zone: u16,
 }
 
-/// How an attempt or a health check ended.
+/// Result of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Delivered.
     Delivered,
     /// Answered with an error; may have taken effect.
     Error,
-    /// Rejected unseen, with the wait it told (0: none).
+    /// Rejected unprocessed, with the Retry-After of the response (0: none).
     Rejected {
-        /// The wait.
+        /// The Retry-After.
         wait: Nanos,
     },
     /// No answer in time; may have taken effect.
     Timeout,
-    /// No connection; never ran.
+    /// No connection; certainly did not run.
     ConnectFailed,
     /// The connection broke; may have taken effect.
     Reset,
@@ -125,35 +125,37 @@
     NotSent,
 }
 
-/// What happened. All events of one call of the module happen at the same time, in this order.
+/// An input of the module. All events of one call of the module happen at the same time, in this
+/// order.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The whole list; what is not in it is gone.
+    /// The whole list; endpoints that are not in it are gone.
     List(Vec<Listing>),
-    /// The list as this sender last held it, perhaps stale. Comes once, first of all, after a
-    /// start.
+    /// The list as this sender last had it, perhaps stale. Given at most once, before all other
+    /// events, after a start.
     CachedList(Vec<Listing>),
-    /// Changed lines only.
+    /// Changed entries only.
     ListChanges(Vec<Listing>),
-    /// Changed lines by order of others than the directory (zone evacuations, leases): the list is
-    /// no newer by them.
+    /// Changed entries from sources other than the directory (zone evacuations, leases): they do
+    /// not make the list fresher.
     ListOverrides(Vec<Listing>),
     /// A poll of the list failed, or the watch broke.
     ListFailed,
-    /// The list is to be polled at another place from now on.
+    /// The directory has another address from now on.
     ListSourceMoved,
-    /// These settings count from now on. What is told, learned, held and in flight stays as it is.
+    /// New settings, effective from now on. The received list, learned state, pending messages and
+    /// calls in flight stay as they are.
     SettingsChanged(Box<RuntimeSettings>),
-    /// These routes count from now on, with zones as [`Listing::zone`] numbers them; for messages
-    /// that are held at their next attempt. Calls in flight end as they would have.
+    /// New routes, effective from now on, with zones as [`Listing::zone`] numbers them. They apply
+    /// to pending messages from their next attempt on; calls in flight end as they would have.
     RoutesChanged(Rc<Routes>),
     /// A message was handed in.
     Arrived(Message),
-    /// A message that an earlier process took on and still owes its end.
+    /// A message that an earlier process accepted and that still needs its final answer.
     Resumed {
-        /// The message; its time left is that of now.
+        /// The message; its remaining time is as of now.
         message: Message,
-        /// What came of it before.
+        /// Its earlier attempts.
         prior: PriorAttempts,
     },
     /// An attempt ended.
@@ -166,12 +168,12 @@
         outcome: Outcome,
         /// Time since it was sent.
         took: Nanos,
-        /// The message is over, by this outcome or before.
+        /// Whether the message has its final answer, by this outcome or before.
         finished: bool,
-        /// Load report, or nothing.
+        /// Load report, or empty.
         report: Vec<f32>,
     },
-    /// Nobody waits for this message any more. No answer is owed.
+    /// The client no longer waits for this message. No answer is required.
     ClientGone(MessageId),
     /// A health check ended.
     HealthCheckEnded {
@@ -179,15 +181,15 @@
         endpoint: EndpointAddress,
         /// How it ended.
         outcome: Outcome,
-        /// Load report, or nothing.
+        /// Load report, or empty.
         report: Vec<f32>,
     },
-    /// The time asked for by [`Action::WakeAfter`] has come.
+    /// The time requested by [`Action::WakeAfter`] has passed.
     TimerFired,
 }
 
 impl Event {
-    /// Whether the directory has said something with it.
+    /// Whether the event carries the directory's list or changes of it.
     pub fn tells_list(&self) -> bool {
         matches!(
             self,
@@ -196,26 +198,27 @@
     }
 }
 
-/// What the embedding program is to do, in the order given.
+/// An instruction to the embedding program, to be followed in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message. Sends to one endpoint in one turn share a call where the kind allows it.
+    /// Send a message. Sends to one endpoint in one turn share a call where the kind of destination
+    /// allows it.
     Send {
         /// The message.
         id: MessageId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointAddress,
         /// Time-out of the attempt.
         timeout: Nanos,
     },
-    /// End a message undelivered; the client may safely try again.
+    /// End a message undelivered; the client may safely send it again.
     Reject {
         /// The message.
         id: MessageId,
-        /// How long the client is advised to stay away; 0 for no advice.
+        /// Retry-After for the client; 0 for none.
         retry_after: Nanos,
     },
-    /// End a message as failed; nothing is said of its effect.
+    /// End a message as failed; whether it took effect stays open.
     Fail {
         /// The message.
         id: MessageId,
@@ -225,8 +228,7 @@
         /// The endpoint.
         endpoint: EndpointAddress,
     },
-    /// Close the connections to an endpoint that carry no call now, so that the next send opens a
-    /// new one.
+    /// Close the idle connections to an endpoint, so that the next send opens a new one.
     CloseIdle {
         /// The endpoint.
         endpoint: EndpointAddress,
@@ -235,6 +237,6 @@
     WatchList,
     /// Hand in [`Event::TimerFired`] after this time, rounded up as the clock allows.
     WakeAfter(Nanos),
-    /// A line for the operators.
+    /// A log line for the operators.
     Log(String),
 }
--- a/src/dispatch/api/settings.rs
+++ b/src/dispatch/api/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of a dispatcher, and what of them may change while it runs.
+//! Settings of a dispatcher, and those that may change while it runs.
 //!
-//! No decision is made here but for the weight of a message by its age ([`Class::weight_at_age`])
-//! and the check of settings.
+//! No decision is made here except for the weight of a message by its age
+//! ([`Class::weight_at_age`]) and the validation of settings.
 
 use super::Nanos;
 use std::fmt;
@@ -11,55 +11,55 @@
 pub enum Effect {
     /// Harmless to repeat.
     Idempotent,
-    /// Has an idempotency key: repeats are dropped for [`Class::dedup_window`] after the first send
-    /// that may have run.
+    /// Has an idempotency key: repeats are discarded for [`Class::dedup_window`] after the first
+    /// send that may have run.
     IdempotentWithKey,
     /// Must never take effect twice.
     NotIdempotent,
 }
 
-/// Which endpoints of a destination drop repeats of an [`Effect::IdempotentWithKey`] message.
+/// Endpoints of a destination that discard repeats of an [`Effect::IdempotentWithKey`] message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every endpoint of the destination.
     All,
-    /// Only those in the zone of the endpoint that may have run it.
+    /// Only the endpoints in the zone of the endpoint that may have run it.
     Zone,
 }
 
-/// How the weight of a message falls once its latency objective is missed.
+/// Decrease of a message's weight once its latency objective is missed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Decay {
-    /// Evenly, down to the late weight at the deadline.
+    /// Linear decrease to the late weight at the deadline.
     #[default]
     Linear,
-    /// By half with each further latency objective, not under the late weight.
+    /// Halved with each further latency objective, but not below the late weight.
     Halving,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Latency objective: delivered within this time, a message has its full weight.
+    /// Latency objective: a message that is delivered within this time has its full weight.
     pub latency_objective: Nanos,
-    /// Given up after this time.
+    /// Time after which a message is ended undelivered.
     pub deadline: Nanos,
     /// Effect of a repeat.
     pub effect: Effect,
-    /// Where repeats are dropped.
+    /// Endpoints at which repeats are discarded.
     pub dedup_scope: DedupScope,
-    /// How long repeats are dropped.
+    /// Time for which repeats are discarded.
     pub dedup_window: Nanos,
-    /// Weight of a message that is delivered in time, against those of other classes.
+    /// Weight of a message that is delivered in time, relative to other classes.
     pub priority_weight: f64,
     /// Fraction of the weight that is left at the deadline.
     pub late_weight: f64,
-    /// Messages with one key go one at a time, in the order taken.
+    /// Whether messages with one ordering key are sent one at a time, in the order accepted.
     pub ordered_by_key: bool,
 }
 
 impl Class {
-    /// Weight of a message delivered this long after it was first handed in, before its deadline.
+    /// Returns the weight of a message that is delivered at this age, before its deadline.
     pub fn weight_at_age(&self, age: Nanos, decay: Decay) -> f64 {
         self.priority_weight * self.fraction_at_age(age, decay)
     }
@@ -86,45 +86,46 @@
 /// A tenant and its share.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its part of the service, 0 to 1.
+    /// Its part of all messages, 0 to 1.
     pub share: f64,
 }
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug)]
 pub struct DestinationKind {
-    /// Endpoints are separate routes with a limit and waits of their own; else all endpoints of a
-    /// destination share them.
+    /// Whether endpoints are separate routes with a limit and Retry-After of their own; otherwise
+    /// all endpoints of a destination share them.
     pub separate_routes: bool,
     /// Messages that one call may carry.
     pub max_batch: u32,
 }
 
-/// How far the rates in the list are to be trusted.
+/// Reliability of the rates in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListedRates {
-    /// There are none.
+    /// No rates are listed.
     #[default]
     Absent,
-    /// As agreed.
+    /// The rates are exact.
     Exact,
-    /// Up to half too high or too low.
+    /// The rates are up to half too high or too low.
     Approximate,
 }
 
-/// What is known from the process before this one.
+/// State known from the previous process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RestartState {
-    /// It ended by a graceful shutdown, a short time ago: this start is part of a planned restart.
+    /// Whether the previous process ended by a graceful shutdown a short time ago, so that this
+    /// start is part of a planned restart.
     pub planned: bool,
-    /// What a poll of the list cost the directory, in seconds.
+    /// Cost of a poll of the list to the directory, in seconds.
     pub poll_cost_seconds: Option<f64>,
-    /// How long the list that the process before had may still be trusted; nothing where no process
-    /// was before.
+    /// Time that the list of the previous process may still be trusted; none where there was no
+    /// previous process.
     pub remaining_freshness: Option<Nanos>,
 }
 
-/// What a dispatcher is given when it starts.
+/// Settings with which a dispatcher starts.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// Classes of message, by position.
@@ -133,87 +134,86 @@
     pub tenants: Vec<Tenant>,
     /// Kinds of destination, by position; may be empty.
     pub kinds: Vec<DestinationKind>,
-    /// Senders that send to the same destinations, this one included.
+    /// Number of senders that send to the same destinations, this one included.
     pub senders: u32,
-    /// What the process before this one knew.
+    /// State known from the previous process.
     pub restart_state: RestartState,
-    /// Calls that may be in flight at once.
+    /// Largest number of calls in flight.
     pub max_in_flight_calls: u32,
-    /// Messages that may be held, sent or not.
+    /// Largest number of pending messages, including those in flight.
     pub max_held_messages: u32,
-    /// Attempts allowed for one message.
+    /// Largest number of attempts for one message.
     pub max_attempts: u32,
-    /// Limits of the messages of each class, by position, where classes have their own; empty where
-    /// all have the same.
+    /// Limits of the messages of each class, by position; empty where all classes have the same
+    /// limits.
     pub class_limits: Vec<ClassLimits>,
-    /// How the weight of a message falls with time.
+    /// Decrease of a message's weight over time.
     pub decay: Decay,
-    /// Factor on the weight of traffic over a tenant's share.
+    /// Factor on the weight of messages over a tenant's share.
     pub over_share_weight: f64,
-    /// The list of endpoints must be polled; it is not pushed.
+    /// Whether the endpoint list must be polled.
     pub poll_list: bool,
-    /// An agent on the sender's own machine has the list: it answers at once and no other sender,
-    /// and what it has counts as told from the first moment of a process.
+    /// Whether an agent on the sender's own machine has the list. The agent answers at once and
+    /// serves no other sender, and its list must be known from the start of the process.
     pub list_pushed: bool,
-    /// Longest time without a poll: then changes of the list count as told (0: no bound).
+    /// Longest time without a poll; after it the list is stale (0: unlimited).
     pub poll_deadline: Nanos,
-    /// A watch sends an event at least this often, also where nothing changes (0: it tells changes
-    /// alone, and its silence says nothing).
+    /// Longest interval between events of a watch, also without changes (0: a watch sends changes
+    /// only, and its silence says nothing).
     pub watch_heartbeat: Nanos,
-    /// Endpoints may be sent health checks.
+    /// Whether endpoints may be sent health checks.
     pub probes: bool,
-    /// The wait told with a rejection (Retry-After) reaches the client.
+    /// Whether the Retry-After of a rejection reaches the client.
     pub sends_retry_after: bool,
-    /// Longest Retry-After that a client heeds.
+    /// Longest Retry-After that a client obeys.
     pub max_retry_after: Nanos,
-    /// After an outage a destination has this fraction of its capacity, or more.
+    /// Least fraction of its capacity that a destination has right after an outage.
     pub slow_start_fraction: f64,
-    /// And all of it after this time.
+    /// Time after which it has its full capacity.
     pub slow_start_duration: Nanos,
     /// Multiple of its present capacity that overloads a destination...
     pub overload_factor: f64,
-    /// ...when kept up this long.
+    /// ...if it lasts for this time.
     pub overload_window: Nanos,
     /// Pause of an ordering key after an attempt that may still run.
     pub ordered_key_pause: Nanos,
-    /// The transport closes a connection that was not used for this long (0: never).
+    /// Time after which the transport closes an unused connection (0: never).
     pub connection_idle_timeout: Nanos,
-    /// How far [`Listing::rate`](super::Listing::rate) is to be trusted.
+    /// Reliability of [`Listing::rate`](super::Listing::rate).
     pub listed_rates: ListedRates,
-    /// What a message costs that a route in a zone takes on, by zone and in priority weight; may be
-    /// empty.
+    /// Cost of a message on a route in a zone, by zone and in priority weight; may be empty.
     pub zone_fees: Vec<f64>,
-    /// Position in a load report of the share of the limit left, if reported.
+    /// Position in a load report of the unused share of the limit, if reported.
     pub report_left: Option<usize>,
-    /// Position in a load report of the limit in calls a second, if reported.
+    /// Position in a load report of the limit in calls per second, if reported.
     pub report_limit: Option<usize>,
 }
 
 /// Limits of each message of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassLimits {
-    /// Attempts allowed.
+    /// Largest number of attempts.
     pub max_attempts: u32,
-    /// Longest Retry-After that its client heeds.
+    /// Longest Retry-After that its client obeys.
     pub max_retry_after: Nanos,
 }
 
-/// Settings that may change while a dispatcher runs. Messages that it holds name classes by
-/// position: those keep their places.
+/// Settings that may change while a dispatcher runs. Pending messages refer to classes by position,
+/// so the positions of classes stay.
 #[derive(Clone, Debug, Default)]
 pub struct RuntimeSettings {
     /// Classes, by position.
     pub classes: Vec<Class>,
     /// Limits of each class.
     pub class_limits: Vec<ClassLimits>,
-    /// Calls that may be in flight at once. Those that are beyond it end as they would have.
+    /// Largest number of calls in flight. Calls beyond a lowered limit end as they would have.
     pub max_in_flight_calls: u32,
-    /// Messages that may be held. Those that are beyond it stay.
+    /// Largest number of pending messages. Messages beyond a lowered limit stay.
     pub max_held_messages: u32,
 }
 
 impl Settings {
-    /// Limits of the messages of a class.
+    /// Returns the limits of the messages of a class.
     pub fn class_limits(&self, class: u16) -> ClassLimits {
         let common = ClassLimits {
             max_attempts: self.max_attempts,
@@ -223,10 +223,10 @@
         own.copied().unwrap_or(common)
     }
 
-    /// Checks that a dispatcher can work by the settings.
+    /// Checks that a dispatcher can work with the settings.
     ///
     /// # Errors
-    /// The first setting that none can work by.
+    /// Returns the first invalid setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         let fault = |setting, problem| Err(SettingsError { setting, problem });
         if self.classes.is_empty() {
@@ -244,7 +244,7 @@
         Ok(())
     }
 
-    /// Takes changed settings; none that [`Settings::check`] rejects.
+    /// Applies changed settings, unless [`Settings::check`] rejects the result.
     pub fn change(&mut self, changed: &RuntimeSettings) {
         let RuntimeSettings {
             classes,
@@ -265,12 +265,12 @@
     }
 }
 
-/// Settings that no dispatcher can work by.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The setting, as policy documents and the platform's settings name it.
+    /// The setting, by its name in policy documents and the platform's settings.
     pub setting: &'static str,
-    /// What is wrong with it.
+    /// The problem.
     pub problem: &'static str,
 }
 
--- a/src/dispatch/deadline.rs
+++ b/src/dispatch/deadline.rs
@@ -1,39 +1,41 @@
-//! What is still done as a message's time runs out.
+//! Limits on attempts and deliveries shortly before a message's deadline.
 //!
-//! Decides: until when an attempt may begin, until when it may last, and whether a delivery so
-//! close to the end can be relied on. Inputs: the message's deadline and the time. Callers: the
-//! dispatcher for the first, the embedding program for the others: it alone has a way back to its
-//! clients that takes time.
+//! Decides: until when an attempt may start, how long it may last, and whether a delivery that
+//! close to the deadline can be relied on. Inputs: the message's deadline and the time. Callers:
+//! the dispatcher for the first decision, the embedding program for the others, as only that
+//! program has a response path to its clients that takes time.
 //!
-//! The parties reckon a message's time by their own clocks, from moments of their own, and each may
-//! be held up between reading its clock and writing. So a message is over here some time before it
-//! is over for its client, and what happens in between is answered twice rather than never.
+//! Sender, client and endpoint measure a message's time by their own clocks and from different
+//! starting points, and each may be delayed between reading its clock and writing. The sender
+//! therefore ends a message some time before the client does, and a message whose result falls
+//! between gets two answers rather than none.
 
 use crate::dispatch::api::Nanos;
 use crate::dispatch::statistics::MS;
 
-/// No attempt begins with less time left than this, in nanoseconds: it would hardly get an answer.
+/// Least time left with which an attempt may start, in nanoseconds: with less it would hardly get
+/// an answer.
 pub const LEAST_TIME_TO_BEGIN: Nanos = 250 * MS;
-/// An attempt is over so long before its message's deadline, in nanoseconds: the longest that a
-/// process is held up between reading its clock and writing, so that the final answer still goes
-/// in time.
+/// Time between the latest end of an attempt and its message's deadline, in nanoseconds: the
+/// longest delay of a process between reading its clock and writing, so that the final answer is
+/// still sent in time.
 pub const FINAL_ANSWER_MARGIN: Nanos = 150 * MS;
-/// With less time left than this, in nanoseconds, the client's time may be up already: a client
-/// that waits longer for the answer to its request has given the message up.
+/// Time left below which the client's time may already have passed, in nanoseconds: a client that
+/// waits longer for the response to its request has given the message up.
 pub const CROSSING_MARGIN: Nanos = 400 * MS;
 
-/// Whether an attempt that begins at a time still leaves its message a chance.
+/// Whether an attempt that starts at `start` still gives its message a chance of delivery.
 pub fn may_begin(start: Nanos, deadline: Nanos) -> bool {
     start.saturating_add(LEAST_TIME_TO_BEGIN) < deadline
 }
 
-/// The time that an attempt may take at most where its message has so much time left.
+/// Returns the longest time that an attempt may take where its message has `time_left`.
 pub fn longest_attempt(time_left: Nanos) -> Nanos {
     time_left.saturating_sub(FINAL_ANSWER_MARGIN)
 }
 
-/// Whether a delivery that is known with so much time left may have come too late by the client's
-/// clock: then the client is owed a final answer all the same.
+/// Whether a delivery that is known with `time_left` may have come too late by the client's clock:
+/// then the client must still get a final answer.
 pub fn may_cross_the_end(time_left: Nanos) -> bool {
     time_left < CROSSING_MARGIN
 }
--- a/src/dispatch/dispatcher/admission.rs
+++ b/src/dispatch/dispatcher/admission.rs
@@ -1,36 +1,37 @@
-//! Takes messages in, sheds load, and ends what can't be delivered.
+//! Admission of messages, load shedding, and the end of messages that cannot be delivered.
 //!
-//! Decides: which message goes when there are too many, whether a message may be attempted again or
-//! rejected, and which messages are over. Inputs: messages that arrive, the settings, pauses and
+//! Decides: which message is shed when there are too many, whether a message may be retried or
+//! rejected, and which messages are ended. Inputs: messages that arrive, the settings, pauses and
 //! routes. Caller: [`Dispatcher::handle`].
 
 use super::*;
 use crate::dispatch::deadline;
 
-/// Part of the room that is filled before load is shed, in tenths: what comes next is then judged
-/// here and not rejected unseen.
+/// Part of the message limit from which on load is shed, in tenths: the remaining tenth lets
+/// further messages be judged here rather than rejected unseen.
 const FILLED_TENTHS: usize = 9;
-/// How far over its share of all traffic a tenant has to be to count as over it.
+/// Factor on a tenant's share of all traffic above which it counts as over its share.
 const SHARE_TOLERANCE: f64 = 1.6;
 
-/// What may still be done with a message.
+/// Permitted ways to continue or end a message.
 pub(super) struct RetryEligibility {
-    /// Another attempt is allowed.
+    /// Whether another attempt is allowed.
     pub may_retry: bool,
-    /// It may be rejected without risking a second effect: its client may safely send it again.
+    /// Whether it may be rejected without risking a second effect, so that its client may safely
+    /// send it again.
     pub may_reject: bool,
 }
 
-/// A message that can't be delivered any more.
+/// A message that can no longer be delivered.
 struct Undeliverable {
     id: MessageId,
     dest: DestinationId,
-    /// How long its client is to stay away; 0: until the queue has drained.
+    /// Retry-After for its client; 0: the time until the queue has drained.
     wait: Nanos,
 }
 
 impl Dispatcher {
-    /// Takes a message; `resumed` has what an earlier process did for it.
+    /// Admits a message; `resumed` has the attempts of an earlier process.
     pub(super) fn admit(&mut self, now: Nanos, message: Message, resumed: PendingMessage) {
         let class = self.class(&message);
         let class_time = class.deadline;
@@ -59,8 +60,8 @@
         self.shed_load(now);
     }
 
-    /// Whether a tenant sends clearly more than its share of what all send here; one alone shows
-    /// nothing. What none of the tenants in the settings sends is within nobody's share.
+    /// Whether a tenant sends clearly more than its share of all messages here; a tenant that sends
+    /// alone is not over its share. Messages of no tenant in the settings are within no share.
     fn is_over_share(&mut self, now: Nanos, tenant: u16) -> bool {
         let position = usize::from(tenant);
         let Some(tenant) = self.settings.tenants.get(position) else {
@@ -73,8 +74,8 @@
         share < 1.0 && own > SHARE_TOLERANCE * share * others / (1.0 - share) + 1.0
     }
 
-    /// Ends messages of the longest queue, the least valuable first, until there is room for what
-    /// comes next.
+    /// Ends messages of the longest queue, the least valuable first, until there is room for the
+    /// next message.
     fn shed_load(&mut self, now: Nanos) {
         let before_this_one = self.pending.len() - 1;
         self.held_before_change = self.held_before_change.min(before_this_one);
@@ -94,8 +95,8 @@
         }
     }
 
-    /// The message of a queue that is worth least at a time, of those that may be rejected; the
-    /// newest of equals.
+    /// Returns the least valuable message of a queue at the time `at`, of those that may be
+    /// rejected; the newest of equals.
     fn least_valuable(&self, now: Nanos, dest: DestinationId, at: Nanos) -> Option<MessageId> {
         let mut least: Option<(f64, MessageId)> = None;
         for &id in &self.destinations[&dest].messages {
@@ -139,7 +140,8 @@
         }
     }
 
-    /// Ends a message: rejected with the wait where that is safe, else failed.
+    /// Ends a message undelivered: rejected with a Retry-After where that is safe, otherwise
+    /// failed.
     fn end_undelivered(&mut self, now: Nanos, id: MessageId, wait: Nanos) {
         let Some(pending) = self.pending.get(&id) else {
             return;
@@ -159,7 +161,7 @@
         self.forget(id);
     }
 
-    /// Drops a message that is over.
+    /// Drops a message that has its final answer or needs none.
     pub(super) fn forget(&mut self, id: MessageId) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Ends at once what can't be delivered any more: no time, no attempt left, or a pause that
-    /// outlasts it.
+    /// Ends messages at once that can no longer be delivered: no time left, no attempt left, or a
+    /// pause that lasts beyond their deadline.
     pub(super) fn end_undeliverable(&mut self, now: Nanos) {
         let mut all = Vec::new();
         for &dest in &self.backlogged {
@@ -211,7 +213,7 @@
             let route = self.route_of(&self.routes, &pending.message);
             let leads_nowhere = route.is_some_and(|route| !route.has_zones());
             if leads_nowhere && self.retry_eligibility(pending, now).may_reject {
-                // Nobody is to serve it: its client hears it now.
+                // No zone serves the message, so that its client is answered now.
                 let wait = Nanos::MAX;
                 all.push(Undeliverable { id, dest, wait });
                 continue;
--- a/src/dispatch/dispatcher/attempt_results.rs
+++ b/src/dispatch/dispatcher/attempt_results.rs
@@ -1,8 +1,8 @@
-//! What the dispatcher learns from attempts that end.
+//! Processing of attempts that end.
 //!
 //! Decides: health changes, pauses and rates (through [`EndpointState`] and the rate controller),
-//! which siblings are taken for down too, which idle connections are closed, and when a message may
-//! go again. Inputs: outcomes and load reports. Caller: [`Dispatcher::handle`].
+//! which siblings are ejected as well, which idle connections are closed, and when a message may be
+//! retried. Inputs: outcomes and load reports. Caller: [`Dispatcher::handle`].
 
 use super::*;
 use crate::dispatch::endpoint_health::{CallResult, Health, RejectionHint, MAX_TRIAL_GAP};
@@ -10,28 +10,27 @@
 use crate::dispatch::stale_connections::Connection;
 use crate::dispatch::statistics::{from_secs, to_secs, MS};
 
-/// Suspicion that a kind is out of connections from which on they are closed after each call, in
-/// failed connects.
+/// Level of suspicion that a kind of destination is out of connections from which on connections
+/// are closed after each call, in failed connects.
 const CLOSE_CONNECTIONS_FROM: f64 = 1.0;
-/// Bound of that suspicion: it is to fade within a minute.
+/// Largest level of that suspicion, so that it decays within a minute.
 const MAX_CONNECTION_SHORTAGE: f64 = 8.0;
-/// Pause of a message before its next attempt after an error, in seconds; it doubles with each
-/// attempt.
+/// Delay before a message's next attempt after an error, in seconds; it doubles with each attempt.
 const RETRY_DELAY: f64 = 0.1;
-/// Most attempts that this pause doubles with.
+/// Largest number of attempts with which that delay still doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
 
-/// A load report, as far as it tells of a limit.
+/// The limit in a load report.
 #[derive(Clone, Copy)]
 struct LoadReport {
-    /// Share of the limit that is left.
+    /// Share of the limit that is unused.
     left: f64,
-    /// The limit in calls a second, for all senders together.
+    /// The limit in calls per second, for all senders together.
     limit: f64,
 }
 
 impl Dispatcher {
-    /// Takes the end of an attempt, `took` after it was sent.
+    /// Processes the end of an attempt, `took` after it was sent.
     pub(super) fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -70,7 +69,8 @@
         self.return_message(now, id.message, outcome, run);
     }
 
-    /// Lets the next message of an ordering key go, after a pause where this one may still run.
+    /// Releases the next message of an ordering key, after a pause where this attempt may still
+    /// run.
     fn release_key(
         &mut self,
         now: Nanos,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Notes what came of a message's attempt, and when it may go again.
+    /// Records the result of a message's attempt, and when the message may be retried.
     fn return_message(&mut self, now: Nanos, id: MessageId, outcome: Outcome, run: SentAttempt) {
         let jitter = self.random.draw();
         let Some(pending) = self.pending.get_mut(&id) else {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Learns from the first result of a call.
+    /// Processes the first result of a call.
     fn learn_from_call(
         &mut self,
         now: Nanos,
@@ -145,7 +145,7 @@
         if let Some(report) = report {
             self.controller(call.dest, &endpoint).reported_limit = report.limit;
         }
-        // A call that was lost for its stale connection says nothing of the endpoint.
+        // A call that was lost because of its stale connection says nothing about the endpoint.
         let was_stale =
             call.on_idle_connection && is_lost && self.stale_connections.distrusts_idle(now);
         if !was_stale {
@@ -182,9 +182,10 @@
         self.watch_connection_shortage(now, call.endpoint, outcome);
     }
 
-    /// Some endpoints take few connections, idle ones counted, held by hundreds of senders: where a
-    /// kind's endpoints turn connections away and answer soon after, none is kept idle there. Costs
-    /// handshakes while it lasts; one that is down turns them away too, but does not answer.
+    /// Detects a shortage of connections. Some endpoints accept few connections, idle ones
+    /// included, from hundreds of senders: where endpoints of a kind reject connections and answer
+    /// soon after, no connection to that kind is kept idle. This costs handshakes while it lasts.
+    /// An endpoint that is down rejects connections too, but does not answer soon after.
     fn watch_connection_shortage(
         &mut self,
         now: Nanos,
@@ -244,7 +245,7 @@
         is_usable.then_some(LoadReport { left, limit })
     }
 
-    /// What one call tells of an endpoint and its destination.
+    /// Updates the health of an endpoint, and the limits of its destination, from one call.
     fn learn_of_endpoint(
         &mut self,
         now: Nanos,
@@ -330,8 +331,7 @@
             jitter: call.jitter,
         };
         self.controller(dest, &address).reject(now, &rejection);
-        // Traffic is spread over routes at random: where one is full, the others are not far from
-        // it.
+        // Messages are spread over routes at random: where one is full, the others are nearly full.
         for controller in self.queue(dest).controllers.values_mut() {
             controller.hold_burst(now);
         }
@@ -341,7 +341,7 @@
         }
     }
 
-    /// Follows up a change of an endpoint's health, if there is one.
+    /// Applies the consequences of a change of an endpoint's health, if there is one.
     fn health_changed(
         &mut self,
         now: Nanos,
@@ -369,8 +369,10 @@
         ));
     }
 
-    /// Most outages take all endpoints of a destination: those not heard from since need a trial
-    /// too. A zone that stands behind by the routes is seldom heard from: its silence says nothing.
+    /// Ejects the siblings of an ejected endpoint that have not answered since its failures began,
+    /// as most outages affect all endpoints of a destination: they need a trial as well. Where
+    /// there are routes, only siblings in the same zone are ejected: a zone of a later rank is
+    /// seldom called, so that its silence says nothing.
     fn eject_silent_siblings(&mut self, now: Nanos, dest: DestinationId, address: EndpointAddress) {
         let endpoint = &self.endpoints[&address];
         let failing_since = endpoint.failing_since;
@@ -391,7 +393,7 @@
     }
 }
 
-/// Whether an attempt that ended so may still take effect.
+/// Whether an attempt with this outcome may still take effect.
 fn may_still_run(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/src/dispatch/dispatcher/capacity.rs
+++ b/src/dispatch/dispatcher/capacity.rs
@@ -1,7 +1,7 @@
-//! What endpoints take from this sender: rate controllers, listed rates, slow-start budgets, and
-//! how many calls a destination may have in flight.
+//! Limits of this sender's calls to endpoints: rate controllers, listed rates, slow-start budgets,
+//! and the calls that a destination may have in flight.
 //!
-//! Decides: these bounds. Inputs: the endpoint list, the settings, and what calls came to. Callers:
+//! Decides: these limits. Inputs: the endpoint list, the settings, and results of calls. Callers:
 //! [`super::endpoint_choice`], [`super::sending`] and [`super::attempt_results`].
 
 use super::*;
@@ -11,40 +11,41 @@
 use crate::dispatch::slow_start::{warmup_fraction, SlowStartQuota};
 use crate::dispatch::statistics::{blend, to_secs, MS};
 
-/// What a destination can do over what this sender saw it do, at least: limits leave room over mean
-/// traffic.
+/// Assumed capacity of a destination, as a multiple of the highest throughput this sender observed:
+/// limits leave room over mean traffic.
 const HEADROOM: f64 = 1.5;
-/// Part of an approximate listed rate that the destination takes at least: it may be half too high.
+/// Part of an approximate listed rate that the destination certainly accepts: the rate may be half
+/// too high.
 const APPROXIMATE_RATE_TRUST: f64 = 1.0 / 1.5;
-/// Calls that all senders together may send in one overload window to what they know least of.
+/// Calls per overload window that all senders together may send to endpoints of unknown capacity.
 const MIN_TRIALS_PER_WINDOW: f64 = 4.0;
-/// Least window and warm-up that are reckoned with, in seconds, against a division by zero.
+/// Smallest window and warm-up time, in seconds, against a division by zero.
 const MIN_WINDOW_SECONDS: f64 = 0.1;
 /// Calls that a destination may have in flight before any was accepted.
 const UNPROVEN_CALLS: u32 = 2;
-/// Deviations from the mean latency after which a call that is out is late.
+/// Deviations above the mean latency after which a call in flight is late.
 const LATE_DEVIATIONS: f64 = 4.0;
-/// Least time after which a call that is out is late, in seconds.
+/// Least time after which a call in flight is late, in seconds.
 const MIN_LATE_SECONDS: f64 = 0.8;
 
-/// What this sender may send to endpoints that are ejected or in slow start.
+/// Budget of this sender for endpoints that are ejected or in slow start.
 pub(super) struct SlowStartBudget {
-    /// Calls that are due now.
+    /// Calls that may be made now.
     pub calls: f64,
-    /// Calls a second by which it grows.
+    /// Growth of the budget, in calls per second.
     pub rate: f64,
 }
 
 impl Dispatcher {
-    /// Names the rate controller of an endpoint: pause and rate are the destination's (no address),
-    /// or the endpoint's own where endpoints are separate routes.
+    /// Returns the key of an endpoint's rate controller: pause and rate are the destination's (no
+    /// address), or the endpoint's own where endpoints are separate routes.
     pub(super) fn controller_key(&self, endpoint: &EndpointAddress) -> Option<EndpointAddress> {
         let kind = self.endpoints.get(endpoint)?.kind;
         let kind = self.settings.kinds.get(kind)?;
         kind.separate_routes.then_some(*endpoint)
     }
 
-    /// The rate controller of an endpoint; a new one where there is none.
+    /// Returns the rate controller of an endpoint; a new one where there is none.
     pub(super) fn controller(
         &mut self,
         dest: DestinationId,
@@ -58,8 +59,8 @@
             .or_insert_with(|| RateController::new(started_at))
     }
 
-    /// The rate that the list gives for an endpoint, for all senders together, in calls a second; 0
-    /// where it says nothing.
+    /// Returns the listed rate of an endpoint, for all senders together, in calls per second; 0
+    /// where none is listed.
     pub(super) fn listed_rate(&self, endpoint: &EndpointAddress) -> f64 {
         if self.settings.listed_rates == ListedRates::Absent {
             return 0.0;
@@ -68,7 +69,8 @@
         endpoint.map_or(0.0, |endpoint| endpoint.listed_rate)
     }
 
-    /// This sender's even part of a known limit, as reported, else as listed, in calls a second.
+    /// Returns this sender's equal part of a known limit, as reported, otherwise as listed, in
+    /// calls per second.
     pub(super) fn fair_rate(
         &mut self,
         dest: DestinationId,
@@ -87,8 +89,9 @@
         Some(limit / f64::from(self.settings.senders.max(1)))
     }
 
-    /// What this sender may send to endpoints that are ejected or in slow start: its part of what
-    /// they can take cold, times the overload factor, grown by the warm-up since the first success.
+    /// Returns this sender's quota for endpoints that are ejected or in slow start: its part of
+    /// what they accept right after an outage, times the overload factor, grown by the warm-up
+    /// since the first success.
     fn slow_start_quota(
         &mut self,
         dest: DestinationId,
@@ -126,15 +129,15 @@
         SlowStartQuota::for_sender(rate * all, growth * all, window, settings.senders)
     }
 
-    /// The part of its warm-up (in seconds) that an endpoint has behind it; nothing for a healthy
-    /// one.
+    /// Returns the part of its warm-up (in seconds) that an endpoint has completed; none for a
+    /// healthy one.
     fn warmed(&self, endpoint: &EndpointState, window: f64, warmup: f64) -> Option<f64> {
         let seconds = match endpoint.health {
             Health::Healthy => return None,
             Health::SlowStart => to_secs(self.now - endpoint.warmup_since),
             Health::Ejected => {
-                // Not longer than an overload takes: the more senders, the longer since each of
-                // them tried.
+                // The assumed recovery is at most one overload window: the more senders, the longer
+                // ago each of them called.
                 let since_failure = to_secs(self.now - endpoint.failed_at);
                 unobserved_recovery(since_failure, self.settings.senders).min(window)
             }
@@ -142,7 +145,7 @@
         Some(seconds / warmup)
     }
 
-    /// Brings the slow-start budget of an endpoint up to now.
+    /// Updates the slow-start budget of an endpoint, and returns it.
     pub(super) fn slow_start_budget(
         &mut self,
         now: Nanos,
@@ -160,8 +163,9 @@
         }
     }
 
-    /// Draws what is left of the slow-start budget of an endpoint that has just been ejected. Rare
-    /// callers of a large fleet each come by less than a call: who may try first is drawn.
+    /// Draws the remaining slow-start budget of an endpoint that has just been ejected, or is new
+    /// beside ejected ones. In a large fleet each rare caller's quota is less than a call: the draw
+    /// decides which senders may try first.
     pub(super) fn draw_slow_start_budget(
         &mut self,
         dest: DestinationId,
@@ -181,8 +185,8 @@
         controller.slow_start_budget_at = now;
     }
 
-    /// Calls that a destination may have in flight: under 3/4 of all, half while it is impaired;
-    /// few until it answers.
+    /// Returns the calls that a destination may have in flight: under 3/4 of all, half while it is
+    /// impaired; few until it answers.
     pub(super) fn max_calls(&self, queue: &DestinationQueue, is_impaired: bool) -> u32 {
         let controllers = queue.controllers.values();
         let accepted = controllers
@@ -197,8 +201,8 @@
         most.max(1).min(UNPROVEN_CALLS + accepted)
     }
 
-    /// Whether a destination fails or is slow, or is suspected to: a call is out far longer than
-    /// usual.
+    /// Whether a destination fails or is slow, or is suspected to be: a call has been in flight far
+    /// longer than usual.
     pub(super) fn is_impaired(&self, now: Nanos, queue: &DestinationQueue) -> bool {
         let is_late = |call: &InFlightCall| {
             let endpoint = &self.endpoints[&call.endpoint];
--- a/src/dispatch/dispatcher/endpoint_choice.rs
+++ b/src/dispatch/dispatcher/endpoint_choice.rs
@@ -1,8 +1,8 @@
-//! Where a message goes.
+//! Choice of the endpoint for a message.
 //!
-//! Decides: the endpoint for the next call of a destination, or when time alone may open one.
-//! Inputs: the message's route, health, rate controllers and quotas of the endpoints, fees of
-//! zones. Caller: [`super::sending`].
+//! Decides: the endpoint for the next call of a destination, or the earliest time at which one may
+//! become available without a further event. Inputs: the message's route, health, rate controllers
+//! and quotas of the endpoints, fees of zones. Caller: [`super::sending`].
 
 use super::capacity::SlowStartBudget;
 use super::*;
@@ -11,31 +11,31 @@
 use crate::dispatch::rate_quota::{weighted_random_key, RateQuota};
 use crate::dispatch::statistics::{blend, from_secs, MS};
 
-/// Seconds that the cost of a call grows by for each whole priority weight of a route's fee.
+/// Cost of a call for each whole priority weight of a route's fee, in seconds.
 const FEE_SECONDS: f64 = 20.0;
-/// Added to the cost of a trial, in seconds: one that serves goes first.
+/// Added to the cost of a trial, in seconds, so that a healthy endpoint is chosen first.
 const TRIAL_COST: f64 = 100.0;
-/// Factor of the share of failing calls on the cost.
+/// Weight of the share of failing calls in the cost.
 const FAILURE_COST: f64 = 3.0;
 
-/// What the endpoint of a message has to fulfil.
+/// Requirements of a message on its endpoint.
 pub(super) struct SendRequirement<'a> {
-    /// The zone where repeats of the message are dropped, if it may have run.
+    /// The zone in which repeats of the message are discarded, if it may have run.
     pub zone: Option<u16>,
-    /// The message may take effect more than once.
+    /// Whether the message may take effect more than once.
     pub is_repeatable: bool,
-    /// Its route, where there are routes.
+    /// The message's route, where there are routes.
     pub route: Option<RouteMatch<'a>>,
 }
 
-/// An endpoint that may be sent the message now.
+/// An endpoint to which the message may be sent now.
 pub(super) struct EndpointChoice {
     pub endpoint: EndpointAddress,
-    /// It is ejected: the send is a trial.
+    /// Whether it is ejected, so that the send is a trial.
     pub is_trial: bool,
-    /// How far back its zone stands on the route.
+    /// Rank of its zone on the route; the lowest is preferred.
     rank: u16,
-    /// Cost, in seconds of latency or as a random key: the lowest goes first.
+    /// Cost, in seconds of latency or as a random key; the lowest is preferred.
     cost: f64,
 }
 
@@ -45,40 +45,41 @@
     }
 }
 
-/// Whether an endpoint may be sent the message.
+/// Whether an endpoint may be sent the message, and from when on.
 enum Availability {
     Available(EndpointChoice),
-    /// Time alone may open it, then.
+    /// Not before this time, without a further event.
     OpensAt(Nanos),
-    /// Not by time alone.
+    /// Not without a further event.
     Excluded,
 }
 
-/// What is the same for all endpoints of a destination in one choice.
+/// Values that are the same for all endpoints of a destination in one choice.
 struct ChoiceContext<'a> {
     dest: DestinationId,
     requirement: &'a SendRequirement<'a>,
     /// Latency of an endpoint that has not answered yet, in seconds.
     usual_latency: f64,
-    /// How many quotas this sender may take of each route.
+    /// Number of quotas that this sender may use on each route.
     quota_multiplier: f64,
 }
 
-/// What the rate controller of an endpoint says of the next call.
+/// Limits of an endpoint's rate controller on the next call.
 struct RateState {
-    /// When pause and rate allow it.
+    /// Time at which pause and rate allow the next call.
     next_call_at: Nanos,
     has_quota: bool,
-    /// Rate in the list, in calls a second.
+    /// Rate in the list, in calls per second.
     listed_rate: f64,
-    /// Drawn evenly from 0 to 1 where the endpoint has a quota; else 0.
+    /// Uniform random number from 0 to 1 where the endpoint has a quota; otherwise 0.
     draw: f64,
     consecutive_rejections: f64,
     confidence: f64,
 }
 
 impl Dispatcher {
-    /// The best endpoint for a message now; else when time alone may open one.
+    /// Returns the best endpoint for a message now; otherwise the earliest time at which one may
+    /// become available without a further event.
     pub(super) fn choose_endpoint(
         &mut self,
         now: Nanos,
@@ -109,7 +110,7 @@
         best.ok_or(opens_at)
     }
 
-    /// Mean latency of the destination's endpoints that have answered, in seconds.
+    /// Returns the mean latency of the destination's endpoints that have answered, in seconds.
     fn usual_latency(&self, dest: DestinationId) -> f64 {
         let mut count = 0.0;
         let mut sum = 0.0;
@@ -166,7 +167,7 @@
         })
     }
 
-    /// Brings the rate controller of an endpoint up to now.
+    /// Updates the rate controller of an endpoint, and returns its limits.
     fn rate_state(
         &mut self,
         now: Nanos,
@@ -200,7 +201,7 @@
         }
     }
 
-    /// How far back an endpoint stands for a message; nothing where it may not go there at all.
+    /// Returns the rank of an endpoint for a message; none where the message may not go there.
     fn route_rank(&self, endpoint: &EndpointState, requirement: &SendRequirement) -> Option<u16> {
         let in_zone = requirement.zone.is_none_or(|zone| zone == endpoint.zone);
         if !endpoint.is_ready || !in_zone {
@@ -210,12 +211,13 @@
             Some(route) => route.rank(endpoint.zone)?,
             None => 0,
         };
-        // Calls that are leased there ask for all whether it is back.
+        // Attempts are leased to an evacuated zone on behalf of all senders, to find out whether it
+        // has recovered, and are made first.
         let is_leased = endpoint.listed_rate >= f64::from(LEASED_RATE);
         Some(if is_leased { 0 } else { rank })
     }
 
-    /// The slow-start budget of an endpoint; a whole call for a healthy one.
+    /// Returns the slow-start budget of an endpoint; a whole call for a healthy one.
     fn cold_budget(
         &mut self,
         now: Nanos,
@@ -231,11 +233,13 @@
         self.slow_start_budget(now, dest, address)
     }
 
-    /// Cost of a call, in seconds of latency, or as a random key where the endpoint has a quota.
+    /// Returns the cost of a call, in seconds of latency, or as a random key where the endpoint has
+    /// a quota.
     fn endpoint_cost(&self, endpoint: &EndpointState, rate: &RateState, usual_latency: f64) -> f64 {
         let after_rejections = 1.0 + rate.consecutive_rejections;
         if rate.has_quota {
-            // All senders would take the same one: each sees but its own few calls.
+            // Otherwise all senders would choose the same endpoint, as each sees only its own few
+            // calls.
             return weighted_random_key(rate.listed_rate / after_rejections, rate.draw);
         }
         let doubt = (1.0 + FAILURE_COST * endpoint.failure_share) * after_rejections;
@@ -249,10 +253,11 @@
         (f64::from(endpoint.calls_in_flight) + 1.0) * latency + FEE_SECONDS * self.fee(endpoint)
     }
 
-    /// What a route takes off the weight of each message; nothing where endpoints share one limit.
+    /// Returns the fee of a route, taken off the weight of each message; none where endpoints share
+    /// one limit.
     ///
-    /// It counts in full while half the calls are free: a cheap but slower route holds the call
-    /// that the next message needs.
+    /// The fee applies in full while at least half the calls are free: a cheap but slower route
+    /// occupies the call that the next message needs.
     fn fee(&self, endpoint: &EndpointState) -> f64 {
         let kind = self.settings.kinds.get(endpoint.kind);
         if !kind.is_some_and(|kind| kind.separate_routes) {
--- a/src/dispatch/dispatcher/endpoint_list.rs
+++ b/src/dispatch/dispatcher/endpoint_list.rs
@@ -1,17 +1,17 @@
-//! Follows the endpoint list.
+//! Application of the endpoint list.
 //!
-//! Decides: which endpoints are known, and which new ones are tried first. Inputs: lists, changes
-//! and overrides of them. Caller: [`Dispatcher::handle`].
+//! Decides: which endpoints are known, and which new ones need a trial first. Inputs: lists,
+//! changes and overrides of them. Caller: [`Dispatcher::handle`].
 
 use super::*;
 use crate::dispatch::endpoint_health::Health;
 
-/// How far a sender prefers an endpoint to its siblings, as a part of its cost: else all senders
-/// would take the first one.
+/// Largest preference of a sender for an endpoint over its siblings, as a part of the cost: without
+/// it all senders would choose the same one first.
 const PREFERENCE: f64 = 0.3;
 
 impl Dispatcher {
-    /// Takes lines of the list; `is_complete`: what is not among them is gone.
+    /// Applies entries of the list; `is_complete`: endpoints that are not among them are gone.
     pub(super) fn apply_list(&mut self, now: Nanos, listings: &[Listing], is_complete: bool) {
         let mut touched = Vec::new();
         if is_complete {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Takes a line of the list. Whether the endpoint is new beside others of its destination, or
-    /// after them.
+    /// Applies an entry of the list. Returns whether the endpoint is new and its destination has,
+    /// or had, others.
     fn apply_listing(&mut self, now: Nanos, listing: &Listing) -> bool {
         let address = listing.endpoint;
         let known = self.endpoints.get(&address);
@@ -63,8 +63,9 @@
         is_new && has_others
     }
 
-    /// For rare callers an outage outlives its endpoints: what is new beside ejected ones, or after
-    /// them, is tried first.
+    /// Ejects a new endpoint, so that a trial goes first, if its destination has ejected endpoints
+    /// or had them last, and this sender rarely calls it: then an outage may last longer than its
+    /// endpoints are listed.
     fn try_first_if_others_failed(
         &mut self,
         now: Nanos,
@@ -110,8 +111,8 @@
         if endpoint.health == Health::Ejected {
             queue.lost_throughput = endpoint.peak_throughput.max(f64::MIN_POSITIVE);
         }
-        // A route's controller goes with it: endpoints are replaced for ever, and their names never
-        // come back.
+        // A route's controller is dropped with its endpoint: endpoints are replaced continually,
+        // and their addresses are not used again.
         if let Some(controller) = queue.controllers.remove(&Some(address)) {
             queue.accepted_calls = queue.accepted_calls.max(controller.accepted_calls);
         }
--- a/src/dispatch/dispatcher/mod.rs
+++ b/src/dispatch/dispatcher/mod.rs
@@ -1,18 +1,17 @@
-//! One dispatcher: takes events, decides, gives actions.
+//! One dispatcher: processes events, decides and returns actions.
 //!
-//! Decides when, where and how often each message is attempted, and when it is given up. Inputs:
-//! [`Event`]s and the time. Outputs: [`Action`]s. Callers: the delivery part's driver, and the
-//! simulator. No I/O and no clock: with the same seed and the same events it gives the same
-//! actions.
+//! Decides when, where and how often each message is attempted, and when it is ended undelivered.
+//! Inputs: [`Event`]s and the time. Outputs: [`Action`]s. Callers: the driver in the delivery part,
+//! and the simulator. No I/O and no clock: the same seed and the same events give the same actions.
 //!
-//! Usual path: a [`DestinationQueue`] per destination holds its messages, pauses all sends for the
-//! longest told wait, sends rejected messages again first and bounds the calls that it may have in
-//! flight. `docs/design.md` says why.
+//! In the usual case, a [`DestinationQueue`] per destination holds its messages, pauses all sends
+//! until the latest Retry-After has passed, retries rejected messages first and limits the calls in
+//! flight. `docs/design.md` gives the reasons.
 //!
-//! By concern: [`admission`] takes messages and ends those that can't be delivered; [`priority`]
-//! says how much a send is worth; [`scheduling`] picks the next message; [`sending`] makes a call
-//! of it; [`endpoint_choice`] says where it goes; [`capacity`] what an endpoint takes;
-//! [`attempt_results`] learns from what came of it; [`endpoint_list`] follows the list.
+//! By concern: [`admission`] admits messages and ends those that cannot be delivered; [`priority`]
+//! computes how urgent a send is; [`scheduling`] picks the next message; [`sending`] makes a call
+//! of it; [`endpoint_choice`] chooses its endpoint; [`capacity`] limits the calls to an endpoint;
+//! [`attempt_results`] processes results; [`endpoint_list`] applies the endpoint list.
 
 mod admission;
 mod attempt_results;
@@ -35,62 +34,63 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Most log lines of one dispatcher: a flapping endpoint must not fill the disk.
+/// Largest number of log lines of one dispatcher: a flapping endpoint must not fill the disk.
 const MAX_LOG_LINES: u32 = 150;
 
-/// One instance of the decision module: settings, random numbers and what it has seen.
+/// One instance of the decision module: settings, random numbers and observed state.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     settings: Settings,
     random: Random,
-    /// Spreads messages over routes differently from other senders that began in the same moment.
+    /// Salt that spreads messages over routes differently from other senders that started at the
+    /// same moment.
     route_salt: u64,
-    /// Where messages may go, if not wherever the list says.
+    /// Routes that limit where messages may go; without them the endpoint list alone decides.
     routes: Option<Rc<Routes>>,
     endpoints: BTreeMap<EndpointAddress, EndpointState>,
     destinations: BTreeMap<DestinationId, DestinationQueue>,
-    /// Destinations with messages that are not over.
+    /// Destinations with pending messages.
     backlogged: BTreeSet<DestinationId>,
-    /// A queue found no free call: the next call that ends has all looked at.
+    /// Whether a queue found no free call: the next call that ends has all queues checked.
     is_starved: bool,
-    /// It began with messages of an earlier process.
+    /// Whether it started with messages of an earlier process.
     has_resumed: bool,
-    /// Longest time that a message has, in nanoseconds.
+    /// Longest deadline of any class, in nanoseconds.
     longest_deadline: Nanos,
     pending: BTreeMap<MessageId, PendingMessage>,
-    /// Messages that are left of those held at the last change of settings, or fewer: none goes for
-    /// want of room under them.
+    /// Upper bound of the messages left of those pending at the last change of settings: down to
+    /// that number none is shed under a lowered limit.
     held_before_change: usize,
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
     calls: BTreeMap<u64, InFlightCall>,
     next_call: u64,
     ordered_keys: BTreeMap<u64, OrderedKeyQueue>,
     stale_connections: StaleConnectionDetector,
-    /// By position of the kind.
+    /// Statistics by position of the kind.
     kind_stats: Vec<DestinationKindStats>,
-    /// Messages a second, by tenant.
+    /// Messages per second, by tenant.
     tenant_rates: Vec<Meter>,
     traffic_share: TrafficShare,
-    /// When the first events came; 0 before.
+    /// Time of the first events; 0 before.
     started_at: Nanos,
     now: Nanos,
-    /// When the last wake-up asked for comes.
+    /// Time of the last requested wake-up.
     wake_at: Nanos,
-    /// When unused ordering keys are dropped next.
+    /// Time at which unused ordering keys are dropped next.
     sweep_at: Nanos,
-    /// Polls the endpoint list, where it is not pushed.
+    /// Poller of the endpoint list, where the list must be polled.
     poller: Option<EndpointListPoller>,
     log_lines: u32,
-    /// What to do, in order, collected while events are handled.
+    /// Actions in order, collected while events are handled.
     actions: Vec<Action>,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing yet. The seed spreads its trials apart from those of other
-    /// senders.
+    /// Creates a dispatcher without endpoints or messages. The seed makes the times of its trials
+    /// differ from those of other senders.
     ///
     /// # Errors
-    /// The settings are none that a sender can work by ([`Settings::check`]).
+    /// Returns an error if the settings are invalid ([`Settings::check`]).
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let kinds = settings.kinds.len().max(1);
@@ -106,7 +106,7 @@
         })
     }
 
-    /// Takes what happened at `now` and appends what to do.
+    /// Processes the events that happened at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Nanos, events: &[Event], out: &mut Vec<Action>) {
         // A clock that steps back must not make spans negative.
         self.now = self.now.max(now);
@@ -195,19 +195,19 @@
         }
     }
 
-    /// Whether nothing may be called, as whatever has changed counts as told
+    /// Whether no call may be made because the list may lack a change that must be known by now
     /// ([`EndpointListPoller::is_stale`]).
     pub fn is_list_stale(&self, now: Nanos) -> bool {
         let poller = self.poller.as_ref();
         poller.is_some_and(|poller| poller.is_stale(now))
     }
 
-    /// How fresh the list is, and when it is polled next; nothing where it is not polled.
+    /// Returns how fresh the list is and when it is polled next; none where it is not polled.
     pub fn list_status(&self, now: Nanos) -> Option<ListStatus> {
         self.poller.as_ref().map(|poller| poller.status(now))
     }
 
-    /// Entries of the tables that grow with use, by the names that the sender's log gives them.
+    /// Returns the sizes of the tables that grow with use, by their names in the sender's log.
     pub fn table_sizes(&self) -> [(&'static str, usize); 5] {
         let queues = self.destinations.values();
         let controllers = queues.map(|queue| queue.controllers.len()).sum();
@@ -220,8 +220,8 @@
         ]
     }
 
-    /// Fewer calls at once let calls end, and less room lets messages: only what comes then has to
-    /// fit.
+    /// Applies changed settings. Lowered limits apply to new calls and messages only: calls in
+    /// flight and pending messages end as they would have.
     fn change_settings(&mut self, changed: &RuntimeSettings) {
         if changed.max_in_flight_calls > self.settings.max_in_flight_calls {
             self.check_backlog();
@@ -234,12 +234,12 @@
         let had_routes = self.routes.is_some();
         self.routes = (!routes.is_empty()).then(|| routes.clone());
         if had_routes || self.routes.is_some() {
-            // What is held may have another route now.
+            // Pending messages may have another route now.
             self.check_backlog();
         }
     }
 
-    /// The route of a message, where there are routes.
+    /// Returns the route of a message, where there are routes.
     fn route_of<'a>(
         &self,
         routes: &'a Option<Rc<Routes>>,
@@ -254,13 +254,13 @@
         routes.as_ref().map(|routes| routes.find(&key))
     }
 
-    /// The class of a message; the last one for a position that is beyond them.
+    /// Returns the class of a message; the last class for a position beyond the list.
     fn class(&self, message: &Message) -> &Class {
         let classes = &self.settings.classes;
         &classes[usize::from(message.class).min(classes.len() - 1)]
     }
 
-    /// The queue of a destination; a new one where there is none.
+    /// Returns the queue of a destination; a new one where there is none.
     fn queue(&mut self, dest: DestinationId) -> &mut DestinationQueue {
         let arrivals = Meter::new(self.started_at, RATE_MEMORY.fade_seconds);
         self.destinations
@@ -271,7 +271,7 @@
             })
     }
 
-    /// Has all queues with messages looked at in this turn.
+    /// Schedules a check of all queues with messages in this turn.
     fn check_backlog(&mut self) {
         for dest in &self.backlogged {
             if let Some(queue) = self.destinations.get_mut(dest) {
@@ -280,7 +280,7 @@
         }
     }
 
-    /// Has a queue looked at by then.
+    /// Schedules a check of a queue by the time `at`.
     fn check_queue_by(&mut self, dest: DestinationId, at: Nanos) {
         if let Some(queue) = self.destinations.get_mut(&dest) {
             queue.check_at = queue.check_at.min(at);
--- a/src/dispatch/dispatcher/priority.rs
+++ b/src/dispatch/dispatcher/priority.rs
@@ -1,23 +1,23 @@
-//! How much a message is worth, and how urgent it is to send it.
+//! Value of a message, and urgency of sending it.
 //!
-//! Decides: the order of messages. Inputs: the class's priority weight, the message's age, and how
-//! fast its queue drains. Callers: [`super::admission`] for what to shed, [`super::scheduling`] for
-//! what to send next.
+//! Decides: the order of messages. Inputs: the class's priority weight, the message's age, and the
+//! time until its queue is empty. Callers: [`super::admission`] to choose messages to shed,
+//! [`super::scheduling`] to choose the next message to send.
 
 use super::*;
 use crate::dispatch::endpoint_health::INITIAL_LATENCY;
 use crate::dispatch::rate_control::RateController;
 use crate::dispatch::statistics::from_secs;
 
-/// Throughput of a destination that is reckoned with at least, in calls a second.
+/// Smallest throughput that is assumed of a destination, in calls per second.
 const MIN_THROUGHPUT: f64 = 0.5;
-/// Longest time that a queue is thought to take to drain, in seconds.
+/// Longest time that a queue is assumed to take to drain, in seconds.
 const MAX_DRAIN_SECONDS: f64 = 60.0;
-/// Part of a message's value that counts as such, beside what is saved by sending it now.
+/// Weight of a message's value in its urgency, beside the value saved by sending it now.
 const VALUE_AS_SUCH: f64 = 0.05;
 
 impl Dispatcher {
-    /// What a message is worth if it is delivered at a time.
+    /// Returns the value of a message if it is delivered at the time `at`.
     pub(super) fn value_at(&self, pending: &PendingMessage, at: Nanos) -> f64 {
         if at >= pending.deadline {
             return 0.0;
@@ -33,7 +33,7 @@
         weight * factor
     }
 
-    /// Time until the queue of a destination is empty at the throughput seen.
+    /// Returns the time until the queue of a destination is empty at the observed throughput.
     pub(super) fn drain_time(&self, now: Nanos, dest: DestinationId) -> Nanos {
         let Some(queue) = self.destinations.get(&dest) else {
             return 0;
@@ -48,8 +48,8 @@
         pause + from_secs(drain)
     }
 
-    /// Value saved by sending a message now rather than when its queue has drained, after
-    /// `horizon`; a little for its value as such.
+    /// Returns the value saved by sending a message now rather than after `horizon`, when its queue
+    /// has drained, plus a small part of its value.
     pub(super) fn urgency(&self, pending: &PendingMessage, now: Nanos, horizon: Nanos) -> f64 {
         let soon = now + from_secs(INITIAL_LATENCY);
         let value = self.value_at(pending, soon);
--- a/src/dispatch/dispatcher/scheduling.rs
+++ b/src/dispatch/dispatcher/scheduling.rs
@@ -1,6 +1,6 @@
-//! Which message goes next, and when the dispatcher is woken.
+//! Choice of the next message, and of the time at which the dispatcher is woken.
 //!
-//! Decides: the order over all destinations, and the time of the next look at each queue. Inputs:
+//! Decides: the order over all destinations, and the time of the next check of each queue. Inputs:
 //! urgency of messages, latencies, free calls. Caller: [`Dispatcher::handle`].
 
 use super::*;
@@ -8,25 +8,26 @@
 use crate::dispatch::statistics::{MS, SEC};
 use std::collections::VecDeque;
 
-/// How often a sender whose list is stale looks whether it still is, in nanoseconds.
+/// Interval at which a sender with a stale list checks whether it still is, in nanoseconds.
 const STALE_LIST_CHECK: Nanos = 50 * MS;
-/// How often unused ordering keys are dropped, in nanoseconds.
+/// Interval at which unused ordering keys are dropped, in nanoseconds.
 const KEY_SWEEP: Nanos = SEC;
-/// Urgency of a message that was rejected before, over that of any other: it goes again first.
+/// Added to the urgency of a message that was rejected before, so that it is sent before all
+/// others.
 const REJECTED_URGENCY: f64 = 100.0;
 
-/// A message that may go now.
+/// A message that may be sent now.
 pub(super) struct Eligible {
     /// Value saved by sending it now ([`Dispatcher::urgency`]).
     urgency: f64,
     pub id: MessageId,
 }
 
-/// The messages of a queue that may go now, the most urgent first.
+/// Messages of a queue that may be sent now, the most urgent first.
 pub(super) type SendQueue = VecDeque<Eligible>;
 
 impl Dispatcher {
-    /// Sends what may go now, the most urgent for its cost first.
+    /// Sends the messages that may be sent now, the most urgent for their cost first.
     pub(super) fn send_due(&mut self, now: Nanos) {
         let mut queues = self.collect_send_queues(now);
         while (self.calls.len() as u32) < self.settings.max_in_flight_calls {
@@ -41,7 +42,7 @@
         self.is_starved |= queues.values().any(|queue| !queue.is_empty());
     }
 
-    /// The messages that may go now, by destination.
+    /// Returns the messages that may be sent now, by destination.
     fn collect_send_queues(&mut self, now: Nanos) -> BTreeMap<DestinationId, SendQueue> {
         let mut queues = BTreeMap::new();
         let is_stale = self.is_list_stale(now);
@@ -51,8 +52,8 @@
             }
             let (eligible, mut check_at) = self.eligible_messages(now, dest);
             if is_stale {
-                // Then it calls nobody: what is listed may have drained, and the next poll is not
-                // far.
+                // With a stale list no call is made: listed endpoints may have drained, and the
+                // next poll is soon.
                 check_at = check_at.min(now + STALE_LIST_CHECK);
             }
             let queue = self.queue(dest);
@@ -64,7 +65,8 @@
         queues
     }
 
-    /// The destination whose first message saves most for the time that a call takes there.
+    /// Returns the destination whose first message saves the most value for the time that a call
+    /// takes there.
     fn most_urgent(&self, queues: &BTreeMap<DestinationId, SendQueue>) -> Option<DestinationId> {
         let mut best: Option<(f64, DestinationId)> = None;
         for (&dest, queue) in queues {
@@ -81,8 +83,8 @@
         best.map(|(_, dest)| dest)
     }
 
-    /// The messages of a destination that may go now, rejected ones before all others, and when
-    /// time alone changes something there.
+    /// Returns the messages of a destination that may be sent now, rejected ones before all others,
+    /// and the next time at which this changes without a further event.
     fn eligible_messages(&self, now: Nanos, dest: DestinationId) -> (SendQueue, Nanos) {
         let horizon = self.drain_time(now, dest).max(SEC);
         let mut eligible = Vec::new();
@@ -116,7 +118,7 @@
         (eligible.into(), changes_at)
     }
 
-    /// When time alone changes what may be done with a message.
+    /// Returns the next time at which the options for a message change without a further event.
     fn changes_at(&self, now: Nanos, pending: &PendingMessage) -> Nanos {
         let class = self.class(&pending.message);
         let mut changes_at = pending.deadline.saturating_sub(LEAST_TIME_TO_BEGIN);
@@ -129,7 +131,7 @@
         changes_at
     }
 
-    /// Whether it is a message's turn among those of its ordering key.
+    /// Whether a message may be sent by the order of its key.
     fn key_turn(&self, now: Nanos, id: MessageId, pending: &PendingMessage) -> KeyTurn {
         let message = &pending.message;
         if !self.class(message).ordered_by_key || message.key == 0 {
@@ -145,7 +147,7 @@
         KeyTurn::Now
     }
 
-    /// Asks to be woken when time alone makes something due.
+    /// Requests a wake-up for the next time at which something is due without a further event.
     pub(super) fn request_wake_up(&mut self, now: Nanos) {
         self.sweep_ordered_keys(now);
         let queues = self.backlogged.iter();
@@ -157,8 +159,8 @@
             .min(next_poll.unwrap_or(Nanos::MAX))
             .max(now + MS);
         if next < Nanos::MAX && (self.wake_at <= now || next < self.wake_at) {
-            // In whole milliseconds: a coarser clock would else wake a trifle early, and never
-            // again.
+            // Rounded up to whole milliseconds: a coarser clock would otherwise wake slightly
+            // early, and the wake-up would not be requested again.
             let span = (next - now).div_ceil(MS) * MS;
             self.wake_at = now + span;
             self.actions.push(Action::WakeAfter(span));
@@ -178,11 +180,11 @@
     }
 }
 
-/// Whether a message may go by the order of its key.
+/// Whether a message may be sent by the order of its key.
 enum KeyTurn {
     Now,
-    /// When the key's pause ends, and perhaps later.
+    /// Not before the key's pause ends.
     AfterPause(Nanos),
-    /// When messages before it are over.
+    /// Not before the preceding messages of the key have ended.
     AfterOthers,
 }
--- a/src/dispatch/dispatcher/sending.rs
+++ b/src/dispatch/dispatcher/sending.rs
@@ -1,8 +1,8 @@
-//! Makes a call of the next messages of a destination.
+//! Sending of the next messages of a destination in one call.
 //!
-//! Decides: whether a destination may have another call, which messages go with it, whether on a
-//! new connection, and with which time-out. Inputs: the send queue, the chosen endpoint, the kind's
-//! batch size. Caller: [`super::scheduling`].
+//! Decides: whether a destination may have another call, which messages the call carries, whether
+//! it uses a new connection, and its time-out. Inputs: the send queue, the chosen endpoint, the
+//! kind's batch size. Caller: [`super::scheduling`].
 
 use super::endpoint_choice::{EndpointChoice, SendRequirement};
 use super::scheduling::SendQueue;
@@ -10,14 +10,15 @@
 use crate::dispatch::endpoint_health::Health;
 use crate::dispatch::statistics::MS;
 
-/// A connection used this lately is not idle, in nanoseconds: about one call.
+/// Time since its last use from which on a connection is idle, in nanoseconds: about one call.
 const MIN_IDLE: Nanos = 250 * MS;
-/// Weight of each further message in a call, as a part of a call: work and time grow with them.
+/// Weight of each further message in a call, as a part of a call: work and time grow with the
+/// messages.
 const FURTHER_MESSAGE_WEIGHT: f64 = 0.25;
 
 impl Dispatcher {
-    /// Sends one call of a destination, with as many messages as it carries. False: nothing more
-    /// goes now.
+    /// Sends one call of a destination, with as many messages as it carries. Returns whether the
+    /// destination may send more in this turn.
     pub(super) fn send_call(
         &mut self,
         now: Nanos,
@@ -42,8 +43,8 @@
         let batch = self.max_batch(&choice.endpoint);
         let ids = self.take_batch(queue, first, batch, &choice, &routes);
         self.send_batch(now, dest, &choice, &ids);
-        // Further sends of this turn would join this call: the rest of a batching queue waits for
-        // the next.
+        // Further sends of this turn would join this call: the rest of a queue with batches waits
+        // for the next turn.
         if batch > 1 && !queue.is_empty() {
             self.check_queue_by(dest, now + MS);
         }
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The zone that alone drops repeats of a message which may have run.
+    /// Returns the only zone that discards repeats of a message which may have run.
     fn required_zone(&self, pending: &PendingMessage) -> Option<u16> {
         let class = self.class(&pending.message);
         let drops_in_zone =
@@ -95,8 +96,8 @@
         Some(run.zone)
     }
 
-    /// Passes over the first message of a queue, for which no endpoint is open, and over those that
-    /// need the same. Whether others may go.
+    /// Removes the first message of a queue, for which no endpoint is available, and those with the
+    /// same requirements. Returns whether others may be sent.
     fn skip_first(
         &self,
         queue: &mut SendQueue,
@@ -109,7 +110,7 @@
             return !queue.is_empty() && is_special;
         };
         if !is_special {
-            // None of the same route goes anywhere now; others may.
+            // No message with the same route can be sent now; others may.
             queue.retain(|eligible| {
                 let other = self.route_of(routes, &self.pending[&eligible.id].message);
                 other.is_some_and(|other| !other.is_same_route(&route))
@@ -118,13 +119,13 @@
         !queue.is_empty()
     }
 
-    /// Messages that a call to an endpoint may carry.
+    /// Returns the largest number of messages that a call to an endpoint may carry.
     fn max_batch(&self, endpoint: &EndpointAddress) -> usize {
         let kind = self.settings.kinds.get(self.endpoints[endpoint].kind);
         kind.map_or(1, |kind| kind.max_batch.max(1)) as usize
     }
 
-    /// Takes the messages of a queue that may go with the first one.
+    /// Takes the messages that may go in a call with the first one out of a queue.
     fn take_batch(
         &self,
         queue: &mut SendQueue,
@@ -197,8 +198,8 @@
         }
     }
 
-    /// Closes idle connections to an endpoint that are not to be trusted. Whether the next call
-    /// there probably takes an idle one.
+    /// Closes idle connections to an endpoint that are not to be trusted. Returns whether the next
+    /// call there probably uses an idle connection.
     fn prepare_connection(&mut self, now: Nanos, address: EndpointAddress) -> bool {
         let closes_after = self.settings.connection_idle_timeout;
         let Some(endpoint) = self.endpoints.get_mut(&address) else {
@@ -231,7 +232,7 @@
             return;
         };
         let class = self.class(&pending.message);
-        // A call that may never run again gains nothing by an early time-out.
+        // A call that must not be repeated gains nothing from an early time-out.
         let timeout = if class.effect == Effect::NotIdempotent {
             timeout * 2
         } else {
--- a/src/dispatch/endpoint_health.rs
+++ b/src/dispatch/endpoint_health.rs
@@ -1,28 +1,29 @@
-//! The health of one endpoint, from what this sender's calls there came to.
+//! The health of one endpoint, based on the results of this sender's calls to it.
 //!
-//! Decides: whether an endpoint is healthy, ejected or in slow start, when an ejected one is tried
-//! again, and the time-out of a call. Inputs: results of the sender's own calls and the settings.
-//! Caller: the dispatcher, with each result. No I/O, no clock; the caller brings time and
-//! randomness.
+//! Decides: whether an endpoint is healthy, ejected or in slow start, when an ejected one gets its
+//! next trial, and the time-out of a call. Inputs: results of the sender's own calls and the
+//! settings. Caller: the dispatcher, with each result. No I/O and no clock; the caller passes the
+//! time and random numbers.
 
 use crate::dispatch::api::{DestinationId, Listing, Nanos, Outcome, Settings};
 use crate::dispatch::rate_control::{LIMIT_USED_UP, LOW_CONFIDENCE};
 use crate::dispatch::rate_quota::unobserved_recovery;
 use crate::dispatch::statistics::{from_secs, to_secs, Meter, MS, RATE_MEMORY, SEC};
 
-/// First gap between trials of an ejected endpoint; an outage's seconds deserve a few calls each.
+/// First gap between trials of an ejected endpoint: even an outage of seconds should get a few
+/// trials.
 pub const MIN_TRIAL_GAP: Nanos = 300 * MS;
-/// Longest gap between trials; the gap grows by half with each failed one.
+/// Longest gap between trials; the gap grows by half with each failed trial.
 pub const MAX_TRIAL_GAP: Nanos = 1_500 * MS;
-/// Least time-out of an attempt: over a slow handshake and call.
+/// Shortest time-out of an attempt: longer than a slow handshake and call.
 const MIN_TIMEOUT: Nanos = 2 * SEC;
-/// Longest time-out of an attempt: short enough that a hang does not keep the slot.
+/// Longest time-out of an attempt: short enough that a hanging call frees its slot.
 const MAX_TIMEOUT: Nanos = 8 * SEC;
-/// Deviations from the mean latency that a time-out allows.
+/// Deviations above the mean latency after which a call times out.
 const TIMEOUT_DEVIATIONS: f64 = 6.0;
-/// Latency assumed before any is seen, in seconds.
+/// Latency assumed before any answer, in seconds.
 pub const INITIAL_LATENCY: f64 = 0.4;
-/// Factor of a time-out on the deviation: all calls may just have become slower.
+/// Factor of a time-out on the deviation, as all calls may just have become slower.
 const DEVIATION_AFTER_TIMEOUT: f64 = 2.0;
 /// Weight of the newest call in the mean latency.
 const LATENCY_GAIN: f64 = 0.15;
@@ -30,33 +31,34 @@
 const DEVIATION_GAIN: f64 = 0.2;
 /// Weight of the newest call in the share of failing calls.
 const FAILURE_GAIN: f64 = 0.2;
-/// Hard failures in a row that eject an endpoint.
+/// Consecutive hard failures (any but error answers) that eject an endpoint.
 const EJECT_AFTER_FAILURES: u32 = 2;
-/// More failures that it takes where they are error answers: the endpoint is there.
+/// Additional failures needed where they are error answers, as the endpoint is reachable.
 const MORE_FOR_ERRORS: u32 = 2;
-/// Rejections in a row, with no success between, from which on an endpoint that is long silent is
-/// taken for closed.
+/// Consecutive rejections, with no success between, from which on an endpoint that has not answered
+/// for long is taken for closed.
 const CLOSED_AFTER_REJECTIONS: u32 = 3;
-/// Share of failing calls at which most are failing, with some margin for small samples.
+/// Share of failing calls above which most calls fail, with some margin for small samples.
 const MOSTLY_FAILING: f64 = 0.45;
-/// Share of failing calls over which a destination counts as impaired.
+/// Share of failing calls above which a destination counts as impaired.
 const IMPAIRED: f64 = 0.3;
-/// Part of the highest throughput that is forgotten with each success.
+/// Part of the highest throughput that decays with each success.
 const PEAK_FADE: f64 = 0.005;
 
-/// What an endpoint may be sent.
+/// State of an endpoint, which limits the calls to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Health {
-    /// Whatever its rate allows.
+    /// It may be sent calls up to its rate.
     #[default]
     Healthy,
-    /// Nothing but one trial at a time.
+    /// It may be sent one trial at a time.
     Ejected,
-    /// It is back, perhaps cold: sends spend a budget that grows with the warm-up.
+    /// It has recovered, perhaps at reduced capacity: sends use a budget that grows with the
+    /// warm-up.
     SlowStart,
 }
 
-/// What is known of one endpoint, from this sender's own calls alone.
+/// State of one endpoint, from this sender's own calls alone.
 #[derive(Debug, Default)]
 pub struct EndpointState {
     /// Its destination.
@@ -65,76 +67,77 @@
     pub zone: u16,
     /// Position of its kind.
     pub kind: usize,
-    /// The list has it as ready.
+    /// Whether it is listed as ready.
     pub is_ready: bool,
-    /// This sender's preference, drawn once: a factor on its cost.
+    /// This sender's preference, drawn once: a factor on the endpoint's cost.
     pub preference: f64,
-    /// Rate in the list, in calls a second.
+    /// Rate in the list, in calls per second.
     pub listed_rate: f64,
-    /// What it may be sent.
+    /// Its health, which limits the calls to it.
     pub health: Health,
-    /// When it may be tried next while it is ejected.
+    /// Earliest time of the next trial while it is ejected.
     pub trial_at: Nanos,
     /// The gap after that trial, in nanoseconds.
     pub trial_gap: Nanos,
-    /// A trial has failed since it was ejected: more than chance ejected it.
+    /// Whether a trial has failed since it was ejected, so that the ejection was not by chance.
     pub trial_has_failed: bool,
-    /// When a returning endpoint first answered, or last failed: its warm-up counts from here.
+    /// Time from which its warm-up counts: when a recovering endpoint first answered, or last
+    /// failed.
     pub warmup_since: Nanos,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub consecutive_failures: u32,
     /// Share of the latest calls that failed.
     pub failure_share: f64,
-    /// When a call was last answered; at first when the endpoint was listed.
+    /// Time of the last answer; at first the time it was listed.
     pub last_answer_at: Nanos,
-    /// When a call last failed or was rejected here, or it was taken for down with its siblings; at
-    /// first when it was listed.
+    /// Time at which a call last failed or was rejected here, or it was ejected with its siblings;
+    /// at first the time it was listed.
     pub failed_at: Nanos,
-    /// Send time of the first call of the present row of failures.
+    /// Send time of the first call of the present series of failures.
     pub failing_since: Nanos,
     /// Mean latency, in seconds.
     pub latency: f64,
     /// Mean deviation of the latency, in seconds.
     pub latency_deviation: f64,
-    /// Answered calls a second.
+    /// Answered calls per second.
     answered: Meter,
-    /// The highest throughput seen, in calls a second, slowly forgotten; 0 before any answer.
+    /// Highest throughput observed, in calls per second, slowly decaying; 0 before any answer.
     pub peak_throughput: f64,
     /// Calls in flight.
     pub calls_in_flight: u32,
-    /// When a call here last ended; its connection is idle since.
+    /// Time at which a call here last ended; its connection has been idle since.
     pub used_at: Option<Nanos>,
-    /// When a connection failed here, where the next call will tell whether the endpoint was down.
+    /// Time of a failed connect here after which the next call shows whether the endpoint was down.
     pub connect_failed_at: Option<Nanos>,
-    /// A call got lost here: the next one goes on a new connection.
+    /// Whether a call was lost here, so that the next one needs a new connection.
     pub needs_new_connection: bool,
 }
 
-/// What is known of a call that has ended, beside its outcome.
+/// Data of a call that has ended, beside its outcome.
 pub struct CallResult {
     /// When it was sent.
     pub sent_at: Nanos,
-    /// It was a trial of an endpoint that was ejected.
+    /// Whether it was a trial of an endpoint that was ejected.
     pub is_trial: bool,
-    /// How far the sender's own calls showed what is taken there, before this one
+    /// Confidence of the rate controller before this call
     /// ([`crate::dispatch::rate_control::RateController::confidence`]).
     pub confidence: f64,
-    /// Drawn evenly from 0 to 1.
+    /// Uniform random number from 0 to 1.
     pub jitter: f64,
 }
 
-/// What is known of a rejection, as far as it says whether the endpoint is closed.
+/// Data of a rejection that shows whether the endpoint is closed.
 pub struct RejectionHint {
-    /// Rejections in a row, this one included.
+    /// Consecutive rejections, this one included.
     pub consecutive: u32,
-    /// The wait it told, in nanoseconds; 0: none.
+    /// The Retry-After, in nanoseconds; 0: none.
     pub retry_after: Nanos,
-    /// Share of the limit left, by a report.
+    /// Unused share of the limit, by a report.
     pub limit_left: Option<f64>,
 }
 
 impl EndpointState {
-    /// An endpoint that has just been listed, with this sender's preference for it.
+    /// Creates an endpoint that has just been listed, with this sender's preference for it.
     pub fn new(listing: &Listing, preference: f64, now: Nanos) -> Self {
         EndpointState {
             preference,
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Time-out of a call of this weight, where one message weighs 1.
+    /// Returns the time-out of a call of this weight, where one message weighs 1.
     pub fn timeout(&self, weight: f64) -> Nanos {
         let usual = self.latency + TIMEOUT_DEVIATIONS * self.latency_deviation;
         from_secs(usual * weight).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
@@ -160,7 +163,7 @@
         self.health == Health::Ejected || self.failure_share > IMPAIRED
     }
 
-    /// Takes it for down until a trial is answered.
+    /// Ejects it until a trial is answered.
     fn eject(&mut self, now: Nanos, jitter: f64) {
         self.trial_gap = if self.health == Health::Ejected {
             (self.trial_gap * 3 / 2).min(MAX_TRIAL_GAP)
@@ -171,7 +174,7 @@
         self.health = Health::Ejected;
     }
 
-    /// Takes it for down with its siblings, with a trial at once.
+    /// Ejects it with its siblings; the first trial may be made at once.
     pub fn eject_with_siblings(&mut self, now: Nanos) {
         self.health = Health::Ejected;
         self.trial_at = now;
@@ -180,14 +183,14 @@
         self.failed_at = now;
     }
 
-    /// Notes when a row of failures began and when a call last failed, before the result itself is
-    /// recorded.
+    /// Records when a series of failures began and when a call last failed, before the result
+    /// itself is recorded.
     pub fn begin_result(&mut self, now: Nanos, outcome: Outcome, sent_at: Nanos) {
         let is_failing = self.failing_since > self.last_answer_at;
         if self.consecutive_failures == 0 && outcome != Outcome::Delivered && !is_failing {
             self.failing_since = sent_at;
         }
-        // A rejection too: an endpoint that is closed was not back yet.
+        // Rejections count too: an endpoint that is closed had not recovered yet.
         let says_nothing = matches!(
             outcome,
             Outcome::Delivered | Outcome::Cancelled | Outcome::NotSent
@@ -199,9 +202,9 @@
 
     /// Records that a call was answered.
     pub fn record_answer(&mut self, now: Nanos, call: &CallResult, settings: &Settings) {
-        // A row of failures that ends this soon was chance or a slow spell, unless a trial failed,
-        // too: calls that are lost by chance come one or two in a row, and nothing was sent there
-        // between that was answered. However short, an outage leaves the endpoint cold.
+        // A series of failures that ends this soon was chance or a short slowdown, unless a trial
+        // failed, too: calls that are lost by chance come one or two in a row, with no answered
+        // call between them. Even after a short outage the endpoint needs slow start.
         let lasted = now.saturating_sub(self.failing_since) >= settings.overload_window * 3 / 2;
         let was_outage = lasted || self.trial_has_failed;
         self.trial_has_failed = false;
@@ -246,7 +249,7 @@
     ) {
         let last_sign = self.last_answer_at.max(self.failing_since);
         let is_silent = now.saturating_sub(last_sign) > settings.overload_window;
-        // Rejected with the limit unused: it is closed.
+        // A rejection with the limit unused means that the endpoint is closed.
         let limit_is_unused =
             hint.limit_left > Some(1.0 - LIMIT_USED_UP) && call.confidence < LOW_CONFIDENCE;
         let is_closed = limit_is_unused
@@ -255,8 +258,8 @@
                 && hint.limit_left.is_none_or(|left| left >= LIMIT_USED_UP);
         let long_wait = hint.retry_after > settings.overload_window * 3 / 2;
         if is_closed || self.health == Health::Ejected || long_wait {
-            // Full for long is closed: it comes back cold, and every sender was told the same
-            // moment.
+            // An endpoint that stays full for long is closed: it needs slow start when it recovers,
+            // and every sender got the same time to return.
             self.eject(now, call.jitter);
             self.trial_at = self.trial_at.max(now + hint.retry_after);
         }
@@ -272,14 +275,13 @@
         call: &CallResult,
         settings: &Settings,
     ) {
-        // Calls lost while others sent later were answered tell of loss on the way, not of an
-        // outage.
+        // Calls lost while others sent later were answered show loss in the network, not an outage.
         let none_answered_since = self.last_answer_at <= call.sent_at;
         self.consecutive_failures += u32::from(none_answered_since);
         self.failure_share += FAILURE_GAIN * (1.0 - self.failure_share);
         self.widen_deviation(none_answered_since && outcome == Outcome::Timeout);
         let is_hard = outcome != Outcome::Error;
-        // One failure is enough where nothing was answered for long: calls are too rare for rows.
+        // One failure is enough after a long time without answers: calls are too rare for a series.
         let silent = call.sent_at.saturating_sub(self.last_answer_at);
         let is_rare = none_answered_since && is_hard && silent > settings.overload_window;
         let single_is_enough = is_rare && call.confidence < LOW_CONFIDENCE && !connection_shortage;
@@ -290,7 +292,7 @@
         if self.consecutive_failures >= enough || call.is_trial && is_hard || single_is_enough {
             self.eject(now, call.jitter);
         } else if self.health == Health::SlowStart || self.failure_share > MOSTLY_FAILING {
-            // Most calls fail though some get through: hold to the cold budget until that ends.
+            // Most calls fail though some succeed: keep to the slow-start budget until that ends.
             self.health = Health::SlowStart;
             self.warmup_since = now;
         }
--- a/src/dispatch/list_polling.rs
+++ b/src/dispatch/list_polling.rs
@@ -1,96 +1,102 @@
-//! When one of many senders polls the directory for its endpoint list, and how long the list that
-//! it has may be trusted.
+//! When a sender polls the directory for its endpoint list, and how long its present list may be
+//! trusted.
 //!
-//! Decides: the time of the next poll and whether the list is stale. Inputs: answers, failures and
-//! watch events of the directory, the number of senders, what the process before knew. Callers: the
-//! dispatcher; the watch of the platform takes its time-out from here, and the restart notes the
-//! cost of a poll. No I/O, no clock; the caller brings time and randomness.
+//! Decides: the time of the next poll and whether the list is stale. Inputs: responses, failures
+//! and watch events of the directory, the number of senders, and the state noted by the previous
+//! process. Callers: the dispatcher; the platform's watch takes its time-out from here, and the
+//! restart note records the cost of a poll. No I/O and no clock: the caller passes the time and
+//! random numbers.
 //!
-//! The directory serves polls one after another, fails those that wait too long and works them off
-//! all the same. Senders that poll in step get nothing from it, and neither do those that poll
-//! again before it is through. So polls are spread over the time that the directory needs for all
-//! of them, less what it lets polls wait in its queue, as far as chance leaves that. What polls
-//! cost, and whether it is too much, is learned from the answers.
+//! The directory serves polls one after another. It fails those that wait too long in its queue,
+//! but still processes them. Senders that all poll at the same time get no response, and neither do
+//! senders that poll again before the queue is processed. Polls are therefore spread over the time
+//! that the directory needs for all senders, less the time that polls may wait in its queue and
+//! with an allowance for random bunching. The cost of a poll, and whether polls overload the
+//! directory, is learned from the responses.
 
 use crate::dispatch::rate_quota::MANY_SENDERS;
 use crate::dispatch::statistics::{from_secs, to_secs, MS, SEC};
 use crate::{Nanos, Settings};
 use std::fmt;
 
-/// What one poll costs the directory until an answer has shown more, in seconds: 55 ms seen.
+/// Assumed cost of one poll to the directory before a response has shown a lower one, in seconds;
+/// observed: 55 ms.
 const INITIAL_COST: f64 = 0.055;
-/// Least that is believed of the cost, in seconds: under it the spread is of no use.
+/// Lower bound of the assumed cost, in seconds; below it spreading polls has no effect.
 const MIN_COST: f64 = 0.002;
-/// Most that is believed of the cost, in seconds: over it a fleet would never be told.
+/// Upper bound of the assumed cost, in seconds; above it a large fleet would never receive a list.
 const MAX_COST: f64 = 1.0;
-/// How long polls may wait in the directory's queue, in seconds: it gives up after 3 s, and the way
-/// there takes some of it.
+/// Time that polls may wait in the directory's queue, in seconds. The directory gives up after 3 s,
+/// and the network takes some of that.
 const QUEUE_SECONDS: f64 = 2.9;
-/// Standard deviations, in the middle of the span, by which polls may come earlier than evenly
-/// before some of them fail: the queue of one start in 460 is longer somewhere
-/// (`exp(-CHANCE_DEVIATIONS^2 / 2)`).
+/// Standard deviations, in the middle of the span, by which polls may arrive earlier than evenly
+/// spread before some of them fail. At 3.5 the queue exceeds its limit at some point in one start
+/// in 460 (`exp(-CHANCE_DEVIATIONS^2 / 2)`).
 const CHANCE_DEVIATIONS: f64 = 3.5;
-/// A poll that failed after so many seconds waited in the queue until the directory gave it up.
+/// Time in seconds from which on a failed poll is taken to have waited in the queue until the
+/// directory gave it up.
 const QUEUED_SECONDS: f64 = 2.5;
-/// A poll that failed sooner than this, in seconds, was refused by a directory that is there.
+/// Time in seconds below which a failed poll is taken as rejected by a directory that is running.
 const REFUSED_SECONDS: f64 = 1.0;
-/// How many times dearer polls are taken to be once one failed in the queue. Twice leaves a
-/// directory at a third of its speed with a queue that never ends for minutes (told after 231 s,
-/// ideal 50 s), four times makes the quick ones wait: 120 s and 162 s.
+/// Factor on the assumed cost after a poll failed in the queue. At 2, a directory at a third of its
+/// speed keeps an overlong queue for minutes: senders had the list after 231 s, against 50 s at
+/// best. At 4, senders of a fast directory wait too long: 120 s and 162 s.
 const COST_AFTER_QUEUE_FAILURE: f64 = 3.0;
-/// What one of few waits after its first failure, in seconds; it doubles with each further one.
+/// Delay before the poll that follows a first failure, in seconds; it doubles with each further
+/// failure. It is added to the random delay that spreads the polls of many senders.
 const MIN_RETRY_GAP: f64 = 0.5;
-/// What one waits at most beside its turn, in seconds. Nothing is sent by a stale list, so that a
-/// directory that is back has to be found soon.
+/// Upper bound of that delay, in seconds. Nothing is sent while the list is stale, so a directory
+/// that is available again has to be found soon.
 const MAX_RETRY_GAP: f64 = 1.0;
-/// Failures in a row that are counted at most, against an overflow.
+/// Consecutive failures are counted up to this number, to prevent an overflow.
 const MAX_FAILURES: i32 = 8;
-/// How many times longer a list counts as true after a poll that failed than after none, by the
-/// settings' page.
+/// Deadlines for which a list stays fresh after the start of a failed poll, by the documentation of
+/// the settings; after the start of a poll that has not failed it is one.
 const DEADLINES_AFTER_FAILURE: Nanos = 4;
-/// Changes count as told so long after a move of the directory at the latest, by the operators'
-/// page on new configurations; polling does not change that.
+/// Time after a change of the directory's address within which a change of the list must be known,
+/// by the operators' rules on new configurations; polling does not extend it.
 const FRESH_AFTER_MOVE: Nanos = 4 * SEC;
-/// A watch that has a heartbeat tells within so many beats, whatever the settings say: the one that
-/// is silent for longer is given up.
+/// Heartbeat intervals that a watch may be silent before it is given up, whatever the settings say.
 const HEARTBEATS: Nanos = 2;
-/// A change counts as told so long after the directory had it and could be reached, by the
-/// operators' page: whatever became of polls, and whether or not anything was polled.
+/// Time from which on a change of the list must be known, counted from when the directory had it
+/// and could be reached, by the operators' rules. Polls, and their results, do not change it.
 const CHANGE_COUNTS_AFTER: Nanos = 6 * SEC;
-/// A watch that ended so long after its next event was due had fallen silent: what delays an event.
+/// Time after an event of a watch was due from which on the watch is taken as silent; it covers
+/// delays of an event.
 const SILENCE_MARGIN: Nanos = SEC;
-/// Least time that the answer to a poll is waited for, in seconds. The directory gives up after 3 s
-/// and says so: a poll that is given up later than that has met silence and no queue.
+/// Lower bound of the time-out of a poll, in seconds. The directory gives up after 3 s and reports
+/// that; a poll that times out later met a silent directory, not a queue.
 const MIN_POLL_TIMEOUT: f64 = 3.5;
-/// Most that an answer is waited for where many poll, in seconds.
+/// Upper bound of the time-out of a poll where many senders poll, in seconds.
 const MAX_POLL_TIMEOUT: f64 = 6.0;
 
-/// Seconds over which so many senders spread polls that cost the directory so many seconds each.
+/// Returns the time in seconds over which `senders` spread their polls, where each poll costs the
+/// directory `cost` seconds.
 pub fn poll_spread(senders: u32, cost: f64) -> f64 {
     if senders < MANY_SENDERS {
         return 0.0;
     }
     let all = f64::from(senders) * cost;
-    // After a part u of the span, polls that are drawn evenly are behind by u * spared on an
-    // average, and by chance * sqrt(u - u^2) more. The largest sum of both is (spared +
-    // sqrt(spared^2 + chance^2)) / 2, which is to be no more than the queue.
+    // After a part u of the span, evenly drawn polls lag by u * spared on average, and by chance *
+    // sqrt(u - u^2) more. The maximum of the sum is (spared + sqrt(spared^2 + chance^2)) / 2, which
+    // must not exceed the queue.
     let chance = CHANCE_DEVIATIONS * cost * f64::from(senders).sqrt();
     let spared = QUEUE_SECONDS - chance * chance / (4.0 * QUEUE_SECONDS);
-    // With a tenth to spare the queue is as short as it gets.
+    // A span a tenth longer than all polls take gives the shortest possible queue.
     (all - spared).clamp(all / 2.0, all * 1.1)
 }
 
-/// How many polls of so many seconds each the directory's queue takes in the same moment.
+/// Returns how many simultaneous polls of `cost` seconds each fit into the directory's queue.
 ///
-/// A planned restart is thought to take no more senders than that until a poll has failed in the
-/// queue: nothing tells how many it takes. A sender that restarts alone, or with a few, hardly
-/// waits; where all restart, those that the queue does not take have one failed poll each and are
-/// then spread over all.
+/// Until a poll has failed in the queue, a planned restart is assumed to involve no more senders
+/// than that, as its real size is unknown. A sender that restarts alone, or with a few others, then
+/// hardly waits. Where all senders restart, those that do not fit into the queue have one failed
+/// poll each and are then spread over all senders.
 fn queue_capacity(cost: f64) -> u32 {
     (QUEUE_SECONDS / cost) as u32
 }
 
-/// Senders that poll where this one does, itself included.
+/// Returns the number of senders that poll the same source as this one, itself included.
 pub fn senders_polling_together(settings: &Settings) -> u32 {
     if settings.list_pushed {
         1
@@ -99,47 +105,48 @@
     }
 }
 
-/// How long the answer to a poll is waited for, in seconds. One that waits in a long queue is not
-/// given up early: it would be worked off all the same, and the next one waited behind it.
+/// Returns the time-out of a poll in seconds. A poll that waits in a long queue is not cancelled
+/// early: the directory would still process it, and the next poll would wait behind it.
 pub fn poll_timeout(senders: u32) -> f64 {
     (f64::from(senders) * INITIAL_COST).clamp(MIN_POLL_TIMEOUT, MAX_POLL_TIMEOUT)
 }
 
-/// What a poll that took so long says of the cost of polls, in seconds, for a later start. A queue
-/// before it is no cost; and a directory that has just started itself may be slower than it was, by
-/// half of what is usual at the most.
+/// Returns the cost of a poll, in seconds, that a later start may assume after a poll took
+/// `took_seconds`. Time in a queue is no part of the cost; and a directory that has just started
+/// may be slower than before, so that at least half of the usual cost is assumed.
 pub fn plausible_poll_cost(took_seconds: f64) -> f64 {
     took_seconds.clamp(INITIAL_COST / 2.0, INITIAL_COST)
 }
 
-/// What the freshness of the list rests on.
+/// The event that the freshness of the list is based on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FreshnessBasis {
-    /// Nothing but the start: no process was before this one.
+    /// The start of this process; there was no previous process.
     #[default]
     Start,
-    /// What the process before noted.
+    /// The note of the previous process.
     RestartNote,
-    /// The directory's last word: an answer, or an event of the watch.
+    /// The directory's last response or watch event.
     DirectoryEvent,
-    /// A poll by which the directory seemed to be down, in a fleet that it cannot tell in time.
+    /// A poll during which the directory seemed to be down, in a fleet too large to learn of its
+    /// recovery in time.
     SeemingOutage,
-    /// The directory is at another address.
+    /// A change of the directory's address.
     SourceMoved,
 }
 
 /// How fresh the list is, and when the directory is polled, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListStatus {
-    /// Nothing new may be sent by it.
+    /// Whether the list is stale, so that no new call may be made.
     pub is_stale: bool,
-    /// It may be relied on for so long, if nothing is heard.
+    /// Time that the list stays fresh without a further event.
     pub remaining: Nanos,
-    /// What that rests on.
+    /// The event that the freshness is based on.
     pub basis: FreshnessBasis,
-    /// Polls and watches that failed in a row, as far as they are counted.
+    /// Consecutive failures of polls and watches, as far as they are counted.
     pub failures: u32,
-    /// Until the next poll; nothing while one is out, or a watch is open.
+    /// Time until the next poll; none during a poll or an open watch.
     pub next_poll_in: Option<Nanos>,
 }
 
@@ -160,60 +167,62 @@
 #[derive(Debug, Default)]
 pub struct EndpointListPoller {
     senders: u32,
-    /// An agent pushes the list: whatever it has counts as told at once.
+    /// Whether an agent pushes the list: then whatever list the agent has must be known at once.
     list_pushed: bool,
-    /// How many are thought to poll together with this one, until a poll has shown that there are
-    /// more.
+    /// Number of senders, this one included, that are assumed to poll at the same time; all of them
+    /// once a poll has shown that there are more.
     polling_together: u32,
-    /// Longest time without a poll or a watch (0: no bound), by the settings.
+    /// Longest time without a poll or a watch (0: unlimited), by the settings.
     deadline: Nanos,
-    /// How often a watch says something at the least (0: it tells changes alone).
+    /// Longest interval between events of a watch (0: it sends changes only).
     heartbeat: Nanos,
-    /// What a poll costs the directory, as far as seen, in seconds.
+    /// Cost of a poll to the directory, as far as observed, in seconds.
     cost: f64,
-    /// Failures in a row, since the last answer.
+    /// Consecutive failures since the last response.
     failures: i32,
-    /// When to poll next.
+    /// Time of the next poll.
     next_poll_at: Option<Nanos>,
-    /// When the poll that is out began.
+    /// Start of the poll in progress.
     poll_started_at: Option<Nanos>,
-    /// The list is told as it changes.
+    /// Whether a watch is open that sends changes.
     watching: bool,
-    /// When the last event came over the watch, or the poll began that it answered; each is one
-    /// that nothing else has changed until then.
+    /// Time of the last event of the watch, or the start of the poll that an event answered. Each
+    /// event states that nothing else had changed by then.
     last_event_at: Nanos,
-    /// From when on what has changed counts as told, though nobody told it.
+    /// Time from which on the list is stale: a change must be known by then, though none was
+    /// reported.
     stale_at: Option<Nanos>,
-    /// When a change that nobody told begins to count: [`CHANGE_COUNTS_AFTER`] after the last
-    /// event. That a poll failed or a watch ended says nothing of changes and does not put it off,
-    /// but see [`Self::seems_down`].
+    /// Time until which the list is fresh: [`CHANGE_COUNTS_AFTER`] after the last event. A failed
+    /// poll or an ended watch says nothing of changes and does not extend it, except as in
+    /// [`Self::seems_down`].
     fresh_until: Nanos,
-    /// What [`Self::fresh_until`] rests on.
+    /// The event that [`Self::fresh_until`] is based on.
     freshness_basis: FreshnessBasis,
-    /// The directory was there after its last event, and may have had something to tell: a poll was
-    /// refused, waited in its queue or was never answered.
+    /// Whether the directory was running after its last event and may have had a change to report:
+    /// a poll was rejected, waited in its queue or was never answered.
     may_have_missed_change: bool,
 }
 
-/// How a poll failed, as far as the time that it took tells.
+/// Reason why a poll failed, inferred from the time it took.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollFailure {
-    /// A directory that is there said no.
+    /// A running directory rejected it.
     Refused,
-    /// The directory was down, or its queue is shorter than is thought.
+    /// The directory was down, or its queue is shorter than assumed.
     Unclear,
-    /// The directory gave up what waited in its queue.
+    /// The directory gave it up after it had waited in the queue.
     Queued,
-    /// Nothing came.
+    /// No response.
     Unanswered,
 }
 
 impl EndpointListPoller {
-    /// The poller of a sender that starts at `now`. `draw` gives a number evenly from 0 to 1.
+    /// Creates the poller of a sender that starts at `now`. `draw` returns a uniform random number
+    /// from 0 to 1.
     pub fn new(now: Nanos, settings: &Settings, draw: impl FnOnce() -> f64) -> Self {
         let restart = settings.restart_state;
-        // On sockets, where a watch has a heartbeat, changes count also where the settings need no
-        // time for polling.
+        // Over sockets, where a watch has a heartbeat, changes must be known even where the
+        // settings set no deadline for polls.
         let counts_anyway = settings.list_pushed || settings.watch_heartbeat > 0;
         let deadline = if counts_anyway && settings.poll_deadline == 0 {
             CHANGE_COUNTS_AFTER
@@ -242,16 +251,16 @@
         if remaining.is_some() {
             poller.freshness_basis = FreshnessBasis::RestartNote;
         }
-        // What an agent has counts before it is polled: nobody is called until it has said what
-        // that is, or that it can't.
+        // The list that an agent has must be known before the first poll: no call is made until the
+        // agent has sent its list or reported that it cannot.
         poller.stale_after_deadlines(now, if settings.list_pushed { 0 } else { 1 });
         poller
     }
 
-    /// The directory is at another place from now on; whoever has a watch at the old one has lost
-    /// it.
+    /// Records that the directory has another address from now on; a watch at the old address is
+    /// lost.
     pub fn source_moved(&mut self, now: Nanos, draw: impl FnOnce() -> f64) {
-        // All are told of it in the same moment.
+        // All senders learn of it at the same time.
         self.polling_together = self.senders;
         self.watching = false;
         self.poll_started_at = None;
@@ -268,8 +277,8 @@
         self.may_have_missed_change = false;
     }
 
-    /// A line for the log where the directory needs longer for all polls than the settings leave
-    /// time for.
+    /// Returns a log line if the directory needs longer for the polls of all senders than the
+    /// settings allow.
     pub fn overload_warning(&self) -> Option<String> {
         let span = poll_spread(self.senders, self.cost);
         let senders = self.senders;
@@ -289,11 +298,11 @@
         self.stale_at = (self.deadline > 0).then(|| now + deadlines * self.deadline);
     }
 
-    /// Whether a poll is due; it is out from then on.
+    /// Starts a poll if one is due, and returns whether it did.
     pub fn begin_due_poll(&mut self, now: Nanos) -> bool {
         let is_due = self.next_poll_at.take_if(|at| *at <= now).is_some();
         if is_due {
-            // Polling counts, but what is too old already is no truer before the answer.
+            // A poll extends the freshness, but a stale list stays stale until the response.
             if !self.is_stale(now) {
                 self.stale_after_deadlines(now, 1);
             }
@@ -302,10 +311,10 @@
         is_due
     }
 
-    /// The directory answered, or said over the watch that there is a change, or none. A list that
-    /// was there from the start is no event of it.
+    /// Records that the directory answered a poll, or sent a change or a heartbeat over the watch.
+    /// A cached list that is available from the start is no such event.
     pub fn record_event(&mut self, now: Nanos) {
-        // What is answered may have held when the poll began, and no longer.
+        // The response may describe the list as of the start of the poll, and nothing later.
         let holds_at = self.poll_started_at.unwrap_or(now);
         if let Some(started) = self.poll_started_at.take() {
             let took = to_secs(now - started);
@@ -323,11 +332,11 @@
         }
     }
 
-    /// A poll failed, or a watch ended.
+    /// Records a failed poll or an ended watch.
     pub fn record_failure(&mut self, now: Nanos, draw: impl FnOnce() -> f64) {
         let started = self.poll_started_at.take();
         if started.is_none() && self.next_poll_at.is_some() {
-            return; // nothing was out, and the next poll is settled
+            return; // no poll was in progress, and the next one is scheduled
         }
         let seconds = MIN_RETRY_GAP * 2f64.powi(self.failures);
         let gap = from_secs(seconds.min(MAX_RETRY_GAP));
@@ -338,8 +347,9 @@
         }
     }
 
-    /// All senders may have lost their watches at once. A machine that stood still may hear of it
-    /// much later than it was; where a watch tells changes alone nothing says for how long.
+    /// Handles the end of a watch, which all senders may have lost at once. A machine that was
+    /// suspended may learn of it much later than it happened; where a watch sends changes only,
+    /// nothing shows how much later.
     fn watch_ended(&mut self, now: Nanos, gap: Nanos, draw: impl FnOnce() -> f64) {
         self.watching = false;
         self.polling_together = self.senders;
@@ -370,15 +380,15 @@
         }
         let next = match failure {
             PollFailure::Unanswered => {
-                // Nothing is said of a queue. It may be everyone's, and each second without an
-                // answer may be a stale one.
+                // This says nothing of a queue. All senders may be affected, and the list may be
+                // stale for as long as no response arrives.
                 self.polling_together = self.senders;
                 now + gap + self.random_delay(draw)
             }
             PollFailure::Queued => self.after_queue_failure(now, gap, draw),
             PollFailure::Refused | PollFailure::Unclear => {
-                // Each keeps its place in the order, so that the queue is no longer when polls are
-                // served again.
+                // Each sender keeps its place in the order, so that the queue is no longer than
+                // before when polls are served again.
                 let span = poll_spread(self.polling_together, self.cost);
                 (started + from_secs(span)).max(now + gap)
             }
@@ -386,7 +396,7 @@
         self.next_poll_at = Some(next);
     }
 
-    /// An agent that is not silent did not say what it has: that counts, and is not known.
+    /// Records that a running agent did not send its list: a change must then be known but is not.
     fn record_missed_push(&mut self, now: Nanos) {
         self.may_have_missed_change = true;
         self.stale_after_deadlines(now, 0);
@@ -404,8 +414,12 @@
         }
     }
 
-    /// Whether the list is relied on after a poll that failed, as the directory was down then and
-    /// had told nobody of a change.
+    /// Whether the list stays trusted after a failed poll because the directory was down during it
+    /// and had reported a change to no sender.
+    ///
+    /// This applies only in a fleet too large to learn of the directory's recovery before changes
+    /// must be known: all its senders would stop together. Smaller fleets learn of it in time and
+    /// do without this rule.
     ///
     /// Only in a fleet too large to be told of its return before changes count: such a fleet would
     /// stand still together. Others are told in time, and go without.
@@ -414,8 +428,9 @@
         polls_of_all > to_secs(CHANGE_COUNTS_AFTER) && !self.may_have_missed_change
     }
 
-    /// When to poll after the queue was too long: more polled than was thought, or the polls cost
-    /// more. What waits in it is worked off first, also the polls that failed.
+    /// Returns the time of the next poll after the queue was too long: more senders polled than
+    /// assumed, or a poll costs more. The directory first processes everything in its queue, the
+    /// failed polls as well.
     fn after_queue_failure(&mut self, now: Nanos, gap: Nanos, draw: impl FnOnce() -> f64) -> Nanos {
         if self.polling_together == self.senders {
             self.cost = (self.cost * COST_AFTER_QUEUE_FAILURE).min(MAX_COST);
@@ -425,12 +440,12 @@
         now + gap + queue + self.random_delay(draw)
     }
 
-    /// How long the list may still be trusted, if nothing is heard, in nanoseconds.
+    /// Returns how long the list may still be trusted without a further event, in nanoseconds.
     pub fn remaining_freshness(&self, now: Nanos) -> Nanos {
         self.fresh_until.saturating_sub(now)
     }
 
-    /// How fresh the list is, and when the directory is polled next.
+    /// Returns how fresh the list is, and when the directory is polled next.
     pub fn status(&self, now: Nanos) -> ListStatus {
         ListStatus {
             is_stale: self.is_stale(now),
@@ -441,13 +456,13 @@
         }
     }
 
-    /// When the next poll is due.
+    /// Returns the time of the next poll.
     pub fn next_poll_at(&self) -> Option<Nanos> {
         self.next_poll_at
     }
 
-    /// Whether the list has gone without an event for so long that whatever changed counts as told.
-    /// What may be called is not known then, and nothing new is called.
+    /// Whether the list has been without an event for so long that it may lack a change that must
+    /// be known by now. The callable endpoints are not known then, and no new call is made.
     pub fn is_stale(&self, now: Nanos) -> bool {
         if self.watching {
             return self.is_watch_stale(now);
@@ -456,8 +471,8 @@
         self.stale_at.is_some_and(|at| now >= at) || is_past_freshness
     }
 
-    /// Whatever stood still, this machine or the directory: a watch that has a heartbeat is as good
-    /// as its last event.
+    /// Whether the list is stale during an open watch. A watch with a heartbeat is only as fresh as
+    /// its last event, whether this machine or the directory was suspended.
     fn is_watch_stale(&self, now: Nanos) -> bool {
         if self.heartbeat == 0 || self.deadline == 0 {
             return false;
--- a/src/dispatch/mod.rs
+++ b/src/dispatch/mod.rs
@@ -1,22 +1,24 @@
-//! The decision module: when, where and how often a message is attempted, and when it is given up.
+//! The decision module: when, where and how often a message is attempted, and when it is ended
+//! undelivered.
 //!
-//! Events go in, actions come out ([`api`]), and [`dispatcher::Dispatcher`] is the one entry.
-//! Nothing here does I/O or reads a clock: the time comes with each call, and randomness from the
-//! seed. Callers: the embedding program ([`crate::delivery::driver`]) and the simulator. The
-//! modules know nothing outside this folder, and each only those above it in this list:
+//! Events go in and actions come out ([`api`]); [`dispatcher::Dispatcher`] is the only entry point.
+//! Nothing here does I/O or reads a clock: the caller passes the time with each call, and random
+//! numbers come from the seed. Callers: the embedding program ([`crate::delivery::driver`]) and the
+//! simulator. These modules depend on nothing outside this folder, and each depends only on modules
+//! above it in this list:
 //!
-//! - [`routing`]: which zones may serve a message, and in which order.
+//! - [`routing`]: the zones that may serve a message, and their order.
 //! - [`api`]: settings, events, actions.
 //! - [`statistics`]: time, rates and random draws.
-//! - [`deadline`]: what is still done as a message's time runs out.
-//! - [`slow_start`]: a sender's quota of calls to an endpoint that is back from an outage.
-//! - [`stale_connections`]: whether idle connections are to be trusted.
+//! - [`deadline`]: which attempts are still allowed shortly before a message's deadline.
+//! - [`slow_start`]: a sender's quota of calls to an endpoint that recovers from an outage.
+//! - [`stale_connections`]: whether idle connections may be reused.
 //! - [`rate_quota`]: a sender's quota of a listed rate.
-//! - [`rate_control`]: pause and rate of a destination or route.
+//! - [`rate_control`]: pauses and call rate of a destination or route.
 //! - [`endpoint_health`]: healthy, ejected or in slow start.
-//! - [`list_polling`]: when to poll the endpoint list, and how long it may be trusted.
-//! - `state`: what is kept of destinations, messages, attempts and calls.
-//! - [`dispatcher`]: puts them together.
+//! - [`list_polling`]: when the endpoint list is polled, and how long it is trusted.
+//! - `state`: records of destinations, messages, attempts and calls.
+//! - [`dispatcher`]: combines the modules above.
 
 pub mod api;
 pub mod deadline;
--- a/src/dispatch/rate_control.rs
+++ b/src/dispatch/rate_control.rs
@@ -1,143 +1,146 @@
-//! When a destination, or a route of its own, is called again and how often.
+//! When and how often a destination, or an endpoint that is a separate route, is called.
 //!
-//! Decides: the pause after a rejection and the rate of calls. Inputs: what calls there came to,
-//! the sender's [`RateQuota`] where it is one of many, and load reports. Callers: the dispatcher,
-//! before each choice of an endpoint and with each result. No I/O, no clock; the caller brings time
-//! and randomness.
+//! Decides: the pause after a rejection and the rate of calls. Inputs: results of calls, the
+//! sender's [`RateQuota`] where it is one of many, and load reports. Callers: the dispatcher,
+//! before each choice of an endpoint and with each result. No I/O and no clock; the caller passes
+//! the time and random numbers.
 
 use crate::dispatch::api::Nanos;
 use crate::dispatch::rate_quota::RateQuota;
 use crate::dispatch::stale_connections::Suspicion;
 use crate::dispatch::statistics::{blend, from_secs, to_secs, Meter, MS, RATE_MEMORY, SEC};
 
-/// Least backoff after a rejection that told no wait, and the wait expected of a kind that has told
-/// none yet: about one call.
+/// Shortest backoff after a rejection without a Retry-After, and the wait expected of a kind that
+/// has sent no Retry-After yet: about one call.
 const MIN_BACKOFF: Nanos = 150 * MS;
-/// Most rejections in a row that the backoff still doubles with.
+/// Largest number of consecutive rejections with which the backoff still doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Growth of the rate per accepted call, as a part of it, at most per second: where calls are many.
+/// Growth of the rate per accepted call, relative to the rate, at most once per second: where calls
+/// are frequent.
 const GROWTH_FREQUENT: f64 = 0.1;
-/// The same where calls are rare, which would else grow too slowly.
+/// The same where calls are rare; the rate would otherwise grow too slowly.
 const GROWTH_RARE: f64 = 0.5;
-/// Growth of the rate, beside that, per call whose report says that the limit is unused.
+/// Additional growth of the rate per call whose report says that the limit is unused.
 const UNUSED_LIMIT_GROWTH: f64 = 3.0;
-/// Share of the limit left over which a report says that it is unused.
+/// Unused share of the limit above which a report counts the limit as unused.
 const UNUSED_LIMIT: f64 = 0.5;
-/// Calls a second that the rate gains each second where the calls here tell enough.
+/// Growth of the rate in calls per second, each second, where this sender's own calls show enough.
 const RATE_CREEP: f64 = 0.1;
-/// Least rate after rejections, as a part of the messages that arrive: all senders together stay
-/// under what is asked for.
+/// Smallest rate after rejections, as a part of the messages that arrive: all senders together stay
+/// below demand.
 const MIN_RATE_OF_DEMAND: f64 = 0.4;
-/// Least rate after rejections where the limit is known, as a part of this sender's even part of
-/// it: a limit that rejected calls use up recovers only while less is sent than it allows.
+/// Smallest rate after rejections where the limit is known, as a part of this sender's equal part
+/// of it: a limit that rejected calls count against recovers only while less is sent than it
+/// allows.
 const MIN_RATE_OF_FAIR_RATE: f64 = 0.5;
-/// The same as a part of the messages that arrive, if that is more.
+/// The same as a part of the messages that arrive, if that is higher.
 const MIN_RATE_OF_DEMAND_AT_LIMIT: f64 = 0.15;
-/// Sends after a rejection that are rejected again, for each that is accepted, from which on the
-/// rate is cut.
+/// Number of calls rejected right after a rejection, for each accepted one, above which the rate is
+/// cut.
 const CROWDED: f64 = 1.5;
-/// Confidence under which a sender calls too rarely to judge by its own calls.
+/// Confidence below which a sender calls too rarely to judge by its own calls.
 pub const LOW_CONFIDENCE: f64 = 0.5;
-/// Share of the limit left under which a report says that it is used up.
+/// Unused share of the limit below which a report counts the limit as used up.
 pub const LIMIT_USED_UP: f64 = 0.15;
-/// A rejection cuts the rate to what was accepted lately, and at least by this factor.
+/// Factor of a rejection on the rate; the part of the cut that rests on the sender's own calls goes
+/// to the rate of calls accepted lately.
 const RATE_CUT: f64 = 0.6;
-/// Most of the present rate that is kept for what was accepted lately.
+/// Largest part of the present rate that is kept for recently accepted calls.
 const MAX_KEPT_RATE: f64 = 0.8;
 /// Tokens left after a rejection, in calls.
 const TOKENS_AFTER_REJECTION: f64 = 0.5;
-/// Seconds of the rate that are saved up as tokens at most, one call at least.
+/// Time over which unused rate is saved as tokens, in seconds; one call at least.
 const MAX_TOKENS_SECONDS: f64 = 0.35;
-/// Longest spread of the return after a pause, as a part of the expected wait for each rejection
-/// per accepted call: a herd of senders is told the same moment.
+/// Longest spread of the return after a pause, as a part of the expected wait, for each rejection
+/// per accepted call: many senders get the same time to return.
 const RETURN_SPREAD: f64 = 0.5;
-/// Most rejections in a row that the spread still doubles with.
+/// Largest number of consecutive rejections with which the spread still doubles.
 const MAX_SPREAD_DOUBLINGS: u32 = 5;
-/// Distance from the usual told wait, as a part of it, from which on a wait is not the limit's.
+/// Relative difference from the usual Retry-After from which on a wait is not caused by the limit.
 const UNUSUAL_WAIT: f64 = 0.1;
-/// Weight of the newest call in what a kind usually does.
+/// Weight of the newest call in the statistics of a kind.
 const KIND_GAIN: f64 = 0.1;
-/// Least share of successful retries that is reckoned with, against a division by zero.
+/// Smallest assumed share of successful retries, against a division by zero.
 const MIN_RETRY_SUCCESS: f64 = 0.05;
 
-/// Pause and rate: one per destination, or per route where endpoints are separate routes.
+/// Pause and rate of a destination, or of a route where endpoints are separate routes.
 #[derive(Debug, Default)]
 pub struct RateController {
-    /// When the wait ends that a rejection told.
+    /// Time at which the Retry-After of a rejection ends.
     pub retry_after_until: Nanos,
-    /// When the sender's own backoff ends.
+    /// Time at which the sender's own backoff ends.
     backoff_until: Nanos,
-    /// Calls a second that the destination takes from this sender, once a rejection has shown a
-    /// bound; infinite before.
+    /// Calls per second that the destination accepts from this sender, once a rejection has shown a
+    /// limit; infinite before.
     rate: f64,
-    /// This sender's quota of what is listed, where it is one of many: bounds the rate from the
+    /// This sender's quota of the listed rate, where it is one of many: limits the rate from the
     /// first call on.
     quota: Option<RateQuota>,
-    /// How many quotas the sender may take, where it has one: a factor on the rate.
+    /// Number of quotas that the sender may use, where it has one: a factor on the rate.
     quota_multiplier: f64,
-    /// Calls that may be sent now.
+    /// Calls that may be made now.
     tokens: f64,
-    /// When rate and tokens were last brought up to date.
+    /// Time at which rate and tokens were last updated.
     refilled_at: Nanos,
-    /// From when on the sender may be ahead of its rate, where the quota allows that.
+    /// Time from which on the sender may exceed its rate by a burst, where the quota allows it.
     burst_from: Nanos,
-    /// Accepted calls a second.
+    /// Accepted calls per second.
     accepted: Meter,
     last_accepted_at: Nanos,
-    /// When the last rejection or report cut the rate.
+    /// Time at which a rejection or report last cut the rate.
     rate_cut_at: Nanos,
-    /// Rejections since the last accepted call, those of one burst counted once.
+    /// Rejections since the last accepted call; those of one burst count once.
     pub consecutive_rejections: u32,
-    /// Limit in calls a second as last reported; 0: none.
+    /// Limit in calls per second as last reported; 0: none.
     pub reported_limit: f64,
-    /// Calls accepted so far: how many may be in flight at once grows with it.
+    /// Calls accepted so far; the limit on calls in flight grows with them.
     pub accepted_calls: u32,
-    /// Calls that endpoints which are ejected or in slow start may be sent now; trials spend it
-    /// too.
+    /// Calls that may be made now to endpoints that are ejected or in slow start; trials count too.
     pub slow_start_budget: f64,
-    /// When that budget was last brought up to date.
+    /// Time at which that budget was last updated.
     pub slow_start_budget_at: Nanos,
 }
 
-/// A quota as the endpoint list gives it now.
+/// A quota by the present endpoint list.
 pub struct QuotaOffer {
     /// The quota, where the sender is one of many.
     pub quota: Option<RateQuota>,
-    /// How many quotas the sender may take.
+    /// Number of quotas that the sender may use.
     pub multiplier: f64,
-    /// Part of a call that is saved up if the quota is the first one here.
+    /// Part of a call that is saved at the start, if this is the first quota here.
     pub initial_tokens: f64,
-    /// The sender began with messages held, as others may have in the same moment: it is not ahead
-    /// of its rate at first.
+    /// Whether the sender started with pending messages, as others may have at the same moment: it
+    /// may not exceed its rate at first.
     pub hold_burst: bool,
 }
 
-/// What is known of a rejection, beside the controller that it came to.
+/// Data of a rejection, beside the controller's own.
 pub struct Rejection {
     /// When the rejected call was sent.
     pub sent_at: Nanos,
-    /// The wait it told, in nanoseconds; 0: none.
+    /// The Retry-After, in nanoseconds; 0: none.
     pub retry_after: Nanos,
-    /// The wait it told or, where none is, the usual one, in seconds.
+    /// The Retry-After or, without one, the usual one, in seconds.
     pub expected_wait: f64,
-    /// Seconds over which to spread the return at least, where the endpoint may come back cold.
+    /// Shortest time over which to spread the return, in seconds, where the endpoint may need slow
+    /// start.
     pub cold_spread: f64,
-    /// How many calls are rejected after a rejection for each that is accepted.
+    /// Number of calls rejected right after a rejection for each accepted one.
     pub rejections_per_success: f64,
-    /// A report says that the limit is used up.
+    /// Whether a report says that the limit is used up.
     pub limit_used_up: bool,
     /// The controller's confidence before this call ([`RateController::confidence`]).
     pub confidence: f64,
-    /// This sender's even part of a known limit, in calls a second.
+    /// This sender's equal part of a known limit, in calls per second.
     pub fair_rate: Option<f64>,
-    /// Messages a second that arrive for the destination.
+    /// Messages per second that arrive for the destination.
     pub demand: f64,
-    /// Drawn evenly from 0 to 1.
+    /// Uniform random number from 0 to 1.
     pub jitter: f64,
 }
 
 impl RateController {
-    /// A controller that has seen nothing since `now`.
+    /// Creates a controller that has seen nothing before `now`.
     pub fn new(now: Nanos) -> Self {
         RateController {
             rate: f64::INFINITY,
@@ -151,8 +154,8 @@
         }
     }
 
-    /// Takes the quota that the list gives now. One of many senders begins at its quota, with a
-    /// part of a call saved up: all begin at the same moment.
+    /// Applies the quota by the present list. One of many senders starts at its quota, with a part
+    /// of a call saved, as all senders start at the same moment.
     pub fn offer_quota(&mut self, now: Nanos, offer: &QuotaOffer) {
         self.quota_multiplier = match offer.quota {
             Some(_) => offer.multiplier,
@@ -171,17 +174,17 @@
         }
     }
 
-    /// When the pause ends.
+    /// Returns the end of the pause.
     pub fn paused_until(&self) -> Nanos {
         self.retry_after_until.max(self.backoff_until)
     }
 
-    /// Calls a second that the sender may make here now.
+    /// Returns the calls per second that the sender may make here now.
     fn allowed_rate(&self) -> f64 {
         self.rate * self.quota_multiplier
     }
 
-    /// Brings rate and tokens up to now.
+    /// Updates rate and tokens.
     pub fn refill(&mut self, now: Nanos) {
         let seconds = to_secs(now.saturating_sub(self.refilled_at));
         self.refilled_at = self.refilled_at.max(now);
@@ -197,15 +200,15 @@
         self.tokens = (self.tokens + rate * seconds).min(most);
     }
 
-    /// How far this sender's own calls show what the destination takes, from 0 (a call now and
-    /// then) to 1.
+    /// Returns how well this sender's own calls show the limit of the destination, from 0 (a call
+    /// now and then) to 1.
     pub fn confidence(&self, now: Nanos) -> f64 {
         let calls = self.accepted.rate(now) * RATE_MEMORY.fade_seconds;
         calls / (calls + 1.0)
     }
 
-    /// Counts an accepted call. The rate grows by what was tried, not by time, or a rare caller
-    /// forgets the limit between calls.
+    /// Counts an accepted call. The rate grows with accepted calls, not with time; otherwise a rare
+    /// caller would lose its estimate of the limit between calls.
     pub fn record_accepted(&mut self, now: Nanos) {
         self.accepted_calls = self.accepted_calls.saturating_add(1);
         self.accepted.record(now, RATE_MEMORY);
@@ -221,7 +224,7 @@
         self.consecutive_rejections = 0;
     }
 
-    /// When pause and rate allow the next call.
+    /// Returns the time at which pause and rate allow the next call.
     pub fn next_call_at(&self, now: Nanos) -> Nanos {
         let burst = match self.quota {
             Some(quota) if now >= self.burst_from => quota.burst_allowance(),
@@ -233,13 +236,13 @@
         let wait = (1.0 - burst - self.tokens) / self.allowed_rate();
         let mut due = now + MS + from_secs(wait);
         if burst <= 0.0 && self.quota.is_some() {
-            // Then it may be ahead of its rate.
+            // From then on a burst may exceed the rate.
             due = due.min(self.burst_from.max(now + MS));
         }
         self.paused_until().max(due)
     }
 
-    /// For one turn it is not ahead of its rate: a call to this destination was rejected.
+    /// Prevents bursts over the rate for one turn, after a call to this destination was rejected.
     pub fn hold_burst(&mut self, now: Nanos) {
         let turn = match self.quota {
             Some(quota) if quota.burst_allowance() > 0.0 => quota.turn_interval(),
@@ -248,7 +251,7 @@
         self.burst_from = self.burst_from.max(now + turn);
     }
 
-    /// Spends a token on a call that is sent.
+    /// Takes the token of a call that is sent.
     pub fn spend_token(&mut self) {
         if self.rate.is_finite() {
             self.tokens -= 1.0;
@@ -256,7 +259,7 @@
     }
 
     /// Counts a rejection of a call that was sent at `sent_at`; those of one burst count once.
-    /// Whether it is the first in a row.
+    /// Returns whether it is the first in a row.
     pub fn count_rejection(&mut self, sent_at: Nanos) -> bool {
         let is_first = self.consecutive_rejections == 0;
         self.consecutive_rejections += u32::from(sent_at >= self.rate_cut_at);
@@ -266,7 +269,7 @@
     /// Cuts the rate and sets the pause, after a rejection that is counted.
     pub fn reject(&mut self, now: Nanos, rejection: &Rejection) {
         self.refill(now);
-        // What was sent before the last cut says nothing of the rate since.
+        // Calls sent before the last cut say nothing about the rate since.
         if rejection.sent_at >= self.rate_cut_at {
             self.cut_rate(now, rejection);
         }
@@ -317,7 +320,8 @@
                     rejection.expected_wait,
                 ));
         }
-        // From the pause itself: the rejections of one burst would else add up their spreads.
+        // Counted from the end of the pause; otherwise the rejections of one burst would add up
+        // their spreads.
         until = until.max(self.retry_after_until);
         let doublings = consecutive.min(MAX_SPREAD_DOUBLINGS);
         let crowd_spread = RETURN_SPREAD
@@ -330,8 +334,8 @@
         self.backoff_until = self.backoff_until.max(until + from_secs(delay));
     }
 
-    /// Takes a load report: the share of the limit that is left, and the limit in calls a second,
-    /// of which `fair_rate` is this sender's even part.
+    /// Applies a load report: the unused share of the limit, and the limit in calls per second, of
+    /// which `fair_rate` is this sender's equal part.
     pub fn apply_report(&mut self, now: Nanos, left: f64, limit: f64, fair_rate: f64) {
         self.refill(now);
         if left < LIMIT_USED_UP && now > self.rate_cut_at + SEC {
@@ -346,29 +350,29 @@
     }
 }
 
-/// What the destinations of a kind usually do, as seen from all of them together: each alone is
-/// called too rarely.
+/// Statistics over all destinations of a kind, as each destination alone is called too rarely.
 #[derive(Clone, Debug, Default)]
 pub struct DestinationKindStats {
-    /// The wait that rejections usually tell, in seconds.
+    /// Usual Retry-After, in seconds.
     usual_wait: f64,
-    /// Share of the calls next after a rejection that are accepted. Low where many wait, and where
-    /// rejected calls use up the limit; there the return is spread out and the rate is cut.
+    /// Share of the calls right after a rejection that are accepted. It is low where many senders
+    /// wait, and where rejected calls count against the limit; there the return is spread out and
+    /// the rate is cut.
     retry_success: f64,
     /// Suspicion that its endpoints are out of connections, in failed connects.
     pub connection_shortage: Suspicion,
 }
 
-/// What the wait of a rejection comes to.
+/// Wait to expect after a rejection.
 pub struct ExpectedWait {
-    /// The wait in seconds, or the usual one where none was told.
+    /// The Retry-After in seconds, or the usual one where there was none.
     pub seconds: f64,
-    /// Whether it is far from the usual one: then it is not the limit's.
+    /// Whether it differs much from the usual one, so that the limit is not its cause.
     pub is_unusual: bool,
 }
 
 impl DestinationKindStats {
-    /// A kind of which nothing is known.
+    /// Creates the statistics of a kind that has not been called.
     pub fn new() -> Self {
         DestinationKindStats {
             usual_wait: to_secs(MIN_BACKOFF),
@@ -377,13 +381,13 @@
         }
     }
 
-    /// Learns whether the first call after a rejection was accepted.
+    /// Records whether the first call after a rejection was accepted.
     pub fn record_retry(&mut self, accepted: bool) {
         let value = f64::from(u8::from(accepted));
         self.retry_success += KIND_GAIN * (value - self.retry_success);
     }
 
-    /// Learns from the wait that a rejection told (0: none).
+    /// Records the Retry-After of a rejection (0: none).
     pub fn record_wait(&mut self, retry_after: Nanos) -> ExpectedWait {
         if retry_after == 0 {
             return ExpectedWait {
@@ -400,7 +404,7 @@
         }
     }
 
-    /// How many calls are rejected after a rejection for each that is accepted.
+    /// Returns the number of calls rejected right after a rejection for each accepted one.
     pub fn rejections_per_success(&self) -> f64 {
         (1.0 - self.retry_success) / self.retry_success.max(MIN_RETRY_SUCCESS)
     }
--- a/src/dispatch/rate_quota.rs
+++ b/src/dispatch/rate_quota.rs
@@ -1,13 +1,15 @@
 //! One sender's quota of a listed rate, and its share of the fleet's traffic.
 //!
-//! A sender that makes few of the calls that a route gets can't learn from its own calls what the
-//! others do: each sees a call now and then, and all of them together are over a limit before one
-//! has seen two rejections. So it keeps to its quota of the listed rate from the first call on, and
-//! picks among siblings by weighted random choice rather than all senders the same one.
+//! A sender that makes few of a route's calls cannot learn the other senders' rate from its own
+//! calls: each makes a call now and then, and all together exceed a limit before one of them has
+//! seen two rejections. It therefore keeps to its quota of the listed rate from the first call on,
+//! and chooses among siblings by weighted random choice, so that not all senders choose the same
+//! one.
 //!
-//! Decides: the quota, how it moves with accepted and rejected calls, and its multiplier. Inputs:
+//! Decides: the quota, its changes with accepted and rejected calls, and its multiplier. Inputs:
 //! listed rates, the number of senders, messages that arrive. Callers: the rate controller and the
-//! dispatcher's choice of an endpoint. No I/O, no clock; the caller brings time and randomness.
+//! dispatcher's choice of an endpoint. No I/O and no clock; the caller passes the time and random
+//! numbers.
 
 #[cfg(test)]
 mod tests;
@@ -15,33 +17,35 @@
 use crate::dispatch::statistics::{from_secs, to_secs, Meter, RateMemory};
 use crate::{Nanos, LEASED_RATE};
 
-/// Senders from which on one sees too little of a route: its own calls are a tenth or less of those
-/// that the route gets.
+/// Number of senders from which on one sees too little of a route: its own calls are a tenth or
+/// less of all calls to the route.
 pub(crate) const MANY_SENDERS: u32 = 10;
-/// Least quota, in calls a second: a fleet that is said to be far larger than it is slows a sender
-/// and never stops it.
+/// Smallest quota, in calls per second: if the configured fleet size is far too high, the sender is
+/// slowed but never stopped.
 const MIN_QUOTA: f64 = 1.0 / 60.0;
-/// Part of the quota that comes back each second after rejections took it. A call comes every few
-/// seconds: with much more in between, rejections would no longer hold a rate down.
+/// Part of the quota that is restored each second after rejections reduced the rate. A call is made
+/// every few seconds: with much more restored in between, rejections would no longer keep a rate
+/// down.
 const RECOVERY_PER_SECOND: f64 = 0.02;
-/// Factor on the rate for an accepted call. One rejection in 24 calls holds a rate where it is.
+/// Factor on the rate for an accepted call. One rejection in 24 calls keeps a rate constant.
 const ACCEPT_FACTOR: f64 = 1.03;
 /// Factor on the rate for a rejected call.
 const REJECT_FACTOR: f64 = 0.5;
-/// Most of its quota that a rate grows to. An approximate rate may be half too high or too low: a
-/// limit is at most twice what is listed.
+/// Largest rate as a multiple of the quota. An approximate rate may be half too high or too low: a
+/// limit is at most twice the listed rate.
 const MAX_RATE_FACTOR: f64 = 2.0;
-/// Least of its quota that a rate falls to, or a sender would learn of no recovery.
+/// Smallest rate as a part of the quota; with a lower one a sender would not notice a recovery.
 const MIN_RATE_FACTOR: f64 = 0.05;
-/// Calls that a sender may be ahead of its rate, for one message that comes before its turn. With
-/// two, a fleet that is over the limit already would have twice as many rejected before all of them
-/// know.
+/// Calls by which a sender may exceed its rate, for one message that arrives before its turn. With
+/// two, a fleet that already exceeds the limit would have twice as many calls rejected before all
+/// senders know.
 const BURST_CALLS: f64 = 1.0;
 
-/// Seconds for which an endpoint that failed a call so many seconds ago has probably been back.
+/// Returns the estimated time, in seconds, since the recovery of an endpoint that failed a call
+/// `seconds_since_failure` ago.
 ///
-/// One of many senders has not called it since: it may have come back at any moment between. One of
-/// few would have tried it by then: 0.
+/// One of many senders has not called the endpoint since: on average it recovered halfway through
+/// that time. One of few senders would have called it by then: 0.
 pub fn unobserved_recovery(seconds_since_failure: f64, senders: u32) -> f64 {
     if senders < MANY_SENDERS {
         0.0
@@ -50,22 +54,22 @@
     }
 }
 
-/// One sender's even part of what a route, or a destination whose endpoints share a limit, takes
-/// from all senders.
+/// One sender's equal part of the rate that a route, or a destination whose endpoints share a
+/// limit, accepts from all senders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateQuota {
-    /// Calls a second.
+    /// Calls per second.
     rate: f64,
-    /// Calls are leased there, by count and for a time.
+    /// Whether calls there are leased, by number and for a limited time.
     leased: bool,
-    /// A sender's turn comes more seldom than its messages can wait.
+    /// Whether the interval between a sender's turns is longer than its messages can wait.
     infrequent: bool,
 }
 
 impl RateQuota {
-    /// The even part of a listed rate, in calls a second. None where there are few senders, who
-    /// learn by themselves, or where nothing useful is listed. `longest_wait` is the longest time
-    /// that a message has.
+    /// Returns the equal part of a listed rate, in calls per second. None where there are few
+    /// senders, which learn the limit by their own calls, or where no usable rate is listed.
+    /// `longest_wait` is the longest time that a message has.
     pub fn for_sender(listed_rate: f64, senders: u32, longest_wait: Nanos) -> Option<Self> {
         let useful = senders >= MANY_SENDERS && listed_rate > 0.0 && listed_rate.is_finite();
         let rate = (listed_rate / f64::from(senders)).max(MIN_QUOTA);
@@ -78,11 +82,12 @@
 
     /// Calls by which a sender at rest may be ahead of its rate.
     ///
-    /// Where its turn comes again within the time of a message, it waits for its turn: its messages
-    /// live. Where it does not, two messages by chance are one too many for the quota, and the
-    /// second dies beside an idle route. There N senders that may each be a call ahead, each when a
-    /// message comes, are no burst: their sum is as the traffic, and chance adds 3 roots of what a
-    /// window expects.
+    /// Where the sender's next turn comes within the time of a message, it waits for that turn, and
+    /// its messages do not expire. Where it does not, two messages that happen to arrive close
+    /// together exceed the quota, and the second would expire beside an idle route. In that case N
+    /// senders that may each be a call ahead, each when a message arrives, make no burst: the sum
+    /// of their calls follows the traffic, and chance adds 3 standard deviations (square roots) of
+    /// the calls expected in a window.
     pub fn burst_allowance(self) -> f64 {
         if self.infrequent {
             BURST_CALLS
@@ -91,15 +96,17 @@
         }
     }
 
-    /// How long a sender that was rejected, or that starts with messages held, may not be a call
-    /// ahead: others may have been in the same moment, and first calls of all that are spread over
-    /// a turn come at the listed rate.
+    /// Returns the time for which a sender may not exceed its rate after a rejection, or after a
+    /// start with pending messages: other senders may have been rejected or started at the same
+    /// moment, and first calls of all senders that are spread over this time arrive at the listed
+    /// rate.
     pub fn turn_interval(self) -> Nanos {
         from_secs(1.0 / self.rate)
     }
 
-    /// What part of a call is saved up at the beginning: as drawn, since all senders begin at the
-    /// same moment, but a whole one where that was taken into account when calls were leased.
+    /// Returns the part of a call that is saved at the start: the random `draw`, as all senders
+    /// start at the same moment, but a whole call where that was taken into account when calls were
+    /// leased.
     pub fn initial_tokens(self, draw: f64) -> f64 {
         if self.leased {
             1.0
@@ -108,12 +115,12 @@
         }
     }
 
-    /// The rate to begin with, in calls a second.
+    /// Returns the initial rate, in calls per second.
     pub fn initial_rate(self) -> f64 {
         self.rate
     }
 
-    /// The rate after so many seconds without a call: what rejections took comes back.
+    /// Returns the rate after `seconds` without a call: reductions by rejections are restored.
     pub fn after_rest(self, rate: f64, seconds: f64) -> f64 {
         if rate < self.rate {
             (rate + RECOVERY_PER_SECOND * self.rate * seconds).min(self.rate)
@@ -122,48 +129,50 @@
         }
     }
 
-    /// The rate after a call that was accepted.
+    /// Returns the rate after a call that was accepted.
     pub fn after_accept(self, rate: f64) -> f64 {
         (rate * ACCEPT_FACTOR).min(MAX_RATE_FACTOR * self.rate)
     }
 
-    /// The rate after a call that was rejected.
+    /// Returns the rate after a call that was rejected.
     pub fn after_rejection(self, rate: f64) -> f64 {
         (rate * REJECT_FACTOR).max(MIN_RATE_FACTOR * self.rate)
     }
 }
 
-/// Memory of the messages that a sender is handed: a fleet's traffic moves slowly.
+/// Decay of the arrival rate of messages: a fleet's traffic changes slowly.
 const TRAFFIC_MEMORY: RateMemory = RateMemory {
     fade_seconds: 8.0,
     least_kept: 0.9,
 };
-/// Seconds without any message that are counted as seen before the first one.
+/// Time without messages that is assumed before the first one, in seconds.
 const EMPTY_HISTORY_SECONDS: f64 = 2.0;
-/// Part of its class's time that a message has left when it is handed in for the first time, some
-/// of it spent on the way.
+/// Part of its class's deadline that a message has left at least when it is handed in for the first
+/// time; some of the time is spent in transit.
 const FIRST_ARRIVAL_FRACTION: f64 = 0.95;
-/// How far a sender's count may lie over the even part and still show nothing: chance in some fifty
-/// messages, and what comes to all senders more than usually, for which the routes take no more.
+/// Factor by which a sender's arrivals may exceed the equal part without an effect: random
+/// variation over about fifty messages, and traffic above the listed rates at all senders, for
+/// which the routes accept no more.
 const CHANCE_FACTOR: f64 = 1.25;
-/// Most even parts that one sender may take.
+/// Largest number of equal parts that one sender may use.
 const MAX_QUOTA_MULTIPLIER: f64 = 8.0;
 
-/// How much of the fleet's traffic comes by this sender.
+/// Share of the fleet's traffic that arrives at this sender.
 ///
-/// Load balancers deal out connections, not messages: some senders see several times the mean, and
-/// with the even part of each route they would hold messages beside idle parts of their siblings.
+/// Load balancers distribute connections, not messages: some senders receive several times the
+/// mean, and with the equal part of each route they would hold messages while other senders leave
+/// their parts unused.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficShare {
-    /// Messages handed in for the first time; those that come again say how much is rejected, not
-    /// how much is asked for.
+    /// Messages handed in for the first time; repeated ones show how many are rejected, not the
+    /// demand.
     first_arrivals: Meter,
-    /// Calls a second that all routes together take, as listed.
+    /// Calls per second that all routes together accept, as listed.
     listed_rate: f64,
 }
 
 impl TrafficShare {
-    /// Nothing seen and nothing listed yet.
+    /// Creates a share without messages or listed rates.
     pub fn new(now: Nanos) -> Self {
         TrafficShare {
             first_arrivals: Meter::new(now, EMPTY_HISTORY_SECONDS),
@@ -171,12 +180,12 @@
         }
     }
 
-    /// Takes the rates of the listed routes, in calls a second.
+    /// Sets the rates of the listed routes, in calls per second.
     pub fn set_listed_rates(&mut self, rates: impl Iterator<Item = f64>) {
         self.listed_rate = rates.filter(|rate| *rate < f64::from(LEASED_RATE)).sum();
     }
 
-    /// Counts a message that may be delivered for `time_left`, in a class that gives it
+    /// Counts a message that may be delivered for `time_left`, in a class with a deadline of
     /// `class_time`.
     pub fn record_arrival(&mut self, now: Nanos, time_left: Nanos, class_time: Nanos) {
         if time_left as f64 >= FIRST_ARRIVAL_FRACTION * class_time as f64 {
@@ -184,9 +193,9 @@
         }
     }
 
-    /// Even parts that this sender may take of each route: as many as it is handed of what the
-    /// routes take, one at least. What one takes over one part others leave, as far as the list is
-    /// right about all routes together.
+    /// Returns the number of equal parts of each route that this sender may use: its share of the
+    /// traffic that the routes accept, in equal parts, one at least. What it uses over one part
+    /// others leave unused, as far as the sum of the listed rates is right.
     pub fn quota_multiplier(&self, now: Nanos, senders: u32) -> f64 {
         if senders < MANY_SENDERS || self.listed_rate <= 0.0 {
             return 1.0;
@@ -196,8 +205,9 @@
     }
 }
 
-/// The sort key of a route in a weighted random choice: the smallest wins, each as often as its
-/// weight is part of all weights. `draw` is evenly from 0 to 1, a weight of 0 or less comes last.
+/// Returns the sort key of a route in a weighted random choice: the smallest key wins, and each
+/// route wins with a probability proportional to its weight. `draw` is uniform from 0 to 1; a route
+/// with a weight of 0 or less comes last.
 pub fn weighted_random_key(weight: f64, draw: f64) -> f64 {
     -(1.0 - draw).max(f64::MIN_POSITIVE).ln() / weight.max(f64::MIN_POSITIVE)
 }
--- a/src/dispatch/rate_quota/tests.rs
+++ b/src/dispatch/rate_quota/tests.rs
@@ -1,9 +1,9 @@
-//! Quotas of many and few senders, the traffic share and the weighted random choice.
+//! Tests of quotas of many and few senders, the traffic share and the weighted random choice.
 
 use super::*;
 use crate::dispatch::statistics::{Random, MS, SEC};
 
-/// Time that a message has.
+/// Time that a message has left.
 const TIME: Nanos = 12 * SEC;
 
 fn quota(listed_rate: f64, senders: u32) -> Option<RateQuota> {
@@ -68,7 +68,7 @@
         }
         traffic.quota_multiplier(40 * SEC, senders)
     };
-    // One in a second is the even part of 100 a second among 100 senders.
+    // One message per second is the equal part of 100 per second among 100 senders.
     assert_eq!(seen(2_000, 50, 100), 1.0);
     assert!(
         (2.8..3.6).contains(&seen(250, 2_000, 100)),
--- a/src/dispatch/routing.rs
+++ b/src/dispatch/routing.rs
@@ -1,55 +1,56 @@
-//! Which zones may serve a message, in which order and with which shares.
+//! Selection of the zones that may serve a message, with their order and shares.
 //!
 //! Decides: the route of a message and the rank of each zone on it. Inputs: the routing table's
-//! routes ([`RouteSpec`]) and what identifies the message ([`RouteKey`]). Callers: the dispatcher
-//! for each choice of an endpoint, the delivery of a message right before its first byte, and the
-//! coordination part, which turns a table into [`Routes`]. Endpoints and their health are not known
-//! here.
+//! routes ([`RouteSpec`]) and the message's routing attributes ([`RouteKey`]). Callers: the
+//! dispatcher for each choice of an endpoint, the delivery of a message right before its first byte
+//! is sent, and the coordination part, which turns a table into [`Routes`]. Endpoints and their
+//! health are not known here.
 //!
-//! **Order.** A message takes one route, the most specific one that is for it: one that names its
-//! destination before one for all destinations; where that is the same, one that names its class;
-//! then one that names its tenant. A route has tiers, each of groups of zones with a share. Within
-//! a tier the message's draw picks one group by the shares and one of that group's zones evenly:
-//! that zone comes first, then the group's others, then the tier's others, then the next tier.
+//! **Order.** A message takes one route, the most specific one that matches it: a route that names
+//! its destination before one for all destinations; among those, one that names its class; then one
+//! that names its tenant. A route has tiers, each with groups of zones that have a share. Within a
+//! tier the message's draw picks one group by the shares, and one zone of that group with equal
+//! probability: that zone comes first, then the others of its group, then the others of the tier,
+//! then the next tier.
 
 #[cfg(test)]
 mod tests;
 
 use std::collections::BTreeSet;
 
-/// Most tiers of a route: a zone farther back than this has no useful order any more.
+/// Largest number of tiers of a route: zones beyond have no useful order.
 pub const MOST_TIERS: usize = 8;
-/// Ranks within a tier: the zone that was drawn, the others of its group, all others.
+/// Ranks within a tier: the drawn zone, the others of its group, all others.
 const RANKS_PER_TIER: u16 = 3;
-/// Factor that turns a message's draw into that of the next tier. Without it all messages that one
-/// tier's draws forward would go to the same group of the next. A prime, and small enough that 18
-/// bits of a draw are left in the last tier.
+/// Factor that turns a message's draw into its draw in the next tier. Without it all messages that
+/// one group of a tier passes on would go to the same group of the next tier. It is a prime, and
+/// small enough that 18 bits of a draw are left in the last tier.
 const NEXT_TIER_FACTOR: f64 = 31.0;
 
-/// What the route of a message depends on.
+/// Attributes of a message that determine its route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteKey {
     /// The message's destination.
     pub dest: u16,
-    /// Its class, as a position in the sender's own settings. Positions beyond them begin again
-    /// from the first: there the classes of a policy stand.
+    /// Its class, as a position in the sender's own settings. Positions beyond them wrap around to
+    /// the first: these are the classes of a policy.
     pub class: u16,
     /// Its tenant, by position.
     pub tenant: u16,
-    /// A number that is evenly distributed from 0 to 1, the same for all attempts of the message.
+    /// A uniform random number from 0 to 1, the same for all attempts of the message.
     pub draw: f64,
 }
 
-/// A route as the routing table gives it, with zones by name.
+/// A route of the routing table, with zones by name.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RouteSpec {
-    /// Ranges of destinations; nothing for all.
+    /// Ranges of destinations; none for all.
     pub destinations: Option<Vec<DestinationRange>>,
-    /// Classes, by position; nothing for all.
+    /// Classes, by position; none for all.
     pub classes: Option<Vec<u16>>,
-    /// Tenants, by position; nothing for all.
+    /// Tenants, by position; none for all.
     pub tenants: Option<Vec<u16>>,
-    /// Tiers, each of groups of zones. None at all: nobody serves the messages, on purpose.
+    /// Tiers, each with groups of zones. Empty: no zone serves the messages, on purpose.
     pub tiers: Vec<Vec<WeightedZones>>,
 }
 
@@ -63,33 +64,33 @@
 /// A range of destinations, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DestinationRange {
-    /// The first.
+    /// The first destination.
     pub first: u16,
-    /// The last.
+    /// The last destination.
     pub last: u16,
 }
 
-/// Zones that take a share of a tier's messages together.
+/// Zones that together receive a share of a tier's messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedZones {
-    /// Their share, in relation to the tier's other shares.
+    /// Their share, relative to the tier's other shares.
     pub share: u32,
     /// Their names.
     pub zones: Vec<String>,
 }
 
-/// The routes of a table; without any, messages go wherever the endpoint list says.
+/// The routes of a table; without any, the endpoint list alone decides where messages go.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Routes {
-    /// How many classes the sender has.
+    /// Number of classes of the sender.
     classes: u16,
-    /// How many tenants the sender has.
+    /// Number of tenants of the sender.
     tenants: u16,
-    /// Names of the zones. Routes refer to them by position until [`Routes::with_zone_numbers`].
+    /// Names of the zones. Routes refer to zones by position until [`Routes::with_zone_numbers`].
     zones: Vec<String>,
-    /// The most specific first.
+    /// Routes, the most specific first.
     routes: Vec<Route>,
-    /// Routes that name destinations, by spans of destinations that have the same ones.
+    /// Routes that name destinations, by spans of destinations that are named by the same routes.
     spans: Vec<DestinationSpan>,
     /// Positions of the routes for all destinations.
     for_all_destinations: Vec<u16>,
@@ -108,13 +109,13 @@
     classes: Option<BTreeSet<u16>>,
     tenants: Option<BTreeSet<u16>>,
     tiers: Vec<Vec<ZoneGroup>>,
-    /// Where each zone stands, by zone.
+    /// Tier and group of each zone, sorted by zone.
     ranks: Vec<ZoneRank>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct ZoneGroup {
-    /// Where the group's share of the tier ends, as a part of 1.
+    /// Upper end of the group's share of the tier, as a part of 1.
     upper_bound: f64,
     zones: Vec<u16>,
 }
@@ -127,7 +128,7 @@
     group: u16,
 }
 
-/// The route that one message takes, if there is one.
+/// The route of one message, if there is one.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteMatch<'a> {
     /// Position among the routes.
@@ -136,16 +137,17 @@
     draw: f64,
 }
 
-/// What a message draws in one tier.
+/// Group and zone that a message draws in one tier.
 struct Drawn {
     /// Position of the group.
     group: usize,
     zone: u16,
 }
 
-/// The draw of a message, evenly from 0 to 1, by its number and a salt: the same each time.
+/// Returns the draw of a message, uniform from 0 to 1, from its number and a salt: the same each
+/// time.
 ///
-/// Numbers that follow each other are spread by the last steps of splitmix64.
+/// Consecutive numbers are mixed by the final steps of splitmix64.
 pub fn message_draw(salt: u64, number: u32) -> f64 {
     let mut x = salt.wrapping_add(u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15));
     x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -154,7 +156,7 @@
 }
 
 impl Routes {
-    /// Routes for a sender with so many classes and tenants; one at least of each.
+    /// Creates the routes of a sender with `classes` and `tenants`; at least one of each.
     pub fn new(classes: usize, tenants: usize, mut specs: Vec<RouteSpec>) -> Routes {
         let count = |n: usize| u16::try_from(n).unwrap_or(u16::MAX).max(1);
         let mut routes = Routes {
@@ -162,7 +164,7 @@
             tenants: count(tenants),
             ..Routes::default()
         };
-        // The sort is stable, and no two of the same specificity are for one message.
+        // The sort is stable, and no two routes of the same specificity match one message.
         specs.sort_by_key(|spec| {
             (
                 spec.destinations.is_none(),
@@ -186,7 +188,7 @@
             let groups = self.zone_groups(groups);
             for (group, zone_group) in groups.iter().enumerate() {
                 for &zone in &zone_group.zones {
-                    // Where a zone stands farther back once more, its first place counts.
+                    // If a zone appears again in a later tier, its first position counts.
                     if ranks.iter().all(|rank| rank.zone != zone) {
                         ranks.push(ZoneRank {
                             zone,
@@ -209,7 +211,7 @@
         }
     }
 
-    /// The groups of a tier, with the part of 1 that each takes.
+    /// Returns the groups of a tier, with the part of 1 that each receives.
     fn zone_groups(&mut self, groups: &[WeightedZones]) -> Vec<ZoneGroup> {
         let sum: f64 = groups.iter().map(|group| f64::from(group.share)).sum();
         let mut upper_bound = 0.0;
@@ -222,14 +224,14 @@
                 zones: zones.collect(),
             });
         }
-        // Rounding must leave no draw without a group.
+        // Rounding must not leave a draw without a group.
         if let Some(last) = drawn.last_mut() {
             last.upper_bound = 1.0;
         }
         drawn
     }
 
-    /// The position of a zone by its name; a new one is appended.
+    /// Returns the position of a zone by its name; a new zone is appended.
     fn zone_position(&mut self, name: &str) -> u16 {
         if let Some(position) = self.zones.iter().position(|zone| zone == name) {
             return position as u16;
@@ -238,18 +240,18 @@
         (self.zones.len() - 1) as u16
     }
 
-    /// Whether there are no routes, and so nothing is narrowed.
+    /// Whether there are no routes, so that the endpoint list alone decides.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// Names of the zones that any route names, in the order of their numbers until
+    /// Returns the names of all zones in the routes, in the order of their numbers until
     /// [`Routes::with_zone_numbers`].
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
-    /// The same routes with the numbers that the sender has for its zones.
+    /// Returns the same routes with the sender's numbers of the zones.
     pub fn with_zone_numbers(&self, mut number: impl FnMut(&str) -> u16) -> Routes {
         let numbers: Vec<u16> = self.zones.iter().map(|zone| number(zone)).collect();
         let mut renumbered = self.clone();
@@ -267,7 +269,7 @@
         renumbered
     }
 
-    /// The route of a message.
+    /// Returns the route of a message.
     pub fn find(&self, message: &RouteKey) -> RouteMatch<'_> {
         let class = message.class % self.classes.max(1);
         let position = self
@@ -280,8 +282,8 @@
         }
     }
 
-    /// How far back a zone stands for a message, which goes to the lowest rank that takes it.
-    /// Nothing where it may not go there.
+    /// Returns the rank of a zone for a message, which goes to the available zone with the lowest
+    /// rank. None where the message may not go there.
     pub fn rank(&self, message: &RouteKey, zone: u16) -> Option<u16> {
         if self.is_empty() {
             return Some(0);
@@ -289,8 +291,8 @@
         self.find(message).rank(zone)
     }
 
-    /// The matches of all messages for a destination: one for each route that is taken, and one
-    /// without a route where some class and tenant has none.
+    /// Returns the matches of all messages for a destination: one for each route that is taken, and
+    /// one without a route where some class and tenant has none.
     pub fn matches_for(&self, dest: u16) -> Vec<RouteMatch<'_>> {
         let mut matches: Vec<RouteMatch<'_>> = Vec::new();
         for class in 0..self.classes {
@@ -309,7 +311,8 @@
         matches
     }
 
-    /// Positions of the routes that may be for messages of a destination, the most specific first.
+    /// Returns the positions of the routes that may match messages of a destination, the most
+    /// specific first.
     fn candidates(&self, dest: u16) -> impl Iterator<Item = u16> + '_ {
         let span = self
             .spans
@@ -320,7 +323,7 @@
     }
 }
 
-/// Spans of destinations that are named by the same routes.
+/// Returns the spans of destinations that are named by the same routes.
 fn spans(specs: &[RouteSpec]) -> Vec<DestinationSpan> {
     let mut edges = BTreeSet::new();
     for range in specs.iter().flat_map(|spec| &spec.destinations).flatten() {
@@ -349,7 +352,7 @@
 }
 
 impl RouteMatch<'_> {
-    /// How far back a zone stands on the route. Nothing where the route does not lead there.
+    /// Returns the rank of a zone on the route. None where the route does not lead there.
     pub fn rank(&self, zone: u16) -> Option<u16> {
         let route = self.route?;
         let found = route.ranks.binary_search_by_key(&zone, |rank| rank.zone);
@@ -369,23 +372,23 @@
         self.route.is_some_and(|route| !route.ranks.is_empty())
     }
 
-    /// Whether the table says on purpose that nobody serves the message.
+    /// Whether the route has no zones on purpose.
     pub fn serves_nobody(&self) -> bool {
         self.route.is_some_and(|route| route.ranks.is_empty())
     }
 
-    /// Whether another message takes the same route: both may go to the same zones.
+    /// Whether another message takes the same route, so that both may go to the same zones.
     pub fn is_same_route(&self, other: &RouteMatch<'_>) -> bool {
         self.position == other.position
     }
 
-    /// Zones that the route leads to, by number.
+    /// Returns the zones of the route, by number.
     pub fn zones(&self) -> impl Iterator<Item = u16> + '_ {
         let ranks = self.route.into_iter().flat_map(|route| &route.ranks);
         ranks.map(|rank| rank.zone)
     }
 
-    /// The group and the zone that the message draws in a tier.
+    /// Returns the group and the zone that the message draws in a tier.
     fn draw_in_tier(&self, groups: &[ZoneGroup], tier: u16) -> Drawn {
         let draw = (self.draw.clamp(0.0, 1.0) * NEXT_TIER_FACTOR.powi(i32::from(tier))).fract();
         let group = groups
--- a/src/dispatch/routing/tests.rs
+++ b/src/dispatch/routing/tests.rs
@@ -1,4 +1,4 @@
-//! Routes for a destination, class and tenant; ranks and shares of zones.
+//! Tests of routes for a destination, class and tenant, and of ranks and shares of zones.
 
 use super::*;
 use proptest::prelude::*;
@@ -32,7 +32,7 @@
     }
 }
 
-/// Routes of each specificity, with a zone that is named after it.
+/// Returns routes of each specificity, with a zone that is named after it.
 fn specs_of_each_specificity() -> Vec<RouteSpec> {
     vec![
         RouteSpec {
@@ -95,7 +95,7 @@
         [goes(7, 1, 1), goes(7, 0, 1), goes(65_535, 1, 1)],
         ["dest", "", "last"]
     );
-    // A class under a policy is one of the sender's own again.
+    // A class of a policy maps to one of the sender's own classes.
     assert_eq!(
         (goes(3, 5, 0), goes(3, 4, 0)),
         ("class".into(), "all".into())
@@ -142,13 +142,13 @@
             None,
         ]
     };
-    // Of the second tier's draw, 0.1 x 31 draws the first zone, and 0.8 x 31 the second, which
-    // stands in the first tier.
+    // In the second tier, 0.1 x 31 draws the first zone, and 0.8 x 31 the second, which is also in
+    // the first tier.
     assert_eq!(ranks(0.1), some([0, 1, 2, 3]));
     assert_eq!(ranks(0.5), some([1, 0, 2, 4]));
     assert_eq!(ranks(0.8), some([2, 2, 0, 4]));
     assert_eq!(ranks(1.0), some([0, 1, 2, 3]));
-    // The sender's own numbers of the zones change nothing.
+    // The sender's own zone numbers do not change the ranks.
     let own = routes.with_zone_numbers(|name| 50 - u16::from(name.as_bytes()[0] - b'a'));
     let found = RouteKey {
         draw: 0.5,
@@ -160,7 +160,7 @@
     );
 }
 
-/// Tiers over zones `z0` to `z11`; no zone stands twice in a tier.
+/// Tiers over zones `z0` to `z11`; no zone appears twice in a tier.
 fn tiers() -> impl Strategy<Value = Vec<Vec<WeightedZones>>> {
     let order = Just((0..12).collect::<Vec<u32>>()).prop_shuffle();
     let tier =
--- a/src/dispatch/slow_start.rs
+++ b/src/dispatch/slow_start.rs
@@ -1,29 +1,33 @@
-//! One sender's quota of the calls that an endpoint in slow start takes, so that the sum over all
-//! senders keeps the bound.
+//! One sender's quota of the calls that an endpoint in slow start accepts, so that the sum over all
+//! senders stays within the limit.
 //!
-//! An endpoint that is back from an outage may get `N` calls in a window, and falls over at more
-//! than [`max_calls_per_window`] of `N`, whoever sends them. No sender sees what the others send,
-//! so each keeps to a [`SlowStartQuota`] of its own: a rate, and how much unused rate it may save.
+//! An endpoint that recovers from an outage may receive `N` calls in a window, and fails again at
+//! more than [`max_calls_per_window`] of `N`, whichever senders send them. No sender sees the calls
+//! of the others, so each keeps to its own [`SlowStartQuota`]: a rate, and a limit on how much
+//! unused rate it may save.
 //!
 //! Decides: that quota. Inputs: `N`, its growth, the window and the number of senders. Callers: the
-//! dispatcher's choice of an endpoint, and the leader's recovery ramps of zones. No I/O, no clock,
-//! no randomness; the caller brings the time that has passed.
+//! dispatcher's choice of an endpoint, and the leader's recovery ramps of zones. No I/O, no clock
+//! and no randomness; the caller passes the elapsed time.
 
-/// Calls of a window from which on an excess by chance is granted less. Under it `N + 3 root N + 3`
-/// calls are taken, from it on `N + 2 root N + 2`.
+/// Calls per window from which on a smaller random excess is allowed. Below it `N + 3 sqrt(N) + 3`
+/// calls are accepted, from it on `N + 2 sqrt(N) + 2`.
 const MANY_CALLS: f64 = 30.0;
-/// The sum of many senders may exceed the bound in one of a thousand windows at the worst: the
-/// negative natural logarithm of that chance...
+/// The calls of many senders may exceed the limit in at most one of a thousand windows: the
+/// negative natural logarithm of that probability...
 const RARE_EXCESS_LOG: f64 = 6.908;
-/// ...and the deviations of a normal distribution that are exceeded as seldom.
+/// ...and the number of standard deviations that a normal distribution exceeds with that
+/// probability.
 const RARE_EXCESS_DEVIATIONS: f64 = 3.09;
-/// Part of a sender's rate over a window that it saves at most, where all senders together may.
+/// Largest part of a sender's calls per window that it may save, where the limit leaves room for
+/// all senders to do so.
 const MAX_SAVED_FRACTION: f64 = 0.5;
-/// Least `N`, in calls: an endpoint that takes nothing by the settings is still tried.
+/// Lower bound of `N`, in calls: an endpoint that accepts nothing by the settings is still tried.
 const MIN_CALLS: f64 = 0.1;
 
-/// Most calls that an endpoint with `calls` granted takes in a window. It never falls while `calls`
-/// grows: the endpoint's own count may be higher than the sender's.
+/// Returns the largest number of calls that an endpoint with `calls` granted accepts in a window.
+/// The result never decreases as `calls` grows: the endpoint's own count may be higher than the
+/// sender's.
 pub fn max_calls_per_window(calls: f64) -> f64 {
     let with_roots = |calls: f64, roots: f64| calls + roots * calls.sqrt() + roots;
     if calls < MANY_CALLS {
@@ -33,39 +37,38 @@
     }
 }
 
-/// The fraction of its calls that an endpoint takes after the part `warmed` of its warm-up, if it
-/// takes the fraction `initial` at first.
+/// Returns the fraction of its full rate that an endpoint accepts after the part `warmed` of its
+/// warm-up, if it accepts the fraction `initial` at first.
 pub fn warmup_fraction(initial: f64, warmed: f64) -> f64 {
     (initial + (1.0 - initial) * warmed).min(1.0)
 }
 
-/// What one sender may send to an endpoint in slow start.
+/// Quota of one sender for an endpoint in slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartQuota {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: f64,
-    /// Calls that may be saved up at most.
+    /// Largest number of unused calls that may be saved.
     max_saved: f64,
-    /// Whether the sum over all senders keeps the bound by chance only.
+    /// Whether the sum over all senders stays within the limit only with high probability.
     by_chance: bool,
 }
 
 impl SlowStartQuota {
-    /// One sender's quota of `calls` in a window of so many seconds, for all `senders` together,
-    /// where `calls` has grown by `growth` in the last window.
+    /// Returns one sender's quota of `calls` in a window of `window_seconds`, for all `senders`
+    /// together, where `calls` has grown by `growth` in the last window.
     ///
-    /// Each sender takes an even part of the rate. In any window it makes what falls due in it, and
-    /// what it had saved before:
+    /// Each sender takes an equal part of the rate. In any window it makes the calls that fall due
+    /// in it, and those that it had saved before:
     ///
     /// - Few senders may save the difference of `calls` and [`max_calls_per_window`] between them,
-    ///   if that is a call or more for each. Then no window exceeds the bound, whatever is asked
-    ///   for.
-    /// - More senders save one call each, the least that lets one go at all. Where messages wait, a
-    ///   call that falls due is made at once. If the turns are drawn evenly, the calls of a window
-    ///   are then a sum of independent numbers that are each one of two neighbours, and its mean,
-    ///   `calls` in the middle of the window, is held under [`max_mean`]. What senders without a
-    ///   message have saved comes on top as their messages come; the tests measure that with whole
-    ///   dispatchers.
+    ///   if that is a call or more for each. Then no window exceeds the limit, whatever the demand.
+    /// - More senders save one call each, the smallest amount with which a call can be made. Where
+    ///   messages wait, a call is made as soon as it falls due. If the senders' turns are drawn
+    ///   uniformly, the calls of a window are a sum of independent numbers, each one of two
+    ///   adjacent integers. Its mean, `calls` in the middle of the window, is kept below
+    ///   [`max_mean`]. Calls that idle senders have saved are added when their messages arrive; the
+    ///   tests measure that with whole dispatchers.
     pub fn for_sender(calls: f64, growth: f64, window_seconds: f64, senders: u32) -> Self {
         let calls = calls.max(MIN_CALLS);
         let senders = f64::from(senders.max(1));
@@ -87,28 +90,28 @@
         }
     }
 
-    /// The calls that are due after so many seconds more.
+    /// Returns the calls that are due after `seconds` more, where `due` were due before.
     pub fn accrue(&self, due: f64, seconds: f64) -> f64 {
         (due + self.rate * seconds).min(self.max_saved)
     }
 
-    /// Whether the turns of all senders have to be drawn evenly: there are too many for each to
-    /// save a call.
+    /// Whether the turns of all senders have to be drawn uniformly: there are too many senders for
+    /// each to save a call without exceeding the limit.
     pub fn needs_random_turns(&self) -> bool {
         self.by_chance
     }
 }
 
-/// The highest mean of a sum of independent calls of so many senders that exceeds `bound` in one of
-/// a thousand windows at the most: the higher of two that each suffice.
+/// Returns the highest mean of a sum of independent calls of `senders` that exceeds `bound` in at
+/// most one of a thousand windows: the higher of two estimates, each of which suffices.
 ///
-/// - By Hoeffding, a sum of numbers that each have a span of one exceeds its mean by `t` with a
-///   chance of `exp(-2 t^2 / senders)`.
-/// - Where each makes one call or none, the upper tail is under that of a Poisson variable
+/// - By Hoeffding's inequality, a sum of numbers with a span of one each exceeds its mean by `t`
+///   with a probability of at most `exp(-2 t^2 / senders)`.
+/// - Where each sender makes one call or none, the upper tail is below that of a Poisson variable
 ///   (Anderson and Samuels), whose mean for a given tail is a quantile of the gamma distribution
 ///   (Wilson and Hilferty).
 fn max_mean(bound: f64, senders: f64) -> f64 {
-    // The first number of calls that is too high.
+    // The lowest number of calls that exceeds the bound.
     let excess = bound.floor() + 1.0;
     let by_senders = excess - (senders * RARE_EXCESS_LOG / 2.0).sqrt();
     let deviations = RARE_EXCESS_DEVIATIONS / (3.0 * excess.sqrt());
--- a/src/dispatch/stale_connections.rs
+++ b/src/dispatch/stale_connections.rs
@@ -1,8 +1,8 @@
-//! Whether idle connections are to be trusted.
+//! Detection of connections that are lost while idle.
 //!
 //! Decides: when the dispatcher closes idle connections before a send rather than use them. Input:
-//! what came of calls on idle and on new connections. Caller: the dispatcher; the statistics of a
-//! kind of destination keep a [`Suspicion`] too. No I/O, no clock.
+//! results of calls on idle and on new connections. Callers: the dispatcher, and the statistics of
+//! a kind of destination, which keep a [`Suspicion`] as well. No I/O and no clock.
 
 #[cfg(test)]
 mod tests;
@@ -10,18 +10,18 @@
 use crate::dispatch::statistics::to_secs;
 use crate::Nanos;
 
-/// Suspicion from which on idle connections are closed: one lost call is enough, as a new
+/// Level of suspicion above which idle connections are closed: one lost call is enough, as a new
 /// connection costs little.
 const CLOSE_ABOVE: f64 = 0.7;
-/// Bound of the suspicion to either side, in lost calls: else a long outage would be remembered for
-/// minutes.
+/// Largest absolute level of suspicion, in lost calls: without it a long outage would have an
+/// effect for minutes.
 const MAX_SUSPICION: f64 = 3.0;
-/// Seconds in which a suspicion fades to 1/e.
+/// Time in which a suspicion decays to 1/e, in seconds.
 const FADE_SECONDS: f64 = 20.0;
-/// Part of a suspicion that an answer on an idle connection leaves.
+/// Part of a suspicion that remains after an answer on an idle connection.
 const KEPT_AFTER_ANSWER: f64 = 0.5;
 
-/// A level of suspicion that fades with time.
+/// A level of suspicion that decays over time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Suspicion {
     /// The level at the last update, in lost calls.
@@ -30,7 +30,7 @@
 }
 
 impl Suspicion {
-    /// The level now.
+    /// Returns the level now.
     pub fn level(&self, now: Nanos) -> f64 {
         self.level * (-to_secs(now.saturating_sub(self.updated_at)) / FADE_SECONDS).exp()
     }
@@ -42,18 +42,18 @@
     }
 }
 
-/// What a call was sent on.
+/// Kind of connection that a call was sent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connection {
-    /// A connection that had been idle, as far as the module can tell.
+    /// A connection that had been idle, as far as the module can infer.
     Idle,
-    /// A new one, or one that was in use.
+    /// A new connection, or one that was in use.
     Fresh,
 }
 
-/// Detects that connections are lost while idle: calls on idle ones get lost, calls on new ones do
-/// not. The suspicion is the sender's, not an endpoint's: few calls go to each, and what drops
-/// connections sits between.
+/// Detects that connections are lost while idle: calls on idle connections are lost, calls on new
+/// ones are not. The suspicion is kept per sender, not per endpoint: few calls go to each endpoint,
+/// and the cause of the loss lies in the network between.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StaleConnectionDetector {
     suspicion: Suspicion,
@@ -65,7 +65,7 @@
         self.suspicion.level(now) > CLOSE_ABOVE
     }
 
-    /// Learns from a call that was lost or answered.
+    /// Records a call that was lost or answered.
     pub fn record(&mut self, now: Nanos, connection: Connection, lost: bool) {
         let level = self.suspicion.level(now);
         let level = match (connection, lost) {
--- a/src/dispatch/stale_connections/tests.rs
+++ b/src/dispatch/stale_connections/tests.rs
@@ -1,4 +1,4 @@
-//! What raises the suspicion of idle connections and what lowers it.
+//! Tests of the events that raise and lower the suspicion of idle connections.
 
 use super::*;
 use crate::dispatch::statistics::SEC;
@@ -10,7 +10,7 @@
     assert!(detector.distrusts_idle(SEC) && !detector.distrusts_idle(20 * SEC));
     detector.record(SEC, Connection::Idle, false);
     assert!(!detector.distrusts_idle(SEC));
-    // New connections that get lost as well say that it is not for being idle.
+    // Losses on new connections as well show that idleness is not the cause.
     (0..10).for_each(|_| detector.record(2 * SEC, Connection::Fresh, true));
     detector.record(2 * SEC, Connection::Idle, true);
     assert!(!detector.distrusts_idle(2 * SEC));
