--- a/src/dispatch/state.rs
+++ b/src/dispatch/state.rs
@@ -1,6 +1,7 @@
-//! What a dispatcher keeps of destinations, messages, attempts and calls.
+//! Records that a dispatcher keeps of destinations, messages, attempts and calls.
 //!
-//! No decision and no tuned number is here; [`crate::dispatch::dispatcher`] is the only caller.
+//! No decision is made and no parameter is set here; [`crate::dispatch::dispatcher`] is the only
+//! caller.
 
 use crate::dispatch::api::*;
 use crate::dispatch::rate_control::RateController;
@@ -10,43 +11,43 @@
 /// One destination: its endpoints, its messages, its rate controllers.
 #[derive(Debug, Default)]
 pub struct DestinationQueue {
-    /// Its listed endpoints, and those that are gone but still have calls in flight.
+    /// Its listed endpoints, and those no longer listed that still have calls in flight.
     pub endpoints: BTreeSet<EndpointAddress>,
     /// Messages that arrived for it.
     pub arrivals: Meter,
-    /// Messages that are not over, in flight or not.
+    /// Messages without a final answer, in flight or not.
     pub messages: BTreeSet<MessageId>,
     /// One for all endpoints (no address), or one per endpoint where they are separate routes.
     pub controllers: BTreeMap<Option<EndpointAddress>, RateController>,
-    /// When the queue is looked at next if nothing happens here before; 0: in this turn.
+    /// Time of the next check of the queue if no event triggers one earlier; 0: in this turn.
     pub check_at: Nanos,
-    /// Highest throughput, in calls a second, of endpoints that went while they were ejected; 0
-    /// once another one has answered.
+    /// Highest throughput, in calls per second, of endpoints that were dropped while ejected; 0
+    /// once another endpoint has answered.
     pub lost_throughput: f64,
-    /// Most calls that a controller which went had accepted.
+    /// Highest number of accepted calls among the controllers that were dropped.
     pub accepted_calls: u32,
 }
 
-/// A message that is not over.
+/// A message without a final answer.
 #[derive(Debug, Default)]
 pub struct PendingMessage {
     /// The message as it was handed in.
     pub message: Message,
-    /// When it is given up.
+    /// Time at which it is ended undelivered.
     pub deadline: Nanos,
-    /// When it was first handed in, by its class and the time it had left.
+    /// Time at which it was first handed in, computed from its class and its remaining time.
     pub created_at: Nanos,
     /// Attempts made.
     pub attempts: u32,
-    /// An attempt is out.
+    /// Whether an attempt is in flight.
     pub in_flight: bool,
     /// The first attempt that may have taken effect.
     pub may_have_run: Option<SentAttempt>,
-    /// An attempt was rejected or got no connection.
+    /// Whether an attempt was rejected or got no connection.
     pub was_rejected: bool,
-    /// It is not sent again before this time.
+    /// Earliest time of the next attempt.
     pub not_before: Nanos,
-    /// Its tenant sent more than its share when it arrived.
+    /// Whether its tenant exceeded its share when the message arrived.
     pub over_share: bool,
 }
 
@@ -60,7 +61,7 @@
 }
 
 impl PendingMessage {
-    /// What an earlier process left of a message.
+    /// Creates the state of a message that an earlier process has attempted.
     pub fn resumed(now: Nanos, prior: &PriorAttempts) -> Self {
         let may_have_run = prior.may_have_run.map(|run| SentAttempt {
             sent_at: now.saturating_sub(run.age),
@@ -74,7 +75,7 @@
     }
 }
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The message.
@@ -83,7 +84,7 @@
     pub attempt: u16,
 }
 
-/// One message's part of a call that is out.
+/// One message's part of a call in flight.
 #[derive(Debug)]
 pub struct InFlightAttempt {
     /// Number of the call.
@@ -94,7 +95,7 @@
     pub key: u64,
 }
 
-/// A call that is out, with one message or several.
+/// A call in flight, with one message or several.
 #[derive(Clone, Debug)]
 pub struct InFlightCall {
     /// Attempts of it that have not ended.
@@ -105,25 +106,25 @@
     pub endpoint: EndpointAddress,
     /// When it was sent.
     pub sent_at: Nanos,
-    /// Its first result has been counted; the others say nothing new.
+    /// Whether its first result has been counted; further results carry no new information.
     pub is_counted: bool,
-    /// It was sent after a rejection with nothing accepted since.
+    /// Whether it was sent after a rejection with nothing accepted since.
     pub follows_rejection: bool,
-    /// It is a trial of an ejected endpoint.
+    /// Whether it is a trial call to an ejected endpoint.
     pub is_trial: bool,
-    /// It probably took a connection that had been idle.
+    /// Whether it probably used an idle connection.
     pub on_idle_connection: bool,
 }
 
-/// Messages with one ordering key, which go one at a time.
+/// Messages with one ordering key, which are sent one at a time.
 #[derive(Debug, Default)]
 pub struct OrderedKeyQueue {
-    /// The messages, in the order taken.
+    /// The messages, in the order in which they were accepted.
     pub messages: VecDeque<MessageId>,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub in_flight: u32,
-    /// The key rests until then, as an attempt may still run...
+    /// End of the key's pause while an attempt may still run...
     pub paused_until: Nanos,
-    /// ...but not for the message of that attempt.
+    /// ...which does not apply to the message of that attempt.
     pub paused_for: MessageId,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,15 @@
-//! A dispatcher of messages to outside receivers: the decisions, the sender around them and the
-//! coordination of many senders.
+//! A sender that delivers messages to external endpoints: the decisions, the sender around them and
+//! the coordination of many senders.
 //!
-//! - [`dispatch`] holds every decision of a sender; it opens no socket and reads no clock.
-//! - [`delivery`] is the life of a message without a wire, on top of [`store`] and [`dispatch`].
-//! - [`net`] has the wires, [`admission_control`] who may connect and whose messages are accepted.
+//! - [`dispatch`] makes every decision of a sender; it opens no socket and reads no clock.
+//! - [`delivery`] handles the life of a message without the wire protocols, on top of [`store`] and
+//!   [`dispatch`].
+//! - [`net`] implements the wire protocols, [`admission_control`] decides who may connect and whose
+//!   messages are accepted.
 //! - `coordination` and `agent` (feature `fleet`) are the replicas that coordinate senders and the
-//!   part of a sender that follows them.
-//! - [`config`] is what a sender is told, [`process_signals`] how it is told to end.
+//!   part of a sender that communicates with them.
+//! - [`config`] reads a sender's configuration, [`process_signals`] handles the signals that end
+//!   it.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
