--- a/src/bin/raildeal-drill/frame.rs
+++ b/src/bin/raildeal-drill/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of the simulator's wire: their header, their records and what may be wrong with them.
+//! Frames of the simulator's wire protocol: their header, their records and their errors.
 //!
 //! A frame has a sequence number (4 bytes) and the length of its body (4 bytes), then a body: a
 //! clock (8 bytes) and records, each with a code of one byte. Numbers are big-endian. A reply is a
@@ -7,12 +7,12 @@
 
 use raildeal::{EndpointAddress, Listing, Message, Outcome};
 
-/// Longest frame taken, in bytes; a batch may be megabytes, never gigabytes.
+/// Longest accepted frame, in bytes; a batch may have megabytes, but not gigabytes.
 const MAX_FRAME: usize = 256 << 20;
 /// Length of the clock, in bytes.
 const CLOCK: usize = 8;
 
-/// Malformed input: what was being read and where in the frame's body.
+/// Malformed input: the problem and its position in the frame's body.
 #[derive(Debug, thiserror::Error)]
 #[error("{problem} at byte {position}")]
 pub struct FrameError {
@@ -22,17 +22,17 @@
 
 /// The header of a frame.
 pub struct FrameHeader {
-    /// The sequence number, as it came.
+    /// The sequence number, as received.
     pub sequence: [u8; 4],
     /// Length of the body, in bytes.
     pub body_length: usize,
 }
 
 impl FrameHeader {
-    /// Reads a header and bounds its length.
+    /// Parses a header and checks its length.
     ///
     /// # Errors
-    /// The length leaves no room for the clock, or is over the limit.
+    /// Returns an error if the length leaves no room for the clock, or exceeds the limit.
     pub fn parse(header: &[u8; 8]) -> Result<FrameHeader, FrameError> {
         let [s0, s1, s2, s3, l0, l1, l2, l3] = *header;
         let body_length = u32::from_be_bytes([l0, l1, l2, l3]) as usize;
@@ -66,15 +66,15 @@
     },
     /// INVENTORY: defines a list of endpoints.
     Inventory { set: u16, entries: Vec<Listing> },
-    /// FLEET: the instance is told a list.
+    /// FLEET: the instance receives a list.
     Fleet { how: ListKind, set: u16 },
     /// WORK_ITEM: a message is handed in.
     WorkItem(Message),
-    /// HEAD_RECEIVED: says nothing to the module.
+    /// HEAD_RECEIVED: ignored by the module.
     Head,
-    /// MEMO: says nothing to the module.
+    /// MEMO: ignored by the module.
     Memo,
-    /// TIMEOUT_FIRED: the time of the last wake-up has come.
+    /// TIMEOUT_FIRED: the time of the last requested wake-up has come.
     TimeoutFired,
     /// REPLY: an attempt ended.
     Reply {
@@ -86,7 +86,7 @@
         finished: bool,
         report: Vec<f32>,
     },
-    /// VANISHED: nobody waits for the message any more.
+    /// VANISHED: the client no longer waits for the message.
     Vanished(u32),
     /// EXIT: the instance ends.
     Exit,
@@ -98,14 +98,14 @@
     },
 }
 
-/// What a FLEET record says of its list.
+/// Content of the list of a FLEET record.
 #[derive(Clone, Copy, Debug)]
 pub enum ListKind {
-    /// Changed lines.
+    /// Changed entries.
     Changes,
     /// The whole list.
     Complete,
-    /// The list as the instance last held it.
+    /// The list as the instance last had it.
     Cached,
     /// No list: the poll failed.
     Failed,
--- a/src/bin/raildeal-drill/instances.rs
+++ b/src/bin/raildeal-drill/instances.rs
@@ -1,4 +1,4 @@
-//! The dispatchers of one run, by instance number, and the batches that they are handed.
+//! The dispatchers of one run, by instance number, and their batches of events.
 
 use crate::frame::{FrameError, ListKind, Record};
 use crate::reader::Reader;
@@ -7,26 +7,26 @@
 use raildeal::{Dispatcher, Event, Listing, Nanos};
 use std::collections::BTreeMap;
 
-/// The instances that run, and the lists that were defined.
+/// The running instances and the defined lists.
 #[derive(Default)]
 pub struct Instances {
     dispatchers: BTreeMap<u16, Dispatcher>,
     /// Lists by their number.
     lists: BTreeMap<u16, Vec<Listing>>,
-    /// Events of the batch that is read, by instance.
+    /// Events of the current batch, by instance.
     pending: BTreeMap<u16, Vec<Event>>,
 }
 
-/// What is left to do for a record.
+/// Remaining work for a record.
 enum Followup {
-    /// The records after it are for this instance.
+    /// Select the instance for the records after this one.
     Select(u16),
-    /// Hand the event to the selected instance.
+    /// Queue the event for the selected instance.
     Queue(Event),
     Nothing,
 }
 
-/// A record that can't be followed.
+/// A record that cannot be applied.
 #[derive(Debug, thiserror::Error)]
 enum RecordError {
     #[error("{0} before any INSTANCE")]
@@ -40,12 +40,12 @@
 }
 
 impl Instances {
-    /// Takes the records of one batch in order, and gives the reply. Events wait per instance until
-    /// the batch is read, so that an instance decides once a batch; an instance that ends drops
-    /// what waited for it.
+    /// Processes the records of one batch in order, and returns the reply. Events are queued per
+    /// instance until the whole batch is read, so that an instance decides once per batch; an
+    /// instance that ends drops its queued events.
     ///
     /// # Errors
-    /// The batch is malformed, or for an instance that does not run.
+    /// Returns an error if the batch is malformed, or is for an instance that does not run.
     pub fn handle_batch(&mut self, sequence: [u8; 4], body: &[u8]) -> Result<Vec<u8>, FrameError> {
         let mut reader = Reader::new(body);
         let now = reader.clock()?;
@@ -66,7 +66,7 @@
         Ok(self.decide(now, sequence))
     }
 
-    /// Follows a record as far as it needs no instance that runs.
+    /// Applies a record as far as it needs no running instance.
     fn follow(&mut self, selected: Option<u16>, record: Record) -> Result<Followup, RecordError> {
         let event = match record {
             Record::Instance(instance) => return Ok(Followup::Select(instance)),
--- a/src/bin/raildeal-drill/main.rs
+++ b/src/bin/raildeal-drill/main.rs
@@ -1,9 +1,9 @@
-//! The simulator's adapter: hosts many dispatchers on the wire of standard input and output.
+//! The simulator's adapter: runs many dispatchers over standard input and output.
 //!
-//! Reads frames ([`frame`]), hands their events to the instances ([`instances`]) and writes one
-//! reply per frame. Instances share nothing, and no decision is made here: all of them are
-//! [`raildeal::Dispatcher`]'s. The wire is the platform's; names of records on it are spelled as
-//! there.
+//! Reads frames ([`frame`]), passes their events to the instances ([`instances`]) and writes one
+//! reply per frame. Instances share nothing, and no decision is made here: all decisions are those
+//! of [`raildeal::Dispatcher`]. The wire protocol is the platform's, and so are the names of its
+//! records.
 
 mod frame;
 mod instances;
@@ -14,7 +14,7 @@
 use instances::Instances;
 use std::io::{self, ErrorKind, Read, Write};
 
-/// Why the adapter ends.
+/// An error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 enum DrillError {
     #[error("batch header: {0}")]
@@ -29,7 +29,7 @@
     Write(#[source] io::Error),
 }
 
-/// Fills a buffer. False: the input ended before its first byte.
+/// Fills a buffer. Returns false if the input ended before the buffer's first byte.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<bool> {
     let mut got = 0;
     while got < buffer.len() {
@@ -47,7 +47,7 @@
     Ok(true)
 }
 
-/// Reads a frame's body, of which the buffer may never become longer than what comes.
+/// Reads a frame's body; the buffer grows only with the bytes received.
 fn read_body(input: &mut impl Read, length: usize, body: &mut Vec<u8>) -> Result<(), DrillError> {
     body.clear();
     let mut limited = input.by_ref().take(length as u64);
--- a/src/bin/raildeal-drill/reader.rs
+++ b/src/bin/raildeal-drill/reader.rs
@@ -22,16 +22,16 @@
     pub const INSTANCE: u8 = 12;
 }
 
-/// Walks over the records of one frame's body.
+/// Iterator over the records of one frame's body.
 pub struct Reader<'a> {
     body: &'a [u8],
     position: usize,
-    /// What is being read, for errors.
+    /// The item being read, for errors.
     reading: &'static str,
 }
 
 impl<'a> Reader<'a> {
-    /// A reader at the beginning of a body.
+    /// Creates a reader at the start of a body.
     pub fn new(body: &'a [u8]) -> Self {
         Reader {
             body,
@@ -43,12 +43,12 @@
     /// Reads the clock, before any record, in nanoseconds.
     ///
     /// # Errors
-    /// The body is shorter than a clock.
+    /// Returns an error if the body is shorter than a clock.
     pub fn clock(&mut self) -> Result<Nanos, FrameError> {
         self.u64()
     }
 
-    /// Where the next record begins.
+    /// Returns the position of the next record.
     pub fn position(&self) -> usize {
         self.position
     }
@@ -108,7 +108,7 @@
         (0..values).map(|_| self.f32()).collect()
     }
 
-    /// `note` has the wait of a rejection, in milliseconds.
+    /// Converts an outcome; `note` is the Retry-After of a rejection, in milliseconds.
     fn outcome(&mut self, code: u8, note: u32) -> Result<Outcome, FrameError> {
         Ok(match code {
             0 => Outcome::Delivered,
@@ -137,7 +137,7 @@
             other => return self.error(format_args!("unknown condition {other}")),
         };
         let rate = self.f32()?;
-        self.u64()?; // a time that says nothing to the module
+        self.u64()?; // a time that the module ignores
         Ok(Listing {
             endpoint,
             zone,
@@ -190,7 +190,8 @@
     fn inventory(&mut self) -> Result<Record<'a>, FrameError> {
         let set = self.u16()?;
         let count = self.u32()?;
-        // A count far beyond the frame must not be believed: no capacity is reserved for it.
+        // A count far beyond the frame's length must not be trusted: no capacity is reserved for
+        // it.
         let mut entries = Vec::new();
         for _ in 0..count {
             entries.push(self.listing()?);
--- a/src/bin/raildeal-drill/writer.rs
+++ b/src/bin/raildeal-drill/writer.rs
@@ -26,7 +26,7 @@
 }
 
 impl Writer {
-    /// A reply to the frame of this sequence number.
+    /// Creates a reply to the frame with this sequence number.
     pub fn new(sequence: [u8; 4]) -> Self {
         let mut bytes = sequence.to_vec();
         bytes.extend([0; 4]); // the length, known at the end
@@ -93,7 +93,7 @@
         self.bytes.extend(text);
     }
 
-    /// The bytes of the reply.
+    /// Returns the bytes of the reply.
     pub fn finish(mut self) -> Vec<u8> {
         let length = (self.bytes.len() - HEADER) as u32;
         self.bytes[4..HEADER].copy_from_slice(&length.to_be_bytes());
--- a/src/dispatch/rate_quota.rs
+++ b/src/dispatch/rate_quota.rs
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Calls by which a sender at rest may be ahead of its rate.
+    /// Returns the calls by which a sender that has been idle may exceed its rate.
     ///
     /// Where the sender's next turn comes within the time of a message, it waits for that turn, and
     /// its messages do not expire. Where it does not, two messages that happen to arrive close
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -1,5 +1,5 @@
-//! When a sender asks for the list, and what it may call meanwhile: one sender alone, and all of
-//! them before one directory.
+//! Polling of the endpoint list and its freshness: for one sender alone, and for all senders of one
+//! directory.
 
 use raildeal::dispatch::list_polling::{poll_timeout, EndpointListPoller};
 use raildeal::{Nanos, RestartState, Settings};
@@ -7,7 +7,7 @@
 
 const MS: Nanos = 1_000_000;
 const SEC: Nanos = 1_000 * MS;
-/// What an ask costs the directory, in seconds.
+/// Cost of a poll to the directory, in seconds.
 const COST: f64 = 0.055;
 
 fn secs(s: f64) -> Nanos {
@@ -141,10 +141,10 @@
         next(&mut poller, 0.1) < 1.5,
         "nobody is there, which says nothing of a line"
     );
-    // All that stood in line are let through, then all ask anew, at the cost that was thought.
+    // All queued polls are processed, then all senders poll again, at the assumed cost.
     assert!((30.0..35.0).contains(&next(&mut poller, 3.0)));
     assert!(next(&mut poller, 3.0) > 80.0, "now they cost more");
-    // A lost watch may be everyone's.
+    // All senders may have lost their watch.
     let mut poller = start(300, true, None);
     assert!(poller.begin_due_poll(2 * SEC));
     poller.record_event(2 * SEC + secs(COST));
@@ -263,11 +263,11 @@
     );
 }
 
-/// Attempts went to endpoints that had left or drained, up to 40 s late: one of many senders
-/// trusted its list until its next ask where one had failed in the directory's line, although the
-/// directory could be reached. Without that trust a fleet stood still whose directory had been down:
-/// its no came after 2 s (209 of 209 in a log that tells how long each ask waited), which was taken
-/// for a line, and the next ask was put off by 45 s and more.
+/// Guards against attempts to endpoints that had left or drained, up to 40 s late: one of many
+/// senders trusted its list until its next poll after a poll had failed in the directory's queue,
+/// although the directory could be reached. That trust had been introduced because a fleet stopped
+/// whose directory had been down: its rejection came after 2 s (209 of 209 in a log with the wait
+/// of each poll), which was taken for a queue, and the next poll was put off by 45 s and more.
 #[test]
 fn an_ask_that_fails_in_the_line_of_a_large_fleet_leaves_the_list_six_seconds() {
     let mut poller = start(0, 300, 10 * SEC, || 0.3);
@@ -293,8 +293,9 @@
     );
 }
 
-/// Guards against new work at drained endpoints by a list that failures kept fresh: neither polls
-/// that fail, however soon, nor a watch that ends put off when changes count.
+/// Guards against new calls to drained endpoints by a list that failures kept fresh: neither failed
+/// polls, however soon they fail, nor the end of a watch delay the time by which a change must be
+/// known.
 #[test]
 fn no_failure_puts_off_when_changes_count() {
     for senders in [1, 3, 12, 100, 300] {
@@ -315,8 +316,8 @@
     }
 }
 
-/// Guards against the same in fleets that the directory can tell in time: these have no need to
-/// rely on a list whose directory seems to be down.
+/// Guards against the same in fleets that the directory can inform in time: these need not trust a
+/// list whose directory seems to be down.
 #[test]
 fn only_a_fleet_that_cannot_be_told_in_time_relies_on_its_list_after_a_slow_no() {
     let stale_from = |senders| {
@@ -329,8 +330,9 @@
     assert_eq!(stale_from(300), Some(11), "six seconds after that poll");
 }
 
-/// Guards against new work at drained endpoints by a list that moves of the directory kept fresh:
-/// neither several in a row nor one after the list has become stale put off when changes count.
+/// Guards against new calls to drained endpoints by a list that address changes of the directory
+/// kept fresh: neither several in a row nor one after the list has become stale delay the time by
+/// which a change must be known.
 #[test]
 fn no_move_of_the_directory_puts_off_when_changes_count() {
     for senders in [3, 300] {
@@ -347,8 +349,8 @@
     }
 }
 
-/// Guards against new work at drained endpoints by a list that was old when it came: an answer may
-/// say what held when it was asked for, however late it is read.
+/// Guards against new calls to drained endpoints by a list that was old when it arrived: a response
+/// may describe the list at the start of the poll, however late it is read.
 #[test]
 fn an_answer_counts_from_when_it_was_asked_for() {
     for (senders, waited) in [(3, 3 * SEC), (300, 5 * SEC)] {
@@ -361,8 +363,8 @@
     }
 }
 
-/// Guards against new work at endpoints that an agent lists as drained: what it has counts at once,
-/// also while it refuses polls, or after it has ended the watch.
+/// Guards against new calls to endpoints that an agent lists as drained: its list must be known at
+/// once, also while it rejects polls, or after it has ended the watch.
 #[test]
 fn a_pushed_list_is_not_relied_on_while_its_agent_answers_otherwise() {
     let settings = Settings {
@@ -391,8 +393,8 @@
     );
 }
 
-/// Guards against new work at drained endpoints in a fleet of hundreds whose directory is up and
-/// refuses after as long as one that is down.
+/// Guards against new calls to drained endpoints in a fleet of hundreds whose directory is up and
+/// rejects polls after as long a time as one that is down.
 #[test]
 fn a_large_fleet_relies_on_no_list_after_slow_refusals() {
     let mut poller = start(0, 300, 10 * SEC, || 0.0);
@@ -494,8 +496,8 @@
         !asked.is_stale(6 * SEC - 1) && asked.is_stale(6 * SEC),
         "what it had since the start"
     );
-    // One that stood in line: it was there, and is no more trusted for failing again, at once or in
-    // the line.
+    // A poll that was queued shows that the directory was running; further failures, at once or in
+    // the queue, do not make the list more trusted.
     let mut refused = start(0, 3, 10 * SEC, || 0.0);
     assert!(refused.begin_due_poll(SEC));
     refused.record_failure(4 * SEC - 1, || 0.0);
@@ -530,7 +532,7 @@
     assert!(!poller.is_stale(SEC + MS));
     poller.source_moved(2 * SEC, never);
     assert!(poller.begin_due_poll(2 * SEC) && !poller.is_stale(6 * SEC - 1));
-    // It is silent while discovery is down.
+    // The agent is silent while discovery is down.
     let mut silent = EndpointListPoller::new(SEC, &settings, never);
     assert!(silent.begin_due_poll(SEC));
     silent.record_failure(SEC + secs(3.5), never);
@@ -580,22 +582,22 @@
     );
 }
 
-/// What a restart of some came to.
+/// Results of a simulated restart.
 #[derive(Debug, Default)]
 struct Told {
-    /// When nine in ten, and all, were told, in seconds after the start.
+    /// Times at which nine in ten senders, and all of them, had a list, in seconds after the start.
     nine_in_ten: f64,
     all: f64,
     asks: u32,
-    /// Asks that stood in line for too long.
+    /// Polls that failed in the queue.
     failed: u32,
-    /// Seconds for which senders called nobody: the longest of one, and of all together.
+    /// Seconds for which senders made no call: the longest of one sender, and the sum over all.
     blind: f64,
     blind_in_all: f64,
 }
 
-/// So many of `senders` senders start at once, before a directory that works asks off one after
-/// another and fails those that waited for 3 s, working them off all the same.
+/// Simulates `of` of `senders` senders that start at once, with a directory that processes polls
+/// one after another and fails those that waited for 3 s, but still processes them.
 fn restart(of: u32, senders: u32, planned: bool, seed: u64) -> Told {
     const STEP: Nanos = 5 * MS;
     let mut random = fastrand::Rng::with_seed(seed);
@@ -656,14 +658,14 @@
     told
 }
 
-/// Whatever the share: as many as the line bears are told at once after a planned end, and of more
-/// each has about one failed ask. After a kill, which nothing tells from a start of all, no ask
-/// fails.
+/// Checks restarts of any part of the fleet: after a planned end, as many senders as fit into the
+/// queue have a list at once, and of a larger number each has about one failed poll. After a kill,
+/// which cannot be told from a start of all senders, no poll fails.
 #[test]
 fn restarts_of_one_sender_to_all_of_them_are_told_in_bounded_time() {
-    // Of so many senders; after a planned end: nine in ten and all told after so many seconds,
-    // failed asks of a hundred senders, seconds without a call of the one that waits longest; the
-    // same after a kill.
+    // Restarted senders, all senders; after a planned end: seconds until nine in ten and all have a
+    // list, failed polls per hundred senders, seconds without a call of the sender that waits
+    // longest; the same after a kill.
     let cases: [(u32, u32, [f64; 4], [f64; 4]); 7] = [
         (1, 1, [0.1, 0.1, 0.0, 0.0], [0.1, 0.1, 0.0, 0.0]),
         (3, 3, [0.2, 0.2, 0.0, 0.0], [0.2, 0.2, 0.0, 0.0]),
--- a/tests/given_up_attempts.rs
+++ b/tests/given_up_attempts.rs
@@ -1,4 +1,4 @@
-//! What an endpoint can see of an attempt that is given up, at the moment when the next one may go.
+//! State of a cancelled attempt at its endpoint when the next attempt may start.
 
 use async_io::Async;
 use futures_lite::{future, AsyncReadExt};
@@ -42,7 +42,7 @@
     Calls::new(poster, wheel.clone(), TIMEOUT, Duration::ZERO, 1)
 }
 
-/// Reads a connection to its end, and answers nothing.
+/// Reads a connection to its end without answering.
 async fn read_to_end(listener: &Async<TcpListener>) {
     let (mut stream, _): (Async<TcpStream>, _) = listener.accept().await.expect("a call");
     let mut bytes = Vec::new();
@@ -50,7 +50,7 @@
     assert!(!bytes.is_empty(), "no call was sent");
 }
 
-/// Guards against a second attempt that arrives while the first still is out at its endpoint.
+/// Guards against a second attempt that arrives while the first is still in flight at its endpoint.
 #[test]
 fn an_attempt_that_timed_out_ends_once_its_endpoint_can_see_the_close() {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! One small test for each rule, each departure and each failure found, against the public API.
+//! One small test for each rule, each exception and each failure found, through the public API.
 
 mod common;
 use common::*;
@@ -10,7 +10,7 @@
     d
 }
 
-// ---- the post's dispatcher
+// ---- Retry-After and limits of calls in flight
 // ------------------------------------------------------------------------------------
 
 #[test]
@@ -35,7 +35,7 @@
 
 #[test]
 fn waits_of_one_call_may_differ_and_the_longest_stands() {
-    // Found on a simulated overload day: only the first outcome of a call was read for its wait.
+    // Guards against a Retry-After that is ignored: only that of a call's first outcome was read.
     let mut d = Driver::new(settings(), vec![line(1, 1, 1, Condition::Ready)]);
     d.warm_up(1);
     let batch = [
@@ -109,11 +109,11 @@
     }
     d.end(0, Outcome::Timeout);
     d.end(1, Outcome::Timeout);
-    // Three calls are out; half of eight slots leaves one more at most.
+    // Three calls are in flight; half of eight slots leaves one more at most.
     assert!(sends(&d.pass(SEC)).len() <= 1);
 }
 
-// ---- own pauses, outages, coming back
+// ---- backoff, outages, recovery
 // ---------------------------------------------------------------------------
 
 #[test]
@@ -163,10 +163,11 @@
         out.extend(d.give_all(&ends));
         out.extend(d.pass(100 * MS));
     }
-    // Down: single trials only.
+    // During the outage: single trials only.
     let tried = sends(&out).len();
     assert!(tried <= 1, "{tried}");
-    // Back: in the first two seconds no more than the cold budget goes, though forty wait.
+    // After the recovery: in the first two seconds only the slow-start budget is sent, though forty
+    // messages wait.
     while sends(&out).is_empty() {
         out = d.pass(10 * MS);
     }
@@ -187,8 +188,9 @@
 
 #[test]
 fn health_counters_do_not_run_into_debt_while_all_is_well() {
-    // Found on simulated standard days: the cold budget and the pace's tokens sank far below zero
-    // in healthy times, and an endpoint that came back was starved for tens of seconds.
+    // Guards against limits that go into debt: in normal operation the slow-start budget and the
+    // rate's tokens sank far below zero, and a recovering endpoint got no calls for tens of
+    // seconds.
     let mut d = one();
     for id in 0..200 {
         d.arrive(id, 0, 1);
@@ -202,7 +204,7 @@
 
 #[test]
 fn a_long_told_wait_means_shut_and_the_return_is_tried_first() {
-    // Found on a simulated incident: every relay was told the same moment of opening and all went
+    // Guards against simultaneous returns: every sender got the same time of return, and all sent
     // at once.
     let mut d = one();
     d.give_all(
@@ -232,8 +234,8 @@
 
 #[test]
 fn calls_lost_while_later_ones_are_answered_are_no_outage() {
-    // Found on a simulated incident: a third of all calls got lost everywhere, and every endpoint
-    // was called sick.
+    // Guards against ejection by random loss: a third of all calls were lost everywhere, and every
+    // endpoint was ejected.
     let mut d = one();
     let mut lost = 0;
     for id in 0..30 {
@@ -279,8 +281,8 @@
 
 #[test]
 fn an_outage_outlives_the_endpoint_for_rare_callers() {
-    // Found on a simulated big day: replacements of endpoints that were down got every held message
-    // at once.
+    // Guards against a burst to new endpoints: replacements of endpoints that were down got every
+    // pending message at once.
     let mut d = Driver::new(
         Settings {
             senders: 400,
@@ -303,8 +305,8 @@
 
 #[test]
 fn a_gate_counts_its_last_answer_from_the_start_of_the_relay() {
-    // Found on a simulated day of 208 relays: a first call refused with a long wait was followed at
-    // its very end by all.
+    // Guards against simultaneous returns in a fleet of 208 senders: after a first call was
+    // rejected with a long Retry-After, all returned right at its end.
     let mut latest = 0;
     for seed in 1..30 {
         let mut d = Driver::new(settings(), vec![]);
@@ -362,8 +364,8 @@
 
 #[test]
 fn idle_connections_are_closed_only_while_calls_on_them_get_lost() {
-    // Found on simulated later days of one deployment: connections dropped unseen after some idle
-    // time ate a time-out for nearly every call of a relay that calls rarely.
+    // Guards against calls on stale connections: connections that were lost unnoticed after some
+    // idle time cost a time-out for nearly every call of a sender that calls rarely.
     let mut d = Driver::new(
         settings(),
         (1..7).map(|n| ready(n, DestinationId::from(n))).collect(),
@@ -400,8 +402,8 @@
 
 #[test]
 fn no_connection_is_kept_idle_while_endpoints_of_the_kind_turn_connections_away() {
-    // Found on simulated days of 200 to 480 relays: idle connections held every place that an
-    // endpoint has, and a fifth of all attempts got none.
+    // Guards against idle connections that use up the connection slots of an endpoint: with 200 to
+    // 480 senders a fifth of all attempts got none.
     let mut d = Driver::new(
         settings(),
         vec![ready(1, 1), ready(2, 2), line(3, 3, 2, Condition::Ready)],
@@ -462,8 +464,9 @@
 
 #[test]
 fn a_kind_out_of_connections_is_not_down_unless_it_lasts() {
-    // Found on simulated days of 200 to 480 relays: one connection that was turned away made a rare
-    // caller believe in an outage, and its line waited for a cold budget until it was too late.
+    // Guards against an ejection by one rejected connection: with 200 to 480 senders a rare caller
+    // took it for an outage, and its queue waited for a slow-start budget until the messages
+    // expired.
     let s = Settings {
         senders: 300,
         listed_rates: ListedRates::Approximate,
@@ -493,7 +496,7 @@
         sick(&d.end(101, Outcome::ConnectFailed)),
         "one alone may be an outage"
     );
-    // Others turn a connection away and answer the next.
+    // Others reject a connection and answer the next.
     let learned = (2..30).find(|n| {
         let id = 100 + u32::from(*n);
         d.arrive(id, 0, *n);
@@ -514,8 +517,8 @@
     );
 }
 
-/// A rare caller of a fleet of 300 whose only message is refused over and over, with this report.
-/// The seconds until each next send, and whether it took the endpoint for sick.
+/// Runs a rare caller in a fleet of 300 whose only message is rejected repeatedly, with this
+/// report. Returns the seconds until each next send, and whether the endpoint was ejected.
 fn refused_again_and_again(report: [f32; 2]) -> (Vec<f64>, bool) {
     let s = Settings {
         senders: 300,
@@ -548,9 +551,9 @@
 
 #[test]
 fn a_refusal_by_a_limit_that_is_used_up_is_no_outage() {
-    // Found on a simulated day of 261 relays: a clump jammed a limit that refused calls use up;
-    // relays took that for an outage and sent a cold budget for the rest of the day, with hundreds
-    // of messages held.
+    // Guards against an ejection by a used-up limit: in a fleet of 261 a burst used up a limit that
+    // rejected calls count against; senders took that for an outage and kept to a slow-start budget
+    // for the rest of the day, with hundreds of messages pending.
     assert!(!refused_again_and_again([0.0, 30.0]).1);
     let (gaps, sick) = refused_again_and_again([0.8, 30.0]);
     assert!(sick, "refused with room left: shut; {gaps:?}");
@@ -558,8 +561,8 @@
 
 #[test]
 fn relays_do_not_all_take_the_same_endpoint_and_none_goes_unseen() {
-    // Found on a simulated day of 361 relays: nine tenths of all calls went to the first of three
-    // routes.
+    // Guards against the same choice by all senders: in a fleet of 361, nine tenths of all calls
+    // went to the first of three routes.
     let mut firsts = [0; 3];
     for seed in 1..31 {
         let mut d = Driver::new(settings(), vec![]);
@@ -579,9 +582,9 @@
 
 #[test]
 fn all_relays_together_keep_to_what_a_cold_destination_of_a_known_limit_bears() {
-    // Found on a simulated incident: 51 relays, each by the best throughput it had seen, sent a
-    // returning destination 3.2 times what it could do. Ten frequent callers of one limit of 20 a
-    // second here; the outage lasts five seconds.
+    // Guards against an overload after an outage: 51 senders, each by the highest throughput it had
+    // observed, sent a recovering destination 3.2 times its capacity. Here ten frequent callers
+    // share a limit of 20 per second, and the outage lasts five seconds.
     let limit = 20.0;
     let s = Settings {
         senders: 10,
@@ -623,7 +626,7 @@
             d.pass(50 * MS);
         }
     }
-    let bears = s.overload_factor * f64::from(limit) * 1.5 * 1.2 * 0.4; // 1.5 s, some spare, the share by then
+    let bears = s.overload_factor * f64::from(limit) * 1.5 * 1.2 * 0.4; // 1.5 s, a margin of 1.2, and the warmed-up fraction by then
     assert!(
         (after as f64) < bears,
         "{after} calls in 1.5 s, {bears} at most"
@@ -678,8 +681,8 @@
 
 #[test]
 fn a_rare_caller_refused_with_the_limit_unused_takes_the_destination_for_shut_at_once() {
-    // Found on a simulated overload day of 78 relays: a shut route was pushed over by those refused
-    // once or twice.
+    // Guards against an overload of a closed route: in a fleet of 78 it was overloaded by senders
+    // that had been rejected only once or twice.
     let s = Settings {
         senders: 300,
         report_left: Some(0),
@@ -702,8 +705,8 @@
 
 #[test]
 fn a_used_up_limit_brings_a_rare_caller_to_its_part_and_room_brings_it_back() {
-    // Found on the same day: all relays together sent as much as the limit allows, and refused
-    // calls used it up.
+    // Guards against a limit that does not recover: in the same fleet of 78 all senders together
+    // sent as much as the limit allows, and rejected calls used it up.
     let (gaps, _) = refused_again_and_again([0.0, 30.0]);
     assert!(
         gaps.iter().all(|g| (5.0..25.0).contains(g)),
@@ -745,8 +748,8 @@
 
 #[test]
 fn a_wake_is_asked_for_in_whole_milliseconds_and_only_when_something_is_due() {
-    // Found on a simulated big day: a wake asked for in nanoseconds came a trifle early, and a
-    // message was lost.
+    // Guards against a lost message: a wake-up requested in nanoseconds came slightly early, and
+    // was not requested again.
     let mut d = one();
     d.arrive(1, 0, 1);
     d.end(1, Outcome::Rejected { wait: 700 * MS });
@@ -823,9 +826,9 @@
 
 #[test]
 fn the_refusals_of_one_burst_do_not_add_up_their_pauses() {
-    // Found on a day of the lab (seed 1012): an endpoint replaced while much was held got 19 calls
-    // at once, refused 17 of them, and was left alone for a minute, all of whose messages ran out
-    // of time.
+    // Guards against pauses that add up (simulator seed 1012): an endpoint that was replaced while
+    // many messages were pending got 19 calls at once, rejected 17 of them, and got no call for a
+    // minute, in which all its messages expired.
     let mut late = 0;
     for seed in 0..20 {
         let old = line(1, 1, 2, Condition::Ready);
@@ -854,8 +857,8 @@
         assert!(sent > 2, "{sent} calls are no burst");
         out.into_iter()
             .for_each(|id| drop(d.end(id, Outcome::Rejected { wait: 800 * MS })));
-        // A spread return lasts as long as a partner takes to warm up, at most: that is how long
-        // others may be at it.
+        // A spread return takes at most the warm-up time of a destination, during which other
+        // senders may call.
         let (start, most) = (d.now, settings().slow_start_duration + 2 * SEC);
         let mut id = 100;
         while d.now < start + most
@@ -949,7 +952,7 @@
     assert_eq!(refused(&d.seen).len(), 1);
 }
 
-// ---- one answer
+// ---- one final answer
 // -----------------------------------------------------------------------------------------------
 
 #[test]
@@ -1029,7 +1032,7 @@
     assert_eq!(refused(&d.seen).len() + failed(&d.seen).len(), 1);
 }
 
-// ---- the list
+// ---- the endpoint list
 // ---------------------------------------------------------------------------------------------------
 
 #[test]
@@ -1105,7 +1108,7 @@
     assert_eq!(sends(&d.pass(100 * MS)), [2]);
 }
 
-// ---- sharing
+// ---- shares and batches
 // ------------------------------------------------------------------------------------------------
 
 #[test]
@@ -1146,7 +1149,8 @@
     assert_eq!(next.first(), Some(&400));
 }
 
-/// Leaving its tenant out must win a message nothing over those that are within their shares.
+/// Guards against messages that name no tenant and so get priority over those within their tenant's
+/// share.
 #[test]
 fn traffic_of_no_tenant_goes_last_where_there_are_tenants() {
     let first_of = |none: u16, some: u16| {
@@ -1228,11 +1232,11 @@
     assert_eq!(name(s), "classes.deadline");
 }
 
-/// Longest file of the decision module, in lines that are not blank, and its widest line.
+/// Largest number of non-blank lines in a file of the decision module, and its widest line.
 const MOST_LINES: usize = 500;
 const MOST_COLUMNS: usize = 100;
 
-/// Every file below a folder.
+/// Returns every file below a folder.
 fn files_below(folder: &str) -> Vec<std::path::PathBuf> {
     let mut files = Vec::new();
     let mut folders = vec![std::path::PathBuf::from(folder)];
@@ -1269,7 +1273,7 @@
 
 #[test]
 fn the_route_that_costs_less_goes_first_while_it_has_room() {
-    // Found on the price lines of real days: routes were taken alike, whatever their zones' fees.
+    // Guards against a choice that ignores the fees of zones.
     let s = Settings {
         zone_fees: vec![0.06, 0.0],
         ..settings()
@@ -1284,11 +1288,11 @@
     d.warm_up(1);
     assert_eq!(targets(&d.arrive(1, 0, 1)), [at(2)]);
     assert_eq!(targets(&d.arrive(2, 0, 1)), [at(2)]);
-    // Told to wait there, the other one serves.
+    // After a Retry-After there, the other one serves.
     d.end(1, Outcome::Rejected { wait: 2 * SEC });
     assert_eq!(targets(&d.arrive(3, 0, 1)), [at(1)]);
-    // With few slots left, an idle one serves: the cheaper one, with calls out, would hold a slot
-    // for longer.
+    // With few slots left, an idle endpoint serves: the cheaper one, with calls in flight, would
+    // hold a slot for longer.
     let wide = Settings {
         max_in_flight_calls: 16,
         zone_fees: vec![0.02, 0.0],
@@ -1304,26 +1308,27 @@
             .collect();
         assert_eq!(to.contains(&at(1)), dear, "{to:?}");
     }
-    // Endpoints that share one limit have no fee: the idle one is taken.
+    // Endpoints that share one limit have no fee: the idle one is chosen.
     let mut d = Driver::new(s, routes(0).collect());
     d.warm_up(1);
     let both = [targets(&d.arrive(1, 0, 1)), targets(&d.arrive(2, 0, 1))].concat();
     assert!(both.contains(&at(1)) && both.contains(&at(2)));
 }
 
-// ---- the long day
+// ---- growth over time
 // -----------------------------------------------------------------------------------------------
 
 #[test]
 fn nothing_grows_with_endpoints_ever_listed() {
-    // Found on reading for the long day: the gate of a route that went stayed with its destination
-    // for ever.
+    // Guards against growth over time: the rate controller of a dropped route stayed with its
+    // destination.
     let mut d = Driver::new(settings(), vec![line(0, 1, 2, Condition::Ready)]);
     d.warm_up(1);
     let size = |d: &Driver| format!("{:?}", d.dispatcher).len();
     let mut early = 0;
     for n in 0..200u8 {
-        // The next one is listed, the old one drains with a call out, is refused and goes.
+        // The next endpoint is listed; the old one drains with a call in flight, is rejected and
+        // dropped.
         d.give(Event::ListChanges(vec![line(
             n + 1,
             1,
@@ -1359,8 +1364,9 @@
 
 #[test]
 fn an_outage_is_not_taken_for_a_kind_out_of_connections() {
-    // Found on days of a hundred relays: an outage of 5 s closed every idle connection of its kind
-    // for 20 s more, and each call took a handshake.
+    // Guards against an outage that counts as a shortage of connections: with a hundred senders an
+    // outage of 5 s closed every idle connection of its kind for 20 s more, and each call needed a
+    // handshake.
     let s = Settings {
         senders: 100,
         ..settings()
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -1,5 +1,5 @@
-//! Random legal event sequences with a fixed seed, audited by the rules that show in events and
-//! actions alone.
+//! Random legal event sequences with a fixed seed, checked against the rules that are visible in
+//! events and actions.
 
 mod common;
 use common::*;
@@ -27,7 +27,7 @@
     order: u64,
 }
 
-/// Follows events and actions and tells the first rule broken.
+/// Follows events and actions, and returns the first broken rule.
 struct Audit {
     s: Settings,
     now: Nanos,
@@ -205,7 +205,8 @@
     }
 }
 
-/// Endpoint n belongs to destination n / 4; destination 1 takes batches.
+/// Runs a random event sequence. Endpoint n belongs to destination n / 4; destination 1 takes
+/// batches.
 fn run(seed: u64, spoil: fn(&mut Vec<Action>, Nanos)) -> Result<usize, String> {
     let s = settings();
     let mut rng = Rng(seed);
@@ -351,7 +352,7 @@
 #[test]
 fn the_audit_sees_a_rule_broken_on_purpose() {
     let broken = |spoil: fn(&mut Vec<Action>, Nanos)| run(3, spoil).expect_err("a rule was broken");
-    // Answers swallowed: messages are lost.
+    // Final answers removed: messages are lost.
     let e = broken(|actions, _| {
         actions.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail { .. }))
     });
--- a/tests/resumed.rs
+++ b/tests/resumed.rs
@@ -1,11 +1,12 @@
-//! What the module does with a message that an earlier process took on.
+//! Handling of a message that an earlier process accepted.
 
 mod common;
 
 use common::*;
 use raildeal::*;
 
-/// Two zones, one endpoint each, and repeats dropped only within a zone.
+/// Creates a driver with two zones of one endpoint each, where repeats are discarded only within a
+/// zone.
 fn driver() -> Driver {
     let mut s = settings();
     s.classes[1].dedup_scope = DedupScope::Zone;
@@ -85,7 +86,7 @@
         )),
         [1]
     );
-    // With all its attempts gone, or its time, it ends at once.
+    // Without attempts or time left, it ends at once.
     for (ttl, attempts) in [(10 * SEC, 5), (0, 0)] {
         let mut d = driver();
         let actions = resume(
@@ -119,7 +120,7 @@
         finished: false,
         report: Vec::new(),
     };
-    // One more is left of five; a report on a number that was never sent is nobody's.
+    // One of five attempts is left; the result of an attempt number that was never sent is ignored.
     d.give(ended(0));
     assert!(sends(&d.pass(2 * SEC)).is_empty());
     d.give(ended(3));
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,5 +1,5 @@
-//! The module by a routing table: where messages go, what goes on to the next tier, and what
-//! nothing of it changes.
+//! The module with a routing table: where messages go, which go on to the next tier, and which
+//! actions a table does not change.
 
 mod common;
 
@@ -12,8 +12,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Endpoint `n` of destination 1 in a zone; a route of its own, or one that carries five messages a
-/// call.
+/// Returns endpoint `n` of destination 1 in a zone: a route of its own, or one that takes five
+/// messages per call, by its kind.
 fn stands(n: u8, zone: u16, kind: u16) -> Listing {
     Listing {
         zone,
@@ -41,20 +41,21 @@
     }
 }
 
-/// Routes for four classes, with zones that are named by their numbers.
+/// Creates routes for four classes, with zones that are named by their numbers.
 fn routes(said: Vec<RouteSpec>) -> Rc<Routes> {
     let routes = Routes::new(4, 2, said);
     Rc::new(routes.with_zone_numbers(|name| name.parse().expect("a number")))
 }
 
-/// A driver that goes by routes, with endpoints of destination 1 that are known.
+/// Creates a driver with routes and known endpoints of destination 1.
 fn driver(list: Vec<Listing>, said: Vec<RouteSpec>) -> Driver {
     let mut d = Driver::new(settings(), list);
     d.give(Event::RoutesChanged(routes(said)));
     d
 }
 
-/// Hands in one message after another, each of which is answered so by its endpoint.
+/// Hands in one message after another, each of which gets the outcome that `by` gives for its
+/// endpoint. Returns the endpoints called.
 fn answered(
     d: &mut Driver,
     ids: std::ops::Range<MessageId>,
@@ -90,8 +91,8 @@
     let mut d = driver(list, vec![all(&[&[(1, 1)], &[(1, 2)]])]);
     let first = answered(&mut d, 1..30, |_| Outcome::Delivered);
     assert!(first.iter().all(|e| *e == at(1)), "{first:?}");
-    // A told wait there: the same message goes on in the same turn, and all that come while it
-    // lasts.
+    // With a Retry-After there, the same message goes on in the same turn, and so do all that
+    // arrive until it ends.
     d.arrive(30, 0, 1);
     assert_eq!(
         targets(&d.end(30, Outcome::Rejected { wait: 3 * SEC })),
@@ -101,7 +102,8 @@
     let waits = answered(&mut d, 31..40, |_| Outcome::Delivered);
     assert!(waits.iter().all(|e| *e == at(2)), "{waits:?}");
     d.pass(3 * SEC);
-    // An outage there: few calls ask for it, the others go on, and it serves again once it is back.
+    // In an outage there, a few calls test it and the others go on; it serves again after its
+    // recovery.
     let down = |e| {
         if e == at(1) {
             Outcome::Timeout
@@ -138,7 +140,7 @@
             Outcome::ConnectFailed
         }
     });
-    // The third has never answered, and is not doubted for that: it takes several calls at once.
+    // The third has never answered, and is still trusted: it takes several calls at once.
     assert!(
         down.iter().filter(|e| **e == at(3)).count() >= 36,
         "{down:?}"
@@ -159,13 +161,14 @@
     };
     let mut d = driver(list, vec![all(&[&[(1, 1)]]), only]);
     d.arrive(1, 0, 1);
-    // The whole of its time is told where it may go; the second zone is free, and not for it.
+    // The Retry-After of its only zone lasts for all its time; the second zone is free, but not on
+    // its route.
     assert_eq!(
         refused(&d.end(1, Outcome::Rejected { wait: 25 * SEC })).len(),
         1
     );
     assert_eq!(targets(&d.arrive(2, 1, 1)), [at(2)]);
-    // One of the other class is not held up by one that waits before it.
+    // A message of the other class is not held up by one that waits before it.
     d.end(2, Outcome::Delivered);
     d.give(Event::Arrived(Message {
         ttl: 19 * SEC,
@@ -185,7 +188,7 @@
     let mut d = driver(list, vec![all(&[&[(1, 1)]]), only]);
     d.arrive(1, 0, 1);
     d.end(1, Outcome::Rejected { wait: 4 * SEC });
-    // Refused ones go first, and wait for the first zone.
+    // Rejected messages are sent first, and wait for the first zone.
     let both = [2, 3].map(|id| Event::Arrived(d.message(id, 0, 1)));
     d.give_all(&both);
     let others: Vec<Event> = (4..8)
@@ -205,7 +208,7 @@
     d.end(1, Outcome::Rejected { wait: 8 * SEC });
     d.arrive(2, 0, 1);
     assert!(sends(&d.pass(SEC)).is_empty());
-    // A call that is out ends as it would have.
+    // A call in flight ends as it would have.
     let sent = d.give(Event::RoutesChanged(routes(vec![all(&[&[(1, 2)]])])));
     assert_eq!((sends(&sent).len(), targets(&sent)), (2, vec![at(2); 2]));
     d.end(1, Outcome::Delivered);
@@ -226,7 +229,7 @@
     assert_eq!(sends(&d.arrive(4, 0, 1)), [4]);
 }
 
-/// Something that happens in a drawn play.
+/// A step of a generated run.
 #[derive(Clone, Debug)]
 enum Step {
     Arrives { class: u16, dest: u16, tenant: u16 },
@@ -246,7 +249,7 @@
     ]
 }
 
-/// Routes for destinations 1 to 3 over zones 0 to 4, of which 0 to 2 have endpoints.
+/// Returns routes for destinations 1 to 3 over zones 0 to 4, of which 0 to 2 have endpoints.
 fn said() -> impl Strategy<Value = RouteSpec> {
     let order = Just((0u16..5).collect::<Vec<_>>()).prop_shuffle();
     let tiers = vec((order, 1usize..4, 1u32..9), 0..3).prop_map(|tiers| {
@@ -287,7 +290,7 @@
     }
 }
 
-/// Plays it; gives all actions, turn by turn.
+/// Runs the steps and returns all actions, turn by turn.
 fn play(steps: &[Step], tables: &[Rc<Routes>], told: bool) -> Vec<Vec<Action>> {
     let own = settings();
     let twice = RuntimeSettings {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Calls of all senders together to an endpoint that is back cold, in sliding windows: 1 to 1,000
-//! senders by the budget alone, up to a hundred with the whole module.
+//! Calls of all senders together to an endpoint in slow start, in sliding windows: 1 to 1,000
+//! senders with the quota alone, up to a hundred with the whole module.
 
 mod common;
 
@@ -11,8 +11,8 @@
 use std::cell::Cell;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What topples an endpoint with budget `n`, as the standing test has it. Written anew here: the
-/// code under test is not to judge itself.
+/// Whether so many calls in a window overload an endpoint with budget `n`, by the rule of the
+/// standing test. It is written again here, so that the code under test does not judge itself.
 fn falls(calls: usize, n: f64) -> bool {
     let roots = if n < 30.0 { 3.0 } else { 2.0 };
     calls as f64 > n + roots * n.sqrt() + roots
@@ -20,7 +20,7 @@
 
 fn runner(cases: u32) -> TestRunner {
     let rng_seed = RngSeed::Fixed(0x0071_da1d);
-    // A smaller case of a failure by chance is no better to read.
+    // Shrinking a random failure does not make it easier to read.
     let max_shrink_iters = 0;
     let config = ProptestConfig {
         rng_seed,
@@ -32,17 +32,18 @@
     TestRunner::new(config)
 }
 
-/// Steps of a window.
+/// Steps per window.
 const STEPS: usize = 60;
 
-/// How messages come to senders.
+/// Arrival pattern of messages at the senders.
 #[derive(Clone, Copy, Debug)]
 enum Demand {
-    /// Each has one that waits, always.
+    /// Each sender always has a message.
     Always,
-    /// One comes to each now and then, by this chance in a step, and waits until it is sent.
+    /// Each sender gets a message with this probability per step, unless it has one that waits.
     Rare(f64),
-    /// Each has one in one of two spans of so many steps: all begin and end to send at once.
+    /// Each sender has messages in every other span of this many steps: all start and stop sending
+    /// at once.
     Pulses(usize),
 }
 
@@ -54,13 +55,13 @@
     ]
 }
 
-/// Values of which each power of ten is as likely as the next.
+/// Returns log-uniform values: each power of ten is equally likely.
 fn spread(from: f64, to: f64) -> impl Strategy<Value = f64> {
     (from.ln()..to.ln()).prop_map(f64::exp)
 }
 
-/// Calls in each step of so many windows, where all senders together may send `n(step)` in a
-/// window. The turns are drawn at first, as the relay draws them when an endpoint fails.
+/// Returns the calls in each step of `windows`, where all senders together may send `n(step)` in a
+/// window. The first turns are drawn, as the dispatcher draws them when an endpoint fails.
 fn calls(
     senders: u32,
     demand: Demand,
@@ -113,8 +114,8 @@
     runner(300)
         .run(&of, |(senders, n, demand, seed)| {
             let senders = senders as u32;
-            // What many senders keep is the bound while messages wait at each of them, which is the
-            // most that they are asked for.
+            // Many senders keep the limit while messages wait at each of them, which is the highest
+            // demand.
             let few = !SlowStartQuota::for_sender(n, 0.0, 1.0, senders).needs_random_turns();
             let calls = calls(
                 senders,
@@ -191,7 +192,8 @@
     };
     for senders in [1, 3, 10, 30, 100, 300, 1_000] {
         for n in [0.5, 2.0, 5.0, 14.0, 29.0, 30.0, 45.0, 100.0, 400.0] {
-            // Where chance would exceed the bound: many senders that each make less than a call.
+            // A lower rate where chance would exceed the limit: many senders that each make less
+            // than a call.
             let least = if senders <= 30 || n < 20.0 {
                 1.0 - 1e-6
             } else {
@@ -201,8 +203,8 @@
                 (least..=1.000_001).contains(&part(senders, n, 0.0)),
                 "{senders} senders, {n} calls"
             );
-            // An endpoint that doubles what it bears within a window has the chance counted by that
-            // alone.
+            // Where the limit of an endpoint doubles within a window, that growth alone covers the
+            // random excess.
             assert!(
                 part(senders, n, n / 2.0) > 1.0 - 1e-6,
                 "{senders} senders, {n} calls"
@@ -224,26 +226,27 @@
     assert!(falls(max_calls_per_window(100.0) as usize + 1, 100.0));
 }
 
-/// Time that a call takes, and a refusal.
+/// Duration of a delivered call, and of a failed connect.
 const CALL: (Nanos, Nanos) = (200 * MS, 10 * MS);
-/// Time that a message has.
+/// Time that a message has left.
 const TTL: Nanos = 12 * SEC;
 const STEP: Nanos = 10 * MS;
 
-/// An endpoint that goes down and comes back cold, called by so many whole relays.
+/// An endpoint that fails and recovers at reduced capacity, called by whole dispatchers.
 struct Return {
     senders: Vec<Dispatcher>,
     s: Settings,
     listed: f64,
-    /// How many endpoints go down with it.
+    /// Number of endpoints that fail together, this one included.
     away: u8,
     now: Nanos,
     down: bool,
-    /// When the endpoint came back.
+    /// Time at which the endpoint recovered.
     back: Option<Nanos>,
-    /// Calls that came to it since.
+    /// Times of the calls received since, within the last window.
     came: VecDeque<Nanos>,
-    /// The most calls of a window, as a part of what topples it, and the budget then.
+    /// Highest count of a window, relative to the limit, with the calls and the budget at that
+    /// time.
     worst: (f64, usize, f64),
     out: BTreeMap<(Nanos, usize, MessageId), Outcome>,
     attempts: BTreeMap<MessageId, u16>,
@@ -292,7 +295,7 @@
         }
     }
 
-    /// What the endpoint may get in a window now, once it is back.
+    /// Returns the calls that the endpoint may get in a window now, during its recovery.
     fn budget(&self) -> Option<f64> {
         let warmed = (self.now - self.back?) as f64 / self.s.slow_start_duration as f64;
         let can = self.listed
@@ -336,7 +339,7 @@
         }
     }
 
-    /// Lets time pass, with so many messages a second that come to relays by chance.
+    /// Lets time pass, with messages that arrive at random senders at this rate per second.
     fn pass(&mut self, seconds: u64, rate: f64) {
         for _ in 0..seconds * SEC / STEP {
             self.now += STEP;
@@ -378,7 +381,8 @@
         }
     }
 
-    /// Up, down for so long, back until it is warm. What came in the worst window.
+    /// Runs the endpoint through normal operation, an outage and its recovery. Returns the worst
+    /// window.
     fn play(&mut self, down: u64, rate: f64) -> (f64, usize, f64) {
         self.pass(10, rate);
         self.down = true;
@@ -389,13 +393,13 @@
     }
 }
 
-/// The plays of 1 to 100 relays in which an endpoint that was down for so many seconds got more
-/// than it bears.
+/// Returns the runs of 1 to 100 senders in which an endpoint that was down for `down` seconds got
+/// more calls than it accepts.
 fn over_the_bound(down: u64) -> Vec<String> {
     let loads = [(4.0, 0.8), (10.0, 0.8), (10.0, 2.5), (40.0, 1.5)];
     let mut over = Vec::new();
     for senders in [1, 3, 9, 10, 30, 100] {
-        // Endpoints of the destination, and those of them that go down.
+        // Number of endpoints of the destination, and of those that fail.
         for shape in [(1, 1), (2, 1), (2, 2)] {
             for (seed, (listed, load)) in loads.into_iter().enumerate() {
                 let mut play = Return::new(senders, shape, listed, seed as u64 + 1);
@@ -419,18 +423,19 @@
     }
 }
 
-/// An endpoint that was down for under one and a half windows (4.5 s here) was pushed over by all
-/// senders together at its return, and stayed down: a row of failures that ended so soon was taken
-/// for chance or a slow spell, whatever had failed in it, and no budget was kept after it. The
-/// printed worst windows showed it: over the bound after 4 s, under it after 6 s and more.
+/// Guards against an overload of an endpoint that was down for under one and a half windows (4.5 s
+/// here): all senders together overloaded it at its recovery, and it stayed down. A series of
+/// failures that ended so soon was taken for chance or a short slowdown, whatever had failed in it,
+/// and no slow-start budget applied after it. The printed worst windows showed it: above the limit
+/// after 4 s, below it after 6 s and more.
 #[test]
 fn relays_keep_the_bound_of_an_endpoint_that_returns_after_a_short_outage() {
     let over = over_the_bound(4);
     assert!(over.is_empty(), "{over:#?}");
 }
 
-/// Where an outage ends before most senders have seen a trial fail, some of them have no evidence
-/// of it but a failed call or two, as chance leaves them, too. Listed in KNOWN-RED.txt.
+/// Where an outage ends before most senders have seen a trial fail, some of them have only a failed
+/// call or two as evidence, which chance causes as well. Listed in KNOWN-RED.txt.
 #[test]
 fn relays_keep_the_bound_however_short_the_outage_was() {
     for down in [1, 2, 3] {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,5 +1,5 @@
-//! The adapter on bytes built by hand: good frames, and malformed ones that must end with a plain
-//! message.
+//! The adapter with input built by hand: valid frames, and malformed ones that must end it with a
+//! clear message.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -12,7 +12,7 @@
         .spawn()
         .expect("adapter starts");
     let mut stdin = child.stdin.take().expect("stdin");
-    // The adapter may stop reading at a fault; that is what some tests are about.
+    // The adapter may stop reading at an error, which some tests provoke.
     let _ = stdin.write_all(input);
     drop(stdin);
     child.wait_with_output().expect("adapter ends")
@@ -164,7 +164,7 @@
         &frame(1, 0, &[start(1), work(1, f32::NAN)].concat()),
         &["WORK_ITEM", "farEnd"],
     );
-    // A count far beyond the frame must not be believed.
+    // A count far beyond the frame's length must not be trusted.
     faulty(
         &frame(1, 0, &[11, 0, 0, 0xff, 0xff, 0xff, 0xff]),
         &["INVENTORY"],
