--- a/src/bin/raildeal-drill/instances.rs
+++ b/src/bin/raildeal-drill/instances.rs
@@ -57,7 +57,7 @@
                 problem: e.to_string(),
                 position,
             };
-            match self.follow(selected, record?).map_err(fault)? {
+            match self.apply(selected, record?).map_err(fault)? {
                 Followup::Select(instance) => selected = Some(instance),
                 Followup::Queue(event) => self.queue(selected, event).map_err(fault)?,
                 Followup::Nothing => {}
@@ -67,7 +67,7 @@
     }
 
     /// Applies a record as far as it needs no running instance.
-    fn follow(&mut self, selected: Option<u16>, record: Record) -> Result<Followup, RecordError> {
+    fn apply(&mut self, selected: Option<u16>, record: Record) -> Result<Followup, RecordError> {
         let event = match record {
             Record::Instance(instance) => return Ok(Followup::Select(instance)),
             Record::Head | Record::Memo => return Ok(Followup::Nothing),
--- a/src/dispatch/dispatcher/admission.rs
+++ b/src/dispatch/dispatcher/admission.rs
@@ -9,7 +9,7 @@
 
 /// Part of the message limit from which on load is shed, in tenths: the remaining tenth lets
 /// further messages be judged here rather than rejected unseen.
-const FILLED_TENTHS: usize = 9;
+const SHEDDING_THRESHOLD_TENTHS: usize = 9;
 /// Factor on a tenant's share of all traffic above which it counts as over its share.
 const SHARE_TOLERANCE: f64 = 1.6;
 
@@ -79,7 +79,7 @@
     fn shed_load(&mut self, now: Nanos) {
         let before_this_one = self.pending.len() - 1;
         self.held_before_change = self.held_before_change.min(before_this_one);
-        let filled = self.settings.max_held_messages as usize * FILLED_TENTHS / 10;
+        let filled = self.settings.max_held_messages as usize * SHEDDING_THRESHOLD_TENTHS / 10;
         let most = filled.max(1).max(self.held_before_change);
         while self.pending.len() > most {
             let longest = self
@@ -211,8 +211,8 @@
                 continue;
             }
             let route = self.route_of(&self.routes, &pending.message);
-            let leads_nowhere = route.is_some_and(|route| !route.has_zones());
-            if leads_nowhere && self.retry_eligibility(pending, now).may_reject {
+            let has_no_zones = route.is_some_and(|route| !route.has_zones());
+            if has_no_zones && self.retry_eligibility(pending, now).may_reject {
                 // No zone serves the message, so that its client is answered now.
                 let wait = Nanos::MAX;
                 all.push(Undeliverable { id, dest, wait });
--- a/src/dispatch/dispatcher/attempt_results.rs
+++ b/src/dispatch/dispatcher/attempt_results.rs
@@ -12,11 +12,11 @@
 
 /// Level of suspicion that a kind of destination is out of connections from which on connections
 /// are closed after each call, in failed connects.
-const CLOSE_CONNECTIONS_FROM: f64 = 1.0;
+const CLOSE_CONNECTIONS_SHORTAGE: f64 = 1.0;
 /// Largest level of that suspicion, so that it decays within a minute.
 const MAX_CONNECTION_SHORTAGE: f64 = 8.0;
 /// Delay before a message's next attempt after an error, in seconds; it doubles with each attempt.
-const RETRY_DELAY: f64 = 0.1;
+const RETRY_DELAY_SECONDS: f64 = 0.1;
 /// Largest number of attempts with which that delay still doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
 
@@ -54,7 +54,7 @@
             self.close_call(attempt.call, call.endpoint);
         }
         if is_first_result {
-            self.learn_from_call(now, &call, outcome, took, report);
+            self.record_call_result(now, &call, outcome, took, report);
         }
         self.check_queue_by(call.dest, 0);
         if let Outcome::Rejected { wait } = outcome {
@@ -66,7 +66,7 @@
             sent_at: call.sent_at,
             zone: attempt.zone,
         };
-        self.return_message(now, id.message, outcome, run);
+        self.record_attempt_result(now, id.message, outcome, run);
     }
 
     /// Releases the next message of an ordering key, after a pause where this attempt may still
@@ -102,7 +102,7 @@
     }
 
     /// Records the result of a message's attempt, and when the message may be retried.
-    fn return_message(&mut self, now: Nanos, id: MessageId, outcome: Outcome, run: SentAttempt) {
+    fn record_attempt_result(&mut self, now: Nanos, id: MessageId, outcome: Outcome, run: SentAttempt) {
         let jitter = self.random.draw();
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
@@ -119,13 +119,13 @@
         );
         if waits {
             let doublings = pending.attempts.min(MAX_RETRY_DOUBLINGS);
-            let seconds = RETRY_DELAY * f64::from(1u32 << doublings) * (0.5 + jitter);
+            let seconds = RETRY_DELAY_SECONDS * f64::from(1u32 << doublings) * (0.5 + jitter);
             pending.not_before = now + from_secs(seconds);
         }
     }
 
     /// Processes the first result of a call.
-    fn learn_from_call(
+    fn record_call_result(
         &mut self,
         now: Nanos,
         call: &InFlightCall,
@@ -140,7 +140,7 @@
             self.kind_stats[kind].record_retry(outcome == Outcome::Delivered);
         }
         let is_lost = matches!(outcome, Outcome::Timeout | Outcome::Reset);
-        self.learn_of_connections(now, call, outcome, is_lost);
+        self.record_connection_result(now, call, outcome, is_lost);
         let report = self.load_report(report);
         if let Some(report) = report {
             self.controller(call.dest, &endpoint).reported_limit = report.limit;
@@ -151,7 +151,7 @@
         if !was_stale {
             let sent_at = now.saturating_sub(took);
             let left = report.map(|report| report.left);
-            self.learn_of_endpoint(now, endpoint, outcome, sent_at, call.is_trial, left);
+            self.record_endpoint_result(now, endpoint, outcome, sent_at, call.is_trial, left);
         }
         if let Some(report) = report {
             let fair_rate = report.limit / f64::from(self.settings.senders.max(1));
@@ -160,7 +160,7 @@
         }
     }
 
-    fn learn_of_connections(
+    fn record_connection_result(
         &mut self,
         now: Nanos,
         call: &InFlightCall,
@@ -207,10 +207,10 @@
         let before = shortage.level(now);
         let level = (before + f64::from(u8::from(answered_soon))).min(MAX_CONNECTION_SHORTAGE);
         shortage.set(now, level);
-        if level < CLOSE_CONNECTIONS_FROM {
+        if level < CLOSE_CONNECTIONS_SHORTAGE {
             return;
         }
-        if before < CLOSE_CONNECTIONS_FROM {
+        if before < CLOSE_CONNECTIONS_SHORTAGE {
             self.close_idle_connections(kind);
         } else if is_unused {
             self.close_idle(address);
@@ -246,7 +246,7 @@
     }
 
     /// Updates the health of an endpoint, and the limits of its destination, from one call.
-    fn learn_of_endpoint(
+    fn record_endpoint_result(
         &mut self,
         now: Nanos,
         address: EndpointAddress,
@@ -278,12 +278,12 @@
                 self.queue(dest).lost_throughput = 0.0;
             }
             Outcome::Rejected { wait } => {
-                self.learn_of_rejection(now, address, wait, limit_left, fair_rate, &call);
+                self.record_rejected_call(now, address, wait, limit_left, fair_rate, &call);
             }
             Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => {
                 let shortage = self.kind_stats[endpoint.kind].connection_shortage;
                 let is_shortage = outcome == Outcome::ConnectFailed
-                    && shortage.level(now) > CLOSE_CONNECTIONS_FROM;
+                    && shortage.level(now) > CLOSE_CONNECTIONS_SHORTAGE;
                 endpoint.record_failure(now, outcome, is_shortage, &call, &self.settings);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
@@ -291,7 +291,7 @@
         self.health_changed(now, address, before, outcome);
     }
 
-    fn learn_of_rejection(
+    fn record_rejected_call(
         &mut self,
         now: Nanos,
         address: EndpointAddress,
@@ -318,7 +318,7 @@
             sent_at: call.sent_at,
             retry_after,
             expected_wait: expected.seconds,
-            cold_spread: if expected.is_unusual {
+            slow_start_spread: if expected.is_unusual {
                 to_secs(self.settings.slow_start_duration)
             } else {
                 0.0
--- a/src/dispatch/dispatcher/endpoint_choice.rs
+++ b/src/dispatch/dispatcher/endpoint_choice.rs
@@ -6,17 +6,17 @@
 
 use super::capacity::SlowStartBudget;
 use super::*;
-use crate::dispatch::endpoint_health::{Health, INITIAL_LATENCY};
+use crate::dispatch::endpoint_health::{Health, INITIAL_LATENCY_SECONDS};
 use crate::dispatch::rate_control::{QuotaOffer, LOW_CONFIDENCE};
 use crate::dispatch::rate_quota::{weighted_random_key, RateQuota};
 use crate::dispatch::statistics::{blend, from_secs, MS};
 
 /// Cost of a call for each whole priority weight of a route's fee, in seconds.
-const FEE_SECONDS: f64 = 20.0;
+const FEE_COST_SECONDS: f64 = 20.0;
 /// Added to the cost of a trial, in seconds, so that a healthy endpoint is chosen first.
-const TRIAL_COST: f64 = 100.0;
+const TRIAL_COST_SECONDS: f64 = 100.0;
 /// Weight of the share of failing calls in the cost.
-const FAILURE_COST: f64 = 3.0;
+const FAILURE_COST_FACTOR: f64 = 3.0;
 
 /// Requirements of a message on its endpoint.
 pub(super) struct SendRequirement<'a> {
@@ -40,7 +40,7 @@
 }
 
 impl EndpointChoice {
-    fn is_before(&self, other: &EndpointChoice) -> bool {
+    fn is_better_than(&self, other: &EndpointChoice) -> bool {
         (self.rank, self.cost) < (other.rank, other.cost)
     }
 }
@@ -99,7 +99,7 @@
         for endpoint in self.destinations[&dest].endpoints.clone() {
             match self.availability(now, endpoint, &context) {
                 Availability::Available(choice) => {
-                    if best.as_ref().is_none_or(|best| choice.is_before(best)) {
+                    if best.as_ref().is_none_or(|best| choice.is_better_than(best)) {
                         best = Some(choice);
                     }
                 }
@@ -124,7 +124,7 @@
         if count > 0.0 {
             sum / count
         } else {
-            INITIAL_LATENCY
+            INITIAL_LATENCY_SECONDS
         }
     }
 
@@ -138,7 +138,7 @@
         let Some(rank) = self.route_rank(&self.endpoints[&address], requirement) else {
             return Availability::Excluded;
         };
-        let budget = self.cold_budget(now, context.dest, &address);
+        let budget = self.call_budget(now, context.dest, &address);
         let rate = self.rate_state(now, &address, context);
         let mut opens_at = rate.next_call_at;
         if budget.calls < 1.0 {
@@ -153,12 +153,12 @@
         if opens_at > now {
             return Availability::OpensAt(opens_at);
         }
-        let spares_trial = !requirement.is_repeatable && rate.confidence > LOW_CONFIDENCE;
-        if is_trial && (endpoint.calls_in_flight > 0 || spares_trial) {
+        let excludes_trial = !requirement.is_repeatable && rate.confidence > LOW_CONFIDENCE;
+        if is_trial && (endpoint.calls_in_flight > 0 || excludes_trial) {
             return Availability::Excluded;
         }
         let cost = self.endpoint_cost(endpoint, &rate, context.usual_latency);
-        let trial_cost = if is_trial { TRIAL_COST } else { 0.0 };
+        let trial_cost = if is_trial { TRIAL_COST_SECONDS } else { 0.0 };
         Availability::Available(EndpointChoice {
             endpoint: address,
             is_trial,
@@ -218,7 +218,7 @@
     }
 
     /// Returns the slow-start budget of an endpoint; a whole call for a healthy one.
-    fn cold_budget(
+    fn call_budget(
         &mut self,
         now: Nanos,
         dest: DestinationId,
@@ -242,15 +242,15 @@
             // calls.
             return weighted_random_key(rate.listed_rate / after_rejections, rate.draw);
         }
-        let doubt = (1.0 + FAILURE_COST * endpoint.failure_share) * after_rejections;
+        let penalty = (1.0 + FAILURE_COST_FACTOR * endpoint.failure_share) * after_rejections;
         let latency = if endpoint.peak_throughput > 0.0 {
             endpoint.latency
         } else {
             usual_latency
         };
         let preference = blend(rate.confidence, 1.0, endpoint.preference);
-        let latency = latency * preference * doubt;
-        (f64::from(endpoint.calls_in_flight) + 1.0) * latency + FEE_SECONDS * self.fee(endpoint)
+        let latency = latency * preference * penalty;
+        (f64::from(endpoint.calls_in_flight) + 1.0) * latency + FEE_COST_SECONDS * self.fee(endpoint)
     }
 
     /// Returns the fee of a route, taken off the weight of each message; none where endpoints share
--- a/src/dispatch/dispatcher/priority.rs
+++ b/src/dispatch/dispatcher/priority.rs
@@ -5,16 +5,16 @@
 //! [`super::scheduling`] to choose the next message to send.
 
 use super::*;
-use crate::dispatch::endpoint_health::INITIAL_LATENCY;
+use crate::dispatch::endpoint_health::INITIAL_LATENCY_SECONDS;
 use crate::dispatch::rate_control::RateController;
 use crate::dispatch::statistics::from_secs;
 
 /// Smallest throughput that is assumed of a destination, in calls per second.
-const MIN_THROUGHPUT: f64 = 0.5;
+const MIN_THROUGHPUT_PER_SECOND: f64 = 0.5;
 /// Longest time that a queue is assumed to take to drain, in seconds.
 const MAX_DRAIN_SECONDS: f64 = 60.0;
 /// Weight of a message's value in its urgency, beside the value saved by sending it now.
-const VALUE_AS_SUCH: f64 = 0.05;
+const VALUE_WEIGHT: f64 = 0.05;
 
 impl Dispatcher {
     /// Returns the value of a message if it is delivered at the time `at`.
@@ -40,7 +40,7 @@
         };
         let endpoints = queue.endpoints.iter();
         let throughput: f64 = endpoints.map(|e| self.endpoints[e].peak_throughput).sum();
-        let throughput = throughput.max(MIN_THROUGHPUT);
+        let throughput = throughput.max(MIN_THROUGHPUT_PER_SECOND);
         let controllers = queue.controllers.values();
         let paused_until = controllers.map(RateController::paused_until).max();
         let pause = paused_until.unwrap_or(0).saturating_sub(now);
@@ -51,8 +51,8 @@
     /// Returns the value saved by sending a message now rather than after `horizon`, when its queue
     /// has drained, plus a small part of its value.
     pub(super) fn urgency(&self, pending: &PendingMessage, now: Nanos, horizon: Nanos) -> f64 {
-        let soon = now + from_secs(INITIAL_LATENCY);
+        let soon = now + from_secs(INITIAL_LATENCY_SECONDS);
         let value = self.value_at(pending, soon);
-        value - self.value_at(pending, soon + horizon) + VALUE_AS_SUCH * value
+        value - self.value_at(pending, soon + horizon) + VALUE_WEIGHT * value
     }
 }
--- a/src/dispatch/dispatcher/sending.rs
+++ b/src/dispatch/dispatcher/sending.rs
@@ -37,7 +37,7 @@
             Ok(choice) => choice,
             Err(opens_at) => {
                 self.check_queue_by(dest, opens_at);
-                return self.skip_first(queue, &requirement, &routes);
+                return self.skip_blocked(queue, &requirement, &routes);
             }
         };
         let batch = self.max_batch(&choice.endpoint);
@@ -98,7 +98,7 @@
 
     /// Removes the first message of a queue, for which no endpoint is available, and those with the
     /// same requirements. Returns whether others may be sent.
-    fn skip_first(
+    fn skip_blocked(
         &self,
         queue: &mut SendQueue,
         requirement: &SendRequirement,
@@ -143,11 +143,11 @@
             let message = &pending.message;
             let class = self.class(message);
             let route = self.route_of(routes, message);
-            let is_spared = choice.is_trial && class.effect == Effect::NotIdempotent;
+            let is_excluded = choice.is_trial && class.effect == Effect::NotIdempotent;
             let fits = ids.len() < batch
                 && self.required_zone(pending).is_none_or(|only| only == zone)
                 && route.is_none_or(|route| route.rank(zone).is_some())
-                && (id == first || !is_spared)
+                && (id == first || !is_excluded)
                 && (!class.ordered_by_key || message.key == 0 || keys.insert(message.key));
             if fits {
                 ids.push(id);
@@ -175,9 +175,9 @@
         endpoint.calls_in_flight += 1;
         endpoint.trial_at = now + endpoint.trial_gap;
         let zone = endpoint.zone;
-        let is_cold = endpoint.health != Health::Healthy;
+        let needs_budget = endpoint.health != Health::Healthy;
         let controller = self.controller(dest, &choice.endpoint);
-        if is_cold {
+        if needs_budget {
             controller.slow_start_budget -= weight;
         }
         let follows_rejection = controller.consecutive_rejections > 0;
--- a/src/dispatch/endpoint_health.rs
+++ b/src/dispatch/endpoint_health.rs
@@ -22,7 +22,7 @@
 /// Deviations above the mean latency after which a call times out.
 const TIMEOUT_DEVIATIONS: f64 = 6.0;
 /// Latency assumed before any answer, in seconds.
-pub const INITIAL_LATENCY: f64 = 0.4;
+pub const INITIAL_LATENCY_SECONDS: f64 = 0.4;
 /// Factor of a time-out on the deviation, as all calls may just have become slower.
 const DEVIATION_AFTER_TIMEOUT: f64 = 2.0;
 /// Weight of the newest call in the mean latency.
@@ -34,16 +34,16 @@
 /// Consecutive hard failures (any but error answers) that eject an endpoint.
 const EJECT_AFTER_FAILURES: u32 = 2;
 /// Additional failures needed where they are error answers, as the endpoint is reachable.
-const MORE_FOR_ERRORS: u32 = 2;
+const EXTRA_FAILURES_FOR_ERRORS: u32 = 2;
 /// Consecutive rejections, with no success between, from which on an endpoint that has not answered
 /// for long is taken for closed.
 const CLOSED_AFTER_REJECTIONS: u32 = 3;
 /// Share of failing calls above which most calls fail, with some margin for small samples.
-const MOSTLY_FAILING: f64 = 0.45;
+const MOSTLY_FAILING_SHARE: f64 = 0.45;
 /// Share of failing calls above which a destination counts as impaired.
-const IMPAIRED: f64 = 0.3;
+const IMPAIRED_FAILURE_SHARE: f64 = 0.3;
 /// Part of the highest throughput that decays with each success.
-const PEAK_FADE: f64 = 0.005;
+const PEAK_DECAY: f64 = 0.005;
 
 /// State of an endpoint, which limits the calls to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -145,8 +145,8 @@
             zone: listing.zone,
             last_answer_at: now,
             failed_at: now,
-            latency: INITIAL_LATENCY,
-            latency_deviation: INITIAL_LATENCY,
+            latency: INITIAL_LATENCY_SECONDS,
+            latency_deviation: INITIAL_LATENCY_SECONDS,
             answered: Meter::new(now, RATE_MEMORY.fade_seconds),
             ..EndpointState::default()
         }
@@ -160,7 +160,7 @@
 
     /// Whether it is ejected or many of its calls fail.
     pub fn is_impaired(&self) -> bool {
-        self.health == Health::Ejected || self.failure_share > IMPAIRED
+        self.health == Health::Ejected || self.failure_share > IMPAIRED_FAILURE_SHARE
     }
 
     /// Ejects it until a trial is answered.
@@ -214,7 +214,7 @@
         self.record_latency(to_secs(now.saturating_sub(call.sent_at)), call.confidence);
         let throughput = self.answered.record(now, RATE_MEMORY);
         self.peak_throughput +=
-            (throughput - self.peak_throughput).max(PEAK_FADE * -self.peak_throughput);
+            (throughput - self.peak_throughput).max(PEAK_DECAY * -self.peak_throughput);
         if self.health == Health::Ejected {
             self.health = if was_outage {
                 Health::SlowStart
@@ -247,8 +247,8 @@
         call: &CallResult,
         settings: &Settings,
     ) {
-        let last_sign = self.last_answer_at.max(self.failing_since);
-        let is_silent = now.saturating_sub(last_sign) > settings.overload_window;
+        let last_activity = self.last_answer_at.max(self.failing_since);
+        let is_silent = now.saturating_sub(last_activity) > settings.overload_window;
         // A rejection with the limit unused means that the endpoint is closed.
         let limit_is_unused =
             hint.limit_left > Some(1.0 - LIMIT_USED_UP) && call.confidence < LOW_CONFIDENCE;
@@ -286,12 +286,12 @@
         let is_rare = none_answered_since && is_hard && silent > settings.overload_window;
         let single_is_enough = is_rare && call.confidence < LOW_CONFIDENCE && !connection_shortage;
         let enough = EJECT_AFTER_FAILURES
-            + MORE_FOR_ERRORS * u32::from(!is_hard)
+            + EXTRA_FAILURES_FOR_ERRORS * u32::from(!is_hard)
             + u32::from(connection_shortage);
         self.trial_has_failed |= call.is_trial && is_hard;
         if self.consecutive_failures >= enough || call.is_trial && is_hard || single_is_enough {
             self.eject(now, call.jitter);
-        } else if self.health == Health::SlowStart || self.failure_share > MOSTLY_FAILING {
+        } else if self.health == Health::SlowStart || self.failure_share > MOSTLY_FAILING_SHARE {
             // Most calls fail though some succeed: keep to the slow-start budget until that ends.
             self.health = Health::SlowStart;
             self.warmup_since = now;
@@ -300,7 +300,7 @@
 
     fn widen_deviation(&mut self, slower: bool) {
         let factor = if slower { DEVIATION_AFTER_TIMEOUT } else { 1.0 };
-        let most = INITIAL_LATENCY.max(self.latency * factor);
+        let most = INITIAL_LATENCY_SECONDS.max(self.latency * factor);
         self.latency_deviation = (self.latency_deviation * factor).min(most);
     }
 }
--- a/src/dispatch/list_polling.rs
+++ b/src/dispatch/list_polling.rs
@@ -21,54 +21,54 @@
 
 /// Assumed cost of one poll to the directory before a response has shown a lower one, in seconds;
 /// observed: 55 ms.
-const INITIAL_COST: f64 = 0.055;
+const INITIAL_POLL_COST_SECONDS: f64 = 0.055;
 /// Lower bound of the assumed cost, in seconds; below it spreading polls has no effect.
-const MIN_COST: f64 = 0.002;
+const MIN_POLL_COST_SECONDS: f64 = 0.002;
 /// Upper bound of the assumed cost, in seconds; above it a large fleet would never receive a list.
-const MAX_COST: f64 = 1.0;
+const MAX_POLL_COST_SECONDS: f64 = 1.0;
 /// Time that polls may wait in the directory's queue, in seconds. The directory gives up after 3 s,
 /// and the network takes some of that.
-const QUEUE_SECONDS: f64 = 2.9;
+const MAX_QUEUE_SECONDS: f64 = 2.9;
 /// Standard deviations, in the middle of the span, by which polls may arrive earlier than evenly
 /// spread before some of them fail. At 3.5 the queue exceeds its limit at some point in one start
 /// in 460 (`exp(-CHANCE_DEVIATIONS^2 / 2)`).
 const CHANCE_DEVIATIONS: f64 = 3.5;
 /// Time in seconds from which on a failed poll is taken to have waited in the queue until the
 /// directory gave it up.
-const QUEUED_SECONDS: f64 = 2.5;
+const MIN_QUEUED_SECONDS: f64 = 2.5;
 /// Time in seconds below which a failed poll is taken as rejected by a directory that is running.
-const REFUSED_SECONDS: f64 = 1.0;
+const REJECTED_BELOW_SECONDS: f64 = 1.0;
 /// Factor on the assumed cost after a poll failed in the queue. At 2, a directory at a third of its
 /// speed keeps an overlong queue for minutes: senders had the list after 231 s, against 50 s at
 /// best. At 4, senders of a fast directory wait too long: 120 s and 162 s.
-const COST_AFTER_QUEUE_FAILURE: f64 = 3.0;
+const COST_FACTOR_AFTER_QUEUE_FAILURE: f64 = 3.0;
 /// Delay before the poll that follows a first failure, in seconds; it doubles with each further
 /// failure. It is added to the random delay that spreads the polls of many senders.
-const MIN_RETRY_GAP: f64 = 0.5;
+const MIN_RETRY_DELAY_SECONDS: f64 = 0.5;
 /// Upper bound of that delay, in seconds. Nothing is sent while the list is stale, so a directory
 /// that is available again has to be found soon.
-const MAX_RETRY_GAP: f64 = 1.0;
+const MAX_RETRY_DELAY_SECONDS: f64 = 1.0;
 /// Consecutive failures are counted up to this number, to prevent an overflow.
-const MAX_FAILURES: i32 = 8;
+const MAX_COUNTED_FAILURES: i32 = 8;
 /// Deadlines for which a list stays fresh after the start of a failed poll, by the documentation of
 /// the settings; after the start of a poll that has not failed it is one.
 const DEADLINES_AFTER_FAILURE: Nanos = 4;
 /// Time after a change of the directory's address within which a change of the list must be known,
 /// by the operators' rules on new configurations; polling does not extend it.
-const FRESH_AFTER_MOVE: Nanos = 4 * SEC;
+const MAX_FRESH_AFTER_MOVE: Nanos = 4 * SEC;
 /// Heartbeat intervals that a watch may be silent before it is given up, whatever the settings say.
-const HEARTBEATS: Nanos = 2;
+const MAX_SILENT_HEARTBEATS: Nanos = 2;
 /// Time from which on a change of the list must be known, counted from when the directory had it
 /// and could be reached, by the operators' rules. Polls, and their results, do not change it.
-const CHANGE_COUNTS_AFTER: Nanos = 6 * SEC;
+const MAX_CHANGE_DELAY: Nanos = 6 * SEC;
 /// Time after an event of a watch was due from which on the watch is taken as silent; it covers
 /// delays of an event.
 const SILENCE_MARGIN: Nanos = SEC;
 /// Lower bound of the time-out of a poll, in seconds. The directory gives up after 3 s and reports
 /// that; a poll that times out later met a silent directory, not a queue.
-const MIN_POLL_TIMEOUT: f64 = 3.5;
+const MIN_POLL_TIMEOUT_SECONDS: f64 = 3.5;
 /// Upper bound of the time-out of a poll where many senders poll, in seconds.
-const MAX_POLL_TIMEOUT: f64 = 6.0;
+const MAX_POLL_TIMEOUT_SECONDS: f64 = 6.0;
 
 /// Returns the time in seconds over which `senders` spread their polls, where each poll costs the
 /// directory `cost` seconds.
@@ -77,13 +77,13 @@
         return 0.0;
     }
     let all = f64::from(senders) * cost;
-    // After a part u of the span, evenly drawn polls lag by u * spared on average, and by chance *
-    // sqrt(u - u^2) more. The maximum of the sum is (spared + sqrt(spared^2 + chance^2)) / 2, which
+    // After a part u of the span, evenly drawn polls lag by u * spare on average, and by chance *
+    // sqrt(u - u^2) more. The maximum of the sum is (spare + sqrt(spare^2 + chance^2)) / 2, which
     // must not exceed the queue.
     let chance = CHANCE_DEVIATIONS * cost * f64::from(senders).sqrt();
-    let spared = QUEUE_SECONDS - chance * chance / (4.0 * QUEUE_SECONDS);
+    let spare = MAX_QUEUE_SECONDS - chance * chance / (4.0 * MAX_QUEUE_SECONDS);
     // A span a tenth longer than all polls take gives the shortest possible queue.
-    (all - spared).clamp(all / 2.0, all * 1.1)
+    (all - spare).clamp(all / 2.0, all * 1.1)
 }
 
 /// Returns how many simultaneous polls of `cost` seconds each fit into the directory's queue.
@@ -93,7 +93,7 @@
 /// hardly waits. Where all senders restart, those that do not fit into the queue have one failed
 /// poll each and are then spread over all senders.
 fn queue_capacity(cost: f64) -> u32 {
-    (QUEUE_SECONDS / cost) as u32
+    (MAX_QUEUE_SECONDS / cost) as u32
 }
 
 /// Returns the number of senders that poll the same source as this one, itself included.
@@ -108,14 +108,14 @@
 /// Returns the time-out of a poll in seconds. A poll that waits in a long queue is not cancelled
 /// early: the directory would still process it, and the next poll would wait behind it.
 pub fn poll_timeout(senders: u32) -> f64 {
-    (f64::from(senders) * INITIAL_COST).clamp(MIN_POLL_TIMEOUT, MAX_POLL_TIMEOUT)
+    (f64::from(senders) * INITIAL_POLL_COST_SECONDS).clamp(MIN_POLL_TIMEOUT_SECONDS, MAX_POLL_TIMEOUT_SECONDS)
 }
 
 /// Returns the cost of a poll, in seconds, that a later start may assume after a poll took
 /// `took_seconds`. Time in a queue is no part of the cost; and a directory that has just started
 /// may be slower than before, so that at least half of the usual cost is assumed.
 pub fn plausible_poll_cost(took_seconds: f64) -> f64 {
-    took_seconds.clamp(INITIAL_COST / 2.0, INITIAL_COST)
+    took_seconds.clamp(INITIAL_POLL_COST_SECONDS / 2.0, INITIAL_POLL_COST_SECONDS)
 }
 
 /// The event that the freshness of the list is based on.
@@ -192,7 +192,7 @@
     /// Time from which on the list is stale: a change must be known by then, though none was
     /// reported.
     stale_at: Option<Nanos>,
-    /// Time until which the list is fresh: [`CHANGE_COUNTS_AFTER`] after the last event. A failed
+    /// Time until which the list is fresh: [`MAX_CHANGE_DELAY`] after the last event. A failed
     /// poll or an ended watch says nothing of changes and does not extend it, except as in
     /// [`Self::seems_down`].
     fresh_until: Nanos,
@@ -207,7 +207,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollFailure {
     /// A running directory rejected it.
-    Refused,
+    Rejected,
     /// The directory was down, or its queue is shorter than assumed.
     Unclear,
     /// The directory gave it up after it had waited in the queue.
@@ -223,14 +223,14 @@
         let restart = settings.restart_state;
         // Over sockets, where a watch has a heartbeat, changes must be known even where the
         // settings set no deadline for polls.
-        let counts_anyway = settings.list_pushed || settings.watch_heartbeat > 0;
-        let deadline = if counts_anyway && settings.poll_deadline == 0 {
-            CHANGE_COUNTS_AFTER
+        let needs_deadline = settings.list_pushed || settings.watch_heartbeat > 0;
+        let deadline = if needs_deadline && settings.poll_deadline == 0 {
+            MAX_CHANGE_DELAY
         } else {
             settings.poll_deadline
         };
         let senders = senders_polling_together(settings);
-        let cost = restart.poll_cost_seconds.unwrap_or(INITIAL_COST);
+        let cost = restart.poll_cost_seconds.unwrap_or(INITIAL_POLL_COST_SECONDS);
         let polling_together = if restart.planned {
             queue_capacity(cost).min(senders)
         } else {
@@ -247,7 +247,7 @@
         };
         poller.next_poll_at = Some(now + poller.random_delay(draw));
         let remaining = restart.remaining_freshness;
-        poller.fresh_until = now + remaining.unwrap_or(CHANGE_COUNTS_AFTER);
+        poller.fresh_until = now + remaining.unwrap_or(MAX_CHANGE_DELAY);
         if remaining.is_some() {
             poller.freshness_basis = FreshnessBasis::RestartNote;
         }
@@ -267,11 +267,11 @@
         self.failures = 0;
         self.next_poll_at = Some(now + self.random_delay(draw));
         if self.deadline > 0 {
-            let stale_at = now + self.deadline.min(FRESH_AFTER_MOVE);
+            let stale_at = now + self.deadline.min(MAX_FRESH_AFTER_MOVE);
             self.stale_at = Some(self.stale_at.map_or(stale_at, |at| at.min(stale_at)));
         }
-        if now + FRESH_AFTER_MOVE < self.fresh_until {
-            self.fresh_until = now + FRESH_AFTER_MOVE;
+        if now + MAX_FRESH_AFTER_MOVE < self.fresh_until {
+            self.fresh_until = now + MAX_FRESH_AFTER_MOVE;
             self.freshness_basis = FreshnessBasis::SourceMoved;
         }
         self.may_have_missed_change = false;
@@ -318,7 +318,7 @@
         let holds_at = self.poll_started_at.unwrap_or(now);
         if let Some(started) = self.poll_started_at.take() {
             let took = to_secs(now - started);
-            self.cost = self.cost.min(took).max(MIN_COST);
+            self.cost = self.cost.min(took).max(MIN_POLL_COST_SECONDS);
             self.watching = true;
             self.next_poll_at = None;
             self.failures = 0;
@@ -326,7 +326,7 @@
         }
         if self.watching {
             self.last_event_at = holds_at;
-            self.fresh_until = holds_at + CHANGE_COUNTS_AFTER;
+            self.fresh_until = holds_at + MAX_CHANGE_DELAY;
             self.freshness_basis = FreshnessBasis::DirectoryEvent;
             self.may_have_missed_change = false;
         }
@@ -338,9 +338,9 @@
         if started.is_none() && self.next_poll_at.is_some() {
             return; // no poll was in progress, and the next one is scheduled
         }
-        let seconds = MIN_RETRY_GAP * 2f64.powi(self.failures);
-        let gap = from_secs(seconds.min(MAX_RETRY_GAP));
-        self.failures = (self.failures + 1).min(MAX_FAILURES);
+        let seconds = MIN_RETRY_DELAY_SECONDS * 2f64.powi(self.failures);
+        let gap = from_secs(seconds.min(MAX_RETRY_DELAY_SECONDS));
+        self.failures = (self.failures + 1).min(MAX_COUNTED_FAILURES);
         match started {
             Some(started) => self.poll_failed(now, started, gap, draw),
             None => self.watch_ended(now, gap, draw),
@@ -355,7 +355,7 @@
         self.polling_together = self.senders;
         if self.heartbeat == 0 {
             self.last_event_at = now;
-            self.fresh_until = now + CHANGE_COUNTS_AFTER;
+            self.fresh_until = now + MAX_CHANGE_DELAY;
         }
         self.stale_after_deadlines(self.last_event_at, 1);
         let silent_from = self.last_event_at + self.heartbeat + SILENCE_MARGIN;
@@ -373,7 +373,7 @@
             self.stale_after_deadlines(started, DEADLINES_AFTER_FAILURE);
         }
         self.may_have_missed_change |= failure != PollFailure::Unclear;
-        let outage_until = started + CHANGE_COUNTS_AFTER;
+        let outage_until = started + MAX_CHANGE_DELAY;
         if self.seems_down() && outage_until > self.fresh_until {
             self.fresh_until = outage_until;
             self.freshness_basis = FreshnessBasis::SeemingOutage;
@@ -386,7 +386,7 @@
                 now + gap + self.random_delay(draw)
             }
             PollFailure::Queued => self.after_queue_failure(now, gap, draw),
-            PollFailure::Refused | PollFailure::Unclear => {
+            PollFailure::Rejected | PollFailure::Unclear => {
                 // Each sender keeps its place in the order, so that the queue is no longer than
                 // before when polls are served again.
                 let span = poll_spread(self.polling_together, self.cost);
@@ -405,12 +405,12 @@
     fn poll_failure(&self, waited_seconds: f64) -> PollFailure {
         if waited_seconds >= poll_timeout(self.senders) {
             PollFailure::Unanswered
-        } else if waited_seconds >= QUEUED_SECONDS {
+        } else if waited_seconds >= MIN_QUEUED_SECONDS {
             PollFailure::Queued
-        } else if waited_seconds >= REFUSED_SECONDS {
+        } else if waited_seconds >= REJECTED_BELOW_SECONDS {
             PollFailure::Unclear
         } else {
-            PollFailure::Refused
+            PollFailure::Rejected
         }
     }
 
@@ -424,8 +424,8 @@
     /// Only in a fleet too large to be told of its return before changes count: such a fleet would
     /// stand still together. Others are told in time, and go without.
     fn seems_down(&self) -> bool {
-        let polls_of_all = f64::from(self.senders) * self.cost.min(INITIAL_COST);
-        polls_of_all > to_secs(CHANGE_COUNTS_AFTER) && !self.may_have_missed_change
+        let polls_of_all = f64::from(self.senders) * self.cost.min(INITIAL_POLL_COST_SECONDS);
+        polls_of_all > to_secs(MAX_CHANGE_DELAY) && !self.may_have_missed_change
     }
 
     /// Returns the time of the next poll after the queue was too long: more senders polled than
@@ -433,7 +433,7 @@
     /// failed polls as well.
     fn after_queue_failure(&mut self, now: Nanos, gap: Nanos, draw: impl FnOnce() -> f64) -> Nanos {
         if self.polling_together == self.senders {
-            self.cost = (self.cost * COST_AFTER_QUEUE_FAILURE).min(MAX_COST);
+            self.cost = (self.cost * COST_FACTOR_AFTER_QUEUE_FAILURE).min(MAX_POLL_COST_SECONDS);
         }
         self.polling_together = self.senders;
         let queue = from_secs(poll_spread(self.senders, self.cost));
@@ -467,8 +467,8 @@
         if self.watching {
             return self.is_watch_stale(now);
         }
-        let is_past_freshness = self.deadline > 0 && now >= self.fresh_until;
-        self.stale_at.is_some_and(|at| now >= at) || is_past_freshness
+        let has_expired = self.deadline > 0 && now >= self.fresh_until;
+        self.stale_at.is_some_and(|at| now >= at) || has_expired
     }
 
     /// Whether the list is stale during an open watch. A watch with a heartbeat is only as fresh as
@@ -477,7 +477,7 @@
         if self.heartbeat == 0 || self.deadline == 0 {
             return false;
         }
-        let least = (HEARTBEATS * self.heartbeat).min(CHANGE_COUNTS_AFTER);
-        now >= self.last_event_at + self.deadline.clamp(least, CHANGE_COUNTS_AFTER)
+        let least = (MAX_SILENT_HEARTBEATS * self.heartbeat).min(MAX_CHANGE_DELAY);
+        now >= self.last_event_at + self.deadline.clamp(least, MAX_CHANGE_DELAY)
     }
 }
--- a/src/dispatch/rate_control.rs
+++ b/src/dispatch/rate_control.rs
@@ -23,9 +23,9 @@
 /// Additional growth of the rate per call whose report says that the limit is unused.
 const UNUSED_LIMIT_GROWTH: f64 = 3.0;
 /// Unused share of the limit above which a report counts the limit as unused.
-const UNUSED_LIMIT: f64 = 0.5;
+const UNUSED_LIMIT_SHARE: f64 = 0.5;
 /// Growth of the rate in calls per second, each second, where this sender's own calls show enough.
-const RATE_CREEP: f64 = 0.1;
+const RATE_GROWTH_PER_SECOND: f64 = 0.1;
 /// Smallest rate after rejections, as a part of the messages that arrive: all senders together stay
 /// below demand.
 const MIN_RATE_OF_DEMAND: f64 = 0.4;
@@ -37,7 +37,7 @@
 const MIN_RATE_OF_DEMAND_AT_LIMIT: f64 = 0.15;
 /// Number of calls rejected right after a rejection, for each accepted one, above which the rate is
 /// cut.
-const CROWDED: f64 = 1.5;
+const CROWDED_REJECTIONS_PER_SUCCESS: f64 = 1.5;
 /// Confidence below which a sender calls too rarely to judge by its own calls.
 pub const LOW_CONFIDENCE: f64 = 0.5;
 /// Unused share of the limit below which a report counts the limit as used up.
@@ -57,7 +57,7 @@
 /// Largest number of consecutive rejections with which the spread still doubles.
 const MAX_SPREAD_DOUBLINGS: u32 = 5;
 /// Relative difference from the usual Retry-After from which on a wait is not caused by the limit.
-const UNUSUAL_WAIT: f64 = 0.1;
+const UNUSUAL_WAIT_DIFFERENCE: f64 = 0.1;
 /// Weight of the newest call in the statistics of a kind.
 const KIND_GAIN: f64 = 0.1;
 /// Smallest assumed share of successful retries, against a division by zero.
@@ -124,7 +124,7 @@
     pub expected_wait: f64,
     /// Shortest time over which to spread the return, in seconds, where the endpoint may need slow
     /// start.
-    pub cold_spread: f64,
+    pub slow_start_spread: f64,
     /// Number of calls rejected right after a rejection for each accepted one.
     pub rejections_per_success: f64,
     /// Whether a report says that the limit is used up.
@@ -193,7 +193,7 @@
         }
         self.rate = match self.quota {
             Some(quota) => quota.after_rest(self.rate, seconds),
-            None => self.rate + RATE_CREEP * self.confidence(now) * seconds,
+            None => self.rate + RATE_GROWTH_PER_SECOND * self.confidence(now) * seconds,
         };
         let rate = self.allowed_rate();
         let most = (rate * MAX_TOKENS_SECONDS).max(1.0);
@@ -283,7 +283,7 @@
             self.tokens = self.tokens.min(TOKENS_AFTER_REJECTION);
             return;
         }
-        let crowded = self.consecutive_rejections > 1 && rejection.rejections_per_success > CROWDED;
+        let crowded = self.consecutive_rejections > 1 && rejection.rejections_per_success > CROWDED_REJECTIONS_PER_SUCCESS;
         let confident = rejection.confidence > LOW_CONFIDENCE;
         if !rejection.limit_used_up && !crowded && !confident {
             return;
@@ -329,7 +329,7 @@
             * rejection.expected_wait
             * f64::from(1u32 << doublings);
         let silent = to_secs(now.saturating_sub(self.last_accepted_at));
-        let spread = silent.min(rejection.cold_spread.max(crowd_spread));
+        let spread = silent.min(rejection.slow_start_spread.max(crowd_spread));
         let delay = rejection.jitter * spread * (1.0 - rejection.confidence);
         self.backoff_until = self.backoff_until.max(until + from_secs(delay));
     }
@@ -342,7 +342,7 @@
             self.rate_cut_at = now;
             let accepted = self.accepted.rate(now).max(fair_rate);
             self.rate = self.rate.min(accepted).min(limit);
-        } else if left > UNUSED_LIMIT {
+        } else if left > UNUSED_LIMIT_SHARE {
             let unsure = 1.0 - self.confidence(now);
             let growth = unsure * UNUSED_LIMIT_GROWTH * (2.0 * left - 1.0);
             self.rate = (self.rate * (1.0 + growth)).max(fair_rate);
@@ -396,7 +396,7 @@
             };
         }
         let seconds = to_secs(retry_after);
-        let is_unusual = (seconds - self.usual_wait).abs() > UNUSUAL_WAIT * self.usual_wait;
+        let is_unusual = (seconds - self.usual_wait).abs() > UNUSUAL_WAIT_DIFFERENCE * self.usual_wait;
         self.usual_wait += KIND_GAIN * (seconds - self.usual_wait);
         ExpectedWait {
             seconds,
--- a/src/dispatch/rate_quota.rs
+++ b/src/dispatch/rate_quota.rs
@@ -22,7 +22,7 @@
 pub(crate) const MANY_SENDERS: u32 = 10;
 /// Smallest quota, in calls per second: if the configured fleet size is far too high, the sender is
 /// slowed but never stopped.
-const MIN_QUOTA: f64 = 1.0 / 60.0;
+const MIN_QUOTA_PER_SECOND: f64 = 1.0 / 60.0;
 /// Part of the quota that is restored each second after rejections reduced the rate. A call is made
 /// every few seconds: with much more restored in between, rejections would no longer keep a rate
 /// down.
@@ -72,7 +72,7 @@
     /// `longest_wait` is the longest time that a message has.
     pub fn for_sender(listed_rate: f64, senders: u32, longest_wait: Nanos) -> Option<Self> {
         let useful = senders >= MANY_SENDERS && listed_rate > 0.0 && listed_rate.is_finite();
-        let rate = (listed_rate / f64::from(senders)).max(MIN_QUOTA);
+        let rate = (listed_rate / f64::from(senders)).max(MIN_QUOTA_PER_SECOND);
         useful.then_some(RateQuota {
             rate,
             leased: listed_rate >= f64::from(LEASED_RATE),
--- a/src/dispatch/rate_quota/tests.rs
+++ b/src/dispatch/rate_quota/tests.rs
@@ -31,7 +31,7 @@
 fn a_fleet_begins_at_what_is_listed_and_one_that_claims_to_be_huge_still_moves() {
     let one = quota(50.0, 100).expect("many");
     assert!((one.initial_rate() * 100.0 - 50.0).abs() < 1e-9);
-    assert!(quota(1.0, u32::MAX).expect("many").initial_rate() >= MIN_QUOTA);
+    assert!(quota(1.0, u32::MAX).expect("many").initial_rate() >= MIN_QUOTA_PER_SECOND);
 }
 
 #[test]
--- a/src/dispatch/slow_start.rs
+++ b/src/dispatch/slow_start.rs
@@ -12,7 +12,7 @@
 
 /// Calls per window from which on a smaller random excess is allowed. Below it `N + 3 sqrt(N) + 3`
 /// calls are accepted, from it on `N + 2 sqrt(N) + 2`.
-const MANY_CALLS: f64 = 30.0;
+const MANY_CALLS_PER_WINDOW: f64 = 30.0;
 /// The calls of many senders may exceed the limit in at most one of a thousand windows: the
 /// negative natural logarithm of that probability...
 const RARE_EXCESS_LOG: f64 = 6.908;
@@ -23,17 +23,17 @@
 /// all senders to do so.
 const MAX_SAVED_FRACTION: f64 = 0.5;
 /// Lower bound of `N`, in calls: an endpoint that accepts nothing by the settings is still tried.
-const MIN_CALLS: f64 = 0.1;
+const MIN_CALLS_PER_WINDOW: f64 = 0.1;
 
 /// Returns the largest number of calls that an endpoint with `calls` granted accepts in a window.
 /// The result never decreases as `calls` grows: the endpoint's own count may be higher than the
 /// sender's.
 pub fn max_calls_per_window(calls: f64) -> f64 {
-    let with_roots = |calls: f64, roots: f64| calls + roots * calls.sqrt() + roots;
-    if calls < MANY_CALLS {
-        with_roots(calls, 3.0).min(with_roots(MANY_CALLS, 2.0))
+    let with_deviations = |calls: f64, roots: f64| calls + roots * calls.sqrt() + roots;
+    if calls < MANY_CALLS_PER_WINDOW {
+        with_deviations(calls, 3.0).min(with_deviations(MANY_CALLS_PER_WINDOW, 2.0))
     } else {
-        with_roots(calls, 2.0)
+        with_deviations(calls, 2.0)
     }
 }
 
@@ -70,7 +70,7 @@
     ///   [`max_mean`]. Calls that idle senders have saved are added when their messages arrive; the
     ///   tests measure that with whole dispatchers.
     pub fn for_sender(calls: f64, growth: f64, window_seconds: f64, senders: u32) -> Self {
-        let calls = calls.max(MIN_CALLS);
+        let calls = calls.max(MIN_CALLS_PER_WINDOW);
         let senders = f64::from(senders.max(1));
         let even_rate = calls / window_seconds / senders;
         let spare = (max_calls_per_window(calls) - calls) / senders;
@@ -81,7 +81,7 @@
                 by_chance: false,
             };
         }
-        let falls_due = (calls - growth / 2.0).max(MIN_CALLS);
+        let falls_due = (calls - growth / 2.0).max(MIN_CALLS_PER_WINDOW);
         let reduction = (max_mean(max_calls_per_window(calls), senders) / falls_due).min(1.0);
         SlowStartQuota {
             rate: even_rate * reduction,
--- a/src/dispatch/stale_connections.rs
+++ b/src/dispatch/stale_connections.rs
@@ -12,12 +12,12 @@
 
 /// Level of suspicion above which idle connections are closed: one lost call is enough, as a new
 /// connection costs little.
-const CLOSE_ABOVE: f64 = 0.7;
+const CLOSE_ABOVE_SUSPICION: f64 = 0.7;
 /// Largest absolute level of suspicion, in lost calls: without it a long outage would have an
 /// effect for minutes.
 const MAX_SUSPICION: f64 = 3.0;
 /// Time in which a suspicion decays to 1/e, in seconds.
-const FADE_SECONDS: f64 = 20.0;
+const DECAY_SECONDS: f64 = 20.0;
 /// Part of a suspicion that remains after an answer on an idle connection.
 const KEPT_AFTER_ANSWER: f64 = 0.5;
 
@@ -32,7 +32,7 @@
 impl Suspicion {
     /// Returns the level now.
     pub fn level(&self, now: Nanos) -> f64 {
-        self.level * (-to_secs(now.saturating_sub(self.updated_at)) / FADE_SECONDS).exp()
+        self.level * (-to_secs(now.saturating_sub(self.updated_at)) / DECAY_SECONDS).exp()
     }
 
     /// Replaces the level.
@@ -62,7 +62,7 @@
 impl StaleConnectionDetector {
     /// Whether idle connections are to be closed rather than used.
     pub fn distrusts_idle(&self, now: Nanos) -> bool {
-        self.suspicion.level(now) > CLOSE_ABOVE
+        self.suspicion.level(now) > CLOSE_ABOVE_SUSPICION
     }
 
     /// Records a call that was lost or answered.
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -8,7 +8,7 @@
 const MS: Nanos = 1_000_000;
 const SEC: Nanos = 1_000 * MS;
 /// Cost of a poll to the directory, in seconds.
-const COST: f64 = 0.055;
+const POLL_COST_SECONDS: f64 = 0.055;
 
 fn secs(s: f64) -> Nanos {
     (s * SEC as f64) as Nanos
@@ -76,7 +76,7 @@
 
 #[test]
 fn what_asks_cost_is_learned_and_bounded() {
-    let ask = |poller: &mut EndpointListPoller, after: f64, answered: bool| {
+    let poll_once = |poller: &mut EndpointListPoller, after: f64, answered: bool| {
         let now = poller.next_poll_at().expect("settled");
         assert!(poller.begin_due_poll(now));
         if answered {
@@ -87,17 +87,17 @@
     };
     let mut poller = start(0, 300, 0, || 0.5);
     assert!(
-        (100.0..120.0).contains(&ask(&mut poller, 3.0, false)),
+        (100.0..120.0).contains(&poll_once(&mut poller, 3.0, false)),
         "a line too long is let go and made far less dense"
     );
-    (0..20).for_each(|_| _ = ask(&mut poller, 3.0, false));
-    assert!(ask(&mut poller, 3.0, false) < 670.0);
+    (0..20).for_each(|_| _ = poll_once(&mut poller, 3.0, false));
+    assert!(poll_once(&mut poller, 3.0, false) < 670.0);
     assert!(
-        ask(&mut poller, 0.010, true) < 3.0,
+        poll_once(&mut poller, 0.010, true) < 3.0,
         "a quick directory needs less"
     );
-    (0..20).for_each(|_| _ = ask(&mut poller, 0.0, true));
-    assert!(ask(&mut poller, 0.0, true) >= 0.5);
+    (0..20).for_each(|_| _ = poll_once(&mut poller, 0.0, true));
+    assert!(poll_once(&mut poller, 0.0, true) >= 0.5);
 }
 
 #[test]
@@ -147,7 +147,7 @@
     // All senders may have lost their watch.
     let mut poller = start(300, true, None);
     assert!(poller.begin_due_poll(2 * SEC));
-    poller.record_event(2 * SEC + secs(COST));
+    poller.record_event(2 * SEC + secs(POLL_COST_SECONDS));
     poller.record_failure(3 * SEC, || 1.0);
     assert!(to_secs(poller.next_poll_at().expect("due")) > 10.0);
 }
@@ -167,7 +167,7 @@
         };
         let mut poller = EndpointListPoller::new(0, &settings, || 0.0);
         assert!(poller.begin_due_poll(0));
-        poller.record_event(secs(COST));
+        poller.record_event(secs(POLL_COST_SECONDS));
         poller.source_moved(SEC, || part);
         poller
     };
@@ -202,17 +202,17 @@
     let mut all: Vec<EndpointListPoller> = (0..300)
         .map(|_| start(0, 300, 0, || random.f64()))
         .collect();
-    let mut asks = vec![0; 60];
+    let mut polls = vec![0; 60];
     for ms in (0..60_000).step_by(10) {
         let now = ms * MS;
         for poller in &mut all {
             if poller.begin_due_poll(now) {
-                asks[ms as usize / 1_000] += 1;
+                polls[ms as usize / 1_000] += 1;
                 poller.record_failure(now, || unreachable!("nothing is drawn"));
             }
         }
     }
-    assert!(asks.iter().all(|n| (8..35).contains(n)), "{asks:?}");
+    assert!(polls.iter().all(|n| (8..35).contains(n)), "{polls:?}");
 }
 
 #[test]
@@ -489,11 +489,11 @@
     );
     poller.record_event(next + 1);
     assert!(!poller.is_stale(next + 1), "the answer does");
-    let mut asked = start(0, 3, 10 * SEC, || 0.0);
-    assert!(asked.begin_due_poll(SEC));
-    asked.record_failure(5 * SEC, || 0.0);
+    let mut unanswered = start(0, 3, 10 * SEC, || 0.0);
+    assert!(unanswered.begin_due_poll(SEC));
+    unanswered.record_failure(5 * SEC, || 0.0);
     assert!(
-        !asked.is_stale(6 * SEC - 1) && asked.is_stale(6 * SEC),
+        !unanswered.is_stale(6 * SEC - 1) && unanswered.is_stale(6 * SEC),
         "what it had since the start"
     );
     // A poll that was queued shows that the directory was running; further failures, at once or in
@@ -575,7 +575,7 @@
     assert_eq!(of(200).overload_warning(), None);
     assert!(of(300)
         .overload_warning()
-        .is_some_and(|told| told.contains("300 senders take the directory 14.6 s")));
+        .is_some_and(|result| result.contains("300 senders take the directory 14.6 s")));
     assert_eq!(
         (poll_timeout(3), poll_timeout(100), poll_timeout(3_000)),
         (3.5, 5.5, 6.0)
@@ -584,21 +584,21 @@
 
 /// Results of a simulated restart.
 #[derive(Debug, Default)]
-struct Told {
+struct RestartResult {
     /// Times at which nine in ten senders, and all of them, had a list, in seconds after the start.
     nine_in_ten: f64,
     all: f64,
-    asks: u32,
+    polls: u32,
     /// Polls that failed in the queue.
     failed: u32,
     /// Seconds for which senders made no call: the longest of one sender, and the sum over all.
-    blind: f64,
-    blind_in_all: f64,
+    stale_seconds: f64,
+    total_stale_seconds: f64,
 }
 
 /// Simulates `of` of `senders` senders that start at once, with a directory that processes polls
 /// one after another and fails those that waited for 3 s, but still processes them.
-fn restart(of: u32, senders: u32, planned: bool, seed: u64) -> Told {
+fn restart(of: u32, senders: u32, planned: bool, seed: u64) -> RestartResult {
     const STEP: Nanos = 5 * MS;
     let mut random = fastrand::Rng::with_seed(seed);
     let restart_state = RestartState {
@@ -621,24 +621,24 @@
             )
         })
         .collect();
-    let (mut line, mut free_at, mut told) = (VecDeque::<(Nanos, usize)>::new(), 0, Told::default());
+    let (mut queue, mut free_at, mut result) = (VecDeque::<(Nanos, usize)>::new(), 0, RestartResult::default());
     let mut times = Vec::new();
     for now in (0..300 * SEC).step_by(STEP as usize) {
-        for (i, (poller, watches, blind)) in senders.iter_mut().enumerate() {
+        for (i, (poller, watches, stale_seconds)) in senders.iter_mut().enumerate() {
             if !*watches && poller.begin_due_poll(now) {
-                told.asks += 1;
-                line.push_back((now, i));
+                result.polls += 1;
+                queue.push_back((now, i));
             }
-            *blind += u32::from(!*watches && poller.is_stale(now));
+            *stale_seconds += u32::from(!*watches && poller.is_stale(now));
         }
-        for (_, i) in line.iter().filter(|(asked, _)| *asked + 3 * SEC == now) {
-            told.failed += 1;
+        for (_, i) in queue.iter().filter(|(polled_at, _)| *polled_at + 3 * SEC == now) {
+            result.failed += 1;
             senders[*i].0.record_failure(now, || random.f64());
         }
-        while let Some((asked, i)) = line.front().copied().filter(|_| free_at <= now) {
-            line.pop_front();
-            free_at = free_at.max(asked) + secs(COST);
-            if now < asked + 3 * SEC {
+        while let Some((polled_at, i)) = queue.front().copied().filter(|_| free_at <= now) {
+            queue.pop_front();
+            free_at = free_at.max(polled_at) + secs(POLL_COST_SECONDS);
+            if now < polled_at + 3 * SEC {
                 senders[i].0.record_event(free_at);
                 senders[i].1 = true;
                 times.push(to_secs(free_at));
@@ -648,14 +648,14 @@
             break;
         }
     }
-    assert_eq!(times.len(), of as usize, "told in 300 s: {told:?}");
+    assert_eq!(times.len(), of as usize, "told in 300 s: {result:?}");
     times.sort_by(f64::total_cmp);
     let seconds = |steps: u32| f64::from(steps) * to_secs(STEP);
-    told.nine_in_ten = times[(times.len() * 9).div_ceil(10) - 1];
-    told.all = times[times.len() - 1];
-    told.blind = senders.iter().map(|s| seconds(s.2)).fold(0.0, f64::max);
-    told.blind_in_all = senders.iter().map(|s| seconds(s.2)).sum();
-    told
+    result.nine_in_ten = times[(times.len() * 9).div_ceil(10) - 1];
+    result.all = times[times.len() - 1];
+    result.stale_seconds = senders.iter().map(|s| seconds(s.2)).fold(0.0, f64::max);
+    result.total_stale_seconds = senders.iter().map(|s| seconds(s.2)).sum();
+    result
 }
 
 /// Checks restarts of any part of the fleet: after a planned end, as many senders as fit into the
@@ -678,13 +678,13 @@
     for (of, senders, planned, killed) in cases {
         for (is_planned, bounds) in [(true, planned), (false, killed)] {
             for seed in 0..20 {
-                let told = restart(of, senders, is_planned, seed);
-                let failed = 100.0 * f64::from(told.failed) / f64::from(of);
-                let seen = [told.nine_in_ten, told.all, failed, told.blind];
+                let result = restart(of, senders, is_planned, seed);
+                let failed = 100.0 * f64::from(result.failed) / f64::from(of);
+                let seen = [result.nine_in_ten, result.all, failed, result.stale_seconds];
                 let kept = seen.iter().zip(bounds).all(|(seen, most)| *seen <= most);
                 assert!(
                     kept,
-                    "{of} of {senders}, planned {is_planned}, seed {seed}: {seen:?} {told:?}"
+                    "{of} of {senders}, planned {is_planned}, seed {seed}: {seen:?} {result:?}"
                 );
             }
         }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -485,7 +485,7 @@
     for id in sends(&d.seen.clone()) {
         d.end(id, Outcome::Delivered);
     }
-    let sick = |out: &[Action]| {
+    let ejected = |out: &[Action]| {
         out.iter()
             .any(|a| matches!(a, Action::Log(t) if t.contains("Ejected")))
     };
@@ -493,33 +493,33 @@
     d.pass(10 * SEC);
     d.arrive(101, 0, 1);
     assert!(
-        sick(&d.end(101, Outcome::ConnectFailed)),
+        ejected(&d.end(101, Outcome::ConnectFailed)),
         "one alone may be an outage"
     );
     // Others reject a connection and answer the next.
-    let learned = (2..30).find(|n| {
+    let unaffected = (2..30).find(|n| {
         let id = 100 + u32::from(*n);
         d.arrive(id, 0, *n);
-        let taken_for_down = sick(&d.end(id, Outcome::ConnectFailed));
-        if taken_for_down {
+        let was_ejected = ejected(&d.end(id, Outcome::ConnectFailed));
+        if was_ejected {
             assert!(sent(&mut d, id));
             d.end(id, Outcome::Delivered);
         }
-        !taken_for_down
+        !was_ejected
     });
-    let id = 100 + u32::from(learned.expect("it is no outage"));
+    let id = 100 + u32::from(unaffected.expect("it is no outage"));
     assert!(sends(&d.pass(SEC)).contains(&id), "it goes again soon");
     d.end(id, Outcome::ConnectFailed);
     d.pass(SEC);
     assert!(
-        sick(&d.end(id, Outcome::ConnectFailed)),
+        ejected(&d.end(id, Outcome::ConnectFailed)),
         "three in a row are an outage"
     );
 }
 
 /// Runs a rare caller in a fleet of 300 whose only message is rejected repeatedly, with this
 /// report. Returns the seconds until each next send, and whether the endpoint was ejected.
-fn refused_again_and_again(report: [f32; 2]) -> (Vec<f64>, bool) {
+fn repeated_rejections(report: [f32; 2]) -> (Vec<f64>, bool) {
     let s = Settings {
         senders: 300,
         report_left: Some(0),
@@ -554,9 +554,9 @@
     // Guards against an ejection by a used-up limit: in a fleet of 261 a burst used up a limit that
     // rejected calls count against; senders took that for an outage and kept to a slow-start budget
     // for the rest of the day, with hundreds of messages pending.
-    assert!(!refused_again_and_again([0.0, 30.0]).1);
-    let (gaps, sick) = refused_again_and_again([0.8, 30.0]);
-    assert!(sick, "refused with room left: shut; {gaps:?}");
+    assert!(!repeated_rejections([0.0, 30.0]).1);
+    let (gaps, ejected) = repeated_rejections([0.8, 30.0]);
+    assert!(ejected, "refused with room left: shut; {gaps:?}");
 }
 
 #[test]
@@ -626,10 +626,10 @@
             d.pass(50 * MS);
         }
     }
-    let bears = s.overload_factor * f64::from(limit) * 1.5 * 1.2 * 0.4; // 1.5 s, a margin of 1.2, and the warmed-up fraction by then
+    let max_calls = s.overload_factor * f64::from(limit) * 1.5 * 1.2 * 0.4; // 1.5 s, a margin of 1.2, and the warmed-up fraction by then
     assert!(
-        (after as f64) < bears,
-        "{after} calls in 1.5 s, {bears} at most"
+        (after as f64) < max_calls,
+        "{after} calls in 1.5 s, {max_calls} at most"
     );
 }
 
@@ -689,7 +689,7 @@
         report_limit: Some(1),
         ..settings()
     };
-    for (left, sick) in [(1.0, true), (0.6, false), (0.0, false)] {
+    for (left, ejected) in [(1.0, true), (0.6, false), (0.0, false)] {
         let mut d = Driver::new(s.clone(), vec![ready(1, 1)]);
         d.pass(10 * SEC);
         d.arrive(1, 0, 1);
@@ -697,7 +697,7 @@
         assert_eq!(
             out.iter()
                 .any(|a| matches!(a, Action::Log(t) if t.contains("Ejected"))),
-            sick,
+            ejected,
             "{left}"
         );
     }
@@ -707,7 +707,7 @@
 fn a_used_up_limit_brings_a_rare_caller_to_its_part_and_room_brings_it_back() {
     // Guards against a limit that does not recover: in the same fleet of 78 all senders together
     // sent as much as the limit allows, and rejected calls used it up.
-    let (gaps, _) = refused_again_and_again([0.0, 30.0]);
+    let (gaps, _) = repeated_rejections([0.0, 30.0]);
     assert!(
         gaps.iter().all(|g| (5.0..25.0).contains(g)),
         "half a token at half of 30 / 300 a second: {gaps:?}"
@@ -1118,8 +1118,8 @@
     for id in 0..100 {
         d.arrive(id, 0, 1);
     }
-    let given_up = refused(&d.seen).len();
-    assert!(given_up >= 100 - 60, "{given_up}");
+    let rejected_count = refused(&d.seen).len();
+    assert!(rejected_count >= 100 - 60, "{rejected_count}");
     assert_eq!(sends(&d.arrive(500, 0, 2)), [500]);
 }
 
@@ -1155,13 +1155,13 @@
 fn traffic_of_no_tenant_goes_last_where_there_are_tenants() {
     let first_of = |none: u16, some: u16| {
         let mut d = one();
-        let tells = |id| {
+        let arrival = |id| {
             Event::Arrived(Message {
                 tenant: none,
                 ..d.message(id, 0, 1)
             })
         };
-        let queue: Vec<Event> = (100..115).map(tells).collect();
+        let queue: Vec<Event> = (100..115).map(arrival).collect();
         d.give_all(&queue);
         d.give(Event::Arrived(Message {
             tenant: some,
@@ -1233,8 +1233,8 @@
 }
 
 /// Largest number of non-blank lines in a file of the decision module, and its widest line.
-const MOST_LINES: usize = 500;
-const MOST_COLUMNS: usize = 100;
+const MAX_LINES: usize = 500;
+const MAX_COLUMNS: usize = 100;
 
 /// Returns every file below a folder.
 fn files_below(folder: &str) -> Vec<std::path::PathBuf> {
@@ -1262,8 +1262,8 @@
         let code = text.split("#[cfg(test)]\nmod tests {").next();
         let code = code.unwrap_or_default();
         let lines = code.lines().filter(|l| !l.trim().is_empty()).count();
-        assert!(lines <= MOST_LINES, "{path:?}: {lines} lines");
-        let wide = code.lines().find(|l| l.chars().count() > MOST_COLUMNS);
+        assert!(lines <= MAX_LINES, "{path:?}: {lines} lines");
+        let wide = code.lines().find(|l| l.chars().count() > MAX_COLUMNS);
         assert_eq!(wide, None, "{path:?}");
     }
 }
@@ -1298,7 +1298,7 @@
         zone_fees: vec![0.02, 0.0],
         ..settings()
     };
-    for (elsewhere, dear) in [(0, false), (11, true)] {
+    for (elsewhere, uses_costlier) in [(0, false), (11, true)] {
         let mut d = Driver::new(wide.clone(), routes(2).chain([ready(3, 2)]).collect());
         d.warm_up(1);
         d.warm_up(2);
@@ -1306,7 +1306,7 @@
         let to: Vec<_> = (1..=4)
             .flat_map(|id| targets(&d.arrive(id, 0, 1)))
             .collect();
-        assert_eq!(to.contains(&at(1)), dear, "{to:?}");
+        assert_eq!(to.contains(&at(1)), uses_costlier, "{to:?}");
     }
     // Endpoints that share one limit have no fee: the idle one is chosen.
     let mut d = Driver::new(s, routes(0).collect());
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -22,7 +22,7 @@
     over: bool,
     out: bool,
     attempts: u16,
-    ran: Option<Nanos>,
+    may_have_run_at: Option<Nanos>,
     due: Nanos,
     order: u64,
 }
@@ -33,25 +33,25 @@
     now: Nanos,
     turn: u64,
     seen: BTreeMap<MessageId, Seen>,
-    told: BTreeMap<DestinationId, Nanos>,
+    paused_until: BTreeMap<DestinationId, Nanos>,
     gone: BTreeSet<EndpointAddress>,
-    rest: BTreeMap<u64, (Nanos, MessageId)>,
+    key_pauses: BTreeMap<u64, (Nanos, MessageId)>,
     calls: BTreeMap<(u64, EndpointAddress), u32>,
     call_of: BTreeMap<MessageId, (u64, EndpointAddress)>,
 }
 
 impl Audit {
     fn new(s: Settings) -> Self {
-        let (seen, told, gone, rest) = Default::default();
+        let (seen, paused_until, gone, key_pauses) = Default::default();
         let (calls, call_of) = Default::default();
         Audit {
             s,
             now: 0,
             turn: 0,
             seen,
-            told,
+            paused_until,
             gone,
-            rest,
+            key_pauses,
             calls,
             call_of,
         }
@@ -67,7 +67,7 @@
                     over: false,
                     out: false,
                     attempts: 0,
-                    ran: None,
+                    may_have_run_at: None,
                     due,
                     order,
                 };
@@ -88,15 +88,15 @@
                     Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
                 );
                 if unsure || *outcome == Outcome::Error {
-                    m.ran.get_or_insert(self.now - took);
+                    m.may_have_run_at.get_or_insert(self.now - took);
                 }
                 if unsure {
-                    self.rest
+                    self.key_pauses
                         .insert(m.m.key, (self.now + self.s.ordered_key_pause, *id));
                 }
                 if let Outcome::Rejected { wait } = outcome {
-                    let told = self.told.entry(m.m.dest).or_insert(0);
-                    *told = (*told).max(self.now + wait);
+                    let paused_until = self.paused_until.entry(m.m.dest).or_insert(0);
+                    *paused_until = (*paused_until).max(self.now + wait);
                 }
                 let call = self.call_of.remove(id).expect("sent");
                 let left = self.calls.get_mut(&call).expect("out");
@@ -142,7 +142,7 @@
                 rule(m.attempts < self.s.max_attempts as u16, "attempt limit")?;
                 rule(!self.gone.contains(endpoint), "drain")?;
                 rule(
-                    self.told.get(&m.m.dest).is_none_or(|t| *t <= self.now),
+                    self.paused_until.get(&m.m.dest).is_none_or(|t| *t <= self.now),
                     "wait",
                 )?;
                 rule(
@@ -151,7 +151,7 @@
                 )?;
                 let window = self.s.classes[usize::from(m.m.class)].dedup_window;
                 rule(
-                    match (effect, m.ran) {
+                    match (effect, m.may_have_run_at) {
                         (Effect::NotIdempotent, Some(_)) => false,
                         (Effect::IdempotentWithKey, Some(at)) => self.now < at + window,
                         _ => true,
@@ -162,9 +162,9 @@
                     let blocks =
                         |o: &Seen| o.m.key == m.m.key && o.order < m.order && (!o.over || o.out);
                     rule(!self.seen.values().any(blocks), "order")?;
-                    let rest = self.rest.get(&m.m.key);
+                    let key_pauses = self.key_pauses.get(&m.m.key);
                     rule(
-                        rest.is_none_or(|(t, by)| *t <= self.now || by == id),
+                        key_pauses.is_none_or(|(t, by)| *t <= self.now || by == id),
                         "key rest",
                     )?;
                 }
@@ -187,7 +187,7 @@
             }
             Action::Reject { .. } => {
                 rule(
-                    !m.out && (effect != Effect::NotIdempotent || m.ran.is_none()),
+                    !m.out && (effect != Effect::NotIdempotent || m.may_have_run_at.is_none()),
                     "refusal of an effect",
                 )?;
                 self.seen.get_mut(id).expect("known").over = true;
@@ -207,7 +207,7 @@
 
 /// Runs a random event sequence. Endpoint n belongs to destination n / 4; destination 1 takes
 /// batches.
-fn run(seed: u64, spoil: fn(&mut Vec<Action>, Nanos)) -> Result<usize, String> {
+fn run(seed: u64, tamper: fn(&mut Vec<Action>, Nanos)) -> Result<usize, String> {
     let s = settings();
     let mut rng = Rng(seed);
     let list: Vec<Listing> = (0..8u8)
@@ -224,15 +224,15 @@
     let mut audit = Audit::new(s);
     let (mut now, mut next, mut sends) = (SEC, 0, 0);
     // (due, message, attempt, call, outcome, sent)
-    let mut flying: Vec<(Nanos, MessageId, u16, Outcome, Nanos)> = Vec::new();
+    let mut in_flight: Vec<(Nanos, MessageId, u16, Outcome, Nanos)> = Vec::new();
     let mut events = vec![Event::CachedList(list)];
-    let mut bad = [false; 2];
+    let mut is_failing = [false; 2];
     for step in 0..4_000u64 {
         let mut actions = Vec::new();
         audit.turn = step;
         dispatcher.handle(now, &events, &mut actions);
-        spoil(&mut actions, now);
-        let mut fate: BTreeMap<EndpointAddress, (Outcome, Nanos)> = BTreeMap::new();
+        tamper(&mut actions, now);
+        let mut call_results: BTreeMap<EndpointAddress, (Outcome, Nanos)> = BTreeMap::new();
         for a in &actions {
             audit.action(a).map_err(|e| format!("step {step}: {e}"))?;
             let Action::Send {
@@ -244,12 +244,12 @@
                 continue;
             };
             sends += 1;
-            let well = if bad[usize::from(endpoint.addr[3] / 4)] {
+            let success_weight = if is_failing[usize::from(endpoint.addr[3] / 4)] {
                 1
             } else {
                 8
             };
-            let drawn = match rng.below(8 + 2 * well) {
+            let drawn = match rng.below(8 + 2 * success_weight) {
                 0 => (
                     Outcome::Rejected {
                         wait: rng.below(3) * 400 * MS,
@@ -262,18 +262,18 @@
                 4..=7 => (Outcome::Timeout, *timeout),
                 _ => (Outcome::Delivered, (30 + rng.below(400)) * MS),
             };
-            let (outcome, took) = *fate.entry(*endpoint).or_insert(drawn);
+            let (outcome, took) = *call_results.entry(*endpoint).or_insert(drawn);
             let (outcome, took) = if took >= *timeout {
                 (Outcome::Timeout, *timeout)
             } else {
                 (outcome, took)
             };
-            flying.push((now + took, *id, audit.seen[id].attempts - 1, outcome, now));
+            in_flight.push((now + took, *id, audit.seen[id].attempts - 1, outcome, now));
         }
         now += 10 * MS;
         audit.now = now;
         events = vec![Event::TimerFired];
-        for f in flying.extract(|f| f.0 <= now) {
+        for f in in_flight.extract(|f| f.0 <= now) {
             let finished = f.3 == Outcome::Delivered || audit.seen[&f.1].over;
             let (outcome, took) = (f.3, now - f.4);
             events.push(Event::AttemptEnded {
@@ -319,7 +319,7 @@
             )]));
         }
         if rng.below(400) == 0 {
-            bad[rng.below(2) as usize] ^= true;
+            is_failing[rng.below(2) as usize] ^= true;
         }
         events.iter().for_each(|e| audit.event(e));
         if let Some(id) = audit.overdue() {
@@ -351,7 +351,7 @@
 
 #[test]
 fn the_audit_sees_a_rule_broken_on_purpose() {
-    let broken = |spoil: fn(&mut Vec<Action>, Nanos)| run(3, spoil).expect_err("a rule was broken");
+    let broken = |tamper: fn(&mut Vec<Action>, Nanos)| run(3, tamper).expect_err("a rule was broken");
     // Final answers removed: messages are lost.
     let e = broken(|actions, _| {
         actions.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail { .. }))
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -14,7 +14,7 @@
 
 /// Returns endpoint `n` of destination 1 in a zone: a route of its own, or one that takes five
 /// messages per call, by its kind.
-fn stands(n: u8, zone: u16, kind: u16) -> Listing {
+fn in_zone(n: u8, zone: u16, kind: u16) -> Listing {
     Listing {
         zone,
         ..line(n, 1, kind, Condition::Ready)
@@ -42,33 +42,33 @@
 }
 
 /// Creates routes for four classes, with zones that are named by their numbers.
-fn routes(said: Vec<RouteSpec>) -> Rc<Routes> {
-    let routes = Routes::new(4, 2, said);
+fn routes(specs: Vec<RouteSpec>) -> Rc<Routes> {
+    let routes = Routes::new(4, 2, specs);
     Rc::new(routes.with_zone_numbers(|name| name.parse().expect("a number")))
 }
 
 /// Creates a driver with routes and known endpoints of destination 1.
-fn driver(list: Vec<Listing>, said: Vec<RouteSpec>) -> Driver {
+fn driver(list: Vec<Listing>, specs: Vec<RouteSpec>) -> Driver {
     let mut d = Driver::new(settings(), list);
-    d.give(Event::RoutesChanged(routes(said)));
+    d.give(Event::RoutesChanged(routes(specs)));
     d
 }
 
 /// Hands in one message after another, each of which gets the outcome that `by` gives for its
 /// endpoint. Returns the endpoints called.
-fn answered(
+fn send_each(
     d: &mut Driver,
     ids: std::ops::Range<MessageId>,
     by: impl Fn(EndpointAddress) -> Outcome,
 ) -> Vec<EndpointAddress> {
-    let mut went = Vec::new();
+    let mut called = Vec::new();
     for id in ids {
         let mut sent = d.arrive(id, 0, 1);
         while let Some(Action::Send { endpoint, .. }) =
             sent.iter().find(|a| matches!(a, Action::Send { .. }))
         {
             let end = by(*endpoint);
-            went.push(*endpoint);
+            called.push(*endpoint);
             d.now += 100 * MS;
             sent = d.end(id, end);
             if end == Outcome::Delivered {
@@ -82,14 +82,14 @@
         }
         d.pass(100 * MS);
     }
-    went
+    called
 }
 
 #[test]
 fn what_the_first_tier_cannot_take_goes_to_the_next_at_once_and_comes_back() {
-    let list = vec![stands(1, 1, 2), stands(2, 2, 2), stands(3, 3, 2)];
+    let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 2), in_zone(3, 3, 2)];
     let mut d = driver(list, vec![all(&[&[(1, 1)], &[(1, 2)]])]);
-    let first = answered(&mut d, 1..30, |_| Outcome::Delivered);
+    let first = send_each(&mut d, 1..30, |_| Outcome::Delivered);
     assert!(first.iter().all(|e| *e == at(1)), "{first:?}");
     // With a Retry-After there, the same message goes on in the same turn, and so do all that
     // arrive until it ends.
@@ -99,8 +99,8 @@
         [at(2)]
     );
     d.end(30, Outcome::Delivered);
-    let waits = answered(&mut d, 31..40, |_| Outcome::Delivered);
-    assert!(waits.iter().all(|e| *e == at(2)), "{waits:?}");
+    let during_wait = send_each(&mut d, 31..40, |_| Outcome::Delivered);
+    assert!(during_wait.iter().all(|e| *e == at(2)), "{during_wait:?}");
     d.pass(3 * SEC);
     // In an outage there, a few calls test it and the others go on; it serves again after its
     // recovery.
@@ -111,29 +111,29 @@
             Outcome::Delivered
         }
     };
-    let out = answered(&mut d, 40..140, down);
-    let asked = out.iter().filter(|e| **e == at(1)).count();
+    let out = send_each(&mut d, 40..140, down);
+    let trials = out.iter().filter(|e| **e == at(1)).count();
     assert!(
-        (2..40).contains(&asked) && out.iter().filter(|e| **e == at(2)).count() == 100,
+        (2..40).contains(&trials) && out.iter().filter(|e| **e == at(2)).count() == 100,
         "{out:?}"
     );
     d.pass(20 * SEC);
-    answered(&mut d, 140..300, |_| Outcome::Delivered);
-    let back = answered(&mut d, 300..330, |_| Outcome::Delivered);
+    send_each(&mut d, 140..300, |_| Outcome::Delivered);
+    let back = send_each(&mut d, 300..330, |_| Outcome::Delivered);
     assert!(back.iter().all(|e| *e == at(1)), "{back:?}");
 }
 
 #[test]
 fn shares_draw_the_first_zone_and_a_sick_one_says_nothing_of_others_that_are_seldom_heard() {
-    let list = vec![stands(1, 1, 2), stands(2, 2, 2), stands(3, 3, 2)];
+    let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 2), in_zone(3, 3, 2)];
     let mut d = driver(list, vec![all(&[&[(3, 1), (1, 2)], &[(1, 3)]])]);
-    let went = answered(&mut d, 1..401, |_| Outcome::Delivered);
-    let first = went.iter().filter(|e| **e == at(1)).count();
+    let called = send_each(&mut d, 1..401, |_| Outcome::Delivered);
+    let first = called.iter().filter(|e| **e == at(1)).count();
     assert!(
-        (260..340).contains(&first) && !went.contains(&at(3)),
+        (260..340).contains(&first) && !called.contains(&at(3)),
         "{first}"
     );
-    let down = answered(&mut d, 401..440, |e| {
+    let down = send_each(&mut d, 401..440, |e| {
         if e == at(3) {
             Outcome::Delivered
         } else {
@@ -154,7 +154,7 @@
 
 #[test]
 fn only_told_waits_of_where_a_message_may_go_end_it_early() {
-    let list = vec![stands(1, 1, 2), stands(2, 2, 2)];
+    let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 2)];
     let only = RouteSpec {
         classes: Some(vec![1]),
         ..all(&[&[(1, 2)]])
@@ -180,7 +180,7 @@
 #[test]
 fn the_first_of_a_line_that_can_go_nowhere_now_stops_none_behind_it_and_a_batch_takes_those_that_may(
 ) {
-    let list = vec![stands(1, 1, 2), stands(2, 2, 1)];
+    let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 1)];
     let only = RouteSpec {
         classes: Some(vec![1]),
         ..all(&[&[(1, 2)]])
@@ -202,7 +202,7 @@
 
 #[test]
 fn what_is_held_goes_by_the_new_table_at_its_next_attempt_and_what_nobody_serves_goes_back() {
-    let list = vec![stands(1, 1, 2), stands(2, 2, 2)];
+    let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 2)];
     let mut d = driver(list, vec![all(&[&[(1, 1)]])]);
     d.arrive(1, 0, 1);
     d.end(1, Outcome::Rejected { wait: 8 * SEC });
@@ -250,7 +250,7 @@
 }
 
 /// Returns routes for destinations 1 to 3 over zones 0 to 4, of which 0 to 2 have endpoints.
-fn said() -> impl Strategy<Value = RouteSpec> {
+fn specs() -> impl Strategy<Value = RouteSpec> {
     let order = Just((0u16..5).collect::<Vec<_>>()).prop_shuffle();
     let tiers = vec((order, 1usize..4, 1u32..9), 0..3).prop_map(|tiers| {
         let tier = |(zones, n, share): (Vec<u16>, usize, u32)| {
@@ -291,7 +291,7 @@
 }
 
 /// Runs the steps and returns all actions, turn by turn.
-fn play(steps: &[Step], tables: &[Rc<Routes>], told: bool) -> Vec<Vec<Action>> {
+fn run_steps(steps: &[Step], tables: &[Rc<Routes>], with_routes: bool) -> Vec<Vec<Action>> {
     let own = settings();
     let twice = RuntimeSettings {
         classes: [&own.classes[..], &own.classes[..]].concat(),
@@ -348,7 +348,7 @@
                     ..endpoint(*n)
                 }])
             }
-            Step::Routes(n) if told => {
+            Step::Routes(n) if with_routes => {
                 current = tables[n % tables.len()].clone();
                 Event::RoutesChanged(current.clone())
             }
@@ -392,14 +392,14 @@
     #![proptest_config(Config { cases: 300, rng_seed: RngSeed::Fixed(43), failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn no_call_goes_where_no_route_leads(steps in vec(step(), 1..150), tables in vec(vec(said(), 0..6), 1..4)) {
+    fn no_call_goes_where_no_route_leads(steps in vec(step(), 1..150), tables in vec(vec(specs(), 0..6), 1..4)) {
         let tables: Vec<Rc<Routes>> = tables.into_iter().map(routes).collect();
-        play(&steps, &tables, true);
+        run_steps(&steps, &tables, true);
     }
 
     #[test]
     fn a_table_that_says_nothing_changes_no_action(steps in vec(step(), 1..150)) {
         let none = [Rc::<Routes>::default()];
-        prop_assert_eq!(play(&steps, &none, true), play(&steps, &none, false));
+        prop_assert_eq!(run_steps(&steps, &none, true), run_steps(&steps, &none, false));
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -13,7 +13,7 @@
 
 /// Whether so many calls in a window overload an endpoint with budget `n`, by the rule of the
 /// standing test. It is written again here, so that the code under test does not judge itself.
-fn falls(calls: usize, n: f64) -> bool {
+fn exceeds_limit(calls: usize, n: f64) -> bool {
     let roots = if n < 30.0 { 3.0 } else { 2.0 };
     calls as f64 > n + roots * n.sqrt() + roots
 }
@@ -56,7 +56,7 @@
 }
 
 /// Returns log-uniform values: each power of ten is equally likely.
-fn spread(from: f64, to: f64) -> impl Strategy<Value = f64> {
+fn log_uniform(from: f64, to: f64) -> impl Strategy<Value = f64> {
     (from.ln()..to.ln()).prop_map(f64::exp)
 }
 
@@ -106,8 +106,8 @@
 fn no_more_than_one_window_in_a_thousand_of_1_to_1000_senders_exceeds_the_bound_at_the_worst() {
     let (windows, over) = (Cell::new(0), Cell::new(0));
     let of = (
-        spread(1.0, 1_000.5),
-        spread(0.2, 600.0),
+        log_uniform(1.0, 1_000.5),
+        log_uniform(0.2, 600.0),
         demand(),
         any::<u64>(),
     );
@@ -126,7 +126,7 @@
             );
             let too_many = calls
                 .windows(STEPS)
-                .filter(|w| falls(w.iter().sum(), n))
+                .filter(|w| exceeds_limit(w.iter().sum(), n))
                 .count();
             prop_assert!(!few || too_many == 0, "{too_many} of few senders");
             windows.set(windows.get() + calls.len());
@@ -148,8 +148,8 @@
     const RETURNS: u32 = 1_000;
     let over = Cell::new(0);
     let of = (
-        spread(1.0, 1_000.5),
-        spread(0.5, 200.0),
+        log_uniform(1.0, 1_000.5),
+        log_uniform(0.5, 200.0),
         0.05..0.6f64,
         2..10usize,
         demand(),
@@ -168,7 +168,7 @@
             let demand = if by_chance { Demand::Always } else { demand };
             let calls = calls(senders as u32, demand, seed, long, n);
             let sum = |end: usize| calls[end.saturating_sub(STEPS)..end].iter().sum();
-            let too_many = (1..=calls.len()).find(|end| falls(sum(*end), n(*end)));
+            let too_many = (1..=calls.len()).find(|end| exceeds_limit(sum(*end), n(*end)));
             prop_assert!(
                 by_chance || too_many.is_none(),
                 "few senders, by step {too_many:?}"
@@ -217,13 +217,13 @@
 fn the_bound_is_that_of_the_standing_test_and_holds_for_whatever_more_an_endpoint_bears() {
     for tenth in 0..5_000 {
         let n = f64::from(tenth) / 10.0;
-        assert!(!falls(max_calls_per_window(n).floor() as usize, n), "{n}");
+        assert!(!exceeds_limit(max_calls_per_window(n).floor() as usize, n), "{n}");
         assert!(
             max_calls_per_window(n) <= max_calls_per_window(n + 0.1),
             "{n}"
         );
     }
-    assert!(falls(max_calls_per_window(100.0) as usize + 1, 100.0));
+    assert!(exceeds_limit(max_calls_per_window(100.0) as usize + 1, 100.0));
 }
 
 /// Duration of a delivered call, and of a failed connect.
@@ -233,18 +233,18 @@
 const STEP: Nanos = 10 * MS;
 
 /// An endpoint that fails and recovers at reduced capacity, called by whole dispatchers.
-struct Return {
+struct Recovery {
     senders: Vec<Dispatcher>,
     s: Settings,
     listed: f64,
     /// Number of endpoints that fail together, this one included.
-    away: u8,
+    down_endpoints: u8,
     now: Nanos,
     down: bool,
     /// Time at which the endpoint recovered.
-    back: Option<Nanos>,
+    recovered_at: Option<Nanos>,
     /// Times of the calls received since, within the last window.
-    came: VecDeque<Nanos>,
+    received: VecDeque<Nanos>,
     /// Highest count of a window, relative to the limit, with the calls and the budget at that
     /// time.
     worst: (f64, usize, f64),
@@ -254,8 +254,8 @@
     random: fastrand::Rng,
 }
 
-impl Return {
-    fn new(senders: u32, (endpoints, away): (u8, u8), listed: f64, seed: u64) -> Return {
+impl Recovery {
+    fn new(senders: u32, (endpoints, down_endpoints): (u8, u8), listed: f64, seed: u64) -> Recovery {
         let s = Settings {
             senders,
             listed_rates: ListedRates::Exact,
@@ -278,15 +278,15 @@
             dispatcher.handle(now, &[Event::CachedList(list.clone())], &mut Vec::new());
             dispatcher
         };
-        Return {
+        Recovery {
             senders: (0..u64::from(senders)).map(dispatcher).collect(),
             s,
             listed,
-            away,
+            down_endpoints,
             now,
             down: false,
-            back: None,
-            came: VecDeque::new(),
+            recovered_at: None,
+            received: VecDeque::new(),
             worst: (0.0, 0, 0.0),
             out: BTreeMap::new(),
             attempts: BTreeMap::new(),
@@ -297,7 +297,7 @@
 
     /// Returns the calls that the endpoint may get in a window now, during its recovery.
     fn budget(&self) -> Option<f64> {
-        let warmed = (self.now - self.back?) as f64 / self.s.slow_start_duration as f64;
+        let warmed = (self.now - self.recovered_at?) as f64 / self.s.slow_start_duration as f64;
         let can = self.listed
             * warmup_fraction(self.s.slow_start_fraction, warmed)
             * self.s.overload_window as f64
@@ -305,8 +305,8 @@
         (warmed < 1.0).then_some(self.s.overload_factor * can)
     }
 
-    fn called(&mut self, endpoint: EndpointAddress) -> (Nanos, Outcome) {
-        if self.down && endpoint <= common::at(self.away) {
+    fn call_result(&mut self, endpoint: EndpointAddress) -> (Nanos, Outcome) {
+        if self.down && endpoint <= common::at(self.down_endpoints) {
             return (CALL.1, Outcome::ConnectFailed);
         }
         if endpoint != common::at(1) {
@@ -315,18 +315,18 @@
         let Some(n) = self.budget() else {
             return (CALL.0, Outcome::Delivered);
         };
-        self.came.push_back(self.now);
-        self.came
+        self.received.push_back(self.now);
+        self.received
             .retain(|at| at + self.s.overload_window > self.now);
         let roots = if n < 30.0 { 3.0 } else { 2.0 };
-        let part = self.came.len() as f64 / (n + roots * n.sqrt() + roots);
+        let part = self.received.len() as f64 / (n + roots * n.sqrt() + roots);
         if part > self.worst.0 {
-            self.worst = (part, self.came.len(), n);
+            self.worst = (part, self.received.len(), n);
         }
         (CALL.0, Outcome::Delivered)
     }
 
-    fn give(&mut self, dispatcher: usize, event: Event) {
+    fn handle_event(&mut self, dispatcher: usize, event: Event) {
         let mut actions = Vec::new();
         self.senders[dispatcher].handle(self.now, &[event], &mut actions);
         for a in actions {
@@ -334,7 +334,7 @@
                 continue;
             };
             *self.attempts.entry(id).or_insert(0) += 1;
-            let (took, outcome) = self.called(endpoint);
+            let (took, outcome) = self.call_result(endpoint);
             self.out.insert((self.now + took, dispatcher, id), outcome);
         }
     }
@@ -354,7 +354,7 @@
                     dest: 1,
                 };
                 let dispatcher = self.random.usize(0..self.senders.len());
-                self.give(dispatcher, Event::Arrived(m));
+                self.handle_event(dispatcher, Event::Arrived(m));
             }
             while let Some((&(at, dispatcher, id), _)) =
                 self.out.first_key_value().filter(|(k, _)| k.0 <= self.now)
@@ -365,7 +365,7 @@
                     self.attempts[&id] - 1,
                     if finished { CALL.0 } else { CALL.1 },
                 );
-                self.give(
+                self.handle_event(
                     dispatcher,
                     Event::AttemptEnded {
                         id,
@@ -377,17 +377,17 @@
                     },
                 );
             }
-            (0..self.senders.len()).for_each(|r| self.give(r, Event::TimerFired));
+            (0..self.senders.len()).for_each(|r| self.handle_event(r, Event::TimerFired));
         }
     }
 
     /// Runs the endpoint through normal operation, an outage and its recovery. Returns the worst
     /// window.
-    fn play(&mut self, down: u64, rate: f64) -> (f64, usize, f64) {
+    fn run(&mut self, down: u64, rate: f64) -> (f64, usize, f64) {
         self.pass(10, rate);
         self.down = true;
         self.pass(down, rate);
-        (self.down, self.back) = (false, Some(self.now));
+        (self.down, self.recovered_at) = (false, Some(self.now));
         self.pass(14, rate);
         self.worst
     }
@@ -395,15 +395,15 @@
 
 /// Returns the runs of 1 to 100 senders in which an endpoint that was down for `down` seconds got
 /// more calls than it accepts.
-fn over_the_bound(down: u64) -> Vec<String> {
+fn runs_over_the_limit(down: u64) -> Vec<String> {
     let loads = [(4.0, 0.8), (10.0, 0.8), (10.0, 2.5), (40.0, 1.5)];
     let mut over = Vec::new();
     for senders in [1, 3, 9, 10, 30, 100] {
         // Number of endpoints of the destination, and of those that fail.
         for shape in [(1, 1), (2, 1), (2, 2)] {
             for (seed, (listed, load)) in loads.into_iter().enumerate() {
-                let mut play = Return::new(senders, shape, listed, seed as u64 + 1);
-                let worst = play.play(down, listed * load);
+                let mut recovery = Recovery::new(senders, shape, listed, seed as u64 + 1);
+                let worst = recovery.run(down, listed * load);
                 let seen = format!(
                     "{senders} relays, {shape:?}, {listed} listed, load {load}, down {down} s: {worst:.2?}"
                 );
@@ -418,7 +418,7 @@
 #[test]
 fn relays_keep_the_bound_of_an_endpoint_that_returns_after_an_outage() {
     for down in [6, 10, 25] {
-        let over = over_the_bound(down);
+        let over = runs_over_the_limit(down);
         assert!(over.is_empty(), "{over:#?}");
     }
 }
@@ -430,7 +430,7 @@
 /// after 4 s, below it after 6 s and more.
 #[test]
 fn relays_keep_the_bound_of_an_endpoint_that_returns_after_a_short_outage() {
-    let over = over_the_bound(4);
+    let over = runs_over_the_limit(4);
     assert!(over.is_empty(), "{over:#?}");
 }
 
@@ -439,7 +439,7 @@
 #[test]
 fn relays_keep_the_bound_however_short_the_outage_was() {
     for down in [1, 2, 3] {
-        let over = over_the_bound(down);
+        let over = runs_over_the_limit(down);
         assert!(over.is_empty(), "{over:#?}");
     }
 }
