--- a/src/dispatch/deadline/tests.rs
+++ b/src/dispatch/deadline/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_attempt_that_may_begin_has_time_for_an_answer_and_ends_before_its_message() {
+fn an_attempt_that_may_begin_has_time_for_an_answer_and_ends_before_its_deadline() {
     let deadline = 10_000 * MS;
     assert!(may_begin(deadline - LEAST_TIME_TO_BEGIN - 1, deadline));
     assert!(!may_begin(deadline - LEAST_TIME_TO_BEGIN, deadline));
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn only_a_delivery_well_before_the_end_is_relied_on() {
+fn only_a_delivery_well_before_the_deadline_is_relied_on() {
     assert!(may_cross_the_end(0));
     assert!(may_cross_the_end(CROSSING_MARGIN - 1));
     assert!(!may_cross_the_end(CROSSING_MARGIN));
--- a/src/dispatch/rate_quota/tests.rs
+++ b/src/dispatch/rate_quota/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn few_senders_and_useless_lists_have_no_quota() {
+fn few_senders_and_unusable_listed_rates_have_no_quota() {
     assert_eq!(quota(50.0, 3), None);
     for listed in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         assert_eq!(quota(listed, 100), None, "{listed}");
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn a_fleet_begins_at_what_is_listed_and_one_that_claims_to_be_huge_still_moves() {
+fn a_fleet_starts_at_the_listed_rate_and_a_huge_configured_size_keeps_a_minimum_rate() {
     let one = quota(50.0, 100).expect("many");
     assert!((one.initial_rate() * 100.0 - 50.0).abs() < 1e-9);
     assert!(quota(1.0, u32::MAX).expect("many").initial_rate() >= MIN_QUOTA_PER_SECOND);
 }
 
 #[test]
-fn a_rate_falls_by_rejections_comes_back_by_itself_and_stays_in_bounds() {
+fn a_rate_falls_with_rejections_recovers_over_time_and_stays_within_limits() {
     let one = quota(50.0, 100).expect("many");
     let low = (0..50).fold(one.initial_rate(), |rate, _| one.after_rejection(rate));
     assert!(low > 0.0 && low < 0.1 * one.initial_rate());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn one_of_many_takes_a_return_for_half_as_old_as_its_last_failure() {
+fn one_of_many_senders_assumes_a_recovery_halfway_since_the_last_failure() {
     assert_eq!(
         (unobserved_recovery(6.0, 100), unobserved_recovery(6.0, 3)),
         (3.0, 0.0)
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_sender_that_is_handed_more_than_others_takes_a_larger_quota_and_repeats_count_for_none() {
+fn a_sender_with_more_traffic_gets_a_larger_quota_and_repeated_messages_do_not_count() {
     let seen = |first: u64, again: u64, senders| {
         let mut traffic = TrafficShare::new(0);
         traffic.set_listed_rates([60.0, 40.0, f64::NAN].into_iter());
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn weighted_random_keys_win_by_weight() {
+fn weighted_random_keys_win_in_proportion_to_their_weight() {
     let mut random = Random::new(7);
     let wins = (0..10_000)
         .filter(|_| {
--- a/src/dispatch/routing/tests.rs
+++ b/src/dispatch/routing/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_most_specific_route_counts_by_destination_then_class_then_tenant() {
+fn the_most_specific_route_applies_by_destination_then_class_then_tenant() {
     let routes = Routes::new(2, 2, specs_of_each_specificity());
     let goes = |dest, class, tenant| {
         let found = routes.find(&key(dest, class, tenant));
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_draw_picks_a_group_and_a_zone_of_it_and_the_rest_ranks_behind() {
+fn a_draw_picks_a_group_and_one_of_its_zones_and_ranks_the_others_after_it() {
     let tiers = vec![
         vec![group(3, &["a", "b"]), group(1, &["c"])],
         vec![group(1, &["d", "a"])],
@@ -186,7 +186,7 @@
     })]
 
     #[test]
-    fn shares_are_kept_in_each_tier_and_no_zone_that_is_not_named_is_given(
+    fn shares_hold_in_each_tier_and_only_named_zones_are_returned(
         tiers in tiers(),
         salt in any::<u64>(),
     ) {
--- a/src/dispatch/stale_connections/tests.rs
+++ b/src/dispatch/stale_connections/tests.rs
@@ -4,7 +4,7 @@
 use crate::dispatch::statistics::SEC;
 
 #[test]
-fn idle_connections_that_get_lost_are_distrusted_until_it_fades_or_calls_on_them_are_answered() {
+fn lost_idle_connections_are_distrusted_until_the_suspicion_decays_or_calls_are_answered() {
     let mut detector = StaleConnectionDetector::default();
     detector.record(SEC, Connection::Idle, true);
     assert!(detector.distrusts_idle(SEC) && !detector.distrusts_idle(20 * SEC));
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn few_ask_at_once_and_wait_longer_with_each_failure() {
+fn few_senders_poll_at_once_and_wait_longer_after_each_failure() {
     let never = || unreachable!("few draw nothing");
     let mut poller = start(SEC, 3, 10 * SEC, never);
     let mut now = SEC;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn asks_are_spread_over_the_time_that_all_need_less_what_may_stand_in_line() {
+fn polls_are_spread_over_the_time_that_all_need_less_what_may_queue() {
     for (senders, most) in [(10, 0.3), (100, 3.0), (300, 14.5), (3_000, 172.0)] {
         let at = |draw| to_secs(start(0, senders, 0, || draw).next_poll_at().expect("due"));
         assert!(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn what_asks_cost_is_learned_and_bounded() {
+fn the_poll_cost_is_learned_and_bounded() {
     let poll_once = |poller: &mut EndpointListPoller, after: f64, answered: bool| {
         let now = poller.next_poll_at().expect("settled");
         assert!(poller.begin_due_poll(now));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_planned_restart_is_thought_to_be_no_larger_than_the_line_bears_and_a_line_shows_that_more_ask()
+fn a_planned_restart_is_assumed_to_fit_into_the_queue_until_a_poll_fails_in_it()
 {
     let start = |senders, planned, cost| {
         let restart_state = RestartState {
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_move_is_asked_about_by_all_and_blinds_those_whose_turn_is_later_than_it_counts_as_told() {
+fn after_an_address_change_all_senders_poll_and_late_ones_are_stale_until_answered() {
     let moved = |senders, planned, part| {
         let restart_state = RestartState {
             planned,
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_directory_that_is_not_there_is_asked_in_the_same_row_again_and_again() {
+fn an_unreachable_directory_is_polled_again_in_the_same_order() {
     let mut random = fastrand::Rng::with_seed(7);
     let mut all: Vec<EndpointListPoller> = (0..300)
         .map(|_| start(0, 300, 0, || random.f64()))
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_change_counts_six_seconds_after_the_last_word_or_sooner_by_the_settings_whatever_becomes_of_asks(
+fn a_list_is_stale_six_seconds_after_the_last_event_or_sooner_by_the_settings(
 ) {
     let never = || unreachable!("few draw nothing");
     let mut short = start(0, 3, 4 * SEC, never);
@@ -269,7 +269,7 @@
 /// whose directory had been down: its rejection came after 2 s (209 of 209 in a log with the wait
 /// of each poll), which was taken for a queue, and the next poll was put off by 45 s and more.
 #[test]
-fn an_ask_that_fails_in_the_line_of_a_large_fleet_leaves_the_list_six_seconds() {
+fn a_poll_that_fails_in_the_queue_of_a_large_fleet_does_not_extend_the_freshness() {
     let mut poller = start(0, 300, 10 * SEC, || 0.3);
     assert!(poller.begin_due_poll(5 * SEC));
     poller.record_failure(8 * SEC, || 0.0);
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_directory_that_is_down_and_says_so_late_is_asked_in_the_same_row_again() {
+fn a_directory_that_is_down_and_fails_polls_late_is_polled_again_in_the_same_order() {
     let mut poller = start(0, 300, 10 * SEC, || 0.3);
     assert!(poller.begin_due_poll(5 * SEC));
     poller.record_failure(7 * SEC, || unreachable!("nothing is drawn"));
@@ -297,7 +297,7 @@
 /// polls, however soon they fail, nor the end of a watch delay the time by which a change must be
 /// known.
 #[test]
-fn no_failure_puts_off_when_changes_count() {
+fn no_failure_extends_the_freshness_of_a_list() {
     for senders in [1, 3, 12, 100, 300] {
         for failed_after in [MS, 800 * MS, 2_600 * MS, 3_400 * MS, 6_000 * MS] {
             let mut poller = start(0, senders, 10 * SEC, || 0.0);
@@ -319,7 +319,7 @@
 /// Guards against the same in fleets that the directory can inform in time: these need not trust a
 /// list whose directory seems to be down.
 #[test]
-fn only_a_fleet_that_cannot_be_told_in_time_relies_on_its_list_after_a_slow_no() {
+fn only_a_fleet_too_large_to_poll_in_time_trusts_its_list_after_a_late_failure() {
     let stale_from = |senders| {
         let mut poller = start(0, senders, 10 * SEC, || 0.0);
         assert!(poller.begin_due_poll(5 * SEC));
@@ -334,7 +334,7 @@
 /// kept fresh: neither several in a row nor one after the list has become stale delay the time by
 /// which a change must be known.
 #[test]
-fn no_move_of_the_directory_puts_off_when_changes_count() {
+fn no_address_change_of_the_directory_extends_the_freshness_of_a_list() {
     for senders in [3, 300] {
         let mut poller = start(0, senders, 10 * SEC, || 0.0);
         assert!(poller.begin_due_poll(0));
@@ -352,7 +352,7 @@
 /// Guards against new calls to drained endpoints by a list that was old when it arrived: a response
 /// may describe the list at the start of the poll, however late it is read.
 #[test]
-fn an_answer_counts_from_when_it_was_asked_for() {
+fn the_freshness_of_a_response_counts_from_the_start_of_the_poll() {
     for (senders, waited) in [(3, 3 * SEC), (300, 5 * SEC)] {
         let mut poller = start(0, senders, 10 * SEC, || 0.0);
         assert!(poller.begin_due_poll(SEC));
@@ -366,7 +366,7 @@
 /// Guards against new calls to endpoints that an agent lists as drained: its list must be known at
 /// once, also while it rejects polls, or after it has ended the watch.
 #[test]
-fn a_pushed_list_is_not_relied_on_while_its_agent_answers_otherwise() {
+fn a_pushed_list_is_stale_while_its_agent_rejects_polls_or_after_it_ended_the_watch() {
     let settings = Settings {
         senders: 300,
         list_pushed: true,
@@ -412,7 +412,7 @@
 }
 
 #[test]
-fn a_machine_that_stood_still_knows_nothing_until_it_hears_something() {
+fn a_list_is_stale_after_a_suspension_until_the_next_event() {
     let mut poller = start(0, 3, 10 * SEC, || 0.0);
     assert!(poller.begin_due_poll(SEC));
     poller.record_event(SEC + MS);
@@ -453,7 +453,7 @@
 }
 
 #[test]
-fn the_silence_of_a_watch_that_tells_changes_alone_says_nothing() {
+fn silence_of_a_watch_without_heartbeat_does_not_make_the_list_stale() {
     let settings = Settings {
         senders: 3,
         poll_deadline: 10 * SEC,
@@ -471,7 +471,7 @@
 }
 
 #[test]
-fn what_a_silent_watch_or_ask_missed_counts_six_seconds_later_however_often_it_is_asked_again() {
+fn a_list_is_stale_six_seconds_after_a_watch_or_poll_falls_silent_despite_further_polls() {
     let mut poller = start(0, 3, 10 * SEC, || 0.0);
     assert!(poller.begin_due_poll(SEC));
     poller.record_event(SEC + MS);
@@ -518,7 +518,7 @@
 }
 
 #[test]
-fn an_agent_of_ones_own_is_asked_at_once_and_nobody_is_called_before_it_has_answered_or_failed() {
+fn a_local_agent_is_polled_at_once_and_no_call_is_made_before_it_has_answered_or_failed() {
     let settings = Settings {
         senders: 300,
         list_pushed: true,
@@ -540,7 +540,7 @@
 }
 
 #[test]
-fn a_list_of_an_earlier_process_is_trusted_no_longer_for_a_restart() {
+fn a_restart_does_not_extend_the_trust_in_the_list_of_an_earlier_process() {
     let start = |remaining_freshness| {
         let restart_state = RestartState {
             remaining_freshness,
@@ -570,7 +570,7 @@
 }
 
 #[test]
-fn a_fleet_that_the_directory_cannot_bear_in_time_is_told_of() {
+fn a_fleet_whose_polls_take_longer_than_the_deadline_gets_a_warning() {
     let of = |senders| start(0, senders, 10 * SEC, || 0.0);
     assert_eq!(of(200).overload_warning(), None);
     assert!(of(300)
@@ -662,7 +662,7 @@
 /// queue have a list at once, and of a larger number each has about one failed poll. After a kill,
 /// which cannot be told from a start of all senders, no poll fails.
 #[test]
-fn restarts_of_one_sender_to_all_of_them_are_told_in_bounded_time() {
+fn restarted_senders_from_one_to_all_of_them_get_a_list_in_bounded_time() {
     // Restarted senders, all senders; after a planned end: seconds until nine in ten and all have a
     // list, failed polls per hundred senders, seconds without a call of the sender that waits
     // longest; the same after a kill.
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -14,7 +14,7 @@
 // ------------------------------------------------------------------------------------
 
 #[test]
-fn a_told_wait_pauses_every_send_and_the_refused_call_goes_again_first() {
+fn a_retry_after_pauses_every_send_and_the_rejected_message_is_retried_first() {
     let mut d = one();
     d.arrive(1, 0, 1);
     assert!(sends(&d.end(1, Outcome::Rejected { wait: 700 * MS })).is_empty());
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_longest_told_wait_stands() {
+fn the_longest_retry_after_applies() {
     let mut d = one();
     d.arrive(1, 0, 1);
     d.arrive(2, 0, 1);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn waits_of_one_call_may_differ_and_the_longest_stands() {
+fn the_longest_retry_after_of_one_call_applies() {
     // Guards against a Retry-After that is ignored: only that of a call's first outcome was read.
     let mut d = Driver::new(settings(), vec![line(1, 1, 1, Condition::Ready)]);
     d.warm_up(1);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_message_that_cannot_outlast_the_pause_is_refused_at_once_with_the_wait() {
+fn a_message_that_expires_during_the_pause_is_rejected_at_once_with_the_retry_after() {
     let mut d = one();
     d.arrive(1, 0, 1);
     d.give(Event::Arrived(Message {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn routes_apart_pause_each_for_itself() {
+fn separate_routes_pause_independently() {
     let mut d = Driver::new(
         settings(),
         vec![
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn the_pool_stays_under_three_quarters_of_the_slots() {
+fn calls_of_one_destination_stay_under_three_quarters_of_the_slots() {
     for (slots, most) in [(3, 2), (4, 2), (8, 5), (9, 6)] {
         let mut d = Driver::new(
             Settings {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_sick_destination_holds_at_most_half_of_the_slots() {
+fn an_impaired_destination_uses_at_most_half_of_the_slots() {
     let mut d = one();
     for id in 0..20 {
         d.arrive(id, 0, 1);
@@ -117,7 +117,7 @@
 // ---------------------------------------------------------------------------
 
 #[test]
-fn a_refusal_without_a_wait_brings_a_growing_pause_of_our_own() {
+fn rejections_without_retry_after_cause_a_growing_backoff() {
     let mut d = one();
     d.arrive(1, 0, 1);
     let mut gaps = Vec::new();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn after_an_outage_one_trial_goes_first_and_then_a_cold_budget() {
+fn after_an_outage_one_trial_goes_first_and_then_the_slow_start_budget_applies() {
     let mut d = one();
     d.give_all(
         &(100..140)
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn health_counters_do_not_run_into_debt_while_all_is_well() {
+fn budgets_and_tokens_do_not_go_into_debt_in_normal_operation() {
     // Guards against limits that go into debt: in normal operation the slow-start budget and the
     // rate's tokens sank far below zero, and a recovering endpoint got no calls for tens of
     // seconds.
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_long_told_wait_means_shut_and_the_return_is_tried_first() {
+fn a_long_retry_after_ejects_the_endpoint_and_a_trial_goes_first() {
     // Guards against simultaneous returns: every sender got the same time of return, and all sent
     // at once.
     let mut d = one();
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_brief_row_of_failures_is_no_outage() {
+fn a_short_series_of_failures_is_no_outage() {
     let mut d = one();
     take_down(&mut d);
     let out = d.pass(SEC);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn the_trial_is_a_message_that_may_run_twice_where_calls_are_many() {
+fn where_calls_are_frequent_only_a_repeatable_message_is_used_as_a_trial() {
     let mut d = one();
     take_down(&mut d);
     for id in 1..4 {
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn an_outage_outlives_the_endpoint_for_rare_callers() {
+fn for_rare_callers_an_outage_persists_when_endpoints_are_replaced() {
     // Guards against a burst to new endpoints: replacements of endpoints that were down got every
     // pending message at once.
     let mut d = Driver::new(
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn a_gate_counts_its_last_answer_from_the_start_of_the_relay() {
+fn a_rate_controller_counts_its_last_answer_from_the_start_of_the_sender() {
     // Guards against simultaneous returns in a fleet of 208 senders: after a first call was
     // rejected with a long Retry-After, all returned right at its end.
     let mut latest = 0;
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn a_sick_endpoint_leaves_its_well_sibling_in_service() {
+fn an_ejected_endpoint_leaves_its_healthy_sibling_in_service() {
     let mut d = Driver::new(settings(), vec![ready(1, 1), ready(2, 1)]);
     d.warm_up(1);
     let (mut bad, mut served) = (0, 0);
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn no_connection_is_kept_idle_while_endpoints_of_the_kind_turn_connections_away() {
+fn no_connection_is_kept_idle_while_endpoints_of_the_kind_reject_connections() {
     // Guards against idle connections that use up the connection slots of an endpoint: with 200 to
     // 480 senders a fifth of all attempts got none.
     let mut d = Driver::new(
@@ -463,7 +463,7 @@
 }
 
 #[test]
-fn a_kind_out_of_connections_is_not_down_unless_it_lasts() {
+fn a_shortage_of_connections_is_no_outage_unless_it_lasts() {
     // Guards against an ejection by one rejected connection: with 200 to 480 senders a rare caller
     // took it for an outage, and its queue waited for a slow-start budget until the messages
     // expired.
@@ -550,7 +550,7 @@
 }
 
 #[test]
-fn a_refusal_by_a_limit_that_is_used_up_is_no_outage() {
+fn a_rejection_by_a_used_up_limit_is_no_outage() {
     // Guards against an ejection by a used-up limit: in a fleet of 261 a burst used up a limit that
     // rejected calls count against; senders took that for an outage and kept to a slow-start budget
     // for the rest of the day, with hundreds of messages pending.
@@ -560,7 +560,7 @@
 }
 
 #[test]
-fn relays_do_not_all_take_the_same_endpoint_and_none_goes_unseen() {
+fn senders_do_not_all_choose_the_same_endpoint_and_every_endpoint_is_used() {
     // Guards against the same choice by all senders: in a fleet of 361, nine tenths of all calls
     // went to the first of three routes.
     let mut firsts = [0; 3];
@@ -581,7 +581,7 @@
 }
 
 #[test]
-fn all_relays_together_keep_to_what_a_cold_destination_of_a_known_limit_bears() {
+fn all_senders_together_keep_the_slow_start_limit_of_a_destination_with_a_known_limit() {
     // Guards against an overload after an outage: 51 senders, each by the highest throughput it had
     // observed, sent a recovering destination 3.2 times its capacity. Here ten frequent callers
     // share a limit of 20 per second, and the outage lasts five seconds.
@@ -634,7 +634,7 @@
 }
 
 #[test]
-fn odd_rates_in_the_list_and_in_reports_are_taken_for_none() {
+fn invalid_rates_in_the_list_and_in_reports_are_ignored() {
     for rate in [0.0, -3.0, f32::NAN, f32::INFINITY, f32::NEG_INFINITY] {
         for listed in [
             ListedRates::Absent,
@@ -680,7 +680,7 @@
 }
 
 #[test]
-fn a_rare_caller_refused_with_the_limit_unused_takes_the_destination_for_shut_at_once() {
+fn a_rare_caller_rejected_with_the_limit_unused_ejects_the_endpoint_at_once() {
     // Guards against an overload of a closed route: in a fleet of 78 it was overloaded by senders
     // that had been rejected only once or twice.
     let s = Settings {
@@ -704,7 +704,7 @@
 }
 
 #[test]
-fn a_used_up_limit_brings_a_rare_caller_to_its_part_and_room_brings_it_back() {
+fn a_used_up_limit_slows_a_rare_caller_to_its_part_and_an_unused_limit_restores_its_rate() {
     // Guards against a limit that does not recover: in the same fleet of 78 all senders together
     // sent as much as the limit allows, and rejected calls used it up.
     let (gaps, _) = repeated_rejections([0.0, 30.0]);
@@ -747,7 +747,7 @@
 }
 
 #[test]
-fn a_wake_is_asked_for_in_whole_milliseconds_and_only_when_something_is_due() {
+fn a_wake_up_is_requested_in_whole_milliseconds_and_only_when_something_is_due() {
     // Guards against a lost message: a wake-up requested in nanoseconds came slightly early, and
     // was not requested again.
     let mut d = one();
@@ -771,7 +771,7 @@
 }
 
 #[test]
-fn a_refused_rare_caller_of_a_large_fleet_spreads_its_return_and_a_frequent_one_does_not() {
+fn a_rejected_rare_caller_of_a_large_fleet_spreads_its_return_and_a_frequent_one_does_not() {
     let returns = |senders, rare: bool| {
         let mut all = Vec::new();
         for seed in 1..20 {
@@ -825,7 +825,7 @@
 // --------------------------------------------------------------------------------------------------
 
 #[test]
-fn the_refusals_of_one_burst_do_not_add_up_their_pauses() {
+fn the_rejections_of_one_burst_do_not_add_up_their_pauses() {
     // Guards against pauses that add up (simulator seed 1012): an endpoint that was replaced while
     // many messages were pending got 19 calls at once, rejected 17 of them, and got no call for a
     // minute, in which all its messages expired.
@@ -873,7 +873,7 @@
 }
 
 #[test]
-fn a_side_effect_goes_again_only_when_it_never_ran() {
+fn a_non_idempotent_message_is_retried_only_if_it_never_ran() {
     for (outcome, again) in [
         (Outcome::ConnectFailed, true),
         (Outcome::Rejected { wait: 0 }, true),
@@ -894,7 +894,7 @@
 }
 
 #[test]
-fn a_token_goes_again_only_inside_its_window() {
+fn a_message_with_idempotency_key_is_retried_only_within_its_dedup_window() {
     let mut d = one();
     d.arrive(1, 1, 1);
     d.pass(2 * SEC);
@@ -913,7 +913,7 @@
 }
 
 #[test]
-fn a_token_of_one_zone_stays_in_that_zone_and_is_not_refused_once_it_may_have_run() {
+fn a_message_with_zone_dedup_stays_in_its_zone_and_is_not_rejected_once_it_may_have_run() {
     let mut s = settings();
     s.classes[1].dedup_scope = DedupScope::Zone;
     let mut d = Driver::new(
@@ -956,7 +956,7 @@
 // -----------------------------------------------------------------------------------------------
 
 #[test]
-fn a_message_held_to_its_end_gets_one_answer_in_time() {
+fn a_message_pending_until_its_deadline_gets_one_answer_in_time() {
     let mut d = Driver::new(settings(), vec![]);
     d.arrive(1, 2, 1);
     let start = d.now;
@@ -981,7 +981,7 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_does_no_harm() {
+fn a_clock_that_steps_back_does_not_stop_sends() {
     let mut d = one();
     d.arrive(1, 0, 1);
     d.now -= SEC;
@@ -992,7 +992,7 @@
 }
 
 #[test]
-fn nothing_is_sent_or_said_for_a_withdrawn_message() {
+fn no_further_attempt_or_answer_follows_a_withdrawn_message() {
     let mut d = one();
     d.arrive(1, 0, 1);
     d.give_all(&[Event::ClientGone(1), d.ending(1, Outcome::Timeout)]);
@@ -1002,7 +1002,7 @@
 }
 
 #[test]
-fn odd_news_is_taken_calmly() {
+fn events_about_unknown_messages_and_endpoints_are_ignored() {
     let mut d = Driver::new(settings(), vec![]);
     let stray = Event::AttemptEnded {
         id: 99,
@@ -1036,7 +1036,7 @@
 // ---------------------------------------------------------------------------------------------------
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_endpoint() {
+fn no_new_call_goes_to_a_draining_or_gone_endpoint() {
     for condition in [Condition::Draining, Condition::Gone] {
         let mut d = Driver::new(settings(), vec![ready(1, 1), ready(2, 1)]);
         d.warm_up(1);
@@ -1062,7 +1062,7 @@
 }
 
 #[test]
-fn the_list_is_asked_for_where_it_must_be_and_again_after_a_failure() {
+fn the_list_is_polled_where_required_and_again_after_a_failure() {
     let mut d = Driver::new(
         Settings {
             poll_list: true,
@@ -1085,7 +1085,7 @@
 // --------------------------------------------------------------------------------------------------
 
 #[test]
-fn messages_of_one_key_go_one_at_a_time_in_the_order_taken() {
+fn messages_of_one_key_are_sent_one_at_a_time_in_the_order_accepted() {
     let mut d = one();
     assert_eq!(sends(&d.arrive_keyed(1, 5)), [1]);
     assert!(sends(&d.arrive_keyed(2, 5)).is_empty());
@@ -1094,7 +1094,7 @@
 }
 
 #[test]
-fn a_key_rests_after_an_attempt_that_may_still_run() {
+fn a_key_is_paused_after_an_attempt_that_may_still_run() {
     let mut d = one();
     d.arrive_keyed(1, 5);
     d.arrive_keyed(2, 5);
@@ -1112,7 +1112,7 @@
 // ------------------------------------------------------------------------------------------------
 
 #[test]
-fn one_destinations_line_does_not_fill_the_room() {
+fn the_queue_of_one_destination_does_not_use_up_the_message_limit() {
     let mut d = Driver::new(settings(), vec![ready(1, 1), ready(2, 2)]);
     d.warm_up(2);
     for id in 0..100 {
@@ -1124,7 +1124,7 @@
 }
 
 #[test]
-fn over_share_traffic_goes_last() {
+fn messages_over_a_tenants_share_are_sent_last() {
     let mut d = one();
     for id in 0..8 {
         d.give(Event::Arrived(Message {
@@ -1152,7 +1152,7 @@
 /// Guards against messages that name no tenant and so get priority over those within their tenant's
 /// share.
 #[test]
-fn traffic_of_no_tenant_goes_last_where_there_are_tenants() {
+fn messages_of_no_tenant_are_sent_last_where_there_are_tenants() {
     let first_of = |none: u16, some: u16| {
         let mut d = one();
         let arrival = |id| {
@@ -1204,7 +1204,7 @@
 }
 
 #[test]
-fn unusable_settings_are_told_by_name() {
+fn invalid_settings_are_reported_by_name() {
     let name = |s| Dispatcher::new(s, 1).expect_err("unusable").setting;
     assert_eq!(
         name(Settings {
@@ -1254,7 +1254,7 @@
 }
 
 #[test]
-fn each_file_of_the_module_is_short_and_narrow() {
+fn each_file_of_the_module_keeps_the_limits_of_lines_and_columns() {
     let files = files_below("src/dispatch");
     assert!(files.len() >= 10);
     for path in files {
@@ -1272,7 +1272,7 @@
 // ----------------------------------------------------------------------------------------------------------
 
 #[test]
-fn the_route_that_costs_less_goes_first_while_it_has_room() {
+fn the_cheaper_route_is_preferred_while_it_has_free_calls() {
     // Guards against a choice that ignores the fees of zones.
     let s = Settings {
         zone_fees: vec![0.06, 0.0],
@@ -1319,7 +1319,7 @@
 // -----------------------------------------------------------------------------------------------
 
 #[test]
-fn nothing_grows_with_endpoints_ever_listed() {
+fn state_does_not_grow_with_the_endpoints_ever_listed() {
     // Guards against growth over time: the rate controller of a dropped route stayed with its
     // destination.
     let mut d = Driver::new(settings(), vec![line(0, 1, 2, Condition::Ready)]);
@@ -1363,7 +1363,7 @@
 }
 
 #[test]
-fn an_outage_is_not_taken_for_a_kind_out_of_connections() {
+fn an_outage_is_no_shortage_of_connections() {
     // Guards against an outage that counts as a shortage of connections: with a hundred senders an
     // outage of 5 s closed every idle connection of its kind for 20 s more, and each call needed a
     // handshake.
@@ -1399,7 +1399,7 @@
 }
 
 #[test]
-fn a_message_that_nobody_takes_is_given_up_a_quarter_of_a_second_before_its_time() {
+fn a_message_without_an_endpoint_is_rejected_a_quarter_of_a_second_before_its_deadline() {
     let mut d = Driver::new(settings(), vec![]);
     d.arrive(1, 0, 1);
     let over = d.now + d.message(1, 0, 1).ttl;
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn random_days_keep_the_rules() {
+fn random_event_sequences_keep_the_rules() {
     for seed in 1..=10 {
         let sends = run(seed, |_, _| ()).unwrap_or_else(|e| panic!("seed {seed}: {e}"));
         assert!(sends > 100, "seed {seed}: only {sends} sends");
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn the_audit_sees_a_rule_broken_on_purpose() {
+fn the_audit_detects_rules_broken_on_purpose() {
     let broken = |tamper: fn(&mut Vec<Action>, Nanos)| run(3, tamper).expect_err("a rule was broken");
     // Final answers removed: messages are lost.
     let e = broken(|actions, _| {
--- a/tests/resumed.rs
+++ b/tests/resumed.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn one_that_may_have_run_stays_in_its_zone() {
+fn a_message_that_may_have_run_stays_in_its_zone() {
     for zone in [0, 1] {
         let mut d = driver();
         let actions = resume(
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn one_whose_window_is_over_fails_and_is_not_refused() {
+fn a_message_whose_dedup_window_has_passed_fails_and_is_not_rejected() {
     let mut d = driver();
     let window = d.message(1, 1, 1).ttl;
     let actions = resume(
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn one_that_never_ran_goes_anywhere_and_may_be_refused() {
+fn a_message_that_never_ran_goes_to_any_zone_and_may_be_rejected() {
     let mut d = driver();
     assert_eq!(
         sends(&resume(
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn its_attempts_go_on_being_numbered() {
+fn the_numbering_of_attempts_continues_after_a_restart() {
     let mut d = driver();
     resume(
         &mut d,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn room_made_for_others_does_not_refuse_one_that_may_have_run() {
+fn load_shedding_does_not_reject_messages_that_may_have_run() {
     let mut d = driver();
     let mut actions = Vec::new();
     for id in 0..70 {
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_the_first_tier_cannot_take_goes_to_the_next_at_once_and_comes_back() {
+fn messages_that_the_first_tier_cannot_accept_go_to_the_next_at_once_and_return_later() {
     let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 2), in_zone(3, 3, 2)];
     let mut d = driver(list, vec![all(&[&[(1, 1)], &[(1, 2)]])]);
     let first = send_each(&mut d, 1..30, |_| Outcome::Delivered);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn shares_draw_the_first_zone_and_a_sick_one_says_nothing_of_others_that_are_seldom_heard() {
+fn shares_determine_the_first_zone_and_an_ejection_does_not_affect_rarely_called_zones() {
     let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 2), in_zone(3, 3, 2)];
     let mut d = driver(list, vec![all(&[&[(3, 1), (1, 2)], &[(1, 3)]])]);
     let called = send_each(&mut d, 1..401, |_| Outcome::Delivered);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn only_told_waits_of_where_a_message_may_go_end_it_early() {
+fn only_a_retry_after_on_its_own_route_ends_a_message_early() {
     let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 2)];
     let only = RouteSpec {
         classes: Some(vec![1]),
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn the_first_of_a_line_that_can_go_nowhere_now_stops_none_behind_it_and_a_batch_takes_those_that_may(
+fn a_blocked_first_message_blocks_no_other_route_and_a_batch_takes_only_allowed_messages(
 ) {
     let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 1)];
     let only = RouteSpec {
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn what_is_held_goes_by_the_new_table_at_its_next_attempt_and_what_nobody_serves_goes_back() {
+fn pending_messages_follow_a_new_table_at_their_next_attempt_or_are_rejected_without_zones() {
     let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 2)];
     let mut d = driver(list, vec![all(&[&[(1, 1)]])]);
     d.arrive(1, 0, 1);
@@ -392,13 +392,13 @@
     #![proptest_config(Config { cases: 300, rng_seed: RngSeed::Fixed(43), failure_persistence: None, ..Config::default() })]
 
     #[test]
-    fn no_call_goes_where_no_route_leads(steps in vec(step(), 1..150), tables in vec(vec(specs(), 0..6), 1..4)) {
+    fn no_call_goes_to_a_zone_outside_the_route(steps in vec(step(), 1..150), tables in vec(vec(specs(), 0..6), 1..4)) {
         let tables: Vec<Rc<Routes>> = tables.into_iter().map(routes).collect();
         run_steps(&steps, &tables, true);
     }
 
     #[test]
-    fn a_table_that_says_nothing_changes_no_action(steps in vec(step(), 1..150)) {
+    fn an_empty_table_changes_no_action(steps in vec(step(), 1..150)) {
         let none = [Rc::<Routes>::default()];
         prop_assert_eq!(run_steps(&steps, &none, true), run_steps(&steps, &none, false));
     }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn no_more_than_one_window_in_a_thousand_of_1_to_1000_senders_exceeds_the_bound_at_the_worst() {
+fn at_most_one_window_in_a_thousand_of_1_to_1000_senders_exceeds_the_bound() {
     let (windows, over) = (Cell::new(0), Cell::new(0));
     let of = (
         log_uniform(1.0, 1_000.5),
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn at_most_one_return_in_a_hundred_of_1_to_1000_senders_exceeds_the_bound_in_any_sliding_window() {
+fn at_most_one_recovery_in_a_hundred_of_1_to_1000_senders_exceeds_the_bound() {
     const RETURNS: u32 = 1_000;
     let over = Cell::new(0);
     let of = (
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn the_budget_of_senders_is_no_slower_than_the_endpoint_bears() {
+fn the_quota_of_all_senders_uses_what_the_endpoint_accepts() {
     let part = |senders, n, growth| {
         SlowStartQuota::for_sender(n, growth, 3.0, senders).rate * 3.0 * f64::from(senders) / n
     };
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn the_bound_is_that_of_the_standing_test_and_holds_for_whatever_more_an_endpoint_bears() {
+fn the_bound_matches_the_standing_test_and_never_falls_as_the_limit_grows() {
     for tenth in 0..5_000 {
         let n = f64::from(tenth) / 10.0;
         assert!(!exceeds_limit(max_calls_per_window(n).floor() as usize, n), "{n}");
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn relays_keep_the_bound_of_an_endpoint_that_returns_after_an_outage() {
+fn senders_keep_the_bound_of_an_endpoint_that_recovers_from_an_outage() {
     for down in [6, 10, 25] {
         let over = runs_over_the_limit(down);
         assert!(over.is_empty(), "{over:#?}");
@@ -429,7 +429,7 @@
 /// and no slow-start budget applied after it. The printed worst windows showed it: above the limit
 /// after 4 s, below it after 6 s and more.
 #[test]
-fn relays_keep_the_bound_of_an_endpoint_that_returns_after_a_short_outage() {
+fn senders_keep_the_bound_of_an_endpoint_that_recovers_from_a_short_outage() {
     let over = runs_over_the_limit(4);
     assert!(over.is_empty(), "{over:#?}");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn empty_input_and_an_empty_batch_end_well() {
+fn empty_input_and_an_empty_batch_end_without_error() {
     assert!(run(&[]).status.success());
     let out = run(&frame(1, 5, &[]));
     assert!(out.status.success());
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_list_number_used_twice_in_a_batch_means_the_list_of_its_moment() {
+fn a_list_number_defined_twice_in_a_batch_refers_to_the_latest_definition() {
     let records = [
         start(3),
         inventory(0, 9),
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_relay_may_die_and_start_again_in_one_batch() {
+fn an_instance_may_end_and_start_again_in_one_batch() {
     let records = [start(3), work(5, 3.0), vec![10], start(3), work(6, 3.0)].concat();
     let out = run(&frame(1, 1_000_000_000, &records));
     assert!(out.status.success());
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_a_plain_message() {
+fn malformed_input_ends_with_a_clear_message() {
     faulty(&[0, 0, 0], &["batch header", "byte 3"]);
     faulty(&[0, 0, 0, 1, 0, 0, 0, 2], &["batch header", "length 2"]);
     faulty(&[0, 0, 0, 1, 0xff, 0xff, 0xff, 0xff], &["length", "limit"]);
