--- a/src/dispatch/rate_quota/tests.rs
+++ b/src/dispatch/rate_quota/tests.rs
@@ -15,7 +15,7 @@
     let ahead = |listed, senders| quota(listed, senders).map(RateQuota::burst_allowance);
     assert_eq!((ahead(5.0, 59), ahead(5.0, 61)), (Some(0.0), Some(1.0)));
     assert_eq!((ahead(5.0, 3), ahead(5.0, u32::MAX)), (None, Some(1.0)));
-    let one = quota(5.0, 300).expect("many");
+    let one = quota(5.0, 300).expect("a quota of many senders");
     assert!((to_secs(one.turn_interval()) - 60.0).abs() < 1e-6);
 }
 
@@ -29,14 +29,14 @@
 
 #[test]
 fn a_fleet_starts_at_the_listed_rate_and_a_huge_configured_size_keeps_a_minimum_rate() {
-    let one = quota(50.0, 100).expect("many");
+    let one = quota(50.0, 100).expect("a quota of many senders");
     assert!((one.initial_rate() * 100.0 - 50.0).abs() < 1e-9);
-    assert!(quota(1.0, u32::MAX).expect("many").initial_rate() >= MIN_QUOTA_PER_SECOND);
+    assert!(quota(1.0, u32::MAX).expect("a quota of many senders").initial_rate() >= MIN_QUOTA_PER_SECOND);
 }
 
 #[test]
 fn a_rate_falls_with_rejections_recovers_over_time_and_stays_within_limits() {
-    let one = quota(50.0, 100).expect("many");
+    let one = quota(50.0, 100).expect("a quota of many senders");
     let low = (0..50).fold(one.initial_rate(), |rate, _| one.after_rejection(rate));
     assert!(low > 0.0 && low < 0.1 * one.initial_rate());
     assert_eq!(one.after_rest(low, 120.0), one.initial_rate());
@@ -82,7 +82,7 @@
     assert_eq!(
         TrafficShare::new(0).quota_multiplier(SEC, 100),
         1.0,
-        "nothing listed"
+        "without listed rates"
     );
 }
 
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -35,17 +35,17 @@
 
 #[test]
 fn few_senders_poll_at_once_and_wait_longer_after_each_failure() {
-    let never = || unreachable!("few draw nothing");
+    let never = || unreachable!("few senders need no random number");
     let mut poller = start(SEC, 3, 10 * SEC, never);
     let mut now = SEC;
     for gap in [500, 1_000, 1_000, 1_000, 1_000] {
         assert!(
             poller.begin_due_poll(now) && !poller.begin_due_poll(now),
-            "once each"
+            "a due poll starts once"
         );
         poller.record_failure(now, never);
         assert_eq!(poller.next_poll_at(), Some(now + gap * MS));
-        now = poller.next_poll_at().expect("due");
+        now = poller.next_poll_at().expect("a poll is scheduled");
     }
     assert!(poller.begin_due_poll(now));
     poller.record_event(now);
@@ -54,17 +54,17 @@
     assert_eq!(
         poller.next_poll_at(),
         Some(now + SEC + SEC / 2),
-        "an answer ends the row of failures"
+        "a response resets the count of failures"
     );
 }
 
 #[test]
 fn polls_are_spread_over_the_time_that_all_need_less_what_may_queue() {
     for (senders, most) in [(10, 0.3), (100, 3.0), (300, 14.5), (3_000, 172.0)] {
-        let at = |draw| to_secs(start(0, senders, 0, || draw).next_poll_at().expect("due"));
+        let at = |draw| to_secs(start(0, senders, 0, || draw).next_poll_at().expect("a poll is scheduled"));
         assert!(
             at(0.0) == 0.0 && (2.0 * at(0.45) - at(0.9)).abs() < 1e-6,
-            "evenly"
+            "polls are spread evenly"
         );
         assert!(
             at(0.99) <= most && at(0.99) > 0.7 * most,
@@ -77,24 +77,24 @@
 #[test]
 fn the_poll_cost_is_learned_and_bounded() {
     let poll_once = |poller: &mut EndpointListPoller, after: f64, answered: bool| {
-        let now = poller.next_poll_at().expect("settled");
+        let now = poller.next_poll_at().expect("a poll is scheduled");
         assert!(poller.begin_due_poll(now));
         if answered {
             poller.record_event(now + secs(after));
         }
         poller.record_failure(now + secs(after), || 1.0);
-        to_secs(poller.next_poll_at().expect("settled") - now)
+        to_secs(poller.next_poll_at().expect("a poll is scheduled") - now)
     };
     let mut poller = start(0, 300, 0, || 0.5);
     assert!(
         (100.0..120.0).contains(&poll_once(&mut poller, 3.0, false)),
-        "a line too long is let go and made far less dense"
+        "after a failure in the queue polls wait for it and are spread further"
     );
     (0..20).for_each(|_| _ = poll_once(&mut poller, 3.0, false));
     assert!(poll_once(&mut poller, 3.0, false) < 670.0);
     assert!(
         poll_once(&mut poller, 0.010, true) < 3.0,
-        "a quick directory needs less"
+        "a fast directory needs less time"
     );
     (0..20).for_each(|_| _ = poll_once(&mut poller, 0.0, true));
     assert!(poll_once(&mut poller, 0.0, true) >= 0.5);
@@ -120,7 +120,7 @@
         )
     };
     let first = |senders, planned, cost| {
-        to_secs(start(senders, planned, cost).next_poll_at().expect("due"))
+        to_secs(start(senders, planned, cost).next_poll_at().expect("a poll is scheduled"))
     };
     assert_eq!(first(5, true, None), 0.0);
     assert!(
@@ -132,24 +132,24 @@
     assert!(first(300, false, None) > 14.0 && first(30, true, None) == first(30, false, None));
     let mut poller = start(300, true, None);
     let next = |poller: &mut EndpointListPoller, failed_after: f64| {
-        let now = poller.next_poll_at().expect("due");
+        let now = poller.next_poll_at().expect("a poll is scheduled");
         assert!(poller.begin_due_poll(now));
         poller.record_failure(now + secs(failed_after), || 1.0);
-        to_secs(poller.next_poll_at().expect("due") - now)
+        to_secs(poller.next_poll_at().expect("a poll is scheduled") - now)
     };
     assert!(
         next(&mut poller, 0.1) < 1.5,
-        "nobody is there, which says nothing of a line"
+        "an unreachable directory shows no queue"
     );
     // All queued polls are processed, then all senders poll again, at the assumed cost.
     assert!((30.0..35.0).contains(&next(&mut poller, 3.0)));
-    assert!(next(&mut poller, 3.0) > 80.0, "now they cost more");
+    assert!(next(&mut poller, 3.0) > 80.0, "the assumed cost rises");
     // All senders may have lost their watch.
     let mut poller = start(300, true, None);
     assert!(poller.begin_due_poll(2 * SEC));
     poller.record_event(2 * SEC + secs(POLL_COST_SECONDS));
     poller.record_failure(3 * SEC, || 1.0);
-    assert!(to_secs(poller.next_poll_at().expect("due")) > 10.0);
+    assert!(to_secs(poller.next_poll_at().expect("a poll is scheduled")) > 10.0);
 }
 
 #[test]
@@ -174,25 +174,25 @@
     assert_eq!(
         moved(3, true, 1.0).next_poll_at(),
         Some(SEC),
-        "few ask at once"
+        "few senders poll at once"
     );
     for planned in [true, false] {
         let mut last = moved(300, planned, 1.0);
         assert!(!last.is_stale(5 * SEC - 1) && last.is_stale(5 * SEC));
-        let next = last.next_poll_at().expect("settled");
+        let next = last.next_poll_at().expect("a poll is scheduled");
         assert!((14.0..17.0).contains(&to_secs(next)) && last.begin_due_poll(next));
-        assert!(last.is_stale(next), "until it is answered");
+        assert!(last.is_stale(next), "stale until a response");
         last.record_failure(next + 3 * SEC, || 1.0);
         for s in [3, 6, 39, 40, 400] {
-            assert!(last.is_stale(next + s * SEC), "that was no answer");
+            assert!(last.is_stale(next + s * SEC), "a failure does not make the list fresh");
         }
         let mut first = moved(300, planned, 0.0);
         assert!(
             first.begin_due_poll(SEC) && !first.is_stale(5 * SEC - 1) && first.is_stale(5 * SEC),
-            "poller takes nothing back"
+            "a poll does not extend the freshness"
         );
         first.record_event(5 * SEC);
-        assert!(!first.is_stale(10 * SEC), "the answer does");
+        assert!(!first.is_stale(10 * SEC), "the response makes the list fresh");
     }
 }
 
@@ -208,7 +208,7 @@
         for poller in &mut all {
             if poller.begin_due_poll(now) {
                 polls[ms as usize / 1_000] += 1;
-                poller.record_failure(now, || unreachable!("nothing is drawn"));
+                poller.record_failure(now, || unreachable!("no random number is needed"));
             }
         }
     }
@@ -218,48 +218,48 @@
 #[test]
 fn a_list_is_stale_six_seconds_after_the_last_event_or_sooner_by_the_settings(
 ) {
-    let never = || unreachable!("few draw nothing");
+    let never = || unreachable!("few senders need no random number");
     let mut short = start(0, 3, 4 * SEC, never);
     assert!(
         !short.is_stale(4 * SEC - 1) && short.is_stale(4 * SEC),
-        "the settings say less"
+        "the settings set a shorter time"
     );
     assert!(
         short.begin_due_poll(14 * SEC) && short.is_stale(15 * SEC),
-        "too late"
+        "a late poll does not make the list fresh"
     );
     short.record_failure(14 * SEC + SEC / 10, never);
     assert!(
         short.is_stale(15 * SEC),
-        "that nobody is there makes it no younger"
+        "an unreachable directory does not make the list fresh"
     );
     let mut few = start(0, 3, 10 * SEC, never);
     assert!(
         few.begin_due_poll(5 * SEC) && !few.is_stale(6 * SEC - 1) && few.is_stale(6 * SEC),
-        "an ask is no word"
+        "a poll is no event"
     );
     few.record_failure(8 * SEC, never);
-    assert!(few.is_stale(8 * SEC), "nor is one that failed in the line");
+    assert!(few.is_stale(8 * SEC), "nor is one that failed in the queue");
     let mut poller = start(0, 300, 10 * SEC, || 0.3);
     assert!(
         poller.begin_due_poll(5 * SEC) && !poller.is_stale(6 * SEC - 1) && poller.is_stale(6 * SEC),
-        "an ask is no word"
+        "a poll is no event"
     );
     poller.record_failure(8 * SEC, || 0.0);
-    let next = poller.next_poll_at().expect("settled");
+    let next = poller.next_poll_at().expect("a poll is scheduled");
     assert!(poller.begin_due_poll(next));
     poller.record_event(next + SEC);
     for s in (1..900).step_by(2) {
         assert!(
             !poller.is_stale(next + s * SEC),
-            "a watch tells, also that there is nothing"
+            "each event of a watch keeps the list fresh"
         );
         poller.record_event(next + s * SEC);
     }
     poller.record_failure(next + 901 * SEC, || 1.0);
     assert!(
         !poller.is_stale(next + 905 * SEC - 1) && poller.is_stale(next + 905 * SEC),
-        "its end is no event of the directory"
+        "the end of a watch is no event of the directory"
     );
 }
 
@@ -280,16 +280,16 @@
 fn a_directory_that_is_down_and_fails_polls_late_is_polled_again_in_the_same_order() {
     let mut poller = start(0, 300, 10 * SEC, || 0.3);
     assert!(poller.begin_due_poll(5 * SEC));
-    poller.record_failure(7 * SEC, || unreachable!("nothing is drawn"));
-    let next = poller.next_poll_at().expect("settled");
+    poller.record_failure(7 * SEC, || unreachable!("no random number is needed"));
+    let next = poller.next_poll_at().expect("a poll is scheduled");
     assert!(
         (15.0..22.0).contains(&to_secs(next)),
-        "all of them take 16.5 s: {}",
+        "the polls of all senders take 16.5 s: {}",
         to_secs(next)
     );
     assert!(
         !poller.is_stale(11 * SEC - 1) && poller.is_stale(11 * SEC),
-        "nobody was there, when it was asked, to tell what has changed"
+        "a directory that was down during the poll had reported no change"
     );
 }
 
@@ -327,7 +327,7 @@
         (1..60).find(|s| poller.is_stale(s * SEC))
     };
     assert_eq!([1, 3, 12, 30, 100].map(stale_from), [Some(6); 5]);
-    assert_eq!(stale_from(300), Some(11), "six seconds after that poll");
+    assert_eq!(stale_from(300), Some(11), "six seconds after the start of that poll");
 }
 
 /// Guards against new calls to drained endpoints by a list that address changes of the directory
@@ -373,23 +373,23 @@
         watch_heartbeat: 2 * SEC,
         ..Settings::default()
     };
-    let never = || unreachable!("nothing is spread");
+    let never = || unreachable!("polls of a pushed list are not spread");
     let mut poller = EndpointListPoller::new(SEC, &settings, never);
     assert!(poller.begin_due_poll(SEC));
     poller.record_failure(SEC + MS, never);
-    assert!(poller.is_stale(SEC + MS), "refused");
-    let next = poller.next_poll_at().expect("settled");
+    assert!(poller.is_stale(SEC + MS), "a rejected poll makes the list stale");
+    let next = poller.next_poll_at().expect("a poll is scheduled");
     assert!(poller.begin_due_poll(next));
     poller.record_event(next + MS);
     assert!(!poller.is_stale(next + MS));
     poller.record_failure(next + SEC, never);
-    assert!(poller.is_stale(next + SEC), "the watch was ended");
-    let again = poller.next_poll_at().expect("settled");
+    assert!(poller.is_stale(next + SEC), "the end of the watch makes the list stale");
+    let again = poller.next_poll_at().expect("a poll is scheduled");
     assert!(poller.begin_due_poll(again));
     poller.record_failure(again + secs(3.5), never);
     assert!(
         poller.is_stale(again + secs(3.5)),
-        "it fell silent later than that"
+        "the agent fell silent only after it had rejected a poll"
     );
 }
 
@@ -418,37 +418,37 @@
     poller.record_event(SEC + MS);
     assert!(
         !poller.is_stale(7 * SEC - 1) && poller.is_stale(7 * SEC),
-        "the watch looks whole"
+        "a silent watch makes the list stale"
     );
     poller.record_event(20 * SEC);
-    assert!(!poller.is_stale(20 * SEC), "it was");
+    assert!(!poller.is_stale(20 * SEC), "an event makes the list fresh again");
     let mut quick = start(0, 3, SEC, || 0.0);
     assert!(quick.begin_due_poll(SEC));
     quick.record_event(SEC + MS);
     assert!(
         !quick.is_stale(4 * SEC) && quick.is_stale(5 * SEC),
-        "a watch is not to say more than it does"
+        "a short deadline allows two heartbeat intervals"
     );
     poller.record_failure(40 * SEC, || 0.0);
-    assert!(poller.is_stale(40 * SEC), "it ended meanwhile");
-    let next = poller.next_poll_at().expect("settled");
+    assert!(poller.is_stale(40 * SEC), "the list is stale after the watch ended late");
+    let next = poller.next_poll_at().expect("a poll is scheduled");
     assert!(poller.begin_due_poll(next) && poller.is_stale(next));
     poller.record_event(next + 1);
     assert!(!poller.is_stale(next + 1));
     let mut early = start(0, 300, 10 * SEC, || 0.3);
     assert!(
         early.begin_due_poll(5 * SEC) && early.is_stale(6 * SEC),
-        "poller in time is no word"
+        "a poll in time is no event"
     );
     let unbound = start(0, 300, 0, || 1.0);
     assert!(
         !unbound.is_stale(6 * SEC - 1) && unbound.is_stale(6 * SEC),
-        "changes count whether or not the settings set a bound"
+        "the list becomes stale even without a deadline in the settings"
     );
     let simulated = EndpointListPoller::new(0, &Settings::default(), || 1.0);
     assert!(
         !simulated.is_stale(900 * SEC),
-        "a watch that tells changes alone has no such clock"
+        "without heartbeats silence does not make the list stale"
     );
 }
 
@@ -462,11 +462,11 @@
     let mut poller = EndpointListPoller::new(0, &settings, || 0.0);
     assert!(poller.begin_due_poll(0));
     poller.record_event(SEC);
-    assert!(!poller.is_stale(900 * SEC), "nothing has changed");
+    assert!(!poller.is_stale(900 * SEC), "an open watch without events means no change");
     poller.record_failure(900 * SEC, || 0.0);
     assert!(
         !poller.is_stale(906 * SEC - 1) && poller.is_stale(906 * SEC),
-        "it had told all changes until it ended"
+        "the watch had reported all changes until it ended"
     );
 }
 
@@ -479,22 +479,22 @@
     assert!(poller.begin_due_poll(5 * SEC));
     assert!(
         !poller.is_stale(7 * SEC - 1) && poller.is_stale(7 * SEC),
-        "from the last word of the watch"
+        "counted from the last event of the watch"
     );
     poller.record_failure(9 * SEC, || 0.0);
-    let next = poller.next_poll_at().expect("settled");
+    let next = poller.next_poll_at().expect("a poll is scheduled");
     assert!(
         poller.begin_due_poll(next) && poller.is_stale(next),
-        "no ask takes it back"
+        "a poll does not make the list fresh"
     );
     poller.record_event(next + 1);
-    assert!(!poller.is_stale(next + 1), "the answer does");
+    assert!(!poller.is_stale(next + 1), "the response makes the list fresh");
     let mut unanswered = start(0, 3, 10 * SEC, || 0.0);
     assert!(unanswered.begin_due_poll(SEC));
     unanswered.record_failure(5 * SEC, || 0.0);
     assert!(
         !unanswered.is_stale(6 * SEC - 1) && unanswered.is_stale(6 * SEC),
-        "what it had since the start"
+        "counted from the start of the process"
     );
     // A poll that was queued shows that the directory was running; further failures, at once or in
     // the queue, do not make the list more trusted.
@@ -502,7 +502,7 @@
     assert!(refused.begin_due_poll(SEC));
     refused.record_failure(4 * SEC - 1, || 0.0);
     assert!(!refused.is_stale(6 * SEC - 1) && refused.is_stale(6 * SEC));
-    let next = refused.next_poll_at().expect("settled");
+    let next = refused.next_poll_at().expect("a poll is scheduled");
     assert!(refused.begin_due_poll(next));
     refused.record_failure(next + 1, || 0.0);
     assert!(!refused.is_stale(6 * SEC - 1) && refused.is_stale(6 * SEC));
@@ -511,10 +511,10 @@
     many.record_failure(secs(3.5), || 1.0);
     assert!(
         many.next_poll_at().is_some_and(|t| t < 6 * SEC),
-        "silence is no line"
+        "an unanswered poll shows no queue"
     );
     refused.source_moved(41 * SEC, || 0.0);
-    assert!(refused.is_stale(41 * SEC), "a move tells nothing");
+    assert!(refused.is_stale(41 * SEC), "an address change is no event");
 }
 
 #[test]
@@ -525,7 +525,7 @@
         watch_heartbeat: 2 * SEC,
         ..Settings::default()
     };
-    let never = || unreachable!("nothing is spread");
+    let never = || unreachable!("polls of a pushed list are not spread");
     let mut poller = EndpointListPoller::new(SEC, &settings, never);
     assert!(poller.is_stale(SEC) && poller.begin_due_poll(SEC) && poller.is_stale(SEC));
     poller.record_event(SEC + MS);
@@ -560,12 +560,12 @@
     killed.record_event(75 * SEC + MS);
     assert!(
         !killed.is_stale(76 * SEC) && killed.remaining_freshness(76 * SEC) == 5 * SEC,
-        "it is told"
+        "a response makes the list fresh"
     );
-    assert!(start(Some(0)).is_stale(60 * SEC), "too old from the start");
+    assert!(start(Some(0)).is_stale(60 * SEC), "stale from the start");
     assert!(
         !start(None).is_stale(66 * SEC - 1) && start(None).is_stale(66 * SEC),
-        "none was before it"
+        "without a previous process it counts from the start"
     );
 }
 
@@ -648,7 +648,7 @@
             break;
         }
     }
-    assert_eq!(times.len(), of as usize, "told in 300 s: {result:?}");
+    assert_eq!(times.len(), of as usize, "every sender has a list within 300 s: {result:?}");
     times.sort_by(f64::total_cmp);
     let seconds = |steps: u32| f64::from(steps) * to_secs(STEP);
     result.nine_in_ten = times[(times.len() * 9).div_ceil(10) - 1];
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -229,7 +229,7 @@
     assert_eq!(sends(&out).len(), 1);
     let mut all = d.end(sends(&out)[0], Outcome::Delivered);
     all.extend(d.pass(100 * MS));
-    assert!(sends(&all).len() >= 2, "all go on at once: {all:?}");
+    assert!(sends(&all).len() >= 2, "all messages are sent at once: {all:?}");
 }
 
 #[test]
@@ -317,7 +317,7 @@
             },
             u64::wrapping_mul(seed, 0x09E3_779B_97F4_A7C1),
         )
-        .expect("usable");
+        .expect("valid settings");
         d.give(Event::CachedList(vec![ready(1, 1)]));
         d.pass(20 * SEC);
         d.arrive(1, 0, 1);
@@ -381,23 +381,23 @@
         d.end(u32::from(n), Outcome::Delivered);
     }
     d.pass(2 * SEC);
-    assert_eq!(closes(&d.arrive(11, 0, 1)), 0, "nothing speaks for it yet");
+    assert_eq!(closes(&d.arrive(11, 0, 1)), 0, "there is no suspicion yet");
     d.pass(2 * SEC);
     let mut again = d.end(11, Outcome::Timeout);
     again.extend(d.pass(2 * SEC));
     assert_eq!(
         (sends(&again), closes(&again)),
         (vec![11], 1),
-        "the retry takes a new connection"
+        "the retry uses a new connection"
     );
     d.end(11, Outcome::Delivered);
-    assert_eq!(closes(&d.arrive(12, 0, 2)), 1, "and so do calls to others");
+    assert_eq!(closes(&d.arrive(12, 0, 2)), 1, "and so do calls to other destinations");
     d.end(12, Outcome::Delivered);
     d.pass(60 * SEC);
     d.arrive(13, 0, 3);
     d.end(13, Outcome::Delivered);
     d.pass(2 * SEC);
-    assert_eq!(closes(&d.arrive(14, 0, 3)), 0, "the suspicion fades");
+    assert_eq!(closes(&d.arrive(14, 0, 3)), 0, "the suspicion decays");
 }
 
 #[test]
@@ -425,31 +425,31 @@
     assert_eq!(
         closed(&d.end(1, Outcome::Delivered)),
         [],
-        "nothing speaks for it yet"
+        "there is no suspicion yet"
     );
     d.arrive(2, 0, 1);
     assert_eq!(
         closed(&d.end(2, Outcome::ConnectFailed)),
         [],
-        "it may be down"
+        "the endpoint may be down"
     );
     assert_eq!(sends(&d.pass(SEC)), [2]);
     assert_eq!(
         closed(&d.end(2, Outcome::Delivered)),
         [at(1), at(2)],
-        "it was not: the idle ones of that kind go"
+        "the endpoint was not down: idle connections of its kind are closed"
     );
     d.arrive(3, 0, 2);
     d.arrive(4, 0, 2);
     assert_eq!(
         closed(&d.end(3, Outcome::Delivered)),
         [],
-        "a call is still out on it"
+        "a call is still in flight there"
     );
     assert_eq!(
         closed(&d.end(4, Outcome::Delivered)),
         [at(2)],
-        "none is kept"
+        "no idle connection is kept"
     );
     d.arrive(5, 0, 3);
     assert_eq!(closed(&d.end(5, Outcome::Delivered)), [], "another kind");
@@ -458,7 +458,7 @@
     assert_eq!(
         closed(&d.end(6, Outcome::Delivered)),
         [],
-        "the suspicion fades"
+        "the suspicion decays"
     );
 }
 
@@ -494,7 +494,7 @@
     d.arrive(101, 0, 1);
     assert!(
         ejected(&d.end(101, Outcome::ConnectFailed)),
-        "one alone may be an outage"
+        "one rejected connection may be an outage"
     );
     // Others reject a connection and answer the next.
     let unaffected = (2..30).find(|n| {
@@ -507,13 +507,13 @@
         }
         !was_ejected
     });
-    let id = 100 + u32::from(unaffected.expect("it is no outage"));
-    assert!(sends(&d.pass(SEC)).contains(&id), "it goes again soon");
+    let id = 100 + u32::from(unaffected.expect("a rejected connection is no outage"));
+    assert!(sends(&d.pass(SEC)).contains(&id), "the message is retried soon");
     d.end(id, Outcome::ConnectFailed);
     d.pass(SEC);
     assert!(
         ejected(&d.end(id, Outcome::ConnectFailed)),
-        "three in a row are an outage"
+        "three consecutive failures are an outage"
     );
 }
 
@@ -556,7 +556,7 @@
     // for the rest of the day, with hundreds of messages pending.
     assert!(!repeated_rejections([0.0, 30.0]).1);
     let (gaps, ejected) = repeated_rejections([0.8, 30.0]);
-    assert!(ejected, "refused with room left: shut; {gaps:?}");
+    assert!(ejected, "rejected with the limit unused: closed; {gaps:?}");
 }
 
 #[test]
@@ -566,7 +566,7 @@
     let mut firsts = [0; 3];
     for seed in 1..31 {
         let mut d = Driver::new(settings(), vec![]);
-        d.dispatcher = Dispatcher::new(settings(), seed * 7919).expect("usable");
+        d.dispatcher = Dispatcher::new(settings(), seed * 7919).expect("valid settings");
         d.give(Event::CachedList(
             (1..4).map(|n| line(n, 1, 2, Condition::Ready)).collect(),
         ));
@@ -575,7 +575,7 @@
         d.end(1, Outcome::Rejected { wait: 0 });
         d.pass(100 * MS);
         let second = targets(&d.seen)[1];
-        assert_ne!(second, to, "a refused call goes on to another route");
+        assert_ne!(second, to, "a rejected message goes to another route");
     }
     assert!(firsts.iter().all(|n| *n > 3), "{firsts:?}");
 }
@@ -595,7 +595,7 @@
     let mut fleet: Vec<Driver> = (1..11)
         .map(|n| {
             let mut d = Driver::new(s.clone(), vec![ready(1, 1)]);
-            d.dispatcher = Dispatcher::new(s.clone(), n * 104_729).expect("usable");
+            d.dispatcher = Dispatcher::new(s.clone(), n * 104_729).expect("valid settings");
             d.give(Event::CachedList(vec![ready(1, 1)]));
             for id in 100..140 {
                 d.arrive(id, 0, 1);
@@ -673,7 +673,7 @@
             assert_eq!(
                 odd,
                 sent(-1.0),
-                "{rate} {listed:?}: as any other figure that is no rate"
+                "{rate} {listed:?}: as with any other invalid rate"
             );
         }
     }
@@ -710,7 +710,7 @@
     let (gaps, _) = repeated_rejections([0.0, 30.0]);
     assert!(
         gaps.iter().all(|g| (5.0..25.0).contains(g)),
-        "half a token at half of 30 / 300 a second: {gaps:?}"
+        "half a token at half of 30 / 300 per second: {gaps:?}"
     );
     let s = Settings {
         senders: 300,
@@ -742,7 +742,7 @@
     }
     assert!(
         served.len() >= 6,
-        "word of room releases the line: {served:?}"
+        "a report of an unused limit releases the queue: {served:?}"
     );
 }
 
@@ -782,7 +782,7 @@
                 },
                 seed * 7919,
             )
-            .expect("usable");
+            .expect("valid settings");
             let mut d = Driver::new(settings(), vec![]);
             std::mem::swap(&mut d.dispatcher, &mut dispatcher);
             d.give(Event::CachedList(vec![ready(1, 1)]));
@@ -808,7 +808,7 @@
         }
         assert!(
             all.iter().all(|t| *t >= SEC),
-            "never before the wait is over"
+            "never before the Retry-After has passed"
         );
         all.iter().max().unwrap_or(&0) - all.iter().min().unwrap_or(&0)
     };
@@ -816,7 +816,7 @@
         let (rare, often) = (returns(senders, true), returns(senders, false));
         assert!(
             rare > 600 * MS && often < rare / 2,
-            "{senders} relays: rare {rare}, often {often}"
+            "{senders} senders: rare {rare}, often {often}"
         );
     }
 }
@@ -841,7 +841,7 @@
             },
             seed,
         )
-        .expect("usable");
+        .expect("valid settings");
         d.give(Event::CachedList(vec![old]));
         d.warm_up(1);
         d.pass(30 * SEC);
@@ -854,7 +854,7 @@
             out.extend(sends(&d.arrive(id, 0, 1)));
         }
         let sent = out.len();
-        assert!(sent > 2, "{sent} calls are no burst");
+        assert!(sent > 2, "{sent} calls are not a burst");
         out.into_iter()
             .for_each(|id| drop(d.end(id, Outcome::Rejected { wait: 800 * MS })));
         // A spread return takes at most the warm-up time of a destination, during which other
@@ -869,7 +869,7 @@
         }
         late += u32::from(d.now >= start + most);
     }
-    assert_eq!(late, 0, "of 20 relays so many send nothing for long");
+    assert_eq!(late, 0, "senders of 20 that make no call for too long");
 }
 
 #[test]
@@ -1056,7 +1056,7 @@
     d.give(Event::List(vec![ready(7, 1)]));
     assert!(
         sends(&d.pass(490 * MS)).is_empty(),
-        "the wait binds the destination, not the endpoint"
+        "the Retry-After applies to the destination, not to the endpoint"
     );
     assert_eq!(targets(&d.pass(SEC)), [at(7)]);
 }
@@ -1101,7 +1101,7 @@
     d.give(Event::ClientGone(1));
     assert!(
         sends(&d.pass(SEC)).is_empty(),
-        "an attempt without an outcome holds the key"
+        "an attempt without an outcome blocks the key"
     );
     assert!(sends(&d.end(1, Outcome::Timeout)).is_empty());
     assert!(sends(&d.pass(290 * MS)).is_empty());
@@ -1176,7 +1176,7 @@
     assert_ne!(
         first_of(NO_TENANT, NO_TENANT),
         Some(400),
-        "none is within a share"
+        "no message is within a share"
     );
 }
 
@@ -1205,7 +1205,7 @@
 
 #[test]
 fn invalid_settings_are_reported_by_name() {
-    let name = |s| Dispatcher::new(s, 1).expect_err("unusable").setting;
+    let name = |s| Dispatcher::new(s, 1).expect_err("invalid settings").setting;
     assert_eq!(
         name(Settings {
             classes: vec![],
@@ -1358,7 +1358,7 @@
     let late = size(&d);
     assert!(
         late < early + early / 5,
-        "{early} bytes told of it early, {late} late"
+        "{early} bytes of state early, {late} late"
     );
 }
 
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -140,10 +140,10 @@
             } => {
                 rule(!m.out, "two attempts at once")?;
                 rule(m.attempts < self.s.max_attempts as u16, "attempt limit")?;
-                rule(!self.gone.contains(endpoint), "drain")?;
+                rule(!self.gone.contains(endpoint), "call to a draining endpoint")?;
                 rule(
                     self.paused_until.get(&m.m.dest).is_none_or(|t| *t <= self.now),
-                    "wait",
+                    "call during a Retry-After",
                 )?;
                 rule(
                     self.now + timeout <= m.due.max(self.now + 1),
@@ -156,16 +156,16 @@
                         (Effect::IdempotentWithKey, Some(at)) => self.now < at + window,
                         _ => true,
                     },
-                    "effect",
+                    "repeat of an effect",
                 )?;
                 if self.s.classes[usize::from(m.m.class)].ordered_by_key && m.m.key != 0 {
                     let blocks =
                         |o: &Seen| o.m.key == m.m.key && o.order < m.order && (!o.over || o.out);
-                    rule(!self.seen.values().any(blocks), "order")?;
+                    rule(!self.seen.values().any(blocks), "order of a key")?;
                     let key_pauses = self.key_pauses.get(&m.m.key);
                     rule(
                         key_pauses.is_none_or(|(t, by)| *t <= self.now || by == id),
-                        "key rest",
+                        "key pause",
                     )?;
                 }
                 let call = (self.turn, *endpoint);
@@ -173,7 +173,7 @@
                 self.call_of.insert(*id, call);
                 rule(
                     self.calls.len() <= self.s.max_in_flight_calls as usize,
-                    "slots",
+                    "call limit",
                 )?;
                 let dest = m.m.dest;
                 let here = self
@@ -181,14 +181,14 @@
                     .keys()
                     .filter(|c| c.1.addr[3] as DestinationId / 4 == dest)
                     .count();
-                rule(4 * here < 3 * self.s.max_in_flight_calls as usize, "pool")?;
+                rule(4 * here < 3 * self.s.max_in_flight_calls as usize, "call limit of a destination")?;
                 let m = self.seen.get_mut(id).expect("known");
                 (m.out, m.attempts) = (true, m.attempts + 1);
             }
             Action::Reject { .. } => {
                 rule(
                     !m.out && (effect != Effect::NotIdempotent || m.may_have_run_at.is_none()),
-                    "refusal of an effect",
+                    "rejection after a possible effect",
                 )?;
                 self.seen.get_mut(id).expect("known").over = true;
             }
@@ -356,7 +356,7 @@
     let e = broken(|actions, _| {
         actions.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail { .. }))
     });
-    assert!(e.contains("lost") || e.contains("order"), "{e}");
+    assert!(e.contains("lost") || e.contains("order of a key"), "{e}");
     // A second answer.
     let e = broken(|actions, _| {
         if let Some(a) = actions
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -324,7 +324,7 @@
                 Event::Arrived(message)
             }
             Step::Ends { which, how } if !out.is_empty() => {
-                let id = *out.iter().nth(which % out.len()).expect("some are out");
+                let id = *out.iter().nth(which % out.len()).expect("an attempt is in flight");
                 out.remove(&id);
                 let full = Outcome::Rejected { wait: 700 * MS };
                 let all = [
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -133,7 +133,7 @@
             over.set(over.get() + too_many);
             Ok::<(), TestCaseError>(())
         })
-        .expect("few senders always keep the bound");
+        .expect("few senders always keep the limit");
     println!("{} of {} windows", over.get(), windows.get());
     assert!(
         over.get() * 1_000 <= windows.get(),
@@ -176,11 +176,11 @@
             over.set(over.get() + u32::from(too_many.is_some()));
             Ok(())
         })
-        .expect("few senders always keep the bound");
-    println!("{} of {RETURNS} returns", over.get());
+        .expect("few senders always keep the limit");
+    println!("{} of {RETURNS} recoveries", over.get());
     assert!(
         over.get() * 100 <= RETURNS,
-        "{} of {RETURNS} returns",
+        "{} of {RETURNS} recoveries",
         over.get()
     );
 }
@@ -274,7 +274,7 @@
         let (now, list) = (5 * SEC, Vec::from_iter((1..=endpoints).map(line)));
         let dispatcher = |i| {
             let mut dispatcher =
-                Dispatcher::new(s.clone(), seed * 10_000 + i).expect("usable settings");
+                Dispatcher::new(s.clone(), seed * 10_000 + i).expect("valid settings");
             dispatcher.handle(now, &[Event::CachedList(list.clone())], &mut Vec::new());
             dispatcher
         };
@@ -359,7 +359,7 @@
             while let Some((&(at, dispatcher, id), _)) =
                 self.out.first_key_value().filter(|(k, _)| k.0 <= self.now)
             {
-                let outcome = self.out.remove(&(at, dispatcher, id)).expect("there");
+                let outcome = self.out.remove(&(at, dispatcher, id)).expect("the attempt is in flight");
                 let finished = outcome == Outcome::Delivered;
                 let (attempt, took) = (
                     self.attempts[&id] - 1,
@@ -405,7 +405,7 @@
                 let mut recovery = Recovery::new(senders, shape, listed, seed as u64 + 1);
                 let worst = recovery.run(down, listed * load);
                 let seen = format!(
-                    "{senders} relays, {shape:?}, {listed} listed, load {load}, down {down} s: {worst:.2?}"
+                    "{senders} senders, {shape:?}, {listed} listed, load {load}, down {down} s: {worst:.2?}"
                 );
                 println!("{seen}");
                 over.extend((worst.0 > 1.0).then_some(seen));
