--- a/src/dispatch/api/settings.rs
+++ b/src/dispatch/api/settings.rs
@@ -154,7 +154,8 @@
     /// Whether the endpoint list must be polled.
     pub poll_list: bool,
     /// Whether an agent on the sender's own machine has the list. The agent answers at once and
-    /// serves no other sender, and its list must be known from the start of the process.
+    /// serves no other sender, and a change must be known as soon as the agent has it, from the
+    /// start of the process.
     pub list_pushed: bool,
     /// Longest time without a poll; after it the list is stale (0: unlimited).
     pub poll_deadline: Nanos,
--- a/src/dispatch/dispatcher/attempt_results.rs
+++ b/src/dispatch/dispatcher/attempt_results.rs
@@ -102,7 +102,13 @@
     }
 
     /// Records the result of a message's attempt, and when the message may be retried.
-    fn record_attempt_result(&mut self, now: Nanos, id: MessageId, outcome: Outcome, run: SentAttempt) {
+    fn record_attempt_result(
+        &mut self,
+        now: Nanos,
+        id: MessageId,
+        outcome: Outcome,
+        run: SentAttempt,
+    ) {
         let jitter = self.random.draw();
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
--- a/src/dispatch/dispatcher/endpoint_choice.rs
+++ b/src/dispatch/dispatcher/endpoint_choice.rs
@@ -250,7 +250,8 @@
         };
         let preference = blend(rate.confidence, 1.0, endpoint.preference);
         let latency = latency * preference * penalty;
-        (f64::from(endpoint.calls_in_flight) + 1.0) * latency + FEE_COST_SECONDS * self.fee(endpoint)
+        (f64::from(endpoint.calls_in_flight) + 1.0) * latency
+            + FEE_COST_SECONDS * self.fee(endpoint)
     }
 
     /// Returns the fee of a route, taken off the weight of each message; none where endpoints share
--- a/src/dispatch/list_polling.rs
+++ b/src/dispatch/list_polling.rs
@@ -13,6 +13,10 @@
 //! that the directory needs for all senders, less the time that polls may wait in its queue and
 //! with an allowance for random bunching. The cost of a poll, and whether polls overload the
 //! directory, is learned from the responses.
+//!
+//! By the operators' rules a sender must know a change of the list a certain time after the
+//! directory has it, whether or not a poll succeeded. A list that may lack such a change is stale,
+//! and no new call is made while it is.
 
 use crate::dispatch::rate_quota::MANY_SENDERS;
 use crate::dispatch::statistics::{from_secs, to_secs, MS, SEC};
@@ -40,7 +44,7 @@
 const REJECTED_BELOW_SECONDS: f64 = 1.0;
 /// Factor on the assumed cost after a poll failed in the queue. At 2, a directory at a third of its
 /// speed keeps an overlong queue for minutes: senders had the list after 231 s, against 50 s at
-/// best. At 4, senders of a fast directory wait too long: 120 s and 162 s.
+/// best. At 4, senders of fast directories wait too long: 120 s and 162 s.
 const COST_FACTOR_AFTER_QUEUE_FAILURE: f64 = 3.0;
 /// Delay before the poll that follows a first failure, in seconds; it doubles with each further
 /// failure. It is added to the random delay that spreads the polls of many senders.
@@ -50,19 +54,21 @@
 const MAX_RETRY_DELAY_SECONDS: f64 = 1.0;
 /// Consecutive failures are counted up to this number, to prevent an overflow.
 const MAX_COUNTED_FAILURES: i32 = 8;
-/// Deadlines for which a list stays fresh after the start of a failed poll, by the documentation of
-/// the settings; after the start of a poll that has not failed it is one.
+/// Number of poll deadlines for which a list stays fresh after the start of a failed poll, by the
+/// documentation of the settings. After the start of a poll that has not failed it stays fresh for
+/// one.
 const DEADLINES_AFTER_FAILURE: Nanos = 4;
-/// Time after a change of the directory's address within which a change of the list must be known,
+/// Longest time after a change of the directory's address until a change of the list must be known,
 /// by the operators' rules on new configurations; polling does not extend it.
 const MAX_FRESH_AFTER_MOVE: Nanos = 4 * SEC;
 /// Heartbeat intervals that a watch may be silent before it is given up, whatever the settings say.
 const MAX_SILENT_HEARTBEATS: Nanos = 2;
-/// Time from which on a change of the list must be known, counted from when the directory had it
-/// and could be reached, by the operators' rules. Polls, and their results, do not change it.
+/// Longest time after a change of the list until a sender must know it, counted from when the
+/// directory had the change and could be reached, by the operators' rules. Polls, and their
+/// results, do not change it.
 const MAX_CHANGE_DELAY: Nanos = 6 * SEC;
-/// Time after an event of a watch was due from which on the watch is taken as silent; it covers
-/// delays of an event.
+/// Margin for a delayed event of a watch: a watch that ended later than this after an event was due
+/// had fallen silent before.
 const SILENCE_MARGIN: Nanos = SEC;
 /// Lower bound of the time-out of a poll, in seconds. The directory gives up after 3 s and reports
 /// that; a poll that times out later met a silent directory, not a queue.
@@ -108,7 +114,8 @@
 /// Returns the time-out of a poll in seconds. A poll that waits in a long queue is not cancelled
 /// early: the directory would still process it, and the next poll would wait behind it.
 pub fn poll_timeout(senders: u32) -> f64 {
-    (f64::from(senders) * INITIAL_POLL_COST_SECONDS).clamp(MIN_POLL_TIMEOUT_SECONDS, MAX_POLL_TIMEOUT_SECONDS)
+    (f64::from(senders) * INITIAL_POLL_COST_SECONDS)
+        .clamp(MIN_POLL_TIMEOUT_SECONDS, MAX_POLL_TIMEOUT_SECONDS)
 }
 
 /// Returns the cost of a poll, in seconds, that a later start may assume after a poll took
@@ -167,7 +174,7 @@
 #[derive(Debug, Default)]
 pub struct EndpointListPoller {
     senders: u32,
-    /// Whether an agent pushes the list: then whatever list the agent has must be known at once.
+    /// Whether an agent pushes the list: then a change must be known as soon as the agent has it.
     list_pushed: bool,
     /// Number of senders, this one included, that are assumed to poll at the same time; all of them
     /// once a poll has shown that there are more.
@@ -230,7 +237,9 @@
             settings.poll_deadline
         };
         let senders = senders_polling_together(settings);
-        let cost = restart.poll_cost_seconds.unwrap_or(INITIAL_POLL_COST_SECONDS);
+        let cost = restart
+            .poll_cost_seconds
+            .unwrap_or(INITIAL_POLL_COST_SECONDS);
         let polling_together = if restart.planned {
             queue_capacity(cost).min(senders)
         } else {
@@ -251,8 +260,8 @@
         if remaining.is_some() {
             poller.freshness_basis = FreshnessBasis::RestartNote;
         }
-        // The list that an agent has must be known before the first poll: no call is made until the
-        // agent has sent its list or reported that it cannot.
+        // A change that an agent has must be known even before the first poll: no call is made
+        // until the agent has sent its list or reported that it cannot.
         poller.stale_after_deadlines(now, if settings.list_pushed { 0 } else { 1 });
         poller
     }
@@ -420,9 +429,6 @@
     /// This applies only in a fleet too large to learn of the directory's recovery before changes
     /// must be known: all its senders would stop together. Smaller fleets learn of it in time and
     /// do without this rule.
-    ///
-    /// Only in a fleet too large to be told of its return before changes count: such a fleet would
-    /// stand still together. Others are told in time, and go without.
     fn seems_down(&self) -> bool {
         let polls_of_all = f64::from(self.senders) * self.cost.min(INITIAL_POLL_COST_SECONDS);
         polls_of_all > to_secs(MAX_CHANGE_DELAY) && !self.may_have_missed_change
--- a/src/dispatch/rate_control.rs
+++ b/src/dispatch/rate_control.rs
@@ -283,7 +283,8 @@
             self.tokens = self.tokens.min(TOKENS_AFTER_REJECTION);
             return;
         }
-        let crowded = self.consecutive_rejections > 1 && rejection.rejections_per_success > CROWDED_REJECTIONS_PER_SUCCESS;
+        let crowded = self.consecutive_rejections > 1
+            && rejection.rejections_per_success > CROWDED_REJECTIONS_PER_SUCCESS;
         let confident = rejection.confidence > LOW_CONFIDENCE;
         if !rejection.limit_used_up && !crowded && !confident {
             return;
@@ -396,7 +397,8 @@
             };
         }
         let seconds = to_secs(retry_after);
-        let is_unusual = (seconds - self.usual_wait).abs() > UNUSUAL_WAIT_DIFFERENCE * self.usual_wait;
+        let is_unusual =
+            (seconds - self.usual_wait).abs() > UNUSUAL_WAIT_DIFFERENCE * self.usual_wait;
         self.usual_wait += KIND_GAIN * (seconds - self.usual_wait);
         ExpectedWait {
             seconds,
--- a/src/dispatch/rate_quota/tests.rs
+++ b/src/dispatch/rate_quota/tests.rs
@@ -31,7 +31,7 @@
 fn a_fleet_starts_at_the_listed_rate_and_a_huge_configured_size_keeps_a_minimum_rate() {
     let one = quota(50.0, 100).expect("a quota of many senders");
     assert!((one.initial_rate() * 100.0 - 50.0).abs() < 1e-9);
-    assert!(quota(1.0, u32::MAX).expect("a quota of many senders").initial_rate() >= MIN_QUOTA_PER_SECOND);
+    assert!(quota(1.0, u32::MAX).expect("many").initial_rate() >= MIN_QUOTA_PER_SECOND);
 }
 
 #[test]
--- a/src/dispatch/slow_start.rs
+++ b/src/dispatch/slow_start.rs
@@ -13,11 +13,10 @@
 /// Calls per window from which on a smaller random excess is allowed. Below it `N + 3 sqrt(N) + 3`
 /// calls are accepted, from it on `N + 2 sqrt(N) + 2`.
 const MANY_CALLS_PER_WINDOW: f64 = 30.0;
-/// The calls of many senders may exceed the limit in at most one of a thousand windows: the
-/// negative natural logarithm of that probability...
+/// Probability with which the calls of many senders may exceed the limit in a window, one in a
+/// thousand at most: its negative natural logarithm...
 const RARE_EXCESS_LOG: f64 = 6.908;
-/// ...and the number of standard deviations that a normal distribution exceeds with that
-/// probability.
+/// ...and the number of standard deviations that a normal distribution exceeds with it.
 const RARE_EXCESS_DEVIATIONS: f64 = 3.09;
 /// Largest part of a sender's calls per window that it may save, where the limit leaves room for
 /// all senders to do so.
@@ -90,7 +89,7 @@
         }
     }
 
-    /// Returns the calls that are due after `seconds` more, where `due` were due before.
+    /// Returns the calls that are due `seconds` after `due` calls were.
     pub fn accrue(&self, due: f64, seconds: f64) -> f64 {
         (due + self.rate * seconds).min(self.max_saved)
     }
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -61,7 +61,7 @@
 #[test]
 fn polls_are_spread_over_the_time_that_all_need_less_what_may_queue() {
     for (senders, most) in [(10, 0.3), (100, 3.0), (300, 14.5), (3_000, 172.0)] {
-        let at = |draw| to_secs(start(0, senders, 0, || draw).next_poll_at().expect("a poll is scheduled"));
+        let at = |draw| to_secs(start(0, senders, 0, || draw).next_poll_at().expect("due"));
         assert!(
             at(0.0) == 0.0 && (2.0 * at(0.45) - at(0.9)).abs() < 1e-6,
             "polls are spread evenly"
@@ -101,8 +101,7 @@
 }
 
 #[test]
-fn a_planned_restart_is_assumed_to_fit_into_the_queue_until_a_poll_fails_in_it()
-{
+fn a_planned_restart_is_assumed_to_fit_into_the_queue_until_a_poll_fails_in_it() {
     let start = |senders, planned, cost| {
         let restart_state = RestartState {
             planned,
@@ -120,7 +119,7 @@
         )
     };
     let first = |senders, planned, cost| {
-        to_secs(start(senders, planned, cost).next_poll_at().expect("a poll is scheduled"))
+        to_secs(start(senders, planned, cost).next_poll_at().expect("due"))
     };
     assert_eq!(first(5, true, None), 0.0);
     assert!(
@@ -184,7 +183,10 @@
         assert!(last.is_stale(next), "stale until a response");
         last.record_failure(next + 3 * SEC, || 1.0);
         for s in [3, 6, 39, 40, 400] {
-            assert!(last.is_stale(next + s * SEC), "a failure does not make the list fresh");
+            assert!(
+                last.is_stale(next + s * SEC),
+                "a failure does not make the list fresh"
+            );
         }
         let mut first = moved(300, planned, 0.0);
         assert!(
@@ -192,7 +194,10 @@
             "a poll does not extend the freshness"
         );
         first.record_event(5 * SEC);
-        assert!(!first.is_stale(10 * SEC), "the response makes the list fresh");
+        assert!(
+            !first.is_stale(10 * SEC),
+            "the response makes the list fresh"
+        );
     }
 }
 
@@ -216,8 +221,7 @@
 }
 
 #[test]
-fn a_list_is_stale_six_seconds_after_the_last_event_or_sooner_by_the_settings(
-) {
+fn a_list_is_stale_six_seconds_after_the_last_event_or_sooner_by_the_settings() {
     let never = || unreachable!("few senders need no random number");
     let mut short = start(0, 3, 4 * SEC, never);
     assert!(
@@ -327,7 +331,11 @@
         (1..60).find(|s| poller.is_stale(s * SEC))
     };
     assert_eq!([1, 3, 12, 30, 100].map(stale_from), [Some(6); 5]);
-    assert_eq!(stale_from(300), Some(11), "six seconds after the start of that poll");
+    assert_eq!(
+        stale_from(300),
+        Some(11),
+        "six seconds after the start of that poll"
+    );
 }
 
 /// Guards against new calls to drained endpoints by a list that address changes of the directory
@@ -377,13 +385,19 @@
     let mut poller = EndpointListPoller::new(SEC, &settings, never);
     assert!(poller.begin_due_poll(SEC));
     poller.record_failure(SEC + MS, never);
-    assert!(poller.is_stale(SEC + MS), "a rejected poll makes the list stale");
+    assert!(
+        poller.is_stale(SEC + MS),
+        "a rejected poll makes the list stale"
+    );
     let next = poller.next_poll_at().expect("a poll is scheduled");
     assert!(poller.begin_due_poll(next));
     poller.record_event(next + MS);
     assert!(!poller.is_stale(next + MS));
     poller.record_failure(next + SEC, never);
-    assert!(poller.is_stale(next + SEC), "the end of the watch makes the list stale");
+    assert!(
+        poller.is_stale(next + SEC),
+        "the end of the watch makes the list stale"
+    );
     let again = poller.next_poll_at().expect("a poll is scheduled");
     assert!(poller.begin_due_poll(again));
     poller.record_failure(again + secs(3.5), never);
@@ -421,7 +435,10 @@
         "a silent watch makes the list stale"
     );
     poller.record_event(20 * SEC);
-    assert!(!poller.is_stale(20 * SEC), "an event makes the list fresh again");
+    assert!(
+        !poller.is_stale(20 * SEC),
+        "an event makes the list fresh again"
+    );
     let mut quick = start(0, 3, SEC, || 0.0);
     assert!(quick.begin_due_poll(SEC));
     quick.record_event(SEC + MS);
@@ -430,7 +447,10 @@
         "a short deadline allows two heartbeat intervals"
     );
     poller.record_failure(40 * SEC, || 0.0);
-    assert!(poller.is_stale(40 * SEC), "the list is stale after the watch ended late");
+    assert!(
+        poller.is_stale(40 * SEC),
+        "the list is stale after the watch ended late"
+    );
     let next = poller.next_poll_at().expect("a poll is scheduled");
     assert!(poller.begin_due_poll(next) && poller.is_stale(next));
     poller.record_event(next + 1);
@@ -462,7 +482,10 @@
     let mut poller = EndpointListPoller::new(0, &settings, || 0.0);
     assert!(poller.begin_due_poll(0));
     poller.record_event(SEC);
-    assert!(!poller.is_stale(900 * SEC), "an open watch without events means no change");
+    assert!(
+        !poller.is_stale(900 * SEC),
+        "an open watch without events means no change"
+    );
     poller.record_failure(900 * SEC, || 0.0);
     assert!(
         !poller.is_stale(906 * SEC - 1) && poller.is_stale(906 * SEC),
@@ -488,7 +511,10 @@
         "a poll does not make the list fresh"
     );
     poller.record_event(next + 1);
-    assert!(!poller.is_stale(next + 1), "the response makes the list fresh");
+    assert!(
+        !poller.is_stale(next + 1),
+        "the response makes the list fresh"
+    );
     let mut unanswered = start(0, 3, 10 * SEC, || 0.0);
     assert!(unanswered.begin_due_poll(SEC));
     unanswered.record_failure(5 * SEC, || 0.0);
@@ -621,7 +647,11 @@
             )
         })
         .collect();
-    let (mut queue, mut free_at, mut result) = (VecDeque::<(Nanos, usize)>::new(), 0, RestartResult::default());
+    let (mut queue, mut free_at, mut result) = (
+        VecDeque::<(Nanos, usize)>::new(),
+        0,
+        RestartResult::default(),
+    );
     let mut times = Vec::new();
     for now in (0..300 * SEC).step_by(STEP as usize) {
         for (i, (poller, watches, stale_seconds)) in senders.iter_mut().enumerate() {
@@ -631,14 +661,14 @@
             }
             *stale_seconds += u32::from(!*watches && poller.is_stale(now));
         }
-        for (_, i) in queue.iter().filter(|(polled_at, _)| *polled_at + 3 * SEC == now) {
+        for (_, i) in queue.iter().filter(|(since, _)| *since + 3 * SEC == now) {
             result.failed += 1;
             senders[*i].0.record_failure(now, || random.f64());
         }
-        while let Some((polled_at, i)) = queue.front().copied().filter(|_| free_at <= now) {
+        while let Some((since, i)) = queue.front().copied().filter(|_| free_at <= now) {
             queue.pop_front();
-            free_at = free_at.max(polled_at) + secs(POLL_COST_SECONDS);
-            if now < polled_at + 3 * SEC {
+            free_at = free_at.max(since) + secs(POLL_COST_SECONDS);
+            if now < since + 3 * SEC {
                 senders[i].0.record_event(free_at);
                 senders[i].1 = true;
                 times.push(to_secs(free_at));
@@ -648,7 +678,11 @@
             break;
         }
     }
-    assert_eq!(times.len(), of as usize, "every sender has a list within 300 s: {result:?}");
+    assert_eq!(
+        times.len(),
+        of as usize,
+        "every sender has a list within 300 s: {result:?}"
+    );
     times.sort_by(f64::total_cmp);
     let seconds = |steps: u32| f64::from(steps) * to_secs(STEP);
     result.nine_in_ten = times[(times.len() * 9).div_ceil(10) - 1];
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -229,7 +229,10 @@
     assert_eq!(sends(&out).len(), 1);
     let mut all = d.end(sends(&out)[0], Outcome::Delivered);
     all.extend(d.pass(100 * MS));
-    assert!(sends(&all).len() >= 2, "all messages are sent at once: {all:?}");
+    assert!(
+        sends(&all).len() >= 2,
+        "all messages are sent at once: {all:?}"
+    );
 }
 
 #[test]
@@ -391,7 +394,11 @@
         "the retry uses a new connection"
     );
     d.end(11, Outcome::Delivered);
-    assert_eq!(closes(&d.arrive(12, 0, 2)), 1, "and so do calls to other destinations");
+    assert_eq!(
+        closes(&d.arrive(12, 0, 2)),
+        1,
+        "and so do calls to other destinations"
+    );
     d.end(12, Outcome::Delivered);
     d.pass(60 * SEC);
     d.arrive(13, 0, 3);
@@ -508,7 +515,10 @@
         !was_ejected
     });
     let id = 100 + u32::from(unaffected.expect("a rejected connection is no outage"));
-    assert!(sends(&d.pass(SEC)).contains(&id), "the message is retried soon");
+    assert!(
+        sends(&d.pass(SEC)).contains(&id),
+        "the message is retried soon"
+    );
     d.end(id, Outcome::ConnectFailed);
     d.pass(SEC);
     assert!(
@@ -626,7 +636,8 @@
             d.pass(50 * MS);
         }
     }
-    let max_calls = s.overload_factor * f64::from(limit) * 1.5 * 1.2 * 0.4; // 1.5 s, a margin of 1.2, and the warmed-up fraction by then
+    // 1.5 s, a margin of 1.2, and the warmed-up fraction by then.
+    let max_calls = s.overload_factor * f64::from(limit) * 1.5 * 1.2 * 0.4;
     assert!(
         (after as f64) < max_calls,
         "{after} calls in 1.5 s, {max_calls} at most"
--- a/tests/property.rs
+++ b/tests/property.rs
@@ -33,7 +33,7 @@
     now: Nanos,
     turn: u64,
     seen: BTreeMap<MessageId, Seen>,
-    paused_until: BTreeMap<DestinationId, Nanos>,
+    paused: BTreeMap<DestinationId, Nanos>,
     gone: BTreeSet<EndpointAddress>,
     key_pauses: BTreeMap<u64, (Nanos, MessageId)>,
     calls: BTreeMap<(u64, EndpointAddress), u32>,
@@ -42,14 +42,14 @@
 
 impl Audit {
     fn new(s: Settings) -> Self {
-        let (seen, paused_until, gone, key_pauses) = Default::default();
+        let (seen, paused, gone, key_pauses) = Default::default();
         let (calls, call_of) = Default::default();
         Audit {
             s,
             now: 0,
             turn: 0,
             seen,
-            paused_until,
+            paused,
             gone,
             key_pauses,
             calls,
@@ -95,8 +95,8 @@
                         .insert(m.m.key, (self.now + self.s.ordered_key_pause, *id));
                 }
                 if let Outcome::Rejected { wait } = outcome {
-                    let paused_until = self.paused_until.entry(m.m.dest).or_insert(0);
-                    *paused_until = (*paused_until).max(self.now + wait);
+                    let paused = self.paused.entry(m.m.dest).or_insert(0);
+                    *paused = (*paused).max(self.now + wait);
                 }
                 let call = self.call_of.remove(id).expect("sent");
                 let left = self.calls.get_mut(&call).expect("out");
@@ -142,7 +142,7 @@
                 rule(m.attempts < self.s.max_attempts as u16, "attempt limit")?;
                 rule(!self.gone.contains(endpoint), "call to a draining endpoint")?;
                 rule(
-                    self.paused_until.get(&m.m.dest).is_none_or(|t| *t <= self.now),
+                    self.paused.get(&m.m.dest).is_none_or(|t| *t <= self.now),
                     "call during a Retry-After",
                 )?;
                 rule(
@@ -181,7 +181,10 @@
                     .keys()
                     .filter(|c| c.1.addr[3] as DestinationId / 4 == dest)
                     .count();
-                rule(4 * here < 3 * self.s.max_in_flight_calls as usize, "call limit of a destination")?;
+                rule(
+                    4 * here < 3 * self.s.max_in_flight_calls as usize,
+                    "call limit of a destination",
+                )?;
                 let m = self.seen.get_mut(id).expect("known");
                 (m.out, m.attempts) = (true, m.attempts + 1);
             }
@@ -207,7 +210,7 @@
 
 /// Runs a random event sequence. Endpoint n belongs to destination n / 4; destination 1 takes
 /// batches.
-fn run(seed: u64, tamper: fn(&mut Vec<Action>, Nanos)) -> Result<usize, String> {
+fn run(seed: u64, alter: fn(&mut Vec<Action>, Nanos)) -> Result<usize, String> {
     let s = settings();
     let mut rng = Rng(seed);
     let list: Vec<Listing> = (0..8u8)
@@ -231,7 +234,7 @@
         let mut actions = Vec::new();
         audit.turn = step;
         dispatcher.handle(now, &events, &mut actions);
-        tamper(&mut actions, now);
+        alter(&mut actions, now);
         let mut call_results: BTreeMap<EndpointAddress, (Outcome, Nanos)> = BTreeMap::new();
         for a in &actions {
             audit.action(a).map_err(|e| format!("step {step}: {e}"))?;
@@ -351,7 +354,7 @@
 
 #[test]
 fn the_audit_detects_rules_broken_on_purpose() {
-    let broken = |tamper: fn(&mut Vec<Action>, Nanos)| run(3, tamper).expect_err("a rule was broken");
+    let broken = |alter: fn(&mut Vec<Action>, Nanos)| run(3, alter).expect_err("a rule was broken");
     // Final answers removed: messages are lost.
     let e = broken(|actions, _| {
         actions.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail { .. }))
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -178,8 +178,7 @@
 }
 
 #[test]
-fn a_blocked_first_message_blocks_no_other_route_and_a_batch_takes_only_allowed_messages(
-) {
+fn a_blocked_first_message_blocks_no_other_route_and_a_batch_takes_only_allowed_messages() {
     let list = vec![in_zone(1, 1, 2), in_zone(2, 2, 1)];
     let only = RouteSpec {
         classes: Some(vec![1]),
@@ -324,7 +323,7 @@
                 Event::Arrived(message)
             }
             Step::Ends { which, how } if !out.is_empty() => {
-                let id = *out.iter().nth(which % out.len()).expect("an attempt is in flight");
+                let id = *out.iter().nth(which % out.len()).expect("in flight");
                 out.remove(&id);
                 let full = Outcome::Rejected { wait: 700 * MS };
                 let all = [
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -217,7 +217,10 @@
 fn the_bound_matches_the_standing_test_and_never_falls_as_the_limit_grows() {
     for tenth in 0..5_000 {
         let n = f64::from(tenth) / 10.0;
-        assert!(!exceeds_limit(max_calls_per_window(n).floor() as usize, n), "{n}");
+        assert!(
+            !exceeds_limit(max_calls_per_window(n).floor() as usize, n),
+            "{n}"
+        );
         assert!(
             max_calls_per_window(n) <= max_calls_per_window(n + 0.1),
             "{n}"
@@ -255,7 +258,12 @@
 }
 
 impl Recovery {
-    fn new(senders: u32, (endpoints, down_endpoints): (u8, u8), listed: f64, seed: u64) -> Recovery {
+    fn new(
+        senders: u32,
+        (endpoints, down_endpoints): (u8, u8),
+        listed: f64,
+        seed: u64,
+    ) -> Recovery {
         let s = Settings {
             senders,
             listed_rates: ListedRates::Exact,
@@ -359,7 +367,7 @@
             while let Some((&(at, dispatcher, id), _)) =
                 self.out.first_key_value().filter(|(k, _)| k.0 <= self.now)
             {
-                let outcome = self.out.remove(&(at, dispatcher, id)).expect("the attempt is in flight");
+                let outcome = self.out.remove(&(at, dispatcher, id)).expect("in flight");
                 let finished = outcome == Outcome::Delivered;
                 let (attempt, took) = (
                     self.attempts[&id] - 1,
