--- a/src/dispatch/deadline.rs
+++ b/src/dispatch/deadline.rs
@@ -5,10 +5,10 @@
 //! the dispatcher for the first decision, the embedding program for the others, as only that
 //! program has a response path to its clients that takes time.
 //!
-//! Sender, client and endpoint measure a message's time by their own clocks and from different
-//! starting points, and each may be delayed between reading its clock and writing. The sender
-//! therefore ends a message some time before the client does, and a message whose result falls
-//! between gets two answers rather than none.
+//! Sender and client measure a message's time by their own clocks and from different starting
+//! points, and each may be delayed between reading its clock and writing. The sender therefore ends
+//! a message some time before the client does, and a message whose result falls between gets two
+//! answers rather than none.
 
 use crate::dispatch::api::Nanos;
 use crate::dispatch::statistics::MS;
--- a/src/dispatch/rate_control.rs
+++ b/src/dispatch/rate_control.rs
@@ -42,10 +42,10 @@
 pub const LOW_CONFIDENCE: f64 = 0.5;
 /// Unused share of the limit below which a report counts the limit as used up.
 pub const LIMIT_USED_UP: f64 = 0.15;
-/// Factor of a rejection on the rate; the part of the cut that rests on the sender's own calls goes
-/// to the rate of calls accepted lately.
+/// Factor of a rejection on the rate where the sender's own calls show little; where they show
+/// much, the rate is cut to that of the calls accepted lately.
 const RATE_CUT: f64 = 0.6;
-/// Largest part of the present rate that is kept for recently accepted calls.
+/// Upper bound of that accepted rate, as a part of the present rate.
 const MAX_KEPT_RATE: f64 = 0.8;
 /// Tokens left after a rejection, in calls.
 const TOKENS_AFTER_REJECTION: f64 = 0.5;
--- a/src/dispatch/slow_start.rs
+++ b/src/dispatch/slow_start.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the calls that are due `seconds` after `due` calls were.
+    /// Returns the calls that are due `seconds` later, if `due` are due now.
     pub fn accrue(&self, due: f64, seconds: f64) -> f64 {
         (due + self.rate * seconds).min(self.max_saved)
     }
