--- a/src/delivery/client_quota.rs
+++ b/src/delivery/client_quota.rs
@@ -1,8 +1,8 @@
-//! How many messages are held for each client: asked before one is accepted, and released when it
-//! is closed.
+//! Quotas on the messages held for each client. A quota is checked before a message is accepted and
+//! released when the message is closed.
 //!
-//! Owns the clock and the counters around [`Messages`], which decides; that is in
-//! `admission_control`. Called by `delivery::message`.
+//! The module owns the clock and the counters; [`Messages`] in `admission_control` takes the
+//! decisions. Called by `delivery::message`.
 
 use crate::admission_control::message_limits::{Kept, Limits, Messages};
 use std::cell::{Cell, RefCell};
@@ -10,27 +10,27 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Who hands messages in.
+/// A client that submits messages.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// Its name, the same for all messages that it hands in.
+    /// Name of the client, the same for all of its messages.
     pub name: Rc<str>,
-    /// Whether it is one of the known clients.
+    /// Whether the client is one of the known clients.
     pub known: bool,
 }
 
-/// The client that messages count for that an earlier process accepted.
+/// Name of the client to which messages that an earlier process accepted are attributed.
 const RESTORED_CLIENT: &str = "an earlier process";
 
-/// Owner of the quotas.
+/// The quotas of all clients.
 pub struct ClientQuotas {
     messages: RefCell<Messages>,
     started_at: Instant,
-    /// How many messages were rejected, by reason.
+    /// Number of rejected messages, by reason.
     rejections: RefCell<BTreeMap<Kept, u64>>,
 }
 
-/// One message that counts for its client; dropped, it is closed.
+/// Counts one message against its client's quota until it is dropped.
 pub struct ClientQuotaGuard {
     quotas: Rc<ClientQuotas>,
     client: Rc<str>,
@@ -39,7 +39,7 @@
 }
 
 impl ClientQuotas {
-    /// Quotas of which nothing is used.
+    /// Creates quotas of which nothing is used.
     pub fn new(limits: Limits) -> Rc<Self> {
         Rc::new(ClientQuotas {
             messages: RefCell::new(Messages::new(limits)),
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Goes by other limits from now on; what is held stays.
+    /// Replaces the limits. Messages that are held already stay.
     pub fn set_limits(&self, limits: Limits) {
         self.messages.borrow_mut().change(limits);
     }
@@ -56,7 +56,7 @@
     /// Whether a client's message of a class may be accepted.
     ///
     /// # Errors
-    /// It may not: why, and when the client is advised to come back.
+    /// If it may not: the reason, and the advised time until the client submits it again.
     pub fn check(&self, client: &Client, class: u16) -> Result<(), (Kept, Duration)> {
         let now = self.started_at.elapsed();
         let checked =
@@ -69,12 +69,12 @@
         checked
     }
 
-    /// How many messages were rejected, by reason.
+    /// Returns the number of rejected messages, by reason.
     pub fn rejections(&self) -> BTreeMap<Kept, u64> {
         self.rejections.borrow().clone()
     }
 
-    /// Counts an accepted message for its client.
+    /// Counts an accepted message against its client's quota.
     pub fn hold(self: &Rc<Self>, client: Rc<str>) -> ClientQuotaGuard {
         self.messages.borrow_mut().taken_on(&client);
         ClientQuotaGuard {
@@ -92,7 +92,7 @@
 }
 
 impl ClientQuotaGuard {
-    /// Notes that the message was delivered.
+    /// Records that the message was delivered.
     pub fn mark_delivered(&self) {
         self.is_delivered.set(true);
     }
--- a/src/delivery/endpoint.rs
+++ b/src/delivery/endpoint.rs
@@ -1,8 +1,8 @@
-//! The types that describe listed endpoints: what a list says of them, and how this process knows
-//! them.
+//! Types that describe listed endpoints: entries of the list, and their form inside this process.
 //!
-//! Owns no state. Whoever reads a list fills in [`EndpointListUpdate`]; [`super::endpoint_directory`] makes [`Endpoint`]s of it;
-//! [`super::evacuation`], the clients of endpoints and the agent read those.
+//! The module owns no state. Readers of an endpoint list create an [`EndpointListUpdate`], and
+//! [`super::endpoint_directory`] creates [`Endpoint`]s from it. [`super::evacuation`], endpoint
+//! clients and the agent read those.
 
 use crate::{Condition, DestinationId, EndpointAddress, Listing};
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 /// One entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Identifies the endpoint; a machine that replaces it has another one.
+    /// Unique id of the endpoint; a machine that replaces it has a different one.
     pub uid: String,
-    /// Where it listens.
+    /// Address that the endpoint listens at.
     pub address: SocketAddr,
     /// Name of its zone.
     pub zone: String,
@@ -20,44 +20,44 @@
     pub kind: String,
     /// The destination that it serves.
     pub dest: DestinationId,
-    /// Whether it wants attempts.
+    /// Condition of the endpoint; attempts are made only while it is ready.
     pub condition: Condition,
-    /// Attempts per second that it accepts, as far as the list says.
+    /// Listed capacity, in attempts per second.
     pub rate: f32,
 }
 
-/// One update of the endpoint list by its source.
+/// One update of the endpoint list, as received from its source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListUpdate {
     /// Revision of the list that this update leads to.
     pub revision: u64,
-    /// Whether this is the complete list, so that an endpoint that is not in it is gone.
+    /// Whether this is the complete list; an endpoint that is not in it has been removed.
     pub complete: bool,
-    /// The complete list, or the entries that have changed.
+    /// The entries of the complete list, or only those that have changed.
     pub entries: Vec<EndpointEntry>,
 }
 
-/// A listed endpoint, as the rest of this process refers to it.
+/// A listed endpoint, as it is referred to inside this process.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The decision module's name for it.
+    /// The handle by which the dispatcher knows the endpoint.
     pub endpoint: EndpointAddress,
-    /// What the list says of it.
+    /// Its entry in the list.
     pub entry: EndpointEntry,
-    /// Its zone, as a number of the directory.
+    /// Number of its zone in the endpoint directory.
     pub zone: u16,
     /// Its kind, as a position in the settings.
     pub kind: u16,
 }
 
 impl Endpoint {
-    /// Whether the list says that it wants attempts.
+    /// Whether the endpoint is listed as ready.
     pub fn is_ready(&self) -> bool {
         self.entry.condition == Condition::Ready
     }
 
-    /// What the decision module reads of it, with a condition and a rate (attempts per second) that
-    /// may differ from the list's.
+    /// Returns the endpoint's listing for the dispatcher, with a condition and a rate (attempts per
+    /// second) that may differ from the list's.
     pub fn listing(&self, condition: Condition, rate: f32) -> Listing {
         Listing {
             endpoint: self.endpoint,
@@ -77,8 +77,8 @@
     pub zone: String,
     /// The destination.
     pub dest: DestinationId,
-    /// Endpoints that want attempts.
+    /// Number of endpoints that are ready.
     pub endpoints: u32,
-    /// Attempts per second that they accept together.
+    /// Their joint capacity, in attempts per second.
     pub rate: f32,
 }
--- a/src/delivery/policies.rs
+++ b/src/delivery/policies.rs
@@ -1,13 +1,14 @@
-//! The policies that messages are accepted under, and that each message ends under its own.
+//! Policies: each message ends under the policy that it was accepted under.
 //!
-//! A policy here is a sender's own settings with a document laid over them, ready for use; number
-//! 0 is those settings alone. Owns the known policies, which one is current, and how many messages
-//! are held under each. The agent adds, removes and activates policies; `delivery::message` holds
-//! them for messages.
+//! A [`Policy`] is ready for use: the sender's own settings with those of a policy document applied
+//! over them. Number 0 is the sender's own settings alone. The module owns the known policies,
+//! which of them is current, and the number of messages that hold each. The agent adds, removes and
+//! activates policies; `delivery::message` holds them for messages.
 //!
-//! The dispatcher knows no policies: the classes of all of them lie side by side in its runtime
-//! settings, and a message's class points to those that it was accepted under. A policy that no
-//! message is held under may be removed, and its place is used again.
+//! The dispatcher has no notion of policies. Its runtime settings contain the classes of all
+//! policies one after the other, and a message's class is an index into them, by the policy that
+//! the message was accepted under. A policy that no message holds may be removed; its position is
+//! then reused.
 
 use crate::admission_control::connection_slots::Rules;
 use crate::admission_control::message_limits::Limits;
@@ -19,67 +20,68 @@
 #[cfg(test)]
 mod tests;
 
-/// Most policies known beside the sender's own settings.
+/// Maximum number of known policies, not counting the sender's own settings.
 pub const MAX_POLICIES: usize = 8;
 
 /// A policy, ready for use.
 pub struct Policy {
     /// Its number; 0 for the sender's own settings.
     pub number: u64,
-    /// Classes, by position; as many in each policy.
+    /// Classes, by position; every policy has the same number of them.
     pub classes: Vec<Class>,
-    /// What holds for messages of all classes.
+    /// Limits that apply to messages of all classes.
     pub class_limits: ClassLimits,
-    /// Attempts that may be in flight at once.
+    /// Maximum number of attempts in flight at once.
     pub max_in_flight_calls: u32,
-    /// Messages that may be held.
+    /// Maximum number of messages held at once.
     pub max_held_messages: u32,
     /// The operator's script, if there is one.
     pub hook: Option<ScriptHook>,
-    /// Whose messages are accepted.
+    /// Limits of the messages that are accepted from each client.
     pub message_limits: Limits,
-    /// Who may connect.
+    /// Rules for accepting connections.
     pub connection_rules: Rules,
-    /// Names by which known clients identify themselves, where their protocol has names.
+    /// Names of known clients, for protocols in which clients identify themselves by name.
     pub known_client_names: Vec<String>,
 }
 
 impl Policy {
-    /// What holds for a class; nothing where there is none at that position.
+    /// Returns the class at a position, if there is one.
     pub fn class(&self, class: u16) -> Option<&Class> {
         self.classes.get(usize::from(class))
     }
 }
 
-/// A policy in its place.
+/// A known policy and its use.
 struct PolicyEntry {
     policy: Rc<Policy>,
-    /// Messages that are held under it.
+    /// Number of messages that hold the policy.
     held_count: usize,
 }
 
-/// Is told of the policy that is current from now on.
+/// Callback that receives each policy that becomes current.
 type ActivationListener = Box<dyn Fn(&Policy)>;
 
-/// Owner of the known policies, and of which is current.
+/// The known policies, one of which is current.
 pub struct PolicySet {
-    /// By place; the first is the sender's own settings. A place that was given up is empty.
+    /// Policies by position; the first is the sender's own settings. The position of a removed
+    /// policy is `None` until it is reused.
     entries: RefCell<Vec<Option<PolicyEntry>>>,
-    /// Place of the current one, which is never removed.
+    /// Position of the current policy, which is never removed.
     current: Cell<usize>,
     listeners: RefCell<Vec<ActivationListener>>,
 }
 
-/// One message that is held under a policy; dropped, the message is closed.
+/// Keeps a policy in use on behalf of one message; dropped when the message is closed.
 pub struct PolicyHold {
     policies: Rc<PolicySet>,
     place: usize,
-    /// The policy.
+    /// The policy that is held.
     pub policy: Rc<Policy>,
 }
 
 impl PolicySet {
-    /// The sender's own settings, which are current.
+    /// Creates a set that contains only the sender's own settings, which are current.
     pub fn new(own_settings: Policy) -> Rc<Self> {
         let own_settings = PolicyEntry {
             policy: Rc::new(Policy {
@@ -95,12 +97,12 @@
         })
     }
 
-    /// Calls a listener with each policy that becomes current.
+    /// Registers a listener that is called with each policy that becomes current.
     pub fn on_activation(&self, listener: impl Fn(&Policy) + 'static) {
         self.listeners.borrow_mut().push(Box::new(listener));
     }
 
-    /// The policy that messages are accepted under, if any are.
+    /// Returns the policy under which messages are accepted now, if any are.
     pub fn current(&self) -> Rc<Policy> {
         self.policy_at(self.current.get())
             .expect("the current policy is never removed")
@@ -112,13 +114,13 @@
             .expect("the current policy is never removed")
     }
 
-    /// Holds a policy by its number for a message that was accepted under it; nothing where it is
-    /// not known here.
+    /// Holds a policy by its number for a message that was accepted under it. Returns `None` if the
+    /// policy is not known.
     pub fn hold_number(self: &Rc<Self>, number: u64) -> Option<PolicyHold> {
         self.hold_at(self.place_of(number)?)
     }
 
-    /// Numbers of all policies, but for the sender's own settings.
+    /// Returns the numbers of all known policies except the sender's own settings.
     pub fn numbers(&self) -> Vec<u64> {
         let entries = self.entries.borrow();
         entries
@@ -129,7 +131,7 @@
             .collect()
     }
 
-    /// Whether a policy is current, or messages are held under it.
+    /// Whether a policy is current or held by a message.
     pub fn is_in_use(&self, number: u64) -> bool {
         let Some(place) = self.place_of(number) else {
             return false;
@@ -138,8 +140,9 @@
         place == self.current.get() || self.entries.borrow()[place].as_ref().is_some_and(is_held)
     }
 
-    /// Adds a policy, in place of one of its number that is not in use; false where there is no
-    /// place, or its classes are not those of the sender.
+    /// Adds a policy. Replaces a known policy of the same number if that is not in use. Returns
+    /// false if a policy of that number is in use, if [`MAX_POLICIES`] are known, or if the number
+    /// of classes differs from the sender's.
     pub fn add(&self, policy: Policy) -> bool {
         let number = policy.number;
         let is_usable = number > 0 && policy.classes.len() == self.current().classes.len();
@@ -153,14 +156,14 @@
         let mut entries = self.entries.borrow_mut();
         match entries.iter().position(Option::is_none) {
             Some(free) => entries[free] = entry,
-            // The sender's own settings take a place as well.
+            // The sender's own settings have an entry as well.
             None if entries.len() <= MAX_POLICIES => entries.push(entry),
             None => return false,
         }
         true
     }
 
-    /// Removes a policy; false where it is in use, or not known.
+    /// Removes a policy. Returns false if it is in use or not known.
     pub fn remove(&self, number: u64) -> bool {
         if number == 0 || self.is_in_use(number) {
             return false;
@@ -171,7 +174,7 @@
         self.entries.borrow_mut()[place].take().is_some()
     }
 
-    /// Makes a policy current and calls all listeners; false where it is not known.
+    /// Makes a policy current and calls all listeners. Returns false if it is not known.
     pub fn activate(&self, number: u64) -> bool {
         let Some(place) = self.place_of(number) else {
             return false;
@@ -184,13 +187,13 @@
         true
     }
 
-    /// What the dispatcher decides by: the classes of all policies side by side, by place, and the
-    /// capacities of the current one.
+    /// Returns the dispatcher's runtime settings: the classes of all policies, in the order of
+    /// their positions, and the capacities of the current policy.
     pub fn merged_runtime_settings(&self) -> RuntimeSettings {
         let current = self.current();
         let (mut classes, mut class_limits) = (Vec::new(), Vec::new());
         for entry in self.entries.borrow().iter() {
-            // No message points to the classes of an empty place.
+            // No message refers to the classes at an empty position.
             let policy = entry.as_ref().map_or(&current, |entry| &entry.policy);
             classes.extend(policy.classes.iter().cloned());
             class_limits.extend(policy.classes.iter().map(|_| policy.class_limits));
@@ -229,10 +232,10 @@
 }
 
 impl PolicyHold {
-    /// The position at which the dispatcher knows a class of this policy.
+    /// Returns the dispatcher's index of a class of this policy.
     pub fn class(&self, class: u16) -> u16 {
         let class_count = self.policy.classes.len();
-        // What an earlier process accepted may name a class that the settings have lost.
+        // A message that an earlier process accepted may have a class that is no longer configured.
         let class = usize::from(class).min(class_count.saturating_sub(1));
         u16::try_from(self.place * class_count + class).unwrap_or(u16::MAX)
     }
--- a/src/delivery/routing_tables.rs
+++ b/src/delivery/routing_tables.rs
@@ -1,8 +1,8 @@
-//! The routing tables that a sender knows, and the one that it routes by. Number 0 is no table:
-//! the endpoint list alone.
+//! The routing tables that a sender knows, one of which is current. Number 0 stands for no table:
+//! messages are routed by the endpoint list alone.
 //!
-//! Owns the known tables and which is current. What a table says is in `dispatch::routing`; the
-//! agent adds and removes tables, and `delivery::message` activates one.
+//! The contents of a table are in `dispatch::routing`. The agent adds and removes tables, and
+//! `delivery::message` activates them.
 
 use crate::delivery::Envelope;
 use crate::dispatch::routing::{RouteKey, Routes};
@@ -13,11 +13,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Most tables known at once: the one in force, the one that is offered, and one before them
-/// while it is written over.
+/// Maximum number of tables known at once: the active table, the offered table, and an earlier one
+/// while it is being replaced.
 pub const MAX_TABLES: usize = 3;
 
-/// Owner of the known tables, and of which is current.
+/// The known routing tables, one of which is current.
 #[derive(Default)]
 pub struct RoutingTables {
     known: RefCell<BTreeMap<u64, Routes>>,
@@ -27,22 +27,22 @@
 #[derive(Default)]
 struct CurrentTable {
     number: u64,
-    /// With the sender's own numbers of zones.
+    /// Routes with zones by the sender's own numbers.
     routes: Rc<Routes>,
 }
 
 impl RoutingTables {
-    /// The number of the table that messages are accepted and routed by.
+    /// Returns the number of the current table, by which messages are accepted and routed.
     pub fn current_number(&self) -> u64 {
         self.current.borrow().number
     }
 
-    /// Its routes; those of number 0 leave all to the endpoint list.
+    /// Returns the routes of the current table. Those of number 0 restrict nothing.
     pub fn current_routes(&self) -> Rc<Routes> {
         self.current.borrow().routes.clone()
     }
 
-    /// Whether a message may go to a zone, by the sender's own number of it.
+    /// Whether the current table allows a message in a zone, given by the sender's own number.
     pub fn allows_zone(&self, message: &Envelope, zone: u16) -> bool {
         let key = RouteKey {
             dest: message.dest,
@@ -53,8 +53,8 @@
         self.current.borrow().routes.rank(&key, zone).is_some()
     }
 
-    /// Adds a table, in place of one of its number that is not current; false where there is no
-    /// place for it.
+    /// Adds a table, or replaces the known table of the same number. Returns false if that is the
+    /// current table, or if [`MAX_TABLES`] others are known.
     pub fn add(&self, number: u64, routes: Routes) -> bool {
         if number == 0 || number == self.current_number() {
             return false;
@@ -67,13 +67,13 @@
         true
     }
 
-    /// Removes a table; false where it is current, or not known.
+    /// Removes a table. Returns false if it is current or not known.
     pub fn remove(&self, number: u64) -> bool {
         number != self.current_number() && self.known.borrow_mut().remove(&number).is_some()
     }
 
-    /// Makes a table current; nothing where it is not known. `zone_number` gives the sender's own
-    /// number of a zone, by name.
+    /// Makes a table current and returns its routes, or `None` if it is not known. `zone_number`
+    /// returns the sender's own number of a zone, given its name.
     pub(super) fn activate(
         &self,
         number: u64,
@@ -95,7 +95,7 @@
         Some(routes)
     }
 
-    /// Numbers of all that are known.
+    /// Returns the numbers of all known tables.
     pub fn numbers(&self) -> Vec<u64> {
         self.known.borrow().keys().copied().collect()
     }
--- a/src/delivery/signal.rs
+++ b/src/delivery/signal.rs
@@ -1,28 +1,28 @@
-//! A wake-up call between two tasks of one thread.
+//! A wake-up notification between two tasks of one thread.
 
 use async_channel::{Receiver, Sender};
 
-/// Wakes one task that waits. Set while nobody waits, it ends the next wait at once; set twice, it
-/// counts once.
+/// Wakes one waiting task. If it is set while no task waits, the next wait ends at once; repeated
+/// sets before that count as one.
 pub(super) struct Signal {
     sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
 impl Signal {
-    /// One that is not set.
+    /// Creates a signal that is not set.
     pub(super) fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
         Signal { sender, receiver }
     }
 
-    /// Ends the wait of now, or the next one.
+    /// Ends the current wait, or the next one if no task waits.
     pub(super) fn set(&self) {
-        // A full channel means that it is set already.
+        // A full channel means that the signal is set already.
         let _ = self.sender.try_send(());
     }
 
-    /// Waits until it is set.
+    /// Waits until the signal is set, and clears it.
     pub(super) async fn wait(&self) {
         let _ = self.receiver.recv().await;
     }
--- a/src/delivery/timer_wheel.rs
+++ b/src/delivery/timer_wheel.rs
@@ -1,8 +1,7 @@
-//! The only timers of a sender: coarse ticks on a wheel.
+//! Timer wheel with coarse ticks, which is used for every timed wait of a sender.
 //!
-//! Owns all sleeps of the process's one thread, and the task that wakes them ([`TimerWheel::run`]).
-//! A sleep ends at the first tick at or after its time, never before. Everything that waits for a
-//! time uses it.
+//! The wheel owns all sleeps of the process's one thread and the task that wakes them
+//! ([`TimerWheel::run`]). A sleep ends at the first tick at or after its time, never before.
 
 use crate::delivery::signal::Signal;
 use async_io::Timer;
@@ -16,7 +15,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Length of a tick; the dispatcher's times are not finer than this, either.
+/// Length of a tick. The dispatcher's times have no finer resolution either.
 const TICK: Duration = Duration::from_millis(5);
 /// Ticks in one round of the wheel.
 const SLOT_COUNT: u64 = 512;
@@ -31,9 +30,9 @@
 /// The sleepers by the tick at which they are due, modulo [`SLOT_COUNT`].
 struct Slots {
     ring: Vec<Vec<Sleeper>>,
-    /// The last tick whose sleepers were woken.
+    /// Last tick whose sleepers were woken.
     last_tick: u64,
-    /// The tick that the running task waits for; nothing while nobody sleeps.
+    /// Tick that the running task waits for; `None` while there are no sleepers.
     next_stop: Option<u64>,
     last_key: u64,
 }
@@ -67,8 +66,8 @@
         self.slot_mut(tick).retain(|sleeper| sleeper.key != key);
     }
 
-    /// The next tick to stop at: one with sleepers that are due, or the end of this round if all
-    /// are due later.
+    /// Returns the next tick to stop at: the first one with a due sleeper, or the end of this round
+    /// if all sleepers are due later.
     fn find_next_stop(&self) -> Option<u64> {
         let round_end = self.last_tick + SLOT_COUNT;
         let is_due = |tick: &u64| self.slot(*tick).iter().any(|s| s.tick == *tick);
@@ -80,10 +79,10 @@
         has_sleepers.then_some(round_end)
     }
 
-    /// Moves on to a tick, and takes out all sleepers that are due by then.
+    /// Advances to a tick, and removes and returns all sleepers that are due by then.
     fn advance(&mut self, now: u64) -> Vec<Sleeper> {
         let mut due = Vec::new();
-        // One round passes every slot, however long ago the last one was.
+        // One round visits every slot, however many ticks have passed.
         for tick in (self.last_tick + 1..=now).take(SLOT_COUNT as usize) {
             let slot = self.slot_mut(tick);
             let (ended, later): (Vec<_>, Vec<_>) = std::mem::take(slot)
@@ -97,16 +96,16 @@
     }
 }
 
-/// Owner of all sleeps.
+/// The timer wheel.
 pub struct TimerWheel {
     started_at: Instant,
     slots: RefCell<Slots>,
-    /// Set where a sleep ends before the tick that the running task waits for.
+    /// Set when a new sleep ends before the tick that the running task waits for.
     sooner_stop: Signal,
 }
 
 impl TimerWheel {
-    /// A wheel that wakes nobody until [`TimerWheel::run`] runs.
+    /// Creates a wheel that wakes no sleeper until [`TimerWheel::run`] runs.
     pub fn new() -> Rc<Self> {
         Rc::new(TimerWheel {
             started_at: Instant::now(),
@@ -115,12 +114,12 @@
         })
     }
 
-    /// Sleeps that have not ended.
+    /// Returns the number of sleeps that have not ended.
     pub fn sleeping(&self) -> usize {
         self.slots.borrow().ring.iter().map(Vec::len).sum()
     }
 
-    /// Wakes the sleepers when they are due; runs for ever.
+    /// Wakes the sleepers when they are due; runs forever.
     pub async fn run(&self) {
         loop {
             let next_stop = self.slots.borrow().find_next_stop();
@@ -140,12 +139,12 @@
         }
     }
 
-    /// Sleeps for a while, to the next tick.
+    /// Sleeps for a duration, rounded up to the next tick.
     pub fn sleep(self: &Rc<Self>, time: Duration) -> Sleep {
         self.sleep_until(Instant::now() + time)
     }
 
-    /// Sleeps to the first tick at or after a moment.
+    /// Sleeps until the first tick at or after a moment.
     pub fn sleep_until(self: &Rc<Self>, moment: Instant) -> Sleep {
         let offset = moment.saturating_duration_since(self.started_at);
         Sleep {
@@ -155,7 +154,7 @@
         }
     }
 
-    /// Runs work, which is dropped if the time ends first.
+    /// Runs work for a limited time. Returns `None`, and drops the work, if it takes longer.
     pub async fn timeout<T>(
         self: &Rc<Self>,
         time: Duration,
@@ -170,11 +169,11 @@
     }
 }
 
-/// One sleep; dropped, it leaves the wheel.
+/// Future that ends at a tick. Dropping it removes the sleeper from the wheel.
 pub struct Sleep {
     wheel: Rc<TimerWheel>,
     tick: u64,
-    /// What the wheel knows it by, while it waits.
+    /// Key of its sleeper on the wheel, while it waits.
     key: Option<u64>,
 }
 
@@ -206,8 +205,8 @@
     }
 }
 
-/// Time from the start of the wheel to a tick. A multiplication of durations takes 32 bits, which
-/// 250 days of ticks would leave.
+/// Returns the time from the start of the wheel to a tick. `Duration` can only be multiplied by a
+/// 32-bit number, which the ticks would exceed after 250 days.
 fn tick_offset(tick: u64) -> Duration {
     Duration::from_nanos(TICK.as_nanos() as u64 * tick)
 }
