--- a/src/delivery/driver/attempt_permit.rs
+++ b/src/delivery/driver/attempt_permit.rs
@@ -1,4 +1,4 @@
-//! The permission to make one attempt, and what counts it while it lasts.
+//! The permission to make one attempt, which accounts for it until it ends.
 
 use super::DispatcherDriver;
 use crate::delivery::endpoint::Endpoint;
@@ -8,14 +8,15 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// The permission to make one attempt, until that has ended. Dropped, it is given back.
+/// The permission to make one attempt. It is held until the attempt ends; dropping it releases the
+/// reservation and the observer's guard.
 pub struct AttemptPermit {
     driver: Rc<DispatcherDriver>,
     endpoint: Rc<Endpoint>,
-    /// Epoch of the evacuation order that it is reserved under until it has begun.
+    /// Epoch of the evacuation order under which the attempt is reserved, until it begins.
     evacuation: Cell<Option<u64>>,
     granted_at: Instant,
-    /// What the observer holds while the attempt lasts.
+    /// The observer's guard for the duration of the attempt.
     _observed: Option<Box<dyn Any>>,
 }
 
@@ -35,14 +36,14 @@
         }
     }
 
-    /// The attempt begins now. False where an evacuation is in force and no leased attempt is left.
+    /// Begins the attempt. Returns false if the endpoint is evacuated and no leased attempt is left.
     pub fn begin(&self) -> bool {
         let begins = self.driver.directory.start_attempt(&self.endpoint);
         self.release_reservation();
         begins
     }
 
-    /// Tells the observer how the attempt ended.
+    /// Reports the outcome of the attempt to the observer.
     pub fn attempt_ended(&self, outcome: Outcome) {
         if let Some(observer) = self.driver.observer.get() {
             observer.attempt_ended(&self.endpoint, outcome, self.granted_at.elapsed());
--- a/src/delivery/driver/message_handle.rs
+++ b/src/delivery/driver/message_handle.rs
@@ -1,4 +1,4 @@
-//! One held message as the dispatcher knows it: its orders, and the reports of its attempts.
+//! Handle of one message at the dispatcher: receives its orders and reports its attempts.
 
 use super::{DispatchOrder, DispatcherDriver};
 use crate::delivery::AttemptReport;
@@ -8,20 +8,20 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// A message that the dispatcher knows. Dropped, the attempt that is in flight is reported as not
-/// sent, and the dispatcher forgets the message.
+/// Handle of a message that was submitted to the dispatcher. Dropping it reports an attempt in
+/// flight as not sent and removes the message from the dispatcher.
 pub struct MessageHandle {
     driver: Rc<DispatcherDriver>,
     id: MessageId,
     orders: Receiver<DispatchOrder>,
-    /// Attempts so far, those of earlier processes included.
+    /// Number of attempts so far, including those of earlier processes.
     attempts: u16,
     in_flight: Option<InFlightAttempt>,
-    /// The dispatcher has closed the message, or was told that it is closed.
+    /// Whether the dispatcher has closed the message, or has received a report that closes it.
     is_closed: bool,
 }
 
-/// An attempt that the dispatcher waits for a report of.
+/// An attempt whose result the dispatcher is waiting for.
 struct InFlightAttempt {
     number: u16,
     ordered_at: Instant,
@@ -44,13 +44,13 @@
         }
     }
 
-    /// The next order, if it is there already.
+    /// Returns the next order, if there is one already.
     pub fn try_next_order(&mut self) -> Option<DispatchOrder> {
         let order = self.orders.try_recv().ok()?;
         Some(self.begin(order))
     }
 
-    /// The next order. Waits for ever once the driver is halted.
+    /// Waits for the next order. Never returns once the driver is halted.
     pub async fn next_order(&mut self) -> DispatchOrder {
         match self.orders.recv().await {
             Ok(order) if !self.driver.is_halted.get() => self.begin(order),
@@ -74,7 +74,7 @@
         order
     }
 
-    /// Tells the dispatcher how the attempt that is in flight ended.
+    /// Reports the result of the attempt in flight to the dispatcher.
     pub fn report_attempt(&mut self, report: AttemptReport) {
         let Some(attempt) = self.in_flight.take() else {
             return;
@@ -98,7 +98,7 @@
         if !self.is_closed {
             self.driver.handle_event(Event::ClientGone(self.id));
         }
-        // An order to attempt that was never carried out is counted as in flight, too.
+        // An order for an attempt that was not carried out also counts as an attempt in flight.
         while self.in_flight.is_none() && self.try_next_order().is_some() {}
         self.report_attempt(AttemptReport {
             message_closed: true,
--- a/src/delivery/driver/mod.rs
+++ b/src/delivery/driver/mod.rs
@@ -1,10 +1,10 @@
-//! The only caller of the decision module: events go in, each in a turn of its own, and the
-//! actions come out at the messages and endpoints that they are for.
+//! The only caller of the [`Dispatcher`]: passes events to it, one per turn, and routes the
+//! resulting actions to the messages and endpoints that they concern.
 //!
-//! Owns the [`Dispatcher`], its clock and the numbers that it knows messages by. It decides
-//! nothing itself, and makes no attempt: [`MessageHandle`] brings a message's orders to
-//! `delivery::message`, [`AttemptPermit`] counts its attempts, and what is about no message goes
-//! to [`DriverEffects`]. Called by `delivery::message`, by those who bring news of the endpoint
+//! The driver owns the dispatcher, its clock and the ids by which it knows messages. It takes no
+//! decisions and makes no attempts: a [`MessageHandle`] delivers a message's orders to
+//! `delivery::message`, an [`AttemptPermit`] accounts for an attempt, and actions that concern no
+//! message go to [`DriverEffects`]. Called by `delivery::message`, by the sources of the endpoint
 //! list, and by the agent for evacuations.
 
 mod attempt_permit;
@@ -32,65 +32,65 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The dispatcher's clock at the start. What it is told of an earlier process lies before it, and
-/// its clock has no times before zero.
+/// Reading of the dispatcher's clock at the start of the process. Times that are restored from an
+/// earlier process lie before it, and the clock cannot represent times below zero.
 const CLOCK_AT_START: Duration = Duration::from_secs(30 * 86_400);
 
-/// A wake-up that comes so long after the dispatcher asked for it is worth a line in the log.
+/// Delay of a requested wake-up from which it is logged.
 const NOTABLE_WAKE_DELAY: Duration = Duration::from_millis(50);
 
-/// What the dispatcher wants done about one message.
+/// An order of the dispatcher for one message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DispatchOrder {
-    /// Attempt to deliver it.
+    /// Attempt to deliver the message.
     Attempt {
-        /// To this endpoint.
+        /// Handle of the endpoint to call.
         address: EndpointAddress,
-        /// Time-out of the attempt.
+        /// Timeout of the attempt, in nanoseconds.
         timeout: Nanos,
     },
-    /// The message is closed; its client may hand it in again.
+    /// Close the message; its client may submit it again.
     Reject {
-        /// The advised wait; 0 where nothing is advised.
+        /// The advised wait, in nanoseconds; 0 if no wait is advised.
         retry_after: Nanos,
     },
-    /// The message is closed, failed.
+    /// Close the message as failed.
     Fail,
 }
 
-/// What the dispatcher wants done that is about no message.
+/// Effects of the dispatcher's actions that concern no message.
 pub trait DriverEffects {
-    /// Closes the connections to an endpoint that carry no attempt.
+    /// Closes the idle connections to an endpoint.
     fn close_idle(&self, endpoint: &Endpoint);
-    /// Asks for changes of the endpoint list.
+    /// Requests changes of the endpoint list from its source.
     fn watch_list(&self);
 }
 
-/// What is known here of a message that is held.
+/// The driver's entry for a held message.
 struct MessageSlot {
     orders: Sender<DispatchOrder>,
     destination: DestinationId,
     is_in_flight: bool,
 }
 
-/// What a turn of the dispatcher changes.
+/// State that a turn of the dispatcher changes.
 struct State {
     dispatcher: Dispatcher,
     last_id: MessageId,
     slots: HashMap<MessageId, MessageSlot>,
-    /// Empty between turns; its memory is used again.
+    /// Buffer for the actions of a turn; empty between turns, so that its memory is reused.
     actions: Vec<Action>,
-    /// When the dispatcher asked to be woken, until a turn comes at or after that. Only turns change
-    /// it: the dispatcher does not ask again for a wake-up that it has asked for, so one that the
-    /// timer's task dropped, while it answers the one before, would never come.
+    /// Time of the wake-up that the dispatcher requested, until a turn takes place at or after it.
+    /// Only turns change it. The dispatcher does not repeat a request, so a new one that the timer's
+    /// task discarded while it handles the previous one would be lost.
     wake_at: Option<Instant>,
-    /// Since when the endpoint list is stale; nothing while it is fresh.
+    /// Time at which the endpoint list became stale; `None` while it is fresh.
     list_stale_since: Option<Instant>,
 }
 
 impl State {
-    /// Notes that a turn begins: it is the wake-up that was asked for by now. One that comes late
-    /// is told, as messages may have outlived their time meanwhile.
+    /// Records that a turn begins, which serves as the requested wake-up if that is due. A late
+    /// wake-up is logged, because messages may have passed their deadlines meanwhile.
     fn note_turn(&mut self, now: Instant) {
         let Some(due) = self.wake_at.take_if(|at| *at <= now) else {
             return;
@@ -111,14 +111,14 @@
         };
         if let Some(since) = self.list_stale_since.take() {
             let stale_ms = since.elapsed().as_millis();
-            log::info!("list: attempts again after stale_ms={stale_ms}: {status}");
+            log::info!("list: attempts resume after stale_ms={stale_ms}: {status}");
         } else {
             log::info!("list: no new attempts: {status}");
             self.list_stale_since = Some(Instant::now());
         }
     }
 
-    /// A number that no held message has: numbers come round after 2^32 messages.
+    /// Returns an id that no held message has. Ids wrap around after 2^32 messages.
     fn next_free_id(&mut self) -> MessageId {
         loop {
             self.last_id = self.last_id.wrapping_add(1);
@@ -130,14 +130,14 @@
 
     fn send_order(&self, id: MessageId, order: DispatchOrder) {
         match self.slots.get(&id) {
-            // An unbounded channel is never full, and a closed one has lost its message.
+            // An unbounded channel is never full, and a closed one belongs to a dropped message.
             Some(slot) => drop(slot.orders.try_send(order)),
             None => log::error!("driver: {order:?} for message {id}, which is not held"),
         }
     }
 }
 
-/// Drives the dispatcher.
+/// Passes events to the dispatcher and carries out its actions.
 pub struct DispatcherDriver {
     state: RefCell<State>,
     started_at: Instant,
@@ -147,14 +147,14 @@
     effects: Rc<dyn DriverEffects>,
     is_halted: Cell<bool>,
     attempts_in_flight: Cell<usize>,
-    /// Set when an attempt has ended.
+    /// Set after an attempt has ended.
     attempt_ended: Signal,
     observer: OnceCell<Rc<dyn DeliveryObserver>>,
     list_changed: event_listener::Event,
 }
 
 impl DispatcherDriver {
-    /// Drives a dispatcher that nothing has happened to.
+    /// Creates a driver of a new dispatcher, which has not handled any event.
     pub fn new(
         dispatcher: Dispatcher,
         directory: Rc<EndpointDirectory>,
@@ -182,20 +182,20 @@
         })
     }
 
-    /// Reports attempts and ends of messages to an observer from now on. The first one stays.
+    /// Sets the observer of attempts and lifecycle events. Only the first call has an effect.
     pub fn set_observer(&self, observer: Rc<dyn DeliveryObserver>) {
         let _ = self.observer.set(observer);
     }
 
-    /// Tells the observer, if there is one, what became of a message.
+    /// Reports a lifecycle event of a message to the observer, if there is one.
     pub fn notify_lifecycle(&self, policy: u64, class: u16, tenant: u16, event: LifecycleEvent) {
         if let Some(observer) = self.observer.get() {
             observer.on_lifecycle_event(policy, class, tenant, event);
         }
     }
 
-    /// Brings a message before the dispatcher. Its orders come to the handle, the first ones at
-    /// once. `prior` is what an earlier process did about it.
+    /// Submits a message to the dispatcher. The returned handle receives its orders; the first
+    /// ones may be there already. `prior` describes the attempts of an earlier process.
     pub fn submit(
         self: &Rc<Self>,
         message: Message,
@@ -222,8 +222,8 @@
         MessageHandle::new(self.clone(), id, orders, attempts)
     }
 
-    /// Asks to begin an attempt at an endpoint. Nothing where an evacuation leaves that aside, and
-    /// no leased attempt is left.
+    /// Requests permission for an attempt at an endpoint. Returns `None` if the endpoint is
+    /// evacuated and every leased attempt is reserved.
     pub fn permit_attempt(self: &Rc<Self>, endpoint: &Rc<Endpoint>) -> Option<AttemptPermit> {
         let evacuation = self.directory.reserve_attempt(endpoint).ok()?;
         if evacuation.is_some() {
@@ -232,19 +232,19 @@
         Some(AttemptPermit::new(self, endpoint, evacuation))
     }
 
-    /// Messages held.
+    /// Returns the number of held messages.
     pub fn held_count(&self) -> usize {
         self.state.borrow().slots.len()
     }
 
-    /// Messages for a destination that wait for an attempt.
+    /// Returns the number of messages for a destination that wait for an attempt.
     pub fn waiting_messages(&self, destination: DestinationId) -> usize {
         let state = self.state.borrow();
         let waits = |slot: &&MessageSlot| slot.destination == destination && !slot.is_in_flight;
         state.slots.values().filter(waits).count()
     }
 
-    /// Entries of the dispatcher's tables, and of the driver's own.
+    /// Returns the numbers of entries in the dispatcher's tables and in the driver's own.
     pub fn table_sizes(&self) -> Vec<(&'static str, usize)> {
         let state = self.state.borrow();
         let own = ("tickets", state.slots.len());
@@ -256,25 +256,26 @@
             .collect()
     }
 
-    /// The dispatcher decides by these settings from now on.
+    /// Changes the dispatcher's runtime settings.
     pub fn apply_settings(&self, settings: RuntimeSettings) {
         self.handle_event(Event::SettingsChanged(Box::new(settings)));
     }
 
-    /// The dispatcher, and what evacuations may leave, go by these routes from now on.
+    /// Changes the routes of the dispatcher and of the directory, whose overrides by evacuations
+    /// depend on them.
     pub fn apply_routes(&self, routes: Rc<Routes>) {
         self.directory.set_routes(routes.clone());
         self.handle_event(Event::RoutesChanged(routes));
         self.apply_evacuation_changes();
     }
 
-    /// Replaces all zone evacuations by these.
+    /// Replaces all zone evacuations.
     pub fn set_evacuations(&self, orders: Vec<EvacuationOrder>) {
         self.directory.set_evacuations(orders);
         self.apply_evacuation_changes();
     }
 
-    /// Leases attempts under the evacuation order of that epoch, if it is in force.
+    /// Leases attempts under the evacuation order of the given epoch, if that is in force.
     pub fn grant_lease(
         &self,
         zone: &str,
@@ -286,7 +287,7 @@
         self.apply_evacuation_changes();
     }
 
-    /// Tells the dispatcher what evacuations and the time have changed of the endpoint list.
+    /// Passes changes of listings by evacuations, leases and the passage of time to the dispatcher.
     pub fn apply_evacuation_changes(&self) {
         if let Some(change) = self.directory.expire_due() {
             self.apply_change(change);
@@ -302,38 +303,38 @@
         }
     }
 
-    /// The directory answered a poll, or said over the watch, that nothing has changed.
+    /// Records that the directory reported no change, as the answer to a poll or over the watch.
     pub fn confirm_list_unchanged(&self) {
         self.handle_event(Event::ListChanges(Vec::new()));
     }
 
-    /// The directory could not be polled, or stopped sending changes.
+    /// Records that a poll of the directory failed, or that the watch ended.
     pub fn report_list_failure(&self) {
         self.handle_event(Event::ListFailed);
     }
 
-    /// The endpoint list is to be polled at another address.
+    /// Records that the endpoint list is polled at another address from now on.
     pub fn report_list_source_change(&self) {
         self.handle_event(Event::ListSourceMoved);
     }
 
-    /// Whether no attempt may begin, as the endpoint list is too old.
+    /// Whether the endpoint list is stale, so that no attempt may begin.
     pub fn endpoint_list_is_stale(&self) -> bool {
         self.state.borrow().dispatcher.is_list_stale(self.now())
     }
 
-    /// How fresh the endpoint list is, and when it is polled next; nothing where it is not polled
-    /// for.
+    /// Returns the freshness of the endpoint list and the time of the next poll, or `None` if the
+    /// list is not polled.
     pub fn endpoint_list_status(&self) -> Option<ListStatus> {
         self.state.borrow().dispatcher.list_status(self.now())
     }
 
-    /// Ends where the endpoint list has changed, or may have.
+    /// Returns a listener that is notified after each update of the endpoint list.
     pub fn list_changed(&self) -> event_listener::EventListener {
         self.list_changed.listen()
     }
 
-    /// Wakes the dispatcher when it asked for it; runs for ever.
+    /// Wakes the dispatcher at the times that it requests; runs forever.
     pub async fn run_timer(&self, wheel: &Rc<TimerWheel>) {
         loop {
             let wake_at = self.state.borrow().wake_at;
@@ -354,7 +355,7 @@
         }
     }
 
-    /// Asks the dispatcher nothing more: what is in flight may end, nothing new begins.
+    /// Stops calling the dispatcher: attempts in flight may end, but no new ones begin.
     pub fn halt(&self) {
         self.is_halted.set(true);
     }
@@ -366,13 +367,13 @@
         }
     }
 
-    /// The time by the dispatcher's clock.
+    /// Returns the current time of the dispatcher's clock.
     fn now(&self) -> Nanos {
         (CLOCK_AT_START + self.started_at.elapsed()).as_nanos() as Nanos
     }
 
-    /// One turn of the dispatcher. Orders are only put into their messages' channels here; the
-    /// deliveries act on them later, so no turn begins within another.
+    /// Runs one turn of the dispatcher. Orders are only put into the channels of their messages;
+    /// the tasks that deliver these carry them out later, so that turns do not nest.
     fn handle_event(&self, event: Event) {
         let mut state = self.state.borrow_mut();
         state.note_turn(Instant::now());
@@ -428,7 +429,7 @@
         }
     }
 
-    /// Counts an attempt that an order has begun.
+    /// Counts an attempt that was begun by an order.
     fn count_begun(&self) {
         self.attempts_in_flight
             .set(self.attempts_in_flight.get() + 1);
@@ -441,7 +442,7 @@
         self.attempt_ended.set();
     }
 
-    /// Forgets a message whose handle is gone.
+    /// Removes a message whose handle is dropped.
     fn remove(&self, id: MessageId) {
         self.state.borrow_mut().slots.remove(&id);
     }
--- a/src/delivery/endpoint_directory/mod.rs
+++ b/src/delivery/endpoint_directory/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! The directory owns the list, the handles and numbers by which the dispatcher knows endpoints and
 //! zones, the Retry-After waits, and, through [`super::evacuation`], the zone evacuations. It
-//! computes the listings that the dispatcher receives: those of the list, with conditions overridden
-//! by evacuations ([`evacuations`]). It does no I/O and does not call the dispatcher.
+//! computes the listings that the dispatcher receives: those of the list, with conditions
+//! overridden by evacuations ([`evacuations`]). It does no I/O and does not call the dispatcher.
 //!
 //! [`super::driver`] applies updates and passes [`DirectoryChange`]s on to the dispatcher;
 //! [`super::message`] checks the directory before each attempt; the agent reads capacity by zone
@@ -44,7 +44,8 @@
 pub struct EndpointDirectory {
     /// Revision of the list; `None` before the first update.
     revision: Cell<Option<u64>>,
-    /// Whether the next complete list is from another source, which may count revisions differently.
+    /// Whether the next complete list is from another source, which may count revisions
+    /// differently.
     source_changed: Cell<bool>,
     /// Destinations that were ever listed.
     known_destinations: RefCell<BTreeSet<DestinationId>>,
--- a/src/delivery/message/attempt.rs
+++ b/src/delivery/message/attempt.rs
@@ -1,9 +1,9 @@
-//! One attempt to deliver a message, with its lines in the journal.
+//! One attempt to deliver a message, with its journal entries.
 //!
-//! Owns the rule that an attempt is in the journal before its first byte can be sent, and the
-//! checks right before that byte: a connection may take its time to come up, and what the
-//! dispatcher saw when it chose the endpoint may have changed meanwhile. Called by `deliver` for
-//! each order to attempt; the connection itself is the [`EndpointClient`]'s.
+//! This module enforces that an attempt is in the journal before its first byte can be sent. It
+//! also repeats the checks right before that byte, because the state in which the dispatcher chose
+//! the endpoint may have changed while the connection was established. `deliver` calls it for each
+//! ordered attempt; the [`EndpointClient`] owns the connections.
 
 use super::in_delivery::MessageInDelivery;
 use super::log_step;
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The parts that an attempt is carried out with.
+/// The components that make an attempt.
 pub(super) struct AttemptExecutor<'a> {
     pub(super) directory: &'a EndpointDirectory,
     pub(super) driver: &'a Rc<DispatcherDriver>,
@@ -31,8 +31,8 @@
 }
 
 impl AttemptExecutor<'_> {
-    /// Carries one attempt out and says how it ended; [`Outcome::NotSent`] where it must not begin.
-    /// Whatever it waits for, the message's last moments are left to its final answer.
+    /// Makes one attempt and returns its result, [`Outcome::NotSent`] if it must not begin. All
+    /// waits end early enough to leave the rest of the message's time for its final answer.
     pub(super) async fn execute(
         &self,
         message: &MessageInDelivery,
@@ -80,7 +80,7 @@
         report
     }
 
-    /// Waits for work on the journal's files until a moment at the latest.
+    /// Waits for work on the journal's files, up to a deadline.
     async fn by<T>(
         &self,
         moment: Instant,
@@ -91,8 +91,9 @@
         done.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// Closes the connections to an endpoint that has left or drains: it may have done so while an
-    /// attempt was in flight, and nobody else would close the connection that was just given back.
+    /// Closes the idle connections to an endpoint that is draining or no longer listed. This may
+    /// have happened while an attempt was in flight, and nothing else would close the connection
+    /// that the attempt has returned to the pool.
     fn close_if_not_ready(&self, address: EndpointAddress, endpoint: &Endpoint) {
         let listed = self.directory.endpoint(address);
         let is_ready = listed.is_some_and(|e| e.entry.condition == Condition::Ready);
@@ -102,18 +103,18 @@
     }
 }
 
-/// Why an attempt that was ordered is not sent.
+/// Reason why an ordered attempt is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SendRefusal {
-    /// The endpoint drains, has left, is evacuated, or asked to wait.
+    /// The endpoint is draining, no longer listed, evacuated, or in a Retry-After wait.
     EndpointUnavailable,
-    /// The attempt would end too late.
+    /// The time in which the attempt has to end is up.
     TimeUp,
-    /// Whatever the endpoint list says may have changed.
+    /// The endpoint list is stale.
     ListStale,
-    /// The routing table leads the message elsewhere.
+    /// The routing table does not allow the message in the endpoint's zone.
     NotRouted,
-    /// The message may have run, and may not be repeated there.
+    /// The message may have run already, and must not be repeated at the endpoint.
     MayHaveRun,
 }
 
@@ -125,17 +126,18 @@
     endpoint: Rc<Endpoint>,
     permit: AttemptPermit,
     timeout: Duration,
-    /// It is over by then.
+    /// Time by which the attempt has to end.
     ends_at: Instant,
-    /// The journal says that it was sent.
+    /// Whether the journal has an entry for the attempt.
     is_journaled: Cell<bool>,
-    /// Its first byte was allowed to go.
+    /// Whether its first byte was allowed to be sent.
     has_begun: Cell<bool>,
 }
 
 impl Attempt<'_> {
-    /// Writes the attempt down and waits until that is durable: once the connection is up, it is
-    /// too late to wait. False where the attempt must not begin.
+    /// Writes the attempt to the journal and waits until the entry is durable, because there is no
+    /// time to wait once the connection is established. Returns false if the attempt must not
+    /// begin.
     async fn write_ahead(&self) -> bool {
         if !self.is_allowed() || !self.write_sent() {
             return false;
@@ -150,7 +152,7 @@
         true
     }
 
-    /// Called right before the first byte; it must not be sent where this is false.
+    /// Called right before the first byte. If it returns false, nothing must be sent.
     fn authorize_send(&self) -> bool {
         let begins = if self.is_journaled.get() {
             self.is_allowed() && self.permit.begin()
@@ -172,7 +174,7 @@
         begins
     }
 
-    /// Whether the endpoint may still receive this message now; the log says why not.
+    /// Whether the message may still be sent to the endpoint now. If not, the reason is logged.
     fn is_allowed(&self) -> bool {
         let Some(refusal) = self.send_refusal() else {
             return true;
@@ -209,8 +211,8 @@
         }
     }
 
-    /// Whether a message that may have run already may go to this zone, by the idempotency rules
-    /// of its class.
+    /// Whether the message may be sent to the endpoint's zone although it may have run already, by
+    /// the idempotency rules of its class.
     fn may_repeat(&self) -> bool {
         let message = self.message;
         let Some(class) = message.policy.policy.class(message.envelope.class) else {
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Writes down that the attempt is sent; false where it cannot be written.
+    /// Writes the start of the attempt to the journal. Returns false if that fails.
     fn write_sent(&self) -> bool {
         let written = self
             .message
@@ -244,7 +246,7 @@
         written
     }
 
-    /// Passes the attempt's outcome on to all that have to know it.
+    /// Passes the attempt's outcome to the observer, the directory, the journal and the log.
     fn end(&self, outcome: Outcome) {
         self.permit.attempt_ended(outcome);
         self.executor
@@ -256,8 +258,8 @@
                 .set_retry_after(&self.endpoint, until);
         }
         if self.is_journaled.get() {
-            // One that was delivered may have run, too: a process that ends before the verdict is
-            // written must not send it to another zone.
+            // A delivered message counts as one that may have run: if this process ends before the
+            // verdict is written, the next process must not send the message to another zone.
             let never_ran = matches!(
                 outcome,
                 Outcome::Rejected { .. } | Outcome::ConnectFailed | Outcome::NotSent
--- a/src/delivery/message/deliver.rs
+++ b/src/delivery/message/deliver.rs
@@ -1,8 +1,7 @@
 //! Delivery of an accepted message: one attempt after another, as the dispatcher orders.
 //!
-//! Owns the loop between the dispatcher's orders and the reports of attempts, until the message's
-//! outcome is known. How one attempt goes is in `attempt`; what follows the outcome, in
-//! `final_answer`.
+//! This module contains the loop of orders and attempt reports until the message's outcome is
+//! known. A single attempt is made by `attempt`; the outcome is handled by `final_answer`.
 
 use super::attempt::AttemptExecutor;
 use super::in_delivery::MessageInDelivery;
@@ -12,15 +11,15 @@
 use crate::delivery::{duration, Verdict};
 use crate::Outcome;
 
-/// How the attempts to deliver a message ended.
+/// Result of the attempts to deliver a message.
 enum Conclusion {
     /// Its client is owed this final answer.
     Verdict(Verdict),
-    /// The other side knows that the message is withdrawn or out of time: nothing is owed.
+    /// No final answer is owed: the other side knows that the message is withdrawn or expired.
     ClosedElsewhere,
 }
 
-/// Delivers an accepted message, and sends its final answer where one is owed.
+/// Delivers an accepted message, and sends its final answer if one is owed.
 pub(super) async fn deliver(context: &DeliveryContext, mut message: MessageInDelivery) {
     match attempt_until_concluded(&context.attempt_executor(), &mut message).await {
         Conclusion::Verdict(verdict) => context.final_answers().conclude(message, verdict).await,
@@ -62,6 +61,6 @@
 
 fn close_without_answer(message: MessageInDelivery) {
     let (id, destination) = (&message.envelope.id, message.envelope.dest);
-    log_step!(debug, id, "{}{destination} over elsewhere", step::DECIDED);
+    log_step!(debug, id, "{}{destination} closed without a final answer", step::DECIDED);
     let _ = message.record.close();
 }
--- a/src/delivery/message/final_answer.rs
+++ b/src/delivery/message/final_answer.rs
@@ -1,8 +1,8 @@
-//! The end of a message: its verdict is written down, counted and sent to its client.
+//! The end of a message: its verdict is counted, written to the journal and sent to its client.
 //!
-//! Owns the rule that a final answer is durable before it is sent, as long as the message has time
-//! left. How a final answer travels is its frontend's business. Called by `deliver` once the
-//! verdict is known, and by [`resume`](super::resume) for one that an earlier process decided.
+//! This module enforces that a verdict is durable before the final answer is sent, as long as the
+//! message has time left. The frontend implements the transfer. `deliver` calls this module once
+//! the verdict is known, and [`resume`](super::resume) for a verdict of an earlier process.
 
 use super::in_delivery::MessageInDelivery;
 use super::step;
@@ -19,11 +19,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A verdict that comes so long after its message's time is worth a line in the log. One that ran
-/// out while no process was there comes as soon as it is found.
+/// Delay of a verdict after its message's deadline from which it is logged. The verdict on a
+/// message whose time ran out while no process was running is reached as soon as it is found.
 const NOTABLE_DELAY: Duration = Duration::from_millis(50);
 
-/// The parts that a final answer is decided, written and sent with.
+/// The components that write and send final answers.
 pub(super) struct FinalAnswerReporter<'a> {
     pub(super) frontends: &'a BTreeMap<u8, Rc<dyn Frontend>>,
     pub(super) driver: &'a DispatcherDriver,
@@ -32,8 +32,8 @@
 }
 
 impl FinalAnswerReporter<'_> {
-    /// Ends a message with a verdict: counts it, writes it down, shows it to the operator's script
-    /// and sends it.
+    /// Ends a message with a verdict: counts the verdict, writes it to the journal, passes it to the
+    /// operator's script and sends it.
     pub(super) async fn conclude(&self, message: MessageInDelivery, verdict: Verdict) {
         let MessageInDelivery {
             envelope,
@@ -45,12 +45,12 @@
             policy,
             ..
         } = message;
-        // The dispatcher and the client's quota have no more to do with it.
+        // The message no longer occupies the dispatcher or its client's quota.
         drop((handle, quota));
         self.observe_end(&envelope, &policy.policy, verdict, deadline);
         let time_left = deadline.saturating_duration_since(Instant::now());
-        // The client may have counted its time from earlier on: by its clock this delivery may have
-        // come too late, and then it waits for an answer that nobody else owes it.
+        // The client may have started to count the time earlier. By its clock the delivery may be
+        // too late, and then it waits for a final answer that only this sender can give.
         let answer = FinalAnswer {
             verdict,
             crosses_end: deadline::may_cross_the_end(time_left.as_nanos() as Nanos),
@@ -59,28 +59,29 @@
         log_step!(debug, envelope.id, "{line}");
         let late = deadline.elapsed();
         if late > NOTABLE_DELAY {
-            log_step!(warn, envelope.id, "{verdict:?} {late:?} after its time");
+            log_step!(warn, envelope.id, "{verdict:?} {late:?} after its deadline");
         }
         self.write_verdict(&record, verdict, deadline).await;
         if let Some(hook) = &policy.policy.hook {
             hook.final_answer(&envelope, class_name(self.class_names, &envelope), verdict);
         }
-        // An answer may wait long for its client; the body goes now.
+        // Sending the answer may take long; release the body first.
         drop(envelope);
         let envelope = record.envelope();
         self.send(&envelope, record, answer).await;
         drop((id_guard, policy));
     }
 
-    /// Sends a final answer, and closes the record once it was received.
+    /// Sends a final answer, and closes the record once the client has received it.
     pub(super) async fn send(&self, envelope: &Envelope, record: OpenRecord, answer: FinalAnswer) {
         let id = &envelope.id;
         let Some(frontend) = self.frontends.get(&envelope.frontend) else {
-            // The record stays open: what is owed is owed until that frontend is back.
+            // The record stays open, so that the answer is sent once the frontend is configured
+            // again.
             log_step!(
                 error,
                 id,
-                "its front is not set up any more; {:?} is not told",
+                "its frontend is no longer configured; final answer {:?} is not sent",
                 answer.verdict
             );
             return;
@@ -90,8 +91,8 @@
         let _ = record.close();
     }
 
-    /// Writes a verdict down, as often as it takes. Once the message's time is up, the final answer
-    /// is sent in any case: also while the disk has not answered.
+    /// Writes a verdict to the journal, with retries until the message's time is up. After that the
+    /// final answer is sent in any case, even if the disk has not responded.
     async fn write_verdict(&self, record: &OpenRecord, verdict: Verdict, deadline: Instant) {
         loop {
             let time_left = deadline.saturating_duration_since(Instant::now());
@@ -106,7 +107,7 @@
                 log_step!(
                     error,
                     id,
-                    "{verdict:?} could not be written and may be told again: {e}"
+                    "{verdict:?} could not be written and may be sent again: {e}"
                 );
                 return;
             }
--- a/src/delivery/message/held_messages.rs
+++ b/src/delivery/message/held_messages.rs
@@ -1,9 +1,8 @@
-//! The messages that are held, by the id that their clients know them by.
+//! The held messages, by the ids that their clients assigned.
 //!
-//! Owns the answer to "is this message here already?". While a [`MessageIdGuard`] lives, a second
-//! message of its id is recognized as a duplicate, whether or not the first one is accepted yet.
-//! `accept` and `resume` register messages; the stages of the journal and the dispatcher have
-//! their own numbers for them.
+//! This module detects duplicates. While a [`MessageIdGuard`] exists, another message of the same
+//! id is recognized as a duplicate, whether or not the first one is accepted yet. `accept` and
+//! `resume` register messages. The journal and the dispatcher use numbers of their own.
 
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::delivery::{Envelope, Frontend};
@@ -14,17 +13,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A duplicate waits this long for the decision on the message that it repeats: one that takes
-/// longer is about to be closed, as its client does not receive the answer.
+/// Maximum time that a duplicate waits for the decision on the message that it repeats. A message
+/// whose decision takes longer is about to be closed, as its client does not receive the answer.
 const DECISION_TIMEOUT: Duration = super::CLIENT_ANSWER_TIMEOUT;
 
-/// Owner of the ids of all messages that are held.
+/// The ids of all held messages.
 #[derive(Default)]
 pub struct HeldMessages {
     by_id: RefCell<HashMap<MessageKey, HeldMessage>>,
 }
 
-/// What a message is known by: ids are unique within a frontend.
+/// Key of a held message: ids are unique within a frontend.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct MessageKey {
     frontend: u8,
@@ -40,27 +39,27 @@
     }
 }
 
-/// What is known of a message under its id.
+/// A held message, as registered under its id.
 #[derive(Clone)]
 struct HeldMessage {
-    /// What has to be equal for a second one to be the same message.
+    /// Checksum that is equal for a repeat of the same message.
     fingerprint: u32,
     decision: Rc<PendingDecision>,
 }
 
-/// Whether a message is accepted, and its client was told so, or is rejected.
+/// Decision on whether a message is accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum AcceptanceDecision {
-    /// It may still become either.
+    /// There is no decision yet.
     #[default]
     Undecided,
-    /// It is accepted, and its client has received that answer.
+    /// The message is accepted, and its client has received that answer.
     Accepted,
-    /// It is rejected, or closed before its client received an answer.
+    /// The message is rejected, or closed before its client received an answer.
     Rejected,
 }
 
-/// A decision that others may wait for. The first one stands.
+/// A decision that duplicates can wait for. Only the first decision counts.
 #[derive(Default)]
 struct PendingDecision {
     decision: Cell<AcceptanceDecision>,
@@ -84,17 +83,17 @@
     }
 }
 
-/// A message that has the id of one that is held.
+/// Kind of a message that has the same id as a held one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Duplicate {
-    /// The same message, handed in once more.
+    /// The same message, submitted again.
     SameMessage,
-    /// Another message under the same id.
+    /// A different message with the same id.
     OtherMessage,
 }
 
 impl HeldMessages {
-    /// How many messages are held.
+    /// Returns the number of held messages.
     pub fn len(&self) -> usize {
         self.by_id.borrow().len()
     }
@@ -104,8 +103,8 @@
         self.by_id.borrow().is_empty()
     }
 
-    /// Looks for a message that is held under the id of this one. One that may still be rejected
-    /// is waited for: a client that is answered now would take its message for accepted.
+    /// Looks for a held message with the same id. Waits for a decision if that message may still be
+    /// rejected: a client that is answered earlier would consider its message accepted.
     pub(super) async fn find_duplicate(
         &self,
         envelope: &Envelope,
@@ -126,7 +125,7 @@
         }
     }
 
-    /// Registers a message under its id; nothing where one of this id is held already.
+    /// Registers a message under its id. Returns `None` if a message with this id is held already.
     pub(super) fn register(
         self: &Rc<Self>,
         envelope: &Envelope,
@@ -154,19 +153,19 @@
     }
 }
 
-/// The id of a message that is held. Dropping it frees the id, and decides that a message that was
-/// not accepted by then is rejected.
+/// Registration of a held message under its id. Dropping it frees the id, and rejects the message
+/// if there is no decision on it.
 pub(super) struct MessageIdGuard {
     held_messages: Rc<HeldMessages>,
     key: MessageKey,
     decision: Rc<PendingDecision>,
-    /// What the frontend holds for the message until nothing is owed for it.
+    /// The frontend's guard for the message, until no answer is owed for it.
     _pending_answer: Option<Box<dyn Any>>,
 }
 
 impl MessageIdGuard {
-    /// Decides on the message, and wakes the duplicates that wait for it. The first decision
-    /// stands.
+    /// Decides on the message, and wakes the duplicates that wait for the decision. Only the first
+    /// decision counts.
     pub(super) fn decide(&self, decision: AcceptanceDecision) {
         self.decision.decide(decision);
     }
@@ -179,7 +178,7 @@
     }
 }
 
-/// Tells messages of one id apart.
+/// Returns a checksum that distinguishes messages with the same id.
 fn fingerprint(envelope: &Envelope) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for number in [envelope.class, envelope.dest, envelope.tenant] {
--- a/src/delivery/message/step.rs
+++ b/src/delivery/message/step.rs
@@ -1,14 +1,14 @@
-//! The text of the lines that the steps of a message leave in the log, behind `id: `.
+//! Texts of the log lines for the steps of a message. Each line begins with `id: `.
 //!
-//! The stages of delivery write them at the level `debug`; [`crate::message_trace`] reads them.
+//! The stages of delivery write them at level `debug`, and [`crate::message_trace`] parses them.
 
 use crate::delivery::{Envelope, Verdict};
 use std::time::Duration;
 
-/// The target under which each step is logged, whatever file of the delivery writes it.
+/// Log target of all steps, regardless of the module that logs them.
 pub const LOG_TARGET: &str = "raildeal::delivery::message";
 
-/// The whole line of a message that is accepted, under a routing table where there is one.
+/// Returns the line for a message that was accepted, with the routing table if there is one.
 pub fn accepted(envelope: &Envelope, table: u64, time_left: Duration) -> String {
     let Envelope {
         class, dest, key, ..
@@ -24,7 +24,7 @@
     format!("{ACCEPTED}class {class}, dest {dest}{under}{key}, {time_left:?}{TIME_LEFT}")
 }
 
-/// The whole line of a message that is over.
+/// Returns the line for a message that has ended.
 pub fn decided(envelope: &Envelope, table: u64, verdict: Verdict, time_left: Duration) -> String {
     let under = match table {
         0 => String::new(),
@@ -34,20 +34,21 @@
     format!("{DECIDED}{dest}{under} {verdict:?}, {time_left:?}{TIME_LEFT}")
 }
 
-/// Written down and given to the dispatcher; goes on with class, destination, key and time
+/// The message was written to the journal; followed by class, destination, table, key and time
 /// left.
 pub const ACCEPTED: &str = "taken on, ";
-/// Between the words before and the key, where the message has one.
+/// Precedes the key, if the message has one.
 pub const KEY: &str = ", key ";
-/// Behind a time left.
+/// Follows a time left.
 pub const TIME_LEFT: &str = " left";
-/// Its client has been written that it is accepted.
+/// The client was sent the answer that the message is accepted.
 pub const ACKNOWLEDGED: &str = "its client is told that it is taken on";
-/// Resumed by a process that found it in its journal; goes on with time left and attempts.
+/// A process found the message in its journal and resumed it; followed by time left and number of
+/// attempts.
 pub const RESUMED: &str = "taken up with ";
-/// An attempt; goes on with number and endpoint.
+/// An attempt began; followed by its number and endpoint.
 pub const ATTEMPT: &str = "call ";
-/// Its end; goes on with destination, verdict and time left.
+/// The message ended; followed by destination, verdict and time left.
 pub const DECIDED: &str = "dest ";
-/// The final answer was heard, or none is owed.
+/// The client has received the final answer, or none is owed any more.
 pub const NOTIFIED: &str = "final answer told";
