--- a/src/delivery/driver/attempt_permit.rs
+++ b/src/delivery/driver/attempt_permit.rs
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Begins the attempt. Returns false if the endpoint is evacuated and no leased attempt is left.
+    /// Begins the attempt. Returns false if the endpoint is evacuated and no leased attempt is
+    /// left.
     pub fn begin(&self) -> bool {
         let begins = self.driver.directory.start_attempt(&self.endpoint);
         self.release_reservation();
--- a/src/delivery/driver/mod.rs
+++ b/src/delivery/driver/mod.rs
@@ -81,8 +81,8 @@
     /// Buffer for the actions of a turn; empty between turns, so that its memory is reused.
     actions: Vec<Action>,
     /// Time of the wake-up that the dispatcher requested, until a turn takes place at or after it.
-    /// Only turns change it. The dispatcher does not repeat a request, so a new one that the timer's
-    /// task discarded while it handles the previous one would be lost.
+    /// Only turns change it. The dispatcher does not repeat a request, so a new one that the
+    /// timer's task discarded while it handles the previous one would be lost.
     wake_at: Option<Instant>,
     /// Time at which the endpoint list became stale; `None` while it is fresh.
     list_stale_since: Option<Instant>,
--- a/src/delivery/message/accept.rs
+++ b/src/delivery/message/accept.rs
@@ -1,9 +1,9 @@
-//! Acceptance: from a message that a client hands in to one that is owed its end.
+//! Acceptance of messages: from a client's submission to a message that is owed a final answer.
 //!
-//! Owns the checks before the journal, the order of journal, dispatcher and client's answer, and
-//! what a client is told that is rejected. A rejected message leaves nothing behind; once the
-//! client has received that its message is accepted, `deliver` goes on. Called by
-//! [`receive`](super::receive).
+//! This module defines the checks before the journal, the order of journal, dispatcher and answer
+//! to the client, and the answers to rejected clients. A rejected message leaves nothing behind.
+//! Once the client has received the answer that its message is accepted, `deliver` continues.
+//! Called by [`receive`](super::receive).
 
 use super::held_messages::{AcceptanceDecision, Duplicate, MessageIdGuard};
 use super::in_delivery::MessageInDelivery;
@@ -27,11 +27,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What a client that is rejected for want of capacity is told to wait: about what one attempt
-/// takes.
+/// Retry-After of a rejection for lack of capacity: about the duration of one attempt.
 const NO_CAPACITY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A message that was handed in and is not yet written down.
+/// A submitted message that is not yet in the journal.
 pub(super) struct Submission {
     client: Client,
     envelope: Envelope,
@@ -39,7 +38,7 @@
 }
 
 impl Submission {
-    /// A message that is not yet checked.
+    /// Creates a submission, which is not yet checked.
     pub(super) fn new(client: Client, envelope: Envelope, time: TimeBudget) -> Self {
         Submission {
             client,
@@ -48,7 +47,7 @@
         }
     }
 
-    /// No message is held for longer than its class may be, whatever its client says.
+    /// Limits the time left to the deadline of the message's class, whatever the client requests.
     fn limit_time_left(&mut self, policy: &Policy) {
         if let Some(class) = policy.class(self.envelope.class) {
             self.time.time_left = self.time.time_left.min(duration(class.deadline));
@@ -56,7 +55,7 @@
     }
 }
 
-/// What a message is logged and counted by.
+/// The fields of a message that are needed to log and count it.
 struct Identity {
     id: String,
     class: u16,
@@ -73,14 +72,14 @@
     }
 }
 
-/// What a message is accepted under.
+/// The policy and routing table under which a message is accepted.
 struct AcceptanceTerms {
     policy: PolicyHold,
     /// Number of the routing table.
     table: u64,
 }
 
-/// A message that the journal has, and that the dispatcher does not know yet.
+/// A message that is in the journal and not yet submitted to the dispatcher.
 struct JournaledMessage {
     record: OpenRecord,
     envelope: Rc<Envelope>,
@@ -88,22 +87,22 @@
     time: TimeBudget,
 }
 
-/// Why a message is rejected before it is written down; the text is what the log says.
+/// Reason why a message is rejected before it is written to the journal; the text is logged.
 #[derive(Debug, thiserror::Error)]
 enum Rejection {
     #[error(transparent)]
     Closed(#[from] AdmissionClosed),
-    #[error("nobody serves destination {0}")]
+    #[error("no endpoint of destination {0} was ever listed")]
     NoEndpoint(u16),
-    #[error("no room")]
+    #[error("the maximum number of messages is held")]
     NoCapacity,
     #[error("{reason}")]
     ClientQuota { reason: Kept, retry_after: Duration },
-    /// Its frontend asked for a key by the policy of before; its client is told so when it hands
-    /// the message in again.
-    #[error("without a key since its class needs one")]
+    /// The frontend checked for a key under the previous policy, which did not require one. The
+    /// frontend's check reports this to the client when it submits the message again.
+    #[error("its class has come to require an idempotency key")]
     MissingKey,
-    #[error("by the hook")]
+    #[error("the operator's script rejects it")]
     ScriptHook { retry_after: Duration },
     #[error("journal: {source}")]
     Journal {
@@ -113,7 +112,7 @@
 }
 
 impl Rejection {
-    /// When the client is advised to hand the message in again.
+    /// Returns the advised time until the client submits the message again.
     fn retry_after(&self) -> Duration {
         match self {
             Rejection::Closed(closed) => closed.retry_after(),
@@ -126,14 +125,15 @@
         }
     }
 
-    /// Whether it counts under the current policy. It does not where the message came in between
-    /// two policies.
+    /// Whether the rejection counts under the current policy. One that is due to a change of policy
+    /// does not.
     fn is_counted(&self) -> bool {
         !matches!(self, Rejection::Closed(_) | Rejection::MissingKey)
     }
 }
 
-/// Accepts a message, or answers its client that it is not. Nothing where no delivery follows.
+/// Accepts a message, or rejects it with an answer to its client. Returns `None` if no delivery
+/// follows.
 pub(super) async fn accept(
     context: &DeliveryContext,
     mut submission: Submission,
@@ -172,22 +172,23 @@
     answer_client(&checks, &identity, message, table, reply).await
 }
 
-/// Answers a message that was handed in under the id of one that is held.
+/// Answers a message that was submitted under the id of a held one.
 async fn answer_duplicate(id: &str, duplicate: Duplicate, reply: Box<dyn ClientReply>) {
     match duplicate {
         Duplicate::OtherMessage => {
-            log_step!(debug, id, "not taken on under the id of another message");
+            log_step!(debug, id, "not accepted: another message with this id is held");
             reply.failed().await;
         }
         Duplicate::SameMessage => {
-            // Its client has not received that it is accepted: it is, and still once.
-            log_step!(debug, id, "handed in once more while held");
+            // The client has not received the answer that the message is accepted. The message is
+            // accepted, and is delivered only once.
+            log_step!(debug, id, "submitted again while held");
             reply.accepted().await.unwrap_or_default();
         }
     }
 }
 
-/// Answers a message of which another copy was registered while this one waited for admission.
+/// Answers a message that waited for admission while another copy of it was registered.
 async fn answer_concurrent_duplicate(
     context: &DeliveryContext,
     envelope: &Envelope,
@@ -204,8 +205,8 @@
     }
 }
 
-/// Writes a message down, if it may still be accepted in this moment: a process that stood still
-/// may have missed a change of policy or table.
+/// Writes a message to the journal if it may still be accepted at this moment: a process that was
+/// suspended may have missed a change of policy or table.
 fn write_to_journal(
     context: &DeliveryContext,
     submission: Submission,
@@ -243,7 +244,7 @@
     })
 }
 
-/// Hands a message that is written down to the dispatcher, which may have an order for it at once.
+/// Submits a journaled message to the dispatcher, which may order something for it at once.
 fn submit_to_dispatcher(
     checks: &AcceptanceChecks<'_>,
     journaled: JournaledMessage,
@@ -271,8 +272,8 @@
     }
 }
 
-/// Tells the client that its message is accepted, once it is sure to outlive this process; or
-/// closes the message, where that fails or the dispatcher refuses it.
+/// Answers the client that its message is accepted, once the message is durable. Closes the message
+/// if that fails or if the dispatcher rejects it.
 async fn answer_client(
     checks: &AcceptanceChecks<'_>,
     identity: &Identity,
@@ -288,28 +289,28 @@
         return None;
     }
     if let Err(e) = message.record.durable().await {
-        log_step!(debug, id, "not taken on: {e}");
+        log_step!(debug, id, "not accepted: {e}");
         drop(message.handle);
         let _ = message.record.close();
         reply.failed().await;
         return None;
     }
-    // And once more: its client has not received an answer yet.
+    // The state may have changed during the sync, and the client has not been answered yet.
     if let Err(closed) = checks.check_still_valid(message.policy.policy.number, table) {
-        log_step!(debug, id, "not taken on: {closed}");
+        log_step!(debug, id, "not accepted: {closed}");
         drop(message.handle);
         let retry_after = checks.limit_retry_after(closed.retry_after());
         close_and_reject(message.record, retry_after, reply).await;
         return None;
     }
-    // A client that does not read its answer must not keep the message from its end.
+    // A client that does not read its answer must not prevent the message from ending.
     let answered = checks
         .wheel
         .timeout(CLIENT_ANSWER_TIMEOUT, reply.accepted());
     let answered = answered.await;
     if let Err(e) = answered.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into())) {
-        // It will hand the message in again: what is done under this id counts for nothing.
-        log_step!(debug, id, "not heard that it is taken on: {e}");
+        // The client will submit the message again and ignores the result under this id.
+        log_step!(debug, id, "client did not receive the acknowledgement: {e}");
         let _ = message.record.close();
         return None;
     }
@@ -321,7 +322,7 @@
     Some(message)
 }
 
-/// Closes a message that the dispatcher refuses at once, and answers its client accordingly.
+/// Closes a message that the dispatcher rejects on submission, and answers its client accordingly.
 async fn close_refused(
     message: MessageInDelivery,
     order: DispatchOrder,
@@ -335,8 +336,8 @@
     }
 }
 
-/// Closes a message and rejects it. Handing it in again is harmless only if the next process does
-/// not take this one up: where it cannot be closed, it failed.
+/// Closes a message and rejects it. If its record cannot be closed, the answer is that it failed:
+/// the next process may resume it, so that submitting it again is not safe.
 async fn close_and_reject(record: OpenRecord, retry_after: Duration, reply: Box<dyn ClientReply>) {
     match record.close() {
         Ok(()) => reply.rejected(retry_after).await,
@@ -344,7 +345,7 @@
     }
 }
 
-/// The parts that decide whether a message is accepted.
+/// The components that decide whether a message is accepted.
 pub(super) struct AcceptanceChecks<'a> {
     pub(super) policies: &'a Rc<PolicySet>,
     pub(super) routing_tables: &'a RoutingTables,
@@ -357,7 +358,8 @@
 }
 
 impl AcceptanceChecks<'_> {
-    /// Waits while nothing is accepted for a moment; the time that a message waits is its own.
+    /// Waits for admission during a change of policy or table. The wait counts against the
+    /// message's time.
     async fn wait_for_admission(&self, submission: &mut Submission) -> Result<(), AdmissionClosed> {
         let capacity = self.policies.current().max_held_messages as usize;
         let max_waiting = capacity.saturating_sub(self.driver.held_count());
@@ -375,7 +377,7 @@
         Ok(())
     }
 
-    /// The policy and the table that messages are accepted under now.
+    /// Returns the policy and the table under which messages are accepted now.
     fn current_terms(&self) -> AcceptanceTerms {
         AcceptanceTerms {
             policy: self.policies.hold_current(),
@@ -383,8 +385,8 @@
         }
     }
 
-    /// All that is checked before a message is written down, cheapest first. The script may leave
-    /// notes on the message.
+    /// Runs all checks that precede the journal, the cheapest first. The script may add notes to
+    /// the message.
     fn check(&self, submission: &mut Submission, terms: &AcceptanceTerms) -> Result<(), Rejection> {
         let (policy, envelope) = (&terms.policy.policy, &mut submission.envelope);
         if !self.directory.knows_destination(envelope.dest) {
@@ -415,7 +417,7 @@
         }
     }
 
-    /// Whether a message may be accepted in this moment under this policy and table.
+    /// Checks whether a message may be accepted at this moment under this policy and table.
     fn check_still_valid(&self, policy: u64, table: u64) -> Result<(), AdmissionClosed> {
         self.admission.check()?;
         let is_current = self.policies.current().number == policy
@@ -423,13 +425,13 @@
         if is_current {
             Ok(())
         } else {
-            // Another one counts since this message came in: it is for another process, or for its
-            // client's next attempt.
+            // The policy or table has changed since the message arrived. Its client submits it
+            // again, here or to another process.
             Err(AdmissionClosed::Paused)
         }
     }
 
-    /// Rejects a message that is not written down.
+    /// Rejects a message that is not in the journal.
     async fn reject(
         &self,
         identity: &Identity,
@@ -438,14 +440,14 @@
     ) {
         log_step!(debug, identity.id, "rejected, {rejection}");
         let retry_after = match rejection {
-            // An operator's script says what it means.
+            // A wait that the operator's script advises is not limited.
             Rejection::ScriptHook { retry_after } => *retry_after,
             other => self.limit_retry_after(other.retry_after()),
         };
         reply.rejected(retry_after).await;
     }
 
-    /// A wait, as far as clients heed one.
+    /// Limits a wait to the longest Retry-After that clients follow.
     fn limit_retry_after(&self, wait: Duration) -> Duration {
         wait.min(duration(
             self.policies.current().class_limits.max_retry_after,
--- a/src/delivery/message/final_answer.rs
+++ b/src/delivery/message/final_answer.rs
@@ -32,8 +32,8 @@
 }
 
 impl FinalAnswerReporter<'_> {
-    /// Ends a message with a verdict: counts the verdict, writes it to the journal, passes it to the
-    /// operator's script and sends it.
+    /// Ends a message with a verdict: counts the verdict, writes it to the journal, passes it to
+    /// the operator's script and sends it.
     pub(super) async fn conclude(&self, message: MessageInDelivery, verdict: Verdict) {
         let MessageInDelivery {
             envelope,
--- a/src/delivery/message/mod.rs
+++ b/src/delivery/message/mod.rs
@@ -1,17 +1,17 @@
-//! The life of one message, from the moment a client hands it in to its final answer.
+//! The lifecycle of one message, from its submission by a client to its final answer.
 //!
-//! Owns the order of the steps, and nothing that outlives a message: the journal, the dispatcher's
-//! driver, policies, quotas and endpoints have their own modules, and [`DeliveryContext`] names
-//! them. The steps are in the submodules, one stage each:
+//! This module defines the order of the steps and owns nothing that outlives a message: the
+//! journal, the dispatcher's driver, policies, quotas and endpoints have their own modules, and
+//! [`DeliveryContext`] refers to them. Each submodule implements one stage:
 //!
-//! - [`receive`] and `accept`: admission, checks, the journal, the client's answer;
+//! - [`receive`] and `accept`: admission, checks, the journal, the answer to the client;
 //! - `deliver`: one attempt after another, as the dispatcher orders, until the outcome is known;
-//! - `attempt`: one attempt, with its lines in the journal;
-//! - `final_answer`: the verdict is written down and sent to the client;
-//! - [`held_messages`]: which messages are held, by the id that their clients know them by.
+//! - `attempt`: one attempt, with its journal entries;
+//! - `final_answer`: the verdict is written to the journal and sent to the client;
+//! - [`held_messages`]: the held messages, by the ids that their clients assigned.
 //!
-//! The frontends call [`receive`]; the start of the process calls [`resume`] for what an earlier
-//! process left open.
+//! The frontends call [`receive`]. At its start, the process calls [`resume`] for each message that
+//! an earlier process left open.
 
 mod accept;
 mod attempt;
@@ -42,10 +42,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often a process that is to end looks whether all messages are closed.
+/// Interval at which a process that is shutting down checks whether all messages are closed.
 const ALL_CLOSED_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Logs one step of a message's life, under the target that the message trace reads.
+/// Logs one step in a message's lifecycle, under the target that the message trace parses.
 macro_rules! log_step {
     ($level:ident, $id:expr, $($text:tt)+) => {
         log::$level!(
@@ -58,75 +58,76 @@
 }
 use log_step;
 
-/// A client receives its answer within this time, or will not receive it any more.
+/// Time within which a client has to receive its answer; after that it counts as not received.
 const CLIENT_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The answer that a client waits for when it hands a message in.
+/// The answer that a client waits for after it submits a message.
 pub trait ClientReply {
-    /// The message is accepted.
+    /// Answers that the message is accepted.
     ///
     /// # Errors
-    /// The client cannot have received the answer.
+    /// Fails if the client cannot have received the answer.
     fn accepted<'a>(self: Box<Self>) -> LocalBoxFuture<'a, io::Result<()>>;
-    /// The message is rejected: handing it in again is harmless, best after `retry_after`.
+    /// Answers that the message is rejected, and may safely be submitted again after `retry_after`.
     fn rejected<'a>(self: Box<Self>, retry_after: Duration) -> LocalBoxFuture<'a, ()>;
-    /// The message failed for good.
+    /// Answers that the message failed permanently.
     fn failed<'a>(self: Box<Self>) -> LocalBoxFuture<'a, ()>;
 }
 
-/// How much time a message has, as its client said it.
+/// The time that a message has, as stated by its client.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeBudget {
-    /// When the client's word reached this process: its time runs since then at least.
+    /// Time at which the submission reached this process. The client may have started to count
+    /// earlier.
     pub received_at: Instant,
-    /// The time that was left then.
+    /// Time that was left at `received_at`.
     pub time_left: Duration,
 }
 
 impl TimeBudget {
-    /// When it is used up.
+    /// Returns the time at which the budget is used up.
     fn deadline(&self) -> Instant {
         self.received_at + self.time_left
     }
 
-    /// What is left of it now.
+    /// Returns the time that is left now.
     fn remaining(&self) -> Duration {
         self.time_left.saturating_sub(self.received_at.elapsed())
     }
 }
 
-/// Names the parts that messages are delivered with; each step takes only those that it uses.
+/// The components that deliver messages. Each step receives only those that it uses.
 ///
-/// Built once, at the start of the process. It owns no state of its own.
+/// The context is built once, at the start of the process, and has no state of its own.
 pub struct DeliveryContext {
-    /// The policies that messages are accepted and end under.
+    /// The policies under which messages are accepted and end.
     pub policies: Rc<PolicySet>,
-    /// The tables that messages are routed by.
+    /// The tables by which messages are routed.
     pub routing_tables: Rc<RoutingTables>,
-    /// Whether messages are accepted now.
+    /// The state that decides whether messages are accepted now.
     pub admission: Rc<Admission>,
     /// Names of the classes, by position.
     pub class_names: Vec<String>,
     /// The dispatcher and its clock.
     pub driver: Rc<DispatcherDriver>,
-    /// What survives the process.
+    /// The journal of accepted messages, which survives the process.
     pub journal: Rc<Journal>,
-    /// How much of the capacity each client may use.
+    /// The quotas of clients.
     pub client_quotas: Rc<ClientQuotas>,
     /// The endpoint list.
     pub directory: Rc<EndpointDirectory>,
-    /// Carries attempts out.
+    /// The client that makes attempts.
     pub endpoint_client: Rc<dyn EndpointClient>,
-    /// Those that messages come from, by [`Envelope::frontend`].
+    /// The frontends that receive messages, by [`Envelope::frontend`].
     pub frontends: BTreeMap<u8, Rc<dyn Frontend>>,
     /// The timers.
     pub wheel: Rc<TimerWheel>,
-    /// The messages that are held, by the id that their clients know them by.
+    /// The held messages, by the ids that their clients assigned.
     pub held_messages: Rc<HeldMessages>,
 }
 
-/// Serves a message that a client has just handed in: accepts or rejects it, and delivers what was
-/// accepted. Ends when nothing is owed for the message any more.
+/// Handles a message that a client has just submitted: accepts or rejects it, and delivers it if it
+/// is accepted. Returns when no answer is owed for the message any more.
 pub async fn receive(
     context: Rc<DeliveryContext>,
     client: Client,
@@ -140,8 +141,8 @@
     }
 }
 
-/// Takes up a message that an earlier process accepted, and delivers it, or sends the final answer
-/// that was decided already.
+/// Resumes a message that an earlier process accepted: delivers it, or sends its final answer if
+/// the verdict is already in the journal.
 pub async fn resume(context: Rc<DeliveryContext>, record: OpenRecord) {
     let account = record.snapshot();
     let envelope = account.envelope.clone();
@@ -152,7 +153,7 @@
         guard.decide(AcceptanceDecision::Accepted);
     }
     if let Some(verdict) = account.verdict {
-        // When it was decided, no less time was left than now.
+        // At least as much time was left when the verdict was reached.
         let time_left = record.time_left().as_nanos() as Nanos;
         let answer = FinalAnswer {
             verdict,
@@ -199,15 +200,15 @@
     deliver::deliver(&context, message).await;
 }
 
-/// Holds the policy that an earlier process accepted a message under; where it is not known any
-/// more, the sender's own settings.
+/// Holds the policy under which an earlier process accepted a message, or the sender's own settings
+/// if that policy is no longer known.
 fn hold_original_policy(policies: &Rc<PolicySet>, envelope: &Envelope, number: u64) -> PolicyHold {
     policies.hold_number(number).unwrap_or_else(|| {
         log_step!(
             warn,
             envelope.id,
-            "policy {number} is not known any more; it ends in its own time by the sender's own \
-             settings"
+            "policy {number} is no longer known; the sender's own settings apply, and the message \
+             keeps its deadline"
         );
         policies
             .hold_number(0)
@@ -215,14 +216,14 @@
     })
 }
 
-/// How long ago the first attempt that may have run was sent, in nanoseconds, and to which zone.
+/// Returns the age, in nanoseconds, and the zone of the first attempt that may have run.
 fn first_possible_run(
     directory: &EndpointDirectory,
     record: &OpenRecord,
     class: Option<&Class>,
 ) -> Option<PossibleRun> {
     let run = record.first_possible_run()?;
-    // Where the age is not known: longer than any repeat of it is recognized as one.
+    // An unknown age counts as one at which endpoints no longer recognize a repeat.
     let unknown_age = class.map_or(0, |c| c.dedup_window) + 1;
     let age = run.age.map_or(unknown_age, |age| age.as_nanos() as Nanos);
     Some(PossibleRun {
@@ -231,7 +232,7 @@
     })
 }
 
-/// The message as the dispatcher sees it.
+/// Returns the message in the dispatcher's form.
 fn dispatcher_message(envelope: &Envelope, policy: &PolicyHold, time_left: Duration) -> Message {
     Message {
         class: policy.class(envelope.class),
@@ -242,21 +243,21 @@
     }
 }
 
-/// Whether a message has no idempotency key though its class needs one.
+/// Whether a message lacks the idempotency key that its class requires.
 pub fn lacks_required_key(class: Option<&Class>, envelope: &Envelope) -> bool {
     envelope.key.is_none() && class.is_some_and(|c| c.effect == Effect::IdempotentWithKey)
 }
 
 impl DeliveryContext {
-    /// Waits until every message has had its end, and its client has received the final answer.
+    /// Waits until every held message has ended and no answer is owed any more.
     pub async fn all_closed(&self) {
         while !self.held_messages.is_empty() {
             self.wheel.sleep(ALL_CLOSED_POLL_INTERVAL).await;
         }
     }
 
-    /// Accepts messages under a policy from now on; false where it is not known. What is held, in
-    /// flight and connected goes on.
+    /// Makes a policy the one under which messages are accepted. Returns false if it is not known.
+    /// Held messages, attempts in flight and connections are not affected.
     pub fn activate_policy(&self, number: u64) -> bool {
         let is_known = self.policies.activate(number);
         if is_known {
@@ -268,8 +269,8 @@
         is_known
     }
 
-    /// Accepts messages by a routing table from now on, and routes all that are held by it at
-    /// their next attempt; false where it is not known.
+    /// Makes a routing table current for new messages, and for the next attempts of held ones.
+    /// Returns false if it is not known.
     pub fn activate_routing_table(&self, number: u64) -> bool {
         let routes = self
             .routing_tables
@@ -314,7 +315,7 @@
     }
 }
 
-/// The name of a message's class; empty where the settings have lost it.
+/// Returns the name of a message's class, or an empty text if the class is no longer configured.
 fn class_name<'a>(class_names: &'a [String], envelope: &Envelope) -> &'a str {
     class_names
         .get(usize::from(envelope.class))
--- a/src/log_filter.rs
+++ b/src/log_filter.rs
@@ -1,20 +1,21 @@
-//! Filters of the variable `RUST_LOG`, which name modules.
+//! Compatibility of the module filters in the variable `RUST_LOG`.
 //!
-//! Operators' scripts name modules by where they were once; such a filter goes on to mean the same
-//! messages. Used by the program alone, when it sets its log up.
+//! Operators' scripts may contain earlier paths of modules. Such a filter continues to select the
+//! same messages. The program calls this when it sets up logging.
 
-/// Where modules that a filter may name were before, and where they are. Longer paths go first.
-const MOVED: [(&str, &str); 4] = [
+/// Earlier and present paths of modules that were moved. A path that starts with another one
+/// precedes it.
+const MOVED_MODULES: [(&str, &str); 4] = [
     ("raildeal::core::invocation", "raildeal::delivery::message"),
     ("raildeal::core", "raildeal::delivery"),
     ("raildeal::keeper", "raildeal::coordination"),
     ("raildeal::door", "raildeal::admission_control"),
 ];
 
-/// The filters with each module named by its present path.
+/// Returns the filters with the earlier paths of modules replaced by their present ones.
 pub fn with_present_paths(filters: &str) -> String {
     let mut present = filters.to_string();
-    for (before, now) in MOVED {
+    for (before, now) in MOVED_MODULES {
         present = present.replace(before, now);
     }
     present
--- a/src/loop_latency.rs
+++ b/src/loop_latency.rs
@@ -1,7 +1,8 @@
-//! How long the one thread works between two looks at its sockets and timers.
+//! Duration of the event loop's turns: the time that the one thread works between two polls of its
+//! sockets and timers.
 //!
-//! `main` runs all work through [`LoopLatency::measure`] where the level `debug` is logged, and
-//! logs the summary now and then.
+//! If level `debug` is logged, `main` runs all work through [`LoopLatency::measure`] and logs the
+//! summary periodically.
 
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
@@ -10,12 +11,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest turn that is told apart; one that lasts longer counts as this.
+/// Upper bound of the histogram; a longer turn counts as this.
 const MAX_TURN: Duration = Duration::from_secs(60);
-/// A turn is logged from this length on: clients wait 400 ms, and a hundredth of that goes
-/// unnoticed.
+/// Length of a turn from which it is logged: one hundredth of the 400 ms that clients wait, below
+/// which a delay is negligible.
 const LOGGED_TURN: Duration = Duration::from_millis(4);
-/// Digits that the histogram tells apart.
+/// Significant decimal digits of the histogram's values.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// Lengths of the event loop's turns, in microseconds. Clones count together.
@@ -32,7 +33,7 @@
 }
 
 impl LoopLatency {
-    /// Runs all work, and measures each turn of it.
+    /// Runs work, and measures each of its turns.
     pub async fn measure<T>(&self, work: impl Future<Output = T>) -> T {
         let mut work = pin!(work);
         poll_fn(|cx| {
@@ -47,14 +48,14 @@
     fn record(&self, turn: Duration) {
         if turn >= LOGGED_TURN {
             let turn_ms = turn.as_secs_f64() * 1e3;
-            log::debug!("turns: {turn_ms:.1} ms without a look at sockets");
+            log::debug!("turns: {turn_ms:.1} ms without polling sockets");
         }
         let turn_us = turn.as_micros() as u64;
         self.0.borrow_mut().saturating_record(turn_us);
     }
 
-    /// How many turns there were, and how long half, 99 and 99.9 in a hundred and the longest took
-    /// at most, in microseconds.
+    /// Returns the number of turns, the 50th, 99th and 99.9th percentiles of their lengths, and the
+    /// longest, in microseconds.
     pub fn summary(&self) -> String {
         let histogram = self.0.borrow();
         let quantile = |q| histogram.value_at_quantile(q);
--- a/src/message_trace.rs
+++ b/src/message_trace.rs
@@ -1,9 +1,9 @@
 //! The lifecycle of a message, joined from the logs of all senders that held it.
 //!
-//! [`crate::delivery::message`] writes a line for each step at the level `debug`; [`step`] has the
-//! text of those lines, for the writer and for this reader. A message that is handed in again has
-//! another id and, in a keyed class, the same key: what is asked for by an id is given for all ids
-//! of its key. `raildeal trace` and the tests call this.
+//! [`crate::delivery::message`] logs a line for each step at level `debug`; [`step`] defines the
+//! texts of those lines for the writer and for this reader. A message that is submitted again has
+//! another id and, in a class with keys, the same key. A query by an id therefore returns the lines
+//! of all ids with the same key. `raildeal trace` and the tests use this module.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,26 +12,26 @@
 
 pub use crate::delivery::message::step;
 
-/// What stands before the id in every line of a message.
+/// Text before the id in every line of a message.
 const MESSAGE_LOG_TARGET: &str = "raildeal::delivery::message] ";
-/// The same in logs that were written before the module had its present path.
+/// The same text in logs of versions in which the module had another path.
 const EARLIER_MESSAGE_LOG_TARGET: &str = "raildeal::core::invocation] ";
-/// In a line of [`step::RESUMED`]: no attempt went before.
+/// Text in a line of [`step::RESUMED`] if no attempt was made before.
 const NO_ATTEMPTS: &str = " 0 calls made";
-/// In a line of [`step::DECIDED`]: the message failed for good.
+/// Text in a line of [`step::DECIDED`] if the message failed permanently.
 const FAILED: &str = " Undeliverable";
-/// At the end of a line of [`step::DECIDED`]: the message's time was up.
+/// End of a line of [`step::DECIDED`] if the message's time was up.
 const NO_TIME_LEFT: &str = " 0ns left";
-/// Behind [`step::RESUMED`]: the message's time was up when it was resumed.
+/// Text after [`step::RESUMED`] if the message's time was up when it was resumed.
 const RESUMED_TOO_LATE: &str = "0ns ";
 
-/// Logs, each with the name of its sender, oldest line first. Lines are read one at a time, and
-/// those of messages are kept.
+/// Logs of senders, of which the lines of messages are kept. Each log is read with the name of its
+/// sender, line by line, the oldest line first.
 #[derive(Debug, Default)]
 pub struct TraceLogs {
     messages: BTreeMap<String, Message>,
     ids_by_key: BTreeMap<String, BTreeSet<String>>,
-    /// Time of the newest line, in seconds as the log counts them.
+    /// Time of the newest line, in seconds by the clock of the logs.
     newest_seconds: f64,
 }
 
@@ -44,39 +44,40 @@
 #[derive(Debug)]
 struct TraceLine {
     at: Timestamp,
-    /// The timestamp as the log has it.
+    /// The timestamp as text.
     time: String,
     sender: String,
     text: String,
 }
 
-/// When a line was written: a number of seconds, or else text that sorts (RFC 3339). Without
-/// either, lines keep the order in which they were read.
+/// Time of a line: a number of seconds, or a text that sorts by time (RFC 3339). Lines with neither
+/// stay in the order in which they were read.
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 enum Timestamp {
     Seconds(f64),
     Text(String),
 }
 
-/// What is wrong with a message's lifecycle.
+/// A fault in a message's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LifecycleFault {
-    /// Its client was told that it is accepted, its time is up, and no log has its end. Where lines
-    /// bear no seconds, nobody knows how far the logs go, and it counts in any case.
+    /// The message was acknowledged, its time is up, and no log has its end. If lines have no times
+    /// in seconds, the end of the logs is not known, and a missing end always counts as a fault.
     NoEnd,
-    /// It ended when its time was up, though a process held it then.
+    /// The message ended after its time was up, although a process held it.
     Late,
-    /// It ended as failed though no attempt was made: it should have been deferred.
+    /// The message failed although no attempt was made; it should have been deferred.
     FailedUnsent,
-    /// It has more ends than it was accepted; clients may use an id again once it is over.
+    /// The message ended more often than it was accepted. Clients may reuse the id of a message
+    /// that has ended.
     TwoEnds,
 }
 
 impl TraceLogs {
-    /// Reads a sender's log. Bytes that are no text are passed over.
+    /// Reads a sender's log. Invalid UTF-8 is replaced.
     ///
     /// # Errors
-    /// The log cannot be read.
+    /// Fails if the log cannot be read.
     pub fn read(&mut self, sender: &str, mut log: impl BufRead) -> io::Result<()> {
         let mut bytes = Vec::new();
         while log.read_until(b'\n', &mut bytes)? > 0 {
@@ -118,8 +119,8 @@
         });
     }
 
-    /// The lifecycle of a message and of all that were handed in under its key, a line for each
-    /// step; none where no log has it.
+    /// Returns the lifecycle of a message and of all messages with the same key, as text with a
+    /// line for each step. Returns `None` if no log has the message.
     pub fn lifecycle(&self, id: &str) -> Option<String> {
         let requested = self.messages.get(id)?;
         let alone = BTreeSet::from([id.to_string()]);
@@ -146,7 +147,7 @@
         Some(text)
     }
 
-    /// All messages whose lifecycle went wrong, and how.
+    /// Returns all messages with faults in their lifecycles.
     pub fn faulty_messages(&self) -> Vec<(&str, Vec<LifecycleFault>)> {
         self.messages
             .iter()
@@ -155,13 +156,13 @@
             .collect()
     }
 
-    /// Messages that some log has.
+    /// Returns the number of messages in the logs.
     pub fn message_count(&self) -> usize {
         self.messages.len()
     }
 }
 
-/// The first word of what stands before the target, where it is a time.
+/// Returns the first word before the log target if that is a time, or an empty text.
 fn timestamp_text(before_target: &str) -> &str {
     before_target
         .split(['[', ' '])
@@ -170,14 +171,14 @@
         .unwrap_or("")
 }
 
-/// The key in a line of [`step::ACCEPTED`].
+/// Returns the key from a line of [`step::ACCEPTED`].
 fn key_of(text: &str) -> Option<&str> {
     let (_, from_key) = text.strip_prefix(step::ACCEPTED)?.split_once(step::KEY)?;
     from_key.split(',').next()
 }
 
 impl Message {
-    /// What follows the text of a step, for each of its lines.
+    /// Returns the rest of each line that begins with the text of a step.
     fn steps<'a>(&'a self, step: &'a str) -> impl Iterator<Item = &'a str> {
         self.lines
             .iter()
@@ -188,7 +189,7 @@
         self.steps(step).count()
     }
 
-    /// When its time is up, in seconds, by the last line that says so with a time.
+    /// Returns the deadline, in seconds, by the last line from which it can be computed.
     fn deadline_seconds(&self) -> Option<f64> {
         self.lines.iter().rev().find_map(|line| {
             let resumed = line.text.strip_prefix(step::RESUMED);
@@ -213,8 +214,8 @@
         if self.failed_unsent() {
             faults.push(LifecycleFault::FailedUnsent);
         }
-        // A process that was killed between the end and its telling tells it again, and logs no
-        // second end.
+        // If a process is killed after the verdict was written, the next process sends the final
+        // answer and logs no second end.
         if self.count(step::DECIDED) > self.count(step::ACCEPTED).max(1) {
             faults.push(LifecycleFault::TwoEnds);
         }
@@ -231,7 +232,8 @@
     }
 
     fn ended_late(&self) -> bool {
-        // Where its time ran out between two processes, nobody could have been in time.
+        // If the time ran out between two processes, no process could have ended the message in
+        // time.
         let ran_out_unheld = self
             .steps(step::RESUMED)
             .any(|text| text.starts_with(RESUMED_TOO_LATE));
@@ -242,7 +244,7 @@
     }
 
     fn failed_unsent(&self) -> bool {
-        // An attempt in flight when its process was killed may stand in the journal and in no log.
+        // An attempt that was in flight when its process was killed may be in the journal only.
         let unsent = self.count(step::ATTEMPT) == 0
             && self
                 .steps(step::RESUMED)
@@ -251,7 +253,7 @@
     }
 }
 
-/// Reads a span as the log has it, such as `1.5s` or `20ms`.
+/// Parses a duration from a log line, such as `1.5s` or `20ms`, into seconds.
 fn seconds(span: &str) -> Option<f64> {
     let units = [("ns", 1e-9), ("\u{b5}s", 1e-6), ("ms", 1e-3), ("s", 1.0)];
     units
--- a/src/process_signals.rs
+++ b/src/process_signals.rs
@@ -1,8 +1,8 @@
-//! The signals that a process of this project is sent: to end, to read its configuration again.
+//! Signals that request a process of this project to end or to reload its configuration.
 //!
 //! They are blocked, so that the kernel keeps each one pending until it is read from a descriptor.
-//! No handler runs, and nothing that may fail lies between a signal that is sent to the process and
-//! its reader. Before they are blocked, signals have their usual effect.
+//! No handler runs, and no step that may fail lies between the sending of a signal and its reader.
+//! Before they are blocked, signals have their default effect.
 
 use async_io::{Async, Timer};
 use nix::errno::Errno;
@@ -13,36 +13,36 @@
 
 pub use nix::sys::signal::Signal;
 
-/// Those that tell a process to end.
+/// Signals that request a process to end.
 pub const ENDING_SIGNALS: [Signal; 2] = [Signal::SIGTERM, Signal::SIGINT];
 
-/// After an error of a read, the next one comes after this time. No error but an interruption is
-/// documented for these reads; the pause is so long that one would cost no noticeable processor
-/// time, and so short that no signal would be late.
+/// Delay before a read is retried after an error. The documentation of these reads lists no error
+/// but an interruption. The delay is long enough for a repeated error to cost no noticeable
+/// processor time, and short enough for no signal to be late.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Signals that are kept from their usual effect in this thread and in all that it starts, also
-/// after this is dropped: what was blocked stays blocked for as long as the process lives.
+/// Signals that are blocked in this thread and in all threads that it starts. They stay blocked
+/// for the lifetime of the process, even after this value is dropped.
 ///
-/// It has to be made before any other thread starts: the kernel gives a signal to any thread that
-/// does not block it.
+/// It has to be created before any other thread starts, because the kernel delivers a signal to any
+/// thread that does not block it.
 pub struct BlockedSignals(SigSet);
 
 impl BlockedSignals {
-    /// Blocks these.
+    /// Blocks signals.
     ///
     /// # Errors
-    /// The system refuses to block them.
+    /// Fails if the system does not block them.
     pub fn new(signals: &[Signal]) -> io::Result<Self> {
         let set: SigSet = signals.iter().copied().collect();
         set.thread_block()?;
         Ok(BlockedSignals(set))
     }
 
-    /// Receives these of them.
+    /// Returns a receiver of some of the blocked signals.
     ///
     /// # Errors
-    /// One of them is not blocked, or the system has no descriptor for them.
+    /// Fails if one of them is not blocked, or if the system cannot provide a descriptor.
     pub fn receiver(&self, signals: &[Signal]) -> io::Result<SignalReceiver> {
         if let Some(signal) = signals.iter().find(|s| !self.0.contains(**s)) {
             let message = format!("{signal} is not blocked");
@@ -55,22 +55,22 @@
     }
 }
 
-/// Receives signals that are blocked.
+/// A receiver of blocked signals.
 pub struct SignalReceiver(Async<SignalFd>);
 
 impl SignalReceiver {
-    /// Ends with the next of them, also with one that came while nobody waited. A signal that is
-    /// sent again before it was received counts once.
+    /// Waits for the next signal, which may have been sent before this call. A signal that is sent
+    /// several times before it is received counts once.
     pub async fn received(&self) {
         while let Err(e) = self.0.read_with(read_one).await {
-            log::error!("signals: not read: {e}");
+            log::error!("signals: cannot read pending signals: {e}");
             Timer::after(READ_RETRY_DELAY).await;
         }
     }
 }
 
-/// Takes one that is pending. After an interrupted read it still is, so that the descriptor stays
-/// readable and is read again in the next turn.
+/// Reads one pending signal. After an interrupted read the signal is still pending, so that the
+/// descriptor stays readable and is read again in the next turn.
 fn read_one(descriptor: &SignalFd) -> io::Result<()> {
     match descriptor.read_signal() {
         Ok(Some(_)) => Ok(()),
