--- a/src/delivery/admission/tests.rs
+++ b/src/delivery/admission/tests.rs
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_pause_that_lasts_rejects_in_time_and_a_full_queue_rejects_at_once() {
+fn a_long_pause_rejects_in_time_and_a_full_queue_rejects_at_once() {
     let run = run(AdmissionState::Paused, 5, 3, &[]);
     assert!(
         run.all_are(Err(AdmissionClosed::Paused)),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_lease_that_ends_fences_those_who_come_and_those_who_wait() {
+fn an_expired_lease_fences_arriving_and_waiting_messages() {
     let over = AdmissionState::Open {
         until: Some(Instant::now()),
     };
--- a/src/delivery/driver/tests.rs
+++ b/src/delivery/driver/tests.rs
@@ -73,7 +73,7 @@
 /// then on it slept until something else happened. Shown by this test, which waited in vain for
 /// twice the message's time.
 #[test]
-fn a_wake_up_asked_for_in_the_tick_of_the_one_before_still_comes() {
+fn a_wake_up_requested_in_the_tick_of_the_previous_one_is_not_lost() {
     let (driver, wheel) = (driver(), TimerWheel::new());
     let mut waiting = driver.submit(message(400 * MS), None);
     let ends_at = Instant::now() + duration(400 * MS);
--- a/src/delivery/endpoint_directory/tests.rs
+++ b/src/delivery/endpoint_directory/tests.rs
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_replacement_at_a_reused_address_is_another_endpoint() {
+fn an_endpoint_at_a_reused_address_gets_a_new_handle() {
     let d = directory(true);
     d.apply(&update(1, true, vec![entry("x", Condition::Ready)]));
     d.apply(&update(
--- a/src/delivery/policies/tests.rs
+++ b/src/delivery/policies/tests.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn policies_are_bounded_in_number_and_those_in_use_are_not_removed() {
+fn the_number_of_policies_is_limited_and_those_in_use_are_not_removed() {
     let policies = PolicySet::new(policy(0, 1));
     let held: Vec<PolicyHold> = (1..=MAX_POLICIES as u64)
         .map(|n| {
--- a/src/delivery/timer_wheel/tests.rs
+++ b/src/delivery/timer_wheel/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_wheel_that_was_held_up_for_rounds_wakes_all_that_is_due() {
+fn a_wheel_delayed_by_several_rounds_wakes_all_due_sleepers() {
     let mut slots = Slots::new();
     for tick in [1, 7, SLOT_COUNT + 1, 2 * SLOT_COUNT] {
         slots.insert(tick, Waker::noop().clone());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_year_of_ticks_is_a_year() {
+fn the_offset_of_a_year_of_ticks_does_not_overflow() {
     assert_eq!(
         tick_offset(200 * 86_400 * 366),
         Duration::from_secs(86_400 * 366)
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_dropped_sleep_leaves_the_wheel() {
+fn a_dropped_sleep_is_removed_from_the_wheel() {
     let wheel = TimerWheel::new();
     on_wheel(wheel.timeout(Duration::from_secs(60), async {}), &wheel).expect("work ends first");
     assert_eq!(wheel.slots.borrow().find_next_stop(), None);
--- a/src/loop_latency/tests.rs
+++ b/src/loop_latency/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_turn_is_counted_and_the_longest_is_in_the_summary() {
+fn the_summary_has_the_number_of_turns_and_the_longest() {
     let latency = LoopLatency::default();
     let work = async {
         futures_lite::future::yield_now().await;
--- a/src/message_trace/tests.rs
+++ b/src/message_trace/tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_is_held_when_the_logs_end_is_not_lost_and_an_id_may_be_used_again() {
+fn a_message_held_when_the_logs_end_is_no_fault_and_an_id_may_be_reused() {
     let line = |text: &str| {
         format!(
             "{}\n",
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn lifecycles_that_went_wrong_are_found() {
+fn faulty_lifecycles_are_reported() {
     let line = |text: &str| {
         format!("2026-12-01T10:00:00.000Z DEBUG raildeal::delivery::message] {text}\n")
     };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_fleet_that_starts_spreads_over_siblings_as_listed() {
+fn a_starting_fleet_spreads_its_calls_by_listed_rates() {
     let mut fleet = Fleet::new(100, &[(1, 30.0, 30.0), (2, 10.0, 10.0)]);
     for _ in 0..3 {
         fleet.window(25.0);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_sender_that_is_handed_most_of_the_traffic_does_not_hold_it_beside_idle_parts_of_others() {
+fn messages_of_busy_senders_are_delivered_while_other_senders_leave_their_quotas_idle() {
     let mut fleet = Fleet::new(100, &[(1, 30.0, 32.0), (2, 20.0, 21.0)]);
     // A fifth of the senders get four times as much as each of the others.
     fleet.whose = |n, of| {
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_clump_does_not_jam_a_route_for_long() {
+fn a_burst_overloads_endpoints_only_briefly() {
     let mut fleet = Fleet::new(100, &[(1, 30.0, 25.0), (2, 20.0, 22.0)]);
     fleet.window(25.0);
     // Three seconds' worth of the limit at once, on top of what comes anyway.
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_route_that_takes_far_less_than_listed_is_not_called_in_vain_for_long() {
+fn an_endpoint_far_below_its_listed_rate_rejects_few_calls_after_a_while() {
     let mut fleet = Fleet::new(100, &[(1, 50.0, 30.0)]);
     for _ in 0..12 {
         fleet.window(40.0);
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn a_fleet_that_starts_or_returns_or_loses_its_watches_is_told_in_the_time_that_all_asks_need() {
+fn a_fleet_that_starts_or_loses_its_watches_polls_about_as_fast_as_the_directory_answers() {
     for (senders, begin, lost) in [
         (100, 100, false),
         (300, 300, false),
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn a_fleet_is_told_soon_by_a_directory_that_comes_back_or_is_slow_and_does_not_run_it_over() {
+fn a_recovered_or_slow_directory_answers_a_fleet_soon_and_is_not_overloaded() {
     // Back after 60 s, at a third of its speed, and larger fleets than it can serve in the time
     // that the settings leave.
     let cases = [
@@ -464,7 +464,7 @@
 }
 
 #[test]
-fn one_that_has_not_asked_for_so_long_that_drains_count_as_told_calls_nobody_until_it_is_told() {
+fn a_sender_whose_list_may_miss_a_drain_makes_no_calls_until_it_is_polled() {
     // Its turn to ask comes after a change counts as told: what the list says is not to be trusted
     // in between.
     for silent in [5, 10, 30] {
@@ -531,7 +531,7 @@
 }
 
 #[test]
-fn a_small_route_that_returns_is_used_as_it_warms_up_and_not_toppled() {
+fn a_small_endpoint_is_used_during_its_warm_up_and_not_overloaded() {
     let (taken, s) = (returned(100), settings());
     for (i, calls) in taken.iter().enumerate() {
         // What it could do at the end of the window, cold as it was, a third over its limit when
@@ -548,7 +548,7 @@
 }
 
 #[test]
-fn a_route_that_was_shut_comes_back_cold_however_long_ago_it_was_listed() {
+fn an_endpoint_returns_by_slow_start_however_long_ago_it_was_listed() {
     let cold = Settings {
         slow_start_fraction: 0.05,
         slow_start_duration: 30 * SEC,
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn objects_are_found_wherever_the_text_is_cut() {
+fn objects_are_found_wherever_the_text_is_split() {
     let first = "{\r\n  \"rev\": 1,\n\n  \"targets\": [\n    {\"uid\": \"}]\\\"{\\\\\"}\n  ]\n}";
     let second = "{\"rev\":2,\"targets\":[]}";
     let text = format!("\n{first}\r\n \n{second}{second}\n\r\n");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_is_no_object_or_has_no_end_is_told() {
+fn text_that_is_not_an_object_or_has_no_end_is_an_error() {
     for text in ["[]", "7", "\"{\"", "{}x", "}", "\0", "\u{feff}{}"] {
         assert_eq!(said(&[text.as_bytes()]), Err(Spoilt::NoObject), "{text:?}");
     }
--- a/tests/log_filter.rs
+++ b/tests/log_filter.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn other_filters_stay_as_they_are() {
+fn filters_without_earlier_paths_are_unchanged() {
     for filters in [
         "info",
         "debug",
--- a/tests/message_delivery.rs
+++ b/tests/message_delivery.rs
@@ -396,7 +396,7 @@
 /// an attempt of it may have: a delivery whose verdict was not yet written looked so, and could
 /// have gone to the other zone.
 #[test]
-fn no_end_of_the_process_makes_a_message_forget_that_it_may_have_run() {
+fn a_message_that_may_have_run_is_known_as_such_after_a_kill_at_any_byte() {
     for last in [
         Outcome::Delivered,
         Outcome::Error,
@@ -446,7 +446,7 @@
 /// A connection takes its time to come up, and what the dispatcher saw when it chose may be over by
 /// then.
 #[test]
-fn a_wait_or_a_drain_reported_during_connect_stops_an_attempt_before_its_first_byte() {
+fn a_retry_after_or_drain_reported_during_connect_stops_an_attempt_before_its_first_byte() {
     let wait: DuringConnect = |_, directory, endpoint| {
         directory.set_retry_after(endpoint, Instant::now() + Duration::from_millis(300));
     };
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn a_held_message_goes_by_a_new_table_at_its_next_attempt_and_keeps_the_number_of_its_own() {
+fn a_held_message_follows_a_new_table_at_its_next_attempt_and_keeps_its_table_number() {
     // By the first table it would wait for the first zone for most of its time.
     let outcomes = [Outcome::Rejected { wait: 12 * SEC }, Outcome::Delivered];
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn an_attempt_that_has_not_begun_when_the_table_changes_goes_by_the_new_one() {
+fn an_attempt_that_has_not_begun_when_the_table_changes_follows_the_new_one() {
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
     let outcomes = [Outcome::Delivered];
     let fixture = Fixture::new(
@@ -528,7 +528,7 @@
 }
 
 #[test]
-fn a_later_process_sends_what_was_held_by_its_own_table_and_not_by_that_of_before() {
+fn a_later_process_routes_held_messages_by_its_own_table() {
     let folder = TempDir::new().expect("a folder");
     let setup = JournalOptions::new(1_000_000);
     {
@@ -556,7 +556,7 @@
 /// The first tenant's messages go to the other zone: the dispatcher, and the check right before the
 /// first byte, have to know whose it is, also in the next process.
 #[test]
-fn a_message_goes_by_its_own_tenant_s_route_and_still_does_after_a_kill() {
+fn a_message_follows_its_tenant_s_route_also_after_a_kill() {
     let to_tenant = RouteSpec {
         tenants: Some(vec![1]),
         ..route_to("b")
@@ -594,7 +594,7 @@
 /// A process may stand still between any two steps, and the fleet's agreed state changes without it
 /// meanwhile.
 #[test]
-fn what_may_not_be_accepted_any_more_when_it_is_written_is_never_written() {
+fn a_message_that_may_no_longer_be_accepted_before_the_journal_is_not_written() {
     let over = AdmissionState::Open {
         until: Some(Instant::now()),
     };
@@ -628,7 +628,7 @@
 }
 
 #[test]
-fn what_may_not_be_accepted_any_more_when_its_client_is_answered_is_closed_and_its_copy_waits() {
+fn a_message_that_may_no_longer_be_accepted_before_its_answer_is_closed_and_its_duplicate_waits() {
     for (state, answer) in [
         (AdmissionState::Fenced, "rejected"),
         (AdmissionState::Open { until: None }, "accepted"),
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn messages_do_not_die_beside_idle_endpoints_however_many_senders_share_them() {
+fn messages_are_delivered_while_endpoints_are_idle_however_many_senders_share_them() {
     // Seen with real processes: 300 senders, 847 of 1,468 delivered, and no endpoint refused
     // anything.
     for (senders, seed) in [(100, 1), (300, 1), (300, 2), (1_000, 1)] {
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_limit_of_half_of_what_is_listed_costs_many_senders_little_more_than_one() {
+fn endpoints_at_half_their_listed_rate_cost_many_senders_little_more_than_one() {
     let share = |senders| {
         Play {
             senders,
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn what_a_clump_at_the_start_has_refused_is_bounded_and_there_is_none_of_messages_held() {
+fn rejections_of_a_burst_at_the_start_are_bounded_and_resumed_messages_cause_few() {
     // Three messages for each of 300 senders in one moment are 90 for a destination, whose
     // endpoints take 30 in a window.
     let clump = Play {
--- a/tests/process_signals.rs
+++ b/tests/process_signals.rs
@@ -27,7 +27,7 @@
 
 /// Guards against a signal that is lost since nobody waited for it when it came.
 #[test]
-fn a_signal_that_comes_before_its_receiver_exists_is_received() {
+fn a_signal_sent_before_its_receiver_exists_is_received() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
     raise(Signal::SIGHUP).expect("sent");
     let receiver = blocked.receiver(&[Signal::SIGHUP]).expect("a receiver");
@@ -37,7 +37,7 @@
 
 /// Guards against a signal that comes while the one before is acted upon and changes nothing.
 #[test]
-fn a_signal_that_comes_after_one_was_received_is_received_too() {
+fn each_signal_sent_after_the_previous_one_was_received_is_received() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
     let receiver = blocked.receiver(&[Signal::SIGHUP]).expect("a receiver");
     for round in 0..3 {
@@ -60,7 +60,7 @@
 
 /// Guards against a receiver whose signal still has its usual effect, the end of the process.
 #[test]
-fn a_receiver_of_a_signal_that_is_not_blocked_is_refused() {
+fn a_receiver_of_a_signal_that_is_not_blocked_is_an_error() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
     let refused = blocked.receiver(&[Signal::SIGHUP, Signal::SIGTERM]).err();
     assert_eq!(refused.map(|e| e.kind()), Some(ErrorKind::InvalidInput));
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 #[test]
-fn a_name_is_a_tenant_s_place_in_the_settings_and_no_other_name_is() {
+fn a_tenant_is_found_only_by_its_exact_name() {
     let nested = json!({"accounts": [{"name": "acme", "share": 0.3}, {"name": "Rede, Sul"}, {"share": 0.1}]});
     let lines = b"accounts.count=3\naccounts.0.name=acme\naccounts.1.name=Rede__Sul\naccounts.2.share=0.1\n";
     for deployment in [from_json(&nested), from_lines(lines)] {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn without_tenants_in_the_settings_every_message_is_the_first_one_s() {
+fn without_configured_tenants_every_message_belongs_to_tenant_0() {
     for settings in [json!({}), json!({"accounts": []})] {
         let tenants = from_json(&settings).expect("usable").tenants;
         assert_eq!(
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn two_tenants_of_one_name_are_refused_at_the_start() {
+fn duplicate_tenant_names_are_rejected() {
     let nested = json!({"accounts": [{"name": "a b"}, {"name": "c"}, {"name": "a_b"}]});
     let told = from_json(&nested).expect_err("two of one name");
     assert_eq!(told, "setting accounts.2.name: 'a_b' is there twice");
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn slots_that_shrink_let_calls_end_and_begin_none_before_there_is_room() {
+fn a_lower_call_limit_lets_calls_in_flight_end_and_starts_none_above_it() {
     let mut driver = warm(settings());
     let out: Vec<MessageId> = (1..=8)
         .flat_map(|id| sends(&driver.arrive(id, 0, (id % 4 + 1) as u16)))
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn room_that_shrinks_gives_up_none_that_is_held() {
+fn a_lower_message_limit_ends_no_held_message() {
     let few = Settings {
         max_in_flight_calls: 1,
         ..settings()
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_message_ends_under_the_terms_that_it_was_taken_on_under() {
+fn a_message_ends_under_the_settings_that_it_was_accepted_under() {
     // Side by side: those of before, with five attempts, and those of now, with two and a shorter
     // wait for clients.
     let old = terms(&settings());
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn terms_that_no_relay_can_work_by_change_nothing() {
+fn unusable_settings_change_nothing() {
     let mut driver = warm(settings());
     for bad in [
         RuntimeSettings {
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_change_that_changes_nothing_moves_no_call_whatever_is_told_cold_or_out() {
+fn applying_the_same_settings_again_changes_no_action() {
     for seed in 0..40 {
         let same = terms(&settings());
         let (plain, changed) = (
@@ -269,7 +269,7 @@
 
 /// The bound of 2 ms is for a release build; this one holds on a machine with much else to do, too.
 #[test]
-fn a_change_is_a_short_turn_with_two_thousand_messages_held() {
+fn a_settings_change_with_two_thousand_held_messages_takes_less_than_20_ms() {
     let many = Settings {
         max_held_messages: 4_000,
         max_in_flight_calls: 64,
--- a/tests/zone.rs
+++ b/tests/zone.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_example_lists_its_providers() {
+fn the_example_zone_lists_its_endpoints() {
     let mut providers = zone().providers().expect("providers");
     providers.sort_by_key(|e| e.address.port());
     let first = &providers[0];
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn what_is_written_reads_back_the_same() {
+fn a_written_zone_reads_back_the_same() {
     let odd = changed(&[text("oviedo-1", &["say \"hi\"; \\ done", "a=b"])]);
     for zone in [zone(), odd] {
         let back = Zone::read(&zone.text(), None).expect("a zone");
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_bad_zone_is_told_by_line_or_name() {
+fn the_error_of_an_invalid_zone_names_the_line_or_record() {
     let with =
         |line: &str| Zone::read(&format!("{EXAMPLE}{line}\n"), None).expect_err("a bad zone");
     let last = EXAMPLE.lines().count() + 1;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn changes_are_made_and_the_serial_rises() {
+fn an_update_changes_the_zone_and_increases_the_serial() {
     let gone = changed(&[of_class(srv(1885, "oviedo-2"), DNSClass::NONE)]);
     assert_eq!(
         (ports(&gone), gone.serial()),
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn prerequisites_hold_or_nothing_is_done() {
+fn an_update_is_applied_only_if_its_prerequisites_hold() {
     use ResponseCode::{FormErr, NXDomain, NXRRSet, NotZone, YXDomain, YXRRSet};
     let change = [srv(1886, "oviedo-1")];
     let whole = [srv(1884, "oviedo-1"), srv(1885, "oviedo-2")].map(|r| of_class(r, DNSClass::IN));
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn an_update_that_breaks_the_directory_is_refused() {
+fn an_update_that_makes_the_endpoint_list_invalid_is_refused() {
     let refused = |r: Record| {
         apply(&zone(), &update(&[], &[r]))
             .map(|_| ())
