--- a/src/delivery/admission/tests.rs
+++ b/src/delivery/admission/tests.rs
@@ -1,10 +1,11 @@
-//! Messages that come while the state changes.
+//! Messages that arrive while the admission state changes.
 
 use super::*;
 use async_executor::LocalExecutor;
 
-/// How the messages of one run ended, in the order in which that was known, and how long it took.
+/// Result of one run.
 struct Run {
+    /// Number and result of each message, in the order in which the results were known.
     results: Vec<(usize, Result<Admitted, AdmissionClosed>)>,
     took: Duration,
 }
@@ -15,7 +16,7 @@
     }
 }
 
-/// Has so many messages come at once, and then changes the state at each of these times, in
+/// Lets `count` messages arrive at once, and changes the state at each of the given times, in
 /// milliseconds.
 fn run(
     state: AdmissionState,
--- a/src/delivery/driver/tests.rs
+++ b/src/delivery/driver/tests.rs
@@ -13,8 +13,8 @@
     fn watch_list(&self) {}
 }
 
-/// A driver whose endpoint list is too old from the start: nothing is attempted, and the dispatcher
-/// looks at what waits every 50 ms.
+/// Returns a driver whose endpoint list is stale from the start: no attempts are made, and the
+/// dispatcher checks the waiting messages every 50 ms.
 fn driver() -> Rc<DispatcherDriver> {
     let class = Class {
         latency_objective: 500 * MS,
@@ -51,7 +51,8 @@
     }
 }
 
-/// Runs work beside the driver's timer. Whatever one tick wakes, the work is polled first.
+/// Runs work concurrently with the driver's timer. If one tick wakes both, the work is polled
+/// first.
 fn beside_timer<T>(
     driver: &DispatcherDriver,
     wheel: &Rc<TimerWheel>,
@@ -64,14 +65,14 @@
     async_io::block_on(work.or(timers))
 }
 
-/// A message was accepted, no attempt was made, and its final answer came only after its time: its
-/// client took it for lost. Seen on three days of many senders with little traffic each.
+/// Guards against a lost wake-up, after which a message gets its final answer too late and its
+/// client considers it lost. It was seen in three simulated days of many senders with little
+/// traffic each.
 ///
-/// A turn that comes when a wake-up is due asks for the next one. The timer's task, woken in the same
-/// tick, took the new wake-up for the old one and dropped it. With a list that is too old the next
-/// one is exactly 50 ms away, and the dispatcher does not ask again for what it has asked for: from
-/// then on it slept until something else happened. Shown by this test, which waited in vain for
-/// twice the message's time.
+/// A turn that takes place when a wake-up is due requests the next one. The timer's task, woken in
+/// the same tick, took the new wake-up for the old one and discarded it. With a stale list the next
+/// one is exactly 50 ms away, and the dispatcher does not repeat a request, so that it slept until
+/// the next event. Before the fix, this test waited in vain for twice the message's time.
 #[test]
 fn a_wake_up_requested_in_the_tick_of_the_previous_one_is_not_lost() {
     let (driver, wheel) = (driver(), TimerWheel::new());
@@ -81,13 +82,13 @@
 
     let order = beside_timer(&driver, &wheel, async {
         wheel.sleep_until(wake_at).await;
-        // Another message comes before the timer has its turn.
+        // Another message arrives before the timer's task runs.
         let _other = driver.submit(message(900 * MS), None);
         wheel
             .timeout(duration(800 * MS), waiting.next_order())
             .await
     });
 
-    assert!(order.is_some(), "nobody woke the dispatcher for it");
-    assert!(Instant::now() < ends_at, "given up after its time");
+    assert!(order.is_some(), "the dispatcher was not woken");
+    assert!(Instant::now() < ends_at, "ended after its deadline");
 }
--- a/src/delivery/endpoint_directory/tests.rs
+++ b/src/delivery/endpoint_directory/tests.rs
@@ -87,7 +87,7 @@
         let (now, wait) = (Instant::now(), Duration::from_secs(2));
         let x = d.endpoint(d.handle("x")).expect("listed");
         d.set_retry_after(&x, now + wait);
-        d.set_retry_after(&x, now + wait / 2); // a shorter one later does not end it
+        d.set_retry_after(&x, now + wait / 2); // A shorter one does not replace it.
         assert!(!d.admits(x.endpoint, now + wait / 2));
         assert_eq!(d.admits(d.handle("y"), now), other_is_free);
         assert!(d.admits(x.endpoint, now + wait));
@@ -133,9 +133,9 @@
         d.expire_due();
         !d.kept_destinations().is_empty()
     };
-    // Without routes, only where nothing is left at all.
+    // Without routes, a destination is kept only if no endpoint is left.
     assert!(!is_kept(&["a", "b"], vec![]) && is_kept(&["a", "b", "c"], vec![]));
-    // By routes, where one class has nothing else, also while another has.
+    // With routes, it is kept if one class has no other zone, even if another class has one.
     assert!(is_kept(&["a"], vec![to(&["a"], Some(0)), to(&["b"], None)]));
     assert!(!is_kept(
         &["c"],
@@ -145,7 +145,7 @@
         &["a"],
         vec![to(&["a", "b"], Some(0)), to(&["b"], None)]
     ));
-    // A class that nobody serves, or that goes where nothing is listed, is nobody's reason.
+    // A class that no zone serves, or whose zones have no endpoints, does not count.
     assert!(!is_kept(&["a"], vec![to(&[], Some(0)), to(&["b"], None)]));
     assert!(!is_kept(
         &["a"],
--- a/src/delivery/policies/tests.rs
+++ b/src/delivery/policies/tests.rs
@@ -1,4 +1,4 @@
-//! Policies that come and go while messages are held under them.
+//! Policies that are added, activated and removed while messages hold them.
 
 use super::*;
 use crate::{DedupScope, Effect};
@@ -55,7 +55,7 @@
         (1, 2, 3, 3)
     );
     assert!(policies.add(policy(7, 2)) && policies.activate(7));
-    assert!(!policies.remove(5), "a message is held under it");
+    assert!(!policies.remove(5), "a message holds it");
     let settings = policies.merged_runtime_settings();
     let deadlines: Vec<u64> = settings.classes.iter().map(|c| c.deadline).collect();
     assert_eq!(deadlines, [100, 100, 105, 105, 107, 107]);
@@ -67,7 +67,7 @@
         (5, 8)
     );
     drop(second);
-    // Its place is the next one's.
+    // The next policy reuses its position.
     assert!(policies.remove(5) && policies.hold_number(5).is_none() && policies.add(policy(8, 2)));
     assert_eq!(policies.hold_number(8).map(|h| h.class(0)), Some(2));
     assert_eq!(policies.merged_runtime_settings().classes.len(), 6);
@@ -84,7 +84,7 @@
         .collect();
     assert!(!policies.add(policy(9, 1)) && !policies.remove(0));
     assert_eq!(policies.numbers(), (1..=8).collect::<Vec<_>>());
-    // One of the same number is not replaced under a message, and is once nothing needs it.
+    // A policy of the same number replaces the known one only after that is no longer in use.
     assert!(!policies.add(policy(3, 1)));
     drop(held);
     assert!(policies.add(policy(3, 1)) && policies.remove(3) && policies.add(policy(9, 1)));
--- a/src/delivery/script_hook/tests.rs
+++ b/src/delivery/script_hook/tests.rs
@@ -1,4 +1,4 @@
-//! What scripts may return, and what becomes of those that fail.
+//! Results of scripts, and the handling of scripts that fail.
 
 use super::*;
 
--- a/src/delivery/timer_wheel/tests.rs
+++ b/src/delivery/timer_wheel/tests.rs
@@ -1,11 +1,11 @@
-//! Sleeps in real time, and slots without any.
+//! Sleeps in real time, and slots of the wheel without a clock.
 
 use super::*;
 
 fn on_wheel<T>(work: impl Future<Output = T>, wheel: &TimerWheel) -> T {
     let running = async {
         wheel.run().await;
-        unreachable!("the wheel runs for ever")
+        unreachable!("the wheel runs forever")
     };
     async_io::block_on(work.or(running))
 }
--- a/src/loop_latency/tests.rs
+++ b/src/loop_latency/tests.rs
@@ -20,6 +20,6 @@
     latency.record(2 * MAX_TURN);
     assert!(
         latency.summary().contains("turns=3"),
-        "one beyond the bound counts, too"
+        "a turn beyond the upper bound is counted as well"
     );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many senders on the same routes, each the real module: what is harmless from one must not be
-//! harmful from all.
+//! Many senders that call the same endpoints, each with a real dispatcher: behavior that is
+//! harmless for one sender must not be harmful when all senders show it.
 
 mod common;
 
@@ -7,43 +7,44 @@
 use raildeal::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Time that a call takes.
-const CALL: Nanos = 200 * MS;
-/// Time that a message has: that of its class, which shows that it is handed in for the first time.
+/// Duration of a call.
+const CALL_DURATION: Nanos = 200 * MS;
+/// Time that a message has. It equals the deadline of the class, which marks a message as submitted
+/// for the first time.
 const TTL: Nanos = 20 * SEC;
-/// Step of the model.
+/// Step of the simulated time.
 const STEP: Nanos = 10 * MS;
-/// Span in which a route counts its calls.
+/// Window in which an endpoint counts its calls.
 const WINDOW: Nanos = 2 * SEC;
 
-/// A route that takes so many calls in each window. Those that it refuses are taken off the next
-/// window, down to a half.
-struct Route {
+/// A simulated endpoint with a limit of calls per window. The calls that it rejects reduce the
+/// limit of the next window, down to one half.
+struct SimulatedEndpoint {
     limit: u32,
-    left: u32,
-    /// It turns connections away.
+    remaining: u32,
+    /// Whether it refuses connections.
     down: bool,
-    taken: Vec<u32>,
-    refused: Vec<u32>,
+    accepted: Vec<u32>,
+    rejected: Vec<u32>,
 }
 
 struct Fleet {
     senders: Vec<Dispatcher>,
     now: Nanos,
-    routes: BTreeMap<EndpointAddress, Route>,
-    /// Calls out: when each ends, whose it is, and how.
-    out: BTreeMap<(Nanos, usize, MessageId), Outcome>,
+    endpoints: BTreeMap<EndpointAddress, SimulatedEndpoint>,
+    /// Outcomes of the calls in flight, by end time, sender and message.
+    in_flight: BTreeMap<(Nanos, usize, MessageId), Outcome>,
     attempts: BTreeMap<(usize, MessageId), u16>,
     delivered: u32,
     next: MessageId,
-    /// Which relay a message comes to, of so many.
-    whose: fn(MessageId, usize) -> usize,
+    /// Returns the sender that receives a message, given its id and the number of senders.
+    sender_of: fn(MessageId, usize) -> usize,
 }
 
 impl Fleet {
-    /// So many relays, each with its own seed, and routes of destination 1 with what the list says
-    /// of each and its limit in calls a second.
-    fn new(senders: u32, routes: &[(u8, f32, f64)]) -> Self {
+    /// Creates senders, each with its own seed, and endpoints of destination 1: number, listed rate
+    /// and actual limit of each, both in calls per second.
+    fn new(senders: u32, endpoints: &[(u8, f32, f64)]) -> Self {
         let of_fleet = Settings {
             senders,
             listed_rates: ListedRates::Approximate,
@@ -55,7 +56,7 @@
             rate,
             ..common::line(n, 1, 2, Condition::Ready)
         };
-        let list: Vec<Listing> = routes.iter().map(line).collect();
+        let list: Vec<Listing> = endpoints.iter().map(line).collect();
         let now = 5 * SEC;
         let senders = (0..senders).map(|i| {
             let mut dispatcher =
@@ -63,29 +64,29 @@
             dispatcher.handle(now, &[Event::CachedList(list.clone())], &mut Vec::new());
             dispatcher
         });
-        let route = |&(n, _, limit): &(u8, f32, f64)| {
+        let simulated = |&(n, _, limit): &(u8, f32, f64)| {
             let limit = (limit * 2.0) as u32;
             (
                 common::at(n),
-                Route {
+                SimulatedEndpoint {
                     limit,
-                    left: limit,
+                    remaining: limit,
                     down: false,
-                    taken: vec![0],
-                    refused: vec![0],
+                    accepted: vec![0],
+                    rejected: vec![0],
                 },
             )
         };
-        let routes = routes.iter().map(route).collect();
+        let endpoints = endpoints.iter().map(simulated).collect();
         Fleet {
             senders: senders.collect(),
             now,
-            routes,
-            out: BTreeMap::new(),
+            endpoints,
+            in_flight: BTreeMap::new(),
             attempts: BTreeMap::new(),
             delivered: 0,
             next: 0,
-            whose: |n, of| (n as usize * 37) % of,
+            sender_of: |n, of| (n as usize * 37) % of,
         }
     }
 
@@ -97,23 +98,23 @@
                 continue;
             };
             *self.attempts.entry((dispatcher, id)).or_insert(0) += 1;
-            let route = self.routes.get_mut(&endpoint).expect("listed");
-            let (taken, refused) = (route.taken.last_mut(), route.refused.last_mut());
-            let (end, outcome) = if route.down {
+            let simulated = self.endpoints.get_mut(&endpoint).expect("listed");
+            let (accepted, rejected) = (simulated.accepted.last_mut(), simulated.rejected.last_mut());
+            let (end, outcome) = if simulated.down {
                 (self.now + STEP, Outcome::ConnectFailed)
-            } else if route.left > 0 {
-                route.left -= 1;
-                *taken.expect("a window") += 1;
-                (self.now + CALL, Outcome::Delivered)
+            } else if simulated.remaining > 0 {
+                simulated.remaining -= 1;
+                *accepted.expect("a window") += 1;
+                (self.now + CALL_DURATION, Outcome::Delivered)
             } else {
-                *refused.expect("a window") += 1;
+                *rejected.expect("a window") += 1;
                 (self.now + STEP, Outcome::Rejected { wait: 0 })
             };
-            self.out.insert((end, dispatcher, id), outcome);
+            self.in_flight.insert((end, dispatcher, id), outcome);
         }
     }
 
-    /// Hands one message to a relay.
+    /// Submits one message to a sender.
     fn arrive(&mut self, dispatcher: usize) {
         self.next += 1;
         let m = Message {
@@ -127,24 +128,24 @@
         self.give(dispatcher, Event::Arrived(m));
     }
 
-    /// Lets a window pass, with so many messages a second arriving at relays in turn.
+    /// Simulates one window, in which messages arrive at the given rate per second.
     fn window(&mut self, rate: f64) {
         let (end, start) = (self.now + WINDOW, self.now);
-        let mut came = 0;
+        let mut arrived = 0;
         while self.now < end {
             self.now += STEP;
-            while f64::from(came) < (self.now - start) as f64 / SEC as f64 * rate {
-                came += 1;
-                self.arrive((self.whose)(self.next, self.senders.len()));
+            while f64::from(arrived) < (self.now - start) as f64 / SEC as f64 * rate {
+                arrived += 1;
+                self.arrive((self.sender_of)(self.next, self.senders.len()));
             }
             while let Some((&(at, dispatcher, id), &outcome)) =
-                self.out.first_key_value().filter(|(k, _)| k.0 <= self.now)
+                self.in_flight.first_key_value().filter(|(k, _)| k.0 <= self.now)
             {
-                self.out.remove(&(at, dispatcher, id));
+                self.in_flight.remove(&(at, dispatcher, id));
                 let finished = outcome == Outcome::Delivered;
                 self.delivered += u32::from(finished);
                 let attempt = self.attempts[&(dispatcher, id)] - 1;
-                let took = if finished { CALL } else { STEP };
+                let took = if finished { CALL_DURATION } else { STEP };
                 self.give(
                     dispatcher,
                     Event::AttemptEnded {
@@ -161,16 +162,16 @@
                 self.give(dispatcher, Event::TimerFired);
             }
         }
-        for r in self.routes.values_mut() {
-            r.left =
-                (r.limit / 2).max(r.limit.saturating_sub(*r.refused.last().expect("a window")));
-            r.taken.push(0);
-            r.refused.push(0);
+        for r in self.endpoints.values_mut() {
+            r.remaining =
+                (r.limit / 2).max(r.limit.saturating_sub(*r.rejected.last().expect("a window")));
+            r.accepted.push(0);
+            r.rejected.push(0);
         }
     }
 
-    fn refused(&self) -> u32 {
-        self.routes.values().flat_map(|r| &r.refused).sum()
+    fn rejected(&self) -> u32 {
+        self.endpoints.values().flat_map(|r| &r.rejected).sum()
     }
 }
 
@@ -180,21 +181,21 @@
     for _ in 0..3 {
         fleet.window(25.0);
     }
-    let taken: Vec<u32> = fleet
-        .routes
+    let accepted: Vec<u32> = fleet
+        .endpoints
         .values()
-        .map(|r| r.taken.iter().sum())
+        .map(|r| r.accepted.iter().sum())
         .collect();
-    let part = f64::from(taken[0]) / f64::from(taken[0] + taken[1]);
-    assert!((0.6..0.85).contains(&part), "{taken:?}");
-    assert_eq!(fleet.refused(), 0);
+    let part = f64::from(accepted[0]) / f64::from(accepted[0] + accepted[1]);
+    assert!((0.6..0.85).contains(&part), "{accepted:?}");
+    assert_eq!(fleet.rejected(), 0);
 }
 
 #[test]
 fn messages_of_busy_senders_are_delivered_while_other_senders_leave_their_quotas_idle() {
     let mut fleet = Fleet::new(100, &[(1, 30.0, 32.0), (2, 20.0, 21.0)]);
-    // A fifth of the senders get four times as much as each of the others.
-    fleet.whose = |n, of| {
+    // A fifth of the senders get four times as many messages as each of the others.
+    fleet.sender_of = |n, of| {
         if n % 2 == 0 {
             (n as usize * 37 / 2) % (of / 5) * 5
         } else {
@@ -211,9 +212,9 @@
         fleet.delivered
     );
     assert!(
-        fleet.refused() * 20 < due,
-        "refused {} of {due}",
-        fleet.refused()
+        fleet.rejected() * 20 < due,
+        "rejected {} of {due}",
+        fleet.rejected()
     );
 }
 
@@ -221,7 +222,8 @@
 fn a_burst_overloads_endpoints_only_briefly() {
     let mut fleet = Fleet::new(100, &[(1, 30.0, 25.0), (2, 20.0, 22.0)]);
     fleet.window(25.0);
-    // Three seconds' worth of the limit at once, on top of what comes anyway.
+    // As many messages as the limit allows in three seconds arrive at once, in addition to the
+    // regular traffic.
     for dispatcher in 0..141 {
         fleet.arrive(dispatcher % 100);
     }
@@ -229,13 +231,13 @@
         fleet.window(25.0);
     }
     let last =
-        |of: fn(&Route) -> &Vec<u32>| -> u32 { fleet.routes.values().map(|r| of(r)[6]).sum() };
+        |of: fn(&SimulatedEndpoint) -> &Vec<u32>| -> u32 { fleet.endpoints.values().map(|r| of(r)[6]).sum() };
     assert!(
-        last(|r| &r.refused) < 10,
-        "still refused 10 s later: {}",
-        last(|r| &r.refused)
+        last(|r| &r.rejected) < 10,
+        "still rejected 10 s later: {}",
+        last(|r| &r.rejected)
     );
-    assert!(fleet.refused() < 141, "refused {}", fleet.refused());
+    assert!(fleet.rejected() < 141, "rejected {}", fleet.rejected());
     assert!(
         fleet.delivered > 450,
         "delivered {} of 491",
@@ -249,41 +251,43 @@
     for _ in 0..12 {
         fleet.window(40.0);
     }
-    let route = &fleet.routes[&common::at(1)];
+    let endpoint = &fleet.endpoints[&common::at(1)];
     let late = |of: &[u32]| -> u32 { of[6..12].iter().sum() };
-    let (taken, refused) = (late(&route.taken), late(&route.refused));
+    let (accepted, rejected) = (late(&endpoint.accepted), late(&endpoint.rejected));
     assert!(
-        f64::from(refused) < 0.2 * f64::from(taken),
-        "{refused} refused, {taken} taken"
+        f64::from(rejected) < 0.2 * f64::from(accepted),
+        "{rejected} rejected, {accepted} accepted"
     );
 }
 
-/// What a fleet's asks came to.
+/// Result of the polls of a fleet.
 #[derive(Debug, Default, PartialEq)]
-struct Told {
-    /// When the last was told, after all began (ms).
-    last: Nanos,
-    asks: u32,
-    /// Asks that failed, though the directory was there.
-    wasted: u32,
+struct PollTotals {
+    /// Time from the start until the last sender had its answer, in milliseconds.
+    last_answer_ms: Nanos,
+    /// Polls that reached the directory.
+    polls: u32,
+    /// Polls that timed out although the directory was reachable.
+    timed_out: u32,
 }
 
-/// A fleet whose first so many senders begin at once, by a start or by the loss of their watches,
-/// after which the directory is not there for a while. It works off asks one after another in `ask`
-/// each, also those that it fails after 3 s.
-fn told(senders: u32, begin: u32, lost: bool, ask: Nanos, down: Nanos) -> Told {
+/// Simulates the polls of a fleet of `senders`, of which the first `begin` begin to poll at once,
+/// after a start or, with `lost`, after the loss of their watches. The directory cannot be reached
+/// for the time `down`, and then processes polls one after the other, each in the time `ask`, even
+/// those that have timed out after 3 s.
+fn poll_fleet(senders: u32, begin: u32, lost: bool, ask: Nanos, down: Nanos) -> PollTotals {
     const FAILS: Nanos = 3 * SEC;
-    let asks = Settings {
+    let polling = Settings {
         senders,
         poll_list: true,
         poll_deadline: 10 * SEC,
         ..settings()
     };
     let dispatcher =
-        |i| Dispatcher::new(asks.clone(), 1000 + u64::from(i)).expect("usable settings");
+        |i| Dispatcher::new(polling.clone(), 1000 + u64::from(i)).expect("usable settings");
     let mut senders: Vec<Dispatcher> = (0..begin).map(dispatcher).collect();
-    let (mut queue, mut free_at, mut told) =
-        (VecDeque::<(Nanos, usize)>::new(), 0, Told::default());
+    let (mut queue, mut free_at, mut totals) =
+        (VecDeque::<(Nanos, usize)>::new(), 0, PollTotals::default());
     let mut start = 5 * SEC;
     let mut events = vec![vec![Event::CachedList(Vec::new())]; senders.len()];
     let mut wake = vec![Nanos::MAX; senders.len()];
@@ -314,17 +318,17 @@
             });
             wake[i] = again.unwrap_or(if wake[i] <= now { Nanos::MAX } else { wake[i] });
             if actions.contains(&Action::WatchList) {
-                assert!(!watching[i], "asked while it watches");
+                assert!(!watching[i], "polled while it watches");
                 if now < start + down {
                     events[i].push(Event::ListFailed);
                 } else {
-                    told.asks += 1;
+                    totals.polls += 1;
                     queue.push_back((now, i));
                 }
             }
         }
         for (_, i) in queue.iter().filter(|(asked, _)| *asked + FAILS == now) {
-            told.wasted += 1;
+            totals.timed_out += 1;
             events[*i].push(Event::ListFailed);
         }
         while let Some((asked, i)) = queue.front().copied().filter(|_| free_at <= now) {
@@ -332,15 +336,15 @@
             free_at = free_at.max(asked) + ask;
             if now < asked + FAILS {
                 events[i].push(Event::ListChanges(Vec::new()));
-                (watching[i], told.last) = (true, (now - start) / MS);
+                (watching[i], totals.last_answer_ms) = (true, (now - start) / MS);
             }
         }
         if watching.iter().all(|w| *w) && queue.is_empty() {
-            return told;
+            return totals;
         }
     }
     panic!(
-        "{} of {} told in 2,000 s: {told:?}",
+        "{} of {} have an answer after 2,000 s: {totals:?}",
         watching.iter().filter(|w| **w).count(),
         watching.len()
     );
@@ -354,23 +358,23 @@
         (300, 210, false),
         (300, 300, true),
     ] {
-        let told = told(senders, begin, lost, 55 * MS, 0);
+        let totals = poll_fleet(senders, begin, lost, 55 * MS, 0);
         let ideal = u64::from(begin) * 55;
         assert!(
-            told.last * 10 < ideal * 13,
-            "{senders} {begin} {lost}: {told:?}"
+            totals.last_answer_ms * 10 < ideal * 13,
+            "{senders} {begin} {lost}: {totals:?}"
         );
         assert!(
-            told.wasted * 20 < told.asks,
-            "{senders} {begin} {lost}: {told:?}"
+            totals.timed_out * 20 < totals.polls,
+            "{senders} {begin} {lost}: {totals:?}"
         );
     }
 }
 
 #[test]
 fn a_recovered_or_slow_directory_answers_a_fleet_soon_and_is_not_overloaded() {
-    // Back after 60 s, at a third of its speed, and larger fleets than it can serve in the time
-    // that the settings leave.
+    // A directory that recovers after 60 s, one at a third of the speed, and fleets that are too
+    // large to be served within the poll deadline of the settings.
     let cases = [
         (300, 55, 60, 1.5),
         (300, 165, 0, 3.0),
@@ -379,29 +383,31 @@
         (3_000, 55, 0, 1.3),
     ];
     for (senders, ask, down, most) in cases {
-        let told = told(senders, senders, false, ask * MS, down * SEC);
+        let totals = poll_fleet(senders, senders, false, ask * MS, down * SEC);
         let ideal = (u64::from(senders) * ask) as f64;
         assert!(
-            ((told.last - down * 1_000) as f64) < most * ideal,
-            "{senders} {ask} {down}: {told:?}"
+            ((totals.last_answer_ms - down * 1_000) as f64) < most * ideal,
+            "{senders} {ask} {down}: {totals:?}"
         );
-        assert!(told.asks <= 3 * senders, "{senders} {ask} {down}: {told:?}");
+        assert!(totals.polls <= 3 * senders, "{senders} {ask} {down}: {totals:?}");
     }
 }
 
-/// Seconds that a sender is followed for: an ask that failed in the line is made again after two
-/// long spreads at the most.
-const PLAYED: u32 = 120;
+/// Seconds that a sender is simulated for: a poll that failed in the directory's queue is repeated
+/// after at most two long random delays.
+const SIMULATED_SECONDS: u32 = 120;
 
-/// When an ask is told no: that nobody is there, and that it waited in the line for too long.
-const DOWN: Nanos = 2 * SEC;
-const LINE: Nanos = 3 * SEC;
+/// Time after which a poll fails because the directory cannot be reached.
+const UNREACHABLE_AFTER: Nanos = 2 * SEC;
+/// Time after which a poll fails because it waited in the directory's queue for too long.
+const QUEUE_TIMEOUT: Nanos = 3 * SEC;
 
-/// In which seconds after a start a sender of 300 calls, with a message a second, where its first
-/// ask comes at some time and the directory tells each ask no until `silent`, so long after it came;
-/// in which second it is told, and when the asks came that were told no.
-fn calls_of_one(asks_after: bool, silent: Nanos, no_after: Nanos) -> (Vec<u32>, u32, Vec<Nanos>) {
-    let asks = Settings {
+/// Simulates one of 300 senders after its start, with one message per second. The seed is chosen so
+/// that its first poll is late (12 s or more) or early (less than 9 s). Until the time
+/// `fails_until`, each poll fails after `fails_after`. Returns the seconds in which the sender made
+/// calls, the second of the first successful poll, and the times at which polls failed.
+fn calls_of_one_sender(polls_late: bool, fails_until: Nanos, fails_after: Nanos) -> (Vec<u32>, u32, Vec<Nanos>) {
+    let polling = Settings {
         senders: 300,
         poll_list: true,
         poll_deadline: 10 * SEC,
@@ -413,28 +419,28 @@
         ..common::ready(1, 1)
     };
     let first_ask = |seed| {
-        let mut d = common::Driver::new(asks.clone(), Vec::new());
-        d.dispatcher = Dispatcher::new(asks.clone(), seed).expect("usable settings");
+        let mut d = common::Driver::new(polling.clone(), Vec::new());
+        d.dispatcher = Dispatcher::new(polling.clone(), seed).expect("usable settings");
         (0..20)
             .find(|_| d.pass(SEC).contains(&Action::WatchList))
-            .expect("asks")
+            .expect("polls")
     };
     let seed = (1..).find(|seed| {
-        if asks_after {
+        if polls_late {
             first_ask(*seed) >= 12
         } else {
             first_ask(*seed) < 9
         }
     });
-    let mut d = common::Driver::new(asks.clone(), Vec::new());
+    let mut d = common::Driver::new(polling.clone(), Vec::new());
     d.dispatcher =
-        Dispatcher::new(asks.clone(), seed.expect("one of them")).expect("usable settings");
+        Dispatcher::new(polling.clone(), seed.expect("one of them")).expect("usable settings");
     d.give(Event::CachedList(vec![line]));
     let (mut called, mut asked, mut watching) = (Vec::new(), None, None);
-    let (mut in_vain, started) = (Vec::new(), d.now);
-    for second in 0..PLAYED {
+    let (mut failed_polls, started) = (Vec::new(), d.now);
+    for second in 0..SIMULATED_SECONDS {
         let mut seen = d.arrive(second, 0, 1);
-        // A watch says every 2 s that there is nothing.
+        // A watch reports every 2 s that nothing has changed.
         if watching.is_some() && second % 2 == 0 {
             seen.extend(d.give(Event::ListChanges(Vec::new())));
         }
@@ -445,11 +451,11 @@
             } else {
                 asked
             };
-            if asked.is_some_and(|at| d.now >= at + no_after) {
+            if asked.is_some_and(|at| d.now >= at + fails_after) {
                 seen.extend(d.give(Event::ListFailed));
-                in_vain.extend(asked.take().map(|at| at - started));
+                failed_polls.extend(asked.take().map(|at| at - started));
             }
-            if asked.is_some() && Nanos::from(second) * SEC >= silent {
+            if asked.is_some() && Nanos::from(second) * SEC >= fails_until {
                 seen.extend(d.give(Event::ListChanges(Vec::new())));
                 (asked, watching) = (None, Some(second));
             }
@@ -460,91 +466,90 @@
             .for_each(|id| drop(d.end(*id, Outcome::Delivered)));
         called.extend((!sent.is_empty()).then_some(second));
     }
-    (called, watching.expect("told"), in_vain)
+    (called, watching.expect("a successful poll"), failed_polls)
 }
 
 #[test]
 fn a_sender_whose_list_may_miss_a_drain_makes_no_calls_until_it_is_polled() {
-    // Its turn to ask comes after a change counts as told: what the list says is not to be trusted
-    // in between.
-    for silent in [5, 10, 30] {
-        let (called, told, _) = calls_of_one(true, silent * SEC, LINE);
-        assert!((0..6).all(|s| called.contains(&s)), "{silent}: {called:?}");
+    // The sender polls only after the time from which a drain takes effect, so that its list must
+    // not be trusted in between.
+    for fails_until in [5, 10, 30] {
+        let (called, first_answer, _) = calls_of_one_sender(true, fails_until * SEC, QUEUE_TIMEOUT);
+        assert!((0..6).all(|s| called.contains(&s)), "{fails_until}: {called:?}");
         assert!(
             (6..12).all(|s| !called.contains(&s)),
-            "{silent}: {called:?}"
+            "{fails_until}: {called:?}"
         );
         assert!(
-            (told + 1..PLAYED).all(|s| called.contains(&s)),
-            "{silent}: {called:?}"
+            (first_answer + 1..SIMULATED_SECONDS).all(|s| called.contains(&s)),
+            "{fails_until}: {called:?}"
         );
     }
-    // One of many whose turn comes sooner asks a directory that is down: nobody was told anything
-    // when it asked, so it goes on by the list for six seconds from then on.
-    for silent in [12, 20] {
-        let (called, told, in_vain) = calls_of_one(false, silent * SEC, DOWN);
-        assert!((0..6).all(|s| called.contains(&s)), "{silent}: {called:?}");
+    // A sender that polls earlier finds the directory down. No sender has received a change by
+    // then, so it trusts the list for another six seconds.
+    for fails_until in [12, 20] {
+        let (called, first_answer, failed_polls) = calls_of_one_sender(false, fails_until * SEC, UNREACHABLE_AFTER);
+        assert!((0..6).all(|s| called.contains(&s)), "{fails_until}: {called:?}");
         let counts_later = |s: u32| {
-            let from = |at: &Nanos| Nanos::from(s + 1) * SEC > at + DOWN;
+            let from = |at: &Nanos| Nanos::from(s + 1) * SEC > at + UNREACHABLE_AFTER;
             let to = |at: &Nanos| Nanos::from(s) * SEC < at + 6 * SEC;
-            in_vain.iter().any(|at| from(at) && to(at))
+            failed_polls.iter().any(|at| from(at) && to(at))
         };
         assert!(
-            told > 12 && (6..told).all(|s| !called.contains(&s) || counts_later(s)),
-            "{silent} {told} {in_vain:?}: {called:?}"
+            first_answer > 12 && (6..first_answer).all(|s| !called.contains(&s) || counts_later(s)),
+            "{fails_until} {first_answer} {failed_polls:?}: {called:?}"
         );
         assert!(
             (9..12).all(|s| called.contains(&s)),
-            "{silent} {told} {in_vain:?}: {called:?}"
+            "{fails_until} {first_answer} {failed_polls:?}: {called:?}"
         );
         assert!(
-            (told + 1..PLAYED).all(|s| called.contains(&s)),
-            "{silent}: {called:?}"
+            (first_answer + 1..SIMULATED_SECONDS).all(|s| called.contains(&s)),
+            "{fails_until}: {called:?}"
         );
     }
-    // Where its ask failed in the line, the directory could be reached: others were told, and it
-    // calls nobody until it is told, too.
-    for silent in [12, 20] {
-        let (called, told, _) = calls_of_one(false, silent * SEC, LINE);
-        assert!((0..6).all(|s| called.contains(&s)), "{silent}: {called:?}");
+    // A poll that failed in the directory's queue shows that the directory could be reached. Other
+    // senders may have received changes, so the sender makes no calls until a poll succeeds.
+    for fails_until in [12, 20] {
+        let (called, first_answer, _) = calls_of_one_sender(false, fails_until * SEC, QUEUE_TIMEOUT);
+        assert!((0..6).all(|s| called.contains(&s)), "{fails_until}: {called:?}");
         assert!(
-            told > 12 && (12..told).all(|s| !called.contains(&s)),
-            "{silent} {told}: {called:?}"
+            first_answer > 12 && (12..first_answer).all(|s| !called.contains(&s)),
+            "{fails_until} {first_answer}: {called:?}"
         );
         assert!(
-            (told + 1..PLAYED).all(|s| called.contains(&s)),
-            "{silent}: {called:?}"
+            (first_answer + 1..SIMULATED_SECONDS).all(|s| called.contains(&s)),
+            "{fails_until}: {called:?}"
         );
     }
 }
 
-/// Calls that a small route takes in each 2 s after it was down for 6 s.
-fn returned(senders: u32) -> Vec<u32> {
+/// Returns the calls that a small endpoint accepts in each 2 s after it was down for 6 s.
+fn calls_after_outage(senders: u32) -> Vec<u32> {
     let mut fleet = Fleet::new(senders, &[(1, 20.0, 24.0)]);
-    let route = common::at(1);
+    let address = common::at(1);
     (0..3).for_each(|_| fleet.window(15.0));
-    fleet.routes.get_mut(&route).expect("listed").down = true;
+    fleet.endpoints.get_mut(&address).expect("listed").down = true;
     (0..3).for_each(|_| fleet.window(15.0));
-    fleet.routes.get_mut(&route).expect("listed").down = false;
+    fleet.endpoints.get_mut(&address).expect("listed").down = false;
     (0..6).for_each(|_| fleet.window(15.0));
-    fleet.routes[&route].taken[6..12].to_vec()
+    fleet.endpoints[&address].accepted[6..12].to_vec()
 }
 
 #[test]
 fn a_small_endpoint_is_used_during_its_warm_up_and_not_overloaded() {
-    let (taken, s) = (returned(100), settings());
-    for (i, calls) in taken.iter().enumerate() {
-        // What it could do at the end of the window, cold as it was, a third over its limit when
-        // warm.
+    let (accepted, s) = (calls_after_outage(100), settings());
+    for (i, calls) in accepted.iter().enumerate() {
+        // Capacity at the end of the window by the slow start; when warm, a third over the limit.
         let warm = (2.0 * (i as f64 + 1.0) * SEC as f64 / s.slow_start_duration as f64).min(1.0);
         let capacity =
             24.0 * 1.3 * (s.slow_start_fraction + (1.0 - s.slow_start_fraction) * warm) * 2.0;
         assert!(
             f64::from(*calls) < s.overload_factor * capacity,
-            "{taken:?}"
+            "{accepted:?}"
         );
     }
-    assert!(taken.iter().sum::<u32>() > 150, "{taken:?}");
+    assert!(accepted.iter().sum::<u32>() > 150, "{accepted:?}");
 }
 
 #[test]
@@ -579,7 +584,7 @@
     }
     d.seen.clear();
     let mut calls = 0;
-    // The return is drawn, and may come after the time of those that were there at first.
+    // The time of recovery is random, and may be after the deadlines of the first messages.
     for id in 100.. {
         if calls > 0 {
             break;
@@ -598,16 +603,16 @@
     }
     assert!(
         calls <= 6,
-        "{calls} calls in the first 3 s of a partner that is cold"
+        "{calls} calls in the first 3 s of a recovering endpoint"
     );
 }
 
 /// `cargo test --release --test fleet -- --ignored --nocapture` prints the table in docs/fleet.md.
 #[test]
-#[ignore = "a table to read"]
+#[ignore = "prints a table"]
 fn figures_by_number_of_senders() {
     for senders in [3, 10, 30, 100, 300, 1_000, 3_000] {
-        let by = |begin, lost, ask, down| told(senders, begin, lost, ask * MS, down * SEC);
+        let by = |begin, lost, ask, down| poll_fleet(senders, begin, lost, ask * MS, down * SEC);
         println!(
             "{senders} senders: start {:?}, seven in ten {:?}",
             by(senders, false, 55, 0),
@@ -623,10 +628,10 @@
         }
     }
     for senders in [3, 10, 30, 100, 300] {
-        let taken = returned(senders);
+        let accepted = calls_after_outage(senders);
         println!(
-            "{senders} senders: taken after an outage {} {taken:?}",
-            taken.iter().sum::<u32>()
+            "{senders} senders: taken after an outage {} {accepted:?}",
+            accepted.iter().sum::<u32>()
         );
     }
 }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,8 +1,8 @@
-//! Where objects of the list begin and end, in whatever pieces they come.
+//! Boundaries of the objects in a stream of list updates, however the stream is split.
 
 use raildeal::net::platform::list::{Objects, Said, Spoilt};
 
-/// All that is said in these pieces, or what is wrong with them.
+/// Returns all that is parsed from the pieces, or the error.
 fn said(pieces: &[&[u8]]) -> Result<Vec<Said>, Spoilt> {
     let (mut objects, mut text, mut all) = (Objects::default(), Vec::new(), Vec::new());
     for piece in pieces {
@@ -10,7 +10,7 @@
         while let Some(said) = objects.next(&mut text)? {
             all.push(said);
         }
-        assert!(text.is_empty(), "each byte is looked at once");
+        assert!(text.is_empty(), "each byte is consumed once");
     }
     Ok(all)
 }
@@ -55,6 +55,6 @@
     assert_eq!(
         said(&[piece.as_slice(); 8]),
         Ok(vec![]),
-        "nothing of this is kept"
+        "white space is not buffered"
     );
 }
--- a/tests/log_filter.rs
+++ b/tests/log_filter.rs
@@ -1,4 +1,4 @@
-//! Filters of `RUST_LOG` by the paths that modules had before mean the same messages.
+//! Filters of `RUST_LOG` by earlier paths of modules select the same messages.
 
 use raildeal::log_filter::with_present_paths;
 
--- a/tests/message_delivery.rs
+++ b/tests/message_delivery.rs
@@ -1,5 +1,5 @@
-//! Message delivery alone, between an endpoint client and a frontend of this file: which attempts
-//! are made, what clients are answered, and what a message leaves in the journal.
+//! Message delivery with stand-ins for the endpoint client and the frontend: the attempts that are
+//! made, the answers to clients, and the entries in the journal.
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
@@ -36,7 +36,7 @@
 
 const SEC: u64 = 1_000_000_000;
 
-/// What happens while the first connection comes up.
+/// Callback that runs while the first connection is established.
 type DuringConnect = fn(&DispatcherDriver, &EndpointDirectory, &Endpoint);
 type DuringConnectHook = Box<dyn Fn(&DispatcherDriver, &EndpointDirectory, &Endpoint)>;
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Attempt {
     zone: String,
-    /// Whether its first byte was allowed to go.
+    /// Whether its first byte was allowed to be sent.
     was_authorized: bool,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// An endpoint client whose attempts end as a list says.
+/// An endpoint client whose attempts end with the given outcomes, in order.
 struct ScriptedEndpoints {
     outcomes: RefCell<VecDeque<Outcome>>,
     attempts: RefCell<Vec<Attempt>>,
@@ -101,11 +101,11 @@
     fn watch_list(&self) {}
 }
 
-/// A frontend that keeps the final answers.
+/// A frontend that records the final answers.
 #[derive(Default)]
 struct RecordingFrontend {
     final_answers: RefCell<Vec<Verdict>>,
-    /// Happens as a message is registered under its id: before it is written down.
+    /// Callback that runs when a message is registered under its id, before it is in the journal.
     on_registration: RefCell<Option<Box<dyn Fn()>>>,
 }
 
@@ -127,7 +127,7 @@
     }
 }
 
-/// Keeps what a client is answered.
+/// Records the answer to a client.
 struct RecordingReply(Rc<RefCell<Vec<&'static str>>>);
 
 impl ClientReply for RecordingReply {
@@ -145,7 +145,7 @@
     }
 }
 
-/// A client whose message has to be accepted.
+/// The reply to a client whose message has to be accepted.
 struct ExpectAccepted;
 
 impl ClientReply for ExpectAccepted {
@@ -186,17 +186,17 @@
     }
 }
 
-/// Message delivery on a folder, and what it is made of.
+/// Message delivery with its journal in a folder, and its stand-ins.
 struct Fixture {
     context: Rc<DeliveryContext>,
     endpoints: Rc<ScriptedEndpoints>,
     frontend: Rc<RecordingFrontend>,
-    /// What an earlier one left open.
+    /// Records that an earlier process left open.
     records: Vec<OpenRecord>,
 }
 
 impl Fixture {
-    /// One whose attempts end so.
+    /// Creates a fixture whose attempts end with the given outcomes.
     fn new(
         folder: &TempDir,
         setup: JournalOptions,
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Hands the message in, and serves it to its end.
+    /// Submits a message, and handles it until its end.
     async fn receive(&self, message: Submission, reply: impl ClientReply + 'static) {
         let Submission {
             client,
@@ -276,7 +276,7 @@
         receive(context, client, envelope, time, Box::new(reply)).await;
     }
 
-    /// Ends with the first attempt.
+    /// Waits for the first attempt.
     async fn first_attempt(&self) {
         while self.endpoints.attempts.borrow().is_empty() {
             self.context.wheel.sleep(Duration::from_millis(5)).await;
@@ -291,7 +291,7 @@
         self.frontend.final_answers.borrow().clone()
     }
 
-    /// Adds tables 1 and 2, which lead to one zone each.
+    /// Adds tables 1 and 2, which route to one zone each, a and b.
     fn add_tables(&self) {
         for (number, zone) in [(1, "a"), (2, "b")] {
             let routes = Routes::new(1, 1, vec![route_to(zone)]);
@@ -300,7 +300,7 @@
     }
 }
 
-/// A list of one endpoint in each of two zones.
+/// Returns a list of one endpoint in each of two zones.
 fn two_zones() -> EndpointListUpdate {
     let entries = ["a", "b"].map(|zone| EndpointEntry {
         uid: zone.into(),
@@ -328,7 +328,7 @@
     }
 }
 
-/// What a client hands in.
+/// A client's submission.
 struct Submission {
     client: Client,
     envelope: Envelope,
@@ -353,7 +353,7 @@
     }
 }
 
-/// What a message leaves behind.
+/// Observable results of a message.
 struct Trail {
     attempts: Vec<Attempt>,
     final_answers: Vec<Verdict>,
@@ -361,7 +361,7 @@
     journal: Vec<u8>,
 }
 
-/// Delivers a message whose attempts end so.
+/// Delivers a message whose attempts end with the given outcomes.
 fn run(outcomes: &[Outcome], during_connect: Option<DuringConnect>) -> Trail {
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
     let fixture = Fixture::new(&folder, JournalOptions::new(1_000_000), outcomes, &executor);
@@ -375,12 +375,12 @@
     }
 }
 
-/// The file that is written first: the last that was made.
+/// Returns the name of the segment that is written first, which is the one created last.
 fn segment() -> String {
     "0003.seg".into()
 }
 
-/// What the next process finds after a cut at this byte.
+/// Returns the record that the next process finds if the journal is cut off at this byte.
 fn account_after_cut(bytes: &[u8], cut: usize) -> Option<MessageRecord> {
     let image = [(segment(), bytes[..cut].to_vec())].into();
     let disk = Arc::new(FaultyDisk::from_image(image));
@@ -392,9 +392,9 @@
     records.first().map(|r| r.snapshot())
 }
 
-/// However early a process ends, the next one must not take a message for one that never ran once
-/// an attempt of it may have: a delivery whose verdict was not yet written looked so, and could
-/// have gone to the other zone.
+/// Guards against a process that considers a message not run although an attempt of an earlier
+/// process may have run. This happened to a delivered message whose verdict was not yet written:
+/// the message could have been sent to the other zone.
 #[test]
 fn a_message_that_may_have_run_is_known_as_such_after_a_kill_at_any_byte() {
     for last in [
@@ -443,8 +443,8 @@
     assert_eq!(trail.attempts, vec![sent_to(&first_zone); 4]);
 }
 
-/// A connection takes its time to come up, and what the dispatcher saw when it chose may be over by
-/// then.
+/// Guards against an attempt by outdated state: the state in which the dispatcher chose the
+/// endpoint may change while the connection is established.
 #[test]
 fn a_retry_after_or_drain_reported_during_connect_stops_an_attempt_before_its_first_byte() {
     let wait: DuringConnect = |_, directory, endpoint| {
@@ -473,7 +473,7 @@
 
 #[test]
 fn a_held_message_follows_a_new_table_at_its_next_attempt_and_keeps_its_table_number() {
-    // By the first table it would wait for the first zone for most of its time.
+    // Under the first table the message would wait for the first zone for most of its time.
     let outcomes = [Outcome::Rejected { wait: 12 * SEC }, Outcome::Delivered];
     let (folder, executor) = (TempDir::new().expect("a folder"), LocalExecutor::new());
     let fixture = Fixture::new(
@@ -553,8 +553,9 @@
     assert_eq!(fixture.final_answers(), [Verdict::Delivered]);
 }
 
-/// The first tenant's messages go to the other zone: the dispatcher, and the check right before the
-/// first byte, have to know whose it is, also in the next process.
+/// Guards against a message that loses its tenant. The messages of tenant 1 are routed to another
+/// zone, so the dispatcher and the check right before the first byte need the tenant, also in the
+/// next process.
 #[test]
 fn a_message_follows_its_tenant_s_route_also_after_a_kill() {
     let to_tenant = RouteSpec {
@@ -591,14 +592,14 @@
     assert_eq!(fixture.final_answers(), [Verdict::Delivered]);
 }
 
-/// A process may stand still between any two steps, and the fleet's agreed state changes without it
-/// meanwhile.
+/// Guards against accepting a message under outdated state: a process may be suspended between any
+/// two steps while the coordinated state of all senders changes.
 #[test]
 fn a_message_that_may_no_longer_be_accepted_before_the_journal_is_not_written() {
     let over = AdmissionState::Open {
         until: Some(Instant::now()),
     };
-    // Or the admission state stays as it is, and the table is another one.
+    // `None` leaves the admission state unchanged and activates another table.
     for changed_state in [
         Some(AdmissionState::Fenced),
         Some(AdmissionState::Paused),
@@ -642,10 +643,10 @@
         let admission = fixture.context.admission.clone();
         admission.set(AdmissionState::Open { until: None });
         let answers = Rc::<RefCell<Vec<&'static str>>>::default();
-        let hand_in = || fixture.receive(message(), RecordingReply(answers.clone()));
-        // Its sync is on its way when the copy comes, and when the state is set.
-        let copy_and_change = future::zip(hand_in(), async { admission.set(state) });
-        let both = future::zip(hand_in(), copy_and_change);
+        let submit = || fixture.receive(message(), RecordingReply(answers.clone()));
+        // The sync is in progress when the duplicate arrives, and when the state is set.
+        let duplicate_and_change = future::zip(submit(), async { admission.set(state) });
+        let both = future::zip(submit(), duplicate_and_change);
         async_io::block_on(executor.run(both));
         assert_eq!(answers.borrow().as_slice(), [answer, answer]);
         assert!(fixture.context.journal.statistics().requested_bytes > 0);
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -1,5 +1,5 @@
-//! A fleet of any size at a fixed sum of traffic, each sender the real module: what each one's part
-//! of a listed rate costs.
+//! Fleets of different sizes with the same total traffic, each sender with a real dispatcher: the
+//! cost of dividing the listed rates among the senders.
 
 mod common;
 
@@ -8,39 +8,43 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// Step of the model, time of a call, time that a message has, and span in which an endpoint counts
-/// its calls.
+/// Step of the simulated time.
 const STEP: Nanos = 5 * MS;
-const CALL: Nanos = 20 * MS;
+/// Duration of a call.
+const CALL_DURATION: Nanos = 20 * MS;
+/// Time that a message has.
 const TTL: Nanos = 12 * SEC;
+/// Window in which an endpoint counts its calls.
 const WINDOW: Nanos = 2 * SEC;
-/// Destinations, endpoints of each, and calls a second that the list tells of each endpoint.
-const DESTS: u16 = 10;
-const EACH: u8 = 3;
-const LISTED: f32 = 5.0;
+/// Number of destinations.
+const DESTINATIONS: u16 = 10;
+/// Endpoints of each destination.
+const ENDPOINTS_PER_DESTINATION: u8 = 3;
+/// Listed rate of each endpoint, in calls per second.
+const LISTED_RATE: f32 = 5.0;
 
-/// What a play is of.
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
-struct Play {
+struct Simulation {
     senders: u32,
-    /// Messages a second in all.
+    /// Total messages per second.
     traffic: f64,
-    /// Limit of an endpoint, as a part of what is listed.
+    /// Actual limit of an endpoint, as a fraction of its listed rate.
     limit: f64,
     /// Whether a fifth of the senders get most of the traffic, and two destinations.
     uneven: bool,
     seed: u64,
-    /// Seconds in which messages come.
+    /// Seconds in which messages arrive.
     span: u64,
-    /// Messages that are there at the start, for each sender.
+    /// Messages at the start, for each sender.
     held: u32,
-    /// Those are of an earlier life.
+    /// Whether the messages at the start are resumed from an earlier process.
     resumed: bool,
 }
 
-impl Default for Play {
+impl Default for Simulation {
     fn default() -> Self {
-        Play {
+        Simulation {
             senders: 300,
             traffic: 58.7,
             limit: 1.0,
@@ -53,32 +57,33 @@
     }
 }
 
+/// Totals of a simulation.
 #[derive(Debug, Default, PartialEq)]
-struct Came {
+struct Totals {
     messages: u32,
     delivered: u32,
     calls: u32,
-    refused: u32,
-    /// Sum of the time until delivery (ms).
-    waited: u64,
+    rejected: u32,
+    /// Sum of the times until delivery, in milliseconds.
+    delivery_ms: u64,
 }
 
-impl Came {
-    fn share(&self) -> f64 {
+impl Totals {
+    fn delivered_share(&self) -> f64 {
         f64::from(self.delivered) / f64::from(self.messages.max(1))
     }
 
-    fn vain(&self) -> f64 {
-        f64::from(self.refused) / f64::from(self.calls.max(1))
+    fn rejected_share(&self) -> f64 {
+        f64::from(self.rejected) / f64::from(self.calls.max(1))
     }
 }
 
-/// An endpoint: calls left in this window, and those refused in it, which it takes off its next
-/// one, down to a half.
-struct Route {
+/// A simulated endpoint with a limit of calls per window. The calls that it rejects in a window
+/// reduce the limit of the next one, down to one half.
+struct SimulatedEndpoint {
     limit: u32,
-    left: u32,
-    refused: u32,
+    remaining: u32,
+    rejected: u32,
 }
 
 fn draw(seed: &mut u64) -> f64 {
@@ -88,8 +93,8 @@
     (*seed >> 11) as f64 / (1u64 << 53) as f64
 }
 
-impl Play {
-    fn run(self) -> Came {
+impl Simulation {
+    fn run(self) -> Totals {
         let short = |effect| Class {
             deadline: TTL,
             ..common::class(effect)
@@ -109,23 +114,23 @@
             port: 80,
         };
         let mut list = Vec::new();
-        let mut routes = HashMap::new();
-        for d in 0..DESTS {
-            for n in 0..EACH {
+        let mut endpoints = HashMap::new();
+        for d in 0..DESTINATIONS {
+            for n in 0..ENDPOINTS_PER_DESTINATION {
                 let endpoint = at(d, n);
                 list.push(Listing {
                     endpoint,
-                    rate: LISTED,
+                    rate: LISTED_RATE,
                     ..common::line(0, d, 2, Condition::Ready)
                 });
                 let limit =
-                    (f64::from(LISTED) * self.limit * WINDOW as f64 / SEC as f64).round() as u32;
-                routes.insert(
+                    (f64::from(LISTED_RATE) * self.limit * WINDOW as f64 / SEC as f64).round() as u32;
+                endpoints.insert(
                     (endpoint.addr, endpoint.port),
-                    Route {
+                    SimulatedEndpoint {
                         limit,
-                        left: limit,
-                        refused: 0,
+                        remaining: limit,
+                        rejected: 0,
                     },
                 );
             }
@@ -137,17 +142,17 @@
             .collect();
         let mut wake = vec![Nanos::MAX; senders.len()];
         let mut due: BinaryHeap<Reverse<(Nanos, usize)>> = BinaryHeap::new();
-        let mut out: BTreeMap<(Nanos, usize, MessageId), Outcome> = BTreeMap::new();
-        let mut tries: HashMap<MessageId, (u16, Nanos)> = HashMap::new();
-        let mut came = Came::default();
+        let mut in_flight: BTreeMap<(Nanos, usize, MessageId), Outcome> = BTreeMap::new();
+        let mut attempts: HashMap<MessageId, (u16, Nanos)> = HashMap::new();
+        let mut totals = Totals::default();
         let mut next: MessageId = 0;
         let (end, last) = (start + self.span * SEC, start + self.span * SEC + TTL + SEC);
-        let mut coming = start;
+        let mut next_arrival = start;
         for now in (start..last).step_by(STEP as usize) {
             if (now - start) % WINDOW == 0 && now > start {
-                for r in routes.values_mut() {
-                    r.left = (r.limit / 2).max(r.limit.saturating_sub(r.refused));
-                    r.refused = 0;
+                for r in endpoints.values_mut() {
+                    r.remaining = (r.limit / 2).max(r.limit.saturating_sub(r.rejected));
+                    r.rejected = 0;
                 }
             }
             let mut events: Vec<(usize, Event)> = Vec::new();
@@ -156,19 +161,19 @@
             }
             let first = now == start;
             let mut count = if first { self.held * self.senders } else { 0 };
-            while coming <= now && coming < end {
-                coming += (-(1.0 - draw(&mut seed)).ln() / self.traffic * SEC as f64) as Nanos;
+            while next_arrival <= now && next_arrival < end {
+                next_arrival += (-(1.0 - draw(&mut seed)).ln() / self.traffic * SEC as f64) as Nanos;
                 count += 1;
             }
             for i in 0..count {
                 next += 1;
-                came.messages += 1;
+                totals.messages += 1;
                 let of = if self.uneven && draw(&mut seed) < 0.5 {
                     self.senders / 5
                 } else {
                     self.senders
                 };
-                let whose = if first && i < self.held * self.senders {
+                let sender = if first && i < self.held * self.senders {
                     (i % self.senders) as usize
                 } else {
                     ((draw(&mut seed) * f64::from(of)) as usize).min(senders.len() - 1)
@@ -176,10 +181,10 @@
                 let of = if self.uneven && draw(&mut seed) < 0.2 {
                     2.0
                 } else {
-                    f64::from(DESTS)
+                    f64::from(DESTINATIONS)
                 };
                 let dest = (draw(&mut seed) * of) as u16;
-                tries.insert(next, (0, now));
+                attempts.insert(next, (0, now));
                 let m = Message {
                     id: next,
                     tenant: 0,
@@ -189,30 +194,30 @@
                     dest,
                 };
                 let prior = PriorAttempts::default();
-                let again = self.resumed && first && i < self.held * self.senders;
-                let comes = if again {
+                let is_resumed = self.resumed && first && i < self.held * self.senders;
+                let comes = if is_resumed {
                     Event::Resumed { message: m, prior }
                 } else {
                     Event::Arrived(m)
                 };
-                events.push((whose, comes));
+                events.push((sender, comes));
             }
             while let Some((&(at, dispatcher, id), &outcome)) =
-                out.first_key_value().filter(|(k, _)| k.0 <= now)
+                in_flight.first_key_value().filter(|(k, _)| k.0 <= now)
             {
-                out.remove(&(at, dispatcher, id));
+                in_flight.remove(&(at, dispatcher, id));
                 let finished = outcome == Outcome::Delivered;
-                let (tried, born) = tries[&id];
+                let (attempts_made, created_at) = attempts[&id];
                 if finished {
-                    came.delivered += 1;
-                    came.waited += (now - born) / MS;
+                    totals.delivered += 1;
+                    totals.delivery_ms += (now - created_at) / MS;
                 }
-                let took = if finished { CALL } else { STEP };
+                let took = if finished { CALL_DURATION } else { STEP };
                 events.push((
                     dispatcher,
                     Event::AttemptEnded {
                         id,
-                        attempt: tried - 1,
+                        attempt: attempts_made - 1,
                         outcome,
                         took,
                         finished,
@@ -239,17 +244,17 @@
                             due.push(Reverse((now + span, dispatcher)));
                         }
                         Action::Send { id, endpoint, .. } => {
-                            tries.entry(id).and_modify(|t| t.0 += 1);
-                            came.calls += 1;
-                            let r = routes
+                            attempts.entry(id).and_modify(|t| t.0 += 1);
+                            totals.calls += 1;
+                            let r = endpoints
                                 .get_mut(&(endpoint.addr, endpoint.port))
                                 .expect("listed");
-                            let (at, outcome) = if r.left > 0 {
-                                r.left -= 1;
-                                (now + CALL, Outcome::Delivered)
+                            let (at, outcome) = if r.remaining > 0 {
+                                r.remaining -= 1;
+                                (now + CALL_DURATION, Outcome::Delivered)
                             } else {
-                                r.refused += 1;
-                                came.refused += 1;
+                                r.rejected += 1;
+                                totals.rejected += 1;
                                 (
                                     now + STEP,
                                     Outcome::Rejected {
@@ -257,100 +262,100 @@
                                     },
                                 )
                             };
-                            out.insert((at, dispatcher, id), outcome);
+                            in_flight.insert((at, dispatcher, id), outcome);
                         }
                         _ => {}
                     }
                 }
             }
         }
-        came
+        totals
     }
 }
 
 #[test]
 fn messages_are_delivered_while_endpoints_are_idle_however_many_senders_share_them() {
-    // Seen with real processes: 300 senders, 847 of 1,468 delivered, and no endpoint refused
-    // anything.
+    // Seen with real processes: 300 senders delivered 847 of 1,468 messages although no endpoint
+    // rejected a call.
     for (senders, seed) in [(100, 1), (300, 1), (300, 2), (1_000, 1)] {
-        let came = Play {
+        let totals = Simulation {
             senders,
             seed,
-            ..Play::default()
+            ..Simulation::default()
         }
         .run();
-        assert!(came.share() >= 0.95, "{senders} {seed}: {came:?}");
-        assert!(came.vain() < 0.03, "{senders} {seed}: {came:?}");
+        assert!(totals.delivered_share() >= 0.95, "{senders} {seed}: {totals:?}");
+        assert!(totals.rejected_share() < 0.03, "{senders} {seed}: {totals:?}");
     }
 }
 
 #[test]
 fn endpoints_at_half_their_listed_rate_cost_many_senders_little_more_than_one() {
     let share = |senders| {
-        Play {
+        Simulation {
             senders,
             limit: 0.5,
-            ..Play::default()
+            ..Simulation::default()
         }
         .run()
     };
     let (one, many) = (share(1), share(300));
     assert!(
-        many.share() > 0.8 * one.share() && many.vain() < 0.25,
+        many.delivered_share() > 0.8 * one.delivered_share() && many.rejected_share() < 0.25,
         "{one:?} {many:?}"
     );
 }
 
 #[test]
 fn rejections_of_a_burst_at_the_start_are_bounded_and_resumed_messages_cause_few() {
-    // Three messages for each of 300 senders in one moment are 90 for a destination, whose
-    // endpoints take 30 in a window.
-    let clump = Play {
+    // Three messages for each of 300 senders at once are 90 for each destination, whose endpoints
+    // accept 30 per window.
+    let burst = Simulation {
         held: 3,
-        ..Play::default()
+        ..Simulation::default()
     };
-    let came = clump.run();
-    assert!(came.refused < 900, "one for each of them: {came:?}");
-    let back = Play {
+    let totals = burst.run();
+    assert!(totals.rejected < 900, "one for each message: {totals:?}");
+    let of_resumed = Simulation {
         resumed: true,
-        ..clump
+        ..burst
     }
     .run();
     assert!(
-        back.vain() < 0.03,
-        "those that were held before go in turn: {back:?}"
+        of_resumed.rejected_share() < 0.03,
+        "resumed messages are sent one after the other: {of_resumed:?}"
     );
 }
 
 #[test]
-#[ignore = "a table to read"]
+#[ignore = "prints a table"]
 fn figures() {
     for uneven in [false, true] {
         for limit in [2.0, 1.0, 0.5, 0.3, 0.2] {
             for senders in [1, 3, 30, 100, 300, 1_000] {
-                let c = Play {
+                let c = Simulation {
                     senders,
                     limit,
                     uneven,
-                    ..Play::default()
+                    ..Simulation::default()
                 }
                 .run();
-                println!("uneven {uneven} limit {limit} senders {senders}: delivered {:.3} of {}, refused per call {:.3}, wait {} ms", c.share(), c.messages, c.vain(), c.waited / u64::from(c.delivered.max(1)));
+                println!("uneven {uneven} limit {limit} senders {senders}: delivered {:.3} of {}, refused per call {:.3}, wait {} ms", c.delivered_share(), c.messages, c.rejected_share(), c.delivery_ms / u64::from(c.delivered.max(1)));
             }
         }
     }
     for (senders, held) in [(300, 1), (300, 3), (1000, 1)] {
-        let c = Play {
+        let c = Simulation {
             senders,
             held,
-            ..Play::default()
+            ..Simulation::default()
         }
         .run();
         println!(
             "held {held} senders {senders}: delivered {:.3} of {}, refused per call {:.3}",
-            c.share(),
+            c.delivered_share(),
             c.messages,
-            c.vain()
+            c.rejected_share()
         );
     }
 }
--- a/tests/process_signals.rs
+++ b/tests/process_signals.rs
@@ -1,5 +1,5 @@
 //! Signals that are blocked and read from a descriptor. Each test signals its own thread, so that
-//! no other thread of the test program is given the signal.
+//! no other thread of the test program receives the signal.
 
 use async_io::block_on;
 use futures_lite::FutureExt;
@@ -8,9 +8,9 @@
 use std::io::ErrorKind;
 use std::time::Duration;
 
-/// Longer than a busy machine needs to read a descriptor.
+/// Maximum wait for an expected signal; longer than a busy machine needs to read a descriptor.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// Shorter than [`PATIENCE`]; what is not pending after it was not kept.
+/// Wait after which an unexpected signal is taken to be not pending; shorter than [`PATIENCE`].
 const MOMENT: Duration = Duration::from_millis(50);
 
 fn is_received_within(receiver: &SignalReceiver, time: Duration) -> bool {
@@ -25,7 +25,7 @@
     block_on(received.or(waited))
 }
 
-/// Guards against a signal that is lost since nobody waited for it when it came.
+/// Guards against losing a signal that is sent before a receiver waits for it.
 #[test]
 fn a_signal_sent_before_its_receiver_exists_is_received() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
@@ -35,7 +35,7 @@
     assert!(!is_received_within(&receiver, MOMENT), "received twice");
 }
 
-/// Guards against a signal that comes while the one before is acted upon and changes nothing.
+/// Guards against losing a signal that is sent while the previous one is being handled.
 #[test]
 fn each_signal_sent_after_the_previous_one_was_received_is_received() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
@@ -46,7 +46,7 @@
     }
 }
 
-/// Guards against one receiver that takes what another one waits for.
+/// Guards against a receiver that consumes signals of another receiver.
 #[test]
 fn a_receiver_leaves_other_signals_pending() {
     let both = [Signal::SIGHUP, Signal::SIGTERM];
@@ -58,7 +58,7 @@
     assert!(is_received_within(&ending, PATIENCE));
 }
 
-/// Guards against a receiver whose signal still has its usual effect, the end of the process.
+/// Guards against a receiver of a signal that still has its default effect, to end the process.
 #[test]
 fn a_receiver_of_a_signal_that_is_not_blocked_is_an_error() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
--- a/tests/tenants.rs
+++ b/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Whose message it is, by the name that it says and the tenants that the settings have.
+//! The tenant of a message, by the name that the message states and the configured tenants.
 
 use raildeal::config::platform_settings::{from_json, from_lines, UnknownTenant};
 use raildeal::NO_TENANT;
@@ -35,6 +35,6 @@
 #[test]
 fn duplicate_tenant_names_are_rejected() {
     let nested = json!({"accounts": [{"name": "a b"}, {"name": "c"}, {"name": "a_b"}]});
-    let told = from_json(&nested).expect_err("two of one name");
-    assert_eq!(told, "setting accounts.2.name: 'a_b' is there twice");
+    let error = from_json(&nested).expect_err("duplicate names");
+    assert_eq!(error, "setting accounts.2.name: 'a_b' is there twice");
 }
--- a/tests/terms.rs
+++ b/tests/terms.rs
@@ -1,5 +1,5 @@
-//! The module goes on under changed terms: calls that are out, told waits, what is held and what
-//! was learned stay.
+//! Changes of the dispatcher's runtime settings: calls in flight, Retry-After waits, held messages
+//! and learned rates are not affected.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use raildeal::*;
 use std::time::{Duration, Instant};
 
-/// Terms that say what these settings do.
-fn terms(s: &Settings) -> RuntimeSettings {
+/// Returns the runtime settings that are equivalent to these settings.
+fn runtime_settings(s: &Settings) -> RuntimeSettings {
     let class_limits = ClassLimits {
         max_attempts: s.max_attempts,
         max_retry_after: s.max_retry_after,
@@ -22,12 +22,12 @@
     }
 }
 
-fn change(driver: &mut Driver, terms: RuntimeSettings) -> Vec<Action> {
-    driver.give(Event::SettingsChanged(Box::new(terms)))
+fn change(driver: &mut Driver, changed: RuntimeSettings) -> Vec<Action> {
+    driver.give(Event::SettingsChanged(Box::new(changed)))
 }
 
-/// Destinations 1 to 4, known and with their pools open.
-fn warm(settings: Settings) -> Driver {
+/// Returns a driver with destinations 1 to 4 listed and warmed up.
+fn warmed_up_driver(settings: Settings) -> Driver {
     let list = (1..=4).map(|n| common::ready(n, u16::from(n))).collect();
     let mut driver = Driver::new(settings, list);
     (1..=4).for_each(|dest| driver.warm_up(dest));
@@ -36,21 +36,21 @@
 
 #[test]
 fn a_lower_call_limit_lets_calls_in_flight_end_and_starts_none_above_it() {
-    let mut driver = warm(settings());
-    let out: Vec<MessageId> = (1..=8)
+    let mut driver = warmed_up_driver(settings());
+    let in_flight: Vec<MessageId> = (1..=8)
         .flat_map(|id| sends(&driver.arrive(id, 0, (id % 4 + 1) as u16)))
         .collect();
-    assert_eq!(out.len(), 8);
+    assert_eq!(in_flight.len(), 8);
     assert!(sends(&change(
         &mut driver,
         RuntimeSettings {
             max_in_flight_calls: 3,
-            ..terms(&settings())
+            ..runtime_settings(&settings())
         }
     ))
     .is_empty());
     (11..=18).for_each(|id| assert!(sends(&driver.arrive(id, 0, (id % 4 + 1) as u16)).is_empty()));
-    for (ended, id) in out.iter().enumerate() {
+    for (ended, id) in in_flight.iter().enumerate() {
         let began = sends(&driver.end(*id, Outcome::Delivered)).len();
         assert_eq!(
             began,
@@ -60,8 +60,8 @@
         );
     }
     assert!(failed(&driver.seen).is_empty() && refused(&driver.seen).is_empty());
-    // And grow again, at once.
-    assert!(!sends(&change(&mut driver, terms(&settings()))).is_empty());
+    // A higher limit takes effect at once.
+    assert!(!sends(&change(&mut driver, runtime_settings(&settings()))).is_empty());
 }
 
 #[test]
@@ -70,7 +70,7 @@
         max_in_flight_calls: 1,
         ..settings()
     };
-    let mut driver = warm(few.clone());
+    let mut driver = warmed_up_driver(few.clone());
     (1..=50).for_each(|id| drop(driver.arrive(id, 0, (id % 4 + 1) as u16)));
     let gone = |d: &Driver| refused(&d.seen).len() + failed(&d.seen).len();
     assert_eq!(gone(&driver), 0);
@@ -78,21 +78,21 @@
         &mut driver,
         RuntimeSettings {
             max_held_messages: 10,
-            ..terms(&few)
+            ..runtime_settings(&few)
         },
     );
     driver.pass(100 * MS);
     assert_eq!(gone(&driver), 0);
-    // What comes beyond it goes in place of the least, one for one, as ever.
+    // Each further message displaces the least valuable one.
     (51..=53).for_each(|id| drop(driver.arrive(id, 0, 1)));
     assert_eq!(gone(&driver), 3);
 }
 
 #[test]
 fn a_message_ends_under_the_settings_that_it_was_accepted_under() {
-    // Side by side: those of before, with five attempts, and those of now, with two and a shorter
-    // wait for clients.
-    let old = terms(&settings());
+    // The settings contain the classes of both policies: the earlier ones, with five attempts, and
+    // the current ones, with two and a shorter longest Retry-After.
+    let old = runtime_settings(&settings());
     let bound = ClassLimits {
         max_attempts: 2,
         max_retry_after: SEC,
@@ -102,7 +102,7 @@
         class_limits: [&old.class_limits[..], &[bound; 4][..]].concat(),
         ..old.clone()
     };
-    let mut driver = warm(settings());
+    let mut driver = warmed_up_driver(settings());
     assert_eq!(sends(&driver.arrive(1, 0, 1)), [1]);
     change(&mut driver, both.clone());
     assert_eq!(sends(&driver.arrive(2, 4, 2)), [2]);
@@ -127,7 +127,7 @@
         20
     };
     assert_eq!((attempts(&mut driver, 2), attempts(&mut driver, 1)), (2, 5));
-    // So does one that an earlier process took on, by the place of its class.
+    // So does a message that an earlier process accepted, by the position of its class.
     let of_before = Message {
         id: 3,
         class: 0,
@@ -157,9 +157,9 @@
         !refused(&driver.seen).iter().any(|r| r.0 == 3)
             && refused(&driver.seen).iter().any(|r| r.0 == 4)
     );
-    // And a client is told a wait by its own terms.
+    // The Retry-After of a message is limited by its own settings as well.
     driver.give(Event::ListChanges(vec![]));
-    let told = |driver: &mut Driver, id, class| {
+    let retry_after = |driver: &mut Driver, id, class| {
         driver.give(Event::Arrived(Message {
             id,
             class,
@@ -176,32 +176,32 @@
             .find(|r| r.0 == id)
             .map(|r| r.1)
     };
-    assert!(told(&mut driver, 5, 0) > Some(20 * SEC));
-    assert_eq!(told(&mut driver, 6, 4), Some(SEC));
+    assert!(retry_after(&mut driver, 5, 0) > Some(20 * SEC));
+    assert_eq!(retry_after(&mut driver, 6, 4), Some(SEC));
 }
 
 #[test]
 fn unusable_settings_change_nothing() {
-    let mut driver = warm(settings());
+    let mut driver = warmed_up_driver(settings());
     for bad in [
         RuntimeSettings {
             max_in_flight_calls: 0,
-            ..terms(&settings())
+            ..runtime_settings(&settings())
         },
         RuntimeSettings {
             max_held_messages: 0,
-            ..terms(&settings())
+            ..runtime_settings(&settings())
         },
         RuntimeSettings {
             classes: vec![],
-            ..terms(&settings())
+            ..runtime_settings(&settings())
         },
         RuntimeSettings {
             classes: vec![Class {
                 deadline: 0,
                 ..class(Effect::Idempotent)
             }],
-            ..terms(&settings())
+            ..runtime_settings(&settings())
         },
     ] {
         change(&mut driver, bad);
@@ -209,37 +209,37 @@
     assert_eq!(sends(&driver.arrive(1, 3, 1)), [1]);
 }
 
-/// A seeded day with outages, told waits, cold returns and lost calls; `between` is given before
-/// each event.
-fn day(seed: u64, between: impl Fn() -> Event) -> Vec<Action> {
-    let mut dice = fastrand::Rng::with_seed(seed);
-    let mut driver = warm(settings());
-    let (mut out, mut id) = (Vec::new(), 0);
+/// Runs a seeded simulation with outages, Retry-After waits, slow starts and lost calls, and
+/// returns all actions but wake-ups. `between` returns the event before each step.
+fn simulate(seed: u64, between: impl Fn() -> Event) -> Vec<Action> {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut driver = warmed_up_driver(settings());
+    let (mut in_flight, mut id) = (Vec::new(), 0);
     for step in 0..1_500u32 {
-        driver.now += dice.u64(1..60) * MS;
-        // The same turns in both days: only what is told in them differs.
-        let told = driver.give(between());
-        out.extend(sends(&told));
-        let dest = dice.u16(1..5);
+        driver.now += rng.u64(1..60) * MS;
+        // Both runs have the same turns and differ only in the event of this one.
+        let actions = driver.give(between());
+        in_flight.extend(sends(&actions));
+        let dest = rng.u16(1..5);
         let down = step / 300 % 2 == 1 && dest < 3;
-        if dice.u8(..3) > 0 {
+        if rng.u8(..3) > 0 {
             id += 1;
-            let told = driver.arrive(id, dice.u16(..3), dest);
-            out.extend(sends(&told));
+            let actions = driver.arrive(id, rng.u16(..3), dest);
+            in_flight.extend(sends(&actions));
         }
-        while out.len() > 4 || !out.is_empty() && dice.bool() {
-            let ended = out.remove(dice.usize(..out.len()));
-            let outcome = match dice.u8(..10) {
+        while in_flight.len() > 4 || !in_flight.is_empty() && rng.bool() {
+            let ended = in_flight.remove(rng.usize(..in_flight.len()));
+            let outcome = match rng.u8(..10) {
                 _ if down => Outcome::Timeout,
                 0 => Outcome::Rejected {
-                    wait: dice.u64(..3) * SEC,
+                    wait: rng.u64(..3) * SEC,
                 },
                 1 => Outcome::Reset,
                 2 => Outcome::Error,
                 _ => Outcome::Delivered,
             };
-            let told = driver.end(ended, outcome);
-            out.extend(sends(&told));
+            let actions = driver.end(ended, outcome);
+            in_flight.extend(sends(&actions));
         }
     }
     let kept = |a: &Action| !matches!(a, Action::WakeAfter(_));
@@ -249,10 +249,10 @@
 #[test]
 fn applying_the_same_settings_again_changes_no_action() {
     for seed in 0..40 {
-        let same = terms(&settings());
+        let same = runtime_settings(&settings());
         let (plain, changed) = (
-            day(seed, || Event::TimerFired),
-            day(seed, || Event::SettingsChanged(Box::new(same.clone()))),
+            simulate(seed, || Event::TimerFired),
+            simulate(seed, || Event::SettingsChanged(Box::new(same.clone()))),
         );
         let calls = plain
             .iter()
@@ -267,7 +267,7 @@
     }
 }
 
-/// The bound of 2 ms is for a release build; this one holds on a machine with much else to do, too.
+/// The required bound is 2 ms for a release build; the one here also holds on a busy machine.
 #[test]
 fn a_settings_change_with_two_thousand_held_messages_takes_less_than_20_ms() {
     let many = Settings {
@@ -282,7 +282,7 @@
     for id in 0..2_000 {
         driver.arrive(id, (id % 3) as u16, (id % 40) as u16);
     }
-    // Of ten series the least: in the others something else had the processor for a while.
+    // The least of ten series, as other processes may have interrupted the others.
     let series = (0..10).map(|_| {
         let turn = |n: u32| {
             let begun = Instant::now();
@@ -290,7 +290,7 @@
                 &mut driver,
                 RuntimeSettings {
                     max_in_flight_calls: 64 - n % 3,
-                    ..terms(&many)
+                    ..runtime_settings(&many)
                 },
             );
             driver.now += 10 * MS;
--- a/tests/zone.rs
+++ b/tests/zone.rs
@@ -1,4 +1,4 @@
-//! Zone files and what updates make of them, without sockets.
+//! Zone files and the effects of updates on them, without sockets.
 
 use hickory_proto::op::{update_message, Message, ResponseCode};
 use hickory_proto::rr::rdata::{MX, SOA, SRV, TXT};
@@ -32,7 +32,7 @@
     Record::from_rdata(name(host), 60, RData::TXT(TXT::new(words)))
 }
 
-/// An update with these prerequisites and changes.
+/// Returns an update with the given prerequisites and changes.
 fn update(wanted: &[Record], changes: &[Record]) -> Message {
     let mut message =
         update_message::append(RecordSet::from(srv(1, "x")), zone().origin, false, false);
@@ -40,7 +40,7 @@
     message.take_name_servers();
     message.add_answers(wanted.iter().cloned());
     message.add_name_servers(changes.iter().cloned());
-    // As it comes off the wire.
+    // Encoded and decoded, as it is received from the network.
     Message::from_vec(&message.to_vec().expect("encoded")).expect("decoded")
 }
 
@@ -154,7 +154,7 @@
         .map(|e| e.condition)
         .collect();
     assert!(conditions.contains(&Condition::Draining) && conditions.contains(&Condition::Ready));
-    // What is there already changes nothing, and the serial stays.
+    // Adding a record that exists already changes nothing, and the serial stays.
     assert!(apply(&zone(), &update(&[], &[srv(1884, "oviedo-1")]))
         .expect("done")
         .is_none());
@@ -182,7 +182,7 @@
     assert!(apply(&zone, &update(&[], &[&apex[..], &by_value].concat()))
         .expect("done")
         .is_none());
-    // A serial that an update names counts if it is newer, and only then.
+    // The serial of an update applies only if it is newer.
     let soa = |serial| {
         let (ns, mail) = (name("ns"), name("hostmaster"));
         Record::from_rdata(
@@ -208,7 +208,7 @@
     let whole = [srv(1884, "oviedo-1"), srv(1885, "oviedo-2")].map(|r| of_class(r, DNSClass::IN));
     let holds = |wanted: &[Record]| apply(&zone(), &update(wanted, &change)).map(|z| z.is_some());
     assert_eq!(holds(&whole), Ok(true));
-    assert_eq!(holds(&whole[..1]), Err(NXRRSet), "a set is told whole");
+    assert_eq!(holds(&whole[..1]), Err(NXRRSet), "a set has to be complete");
     assert_eq!(
         holds(&[empty("oviedo-1", RecordType::ANY, DNSClass::ANY)]),
         Ok(true)
@@ -239,7 +239,7 @@
     assert_eq!(
         holds(&[srv(1884, "oviedo-1")]),
         Err(FormErr),
-        "a time to live is not asked"
+        "a prerequisite must not have a time to live"
     );
     assert_eq!(
         apply(&zone(), &update(&[], &[elsewhere])).map(|_| ()),
