--- a/src/delivery/driver/mod.rs
+++ b/src/delivery/driver/mod.rs
@@ -411,7 +411,7 @@
                 self.wake_changed.set();
             }
             Action::Log(line) => log::info!("module: {line}"),
-            // Endpoints have no health checks of their own.
+            // Endpoints offer no health checks, so there is nothing to call.
             Action::HealthCheck { .. } => {}
         }
     }
--- a/src/delivery/endpoint_directory/evacuations.rs
+++ b/src/delivery/endpoint_directory/evacuations.rs
@@ -184,7 +184,7 @@
     /// epoch, for [`EndpointDirectory::release_reservation`].
     ///
     /// # Errors
-    /// Every leased attempt is reserved already.
+    /// Fails if every leased attempt is reserved already.
     pub fn reserve_attempt(&self, endpoint: &Endpoint) -> Result<Option<u64>, LeaseExhausted> {
         if self.is_kept_in_use(endpoint) {
             return Ok(None);
--- a/src/delivery/endpoint_directory/tests.rs
+++ b/src/delivery/endpoint_directory/tests.rs
@@ -119,9 +119,9 @@
             ..RouteSpec::default()
         }
     };
-    let is_kept = |zones: &[&str], said: Vec<RouteSpec>| {
+    let is_kept = |zones: &[&str], routes: Vec<RouteSpec>| {
         d.set_routes(Rc::new(
-            Routes::new(2, 1, said).with_zone_numbers(|zone| d.zone_number(zone)),
+            Routes::new(2, 1, routes).with_zone_numbers(|zone| d.zone_number(zone)),
         ));
         let order = |zone: &&str| EvacuationOrder {
             zone: zone.to_string(),
--- a/src/delivery/evacuation.rs
+++ b/src/delivery/evacuation.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Adds a lease to the order of that epoch, if it is in force.
+    /// Adds a lease to the order of the given epoch, if there is one.
     pub fn grant_lease(
         &mut self,
         zone: &str,
@@ -175,7 +175,7 @@
     /// epoch, for [`ZoneEvacuations::release_reservation`].
     ///
     /// # Errors
-    /// Every leased attempt is reserved already.
+    /// Fails if every leased attempt is reserved already.
     pub fn reserve_attempt(
         &mut self,
         endpoint: &Endpoint,
--- a/src/delivery/mod.rs
+++ b/src/delivery/mod.rs
@@ -141,7 +141,7 @@
     pub outcome: Outcome,
     /// Whether no answer is owed for the message any more, delivered or not.
     pub message_closed: bool,
-    /// The endpoint's load report, by column; empty where it gave none.
+    /// The endpoint's load report, by column; empty if it sent none.
     pub load_report: Vec<f32>,
 }
 
--- a/src/delivery/policies.rs
+++ b/src/delivery/policies.rs
@@ -6,9 +6,9 @@
 //! activates policies; `delivery::message` holds them for messages.
 //!
 //! The dispatcher has no notion of policies. Its runtime settings contain the classes of all
-//! policies one after the other, and a message's class is an index into them, by the policy that
-//! the message was accepted under. A policy that no message holds may be removed; its position is
-//! then reused.
+//! policies one after the other. The dispatcher's class of a message is an index into these, which
+//! depends on the policy under which the message was accepted. A policy that is neither current nor
+//! held may be removed; its position is then reused.
 
 use crate::admission_control::connection_slots::Rules;
 use crate::admission_control::message_limits::Limits;
@@ -141,8 +141,8 @@
     }
 
     /// Adds a policy. Replaces a known policy of the same number if that is not in use. Returns
-    /// false if a policy of that number is in use, if [`MAX_POLICIES`] are known, or if the number
-    /// of classes differs from the sender's.
+    /// false for number 0, if a policy of that number is in use, if [`MAX_POLICIES`] are known, or
+    /// if the number of classes differs from the sender's.
     pub fn add(&self, policy: Policy) -> bool {
         let number = policy.number;
         let is_usable = number > 0 && policy.classes.len() == self.current().classes.len();
--- a/src/delivery/routing_tables.rs
+++ b/src/delivery/routing_tables.rs
@@ -53,8 +53,8 @@
         self.current.borrow().routes.rank(&key, zone).is_some()
     }
 
-    /// Adds a table, or replaces the known table of the same number. Returns false if that is the
-    /// current table, or if [`MAX_TABLES`] others are known.
+    /// Adds a table, or replaces the known table of the same number. Returns false for number 0,
+    /// for the number of the current table, or if [`MAX_TABLES`] others are known.
     pub fn add(&self, number: u64, routes: Routes) -> bool {
         if number == 0 || number == self.current_number() {
             return false;
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -3,12 +3,12 @@
 use raildeal::net::platform::list::{Objects, Said, Spoilt};
 
 /// Returns all that is parsed from the pieces, or the error.
-fn said(pieces: &[&[u8]]) -> Result<Vec<Said>, Spoilt> {
+fn parse(pieces: &[&[u8]]) -> Result<Vec<Said>, Spoilt> {
     let (mut objects, mut text, mut all) = (Objects::default(), Vec::new(), Vec::new());
     for piece in pieces {
         text.extend_from_slice(piece);
-        while let Some(said) = objects.next(&mut text)? {
-            all.push(said);
+        while let Some(parsed) = objects.next(&mut text)? {
+            all.push(parsed);
         }
         assert!(text.is_empty(), "each byte is consumed once");
     }
@@ -36,7 +36,7 @@
     for one in 0..=bytes.len() {
         for two in one..=bytes.len() {
             let pieces = [&bytes[..one], &bytes[one..two], &bytes[two..]];
-            assert_eq!(said(&pieces), Ok(whole.clone()), "{one} {two}");
+            assert_eq!(parse(&pieces), Ok(whole.clone()), "{one} {two}");
         }
     }
 }
@@ -44,16 +44,16 @@
 #[test]
 fn text_that_is_not_an_object_or_has_no_end_is_an_error() {
     for text in ["[]", "7", "\"{\"", "{}x", "}", "\0", "\u{feff}{}"] {
-        assert_eq!(said(&[text.as_bytes()]), Err(Spoilt::NoObject), "{text:?}");
+        assert_eq!(parse(&[text.as_bytes()]), Err(Spoilt::NoObject), "{text:?}");
     }
     let piece = vec![b' '; 1 << 20];
     let endless: Vec<&[u8]> = [b"{".as_slice()]
         .into_iter()
         .chain([piece.as_slice(); 5])
         .collect();
-    assert_eq!(said(&endless), Err(Spoilt::Endless));
+    assert_eq!(parse(&endless), Err(Spoilt::Endless));
     assert_eq!(
-        said(&[piece.as_slice(); 8]),
+        parse(&[piece.as_slice(); 8]),
         Ok(vec![]),
         "white space is not buffered"
     );
