--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -31,8 +31,8 @@
     traffic: f64,
     /// Actual limit of an endpoint, as a fraction of its listed rate.
     limit: f64,
-    /// Whether half of the messages go to a fifth of the senders, and a fifth of the messages to two
-    /// destinations, instead of an even distribution.
+    /// Whether half of the messages go to a fifth of the senders, and a fifth of the messages to
+    /// two destinations, instead of an even distribution.
     uneven: bool,
     seed: u64,
     /// Seconds in which messages arrive.
