--- a/src/delivery/admission/tests.rs
+++ b/src/delivery/admission/tests.rs
@@ -1,10 +1,11 @@
-//! Messages that come while the state changes.
+//! Messages that arrive while the admission state changes.
 
 use super::*;
 use async_executor::LocalExecutor;
 
-/// How the messages of one run ended, in the order in which that was known, and how long it took.
+/// Result of one run.
 struct Run {
+    /// Number and result of each message, in the order in which the results were known.
     results: Vec<(usize, Result<Admitted, AdmissionClosed>)>,
     took: Duration,
 }
@@ -15,7 +16,7 @@
     }
 }
 
-/// Has so many messages come at once, and then changes the state at each of these times, in
+/// Lets `count` messages arrive at once, and changes the state at each of the given times, in
 /// milliseconds.
 fn run(
     state: AdmissionState,
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_pause_that_lasts_rejects_in_time_and_a_full_queue_rejects_at_once() {
+fn a_long_pause_rejects_in_time_and_a_full_queue_rejects_at_once() {
     let run = run(AdmissionState::Paused, 5, 3, &[]);
     assert!(
         run.all_are(Err(AdmissionClosed::Paused)),
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_lease_that_ends_fences_those_who_come_and_those_who_wait() {
+fn an_expired_lease_fences_arriving_and_waiting_messages() {
     let over = AdmissionState::Open {
         until: Some(Instant::now()),
     };
--- a/src/loop_latency/tests.rs
+++ b/src/loop_latency/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_turn_is_counted_and_the_longest_is_in_the_summary() {
+fn the_summary_has_the_number_of_turns_and_the_longest() {
     let latency = LoopLatency::default();
     let work = async {
         futures_lite::future::yield_now().await;
@@ -20,6 +20,6 @@
     latency.record(2 * MAX_TURN);
     assert!(
         latency.summary().contains("turns=3"),
-        "one beyond the bound counts, too"
+        "a turn beyond the upper bound is counted as well"
     );
 }
--- a/tests/process_signals.rs
+++ b/tests/process_signals.rs
@@ -1,5 +1,5 @@
 //! Signals that are blocked and read from a descriptor. Each test signals its own thread, so that
-//! no other thread of the test program is given the signal.
+//! no other thread of the test program receives the signal.
 
 use async_io::block_on;
 use futures_lite::FutureExt;
@@ -8,9 +8,9 @@
 use std::io::ErrorKind;
 use std::time::Duration;
 
-/// Longer than a busy machine needs to read a descriptor.
+/// Maximum wait for an expected signal; longer than a busy machine needs to read a descriptor.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// Shorter than [`PATIENCE`]; what is not pending after it was not kept.
+/// Wait after which an unexpected signal is taken to be not pending; shorter than [`PATIENCE`].
 const MOMENT: Duration = Duration::from_millis(50);
 
 fn is_received_within(receiver: &SignalReceiver, time: Duration) -> bool {
@@ -25,9 +25,9 @@
     block_on(received.or(waited))
 }
 
-/// Guards against a signal that is lost since nobody waited for it when it came.
+/// Guards against losing a signal that is sent before a receiver waits for it.
 #[test]
-fn a_signal_that_comes_before_its_receiver_exists_is_received() {
+fn a_signal_sent_before_its_receiver_exists_is_received() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
     raise(Signal::SIGHUP).expect("sent");
     let receiver = blocked.receiver(&[Signal::SIGHUP]).expect("a receiver");
@@ -35,9 +35,9 @@
     assert!(!is_received_within(&receiver, MOMENT), "received twice");
 }
 
-/// Guards against a signal that comes while the one before is acted upon and changes nothing.
+/// Guards against losing a signal that is sent while the previous one is being handled.
 #[test]
-fn a_signal_that_comes_after_one_was_received_is_received_too() {
+fn each_signal_sent_after_the_previous_one_was_received_is_received() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
     let receiver = blocked.receiver(&[Signal::SIGHUP]).expect("a receiver");
     for round in 0..3 {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Guards against one receiver that takes what another one waits for.
+/// Guards against a receiver that consumes signals of another receiver.
 #[test]
 fn a_receiver_leaves_other_signals_pending() {
     let both = [Signal::SIGHUP, Signal::SIGTERM];
@@ -58,9 +58,9 @@
     assert!(is_received_within(&ending, PATIENCE));
 }
 
-/// Guards against a receiver whose signal still has its usual effect, the end of the process.
+/// Guards against a receiver of a signal that still has its default effect, to end the process.
 #[test]
-fn a_receiver_of_a_signal_that_is_not_blocked_is_refused() {
+fn a_receiver_of_a_signal_that_is_not_blocked_is_an_error() {
     let blocked = BlockedSignals::new(&[Signal::SIGHUP]).expect("blocked");
     let refused = blocked.receiver(&[Signal::SIGHUP, Signal::SIGTERM]).err();
     assert_eq!(refused.map(|e| e.kind()), Some(ErrorKind::InvalidInput));
