--- a/src/agent/call_statistics.rs
+++ b/src/agent/call_statistics.rs
@@ -1,10 +1,10 @@
-//! What this sender's calls and messages came to since they were last reported.
+//! Statistics of this sender's calls and messages since the last report.
 //!
-//! Owns the counts by zone and destination, the calls that are in flight, and the counts of
-//! messages by policy, class and tenant. No I/O, no clock. [`super::observer`] records; the
-//! session's reports take the counts ([`super::session`]).
+//! Owns the counts by zone and destination, the calls in flight, and the counts of messages by
+//! policy, class and tenant. No I/O, no clock. [`super::observer`] records; the session's reports
+//! take the counts ([`super::session`]).
 //!
-//! Invariants: every ended call and every message's end is counted in one report, once; and the
+//! Invariants: every ended call and every message's end is counted in exactly one report; and the
 //! tables are bounded, so that a report always fits one frame.
 
 use crate::coordination::messages::{CallCounts, MessageOutcomeCounts, ZoneCallCounts};
@@ -13,30 +13,31 @@
 use crate::{Nanos, Outcome};
 use std::collections::BTreeMap;
 
-/// Zones and destinations that are counted: with names of [`MAX_ZONE_NAME`] bytes all of them fit
-/// one frame, beside as many entries of a list.
+/// Maximum number of counted pairs of zone and destination. With names of [`MAX_ZONE_NAME`] bytes
+/// all of them fit one frame, together with as many entries of an endpoint list.
 pub const MAX_GROUPS: usize = 1_024;
-/// Policies, classes and tenants that are counted: nine policies, each with some thirty classes or
-/// tenants.
+/// Maximum number of counted combinations of policy, class and tenant: nine policies, each with
+/// about thirty classes or tenants.
 pub const MAX_HEALTH_GROUPS: usize = 256;
-/// Longest name of a zone or class, in bytes; what is in others is not counted.
+/// Maximum length of the name of a zone or class, in bytes. Calls and messages with longer names
+/// are not counted.
 pub const MAX_ZONE_NAME: usize = 64;
-/// A call hangs once it is in flight for longer than this (ns): two reports ...
+/// Minimum time in flight (ns) after which a call hangs: two default report intervals.
 const MIN_HANGING: Nanos = 400 * MS;
-/// ... and for longer than so many times what calls there usually take. Who judges zones waits for
-/// a silence besides.
+/// Multiple of the usual duration of calls to the same zone and destination that a hanging call
+/// also exceeds. The judgement on a zone additionally waits for a period of silence.
 const HANGING_FACTOR: f64 = 4.0;
-/// What calls are taken to need before one has ended anywhere (seconds).
+/// Assumed duration of calls before any call has ended (seconds).
 const DEFAULT_DURATION_SECONDS: f64 = 0.4;
-/// The weight of the newest call in the usual duration, where there are many.
+/// Minimum weight of the newest call in the usual duration.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// Memory of a destination's call rate.
+/// Averaging of a destination's call rate.
 const RATE_MEMORY: RateMemory = RateMemory {
     fade_seconds: 4.0,
     least_kept: 0.9,
 };
 
-/// What calls usually take: the mean of the first ones, then an exponentially weighted mean.
+/// Usual duration of calls: the mean of the first ones, then an exponentially weighted mean.
 #[derive(Clone, Copy, Debug, Default)]
 struct UsualDuration {
     mean_seconds: f64,
@@ -55,24 +56,24 @@
     }
 }
 
-/// A zone's name and a destination.
+/// Name of a zone, and a destination.
 type Group = (String, u16);
 
-/// Whose messages are counted together.
+/// Key of the messages that are counted together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct HealthGroup {
     policy: u64,
     class: String,
-    /// Position in the settings.
+    /// Position of the tenant in the settings.
     tenant: u16,
 }
 
-/// The counts of one zone and destination.
+/// Statistics of one zone and destination.
 #[derive(Debug, Default)]
 struct GroupStatistics {
     counts: CallCounts,
     usual: UsualDuration,
-    /// The last report told of calls that hang.
+    /// Whether the last report contained hanging calls.
     reported_hanging: bool,
 }
 
@@ -83,28 +84,28 @@
     }
 }
 
-/// A call that is in flight.
+/// A call in flight.
 #[derive(Debug)]
 struct InFlight {
     group: Group,
     started: Nanos,
 }
 
-/// The counts since the last report.
+/// Statistics since the last report.
 #[derive(Debug, Default)]
 pub struct CallStatistics {
     groups: BTreeMap<Group, GroupStatistics>,
     in_flight: BTreeMap<u64, InFlight>,
     last_call: u64,
     rates: BTreeMap<u16, Meter>,
-    /// What calls take anywhere: for groups where none has ended yet, as few of one sender go to
-    /// each zone and destination.
+    /// Usual duration of all calls, for groups where no call has ended yet: a single sender makes
+    /// few calls to each zone and destination.
     usual: UsualDuration,
     health: BTreeMap<HealthGroup, MessageOutcomeCounts>,
 }
 
 impl CallStatistics {
-    /// Counts what became of a message. Its owner tells each end once.
+    /// Counts an event of a message. The owner of the message reports each end once.
     pub fn record_lifecycle_event(
         &mut self,
         policy: u64,
@@ -141,12 +142,12 @@
         *count = count.saturating_add(1);
     }
 
-    /// Takes what became of messages since it was last taken.
+    /// Returns and resets the counts of messages.
     pub fn take_health(&mut self) -> Vec<MessageOutcomeCounts> {
         std::mem::take(&mut self.health).into_values().collect()
     }
 
-    /// A call to a zone and destination starts. Gives its number, for
+    /// Records the start of a call to a zone and destination. Returns the number of the call for
     /// [`CallStatistics::call_finished`].
     pub fn call_started(&mut self, now: Nanos, zone: &str, dest: u16) -> u64 {
         self.last_call += 1;
@@ -165,13 +166,13 @@
         self.last_call
     }
 
-    /// A call is not in flight any more.
+    /// Records that a call is no longer in flight.
     pub fn call_finished(&mut self, call: u64) {
         self.in_flight.remove(&call);
     }
 
-    /// Counts how a call to a zone and destination ended, after `duration` (ns). What was cancelled
-    /// or never sent does not count.
+    /// Counts the outcome of a call to a zone and destination that took `duration` (ns). Cancelled
+    /// and unsent calls are not counted.
     pub fn record_outcome(&mut self, zone: &str, dest: u16, outcome: Outcome, duration: Nanos) {
         let Some(group) = self.group_mut(zone, dest) else {
             return;
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Takes what was counted since it was last taken, and how many calls hang now.
+    /// Returns and resets the counts of calls, with the number of calls that hang now.
     pub fn take_counts(&mut self, now: Nanos) -> Vec<ZoneCallCounts> {
         let hanging = self.hanging_calls(now);
         for (zone, dest) in hanging.keys() {
@@ -202,7 +203,7 @@
         for (group, statistics) in &mut self.groups {
             let mut counts = std::mem::take(&mut statistics.counts);
             counts.hanging = hanging.get(group).copied().unwrap_or(0);
-            // That none hangs any more is reported once.
+            // The end of the last hanging call is reported once.
             let is_news = counts != CallCounts::default() || statistics.reported_hanging;
             statistics.reported_hanging = counts.hanging > 0;
             if is_news {
@@ -213,7 +214,7 @@
         seen
     }
 
-    /// Calls that are in flight for much longer than is usual there, by group.
+    /// Returns the number of hanging calls by group.
     fn hanging_calls(&self, now: Nanos) -> BTreeMap<Group, u32> {
         let mut hanging: BTreeMap<Group, u32> = BTreeMap::new();
         for call in self.in_flight.values() {
@@ -231,19 +232,20 @@
         hanging
     }
 
-    /// Calls per second that a destination gets of this sender.
+    /// Returns the calls per second that this sender makes to a destination.
     pub fn calls_per_second(&self, now: Nanos, dest: u16) -> f64 {
         self.rates.get(&dest).map_or(0.0, |meter| meter.rate(now))
     }
 
-    /// The statistics of a zone and destination; nothing where there is no room for them.
+    /// Returns the statistics of a zone and destination; `None` where the table is full.
     fn group_mut(&mut self, zone: &str, dest: u16) -> Option<&mut GroupStatistics> {
         if zone.len() > MAX_ZONE_NAME {
             return None;
         }
         let group = (zone.to_string(), dest);
         if self.groups.len() >= MAX_GROUPS && !self.groups.contains_key(&group) {
-            // One that has nothing to report makes room; where all have, the newest goes without.
+            // A group with nothing to report is replaced; where there is none, the new group is not
+            // counted.
             let idle = self.groups.iter().find(|(_, s)| s.is_idle());
             let idle = idle.map(|(group, _)| group.clone())?;
             self.groups.remove(&idle);
--- a/src/agent/config.rs
+++ b/src/agent/config.rs
@@ -1,9 +1,9 @@
-//! The fleet file: which site and zone a sender belongs to, which coordination replicas it asks,
-//! and which documents it follows.
+//! The fleet file: the site and zone of a sender, the coordination replicas that it connects to,
+//! and the documents that it follows.
 //!
-//! Owns nothing that changes. Read by `main` for the agent and by the `fleet` commands, which use
-//! the site and the replicas alone. The keys keep the names that operators' files have
-//! (`keepers`, `without_keepers`).
+//! The configuration does not change after it is read. `main` reads it for the agent; the `fleet`
+//! commands read it too, but use only the site and the replicas. The keys keep the names in
+//! operators' files (`keepers`, `without_keepers`).
 
 use crate::agent::register::OnLeaseLoss;
 use std::collections::BTreeMap;
@@ -13,19 +13,18 @@
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// Interval between two reports if the file says nothing (ms): what happened is known to all well
-/// within a second.
+/// Default interval between two reports (ms): all replicas know of an event well within a second.
 const DEFAULT_REPORT_MS: u64 = 200;
-/// Shortest and longest interval (ms). More often costs the leader more than it tells; more seldom,
-/// and a lease of some seconds may lapse.
+/// Minimum and maximum interval between two reports (ms). A shorter interval costs the leader more
+/// than the reports are worth; with a longer one a lease of a few seconds may expire.
 const MIN_REPORT_MS: u64 = 20;
 const MAX_REPORT_MS: u64 = 2_000;
-/// Most replicas.
+/// Maximum number of replicas.
 const MAX_REPLICAS: usize = 9;
-/// Longest name of a site or zone, in bytes.
+/// Maximum length of the name of a site or zone, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// A fleet file, as read.
+/// Content of a fleet file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
     /// Name of the site.
@@ -36,60 +35,59 @@
     pub replicas: BTreeMap<u64, SocketAddr>,
     /// Interval between two reports.
     pub report_interval: Duration,
-    /// What the sender does without a lease where it follows policies; nothing where it follows
-    /// none.
+    /// Behavior without a lease for policies; `None` where the sender does not follow policies.
     pub policies: Option<OnLeaseLoss>,
-    /// The same of routing tables.
+    /// Behavior without a lease for routing tables; `None` where the sender does not follow them.
     pub tables: Option<OnLeaseLoss>,
 }
 
-/// Why a fleet file cannot be used.
+/// Reason for which a fleet file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetConfigError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
         path: PathBuf,
-        /// What the file system says.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// Settings in it are wrong.
+    /// The file has invalid settings.
     #[error("{}: {}", path.display(), join(faults))]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// All that is wrong with it.
+        /// All faults in the file.
         faults: Vec<SettingFault>,
     },
 }
 
-/// What is wrong with one setting.
+/// A fault of one setting.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingFault {
     /// The text is not TOML.
     #[error("{}", .0.message())]
     Syntax(#[source] toml::de::Error),
-    /// A setting that is needed is not there.
+    /// A required setting is missing.
     #[error("{key}: not set")]
     Missing {
-        /// The setting.
+        /// Name of the setting.
         key: &'static str,
     },
-    /// There is no such setting.
+    /// The setting does not exist.
     #[error("{key}: no such setting")]
     Unknown {
-        /// The setting.
+        /// Name of the setting.
         key: String,
     },
-    /// A setting has another value than it may have.
+    /// The value of a setting is invalid.
     #[error("{key}: expected {expected}, got {actual}")]
     Invalid {
-        /// The setting.
+        /// Name of the setting.
         key: String,
-        /// What it may be.
+        /// Description of valid values.
         expected: String,
-        /// What it is.
+        /// Value in the file.
         actual: String,
     },
 }
@@ -117,7 +115,7 @@
     /// Reads a file.
     ///
     /// # Errors
-    /// It cannot be read or used; all that is wrong with it is told, each with its setting.
+    /// The file cannot be read or used. The error lists all faults, each with its setting.
     pub fn read(path: &Path) -> Result<FleetConfig, FleetConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| FleetConfigError::Read {
             path: path.into(),
@@ -129,10 +127,10 @@
         })
     }
 
-    /// Reads a text.
+    /// Parses the text of a fleet file.
     ///
     /// # Errors
-    /// All that is wrong with it, each with its setting.
+    /// All faults, each with its setting.
     pub fn parse(text: &str) -> Result<FleetConfig, Vec<SettingFault>> {
         let mut table: Table = text.parse().map_err(|e| vec![SettingFault::Syntax(e)])?;
         let mut faults = Vec::new();
@@ -186,7 +184,7 @@
     }
 }
 
-/// What the table `policy` or `table` says; nothing where it is not there.
+/// Parses the table `policy` or `table`; `None` where it is missing.
 fn parse_followed(
     name: &str,
     value: Option<Value>,
@@ -217,7 +215,7 @@
     Some(on_lease_loss)
 }
 
-/// The replicas: in order from 1, or by number.
+/// Parses the replicas: a list that is numbered from 1, or a table by number.
 fn parse_replicas(
     value: Option<Value>,
     faults: &mut Vec<SettingFault>,
@@ -255,10 +253,10 @@
     replicas
 }
 
-/// The number and the address of a replica, beside `others`.
+/// Parses the number and the address of a replica; `others` are the previous replicas.
 ///
 /// # Errors
-/// What was expected instead.
+/// Description of the expected value.
 fn parse_replica(
     number: &str,
     address: &Value,
--- a/src/agent/connection.rs
+++ b/src/agent/connection.rs
@@ -1,7 +1,7 @@
-//! A connection to a coordination replica: frames out and in, until it breaks or is closed.
+//! A connection to a coordination replica: writes and reads frames until the connection breaks or
+//! is closed.
 //!
-//! Owns the socket of the connection that is open. What is said on it is [`super::session`]'s
-//! choice.
+//! Owns the socket of the open connection. The messages are chosen by [`super::session`].
 
 use super::Agent;
 use crate::coordination::framing::{self, FrameError};
@@ -17,13 +17,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A replica's machine that has not taken a connection within this time is not there.
+/// Time after which a connection attempt fails: a machine that does not accept within it counts as
+/// absent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Messages that may wait for a connection: an open, a report, a leave, and replies on policies and
-/// tables, some of them twice.
+/// Maximum number of messages in a connection's queue: the opening of the session, a report, a
+/// leave, and replies on policies and tables, some of them twice.
 const MAX_OUTGOING: usize = 20;
 
-/// Something that happened on a connection.
+/// Event of a connection.
 pub(super) struct ConnectionEvent {
     /// Number of the connection.
     connection: u64,
@@ -36,7 +37,8 @@
 }
 
 impl Agent {
-    /// Opens a connection of that number to a replica. What is sent before it is up waits.
+    /// Opens the connection of that number to a replica. Messages that are sent before it is
+    /// established wait.
     pub(super) fn connect(self: &Rc<Self>, connection: u64, replica: u64) {
         let Some(address) = self.config.replicas.get(&replica).copied() else {
             return;
@@ -62,7 +64,7 @@
         self.parts.executor.spawn(task).detach();
     }
 
-    /// Hands what happened on a connection to the session.
+    /// Passes an event of a connection to the session.
     pub(super) fn on_connection_event(self: &Rc<Self>, event: ConnectionEvent) {
         let connection = event.connection;
         let now = self.now();
@@ -84,8 +86,8 @@
     }
 }
 
-/// Connects, sends what it is given and passes on what it receives, until the connection breaks or
-/// `outgoing` is closed.
+/// Connects, sends the outgoing messages and passes on the received ones, until the connection
+/// breaks or `outgoing` is closed.
 async fn converse(
     address: SocketAddr,
     handshake: Handshake,
@@ -101,7 +103,7 @@
     let (mut reader, mut writer) = (&stream, &stream);
     let sending = async {
         framing::write(&mut writer, &handshake, MAX_FRAME_BYTES).await?;
-        // What was sent before the connection was closed is still written.
+        // Messages that were sent before the connection was closed are still written.
         while let Ok(message) = outgoing.recv().await {
             framing::write(&mut writer, &message, MAX_FRAME_BYTES).await?;
         }
--- a/src/agent/document_store/files.rs
+++ b/src/agent/document_store/files.rs
@@ -1,10 +1,11 @@
 //! The files of a document store.
 //!
-//! A document is in the file `NUMBER.KIND`. Its first line is `raildeal KIND 1 NUMBER DIGEST`, with
-//! the digest in lower-case hexadecimal; the text follows. The file `last` holds the number of the
-//! document that was applied last. A file that is being written has the further extension `new`.
+//! A document is stored in the file `NUMBER.KIND`. Its first line is `raildeal KIND 1 NUMBER
+//! DIGEST`, with the digest in lower-case hexadecimal; the text follows. The file `last` holds the
+//! number of the document that was applied last. While a file is written it has the additional
+//! extension `new`.
 //!
-//! These names and bytes are read by earlier and later versions.
+//! Earlier and later versions read the same names and bytes.
 
 use super::{DocumentError, StoredDocument};
 use crate::coordination::messages::Digest;
@@ -17,39 +18,40 @@
 const NEW_EXTENSION: &str = "new";
 /// The file with the number of the document that was applied last.
 pub(super) const LAST_APPLIED_FILE: &str = "last";
-/// Files take whole blocks of so many bytes.
+/// Block size of the file system, in bytes: files occupy whole blocks.
 pub(super) const BLOCK_BYTES: u64 = 4096;
 
-/// A file that is there.
+/// A file in the folder.
 pub(super) struct ListedFile {
     pub(super) name: String,
     pub(super) bytes: u64,
 }
 
-/// A document's file, as read.
+/// Content of a document's file.
 pub(super) struct DocumentFile {
     pub(super) number: u64,
     pub(super) digest: Digest,
     pub(super) text: String,
 }
 
-/// Most bytes of a document's file: its text and a line.
+/// Returns the maximum size of a document's file, in bytes: its text and a block for the first
+/// line.
 pub(super) const fn max_file_bytes<K: StoredDocument>() -> u64 {
     K::MAX_TEXT_BYTES as u64 + BLOCK_BYTES
 }
 
-/// Name of a document's file.
+/// Returns the name of a document's file.
 pub(super) fn file_name<K: StoredDocument>(number: u64) -> String {
     format!("{number}.{}", K::NAME)
 }
 
-/// What a file begins with; the document's number and digest follow on the same line.
+/// Returns the beginning of a file; the document's number and digest follow on the same line.
 fn header_start<K: StoredDocument>() -> String {
     format!("raildeal {} 1", K::NAME)
 }
 
-/// The files of a folder, by name; none where there is no folder. What was being written when a
-/// process ended is removed.
+/// Lists the files of a folder by name; empty where the folder does not exist. Removes files that
+/// an earlier process did not finish writing.
 pub(super) fn list<K: StoredDocument>(folder: &Path) -> io::Result<Vec<ListedFile>> {
     let entries = match fs::read_dir(folder) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
@@ -103,7 +105,7 @@
     })
 }
 
-/// The number and the digest in a first line.
+/// Parses the number and the digest in a first line.
 fn parse_header<K: StoredDocument>(header: &str) -> Option<(u64, Vec<u8>)> {
     let rest = header.strip_prefix(&header_start::<K>())?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
@@ -114,7 +116,7 @@
     Some((number.parse().ok()?, digest))
 }
 
-/// Number of the document that was applied last; 0 where that is not known.
+/// Reads the number of the document that was applied last; 0 where it is unknown.
 pub(super) fn read_last_applied(folder: &Path) -> u64 {
     let number = || {
         let content = fs::read_to_string(folder.join(LAST_APPLIED_FILE)).ok()?;
@@ -123,12 +125,12 @@
     number().unwrap_or(0)
 }
 
-/// Writes the number of the document that is applied.
+/// Writes the number of the applied document.
 pub(super) fn write_last_applied(folder: &Path, number: u64) -> io::Result<()> {
     replace(folder, LAST_APPLIED_FILE, format!("{number}\n").as_bytes())
 }
 
-/// Replaces a file durably, in one step for whoever reads it.
+/// Replaces a file durably, and atomically for its readers.
 fn replace(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     let new = folder.join(format!("{name}.{NEW_EXTENSION}"));
     let mut file = File::create(&new)?;
@@ -137,7 +139,7 @@
         .and_then(|()| file.sync_all())
         .and_then(|()| fs::rename(&new, folder.join(name)));
     if let Err(e) = replaced {
-        // Nothing of it may stay on a disk that is full.
+        // A full disk must not keep the unfinished file.
         let _ = fs::remove_file(&new);
         return Err(e);
     }
--- a/src/agent/document_store/mod.rs
+++ b/src/agent/document_store/mod.rs
@@ -1,13 +1,13 @@
 //! The documents that a sender has checked and stored in its state folder: policies and routing
 //! tables.
 //!
-//! Owns the folder of one kind of document ([`files`]) and knows what is in it. A stored document
-//! is there for this process and for a later one, which finishes what was accepted under it. What
-//! checks and applies a document is its [`StoredDocument`] owner ([`validation`]).
+//! Owns the folder of one kind of document ([`files`]) and knows its content. Documents are stored
+//! for this process and for a later one, which finishes the messages that were accepted under them.
+//! The [`StoredDocument`] implementation checks and applies a document ([`validation`]).
 //!
-//! Reading, validating and writing happen on a thread of their own, so that the thread that serves
-//! is never kept from its sockets. The agent's document worker ([`super::documents`]) calls this;
-//! `main` opens it.
+//! Documents are read, validated and written on a separate thread, so that the main thread never
+//! blocks. The agent's document tasks ([`super::documents`]) call this module; `main` opens the
+//! store.
 
 mod files;
 mod validation;
@@ -25,25 +25,25 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The owner, in this process, of one kind of document.
+/// In-memory owner of one kind of document.
 pub trait StoredDocument: 'static {
-    /// Name of the folder, in the sender's state folder.
+    /// Name of the folder within the sender's state folder.
     const FOLDER: &'static str;
-    /// What one document is called; also the extension of its file.
+    /// Name of the kind in the singular; also the extension of the files.
     const NAME: &'static str;
-    /// Most documents that are stored.
+    /// Maximum number of stored documents.
     const MAX_DOCUMENTS: usize;
-    /// Longest text of a document, in bytes.
+    /// Maximum length of a document's text, in bytes.
     const MAX_TEXT_BYTES: usize;
-    /// What documents are validated against.
+    /// Data that documents are validated against.
     type ValidationContext: Send + Sync + 'static;
-    /// A document that is ready for use.
+    /// A validated document.
     type Validated: Send + 'static;
 
-    /// Makes a document ready for use.
+    /// Validates a document.
     ///
     /// # Errors
-    /// Everything for which this sender cannot use it.
+    /// All reasons for which this sender cannot use it.
     fn validate(
         context: &Self::ValidationContext,
         number: u64,
@@ -51,51 +51,51 @@
         text: &str,
     ) -> Result<Self::Validated, DocumentError>;
 
-    /// Adds a document; false where there is no room for it.
+    /// Adds a document; returns false where there is no space for it.
     fn add(&self, number: u64, document: Self::Validated) -> bool;
 
-    /// Forgets a document; false where it is in use.
+    /// Removes a document; returns false where it is in use.
     fn forget(&self, number: u64) -> bool;
 
     /// Whether a document is in use.
     fn is_in_use(&self, number: u64) -> bool;
 }
 
-/// Why a document cannot be used or stored. The text goes to the leader, which shows it to
-/// operators.
+/// Reason for which a document cannot be used or stored. The text is sent to the leader, which
+/// shows it to operators.
 #[derive(Debug, thiserror::Error)]
 pub enum DocumentError {
-    /// The text has faults, or does not fit this sender; a line each.
+    /// Errors in the text, or settings that do not fit this sender; one line each.
     #[error("{}", .0.join("\n"))]
     Faults(Vec<String>),
-    /// The text is another one than was agreed.
+    /// The text does not match the agreed digest.
     #[error("its text is not what its print says")]
     DigestMismatch,
-    /// The owner of these documents has no room.
+    /// The owner of this kind of document has no space.
     #[error("there is no place for it")]
     NoRoom,
     /// Another document of that number is in use.
     #[error("another {kind} {number} is in use here")]
     NumberInUse {
-        /// What one document is called.
+        /// Name of the kind.
         kind: &'static str,
-        /// The number.
+        /// Number of the document.
         number: u64,
     },
-    /// All documents that may be stored are needed.
+    /// All stored documents are needed and the store is full.
     #[error("as many are needed here already as are kept: {max}")]
     AllNeeded {
-        /// Most documents that are stored.
+        /// Maximum number of stored documents.
         max: usize,
     },
-    /// The file of a document that is not needed any more cannot be removed.
+    /// The file of a document that is no longer needed cannot be removed.
     #[error("{kind} {number} cannot be removed: {source}")]
     Remove {
-        /// What one document is called.
+        /// Name of the kind.
         kind: &'static str,
-        /// Its number.
+        /// Number of the document.
         number: u64,
-        /// What the file system says.
+        /// Error of the file system.
         source: io::Error,
     },
     /// The file cannot be written.
@@ -110,15 +110,15 @@
     /// The file's first line is not `raildeal KIND 1 NUMBER DIGEST`.
     #[error("its first line cannot be read")]
     BadHeader,
-    /// The digest in the file's first line has another length.
+    /// The digest in the file's first line has a wrong length.
     #[error("its print cannot be read")]
     BadDigest,
-    /// The file's name says another number than its first line.
+    /// The file's name does not match the number in its first line.
     #[error("it is {kind} {number}")]
     WrongFileName {
-        /// What one document is called.
+        /// Name of the kind.
         kind: &'static str,
-        /// The number in the file.
+        /// Number in the file's first line.
         number: u64,
     },
     /// The thread that validates and writes has ended.
@@ -126,9 +126,11 @@
     Worker(#[source] io::Error),
 }
 
-/// Bytes of a state folder that are not for messages: where documents of this kind are followed, as
-/// many as are stored, one more while it is written, the number of the last one, and the folder;
-/// else those that are there.
+/// Returns the bytes of a state folder that are not available for messages.
+///
+/// Where documents of this kind are followed: the space for the maximum number of documents, one
+/// more while it is written, the number of the last applied one, and the folder. Otherwise: the
+/// size of the files that exist.
 ///
 /// # Errors
 /// The folder cannot be read.
@@ -148,7 +150,7 @@
 pub struct DocumentStore<K: StoredDocument> {
     folder: PathBuf,
     worker: Worker,
-    /// Gives what documents are validated against, as of now.
+    /// Returns the data that documents are validated against, as of now.
     context: Box<dyn Fn() -> Arc<K::ValidationContext>>,
     owner: Rc<K>,
     /// Digests of the documents that are stored, by number.
@@ -157,11 +159,11 @@
 }
 
 impl<K: StoredDocument> DocumentStore<K> {
-    /// Opens the store in a state folder: every document that is there and can be used is made
-    /// ready, in the context of the start.
+    /// Opens the store in a state folder. Every document there that can be used is validated in the
+    /// start context and added to its owner.
     ///
     /// # Errors
-    /// The folder cannot be made or read, or the thread cannot be started.
+    /// The folder cannot be created or read, or the thread cannot be started.
     pub fn open(
         state: &Path,
         start_context: &K::ValidationContext,
@@ -187,7 +189,7 @@
                         file.name,
                         e.to_string().replace('\n', "; ")
                     );
-                    // Its number may be offered again, and the file is in the way of nothing else.
+                    // The number may be offered again, so the unusable file is removed.
                     fs::remove_file(folder.join(&file.name))?;
                 }
             }
@@ -203,25 +205,25 @@
         })
     }
 
-    /// Digests of the documents that are stored, by number.
+    /// Returns the digests of the stored documents, by number.
     pub fn stored(&self) -> BTreeMap<u64, Digest> {
         self.stored.borrow().clone()
     }
 
-    /// Number of the document that an earlier process applied last; 0 for none.
+    /// Returns the number of the document that an earlier process applied last; 0 for none.
     pub fn last_applied(&self) -> u64 {
         self.last_applied
     }
 
-    /// Makes room for a document of that number: forgets the one that has the number, or where the
-    /// store is full the oldest that is not in use. Gives the numbers that were forgotten.
+    /// Makes space for a document of that number: removes the document that has the number, or
+    /// where the store is full the oldest one that is not in use. Returns the removed numbers.
     ///
     /// # Errors
-    /// What would have to be forgotten is needed.
+    /// The document that would have to be removed is needed.
     pub fn make_room(&self, number: u64, needed: [u64; 2]) -> Result<Vec<u64>, DocumentError> {
         let mut stored = self.stored.borrow_mut();
         let mut forgotten = Vec::new();
-        // Of one number there is one: another text under it replaces one that is not needed.
+        // Each number has one document: another text under it replaces one that is not needed.
         let replaced = if stored.contains_key(&number) {
             Some(number)
         } else if stored.len() >= K::MAX_DOCUMENTS {
@@ -245,11 +247,11 @@
         Ok(forgotten)
     }
 
-    /// Validates a document and stores it, after [`DocumentStore::make_room`]; removes the files of
-    /// those that were forgotten there.
+    /// Validates a document and stores it, after [`DocumentStore::make_room`]. Removes the files of
+    /// the documents that were removed there.
     ///
     /// # Errors
-    /// Everything for which this sender cannot use or store it.
+    /// All reasons for which this sender cannot use or store it.
     pub async fn add(
         &self,
         number: u64,
@@ -291,7 +293,7 @@
     }
 }
 
-/// Reads a stored document and hands it to its owner. Gives its number and its digest.
+/// Reads a stored document and adds it to its owner. Returns its number and its digest.
 fn load<K: StoredDocument>(
     folder: &Path,
     name: &str,
--- a/src/agent/document_store/validation.rs
+++ b/src/agent/document_store/validation.rs
@@ -1,5 +1,5 @@
-//! What documents are validated against here, and who owns them once they are ready for use:
-//! [`PolicySet`] the policies, [`RoutingTables`] the routing tables.
+//! Validation of documents in this sender, and the owners of the validated ones: [`PolicySet`] for
+//! policies, [`RoutingTables`] for routing tables.
 
 use super::{DocumentError, StoredDocument};
 use crate::config::Door;
@@ -14,8 +14,8 @@
 use crate::dispatch::routing::Routes;
 use crate::Settings;
 
-/// Fewest bytes that a message takes in the state folder. A policy that has more messages held than
-/// fit is a mistake.
+/// Minimum size of a message in the state folder, in bytes. A policy is rejected if it allows more
+/// held messages than fit at this size.
 const MIN_MESSAGE_BYTES: u64 = 256;
 
 impl StoredDocument for PolicySet {
@@ -78,22 +78,22 @@
     }
 }
 
-/// What routing tables are validated against.
+/// Data that routing tables are validated against.
 pub struct TableValidationContext {
     /// Names of the sender's classes.
     pub classes: Vec<String>,
-    /// How many tenants its settings have.
+    /// Number of tenants in the sender's settings.
     pub tenants: usize,
-    /// What its endpoint list has, by zone. Nothing at a start: a table that was validated once and
-    /// is in force is not refused for a list that has changed.
+    /// Capacities in the endpoint list, by zone. `None` at the start: a table that was validated
+    /// before and is active is not rejected because the list has changed.
     pub listed: Option<Vec<ZoneCapacity>>,
 }
 
 impl TableValidationContext {
-    /// Makes a table ready for use here.
+    /// Validates a table for this sender.
     ///
     /// # Errors
-    /// Everything for which this sender cannot go by it.
+    /// All reasons for which this sender cannot apply it.
     pub fn validate(&self, digest: Digest, text: &str) -> Result<Routes, DocumentError> {
         let document = table::Document::parse(text).map_err(faults)?;
         if document.digest() != digest {
@@ -110,27 +110,27 @@
     }
 }
 
-/// What policies are laid over, and the bounds of this machine.
+/// The settings that policies override, and the limits of this machine.
 pub struct PolicyValidationContext {
     /// The sender's own settings.
     pub settings: Settings,
-    /// Names of its classes.
+    /// Names of the sender's classes.
     pub classes: Vec<String>,
-    /// Its own admission control settings.
+    /// The sender's own admission control settings.
     pub admission: Door,
-    /// Connection slots for clients.
+    /// Number of connection slots for clients.
     pub client_slots: usize,
-    /// Calls in flight for which there are file descriptors.
+    /// Maximum number of calls in flight, by the available file descriptors.
     pub max_calls: usize,
-    /// Bytes of the state folder that are for messages.
+    /// Bytes of the state folder that are available for messages.
     pub disk_bytes: u64,
 }
 
 impl PolicyValidationContext {
-    /// Makes a policy ready for use here.
+    /// Validates a policy for this sender.
     ///
     /// # Errors
-    /// Everything for which this sender cannot go by it.
+    /// All reasons for which this sender cannot apply it.
     pub fn validate(
         &self,
         number: u64,
@@ -158,7 +158,7 @@
         Ok(admission.policy(number, &settings, &self.classes, self.client_slots, hook))
     }
 
-    /// Where a policy's settings ask for more than this machine has.
+    /// Returns the settings of a policy that exceed the limits of this machine.
     fn exceeded_bounds(&self, settings: &Settings) -> Vec<String> {
         let mut exceeded = Vec::new();
         let slots = settings.max_in_flight_calls as usize;
@@ -190,7 +190,7 @@
     }
 }
 
-/// The faults of a text, a line each.
+/// Converts the errors of a text, one line each.
 fn faults<F: ToString>(faults: Vec<F>) -> DocumentError {
     DocumentError::Faults(faults.iter().map(ToString::to_string).collect())
 }
--- a/src/agent/documents.rs
+++ b/src/agent/documents.rs
@@ -1,8 +1,8 @@
-//! The agent's work on documents: checks and stores those that are offered, and notes which are
-//! applied.
+//! The agent's work on documents: checks and stores offered documents, and notes on disk which ones
+//! are applied.
 //!
-//! Both are tasks of their own, one document at a time, as the stores' threads take their time. A
-//! document that finds no room in the queue is offered again by the leader.
+//! Both are separate tasks that handle one document at a time, because the stores' threads may be
+//! slow. The leader repeats the offer of a document that finds the queue full.
 
 use super::{Agent, AgentParts};
 use crate::agent::document_store::{DocumentStore, StoredDocument};
@@ -12,10 +12,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Documents that may wait to be checked.
+/// Maximum number of documents in the queue of checks.
 const MAX_CHECKS: usize = 8;
 
-/// A document that is to be checked and stored.
+/// A document to check and store.
 pub(super) struct DocumentCheck {
     pub(super) kind: DocumentKind,
     pub(super) number: u64,
@@ -23,14 +23,14 @@
     pub(super) text: String,
 }
 
-/// The numbers of the documents that were applied last, 0 for none.
+/// Numbers of the documents that were applied last; 0 for none.
 #[derive(Clone, Copy)]
 struct Applied {
     policy: u64,
     table: u64,
 }
 
-/// What is to be done with documents.
+/// Queues of the document tasks, and the applied documents.
 pub(super) struct DocumentWork {
     check_sender: Sender<DocumentCheck>,
     checks: Receiver<DocumentCheck>,
@@ -58,12 +58,13 @@
         }
     }
 
-    /// Queues a check. One that finds no room is dropped, as the leader offers it again.
+    /// Queues a check. A check that finds the queue full is dropped, as the leader repeats the
+    /// offer.
     pub(super) fn queue(&self, check: DocumentCheck) {
         let _ = self.check_sender.try_send(check);
     }
 
-    /// A document is applied from now on; it is noted for a later process.
+    /// Records that a document is applied from now on, and has it noted for a later process.
     pub(super) fn set_applied(&self, kind: DocumentKind, number: u64) {
         let previous = self.applied.get();
         let mut applied = previous;
@@ -74,14 +75,14 @@
         *now = number;
         self.applied.set(applied);
         if before != number {
-            // A signal that is waiting already will do.
+            // A signal that is already pending suffices.
             let _ = self.applied_sender.try_send(());
         }
     }
 }
 
 impl Agent {
-    /// Starts the tasks, where there is a store.
+    /// Starts the document tasks, where there is a store.
     pub(super) fn start_document_tasks(self: &Rc<Self>) {
         if self.parts.policies.is_none() && self.parts.tables.is_none() {
             return;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Checks and stores one document, and tells the session the result.
+    /// Checks and stores one document, and passes the result to the session.
     async fn check<K: StoredDocument>(
         self: &Rc<Self>,
         store: Option<&DocumentStore<K>>,
@@ -135,7 +136,7 @@
         self.perform(effects);
     }
 
-    /// Notes on disk which documents are applied, whenever one has changed.
+    /// Notes on disk which documents are applied, after each change.
     async fn note_applied_documents(self: Rc<Self>) {
         let mut noted = self.documents.applied.get();
         while self.documents.applied_signal.recv().await.is_ok() {
--- a/src/agent/effects.rs
+++ b/src/agent/effects.rs
@@ -1,7 +1,7 @@
-//! Carries out what the session decides: opens connections, sets evacuations and leases, and lets
-//! messages in or not.
+//! Carries out the decisions of the session: opens connections, sets evacuations and leases, and
+//! opens or closes admission.
 //!
-//! Invariant: a policy and a routing table are in force from the turn in which admission opens
+//! Invariant: a policy and a routing table are activated in the same step that opens admission
 //! under them, so that no message is accepted under another one.
 
 use super::documents::DocumentCheck;
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 impl Agent {
-    /// Carries effects out, in their order. Nothing once the agent has left.
+    /// Carries out effects in their order. Does nothing after the agent has left.
     pub(super) fn perform(self: &Rc<Self>, effects: Vec<SessionEffect>) {
         if self.has_left.get() {
             return;
@@ -33,7 +33,8 @@
             SessionEffect::Disconnect => *self.outgoing.borrow_mut() = None,
             SessionEffect::Send(message) => {
                 if let Some(outgoing) = &*self.outgoing.borrow() {
-                    // A connection that takes no messages is silent, and given up as such.
+                    // A connection that accepts no messages is silent, and is given up for its
+                    // silence.
                     let _ = outgoing.try_send(message);
                 }
             }
@@ -103,8 +104,8 @@
         self.parts.delivery.admission.set(state);
     }
 
-    /// Puts a policy and a routing table in force, those that are named. False where one is not
-    /// known.
+    /// Activates the given policy and the given routing table. Returns false where one of them is
+    /// unknown.
     fn apply_documents(&self, policy: Option<u64>, table: Option<u64>) -> bool {
         let begun = Instant::now();
         let documents = [(DocumentKind::Policy, policy), (DocumentKind::Table, table)];
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -1,12 +1,12 @@
-//! The agent in a sender: its session with the coordination replicas, what it reports to them, and
-//! what it follows.
+//! The agent in a sender: its session with the coordination replicas, the reports that it sends to
+//! them, and the decisions of the fleet that it follows.
 //!
-//! Owns the session and the sender's side of what travels on it. It does not decide for the fleet
-//! (that is [`crate::coordination`]), nor which endpoint gets a message (the decision module); it
-//! sets what those decisions are made under. `main` starts it where the sender has a fleet file,
-//! and calls [`Agent::leave`] at the end. Where no replica can be reached the sender does as it
-//! would without an agent, but for what [`config::FleetConfig::policies`] and
-//! [`config::FleetConfig::tables`] say.
+//! Owns the session and the sender's side of the protocol. It makes no decision for the fleet (see
+//! [`crate::coordination`]) and does not choose the endpoint of a message (see the decision
+//! module); it sets the conditions under which those choices are made. `main` starts it where the
+//! sender has a fleet file, and calls [`Agent::leave`] at the end. Where no replica can be reached
+//! the sender works as without an agent, except as [`config::FleetConfig::policies`] and
+//! [`config::FleetConfig::tables`] demand.
 //!
 //! - [`session`] decides, with a [`register`] each for policies and routing tables. No I/O.
 //! - [`call_statistics`] counts what is reported. No I/O.
@@ -48,32 +48,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Messages from replicas that may wait to be read.
+/// Maximum number of received messages in the queue.
 const MAX_INCOMING: usize = 64;
-/// The agent looks again after this time (ns) though nothing is due: the timer wheel reaches no
-/// further.
+/// Longest sleep (ns): the timer wheel reaches no further. The agent wakes up after this time even
+/// if nothing is due.
 const MAX_SLEEP: Nanos = 3_600 * SEC;
-/// At the end of the process, its last message is written within this time, or lost.
+/// Time at the end of the process within which the last message has to be written; after that it is
+/// lost.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often it is looked whether that message is written.
+/// Interval at which the agent checks whether that message is written.
 const LEAVE_POLL: Duration = Duration::from_millis(5);
 
-/// What an agent works with.
+/// Dependencies of an agent.
 pub struct AgentParts {
     /// Name of the sender.
     pub sender: String,
-    /// Drawn for this process.
+    /// Random seed of this process.
     pub seed: u64,
-    /// An evacuated zone that nobody orders evacuated any more is returned to over this time (ns).
+    /// Time (ns) over which the sender returns to an evacuated zone that is no longer ordered
+    /// evacuated.
     pub warm_after: Nanos,
-    /// What messages are delivered with: the driver, the endpoint directory, the timer wheel,
+    /// Context for delivering messages: the driver, the endpoint directory, the timer wheel,
     /// admission, policies and routing tables.
     pub delivery: Rc<DeliveryContext>,
-    /// The stored policies, where the sender follows policies or did before.
+    /// The stored policies, where the sender follows policies or has followed them before.
     pub policies: Option<DocumentStore<PolicySet>>,
-    /// The same of routing tables.
+    /// The stored routing tables, under the same condition.
     pub tables: Option<DocumentStore<RoutingTables>>,
-    /// Runs the agent's tasks.
+    /// Executor of the agent's tasks.
     pub executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -87,24 +89,24 @@
     }
 }
 
-/// The agent.
+/// The agent of a sender.
 pub struct Agent {
     config: FleetConfig,
     parts: AgentParts,
     /// The origin of the session's clock.
     started: Instant,
     session: RefCell<SessionState>,
-    /// Messages for the connection that is open.
+    /// Queue of messages for the open connection.
     outgoing: RefCell<Option<Sender<AgentToReplica>>>,
     incoming_sender: Sender<ConnectionEvent>,
     incoming: Receiver<ConnectionEvent>,
     documents: DocumentWork,
-    /// Destinations of which operators were told that they stay in use.
+    /// Destinations that were logged as staying in use.
     logged_kept_destinations: RefCell<BTreeSet<u16>>,
     has_left: Cell<bool>,
 }
 
-/// What the agent wakes up for.
+/// Event that wakes up the agent.
 enum AgentEvent {
     ListChanged,
     Incoming(ConnectionEvent),
@@ -112,8 +114,10 @@
 }
 
 impl Agent {
-    /// Starts an agent, which runs for as long as the process lives. Where it follows documents no
-    /// message is accepted before it is known under which.
+    /// Starts an agent, which runs until the process ends.
+    ///
+    /// Where it follows documents, no message is accepted before the applicable documents are
+    /// known.
     pub fn start(config: FleetConfig, parts: AgentParts) -> Rc<Agent> {
         let session = start_session(&config, &parts);
         let documents = DocumentWork::new(&parts);
@@ -133,8 +137,8 @@
         });
         let observer = Rc::new(AgentObserver::new(agent.clone()));
         agent.parts.delivery.driver.set_observer(observer);
-        // What follows from the policy that it last went by, if it goes by that alone, counts
-        // before the first message comes.
+        // The effects of the last applied policy, where the sender follows that one alone, have to
+        // be in place before the first message arrives.
         agent.tick_at(0);
         let running = agent.clone();
         agent
@@ -158,7 +162,7 @@
                 let _ = outgoing.try_send(message);
             }
         }
-        // The connection ends once its messages are written, and closes the channel.
+        // The connection ends after its messages are written, and then closes the channel.
         outgoing.close();
         let wheel = &self.parts.delivery.wheel;
         let written = async {
@@ -169,12 +173,12 @@
         wheel.timeout(LEAVE_TIMEOUT, written).await;
     }
 
-    /// Now, by the session's clock.
+    /// Returns the current time of the session's clock.
     fn now(&self) -> Nanos {
         self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// A time of the session's clock.
+    /// Converts a time of the session's clock to an [`Instant`].
     fn instant(&self, time: Nanos) -> Instant {
         self.started + duration(time)
     }
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Drives the session until the endpoint list has changed.
+    /// Drives the session until the endpoint list changes.
     async fn run_until(self: &Rc<Self>, mut list_changed: EventListener) {
         loop {
             self.tick_at(self.now());
@@ -221,7 +225,7 @@
         changed.or(received).or(due).await
     }
 
-    /// When the session or an evacuation needs something at the latest.
+    /// Returns the latest time at which the session or an evacuation needs a wake-up.
     fn next_deadline(&self) -> Instant {
         let session = self.session.borrow().next_deadline();
         let session = self.instant(session.min(self.now() + MAX_SLEEP));
@@ -250,7 +254,7 @@
         *self.logged_kept_destinations.borrow_mut() = kept;
     }
 
-    /// What the endpoint list has, as reports say it.
+    /// Returns the capacities in the endpoint list, as reports contain them.
     fn listed(&self) -> Vec<ListedZoneCapacity> {
         let capacities = self.parts.delivery.directory.capacity_by_zone();
         capacities
@@ -265,7 +269,7 @@
     }
 }
 
-/// The session of a sender that starts. Where it follows documents, admission is fenced.
+/// Creates the session of a sender that starts. Where it follows documents, admission is fenced.
 fn start_session(config: &FleetConfig, parts: &AgentParts) -> SessionState {
     let session_config = SessionConfig {
         sender: parts.sender.clone(),
@@ -289,7 +293,7 @@
     session
 }
 
-/// The register of what a sender follows, if it does.
+/// Creates the register for one kind of document, if the sender follows that kind.
 fn make_register<K: StoredDocument>(
     kind: DocumentKind,
     on_lease_loss: Option<OnLeaseLoss>,
@@ -300,8 +304,8 @@
     Some(register)
 }
 
-/// What an earlier process accepted goes by the routing table that it applied, before any replica
-/// has answered.
+/// Activates the routing table that an earlier process applied last, so that the messages it
+/// accepted are routed by that table before any replica has answered.
 fn apply_last_table(config: &FleetConfig, parts: &AgentParts) {
     let last = parts.tables.as_ref().map_or(0, DocumentStore::last_applied);
     if config.tables.is_some() && last != 0 && !parts.delivery.activate_routing_table(last) {
--- a/src/agent/observer.rs
+++ b/src/agent/observer.rs
@@ -1,4 +1,4 @@
-//! Records what becomes of calls and messages, for the agent's reports.
+//! Records the outcomes of calls and messages for the agent's reports.
 //!
 //! The delivery driver calls [`AgentObserver`]; the counts are in
 //! [`super::call_statistics::CallStatistics`].
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Records for an agent.
+/// Observer that records for an agent.
 pub(super) struct AgentObserver {
     agent: Rc<Agent>,
 }
@@ -22,7 +22,7 @@
     }
 }
 
-/// A call that is in flight; dropped, it is not any more.
+/// A call in flight, until this guard is dropped.
 struct InFlightCall {
     agent: Rc<Agent>,
     number: u64,
--- a/src/agent/register.rs
+++ b/src/agent/register.rs
@@ -1,26 +1,28 @@
 //! One register of the coordinated record, as this sender follows it: the policy register of its
 //! zone, or the routing table register of its site.
 //!
-//! Owns which document messages are accepted under, which documents are stored, and what is owed to
-//! the leader as a reply. It does no I/O and has no clock: [`super::session`] passes messages in,
-//! says until when the lease is believed, and carries the [`RegisterEffect`]s out.
+//! Owns the state that says which document messages are accepted under, which documents are stored,
+//! and which reply the leader is owed. It does no I/O and has no clock: [`super::session`] passes
+//! messages in, supplies the time until which the lease is trusted, and carries out the
+//! [`RegisterEffect`]s.
 //!
-//! **Turns only grow.** A rule of an earlier turn than one that was received is ignored; the same
-//! one again is answered again.
+//! **Turns only grow.** A rule of an earlier turn than the latest received one is ignored; a
+//! repeated rule is answered again.
 //!
-//! **Fencing.** A lease that lapsed makes everything that was received doubtful: the record may
-//! have gone on without this sender. It accepts nothing before the register was received on a
-//! connection that was opened since. While a lease lasts the record cannot go on without this
-//! sender's reply, also where its connection is lost and another one is opened.
+//! **Fencing.** After the lease has expired, all received state is in doubt: the record may have
+//! changed without this sender. The sender accepts no message until it has received the register on
+//! a connection that was opened after the expiry. While a lease lasts, the record cannot change
+//! without this sender's reply, even if its connection is lost and another one is opened.
 //!
-//! **Replies are true when sent.** [`RegisterReply::Applied`] is sent once the sender goes by that
-//! turn: it holds a lease, and the document that it accepts messages under is stored.
+//! **Replies are true when sent.** [`RegisterReply::Applied`] is sent after the sender has applied
+//! the rule of that turn: it holds a lease, and the document under which it accepts messages is
+//! stored.
 
 use crate::coordination::messages::{Digest, ReplicaTableMessage, SiteAdmission};
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Documents that are checked at once; what is offered beside them is offered again later.
+/// Maximum number of documents that are checked at once. The leader repeats offers beyond it.
 const MAX_CHECKS: usize = 4;
 
 /// The kinds of documents that a register names.
@@ -33,7 +35,7 @@
 }
 
 impl DocumentKind {
-    /// What one of them is called.
+    /// Returns the name of the kind in the singular.
     pub fn name(self) -> &'static str {
         match self {
             DocumentKind::Policy => "policy",
@@ -41,7 +43,7 @@
         }
     }
 
-    /// How a log line says that messages are accepted with one.
+    /// Returns the phrase for accepting messages under such a document, for log lines.
     fn preposition_and_name(self) -> &'static str {
         match self {
             DocumentKind::Policy => "under policy",
@@ -53,28 +55,29 @@
 /// A reply to the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegisterReply {
-    /// Answers an offer.
+    /// Answer to an offer.
     Checked {
-        /// The number that was offered.
+        /// Number of the offered document.
         number: u64,
-        /// Why this sender cannot use the document; nothing where it is checked and stored.
+        /// Reason for which this sender cannot use the document; `None` if it is checked and
+        /// stored.
         refused: Option<String>,
     },
-    /// The sender goes by the rule of this turn.
+    /// The sender has applied the rule of this turn.
     Applied {
-        /// The turn.
+        /// Turn of the rule.
         turn: u64,
     },
 }
 
-/// What a sender does while it cannot know whether the record has gone on.
+/// Behavior of a sender that cannot know whether the record has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize)]
 pub enum OnLeaseLoss {
     /// It accepts no new messages, and finishes those that it has accepted.
     #[serde(rename = "hold")]
     StopAccepting,
-    /// It accepts messages under the document that it last went by. Two senders may then go by two
-    /// documents.
+    /// It accepts messages under the document that it applied last. Two senders may then apply two
+    /// different documents.
     #[serde(rename = "last")]
     KeepLast,
 }
@@ -82,40 +85,40 @@
 /// Whether one register lets this sender accept messages.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionGate {
-    /// It may, under a document.
+    /// The sender may accept messages under a document.
     Open {
-        /// Number of the document; 0 for the sender's own settings, or its list alone.
+        /// Number of the document; 0 for the sender's own settings or its endpoint list alone.
         number: u64,
-        /// Until when; nothing where no lease bounds it.
+        /// End of the permission; `None` where no lease bounds it.
         until: Option<Nanos>,
     },
-    /// No sender may, for the moment between two documents.
+    /// No sender may accept messages, for the short time between two documents.
     Paused,
-    /// This sender may not: it has no lease, or lacks the document.
+    /// This sender may not accept messages: it has no lease, or the document is not stored.
     Fenced,
 }
 
-/// What is to be done, in this order.
+/// Actions for the caller, to be carried out in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegisterEffect {
-    /// Check a document and store it; [`Register::on_checked`] is told the result.
+    /// Check a document and store it, and pass the result to [`Register::on_checked`].
     CheckDocument {
-        /// Its number.
+        /// Number of the document.
         number: u64,
-        /// Its digest.
+        /// Digest of the document.
         digest: Digest,
-        /// Its text.
+        /// Text of the document.
         text: String,
     },
-    /// Accept messages, or not, as this says from now on.
+    /// Open or close admission accordingly from now on.
     SetGate(AdmissionGate),
-    /// Send this on the connection.
+    /// Send this reply on the connection.
     Reply(RegisterReply),
-    /// Log this for the operators.
+    /// Log this line for the operators.
     Log(String),
 }
 
-/// What the register says, as the leader last told it.
+/// Content of the register as last received from the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Rule {
     turn: u64,
@@ -128,27 +131,27 @@
 pub struct Register {
     kind: DocumentKind,
     on_lease_loss: OnLeaseLoss,
-    /// Digests of the documents that are stored, by number.
+    /// Digests of the stored documents, by number.
     stored: BTreeMap<u64, Digest>,
     /// Digests of the documents that are being checked, by number.
     checking: BTreeMap<u64, Digest>,
-    /// The rule of the highest turn that was received.
+    /// Rule of the highest received turn.
     rule: Option<Rule>,
-    /// The rule was received since the lease last lapsed.
+    /// Whether the rule was received since the lease last expired.
     is_rule_current: bool,
-    /// Whether the lease was held when it was last looked at.
+    /// Whether the lease was held at the last check.
     held_lease: bool,
-    /// The document that messages were last accepted under, also by an earlier process.
+    /// Document under which messages were last accepted, also by an earlier process.
     last_applied: u64,
-    /// The gate that was last given as an effect.
+    /// Gate that was last returned as an effect.
     gate: Option<AdmissionGate>,
-    /// The turn for which [`RegisterReply::Applied`] is owed.
+    /// Turn for which [`RegisterReply::Applied`] is owed.
     unanswered_turn: Option<u64>,
 }
 
 impl Register {
-    /// The register of a sender that starts, with what it has stored and the number of the document
-    /// that it last went by.
+    /// Creates the register of a sender that starts, with its stored documents and the number of
+    /// the document that it applied last.
     pub fn new(
         kind: DocumentKind,
         on_lease_loss: OnLeaseLoss,
@@ -174,12 +177,12 @@
         }
     }
 
-    /// The kind of its documents.
+    /// Returns the kind of its documents.
     pub fn kind(&self) -> DocumentKind {
         self.kind
     }
 
-    /// Numbers and digests of the documents that are stored.
+    /// Returns the numbers and digests of the stored documents.
     pub fn stored(&self) -> Vec<(u64, Digest)> {
         self.stored
             .iter()
@@ -187,13 +190,13 @@
             .collect()
     }
 
-    /// Numbers of the documents that may be needed at once: the one that the record names, and the
-    /// one that this sender last went by.
+    /// Returns the numbers of the documents that may be needed at the same time: the one in the
+    /// record, and the one that this sender applied last.
     pub fn needed_documents(&self) -> [u64; 2] {
         [self.rule.map_or(0, |r| r.number), self.last_applied]
     }
 
-    /// Takes in a message from the leader. [`Register::update_gate`] gives what follows from a
+    /// Handles a message from the leader. [`Register::update_gate`] then returns the effects of a
     /// rule.
     pub fn on_message(&mut self, message: ReplicaTableMessage, effects: &mut Vec<RegisterEffect>) {
         match message {
@@ -218,7 +221,7 @@
         if self.rule.is_some_and(|known| rule.turn < known.turn) {
             return;
         }
-        // One turn has one meaning: what was received first stands.
+        // A turn has a single rule: the first one received is kept.
         if self.rule.is_none_or(|known| rule.turn > known.turn) {
             self.rule = Some(rule);
         }
@@ -245,7 +248,8 @@
             effects.push(RegisterEffect::Reply(reply));
             return;
         }
-        // One that is being checked is answered once; what there is no room for is offered again.
+        // A document that is already being checked is answered once; the leader repeats offers that
+        // exceed the limit.
         if self.checking.len() < MAX_CHECKS && !self.checking.contains_key(&number) {
             self.checking.insert(number, digest);
             effects.push(RegisterEffect::CheckDocument {
@@ -256,14 +260,14 @@
         }
     }
 
-    /// Whether the lease was held when it was last looked at.
+    /// Whether the lease was held at the last check.
     pub fn held_lease(&self) -> bool {
         self.held_lease
     }
 
-    /// Notes whether the lease is held now. True where it has lapsed since the last look: nothing
-    /// that was received counts any more, and what still comes on that connection must not count
-    /// either.
+    /// Records whether the lease is held now. Returns true where it has expired since the last
+    /// check: the received rule no longer counts, and messages that still arrive on the same
+    /// connection must not count either.
     pub fn note_lease(&mut self, holds_lease: bool) -> bool {
         let has_lapsed = self.held_lease && !holds_lease;
         self.held_lease = holds_lease;
@@ -273,7 +277,8 @@
         has_lapsed
     }
 
-    /// A connection is opened while no lease is held: only what is received on it counts.
+    /// Records that a connection is opened while no lease is held: only messages received on it
+    /// count.
     pub fn on_connecting_without_lease(&mut self) {
         self.distrust_rule();
     }
@@ -283,14 +288,14 @@
         self.unanswered_turn = None;
     }
 
-    /// These documents are not stored any more.
+    /// Records that these documents are no longer stored.
     pub fn forget(&mut self, numbers: &[u64]) {
         for number in numbers {
             self.stored.remove(number);
         }
     }
 
-    /// Takes in the result of a check: the document is stored, or cannot be used.
+    /// Handles the result of a check: the document is stored, or cannot be used.
     pub fn on_checked(
         &mut self,
         number: u64,
@@ -318,8 +323,8 @@
         effects.push(RegisterEffect::Reply(reply));
     }
 
-    /// Gives what follows from the rule and the lease: the gate where it has changed, then the
-    /// reply that is owed. The lease is believed until then, if there is one.
+    /// Returns the effects of the rule and the lease: the gate where it has changed, then the reply
+    /// that is owed. `lease_until` is the end of the trusted lease, if there is one.
     pub fn update_gate(
         &mut self,
         now: Nanos,
@@ -342,8 +347,8 @@
             self.gate = Some(gate);
             effects.push(RegisterEffect::SetGate(gate));
         }
-        // Sent after it is so. Where the gate is fenced for want of the document, this sender does
-        // not go by the rule yet.
+        // The reply follows the gate so that it is true when sent. Where the gate is fenced because
+        // the document is missing, this sender has not applied the rule yet.
         let goes_by_rule = rule.is_some_and(|r| {
             r.admission == SiteAdmission::LeaseExpired || gate != AdmissionGate::Fenced
         });
@@ -354,7 +359,7 @@
         }
     }
 
-    /// The gate that follows from the rule, where that may be trusted, and the lease.
+    /// Returns the gate for the rule, if that may be trusted, and the lease.
     fn gate_by(&self, rule: Option<Rule>, lease_until: Option<Nanos>) -> AdmissionGate {
         let Some(rule) = rule else {
             return match self.on_lease_loss {
@@ -380,7 +385,7 @@
         }
     }
 
-    /// The log line for a change of the gate; none where only the lease was renewed.
+    /// Returns the log line for a change of the gate; `None` where only the lease was renewed.
     fn describe_change(&self, gate: AdmissionGate, rule: Option<Rule>) -> Option<String> {
         let by = match rule {
             None => "without a keeper's word".to_string(),
--- a/src/agent/session/connection.rs
+++ b/src/agent/session/connection.rs
@@ -1,50 +1,50 @@
-//! Which replica the agent is connected to: attempts in turn, backoff, redirects to the leader.
+//! The agent's connection to a replica: attempts in turn, backoff, redirects to the leader.
 //!
-//! Owns the connection's state and number. The connection itself is made and closed by whoever
-//! carries out the effects.
+//! Owns the connection's state and number. The code that carries out the effects opens and closes
+//! the connection itself.
 //!
-//! Invariant: messages of a connection that was given up are ignored, as its number is not the
-//! current one any more.
+//! Invariant: messages of a connection that was given up are ignored, as its number is no longer
+//! the current one.
 
 use super::{AttemptDemand, SessionEffect, SessionState};
 use crate::coordination::messages::{AgentTableMessage, AgentToReplica};
 use crate::dispatch::statistics::{MS, SEC};
 use crate::Nanos;
 
-/// A replica that has not answered for so long (ns), or for so many report intervals, whichever is
-/// longer, is given up.
+/// A replica is given up after this time (ns) without an answer, or after this number of report
+/// intervals, whichever is longer.
 const ANSWER_TIMEOUT: Nanos = SEC;
 const ANSWER_TIMEOUT_REPORTS: u64 = 4;
-/// First and longest backoff after a replica that could not be asked (ns). It doubles with each
-/// failure in a row, and half of it is drawn, so that agents do not come in step.
+/// Minimum and maximum backoff (ns) after a failed connection. It doubles with each consecutive
+/// failure, and half of it is random, so that agents do not synchronize.
 const MIN_BACKOFF: Nanos = 100 * MS;
 const MAX_BACKOFF: Nanos = 2 * SEC;
-/// Doublings after which the backoff has passed its longest.
+/// Number of doublings after which the backoff exceeds its maximum.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// A redirect is followed within this time (ns), drawn, so that agents do not come in step.
+/// Maximum random delay (ns) before a redirect is followed, so that agents do not synchronize.
 const MAX_REDIRECT_DELAY: Nanos = 20 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ConnectionState {
-    /// None is open; the next one is opened then.
+    /// No connection is open; the next one is opened at `until`.
     Waiting { until: Nanos },
-    /// Opened then, and not answered yet.
+    /// The connection was opened at `since` and has not been answered yet.
     Connecting { since: Nanos },
-    /// The leader has renewed the lease on it.
+    /// The leader has renewed the lease on this connection.
     Established,
 }
 
-/// The connection to a replica.
+/// State of the connection to a replica.
 #[derive(Debug)]
 pub(super) struct Connection {
     state: ConnectionState,
     /// Number of the newest connection.
     pub(super) number: u64,
-    /// When it was opened.
+    /// Time at which the newest connection was opened.
     pub(super) opened: Nanos,
-    /// The replica that is asked, as a position in the configuration.
+    /// Current replica, as a position in the configuration.
     replica: usize,
-    /// Failures in a row.
+    /// Consecutive failures.
     failures: u32,
     /// Redirects and reconnects since the last session.
     redirects: u32,
@@ -62,29 +62,29 @@
         }
     }
 
-    /// Whether one is open, answered or not.
+    /// Whether a connection is open, answered or not.
     pub(super) fn is_open(&self) -> bool {
         !matches!(self.state, ConnectionState::Waiting { .. })
     }
 
-    /// Whether the leader has answered on it.
+    /// Whether the leader has answered on the connection.
     pub(super) fn is_established(&self) -> bool {
         self.state == ConnectionState::Established
     }
 
-    /// Whether the connection of that number is the one that is open.
+    /// Whether the connection of that number is the open one.
     pub(super) fn is_current(&self, number: u64) -> bool {
         number == self.number && self.is_open()
     }
 
-    /// The leader has answered.
+    /// Records that the leader has answered.
     pub(super) fn establish(&mut self) {
         self.state = ConnectionState::Established;
         self.failures = 0;
         self.redirects = 0;
     }
 
-    /// No connection is opened any more.
+    /// Closes the connection; no further one is opened.
     pub(super) fn close_for_good(&mut self) {
         self.state = ConnectionState::Waiting { until: Nanos::MAX };
     }
@@ -95,12 +95,12 @@
         ANSWER_TIMEOUT.max(ANSWER_TIMEOUT_REPORTS * self.config.report_interval)
     }
 
-    /// Number of the replica that is asked.
+    /// Returns the number of the current replica.
     pub(super) fn replica(&self) -> u64 {
         self.config.replicas[self.connection.replica]
     }
 
-    /// When the connection needs something at the latest.
+    /// Returns the latest time at which the connection needs an action.
     pub(super) fn connection_deadline(&self) -> Nanos {
         match self.connection.state {
             ConnectionState::Waiting { until } => until,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Opens the connection, gives it up, or sends a heartbeat on it, as is due.
+    /// Opens the connection, gives it up, or sends a heartbeat on it, whichever is due.
     pub(super) fn drive_connection(
         &mut self,
         now: Nanos,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Opens a connection to the replica whose turn it is, and opens a session on it.
+    /// Opens a connection to the current replica, and a session on it.
     fn open(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
         if !self.holds_lease(now) {
             self.documents.on_connecting_without_lease();
@@ -180,14 +180,15 @@
         }
     }
 
-    /// The connection of that number is gone.
+    /// Handles the loss of the connection of that number.
     pub fn on_connection_lost(&mut self, now: Nanos, connection: u64) {
         if self.connection.is_current(connection) {
             self.back_off_to_next_replica(now);
         }
     }
 
-    /// The replica does not lead; it names the one that does, where it knows.
+    /// Handles the answer of a replica that is not the leader; `leader` is the leader, where the
+    /// replica knows it.
     pub(super) fn on_redirect(
         &mut self,
         now: Nanos,
@@ -202,12 +203,13 @@
         }
     }
 
-    /// Closes the connection and opens one to the same replica.
+    /// Closes the connection and opens another one to the same replica.
     pub(super) fn reconnect(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
         self.connect_to_next_replica(now, self.connection.replica, effects);
     }
 
-    /// Closes the connection and opens one to this replica soon, unless that goes round in circles.
+    /// Closes the connection and opens one to this replica after a short delay. Gives up where
+    /// there were too many redirects since the last session.
     fn connect_to_next_replica(
         &mut self,
         now: Nanos,
--- a/src/agent/session/documents.rs
+++ b/src/agent/session/documents.rs
@@ -1,10 +1,11 @@
-//! Policies and routing tables: what the registers ask for, and whether messages may be accepted.
+//! Policies and routing tables: the requests of the registers, and whether messages may be
+//! accepted.
 //!
-//! Owns the registers that this sender follows ([`crate::agent::register`]) and the requirement
-//! that they make together.
+//! Owns the registers that this sender follows ([`crate::agent::register`]) and their combined
+//! requirement.
 //!
-//! Invariant: the requirement is given as an effect before the replies that say what this sender
-//! goes by, so that a reply is true when it is sent.
+//! Invariant: the requirement is returned as an effect before the replies that say what this sender
+//! has applied, so that a reply is true when it is sent.
 
 use super::{SessionEffect, SessionState};
 use crate::agent::register::{
@@ -15,27 +16,27 @@
 };
 use crate::Nanos;
 
-/// What all registers that the sender follows require of its admission control.
+/// Combined requirement of all followed registers for the sender's admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionRequirement {
     /// Messages may be accepted.
     Open {
-        /// Under this policy, where the sender follows policies.
+        /// Policy of accepted messages, where the sender follows policies.
         policy: Option<u64>,
-        /// By this routing table, where the sender follows tables.
+        /// Routing table of accepted messages, where the sender follows tables.
         table: Option<u64>,
-        /// Until then (ns); nothing where no lease bounds it.
+        /// End of the permission (ns); `None` where no lease bounds it.
         until: Option<Nanos>,
     },
-    /// No sender accepts any, for a moment.
+    /// No sender accepts messages, for a short time.
     Paused,
-    /// This sender accepts none.
+    /// This sender accepts no messages.
     Fenced,
 }
 
 impl AdmissionRequirement {
-    /// What two registers require together: each may shut out messages, and the earlier bound
-    /// counts. Nothing where there is neither.
+    /// Combines the gates of two registers: each of them may close admission, and the earlier end
+    /// counts. `None` where there is no register.
     fn combine(policies: Option<AdmissionGate>, tables: Option<AdmissionGate>) -> Option<Self> {
         let gates: Vec<AdmissionGate> = policies.into_iter().chain(tables).collect();
         if gates.is_empty() {
@@ -69,7 +70,7 @@
     }
 }
 
-/// A register, with the gate that it gave last.
+/// A register with the gate that it returned last.
 #[derive(Debug)]
 struct Followed {
     register: Register,
@@ -81,12 +82,12 @@
 pub(super) struct Documents {
     policies: Option<Followed>,
     tables: Option<Followed>,
-    /// What was last given as an effect.
+    /// Requirement that was last returned as an effect.
     requirement: Option<AdmissionRequirement>,
 }
 
 impl Documents {
-    /// Follows one more register, in place of the one of its kind.
+    /// Adds a register; it replaces one of the same kind.
     pub(super) fn follow(&mut self, register: Register) {
         let followed = match register.kind() {
             DocumentKind::Policy => &mut self.policies,
@@ -113,12 +114,13 @@
         self.policies.iter_mut().chain(&mut self.tables)
     }
 
-    /// Whether the lease was held when a register was last told of it.
+    /// Whether a register held the lease at its last check.
     pub(super) fn any_held_lease(&self) -> bool {
         self.all().any(|followed| followed.register.held_lease())
     }
 
-    /// Tells every register whether the lease is held. True where one saw it lapse.
+    /// Passes to every register whether the lease is held. Returns true where one of them saw it
+    /// expire.
     pub(super) fn note_lease(&mut self, holds_lease: bool) -> bool {
         let mut has_lapsed = false;
         for followed in self.all_mut() {
@@ -133,13 +135,13 @@
         }
     }
 
-    /// Policies that are stored, by number; nothing where the sender follows none.
+    /// Returns the stored policies; `None` where the sender follows none.
     pub(super) fn stored_policies(&self) -> Option<Vec<(u64, Digest)>> {
         let followed = self.policies.as_ref()?;
         Some(followed.register.stored())
     }
 
-    /// The same of routing tables.
+    /// Returns the stored routing tables; `None` where the sender follows none.
     pub(super) fn stored_tables(&self) -> Option<Vec<(u64, Digest)>> {
         let followed = self.tables.as_ref()?;
         Some(followed.register.stored())
@@ -149,7 +151,7 @@
         followed.as_ref().and_then(|followed| followed.gate)
     }
 
-    /// The requirement, where it is another one than was given last.
+    /// Returns the requirement if it differs from the last returned one.
     fn changed_requirement(&mut self) -> Option<AdmissionRequirement> {
         let gates = (Self::gate(&self.policies), Self::gate(&self.tables));
         let requirement = AdmissionRequirement::combine(gates.0, gates.1);
@@ -162,7 +164,7 @@
 }
 
 impl SessionState {
-    /// Documents that may be needed at once, by number; 0 for none.
+    /// Returns the numbers of the documents that may be needed at the same time; 0 for none.
     pub fn needed_documents(&self, kind: DocumentKind) -> [u64; 2] {
         let followed = match kind {
             DocumentKind::Policy => &self.documents.policies,
@@ -173,15 +175,15 @@
             .map_or([0, 0], |followed| followed.register.needed_documents())
     }
 
-    /// These documents are not stored any more.
+    /// Records that these documents are no longer stored.
     pub fn forget_documents(&mut self, kind: DocumentKind, numbers: &[u64]) {
         if let Some(followed) = self.documents.get_mut(kind) {
             followed.register.forget(numbers);
         }
     }
 
-    /// Takes in the result of [`SessionEffect::CheckDocument`]: the document is stored, or cannot
-    /// be used, for this reason.
+    /// Handles the result of [`SessionEffect::CheckDocument`]: the document is stored, or cannot be
+    /// used for the given reason.
     pub fn on_document_checked(
         &mut self,
         now: Nanos,
@@ -201,7 +203,7 @@
         self.update_admission(now, effects);
     }
 
-    /// Takes in a message for a register.
+    /// Handles a message for a register.
     pub(super) fn on_register_message(
         &mut self,
         kind: DocumentKind,
@@ -215,8 +217,8 @@
         self.forward(kind, from_register, effects);
     }
 
-    /// Gives what the registers say by the lease as it is: what they require of admission first,
-    /// then their replies.
+    /// Updates the registers by the current lease. Their combined requirement for admission comes
+    /// first, then their replies.
     pub(super) fn update_admission(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
         let lease_until = self.lease.until;
         let mut replies = Vec::new();
@@ -248,8 +250,8 @@
         }
     }
 
-    /// Passes on what a register gave. A reply is sent where a connection is open; what is not
-    /// received is asked for again. The gates count together, in
+    /// Forwards the effects of a register. A reply is sent where a connection is open; the leader
+    /// asks again for replies that it does not receive. The gates are combined in
     /// [`SessionState::update_admission`].
     fn forward(
         &self,
@@ -279,7 +281,7 @@
     }
 }
 
-/// A register's reply, as the leader reads it.
+/// Converts a register's reply to the message for the leader.
 fn reply_message(kind: DocumentKind, reply: RegisterReply) -> AgentToReplica {
     match (kind, reply) {
         (DocumentKind::Policy, RegisterReply::Checked { number, refused }) => {
--- a/src/agent/session/evacuations.rs
+++ b/src/agent/session/evacuations.rs
@@ -1,11 +1,11 @@
 //! Zone evacuations as the record orders them, and grants of leased attempts.
 //!
-//! Owns the view of the record that this sender holds. [`crate::delivery::evacuation`] enforces
-//! what is worked out here.
+//! Owns this sender's view of the record. [`crate::delivery::evacuation`] enforces the evacuations
+//! that are computed here.
 //!
-//! Invariants: an order of an earlier epoch than one that was received for that zone is ignored; a
-//! grant counts only under the order of its epoch, once, and from when its report was sent; and
-//! while standalone each sender ends its evacuations at a time of its own.
+//! Invariants: an order with an earlier epoch than the latest received one for its zone is ignored;
+//! a grant counts only under the order of its epoch, once, and from the time its report was sent;
+//! and while standalone each sender ends its evacuations at a time of its own.
 
 use super::{lease, SessionEffect, SessionState};
 use crate::coordination::messages::{
@@ -15,27 +15,27 @@
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Zones of which it is known what was ordered last.
+/// Maximum number of zones whose latest epoch is remembered.
 const MAX_ZONES: usize = 256;
-/// Most attempts that are believed of one grant.
+/// Maximum number of attempts that are accepted from one grant.
 const MAX_GRANTED_ATTEMPTS: u32 = 1_024;
-/// Runs of destinations that a log line names at the most.
+/// Maximum number of runs of destinations in a log line.
 const MAX_LOGGED_RUNS: usize = 16;
 
-/// Evacuates a destination's endpoints in a zone.
+/// Evacuation of a destination's endpoints in a zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneEvacuation {
     /// Name of the zone.
     pub zone: String,
-    /// The destination.
+    /// Destination of the endpoints.
     pub dest: u16,
-    /// Epoch of the order; 0 where nobody orders it any more.
+    /// Epoch of the order; 0 while standalone, where no order is in force.
     pub epoch: u64,
-    /// When it ends by itself (ns), if it does.
+    /// Time (ns) at which the evacuation ends by itself, if it does.
     pub until: Option<Nanos>,
 }
 
-/// An order that the sender goes by.
+/// An order that the sender has applied.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct AppliedOrder {
     zone: String,
@@ -43,21 +43,21 @@
     returning: bool,
 }
 
-/// The record as this sender holds it.
+/// This sender's view of the record.
 #[derive(Debug, Default)]
 pub(super) struct Evacuations {
     pub(super) view: SenderView,
-    /// On the open connection the view was received, or known to be the record's.
+    /// Whether the view was received on the open connection, or is known to match the record.
     pub(super) is_view_current: bool,
-    /// What the sender goes by; empty while standalone.
+    /// Orders that the sender has applied; empty while standalone.
     pub(super) applied: Vec<AppliedOrder>,
-    /// The highest epoch that was received, by zone.
+    /// Highest received epoch, by zone.
     epochs: BTreeMap<String, u64>,
 }
 
 impl Evacuations {
-    /// Replaces orders of an earlier epoch than one that was received by those that are held, and
-    /// notes the epochs.
+    /// Replaces orders with an earlier epoch than the latest received one by the orders of the
+    /// current view, and records the epochs.
     fn replace_outdated_orders(&mut self, view: &mut SenderView) {
         for order in &mut view.zones {
             let known_epoch = self.epochs.get(&order.zone).copied().unwrap_or(0);
@@ -79,12 +79,12 @@
 }
 
 impl SessionState {
-    /// The version of the record that the sender holds.
+    /// Returns the version of the record in this sender's view.
     pub fn record_version(&self) -> u64 {
         self.evacuations.view.version
     }
 
-    /// Takes in the record, unless it is an old one.
+    /// Replaces the view of the record, unless the received one is not newer.
     pub(super) fn on_view(
         &mut self,
         now: Nanos,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Goes by what is ordered, and logs what is new of it.
+    /// Applies the orders of the view, and logs the changes.
     pub(super) fn apply_view(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
         let orders = &self.evacuations.view.zones;
         for previous in &self.evacuations.applied {
@@ -141,7 +141,7 @@
         format!("zone {zone} {how} by epoch {epoch} for {destinations}")
     }
 
-    /// Takes in a grant of leased attempts that came on the connection of that number.
+    /// Handles a grant of leased attempts that was received on the connection of that number.
     pub(super) fn on_grant(
         &mut self,
         now: Nanos,
@@ -164,7 +164,7 @@
             return;
         };
         let until = lease::believed_end(sent, within_ms);
-        // What comes twice was granted once.
+        // A duplicate of a grant counts once.
         if now < until && self.reports.take_grant(report, &zone, dest) {
             effects.push(SessionEffect::GrantLease {
                 zone,
@@ -176,7 +176,8 @@
         }
     }
 
-    /// Whether the order of that epoch returns the zone, and this sender is out of the destination.
+    /// Whether the order of that epoch returns the zone, and this sender has evacuated the
+    /// destination.
     fn may_be_granted(&self, zone: &str, epoch: u64, dest: u16) -> bool {
         let orders = &self.evacuations.view.zones;
         let order = orders
@@ -185,8 +186,8 @@
         order.is_some_and(|order| self.evacuated_destinations(order).any(|(d, _)| d == dest))
     }
 
-    /// Destinations of a zone that this sender is out of, each with the fraction of all senders
-    /// that is.
+    /// Returns the destinations of a zone that this sender has evacuated, each with the fraction of
+    /// all senders that have evacuated it.
     pub(super) fn evacuated_destinations<'a>(
         &'a self,
         order: &'a ZoneOrder,
@@ -196,7 +197,7 @@
         })
     }
 
-    /// The evacuations that are in force now: as ordered, or while standalone until this sender's
+    /// Returns the evacuations in force now: as ordered, or while standalone until this sender's
     /// own time.
     pub(super) fn evacuations_in_force(&self, now: Nanos) -> Vec<ZoneEvacuation> {
         let mut evacuations: BTreeMap<(String, u16), ZoneEvacuation> = BTreeMap::new();
@@ -224,17 +225,19 @@
         evacuations.into_values().collect()
     }
 
-    /// How long after the start of being standalone this sender returns to a zone's destination of
-    /// which a fraction of all senders is out: by lot, evenly over the warm-up.
+    /// Returns the delay after which this sender, once standalone, returns to a zone's destination
+    /// that a fraction of all senders has evacuated. The senders are spread evenly over the warm-up
+    /// time by a hash.
     fn return_delay(&self, zone: &str, dest: u16, fraction: f32) -> Nanos {
-        // The lots of those that are out are even from 0 up to that fraction.
+        // The hashes of the senders that have evacuated it are spread evenly from 0 to that
+        // fraction.
         let position = sender_hash_fraction(&self.config.sender, zone, dest) / fraction;
         (f64::from(position) * self.config.warm_after.max(SEC) as f64) as Nanos
     }
 }
 
-/// Destinations as a log line names them, those in a row as one: at most [`MAX_LOGGED_RUNS`] of
-/// these, and how many more there are.
+/// Formats destinations for a log line, with consecutive ones as one run: at most
+/// [`MAX_LOGGED_RUNS`] runs, and the number of further destinations.
 pub(super) fn format_destinations(mut destinations: Vec<u16>) -> String {
     destinations.sort_unstable();
     let runs: Vec<&[u16]> = destinations.chunk_by(|a, b| a + 1 == *b).collect();
--- a/src/agent/session/lease.rs
+++ b/src/agent/session/lease.rs
@@ -1,43 +1,44 @@
-//! The lease of a session: how long the sender may go by what it was told.
+//! The lease of a session: the time for which the sender may rely on the state that it received.
 //!
-//! **Time.** A lease counts from when the message was sent that it answers, by this machine's
-//! monotonic clock. Two machines' clocks may each run 1 % wrong: of a lease's length 0.98 is
-//! believed. So the sender never believes its lease for longer than the leader counts it.
+//! **Time.** A lease counts from when the message that it answers was sent, by this machine's
+//! monotonic clock. The clocks of the two machines may each be 1 % wrong, so only 0.98 of a lease's
+//! duration is trusted. The sender thus never trusts its lease for longer than the leader counts
+//! it.
 //!
-//! **Standalone.** Once the lease has lapsed nobody may count on this sender receiving anything: it
-//! goes by its own calls, as one without coordination. Zones that were evacuated must not be called
-//! by all senders at one moment, though: that would be full load on cold endpoints. Each sender
-//! returns at its own time, by lot, evenly over the time that endpoints need to warm up: the
-//! senders' sum then grows no faster than endpoints get warm, with no message between them
-//! ([`super::evacuations`]).
+//! **Standalone.** After the lease has expired, the leader cannot rely on this sender receiving
+//! anything: the sender acts on its own calls alone, as one without coordination. Evacuated zones
+//! must not be called by all senders at the same moment, however, as that would put full load on
+//! cold endpoints. Each sender returns at its own time, which a hash spreads evenly over the time
+//! that endpoints need to warm up. The total load of the senders then grows no faster than the
+//! endpoints warm up, without any message between the senders ([`super::evacuations`]).
 //!
-//! **Fencing.** Before anything else is looked at, a lapse of the lease is seen: registers then
-//! distrust what they received, and the connection is replaced, so that what is still on its way on
-//! the old one does not count ([`crate::agent::register`]).
+//! **Fencing.** The expiry of the lease is checked before anything else. Registers then distrust
+//! what they have received, and the connection is replaced, so that messages still in transit on
+//! the old one do not count ([`crate::agent::register`]).
 
 use super::{SessionEffect, SessionState, START_GRACE};
 use crate::dispatch::statistics::MS;
 use crate::Nanos;
 
-/// The part of a lease that is believed: both clocks may be 1 % wrong.
+/// Trusted fraction of a lease: both clocks may be 1 % wrong.
 const BELIEVED_FRACTION: f64 = 0.98;
-/// The longest lease that is believed (ms), whatever was told: a sender that receives nothing for
-/// longer is standalone.
+/// Maximum trusted duration of a lease (ms), whatever the leader grants: a sender that receives
+/// nothing for longer is standalone.
 const MAX_LEASE_MS: u32 = 60_000;
 
-/// What is known of the lease.
+/// State of the lease.
 #[derive(Debug)]
 pub(super) struct Lease {
-    /// Until when it is believed; kept after it has lapsed.
+    /// End of the trusted lease; kept after it has expired.
     pub(super) until: Option<Nanos>,
-    /// The sender goes by its own calls, since then.
+    /// Time since which the sender acts on its own calls alone; `None` while it follows the record.
     pub(super) standalone_since: Option<Nanos>,
-    /// Operators were told so.
+    /// Whether the change to standalone was logged for the operators.
     pub(super) is_standalone_logged: bool,
 }
 
 impl Lease {
-    /// No lease was ever granted.
+    /// Returns the state before any lease was granted.
     pub(super) fn standalone(now: Nanos) -> Lease {
         Lease {
             until: None,
@@ -51,7 +52,7 @@
     }
 }
 
-/// When something ends that was granted for `duration_ms` in answer to a message sent at `sent`.
+/// Returns the trusted end of a grant of `duration_ms` that answers a message sent at `sent`.
 pub(super) fn believed_end(sent: Nanos, duration_ms: u32) -> Nanos {
     let duration_ms = f64::from(duration_ms.min(MAX_LEASE_MS));
     sent + (duration_ms * BELIEVED_FRACTION * MS as f64) as Nanos
@@ -63,19 +64,19 @@
         self.lease.until.is_some_and(|until| now < until)
     }
 
-    /// Whether the sender goes by its own calls.
+    /// Whether the sender acts on its own calls alone.
     pub fn is_standalone(&self) -> bool {
         self.lease.is_standalone()
     }
 
-    /// When the lease lapses, where something follows from that.
+    /// Returns the time at which the lease expires, where the expiry has effects.
     pub(super) fn lease_deadline(&self) -> Option<Nanos> {
         let matters = !self.is_standalone() || self.documents.any_held_lease();
         self.lease.until.filter(|_| matters)
     }
 
-    /// Sees, before all else, whether the lease has lapsed. Registers are then received anew on
-    /// another connection, whatever this one still brings.
+    /// Checks, before anything else, whether the lease has expired. Registers are then received
+    /// again on another connection, whatever still arrives on this one.
     pub(super) fn fence_if_lease_lapsed(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
         let holds_lease = self.holds_lease(now);
         let has_lapsed = self.documents.note_lease(holds_lease);
@@ -99,7 +100,8 @@
         effects.push(SessionEffect::SetEvacuations(evacuations));
     }
 
-    /// Tells operators, once, that no replica answers: after a lapse, or some time after the start.
+    /// Logs once for the operators that no replica answers: after an expiry, or some time after the
+    /// start.
     pub(super) fn log_standalone(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
         let is_due = self.lease.until.is_some() || now >= self.started + START_GRACE;
         let is_news = self.is_standalone() && !self.lease.is_standalone_logged;
@@ -110,7 +112,8 @@
         }
     }
 
-    /// The leader renews the lease in answer to a report, or to the opening of the session (0).
+    /// Handles a renewal of the lease in answer to a report, or to the opening of the session
+    /// (report 0).
     pub(super) fn on_lease_renewed(
         &mut self,
         now: Nanos,
@@ -128,7 +131,8 @@
         self.lease.until = self.lease.until.max(Some(until));
         if !self.connection.is_established() {
             self.connection.establish();
-            // It reports at once: what was ordered meanwhile is known by the answer at the latest.
+            // The next report is sent at once: its answer brings the orders that were given in the
+            // meantime.
             self.reports.last_sent = now.saturating_sub(self.config.report_interval);
             let line = format!("session with keeper {}", self.replica());
             effects.push(SessionEffect::Log(line));
@@ -137,7 +141,7 @@
         self.end_standalone(now, effects);
     }
 
-    /// Goes by the record again, where the lease is held and the view of the record is current.
+    /// Follows the record again, where the lease is held and the view of the record is current.
     pub(super) fn end_standalone(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
         let follows_record = self.evacuations.is_view_current
             && self.connection.is_established()
--- a/src/agent/session/mod.rs
+++ b/src/agent/session/mod.rs
@@ -1,18 +1,18 @@
 //! A sender's session with the coordination replicas, as a state machine.
 //!
-//! Owns the connection's state, the lease, the reports, the zone evacuations in force and the
+//! Owns the connection's state, the lease, the reports, the active zone evacuations and the
 //! registers of policies and routing tables. It does no I/O and has no clock: [`super::Agent`] (and
-//! tests) bring the time and what arrives, and carry out the [`SessionEffect`]s.
+//! tests) pass in the time and the received messages, and carry out the [`SessionEffect`]s.
 //!
-//! - [`connection`]: which replica is connected to, backoff, redirects to the leader.
-//! - [`lease`]: how long the session is believed, and what the sender does without one.
+//! - [`connection`]: choice of the replica, backoff, redirects to the leader.
+//! - [`lease`]: trusted duration of the session, and the behavior without one.
 //! - [`reports`]: heartbeats that renew the lease, with counts and demand for leased attempts.
-//! - [`evacuations`]: the zones that the record evacuates, and grants of leased attempts.
+//! - [`evacuations`]: zones that the record evacuates, and grants of leased attempts.
 //! - [`documents`]: policies and routing tables, and whether messages may be accepted.
 //!
-//! **A message is sent once on a connection.** What was not answered there is sent again on the
-//! next one, a report under the number that it had: replicas count each number once. A second
-//! answer, or one that comes late, therefore counts from the first sending, and lengthens no lease.
+//! **A message is sent once on a connection.** An unanswered message is sent again on the next
+//! connection, and a report keeps its number: replicas count each number once. A duplicate or late
+//! answer therefore counts from the first sending, and extends no lease.
 
 mod connection;
 mod documents;
@@ -36,30 +36,32 @@
 use lease::Lease;
 use reports::Reports;
 
-/// A sender that starts says that it is standalone once no replica has answered for so long (ns).
+/// Time (ns) without an answer from any replica after which a sender that starts logs that it is
+/// standalone.
 const START_GRACE: Nanos = 3 * SEC;
 
-/// What a session needs to know of its sender and of the replicas.
+/// Configuration of a session: its sender and the replicas.
 #[derive(Clone, Debug)]
 pub struct SessionConfig {
     /// The sender's name.
     pub sender: String,
-    /// Drawn at the start of the process: its incarnation.
+    /// Incarnation of the sender, drawn at the start of the process.
     pub boot: u64,
     /// Name of the zone that the sender runs in.
     pub zone: String,
-    /// Numbers of the coordination replicas, one at least.
+    /// Numbers of the coordination replicas, at least one.
     pub replicas: Vec<u64>,
     /// Interval between two reports (ns).
     pub report_interval: Nanos,
-    /// An evacuated zone that nobody orders evacuated any more is returned to over this time (ns).
+    /// Time (ns) over which the sender returns to an evacuated zone that is no longer ordered
+    /// evacuated.
     pub warm_after: Nanos,
 }
 
-/// What is to be done, in this order.
+/// Actions for the caller, to be carried out in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SessionEffect {
-    /// Open a connection to a replica. What is sent on it waits until it is up.
+    /// Open a connection to a replica. Messages that are sent before it is established wait.
     Connect {
         /// Number of the connection, never used before.
         connection: u64,
@@ -68,45 +70,45 @@
     },
     /// Close the connection.
     Disconnect,
-    /// Send this on the connection.
+    /// Send this message on the connection.
     Send(AgentToReplica),
     /// Replace all zone evacuations by these.
     SetEvacuations(Vec<ZoneEvacuation>),
-    /// Lease attempts under an evacuation.
+    /// Grant leased attempts under an evacuation.
     GrantLease {
         /// Name of the zone.
         zone: String,
-        /// The destination.
+        /// Destination of the attempts.
         dest: u16,
         /// Epoch of the evacuation order.
         epoch: u64,
-        /// How many.
+        /// Number of attempts.
         attempts: u32,
-        /// By when they have to start (ns).
+        /// Time (ns) by which the attempts have to start.
         until: Nanos,
     },
-    /// Check a document and store it; [`SessionState::on_document_checked`] is told the result.
+    /// Check a document and store it, and pass the result to [`SessionState::on_document_checked`].
     CheckDocument {
-        /// Its kind.
+        /// Kind of the document.
         kind: DocumentKind,
-        /// Its number.
+        /// Number of the document.
         number: u64,
-        /// Its digest.
+        /// Digest of the document.
         digest: Digest,
-        /// Its text.
+        /// Text of the document.
         text: String,
     },
-    /// Accept messages, or not, as this says from now on.
+    /// Open or close admission accordingly from now on.
     SetAdmission(AdmissionRequirement),
-    /// Log this for the operators.
+    /// Log this line for the operators.
     Log(String),
 }
 
-/// What the sender knows of its demand for leased attempts.
+/// Source of the sender's demand for leased attempts.
 pub trait AttemptDemand {
-    /// Messages for a destination that wait for an attempt.
+    /// Returns the number of messages for a destination that wait for an attempt.
     fn waiting_messages(&self, dest: u16) -> u32;
-    /// Attempts that are leased for a zone and destination and have not started.
+    /// Returns the number of leased attempts for a zone and destination that have not started.
     fn leased_attempts_left(&self, zone: &str, dest: u16) -> u32;
 }
 
@@ -116,7 +118,7 @@
     config: SessionConfig,
     random: Random,
     started: Nanos,
-    /// What the sender's calls came to since they were last reported.
+    /// Statistics of the sender's calls since the last report.
     pub statistics: CallStatistics,
     connection: Connection,
     lease: Lease,
@@ -126,7 +128,8 @@
 }
 
 impl SessionState {
-    /// An agent that starts, at a time `now` (ns). The seed keeps it out of step with others.
+    /// Creates the session of an agent that starts at the time `now` (ns). The seed desynchronizes
+    /// it from other agents.
     pub fn new(config: SessionConfig, seed: u64, now: Nanos) -> SessionState {
         let mut random = Random::new(seed);
         let replica = (random.draw() * config.replicas.len() as f64) as usize;
@@ -144,13 +147,13 @@
         }
     }
 
-    /// Follows the documents of this register.
+    /// Adds a register, whose documents the session then follows.
     pub fn with_register(mut self, register: Register) -> SessionState {
         self.documents.follow(register);
         self
     }
 
-    /// When [`SessionState::on_tick`] has to be called at the latest (ns).
+    /// Returns the time (ns) by which [`SessionState::on_tick`] has to be called next.
     pub fn next_deadline(&self) -> Nanos {
         let connection = self.connection_deadline();
         let lease = self.lease_deadline().unwrap_or(Nanos::MAX);
@@ -161,7 +164,7 @@
         connection.min(lease).min(start)
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due by now.
     pub fn on_tick(
         &mut self,
         now: Nanos,
@@ -175,7 +178,7 @@
         self.update_admission(now, effects);
     }
 
-    /// Takes in a message that came on the connection of that number.
+    /// Handles a message that was received on the connection of that number.
     pub fn on_message(
         &mut self,
         now: Nanos,
@@ -239,7 +242,8 @@
         }
     }
 
-    /// The sender ends: says so, where a session is established.
+    /// Ends the session: tells the leader, where a session is established, and opens no further
+    /// connection.
     pub fn leave(&mut self, effects: &mut Vec<SessionEffect>) {
         if self.connection.is_established() {
             effects.push(SessionEffect::Send(AgentToReplica::CloseSession));
--- a/src/agent/session/reports.rs
+++ b/src/agent/session/reports.rs
@@ -1,9 +1,10 @@
-//! Heartbeats: the reports that renew the lease, carry what the sender saw, and ask for leased
+//! Heartbeats: the reports that renew the lease, carry the sender's statistics, and request leased
 //! attempts.
 //!
 //! Invariants: a report that was not answered is sent again with the same number and content, so
-//! that replicas count everything once; what a report's answer grants counts from when the report
-//! was first sent; and a grant is taken once, by the connections that its report was sent on alone.
+//! that replicas count everything once; a grant in the answer to a report counts from when the
+//! report was first sent; and a grant is taken once, and only on the connections on which its
+//! report was sent.
 
 use super::{AttemptDemand, SessionEffect, SessionState};
 use crate::agent::call_statistics::{MAX_GROUPS, MAX_ZONE_NAME};
@@ -13,20 +14,20 @@
 use crate::Nanos;
 use std::collections::{BTreeSet, VecDeque};
 
-/// Reports of which it is known when they were sent.
+/// Maximum number of reports whose time of sending is remembered.
 const MAX_SENT_REPORTS: usize = 32;
-/// Most attempts that are asked for at once, for one zone and destination.
+/// Maximum number of attempts that are requested at once for one zone and destination.
 const MAX_WANTED_ATTEMPTS: u32 = 64;
-/// Attempts are asked for so much time ahead (seconds): about as long as a grant lasts.
+/// Time ahead (seconds) for which attempts are requested: about as long as a grant lasts.
 const DEMAND_AHEAD_SECONDS: f64 = 3.0;
 
 /// A report that was sent, answered or not.
 #[derive(Debug)]
 struct SentReport {
     number: u64,
-    /// When it was first sent.
+    /// Time at which it was first sent.
     first_sent: Nanos,
-    /// The first and the last connection that it was sent on.
+    /// First and last connection on which it was sent.
     first_connection: u64,
     last_connection: u64,
     /// Zones and destinations for which a grant was taken.
@@ -39,22 +40,22 @@
     number: u64,
     call_counts: Vec<ZoneCallCounts>,
     outcomes: Vec<MessageOutcomeCounts>,
-    /// When it was sent on the connection that is open, if it was.
+    /// Time at which it was sent on the open connection, if it was.
     pub(super) sent: Option<Nanos>,
 }
 
-/// The reports of one process, and the endpoint list that goes with them.
+/// The reports of one process, with the endpoint list that they contain.
 #[derive(Debug)]
 pub(super) struct Reports {
-    /// Number of the newest report; they count from 1.
+    /// Number of the newest report, counted from 1.
     last_number: u64,
-    /// When the newest one was sent.
+    /// Time at which the newest report was sent.
     pub(super) last_sent: Nanos,
     pub(super) pending: Option<PendingReport>,
     sent: VecDeque<SentReport>,
-    /// What the sender's list has, by zone and destination.
+    /// Capacities in the sender's endpoint list, by zone and destination.
     pub(super) listed: Vec<ListedZoneCapacity>,
-    /// The list goes with the next report.
+    /// Whether the next report contains the endpoint list.
     is_list_due: bool,
 }
 
@@ -70,7 +71,7 @@
         }
     }
 
-    /// On a new connection everything is sent anew.
+    /// Prepares for a new connection, on which everything is sent again.
     pub(super) fn on_connecting(&mut self) {
         self.is_list_due = true;
         if let Some(pending) = &mut self.pending {
@@ -78,13 +79,13 @@
         }
     }
 
-    /// When a report was first sent, as far as that is known.
+    /// Returns the time at which a report was first sent, where it is known.
     pub(super) fn first_sent(&self, number: u64) -> Option<Nanos> {
         let report = self.sent.iter().find(|r| r.number == number)?;
         Some(report.first_sent)
     }
 
-    /// A report was answered.
+    /// Records that a report was answered.
     pub(super) fn on_answered(&mut self, number: u64) {
         let is_pending = |p: &PendingReport| p.number == number && p.sent.is_some();
         if self.pending.as_ref().is_some_and(is_pending) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Notes that a report is sent.
+    /// Records that a report is sent.
     fn note_sent(&mut self, number: u64, connection: u64, now: Nanos) {
         if let Some(again) = self.sent.iter_mut().find(|r| r.number == number) {
             again.last_connection = connection;
@@ -110,8 +111,8 @@
         });
     }
 
-    /// When the report was first sent by which a grant came on a connection; nothing where the
-    /// report is not known, or was not sent on that connection.
+    /// Returns when the report of a grant was first sent; `None` where the report is unknown, or
+    /// was not sent on the connection on which the grant was received.
     pub(super) fn sent_for_grant(&self, number: u64, connection: u64) -> Option<Nanos> {
         let report = self.sent.iter().find(|r| r.number == number)?;
         let was_sent_on_it =
@@ -119,7 +120,7 @@
         was_sent_on_it.then_some(report.first_sent)
     }
 
-    /// Takes a report's grant for a zone and destination; false where it was taken before.
+    /// Takes a report's grant for a zone and destination; returns false where it was taken before.
     pub(super) fn take_grant(&mut self, number: u64, zone: &str, dest: u16) -> bool {
         let report = self.sent.iter_mut().find(|r| r.number == number);
         report.is_some_and(|r| r.granted.insert((zone.to_string(), dest)))
@@ -131,7 +132,7 @@
 }
 
 impl SessionState {
-    /// The list that the sender holds now.
+    /// Sets the capacities of the current endpoint list.
     pub fn set_listed(&mut self, mut listed: Vec<ListedZoneCapacity>) {
         listed.retain(|l| l.zone.len() <= MAX_ZONE_NAME);
         listed.truncate(MAX_GROUPS);
@@ -141,14 +142,14 @@
         }
     }
 
-    /// Sends the report that was not answered once more, or a new one.
+    /// Sends the unanswered report again, or a new one.
     pub(super) fn send_report(
         &mut self,
         now: Nanos,
         demand: &dyn AttemptDemand,
         effects: &mut Vec<SessionEffect>,
     ) {
-        // What was not answered goes as it was: what has happened since goes with the next one.
+        // An unanswered report is sent unchanged; later events are in the next one.
         let mut report = match self.reports.pending.take() {
             Some(unanswered) => unanswered,
             None => self.new_report(now),
@@ -181,9 +182,10 @@
         }
     }
 
-    /// Attempts that could go where only leased ones may: for the messages that wait and those that
-    /// usually come, less what is leased already. Of many senders that a message reaches now and
-    /// then few ask at a time, by lot, and leave the budget to those where some wait.
+    /// Returns the attempts to request where only leased ones may be made: for the waiting messages
+    /// and the usual rate, less those that are leased already. The usual rate is rounded at random:
+    /// of many senders with rare messages only a few request attempts at a time, and leave the
+    /// budget to those with waiting messages.
     fn wanted_attempts(
         &mut self,
         now: Nanos,
--- a/src/delivery/journal/event.rs
+++ b/src/delivery/journal/event.rs
@@ -1,20 +1,20 @@
-//! What the journal writes behind an accepted message, as bytes.
+//! Events that the journal writes after a message was accepted, and their encoding.
 
 use super::record::{AttemptStart, MessageRecord};
 use crate::delivery::Verdict;
 use serde::{Deserialize, Serialize};
 
-/// Something that happened to a message after it was accepted.
+/// An event of a message after its acceptance.
 ///
-/// Postcard writes the variant's position and its fields in order: both are on disk. That a message
-/// is accepted or closed is not among them, but a `Put` or `Remove` of the store.
+/// Postcard writes the variant's position and its fields in order: both are on disk. Acceptance and
+/// closing are no events but a `Put` and a `Remove` of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum JournalEvent {
-    /// An attempt is about to go.
+    /// An attempt is about to start.
     AttemptStarted(AttemptStart),
-    /// The attempt that was in flight has ended.
+    /// The attempt in flight has ended.
     AttemptEnded {
-        /// The endpoint may have run it.
+        /// Whether the endpoint may have run the attempt.
         may_have_run: bool,
     },
     /// The final answer is decided.
@@ -22,17 +22,17 @@
 }
 
 impl JournalEvent {
-    /// Its bytes on disk.
+    /// Encodes the event for the disk.
     pub(super) fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("plain data always encodes")
     }
 
-    /// Reads those bytes.
+    /// Decodes an event.
     pub(super) fn decode(bytes: &[u8]) -> Result<JournalEvent, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 
-    /// Changes a record as this says.
+    /// Applies the event to a record.
     pub(super) fn apply_to(self, record: &mut MessageRecord) {
         match self {
             JournalEvent::AttemptStarted(start) => record.start_attempt(start),
--- a/src/delivery/journal/group_sync.rs
+++ b/src/delivery/journal/group_sync.rs
@@ -1,7 +1,6 @@
-//! Syncs the store in groups: everything written while one sync runs is covered by the next.
+//! Syncs the store in groups: everything written during one sync is covered by the next.
 //!
-//! Only with [`super::Durability::Machine`]; otherwise what is written is as durable as it is to
-//! be.
+//! Only with [`super::Durability::Machine`]; otherwise written data needs no sync.
 
 use super::{log_gate_change, Journal, WRITE_RETRY_DELAY};
 use crate::store::log::PendingSync;
@@ -10,15 +9,15 @@
 use std::io;
 use std::rc::Rc;
 
-/// How far the log is synced, and who waits for that.
+/// The synced part of the log, and the notifications between the sync task and its waiters.
 #[derive(Default)]
 pub(super) struct SyncProgress {
-    /// Everything up to this position of the log is synced.
+    /// Position of the log up to which everything is synced.
     position: Cell<u64>,
     failed_syncs: Cell<u64>,
     /// Wakes the task that syncs.
     requested: Event,
-    /// Wakes those that wait for a sync, done or failed.
+    /// Wakes the tasks that wait for a sync, whether it succeeded or failed.
     finished: Event,
 }
 
@@ -27,7 +26,7 @@
         self.position.get()
     }
 
-    /// Asks for a sync, and wakes so many of those that listen for that.
+    /// Requests a sync and wakes up to `listeners` tasks that wait for requests.
     pub(super) fn request(&self, listeners: usize) {
         self.requested.notify(listeners);
     }
@@ -38,7 +37,9 @@
 }
 
 impl Journal {
-    /// Syncs whenever somebody waits for it, for ever; returns at once where nobody will.
+    /// Syncs whenever a sync is requested and unsynced data exists.
+    ///
+    /// Returns at once where no sync is needed, and after the worker has failed.
     pub async fn run_sync(self: Rc<Self>) {
         if !self.options.requires_sync() {
             return;
@@ -63,11 +64,12 @@
         }
     }
 
-    /// Syncs all that is written so far, on this thread; for the end of a process, when nothing
-    /// else has to go on.
+    /// Syncs everything written so far, on the calling thread.
+    ///
+    /// For the end of a process, when no other task has to run.
     ///
     /// # Errors
-    /// The sync failed; what it was for is written again elsewhere.
+    /// The sync failed; the data that it covered is written again elsewhere.
     pub fn sync_now(&self) -> io::Result<()> {
         if !self.options.requires_sync() {
             return Ok(());
@@ -92,7 +94,7 @@
         result
     }
 
-    /// Waits until all that is written so far is as durable as it is to be.
+    /// Waits until everything written so far has the journal's [`super::Durability`].
     ///
     /// # Errors
     /// A sync failed meanwhile.
--- a/src/delivery/journal/inspect.rs
+++ b/src/delivery/journal/inspect.rs
@@ -1,7 +1,7 @@
-//! Looks into a journal's folder without changing it, also while a process serves from it.
+//! Inspects a journal's folder without changing it, also while a process uses it.
 //!
-//! For `raildeal journal inspect` and `verify`, which print what this finds; the JSON keys are
-//! those of [`JournalInspection`] as it is serialized.
+//! `raildeal journal inspect` and `verify` print the result; the JSON keys are those of the
+//! serialized [`JournalInspection`].
 
 use super::legacy_v1;
 use super::persistent_clock::PersistentClock;
@@ -20,21 +20,20 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How often a folder that a process writes to is read again, where something in it could not be
-/// read.
+/// Repeated reads of a folder that a process writes to, where part of it could not be read.
 const READ_RETRIES: usize = 5;
-/// Time between those.
+/// Delay between two reads.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A segment that counts.
+/// A segment that holds part of the log.
 #[derive(Debug, Serialize)]
 pub struct SegmentSummary {
-    /// Its file.
+    /// Name of the segment's file.
     pub file: String,
-    /// Its place in the sequence.
+    /// Position in the sequence of segments.
     #[serde(rename = "seq")]
     pub sequence: u64,
-    /// Bytes of the file.
+    /// Size of the file, in bytes.
     #[serde(rename = "size")]
     pub size_bytes: u64,
     /// Bytes of frames.
@@ -42,53 +41,54 @@
     pub used_bytes: u64,
     /// Frames written.
     pub frames: u64,
-    /// Messages whose last `Put` stands here.
+    /// Messages whose last `Put` is in this segment.
     pub messages: u64,
-    /// Bytes of those frames.
+    /// Bytes of the last `Put` frames.
     #[serde(rename = "live")]
     pub live_bytes: u64,
 }
 
-/// A message that is not over.
+/// A message that has not ended.
 #[derive(Debug, Serialize)]
 pub struct MessageSummary {
-    /// Its number in the store.
+    /// Number of the message in the store.
     #[serde(rename = "no")]
     pub item: u64,
-    /// Its id.
+    /// Id of the message.
     pub id: String,
-    /// Number of the policy that it was accepted under; 0 for none.
+    /// Number of the policy under which the message was accepted; 0 for none.
     pub policy: u64,
-    /// Number of the routing table that it was accepted under; 0 for the endpoint list alone.
+    /// Number of the routing table under which the message was accepted; 0 for the endpoint list
+    /// alone.
     pub table: u64,
     /// Class, as a number.
     pub class: u16,
-    /// Tenant, as a number; 65535 for none where the settings have some.
+    /// Tenant, as a number; 65535 for no tenant where the settings have tenants.
     pub tenant: u16,
     /// Destination, as a number.
     #[serde(rename = "dest")]
     pub destination: u16,
-    /// Bytes of its body.
+    /// Size of the body, in bytes.
     #[serde(rename = "body")]
     pub body_bytes: usize,
-    /// Attempts that went.
+    /// Attempts started.
     pub attempts: u16,
     /// Zone of the first attempt that may have run.
     pub may_have_run: Option<String>,
-    /// Its final answer, where it is decided.
+    /// Final answer, where it is decided.
     pub verdict: Option<String>,
-    /// Time that it has left, in milliseconds.
+    /// Time left, in milliseconds.
     #[serde(rename = "left_ms")]
     pub time_left_ms: u64,
 }
 
-/// Segment files that are free, serialized as count and bytes.
+/// Free segment files, serialized as count and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(into = "(usize, u64)")]
 pub struct FreeFiles {
-    /// How many there are.
+    /// Number of files.
     pub count: usize,
-    /// Bytes that they have together.
+    /// Total size in bytes.
     pub bytes: u64,
 }
 
@@ -98,40 +98,40 @@
     }
 }
 
-/// What was found.
+/// Result of an inspection.
 #[derive(Debug, Serialize)]
 pub struct JournalInspection {
-    /// A process serves from it now.
+    /// Whether a process has the folder open.
     pub in_use: bool,
-    /// Segments that count, oldest first.
+    /// Segments that hold part of the log, oldest first.
     pub segments: Vec<SegmentSummary>,
-    /// Files that are free.
+    /// Free segment files.
     #[serde(rename = "free")]
     pub free_files: FreeFiles,
     /// Bytes of a [`legacy_v1`] file, where there is one.
     #[serde(rename = "first_form")]
     pub legacy_bytes: Option<u64>,
-    /// Messages that are not over.
+    /// Messages that have not ended.
     pub messages: Vec<MessageSummary>,
-    /// Part of the written bytes that no message needs any more, from 0 to 1.
+    /// Fraction of the written bytes that no message needs any more, from 0 to 1.
     #[serde(rename = "garbage")]
     pub garbage_fraction: f64,
-    /// What cannot be read.
+    /// Descriptions of data that cannot be read.
     pub damage: Vec<String>,
-    /// What writes that failed in part have left, and was read all the same.
+    /// Leftovers of partly failed writes that did not prevent reading.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub anomalies: Vec<String>,
-    /// Bytes at the end that hold part of a frame.
+    /// Bytes of an incomplete frame at the end.
     #[serde(rename = "torn")]
     pub torn_bytes: u64,
-    /// Messages of which more may have happened than was kept.
+    /// Messages of which events may be lost.
     #[serde(rename = "doubted")]
     pub messages_in_doubt: usize,
-    /// Time that reading took, in milliseconds.
+    /// Duration of the inspection, in milliseconds.
     pub took_ms: u64,
 }
 
-/// Looks into a folder.
+/// Inspects a folder.
 ///
 /// # Errors
 /// The folder or a file in it cannot be read.
@@ -139,7 +139,7 @@
     let in_use = is_in_use(folder)?;
     let mut inspection = inspect_once(folder, in_use)?;
     for _ in 0..READ_RETRIES {
-        // What a process was writing, or used again, while it was read is no damage.
+        // Data that a process was writing or reusing during the read is not damage.
         let is_whole = inspection.damage.is_empty() && inspection.torn_bytes == 0;
         if !in_use || is_whole {
             break;
@@ -151,7 +151,7 @@
 }
 
 fn is_in_use(folder: &Path) -> io::Result<bool> {
-    // The lock is gone with the file, at the end of this function.
+    // The shared lock is released when the file is dropped at the end of this function.
     Ok(flock(File::open(folder)?, FlockOperation::NonBlockingLockShared).is_err())
 }
 
@@ -196,7 +196,7 @@
     })
 }
 
-/// Replays a [`legacy_v1`] file, and gives the numbers of the messages in it.
+/// Replays a [`legacy_v1`] file and returns the numbers of its messages.
 fn replay_legacy(bytes: &[u8], replay: &mut JournalReplay, damage: &mut Vec<String>) -> Vec<u64> {
     let name = legacy_v1::FILE_NAME;
     let Some(legacy) = legacy_v1::replay(bytes) else {
@@ -210,7 +210,8 @@
     replay.add_legacy(legacy.open)
 }
 
-/// Once the log begins behind the [`legacy_v1`] file, what the log does not have of it is over.
+/// Removes the messages of a [`legacy_v1`] file that the log does not have, once the log begins
+/// after that file: those messages have ended.
 fn forget_copied(legacy_items: &[u64], recovered: &RecoveredLog, replay: &mut JournalReplay) {
     if recovered.oldest_sequence == 0 {
         return;
@@ -222,7 +223,7 @@
     }
 }
 
-/// What still counts in one segment.
+/// Live data of one segment.
 #[derive(Clone, Copy, Default)]
 struct LiveFrames {
     messages: u64,
@@ -284,7 +285,7 @@
     }
 }
 
-/// A final answer as it is printed; scripts read it from the JSON, so it stays as it is.
+/// Formats a final answer. Scripts read this text from the JSON, so it must not change.
 fn verdict_text(verdict: Verdict) -> String {
     match verdict {
         Verdict::Delivered => "Delivered".into(),
--- a/src/delivery/journal/legacy_v1.rs
+++ b/src/delivery/journal/legacy_v1.rs
@@ -1,8 +1,8 @@
-//! The journal's first form, one file of checksummed entries: read once, when a folder of that form
-//! is opened.
+//! The journal's first format, one file of checksummed entries. It is read once, when a folder of
+//! that format is opened.
 //!
-//! The file is [`MAGIC`], then entries: length and CRC-32 of the payload, little endian, 4 bytes
-//! each, and the payload, postcard of [`Entry`].
+//! The file is [`MAGIC`], then entries. An entry is the length and the CRC-32 of the payload, 4
+//! bytes each in little endian, and the payload, postcard of [`Entry`].
 
 use super::record::{AttemptStart, MessageRecord};
 use crate::delivery::{Envelope, Verdict};
@@ -12,16 +12,16 @@
 use std::rc::Rc;
 use std::{fs, io};
 
-/// Its file.
+/// Name of the file.
 pub const FILE_NAME: &str = "journal";
-/// What a compaction that did not finish left beside it.
+/// Name of the file that an unfinished compaction leaves behind.
 pub const UNFINISHED_FILE_NAME: &str = "journal.new";
-/// What it begins with.
+/// First bytes of the file.
 const MAGIC: &[u8] = b"raildeal journal 1\n";
 /// Bytes before an entry's payload: its length and its checksum.
 const ENTRY_PREFIX_LEN: usize = 8;
 
-/// A record of that form; postcard writes the fields in this order.
+/// A record of the first format; postcard writes the fields in this order.
 #[derive(Serialize, Deserialize)]
 struct LegacyRecord {
     envelope: Rc<Envelope>,
@@ -32,7 +32,7 @@
     verdict: Option<Verdict>,
 }
 
-/// An entry of the file, on the message of a number; postcard writes the variant's position.
+/// An entry of the file, with the number of its message; postcard writes the variant's position.
 #[derive(Serialize, Deserialize)]
 enum Entry {
     Accepted(u64, LegacyRecord),
@@ -42,7 +42,7 @@
     Closed(u64),
 }
 
-/// What a file of that form holds.
+/// Content of a file of the first format.
 #[derive(Debug, Default)]
 pub struct LegacyReplay {
     /// Records that are still open, by number.
@@ -51,10 +51,10 @@
     pub valid_bytes: usize,
 }
 
-/// The bytes of a folder's file; none where there is no such file.
+/// Reads the file of a folder; `None` where there is no such file.
 ///
 /// # Errors
-/// It is there and cannot be read.
+/// The file exists and cannot be read.
 pub fn read_file(folder: &Path) -> io::Result<Option<Vec<u8>>> {
     match fs::read(folder.join(FILE_NAME)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(None),
@@ -62,11 +62,12 @@
     }
 }
 
-/// Replays a file's bytes; none where they are of another form. Stops at the first entry that is
-/// not whole, as that form has no way on from there.
+/// Replays the bytes of a file; `None` where they have another format.
+///
+/// Stops at the first incomplete entry, as the format gives no way to find the next one.
 pub fn replay(bytes: &[u8]) -> Option<LegacyReplay> {
     if !bytes.starts_with(MAGIC) {
-        // A file that was cut within its first bytes holds nothing.
+        // A file that was cut within its magic bytes holds no entry.
         return MAGIC.starts_with(bytes).then(LegacyReplay::default);
     }
     let mut open: BTreeMap<u64, MessageRecord> = BTreeMap::new();
@@ -107,7 +108,7 @@
     }
 }
 
-/// The payload of the entry at the beginning of these bytes, if a whole one stands there.
+/// Returns the payload of the entry at the beginning of these bytes, if the entry is complete.
 fn whole_payload(bytes: &[u8]) -> Option<&[u8]> {
     let (len, rest) = bytes.split_first_chunk()?;
     let (checksum, rest) = rest.split_first_chunk()?;
@@ -119,8 +120,8 @@
     fn from(legacy: LegacyRecord) -> Self {
         MessageRecord {
             envelope: legacy.envelope,
-            // When it was accepted was not written; a time left that only the expiry bounds is what
-            // it had.
+            // The time of acceptance is not in this format. With 0 only the expiry bounds the time
+            // left.
             accepted_unix_ms: 0,
             expires_unix_ms: legacy.expires_unix_ms,
             attempts: legacy.attempts,
@@ -146,7 +147,7 @@
     }
 }
 
-/// A file of that form with these records in it, as tests of an upgrade need one.
+/// Encodes a file of the first format with these records, for tests of the upgrade.
 pub fn encode_file(open: &[(u64, MessageRecord)]) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     for (id, record) in open.iter().cloned() {
--- a/src/delivery/journal/maintenance.rs
+++ b/src/delivery/journal/maintenance.rs
@@ -1,17 +1,18 @@
-//! Keeps the store clean while it serves, and writes late what could not be written in time.
+//! Cleans the store while the process runs, and retries writes that failed.
 
 use super::Journal;
 use crate::delivery::timer_wheel::TimerWheel;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two steps while there is something to clean: short, so that cleaning keeps ahead.
+/// Interval between two steps while there is something to clean: short, so that cleaning keeps
+/// ahead of the writes.
 const BUSY_INTERVAL: Duration = Duration::from_millis(5);
-/// Between two steps otherwise.
+/// Interval between two steps otherwise.
 const IDLE_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Journal {
-    /// Maintains the store for ever.
+    /// Maintains the store until the process ends.
     pub async fn maintain(self: Rc<Self>, wheel: Rc<TimerWheel>) {
         loop {
             let interval = if self.maintain_once() {
@@ -23,12 +24,12 @@
         }
     }
 
-    /// Does one step of that, and says whether the next one should come soon.
+    /// Performs one maintenance step. Returns whether the next one should follow soon.
     pub fn maintain_once(&self) -> bool {
         let mut state = self.state.borrow_mut();
         state.close_pending();
         if self.options.requires_sync() && state.log.position() != self.sync.position() {
-            // Nobody waits for it, but files may be free only then.
+            // No task waits for this sync, but some files become free only after it.
             self.sync.request(1);
         }
         let state = &mut *state;
--- a/src/delivery/journal/mod.rs
+++ b/src/delivery/journal/mod.rs
@@ -1,12 +1,12 @@
-//! The journal: what was accepted outlives the process.
+//! The journal: accepted messages survive the end of the process.
 //!
-//! Owns the records of all messages that are not over, and writes every step of a message to a
-//! segment log ([`crate::store`]) before anything is promised or sent. It decides nothing about a
-//! message and knows no endpoint. [`crate::delivery::message`] writes a message's steps through its
-//! [`OpenRecord`]; `main` opens the journal and runs [`Journal::maintain`] and
+//! Owns the records of all messages that have not ended, and writes every step of a message to a
+//! segment log ([`crate::store`]) before it is acknowledged or acted upon. It makes no decision
+//! about a message and knows no endpoint. [`crate::delivery::message`] writes a message's steps
+//! through its [`OpenRecord`]; `main` opens the journal and runs [`Journal::maintain`] and
 //! [`Journal::run_sync`].
 //!
-//! A message's frames, in order, and what waits for each:
+//! The frames of a message, in order, and the action that depends on each:
 //!
 //! | step | frame of the store | waits for it |
 //! | --- | --- | --- |
@@ -18,13 +18,13 @@
 //!
 //! Invariants:
 //!
-//! 1. Journal before 202: what is told or sent is written before, and with
-//!    [`Durability::Machine`] synced before ([`OpenRecord::durable`]).
-//! 2. An event that cannot be written is written before the next one of the same message; until
-//!    then nothing that depends on it is told, and no further attempt goes.
-//! 3. A record leaves memory only once its `Remove` is written; one that cannot be written is tried
-//!    again at every maintenance step.
-//! 4. One process at a time has a folder open, by a lock that is held as long as the process lives.
+//! 1. Journal before 202: a step is written before it is acknowledged or acted upon, and with
+//!    [`Durability::Machine`] it is synced before ([`OpenRecord::durable`]).
+//! 2. An event that could not be written is written before the next event of the same message.
+//!    Until then nothing that depends on it is sent: no answer and no further attempt.
+//! 3. A record leaves memory only after its `Remove` is written. A `Remove` that failed is retried
+//!    at every maintenance step.
+//! 4. Only one process at a time has a folder open. It holds a lock until it ends.
 //!
 //! The parts: [`open`] (lock, upgrade, recovery), `replay`, `state` (log and records together),
 //! `open_record` (one message's steps), `maintenance` (cleaning and late writes), `group_sync`,
@@ -63,39 +63,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes that events may add to a record: two zones' names above all.
+/// Bytes that events may add to a record, chiefly the names of two zones.
 const EVENT_ALLOWANCE_BYTES: u64 = 192;
-/// A write that failed is tried again after this time.
+/// Delay before a failed write is retried.
 pub const WRITE_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What has to outlast what.
+/// Failure that written records survive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(rename_all = "lowercase")]
 pub enum Durability {
-    /// The process: what is written is kept.
+    /// The end of the process: written data is kept.
     #[default]
     Process,
-    /// The machine: what is synced is kept.
+    /// The failure of the machine: synced data is kept.
     Machine,
 }
 
-/// How a journal is to be.
+/// Options of a journal.
 #[derive(Clone, Copy, Debug)]
 pub struct JournalOptions {
-    /// Bytes that its folder may hold.
+    /// Maximum size of the journal's folder, in bytes.
     pub limit_bytes: u64,
-    /// What it outlasts.
+    /// Failure that written records survive.
     pub durability: Durability,
-    /// Bytes of bodies that are kept in memory; those of further messages are read when they are
-    /// sent.
+    /// Bytes of message bodies that are kept in memory. Further bodies are read from disk when they
+    /// are sent.
     pub cached_body_bytes: u64,
-    /// For the salts of segments; a client must not be able to know it.
+    /// Seed of the segments' salts. Clients must not be able to know it.
     pub seed: u64,
 }
 
 impl JournalOptions {
-    /// For a folder that may hold so many bytes; the rest at its simplest.
+    /// Returns options for a folder of at most `limit_bytes`, without syncs and with all bodies in
+    /// memory.
     pub fn new(limit_bytes: u64) -> Self {
         JournalOptions {
             limit_bytes,
@@ -117,19 +118,19 @@
         }
     }
 
-    /// A thread of its own is needed for syncs, and to read bodies that are not in memory.
+    /// Whether a worker thread is needed: for syncs, or to read bodies that are not in memory.
     fn needs_worker(&self) -> bool {
         self.requires_sync() || self.cached_body_bytes < u64::MAX
     }
 }
 
-/// Time since any start, never back, that the store's decisions go by.
+/// Clock for the store's decisions: time since an arbitrary start, never going back.
 pub type MonotonicClock = Box<dyn Fn() -> Duration>;
 
 /// The journal of one folder.
 pub struct Journal {
-    /// Held for as long as the process lives; a second one in this folder would send everything
-    /// once more.
+    /// Locks that are held until the process ends. A second process in this folder would send every
+    /// message again.
     _locks: Vec<File>,
     state: RefCell<JournalState>,
     options: JournalOptions,
@@ -140,13 +141,13 @@
 }
 
 impl Journal {
-    /// Writes down a message that is accepted under a policy and a routing table; from now on it is
-    /// owed its end.
+    /// Writes a message that is accepted under a policy and a routing table. From then on the
+    /// message is owed a final answer.
     ///
-    /// With [`Durability::Machine`] that counts once [`OpenRecord::durable`] says so.
+    /// With [`Durability::Machine`] the record is safe only after [`OpenRecord::durable`] returns.
     ///
     /// # Errors
-    /// There is no room, or it cannot be written: it is not accepted.
+    /// The store is full or the write failed: the message is not accepted.
     pub fn append_accepted(
         self: &Rc<Self>,
         envelope: Envelope,
@@ -170,22 +171,22 @@
         Ok(OpenRecord::new(self.clone(), id))
     }
 
-    /// When a client that was rejected for want of room may come back.
+    /// Returns the delay after which a client that was rejected for lack of space may retry.
     pub fn retry_after(&self) -> Duration {
         self.state.borrow().log.capacity_gate().retry_after()
     }
 
-    /// The clock that all times in this folder go by.
+    /// Returns the clock for all times that are stored in this folder.
     pub fn clock(&self) -> PersistentClock {
         self.clock
     }
 
-    /// What the store has done so far.
+    /// Returns the store's statistics.
     pub fn statistics(&self) -> LogStatistics {
         self.state.borrow().log.statistics()
     }
 
-    /// How full the store is.
+    /// Returns the store's occupancy.
     pub fn occupancy(&self) -> Occupancy {
         self.state.borrow().log.occupancy()
     }
@@ -199,7 +200,8 @@
     }
 }
 
-/// Bytes that a record with this data is counted for, from its first frame to its last.
+/// Returns the bytes that the store reserves for a record with this data until the record is
+/// removed.
 fn reserved_bytes(data: &[u8]) -> u64 {
     frame::encoded_len(data.len()) + EVENT_ALLOWANCE_BYTES
 }
--- a/src/delivery/journal/open.rs
+++ b/src/delivery/journal/open.rs
@@ -1,4 +1,4 @@
-//! Opens a journal: locks the folder, takes a file of the first form in, and recovers the log.
+//! Opens a journal: locks the folder, imports a file of the first format, and recovers the log.
 
 use super::group_sync::SyncProgress;
 use super::legacy_v1;
@@ -22,19 +22,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The file by which earlier versions locked a folder.
+/// Lock file of earlier versions.
 const LOCK_FILE: &str = "lock";
-/// How often a folder that is in use is tried again at the start: `inspect` holds it for a moment.
+/// Retries for a folder that is locked at the start: `inspect` holds the lock for a moment.
 const LOCK_RETRIES: usize = 5;
-/// Time between those.
+/// Delay between two attempts to lock the folder.
 const LOCK_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl Journal {
-    /// Opens the journal of a folder, and gives the records that an earlier process left open.
+    /// Opens the journal of a folder and returns the records that an earlier process left open.
     ///
     /// # Errors
-    /// Another process has the folder open, what stands in it is of another form, or the file
-    /// system fails.
+    /// Another process has the folder open, its content has another format, or the file system
+    /// fails.
     pub fn open(folder: &Path, options: JournalOptions) -> io::Result<(Rc<Self>, Vec<OpenRecord>)> {
         let locks = lock(folder)?;
         let legacy = legacy_v1::read_file(folder)?;
@@ -46,8 +46,10 @@
         Journal::open_on(disk, options, legacy, locks, monotonic_clock, clock)
     }
 
-    /// Opens it on any disk. `legacy` has the bytes of the [`legacy_v1`] file, if there is one;
-    /// `clock` is given the newest time that was found written.
+    /// Opens the journal on any disk.
+    ///
+    /// `legacy` has the bytes of the [`legacy_v1`] file, if there is one; `clock` is called with
+    /// the newest time that was found in the records.
     ///
     /// # Errors
     /// As [`Journal::open`].
@@ -104,8 +106,8 @@
     }
 }
 
-/// Locks a folder: the folder itself, which takes no room, and the file by which earlier versions
-/// did.
+/// Locks a folder: the folder itself, which takes no disk space, and the lock file of earlier
+/// versions where it exists.
 fn lock(folder: &Path) -> io::Result<Vec<File>> {
     let mut locks = vec![File::open(folder)?];
     match File::options().write(true).open(folder.join(LOCK_FILE)) {
@@ -139,8 +141,8 @@
     locked
 }
 
-/// Takes the records of a file of the first form in. It counts as the oldest segment until they
-/// were copied.
+/// Imports the records of a file of the first format. The file counts as the oldest segment until
+/// its records are copied.
 fn replay_legacy(bytes: &[u8], replay: &mut JournalReplay) -> io::Result<LegacyFile> {
     let replayed = legacy_v1::replay(bytes)
         .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "a journal of another form"))?;
@@ -185,7 +187,7 @@
     }
 }
 
-/// Converts the wall clock times of attempts that may have run to this process's clock.
+/// Converts the wall clock times of attempts that may have run to this process's monotonic clock.
 fn set_ages(records: &mut RecordTable, wall_clock: &WallClock) {
     let now = Instant::now();
     for entry in records.entries_mut() {
--- a/src/delivery/journal/open_record.rs
+++ b/src/delivery/journal/open_record.rs
@@ -1,4 +1,4 @@
-//! The handle by which a message's owner writes its steps.
+//! The handle through which the owner of a message writes its steps.
 
 use super::event::JournalEvent;
 use super::record::{AttemptStart, MessageRecord};
@@ -11,19 +11,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Reads of a body before it is given up: cleaning may move it between finding and reading it.
+/// Reads of a body before the read fails: cleaning may move the body between the lookup and the
+/// read.
 const BODY_READS: usize = 4;
 
-/// The first attempt of a message that an endpoint may have run.
+/// The first attempt of a message that may have run at an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedRun {
-    /// Zone that the attempt went to, by name; empty where that is not known.
+    /// Name of the attempt's zone; empty where it is unknown.
     pub zone: String,
-    /// How long ago it went; none where that is not known.
+    /// Time since the attempt started; `None` where it is unknown.
     pub age: Option<Duration>,
 }
 
-/// The open record of one message. Dropped unclosed, it stays open for the next process.
+/// The open record of one message.
+///
+/// A record that is dropped without [`OpenRecord::close`] stays open for the next process.
 pub struct OpenRecord {
     journal: Rc<Journal>,
     id: u64,
@@ -40,17 +43,17 @@
         look(entry.expect("a record is in the table until it is closed"))
     }
 
-    /// What is known of the message, as it is now.
+    /// Returns a copy of the message's current record.
     pub fn snapshot(&self) -> MessageRecord {
         self.with_entry(|entry| entry.record.clone())
     }
 
-    /// The message; its body may be on disk only.
+    /// Returns the message. Its body may be on disk only.
     pub fn envelope(&self) -> Rc<Envelope> {
         self.with_entry(|entry| entry.record.envelope.clone())
     }
 
-    /// The message with its body.
+    /// Returns the message with its body.
     ///
     /// # Errors
     /// The body cannot be read.
@@ -68,15 +71,16 @@
                     whole.stored_body_bytes = 0;
                     return Ok(Rc::new(whole));
                 }
-                // Cleaning may have moved it; then it is found where it is now.
+                // Cleaning may have moved the body; the next read looks it up again.
                 Err(e) => failed = e,
             }
         }
         Err(failed)
     }
 
-    /// Reads the record from the store, on its thread. The outer error lasts; the inner one is of
-    /// this place alone.
+    /// Reads the record from the store, on the worker thread.
+    ///
+    /// The outer error is permanent; the inner one concerns only the place that was read.
     async fn read_stored(&self) -> io::Result<io::Result<MessageRecord>> {
         let reader = self.reader().ok_or(io::ErrorKind::NotFound)?;
         let data = match &self.journal.worker {
@@ -90,7 +94,7 @@
         self.journal.state.borrow().log.reader(self.id)
     }
 
-    /// The first attempt that may have run.
+    /// Returns the first attempt that has ended and may have run.
     pub fn first_possible_run(&self) -> Option<RecordedRun> {
         self.with_entry(|entry| {
             let attempt = entry.record.possible_run.as_ref()?;
@@ -101,7 +105,7 @@
         })
     }
 
-    /// The time that the message has left now, as an earlier process wrote it down.
+    /// Returns the time that the message has left now, by the expiry that an earlier process wrote.
     pub fn time_left(&self) -> Duration {
         self.with_entry(|entry| {
             let record = &entry.record;
@@ -110,23 +114,23 @@
         })
     }
 
-    /// Waits until all that was written of it is as durable as it is to be.
+    /// Waits until all that was written of the message has the journal's [`super::Durability`].
     ///
     /// # Errors
-    /// A sync failed meanwhile: what was written may not be relied upon.
+    /// A sync failed meanwhile: written data may be lost.
     pub async fn durable(&self) -> io::Result<()> {
         self.journal.durable().await
     }
 
-    /// Whether what is written has to be waited for.
+    /// Whether written data has to be synced before it counts.
     pub fn requires_sync(&self) -> bool {
         self.journal.options.requires_sync()
     }
 
-    /// Writes that an attempt is about to go.
+    /// Writes that an attempt is about to start.
     ///
     /// # Errors
-    /// It could not be written: the attempt must not go.
+    /// The write failed: the attempt must not start.
     pub fn attempt_started(&self, zone: &str) -> io::Result<()> {
         let start = AttemptStart {
             at_unix_ms: self.journal.clock.now_unix_ms(),
@@ -140,8 +144,10 @@
         Ok(())
     }
 
-    /// Writes that the attempt in flight has ended. Where that cannot be written now, no further
-    /// attempt goes before it is.
+    /// Writes that the attempt in flight has ended.
+    ///
+    /// Where the write fails, the event is kept and written before the next one, so no further
+    /// attempt starts without it.
     pub fn attempt_ended(&self, may_have_run: bool) {
         let event = JournalEvent::AttemptEnded { may_have_run };
         let mut state = self.journal.state.borrow_mut();
@@ -164,16 +170,16 @@
     /// Writes that the final answer is decided.
     ///
     /// # Errors
-    /// It could not be written: it must not be told, unless the message's time is up.
+    /// The write failed: the answer must not be sent unless the message's deadline has passed.
     pub fn decided(&self, verdict: Verdict) -> io::Result<()> {
         let mut state = self.journal.state.borrow_mut();
         state.record(self.id, JournalEvent::Decided(verdict))
     }
 
-    /// Writes that the message is over.
+    /// Writes that the message has ended.
     ///
     /// # Errors
-    /// It cannot be written now; it will be as soon as it can.
+    /// The write failed; it is retried at every maintenance step.
     pub fn close(self) -> io::Result<()> {
         self.journal.state.borrow_mut().close(self.id)
     }
--- a/src/delivery/journal/persistent_clock.rs
+++ b/src/delivery/journal/persistent_clock.rs
@@ -1,14 +1,15 @@
-//! Unix time that no step of the wall clock moves, also from one process to the next.
+//! Unix time that is unaffected by steps of the wall clock, within a process and across restarts.
 //!
-//! What the journal and the notes beside it say of times is compared by a later process. Wall
-//! clocks are set, forward and back; the system's monotonic clock runs on as long as the machine
-//! does. So the first process after a boot writes down which Unix time stands for which monotonic
-//! time, and all later ones of that boot go on from there.
+//! A later process compares the times that the journal and the notes beside it hold. The wall clock
+//! can be set forward and back; the system's monotonic clock runs on until the machine reboots. So
+//! the first process after a boot notes which Unix time corresponds to which monotonic time, and
+//! all later processes of that boot continue from there.
 //!
-//! [`Journal::open`](super::Journal::open) starts it, once the folder is locked; whoever writes or
-//! compares times of the state folder asks it. `main` has it noted ([`PersistentClock::note`]).
-//! Without a usable note the wall clock counts, as of the start of the process: a step while the
-//! process lives changes nothing in any case.
+//! [`Journal::open`](super::Journal::open) starts the clock after the folder is locked; all code
+//! that writes or compares times of the state folder uses it. `main` stores the note
+//! ([`PersistentClock::note`]). Without a usable note the clock continues from the wall clock as of
+//! the start of the process. In either case a step of the wall clock has no effect while the
+//! process runs.
 
 use super::note_file;
 use crate::delivery::unix_ms;
@@ -17,29 +18,28 @@
 use std::path::Path;
 use std::time::Instant;
 
-/// The note's file.
+/// Name of the note's file.
 const FILE_NAME: &str = "clock";
-/// Where Linux says which boot this is.
+/// File in which Linux gives the id of the current boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
-/// A note that is so little apart from this clock, in milliseconds, stays as it is.
+/// Largest difference from this clock, in milliseconds, at which an existing note is kept.
 const NOTE_TOLERANCE_MS: u64 = 20;
 
-/// What the machine's clocks say in one moment.
+/// Readings of the machine's clocks at one moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClockReadings {
     /// The wall clock, as Unix time in milliseconds.
     pub wall_unix_ms: u64,
-    /// The monotonic clock, which goes on from process to process; none where it is not known
-    /// which boot it belongs to.
+    /// The monotonic clock, which continues across processes; `None` where its boot is unknown.
     pub monotonic: Option<MonotonicTime>,
 }
 
-/// A time by the machine's monotonic clock.
+/// A time of the machine's monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MonotonicTime {
-    /// The boot that it counts from.
+    /// Id of the boot that the time counts from.
     pub boot_id: String,
-    /// Milliseconds.
+    /// Time since the boot, in milliseconds.
     pub ms: u64,
 }
 
@@ -60,9 +60,11 @@
     }
 }
 
-/// The monotonic clock in milliseconds. The program may read clocks by the standard library alone,
-/// which shows this number nowhere but in the text of an [`Instant`]; in any other form of text it
-/// is not found, and the wall clock counts.
+/// Returns the monotonic clock in milliseconds.
+///
+/// The program may read clocks only through the standard library, which shows this number only in
+/// the debug text of an [`Instant`]. Where that text has another form the result is `None`, and the
+/// wall clock is used.
 fn monotonic_ms() -> Option<u64> {
     let text = format!("{:?}", Instant::now());
     let number_behind = |name: &str| {
@@ -75,7 +77,7 @@
     Some(seconds * 1_000 + nanos / 1_000_000)
 }
 
-/// Which Unix time stands for which monotonic time.
+/// The Unix time that corresponds to a monotonic time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ClockNote {
     monotonic: MonotonicTime,
@@ -89,7 +91,7 @@
         format!("{numbers} {:08x}\n", crc32fast::hash(numbers.as_bytes()))
     }
 
-    /// Reads a note; nothing where it is not whole.
+    /// Decodes a note; `None` where it is incomplete or damaged.
     fn decode(text: &str) -> Option<Self> {
         let (numbers, sum) = text.strip_suffix('\n')?.rsplit_once(' ')?;
         let is_whole =
@@ -104,8 +106,8 @@
         })
     }
 
-    /// The Unix time that goes on from this note; nothing where the machine's clock did not run on
-    /// since.
+    /// Returns the Unix time now, continued from this note; `None` where the machine's monotonic
+    /// clock did not run on since.
     fn continued(&self, now: &ClockReadings) -> Option<u64> {
         let monotonic = now.monotonic.as_ref()?;
         let is_same_boot = monotonic.boot_id == self.monotonic.boot_id;
@@ -114,7 +116,7 @@
     }
 }
 
-/// The clock. Within a process it never goes back and takes no step.
+/// The clock. Within a process it never goes back and never steps.
 #[derive(Clone, Copy, Debug)]
 pub struct PersistentClock {
     unix_ms_at_start: u64,
@@ -122,7 +124,7 @@
 }
 
 impl PersistentClock {
-    /// One that begins with the wall clock's time.
+    /// Returns a clock that begins with the wall clock's time.
     pub fn from_wall_clock() -> Self {
         PersistentClock::at(unix_ms())
     }
@@ -134,9 +136,12 @@
         }
     }
 
-    /// Goes on from what a folder notes; where that is of no use, the wall clock counts from now
-    /// on. `newest_unix_ms` is the newest time that an earlier process wrote: a machine whose
-    /// monotonic clock does not go on between processes shows by it. Changes nothing in the folder.
+    /// Returns a clock that continues from a folder's note, or from the wall clock where the note
+    /// is unusable.
+    ///
+    /// `newest_unix_ms` is the newest time that an earlier process wrote. A note that gives an
+    /// earlier time is unusable: the machine's monotonic clock did not run on between the
+    /// processes. Changes nothing in the folder.
     pub fn open(folder: &Path, newest_unix_ms: u64) -> Self {
         PersistentClock::open_at(folder, newest_unix_ms, &ClockReadings::now())
     }
@@ -153,21 +158,22 @@
         PersistentClock::at(now.wall_unix_ms)
     }
 
-    /// Has a folder note this clock for the next process; a note that says so already stays.
+    /// Writes this clock to the folder's note for the next process. A note that already agrees with
+    /// it stays.
     ///
     /// # Errors
-    /// The folder cannot be written: until it is, the next process begins with the wall clock.
+    /// The folder cannot be written: until it can, the next process begins with the wall clock.
     pub fn note(&self, folder: &Path) -> io::Result<()> {
         note_at(folder, self.now_unix_ms(), &ClockReadings::now())
     }
 
-    /// The time, as Unix time in milliseconds.
+    /// Returns the time, as Unix time in milliseconds.
     pub fn now_unix_ms(&self) -> u64 {
         self.unix_ms_at_start + self.started_at.elapsed().as_millis() as u64
     }
 }
 
-/// Notes that this Unix time stands for these readings.
+/// Notes that this Unix time corresponds to these readings.
 fn note_at(folder: &Path, unix_ms: u64, now: &ClockReadings) -> io::Result<()> {
     let Some(monotonic) = &now.monotonic else {
         return Ok(());
@@ -188,8 +194,9 @@
     ClockNote::decode(&text)
 }
 
-/// Writes it whole or not at all, also where the process is killed meanwhile. The old one goes
-/// first: it is of no use, and must not be found by a process that may not write.
+/// Writes a note completely or not at all, also where the process is killed during the write. The
+/// old note is removed first: it is wrong, and the next process must not find it if this write
+/// fails.
 fn write_note(folder: &Path, note: &ClockNote) -> io::Result<()> {
     match fs::remove_file(folder.join(FILE_NAME)) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => return Err(e),
--- a/src/delivery/journal/record.rs
+++ b/src/delivery/journal/record.rs
@@ -1,56 +1,56 @@
-//! What the journal keeps of one message, and its bytes on disk.
+//! The journal's record of one message, and its encoding on disk.
 //!
-//! A record is postcard of [`MessageRecord`]'s fields in order, with up to three numbers behind it:
-//! policy, routing table and tenant. The last ones that are 0 are left out, so a record without any
-//! has the bytes that it had before there were such numbers, and an older reader, which takes what
-//! it knows, reads a newer record. An older record says 0 for what it does not know: its tenant is
-//! the first one, as the process that wrote it took all messages for.
+//! A record is postcard of [`MessageRecord`]'s fields in order, followed by up to three numbers:
+//! policy, routing table and tenant. Trailing zeros are left out, so a record without any of them
+//! has the same bytes as before these numbers were introduced, and an older reader, which ignores
+//! what follows, reads a newer record. A missing number is read as 0: the tenant of an older record
+//! is the first one, as which the process that wrote it treated all messages.
 
 use crate::delivery::{Envelope, Verdict};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// When an attempt went, and to which zone.
+/// Time and zone of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptStart {
-    /// Unix time in milliseconds.
+    /// Time at which the attempt started, as Unix time in milliseconds.
     pub at_unix_ms: u64,
-    /// Zone of the endpoint, by name.
+    /// Name of the endpoint's zone.
     pub zone: String,
 }
 
-/// What the journal knows of one message.
+/// The journal's record of one message.
 ///
 /// Postcard writes the fields in this order; names are not on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageRecord {
     /// The message.
     pub envelope: Rc<Envelope>,
-    /// Unix time in milliseconds at which it was accepted.
+    /// Time of acceptance, as Unix time in milliseconds.
     pub accepted_unix_ms: u64,
-    /// Unix time in milliseconds at which it is given up.
+    /// Time at which the message expires, as Unix time in milliseconds.
     pub expires_unix_ms: u64,
-    /// Attempts that went.
+    /// Attempts started.
     pub attempts: u16,
-    /// The first attempt that has ended and may have run.
+    /// First attempt that has ended and may have run.
     pub possible_run: Option<AttemptStart>,
-    /// The attempt that has not ended.
+    /// Attempt that has not ended.
     pub in_flight: Option<AttemptStart>,
-    /// Its final answer, decided and perhaps not yet told.
+    /// Final answer, decided and perhaps not yet sent.
     pub verdict: Option<Verdict>,
-    /// Number of the policy that it was accepted under; 0 for the settings alone. On disk it stands
-    /// behind the rest.
+    /// Number of the policy under which the message was accepted; 0 for the settings alone. On disk
+    /// it follows the other fields.
     #[serde(skip)]
     pub policy: u64,
-    /// Number of the routing table that it was accepted under; 0 for the endpoint list alone. On
-    /// disk it stands behind the policy.
+    /// Number of the routing table under which the message was accepted; 0 for the endpoint list
+    /// alone. On disk it follows the policy.
     #[serde(skip)]
     pub table: u64,
 }
 
 impl MessageRecord {
-    /// A message that is accepted now, without any attempt.
+    /// Returns the record of a message that is accepted now, without any attempt.
     pub(super) fn accepted(
         envelope: Envelope,
         now_unix_ms: u64,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Its bytes on disk.
+    /// Encodes the record for the disk.
     pub(super) fn encode(&self) -> Vec<u8> {
         let trailing = [self.policy, self.table, u64::from(self.envelope.tenant)];
         let written = trailing
@@ -84,10 +84,10 @@
         })
     }
 
-    /// Reads those bytes.
+    /// Decodes a record.
     ///
     /// # Errors
-    /// They are of another form.
+    /// The bytes have another format.
     pub(super) fn decode(bytes: &[u8]) -> Result<MessageRecord, postcard::Error> {
         let (mut record, mut rest) = postcard::take_from_bytes::<MessageRecord>(bytes)?;
         let mut next_trailing = || -> Result<u64, postcard::Error> {
@@ -106,21 +106,21 @@
         Ok(record)
     }
 
-    /// An attempt goes. One before it that never ended may have run.
+    /// Records the start of an attempt. An earlier attempt that never ended may have run.
     pub(super) fn start_attempt(&mut self, start: AttemptStart) {
         self.attempts += 1;
         let unended = self.in_flight.replace(start);
         self.possible_run = self.possible_run.take().or(unended);
     }
 
-    /// The attempt in flight has ended.
+    /// Records the end of the attempt in flight.
     pub(super) fn end_attempt(&mut self, may_have_run: bool) {
         let ended = self.in_flight.take().filter(|_| may_have_run);
         self.possible_run = self.possible_run.take().or(ended);
     }
 
-    /// Its final answer is decided. The message itself goes nowhere any more, however long the
-    /// answer waits for its client, so the body goes.
+    /// Records the final answer and drops the body: the message itself is not sent any more,
+    /// however long the answer waits for its client.
     pub(super) fn decide(&mut self, verdict: Verdict) {
         self.verdict = Some(verdict);
         let envelope = Rc::make_mut(&mut self.envelope);
@@ -128,7 +128,7 @@
         envelope.stored_body_bytes = 0;
     }
 
-    /// Events may be lost: an attempt may have gone to any zone, at any time.
+    /// Records that events may be lost: an attempt may have gone to any zone, at any time.
     pub(super) fn assume_may_have_run(&mut self) {
         if self.verdict.is_none() {
             self.possible_run = Some(AttemptStart {
@@ -138,13 +138,13 @@
         }
     }
 
-    /// The first attempt that may have run, where one that was in flight when the process ended may
-    /// have.
+    /// Returns the first attempt that may have run, counting one that was in flight when the
+    /// process ended.
     pub fn may_have_run(&self) -> Option<&AttemptStart> {
         self.possible_run.as_ref().or(self.in_flight.as_ref())
     }
 
-    /// The newest time that it has, as Unix time in milliseconds.
+    /// Returns the newest time in the record, as Unix time in milliseconds.
     pub(super) fn newest_unix_ms(&self) -> u64 {
         let attempts = self.possible_run.iter().chain(&self.in_flight);
         attempts
--- a/src/delivery/journal/record_table.rs
+++ b/src/delivery/journal/record_table.rs
@@ -1,4 +1,5 @@
-//! The records of all messages that are not closed, in memory, with the bodies that fit there.
+//! The records of all messages that are not closed, in memory, with the bodies that fit in the
+//! cache.
 
 use super::event::JournalEvent;
 use super::record::MessageRecord;
@@ -8,14 +9,14 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// One message's record, and what this process knows beside it.
+/// The record of one message, with state of this process only.
 pub(super) struct RecordEntry {
     pub record: MessageRecord,
-    /// Bytes that it is counted for in the store.
+    /// Bytes that the store reserves for the record.
     pub reserved_bytes: u64,
-    /// When the first attempt that may have run went; none where that is not known.
+    /// Start of the first attempt that may have run; `None` where it is unknown.
     pub possible_run_at: Option<Instant>,
-    /// When the attempt in flight went.
+    /// Start of the attempt in flight.
     pub in_flight_since: Option<Instant>,
     /// Events that could not be written yet, oldest first.
     pub unwritten: VecDeque<JournalEvent>,
@@ -25,13 +26,15 @@
 #[derive(Default)]
 pub(super) struct RecordTable {
     entries: BTreeMap<u64, RecordEntry>,
-    /// Bytes of bodies in memory.
+    /// Total size of the bodies in memory, in bytes.
     cached_body_bytes: u64,
 }
 
 impl RecordTable {
-    /// Adds a record. Its body stays in memory only within `cache_limit` bytes of all bodies there;
-    /// otherwise it is read from the store when it is needed.
+    /// Adds a record.
+    ///
+    /// Its body stays in memory only if all bodies there then fit `cache_limit` bytes; otherwise it
+    /// is read from the store when needed.
     pub(super) fn insert(
         &mut self,
         id: u64,
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Applies an event, and says what the record is counted for from now on if that changes.
+    /// Applies an event. Returns the record's new reserved size if that changes.
     pub(super) fn apply(&mut self, id: u64, event: JournalEvent) -> Option<u64> {
         let entry = self.entries.get_mut(&id)?;
         let cached_before = entry.record.envelope.body.len();
--- a/src/delivery/journal/replay.rs
+++ b/src/delivery/journal/replay.rs
@@ -1,4 +1,4 @@
-//! Builds the records again from what an earlier process wrote.
+//! Rebuilds the records from the log of an earlier process.
 
 use super::event::JournalEvent;
 use super::record::MessageRecord;
@@ -7,7 +7,7 @@
 use crate::store::recover::{Replay, ReplayError};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Takes a log's frames in, in their order.
+/// Replays the frames of a log in their order.
 pub(super) struct JournalReplay {
     records: RecordTable,
     cache_limit: u64,
@@ -18,7 +18,7 @@
 }
 
 impl JournalReplay {
-    /// Nothing yet; so many bytes of bodies may stay in memory.
+    /// Returns an empty replay that keeps up to `cache_limit` bytes of bodies in memory.
     pub(super) fn new(cache_limit: u64) -> Self {
         JournalReplay {
             records: RecordTable::default(),
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Takes the records of a [`super::legacy_v1`] file in, and gives their numbers.
+    /// Adds the records of a [`super::legacy_v1`] file and returns their numbers.
     pub(super) fn add_legacy(&mut self, open: BTreeMap<u64, MessageRecord>) -> Vec<u64> {
         let ids = open.keys().copied().collect();
         for (id, record) in open {
             self.note_times(&record);
             let reserved_bytes = reserved_bytes(&record.encode());
-            // A body cannot be read from such a file later.
+            // Bodies cannot be read from such a file later, so all of them stay in memory.
             self.records.insert(id, record, reserved_bytes, u64::MAX);
         }
         ids
@@ -45,27 +45,27 @@
         self.newest_unix_ms = self.newest_unix_ms.max(record.newest_unix_ms());
     }
 
-    /// What is open.
+    /// Returns the open records.
     pub(super) fn open(&self) -> impl Iterator<Item = (u64, &MessageRecord)> {
         self.records.iter().map(|(id, entry)| (id, &entry.record))
     }
 
-    /// Forgets a message that turned out to be over.
+    /// Removes a message that turned out to have ended.
     pub(super) fn forget(&mut self, id: u64) {
         self.records.remove(id);
     }
 
-    /// Messages of which events may be lost.
+    /// Returns the number of messages of which events may be lost.
     pub(super) fn in_doubt(&self) -> usize {
         self.in_doubt
     }
 
-    /// The newest time that any record has, as Unix time in milliseconds.
+    /// Returns the newest time in any record, as Unix time in milliseconds.
     pub(super) fn newest_unix_ms(&self) -> u64 {
         self.newest_unix_ms
     }
 
-    /// Bytes that a record is counted for in the store.
+    /// Returns the bytes that the store reserves for a record.
     pub(super) fn reserved_bytes(&self, id: u64) -> u64 {
         self.records.get(id).map_or(0, |entry| entry.reserved_bytes)
     }
--- a/src/delivery/journal/restart_state.rs
+++ b/src/delivery/journal/restart_state.rs
@@ -1,12 +1,12 @@
-//! What the process before this one left in the state folder, beside the journal.
+//! Notes that the previous process left in the state folder, beside the journal.
 //!
-//! Four notes, each a file of one line: that the process ended as it was told to, how long the
-//! endpoint directory took for its last poll, how long the endpoint list that it had may be
-//! trusted, and which revision that was. Without the first two, a start counts as one of all
-//! senders at once, beside a directory that nobody knows. Without the third there was no process
-//! before, and the list that this one is given is taken as it is.
+//! There are four notes, each a file of one line: that the process ended as planned, how long its
+//! last poll of the endpoint directory took, until when its endpoint list may be trusted, and the
+//! revision of that list. Without the first two, the start is treated as a simultaneous start of
+//! all senders, with a directory of unknown speed. Without the third there was no previous process,
+//! and the first endpoint list is trusted as it is.
 //!
-//! `main` reads the notes at the start and writes the first one at the end; whoever polls the
+//! `main` reads the notes at the start and writes the first one at the end; the code that polls the
 //! directory writes the others.
 
 use super::note_file;
@@ -16,75 +16,76 @@
 use std::time::Duration;
 use std::{fs, io};
 
-/// Written at the end of a process that was told to end: its time.
+/// Note of a planned end: the time at which it was written.
 ///
-/// A start that comes more than a minute later is not part of a restart: the machines may all have
-/// been down.
+/// A start more than a minute later is not part of a restart, as all machines may have been down.
 const PLANNED_END: NoteFile = NoteFile {
     name: "ended",
     numbers: 1,
     valid_for_ms: 60_000,
 };
-/// Written after each poll: its time, and how long it took in microseconds. After an hour the
-/// directory may be another one.
+/// Note after each poll: the time at which it was written, and how long the poll took in
+/// microseconds. After an hour the directory may be another one.
 const LIST_POLL: NoteFile = NoteFile {
     name: "asked",
     numbers: 2,
     valid_for_ms: 3_600_000,
 };
-/// Written with each list: its time, and until when the list may be trusted.
+/// Note with each endpoint list: the time at which it was written, and until when the list may be
+/// trusted.
 const LIST_FRESHNESS: NoteFile = NoteFile {
     name: "trusted",
     numbers: 2,
     valid_for_ms: u64::MAX,
 };
 
-/// Written before the freshness of another revision is: its time, and the revision.
+/// Note before the freshness of another revision is noted: the time at which it was written, and
+/// the revision.
 const LIST_REVISION: NoteFile = NoteFile {
     name: "listed",
     numbers: 2,
     valid_for_ms: u64::MAX,
 };
 
-/// Why a note does not count.
+/// Reason for which a note is ignored.
 #[derive(Debug, thiserror::Error)]
 pub enum NoteError {
     /// The file system failed.
     #[error("{file}: {source}")]
     Io {
-        /// The note's file.
+        /// Name of the note's file.
         file: &'static str,
-        /// What failed.
+        /// Error of the file system.
         source: io::Error,
     },
-    /// It was not written in full.
+    /// The note was not written completely.
     #[error("{file}: torn")]
     Torn {
-        /// The note's file.
+        /// Name of the note's file.
         file: &'static str,
     },
-    /// The clock was set back since it was written.
+    /// The note's time is in the future: the clock was set back since.
     #[error("{file}: from the future")]
     FromTheFuture {
-        /// The note's file.
+        /// Name of the note's file.
         file: &'static str,
     },
 }
 
-/// What was found.
+/// State of the previous process, and the notes that were ignored.
 #[derive(Debug, Default)]
 pub struct LoadedNotes {
-    /// What is known of the process before.
+    /// Known state of the previous process.
     pub state: RestartState,
-    /// Why notes did not count, for the log.
+    /// Reasons for which notes were ignored, for the log.
     pub faults: Vec<NoteError>,
 }
 
-/// Notes that this process ends as it was told to.
+/// Notes that this process ends as planned.
 ///
 /// # Errors
-/// The folder cannot be written. The next start counts as one after a crash, and nothing else is
-/// harmed.
+/// The folder cannot be written. The next start is treated as one after a crash; nothing else
+/// changes.
 pub fn note_planned_end(folder: &Path, now_unix_ms: u64) -> io::Result<()> {
     note_file::replace(folder, PLANNED_END.name, &format!("{now_unix_ms}\n"))
 }
@@ -92,17 +93,17 @@
 /// Notes how long the directory took for a poll.
 ///
 /// # Errors
-/// The folder cannot be written. The next start takes it for the usual time.
+/// The folder cannot be written. The next start assumes the default time.
 pub fn note_list_poll(folder: &Path, now_unix_ms: u64, took: Duration) -> io::Result<()> {
     let line = format!("{now_unix_ms} {}\n", took.as_micros());
     note_file::replace(folder, LIST_POLL.name, &line)
 }
 
-/// Notes how long the list that is held may be trusted.
+/// Notes how long the current endpoint list may be trusted.
 ///
 /// # Errors
-/// The folder cannot be written, and the note before stays. The next start may take its list for
-/// older than it is, and calls nobody until it has polled.
+/// The folder cannot be written, and the previous note stays. The next start may treat its list as
+/// older than it is, and then calls no endpoint until it has polled the directory.
 pub fn note_list_freshness(
     folder: &Path,
     now_unix_ms: u64,
@@ -114,17 +115,19 @@
     note_file::replace(folder, LIST_FRESHNESS.name, &line)
 }
 
-/// Notes of which revision of the list the freshness is noted from now on.
+/// Notes the revision of the list to which the noted freshness belongs from now on.
 ///
 /// # Errors
-/// The folder cannot be written. The next start may rely on an older list than this process does.
+/// The folder cannot be written. The next start may trust an older list than this process does.
 pub fn note_list_revision(folder: &Path, now_unix_ms: u64, revision: u64) -> io::Result<()> {
     let line = format!("{now_unix_ms} {revision}\n");
     note_file::replace(folder, LIST_REVISION.name, &line)
 }
 
-/// Reads what is known of the process before this one, by one that begins with this revision of the
-/// list. The note of a planned end counts once: a start that ends short leaves none.
+/// Reads the state of the previous process, for a process that begins with the list of this
+/// revision.
+///
+/// The note of a planned end is removed: a process that does not end as planned leaves none.
 pub fn load(folder: &Path, now_unix_ms: u64, held_revision: Option<u64>) -> LoadedNotes {
     let mut faults = Vec::new();
     let mut read = |note: &NoteFile| {
@@ -141,7 +144,7 @@
         Some(0)
     });
     let removed = PLANNED_END.remove(folder);
-    // One that stays would count again and again.
+    // A note that cannot be removed would count at every later start, so it is ignored.
     let planned = planned_end.is_some() && removed.is_ok();
     faults.extend(removed.err());
     let state = RestartState {
@@ -155,8 +158,8 @@
     LoadedNotes { state, faults }
 }
 
-/// How long the list of the process before may still be trusted, by one that begins with this
-/// revision; none where there was none.
+/// Returns how long the list of the previous process may still be trusted, for a process that
+/// begins with the list of this revision; `None` where there was no previous process.
 fn remaining_freshness(
     folder: &Path,
     now_unix_ms: u64,
@@ -173,16 +176,16 @@
     }))
 }
 
-/// A note's file, and when what it says counts.
+/// Format and validity of a note's file.
 struct NoteFile {
     name: &'static str,
-    /// Numbers in its line; the first is when it was written, as Unix time in milliseconds.
+    /// Numbers in the line; the first is the time of writing, as Unix time in milliseconds.
     numbers: usize,
     valid_for_ms: u64,
 }
 
 impl NoteFile {
-    /// The last number of the note; none where it is not there, or too old.
+    /// Returns the last number of the note; `None` where the note is missing or too old.
     fn read(&self, folder: &Path, now_unix_ms: u64) -> Result<Option<u64>, NoteError> {
         let file = self.name;
         let text = match fs::read_to_string(folder.join(file)) {
@@ -203,7 +206,7 @@
             .filter(|_| age_ms <= self.valid_for_ms))
     }
 
-    /// Removes the note, if it is there.
+    /// Removes the note, if it exists.
     fn remove(&self, folder: &Path) -> Result<(), NoteError> {
         match fs::remove_file(folder.join(self.name)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
