--- a/src/agent/config.rs
+++ b/src/agent/config.rs
@@ -227,7 +227,7 @@
             .collect(),
         Some(Value::Table(addresses)) => addresses.into_iter().collect(),
         Some(other) => {
-            let expected = "a list of addresses or a table of them by number";
+            let expected = "a list of addresses, or a table of addresses by number";
             faults.push(SettingFault::invalid("keepers", expected, other));
             return BTreeMap::new();
         }
@@ -237,7 +237,7 @@
         }
     };
     if by_number.is_empty() || by_number.len() > MAX_REPLICAS {
-        let expected = format!("from 1 to {MAX_REPLICAS} of them");
+        let expected = format!("from 1 to {MAX_REPLICAS} keepers");
         faults.push(SettingFault::invalid("keepers", expected, by_number.len()));
     }
     let mut replicas = BTreeMap::new();
@@ -263,15 +263,15 @@
     others: &BTreeMap<u64, SocketAddr>,
 ) -> Result<(u64, SocketAddr), &'static str> {
     let Some(number) = number.parse().ok().filter(|number| *number > 0) else {
-        return Err("a number from 1 on as its key");
+        return Err("a key that is a number of at least 1");
     };
     let address = address.as_str().and_then(|text| text.parse().ok());
     let address: SocketAddr = address.ok_or("an address with a port")?;
     if address.ip().is_unspecified() || address.port() == 0 {
-        return Err("an address where somebody can be reached");
+        return Err("an address that is not unspecified, with a port other than 0");
     }
     if others.values().any(|other| *other == address) {
-        return Err("an address that no other replica has");
+        return Err("an address that no other keeper has");
     }
     Ok((number, address))
 }
--- a/src/agent/effects.rs
+++ b/src/agent/effects.rs
@@ -132,7 +132,7 @@
             };
             let name = kind.name();
             if !is_known {
-                log::error!("fleet: {name} {number} is not known; nothing is taken on");
+                log::error!("fleet: {name} {number} is not known; no message is accepted");
                 return false;
             }
             let took = begun.elapsed();
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -247,8 +247,8 @@
         let kept = self.parts.delivery.directory.kept_destinations();
         for dest in kept.difference(&self.logged_kept_destinations.borrow()) {
             log::warn!(
-                "fleet: destination {dest} stays in use: it has no other route than those that are \
-                 ordered left"
+                "fleet: destination {dest} stays in use: all its routes are in zones that are ordered \
+                 left"
             );
         }
         *self.logged_kept_destinations.borrow_mut() = kept;
@@ -310,8 +310,8 @@
     let last = parts.tables.as_ref().map_or(0, DocumentStore::last_applied);
     if config.tables.is_some() && last != 0 && !parts.delivery.activate_routing_table(last) {
         log::warn!(
-            "fleet: table {last}, which was gone by last, is not here; what is held goes by the \
-             list"
+            "fleet: table {last}, which was applied last, is not stored here; held messages follow \
+             the endpoint list"
         );
     }
 }
--- a/src/agent/register.rs
+++ b/src/agent/register.rs
@@ -388,7 +388,7 @@
     /// Returns the log line for a change of the gate; `None` where only the lease was renewed.
     fn describe_change(&self, gate: AdmissionGate, rule: Option<Rule>) -> Option<String> {
         let by = match rule {
-            None => "without a keeper's word".to_string(),
+            None => "without an answer from a keeper".to_string(),
             Some(rule) => format!("by turn {}", rule.turn),
         };
         match gate {
@@ -409,10 +409,10 @@
         let name = self.kind.name();
         match rule {
             Some(rule) if rule.admission == SiteAdmission::LeaseExpired => {
-                format!("takes nothing on {by}: the site's lease in its federation is over")
+                format!("takes nothing on {by}: the site's lease in its federation has expired")
             }
             Some(rule) => format!(
-                "takes nothing on {by}: {name} {} is not here yet",
+                "takes nothing on {by}: {name} {} is not stored here yet",
                 rule.number
             ),
             None => format!("takes nothing on: it may have missed a change of {name}"),
--- a/src/delivery/journal/inspect.rs
+++ b/src/delivery/journal/inspect.rs
@@ -205,7 +205,7 @@
     };
     let cut = bytes.len() - legacy.valid_bytes;
     if cut > 0 {
-        damage.push(format!("{name}: {cut} bytes at its end are not whole"));
+        damage.push(format!("{name}: {cut} bytes at its end are part of an incomplete entry"));
     }
     replay.add_legacy(legacy.open)
 }
--- a/src/delivery/journal/open.rs
+++ b/src/delivery/journal/open.rs
@@ -122,7 +122,7 @@
                     "in use by another process",
                 ))
             }
-            Err(e) => log::warn!("journal: no lock: {e}"),
+            Err(e) => log::warn!("journal: cannot lock the folder: {e}"),
             Ok(()) => {}
         }
     }
@@ -145,10 +145,10 @@
 /// its records are copied.
 fn replay_legacy(bytes: &[u8], replay: &mut JournalReplay) -> io::Result<LegacyFile> {
     let replayed = legacy_v1::replay(bytes)
-        .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "a journal of another form"))?;
+        .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "a journal of another format"))?;
     if replayed.valid_bytes < bytes.len() {
         log::warn!(
-            "journal: {} bytes at its end are not whole and are left out",
+            "journal: {} bytes at its end are part of an incomplete entry and are ignored",
             bytes.len() - replayed.valid_bytes
         );
     }
@@ -165,13 +165,13 @@
     }
     if !opened.damage.is_empty() {
         log::error!(
-            "store: {in_doubt} messages were open where lines may be lost; \
-             they are taken for ones that may have run"
+            "store: {in_doubt} messages were open where frames may be lost; \
+             they are treated as messages that may have run"
         );
     }
     if opened.torn_bytes > 0 {
         log::warn!(
-            "store: {} bytes at its end are part of a line that was not finished",
+            "store: {} bytes at its end are part of a frame that was not finished",
             opened.torn_bytes
         );
     }
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -518,7 +518,7 @@
     refused("another process");
     drop(first);
     fs::write(folder.path().join("journal"), "something else").expect("written");
-    refused("another form");
+    refused("another format");
 }
 
 #[test]
