--- a/src/agent/call_statistics/tests.rs
+++ b/src/agent/call_statistics/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(
         statistics.take_counts(SEC),
         [],
-        "nothing tells yet how long calls take"
+        "the usual duration of calls is still unknown"
     );
     let hangs = |n| CallCounts {
         hanging: n,
@@ -57,7 +57,7 @@
         (0, 1)
     );
     statistics.call_finished(quick);
-    // One answer tells that this one is slow, whatever others are.
+    // One answer suffices to know that this destination is slow, whatever the others are.
     statistics.record_outcome("b", 3, Outcome::Delivered, 500 * MS);
     statistics.call_started(2 * SEC, "b", 3);
     assert_eq!(
@@ -85,5 +85,5 @@
         (MAX_GROUPS, MAX_GROUPS as u32)
     );
     statistics.record_outcome("b", 1, Outcome::Delivered, SEC);
-    assert_eq!(statistics.take_counts(0).len(), 1, "there is room again");
+    assert_eq!(statistics.take_counts(0).len(), 1, "the table has space again");
 }
--- a/src/agent/config/tests.rs
+++ b/src/agent/config/tests.rs
@@ -49,7 +49,7 @@
 fn policies_and_tables_are_followed_only_where_the_file_says_so() {
     let read_both = |followed: &str| {
         let text = format!("site = \"s\"\nzone = \"a\"\nkeepers = [\"127.0.0.1:1\"]\n{followed}");
-        let config = FleetConfig::parse(&text).expect("usable");
+        let config = FleetConfig::parse(&text).expect("valid");
         (config.policies, config.tables)
     };
     let (read, tables) = (
--- a/src/delivery/journal/persistent_clock/tests.rs
+++ b/src/delivery/journal/persistent_clock/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// The time that a process begins with that finds the clocks so; it notes its own.
+/// Opens a clock at these readings, writes its note, and returns the time at which it starts.
 fn opened(folder: &TempDir, newest_unix_ms: u64, now: &ClockReadings) -> u64 {
     let clock = PersistentClock::open_at(folder.path(), newest_unix_ms, now);
     let _ = note_at(folder.path(), clock.unix_ms_at_start, now);
@@ -24,9 +24,9 @@
 
 #[test]
 fn the_machines_monotonic_clock_is_read_and_runs_on() {
-    let before = monotonic_ms().expect("an Instant says its seconds");
+    let before = monotonic_ms().expect("seconds in the text of an Instant");
     std::thread::sleep(Duration::from_millis(20));
-    let passed = monotonic_ms().expect("an Instant says its seconds") - before;
+    let passed = monotonic_ms().expect("seconds in the text of an Instant") - before;
     assert!((20..2_000).contains(&passed), "{passed} ms");
 }
 
@@ -56,13 +56,13 @@
         opened(&folder, 0, &readings(2_000_000, "8e", 900)),
         2_000_000
     );
-    // Each such start leaves a note that the next one goes on from.
+    // Each of these starts writes a note from which the next start continues.
     assert_eq!(opened(&folder, 0, &readings(9, "8e", 950)), 2_000_050);
     assert_eq!(
         opened(&folder, 0, &readings(3_000_000, "8e", 100)),
         3_000_000
     );
-    // A later time was written than the monotonic clock has come to.
+    // The newest written time is later than the time that the note gives.
     assert_eq!(
         opened(&folder, 3_000_500, &readings(3_000_600, "8e", 101)),
         3_000_600
@@ -100,7 +100,7 @@
         opened(&folder, 0, &readings(7_000_000, BOOT, 600)),
         7_000_000
     );
-    // Where nothing can be written, the old note must not stay either.
+    // Where the new note cannot be written, the old one is removed all the same.
     fs::write(&file, &whole).expect("written");
     fs::create_dir(folder.path().join("clock.new")).expect("a folder");
     let other_boot = readings(8_000_000, "8e", 600);
--- a/src/delivery/journal/record/tests.rs
+++ b/src/delivery/journal/record/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The form before messages had a policy.
+/// Format of a record before messages had a policy.
 #[derive(Serialize)]
 struct RecordWithoutPolicy {
     envelope: Rc<Envelope>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// A record as it was written before messages had a policy.
+/// Bytes of a record that was written before messages had a policy.
 const WRITTEN: &str =
     "01026d3101026b31020702010201066f726967696e017805090909090980d095ffbc3180cd96\
                        ffbc310301f4d395ffbc310161000101f403";
@@ -77,7 +77,7 @@
         (new.len(), MessageRecord::decode(&new)),
         (old.len() + 2, Ok(record(300, 0, 0)))
     );
-    // What stands behind a record did not count.
+    // The oldest readers ignored the bytes after a record.
     assert_eq!(
         postcard::from_bytes::<MessageRecord>(&new),
         Ok(record(0, 0, 0))
@@ -95,8 +95,8 @@
             MessageRecord::decode(&newest),
             Ok(record(policy, table, tenant))
         );
-        // A reader that knows policies alone reads the number that follows a record; one that knows
-        // tables, too, that behind it.
+        // A reader that knows only policies reads the number after the record; one that also knows
+        // tables reads the number after that.
         let (_, behind) = postcard::take_from_bytes::<MessageRecord>(&newest).expect("a record");
         let (read, behind) = postcard::take_from_bytes::<u64>(behind).expect("a policy");
         assert_eq!(
--- a/src/delivery/journal/restart_state/tests.rs
+++ b/src/delivery/journal/restart_state/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What is read, with faults as they are logged.
+/// Loads the notes, with faults as log texts.
 fn loaded(folder: &Path, now_unix_ms: u64) -> (RestartState, Vec<String>) {
     let notes = load(folder, now_unix_ms, None);
     let faults = notes.faults.iter().map(ToString::to_string).collect();
@@ -54,7 +54,7 @@
     const MS: Nanos = 1_000_000;
     let folder = tempfile::tempdir().expect("a folder");
     let left = |now| load(folder.path(), now, None).state.remaining_freshness;
-    assert_eq!(left(5), None, "no process was before");
+    assert_eq!(left(5), None, "there was no previous process");
     for at in [1_000, 99_000] {
         note_list_freshness(folder.path(), at, Duration::from_secs(6)).expect("written");
         assert_eq!(
@@ -70,8 +70,8 @@
     assert_eq!(left(999), Some(0), "from the future");
 }
 
-/// Guards against new work at drained endpoints by a restart with a list that is older than the one
-/// that the process before relied on.
+/// Guards against new attempts to drained endpoints after a restart with an older list than the one
+/// that the previous process trusted.
 #[test]
 fn freshness_that_was_noted_is_that_of_the_noted_revision() {
     const MS: Nanos = 1_000_000;
@@ -81,7 +81,7 @@
     assert_eq!(
         left(Some(40)),
         Some(6_000 * MS),
-        "an earlier version noted none"
+        "earlier versions note no revision"
     );
     note_list_revision(folder.path(), 1_000, 41).expect("written");
     let lefts = [None, Some(40), Some(41), Some(42)].map(left);
@@ -103,7 +103,8 @@
         (cost(36, 3_601_000), cost(36, 3_601_001)),
         (Some(0.036), None)
     );
-    // A line is no cost, and a directory that has just started may be slower than it was.
+    // Upper bound: time in a queue is not part of the cost. Lower bound: a directory that has just
+    // started may be slower than before.
     assert_eq!(
         (cost(2_900, 1_000), cost(1, 1_000)),
         (Some(0.055), Some(0.0275))
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,5 +1,5 @@
-//! The journal on files: what it gives back, what it does with a broken end and with other forms,
-//! and that it keeps its limit.
+//! The journal on files: recovery after a restart, torn and damaged files, other formats, and the
+//! limit of its size.
 
 use raildeal::delivery::journal::legacy_v1 as v1;
 use raildeal::delivery::journal::{
@@ -41,7 +41,7 @@
 fn take_on(journal: &Rc<Journal>, id: &str) -> OpenRecord {
     journal
         .append_accepted(envelope(id, 200), LEFT, 0, 0)
-        .expect("taken on")
+        .expect("accepted")
 }
 
 fn size(folder: &Path) -> u64 {
@@ -76,7 +76,7 @@
     .expect("written");
     d.close().expect("written");
     drop((journal, a, b, c));
-    // Open it twice: the second time from its own compaction.
+    // Open the journal twice: the first recovery must not change the records.
     for _ in 0..2 {
         let (_, records) = open(&folder, ROOM);
         let [a, b, c] = <[OpenRecord; 3]>::try_from(records)
@@ -108,7 +108,7 @@
         );
         assert!(
             c.envelope.body.is_empty(),
-            "what has its verdict is only to be told of it"
+            "the body is dropped once the final answer is decided"
         );
     }
 }
@@ -121,7 +121,7 @@
         ..JournalOptions::new(600_000)
     };
     let opened = || Journal::open(folder.path(), setup).expect("opened");
-    // Every third names none, and every third the first one.
+    // Every third message has no tenant, and every third the first one.
     let tenant = |n: u64| [0, n as u16, NO_TENANT][n as usize % 3];
     let (journal, _) = opened();
     let held: Vec<OpenRecord> = (0..20)
@@ -138,7 +138,7 @@
     held.iter()
         .for_each(|r| r.attempt_started("x").expect("written"));
     for _ in 0..3 {
-        // Enough is written that all that stays is copied.
+        // Writes enough for cleaning to copy all open records.
         for n in 0..200 {
             journal
                 .append_accepted(envelope(&format!("n{n}"), 4_000), LEFT, 7, 0)
@@ -176,7 +176,7 @@
     );
 }
 
-/// Nothing is replayed, nothing copied.
+/// A store without records to replay or to copy.
 struct Fresh;
 
 impl SnapshotSource for Fresh {
@@ -197,8 +197,8 @@
     fn on_losses_known(&mut self, _: &[bool]) {}
 }
 
-/// Accounts as they were written before messages had a tenant: bare, with a policy behind them, and
-/// with a table behind that.
+/// Reads records that were written before messages had a tenant: without trailing numbers, with a
+/// policy, and with a policy and a table.
 #[test]
 fn a_folder_written_before_messages_had_a_tenant_is_read() {
     #[derive(Serialize)]
@@ -252,7 +252,7 @@
     assert_eq!(read, [was(0, 0, 0), was(1, 300, 0), was(2, 0, 7)]);
 }
 
-/// The segment that is being written, and where its lines end.
+/// Returns the segment that is being written, and the end of its frames.
 fn written(folder: &TempDir) -> (PathBuf, usize) {
     let files = fs::read_dir(folder.path())
         .expect("a folder")
@@ -285,9 +285,9 @@
     assert_eq!(
         records[0].snapshot().possible_run,
         None,
-        "a torn end says nothing of what is whole"
+        "a torn end gives no doubt about complete records"
     );
-    // What is written after it is found again.
+    // Records that are written after the torn end are recovered.
     let c = take_on(&journal, "c");
     drop((journal, records, c));
     assert_eq!(open(&folder, ROOM).1.len(), 2);
@@ -301,7 +301,7 @@
     drop((journal, a, b, c));
     let (path, _) = written(&folder);
     let mut bytes = fs::read(&path).expect("bytes");
-    // In the second of three lines of one length.
+    // Damages the second of three frames of equal length.
     let line = (written(&folder).1 - 1024) / 3;
     bytes[1024 + line + 50] ^= 1;
     fs::write(&path, &bytes).expect("written");
@@ -332,7 +332,7 @@
         table: 0,
     };
     let old = v1::encode_file(&[(5, account("a")), (9, account("b"))]);
-    // A line that was torn, and a compaction that never ended.
+    // An incomplete entry at the end, and an unfinished compaction.
     fs::write(
         folder.path().join("journal"),
         [&old[..], &old[20..60]].concat(),
@@ -402,11 +402,11 @@
         .map(|i| {
             journal
                 .append_accepted(envelope(&format!("m{i}"), 10_000 + i), LEFT, 0, 0)
-                .expect("taken on")
+                .expect("accepted")
         })
         .collect();
-    // Lines enough for several rounds through all segments, so that everything was copied more than
-    // once.
+    // Enough events for several passes through all segments, so that cleaning copies every record
+    // more than once.
     for i in 0..20_000 {
         records[i % 20].attempt_started("zone").expect("written");
         records[i % 20].attempt_ended(false);
@@ -442,7 +442,7 @@
         }
     }
     assert!(held.len() >= 8, "{}", held.len());
-    // Attempts of what is open go on being written, however many there are.
+    // Attempts of open messages are still written, however many there are.
     for i in 0..20_000 {
         let record = &held[i % held.len()];
         record.attempt_started("zone").expect("written");
@@ -450,14 +450,15 @@
         let now = size(folder.path());
         assert!(now <= limit, "{now} bytes after {i}");
     }
-    // Room comes back with what is closed.
+    // Closing records frees space.
     held.drain(..held.len() / 4)
         .for_each(|r| r.close().expect("written"));
-    std::thread::sleep(Duration::from_millis(150)); // what shut the door keeps it shut for a while
+    // The capacity gate stays closed for a short time.
+    std::thread::sleep(Duration::from_millis(150));
     held.push(
         journal
             .append_accepted(envelope("n", 2000), LEFT, 0, 0)
-            .expect("taken on"),
+            .expect("accepted"),
     );
     let kept = held.len();
     drop((journal, held));
@@ -511,7 +512,7 @@
     let refused = |words: &str| {
         let told = Journal::open(folder.path(), JournalOptions::new(ROOM))
             .err()
-            .expect("refused")
+            .expect("rejected")
             .to_string();
         assert!(told.contains(words), "{told}");
     };
--- a/tests/torn_notes.rs
+++ b/tests/torn_notes.rs
@@ -1,5 +1,5 @@
-//! A note beside the journal whose write fails in part. A program of its own, for the bound on its
-//! files.
+//! A note beside the journal whose write fails in part. A test program of its own, as the limit on
+//! the size of files applies to the whole process.
 
 use raildeal::delivery::journal::restart_state;
 use raildeal::process_signals::{BlockedSignals, Signal};
@@ -16,19 +16,19 @@
         current: bytes,
         maximum: getrlimit(Resource::Fsize).maximum,
     };
-    setrlimit(Resource::Fsize, limit).expect("a bound");
+    setrlimit(Resource::Fsize, limit).expect("the limit is set");
 }
 
 fn remaining_ns(folder: &Path, now_unix_ms: u64) -> u64 {
     let state = restart_state::load(folder, now_unix_ms, None).state;
-    state.remaining_freshness.expect("a process was before")
+    state.remaining_freshness.expect("a previous process")
 }
 
-/// Guards against a list that is relied on for longer than any process noted, by a note of which
-/// the first half is new and the second half old.
+/// Guards against an endpoint list that is trusted for longer than any process noted. That came
+/// about by a partly failed write: the first half of the note was new and the second half old.
 #[test]
 fn a_note_of_freshness_that_fails_in_part_never_adds_to_it() {
-    // Else the first write beyond the bound would end the program.
+    // Otherwise the signal for the first write beyond the limit would end the program.
     let _blocked = BlockedSignals::new(&[Signal::SIGXFSZ]).expect("blocked");
     let folder = TempDir::new().expect("a folder");
     let noted_at = 1_796_307_503_999;
