--- a/src/agent/call_statistics/tests.rs
+++ b/src/agent/call_statistics/tests.rs
@@ -2,7 +2,7 @@
 use crate::dispatch::statistics::SEC;
 
 #[test]
-fn every_call_counts_once_and_hanging_calls_are_counted_as_of_now() {
+fn every_call_is_counted_once_and_hanging_calls_as_of_now() {
     let mut statistics = CallStatistics::default();
     let call = statistics.call_started(0, "a", 1);
     assert_eq!(
@@ -38,9 +38,9 @@
 }
 
 #[test]
-fn a_call_hangs_by_the_usual_duration_there_or_else_anywhere() {
+fn a_call_hangs_by_the_usual_duration_of_its_group_or_else_of_all_calls() {
     let mut statistics = CallStatistics::default();
-    let hang = |statistics: &mut CallStatistics, now| {
+    let hanging_calls = |statistics: &mut CallStatistics, now| {
         statistics
             .take_counts(now)
             .iter()
@@ -51,8 +51,8 @@
     let quick = statistics.call_started(SEC, "b", 2);
     assert_eq!(
         (
-            hang(&mut statistics, 1_400 * MS),
-            hang(&mut statistics, 1_401 * MS)
+            hanging_calls(&mut statistics, 1_400 * MS),
+            hanging_calls(&mut statistics, 1_401 * MS)
         ),
         (0, 1)
     );
@@ -62,8 +62,8 @@
     statistics.call_started(2 * SEC, "b", 3);
     assert_eq!(
         (
-            hang(&mut statistics, 4 * SEC),
-            hang(&mut statistics, 4_001 * MS)
+            hanging_calls(&mut statistics, 4 * SEC),
+            hanging_calls(&mut statistics, 4_001 * MS)
         ),
         (0, 1)
     );
--- a/src/agent/config/tests.rs
+++ b/src/agent/config/tests.rs
@@ -1,12 +1,12 @@
 use crate::agent::config::*;
 
 #[test]
-fn all_faults_are_named_at_once() {
+fn all_faults_are_reported_together() {
     let text = "zone = 3\n\
                 keepers = [\"127.0.0.1:7001\", \"0.0.0.0:7002\", \"x\", \"127.0.0.1:7001\"]\n\
                 report_ms = 5\nlease = 4\nother = true\n\
                 [policy]\nwithout_keepers = \"never\"\nsoon = 1\n[table]\nlater = 1";
-    let faults = FleetConfig::parse(text).expect_err("refused");
+    let faults = FleetConfig::parse(text).expect_err("rejected");
     let named = [
         "site:",
         "zone:",
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn replicas_are_numbered_in_order_or_by_name() {
+fn replicas_are_numbered_in_order_or_by_key() {
     let read = |addresses: &str| {
         let text = format!("site = \"s\"\nzone = \"a\"\nkeepers = {addresses}");
         FleetConfig::parse(&text).map(|config| config.replicas.into_keys().collect::<Vec<_>>())
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn policies_and_tables_are_followed_only_where_the_file_says_so() {
+fn policies_and_tables_are_followed_only_where_configured() {
     let read_both = |followed: &str| {
         let text = format!("site = \"s\"\nzone = \"a\"\nkeepers = [\"127.0.0.1:1\"]\n{followed}");
         let config = FleetConfig::parse(&text).expect("valid");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_file_under_deploy_is_usable() {
+fn the_fleet_file_under_deploy_is_valid() {
     let error = FleetConfig::read(Path::new("deploy/fleet.toml")).err();
     assert_eq!(error.map(|e| e.to_string()), None);
 }
--- a/src/delivery/journal/inspect/tests.rs
+++ b/src/delivery/journal/inspect/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_final_answer_is_printed_as_it_always_was() {
+fn the_printed_text_of_a_final_answer_does_not_change() {
     let deferred = Verdict::Deferred {
         retry_after_ms: 500,
     };
--- a/src/delivery/journal/persistent_clock/tests.rs
+++ b/src/delivery/journal/persistent_clock/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_machines_monotonic_clock_is_read_and_runs_on() {
+fn the_monotonic_clock_is_read_and_advances() {
     let before = monotonic_ms().expect("seconds in the text of an Instant");
     std::thread::sleep(Duration::from_millis(20));
     let passed = monotonic_ms().expect("seconds in the text of an Instant") - before;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_step_of_the_wall_clock_between_two_processes_moves_nothing() {
+fn a_wall_clock_step_between_two_processes_does_not_change_the_time() {
     for stepped_to in [0, 6_400, 400_000, 4_600_000] {
         let folder = TempDir::new().expect("a folder");
         assert_eq!(
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn another_boot_or_a_clock_that_did_not_run_on_begins_with_the_wall_clock() {
+fn another_boot_or_an_outdated_note_starts_from_the_wall_clock() {
     let folder = TempDir::new().expect("a folder");
     assert_eq!(
         opened(&folder, 0, &readings(1_000_000, BOOT, 500)),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn without_a_monotonic_clock_the_wall_clock_counts() {
+fn without_a_monotonic_clock_the_wall_clock_is_used() {
     let folder = TempDir::new().expect("a folder");
     assert_eq!(
         opened(&folder, 0, &readings(1_000_000, BOOT, 500)),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_note_that_is_half_written_or_cannot_be_written_does_not_count() {
+fn an_incomplete_or_unwritable_note_is_ignored() {
     let folder = TempDir::new().expect("a folder");
     let begin = readings(1_000_000, BOOT, 500);
     let file = folder.path().join(FILE_NAME);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn it_is_read_without_a_change_of_the_folder() {
+fn opening_the_clock_leaves_the_folder_unchanged() {
     let folder = TempDir::new().expect("a folder");
     let _ = PersistentClock::open(folder.path(), 0);
     assert_eq!(fs::read_dir(folder.path()).expect("a folder").count(), 0);
--- a/src/delivery/journal/record/tests.rs
+++ b/src/delivery/journal/record/tests.rs
@@ -44,12 +44,12 @@
 }
 
 /// Bytes of a record that was written before messages had a policy.
-const WRITTEN: &str =
+const OLD_RECORD_HEX: &str =
     "01026d3101026b31020702010201066f726967696e017805090909090980d095ffbc3180cd96\
                        ffbc310301f4d395ffbc310161000101f403";
 
 #[test]
-fn bytes_without_trailing_numbers_are_the_old_ones_and_with_them_an_old_reader_reads_them() {
+fn records_without_trailing_numbers_keep_their_bytes_and_old_readers_read_newer_records() {
     let MessageRecord {
         envelope,
         accepted_unix_ms,
@@ -82,7 +82,7 @@
         postcard::from_bytes::<MessageRecord>(&new),
         Ok(record(0, 0, 0))
     );
-    for (policy, table, tenant, more) in [
+    for (policy, table, tenant, added_bytes) in [
         (0, 7, 0, 2),
         (300, 7, 0, 3),
         (0, 0, 1, 3),
@@ -90,20 +90,20 @@
         (0, 0, u16::MAX, 5),
     ] {
         let newest = record(policy, table, tenant).encode();
-        assert_eq!(newest.len(), old.len() + more);
+        assert_eq!(newest.len(), old.len() + added_bytes);
         assert_eq!(
             MessageRecord::decode(&newest),
             Ok(record(policy, table, tenant))
         );
         // A reader that knows only policies reads the number after the record; one that also knows
         // tables reads the number after that.
-        let (_, behind) = postcard::take_from_bytes::<MessageRecord>(&newest).expect("a record");
-        let (read, behind) = postcard::take_from_bytes::<u64>(behind).expect("a policy");
+        let (_, rest) = postcard::take_from_bytes::<MessageRecord>(&newest).expect("a record");
+        let (read, rest) = postcard::take_from_bytes::<u64>(rest).expect("a policy");
         assert_eq!(
-            (read, postcard::from_bytes::<u64>(behind)),
+            (read, postcard::from_bytes::<u64>(rest)),
             (policy, Ok(table))
         );
     }
     assert!(MessageRecord::decode(&new[..old.len() - 1]).is_err());
-    assert_eq!(data_encoding::HEXLOWER.encode(&old), WRITTEN);
+    assert_eq!(data_encoding::HEXLOWER.encode(&old), OLD_RECORD_HEX);
 }
--- a/src/delivery/journal/restart_state/tests.rs
+++ b/src/delivery/journal/restart_state/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_planned_end_counts_once_and_only_soon_after() {
+fn a_planned_end_counts_once_and_for_a_minute() {
     let folder = tempfile::tempdir().expect("a folder");
     let load_at = |now| loaded(folder.path(), now);
     let nothing = RestartState::default();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_note_that_is_torn_or_cannot_be_read_does_not_count_and_is_reported() {
+fn a_torn_or_unreadable_note_is_ignored_and_reported() {
     let folder = tempfile::tempdir().expect("a folder");
     for torn in ["", "17", "17 \n", "17\n\n", "-1\n", "soon\n", "17 18 19\n"] {
         fs::write(folder.path().join(PLANNED_END.name), torn).expect("written");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_list_is_trusted_as_long_as_was_noted_and_not_at_all_by_a_spoilt_note() {
+fn a_list_is_trusted_for_the_noted_time_and_not_at_all_with_a_damaged_note() {
     const MS: Nanos = 1_000_000;
     let folder = tempfile::tempdir().expect("a folder");
     let left = |now| load(folder.path(), now, None).state.remaining_freshness;
@@ -73,7 +73,7 @@
 /// Guards against new attempts to drained endpoints after a restart with an older list than the one
 /// that the previous process trusted.
 #[test]
-fn freshness_that_was_noted_is_that_of_the_noted_revision() {
+fn noted_freshness_applies_only_from_the_noted_revision_on() {
     const MS: Nanos = 1_000_000;
     let folder = tempfile::tempdir().expect("a folder");
     note_list_freshness(folder.path(), 1_000, Duration::from_secs(6)).expect("written");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_a_poll_took_counts_for_an_hour_and_within_bounds() {
+fn the_noted_poll_cost_counts_for_an_hour_and_within_bounds() {
     let folder = tempfile::tempdir().expect("a folder");
     let cost = |took_ms, now| {
         let took = Duration::from_millis(took_ms);
--- a/src/delivery/journal/wall_clock/tests.rs
+++ b/src/delivery/journal/wall_clock/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_clock_that_was_set_back_makes_nothing_younger_and_gives_no_time() {
+fn a_clock_that_was_set_back_gives_no_age_and_no_extra_time() {
     let clock = |now_unix_ms| WallClock {
         now_unix_ms,
         newest_unix_ms: 10_000,
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -21,8 +21,8 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-const ROOM: u64 = 1_000_000;
-const LEFT: Duration = Duration::from_secs(16);
+const LIMIT_BYTES: u64 = 1_000_000;
+const TIME_LEFT: Duration = Duration::from_secs(16);
 
 fn envelope(id: &str, size: usize) -> Envelope {
     Envelope {
@@ -38,9 +38,9 @@
     Journal::open(folder.path(), JournalOptions::new(limit)).expect("opened")
 }
 
-fn take_on(journal: &Rc<Journal>, id: &str) -> OpenRecord {
+fn accept(journal: &Rc<Journal>, id: &str) -> OpenRecord {
     journal
-        .append_accepted(envelope(id, 200), LEFT, 0, 0)
+        .append_accepted(envelope(id, 200), TIME_LEFT, 0, 0)
         .expect("accepted")
 }
 
@@ -58,11 +58,11 @@
 }
 
 #[test]
-fn it_gives_back_what_was_left_open() {
+fn open_records_are_recovered_after_a_restart() {
     let folder = TempDir::new().expect("a folder");
-    let (journal, none) = open(&folder, ROOM);
+    let (journal, none) = open(&folder, LIMIT_BYTES);
     assert!(none.is_empty());
-    let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| take_on(&journal, id));
+    let [a, b, c, d] = ["a", "b", "c", "d"].map(|id| accept(&journal, id));
     a.attempt_started("x").expect("written");
     b.attempt_started("x").expect("written");
     b.attempt_ended(false);
@@ -78,7 +78,7 @@
     drop((journal, a, b, c));
     // Open the journal twice: the first recovery must not change the records.
     for _ in 0..2 {
-        let (_, records) = open(&folder, ROOM);
+        let (_, records) = open(&folder, LIMIT_BYTES);
         let [a, b, c] = <[OpenRecord; 3]>::try_from(records)
             .unwrap_or_else(|_| panic!("three"))
             .map(|r| r.snapshot());
@@ -114,13 +114,13 @@
 }
 
 #[test]
-fn the_policy_that_a_message_was_taken_on_under_and_its_tenant_outlive_processes_and_cleaning() {
+fn policy_and_tenant_of_a_message_survive_restarts_and_cleaning() {
     let folder = TempDir::new().expect("a folder");
-    let setup = JournalOptions {
+    let journal_options = JournalOptions {
         cached_body_bytes: 3_000,
         ..JournalOptions::new(600_000)
     };
-    let opened = || Journal::open(folder.path(), setup).expect("opened");
+    let opened = || Journal::open(folder.path(), journal_options).expect("opened");
     // Every third message has no tenant, and every third the first one.
     let tenant = |n: u64| [0, n as u16, NO_TENANT][n as usize % 3];
     let (journal, _) = opened();
@@ -131,7 +131,7 @@
                 ..envelope(&format!("m{n}"), 400)
             };
             journal
-                .append_accepted(envelope, LEFT, n * 100, 0)
+                .append_accepted(envelope, TIME_LEFT, n * 100, 0)
                 .expect("room")
         })
         .collect();
@@ -141,7 +141,7 @@
         // Writes enough for cleaning to copy all open records.
         for n in 0..200 {
             journal
-                .append_accepted(envelope(&format!("n{n}"), 4_000), LEFT, 7, 0)
+                .append_accepted(envelope(&format!("n{n}"), 4_000), TIME_LEFT, 7, 0)
                 .expect("room")
                 .close()
                 .expect("closed");
@@ -177,15 +177,15 @@
 }
 
 /// A store without records to replay or to copy.
-struct Fresh;
+struct EmptyStore;
 
-impl SnapshotSource for Fresh {
+impl SnapshotSource for EmptyStore {
     fn snapshot(&self, _: u64, _: ReadStored<'_>) -> io::Result<Vec<u8>> {
         unreachable!("there is nothing to clean")
     }
 }
 
-impl Replay for Fresh {
+impl Replay for EmptyStore {
     fn on_put(&mut self, _: u64, _: &[u8]) -> Result<(), ReplayError> {
         Ok(())
     }
@@ -200,9 +200,9 @@
 /// Reads records that were written before messages had a tenant: without trailing numbers, with a
 /// policy, and with a policy and a table.
 #[test]
-fn a_folder_written_before_messages_had_a_tenant_is_read() {
+fn records_from_before_messages_had_a_tenant_are_read() {
     #[derive(Serialize)]
-    struct Before {
+    struct RecordWithoutTenant {
         envelope: Envelope,
         accepted_unix_ms: u64,
         expires_unix_ms: u64,
@@ -214,18 +214,18 @@
     let folder = TempDir::new().expect("a folder");
     let disk = Arc::new(Folder::new(folder.path()));
     let options = LogOptions {
-        limit_bytes: ROOM,
+        limit_bytes: LIMIT_BYTES,
         seed: 3,
         sync_required: false,
     };
-    let mut log = SegmentLog::open(disk, options, None, &mut Fresh, |_, _| 0)
+    let mut log = SegmentLog::open(disk, options, None, &mut EmptyStore, |_, _| 0)
         .expect("opened")
         .log;
-    let behind: [&[u64]; 3] = [&[], &[300], &[0, 7]];
-    for (n, behind) in behind.iter().enumerate() {
+    let trailing_numbers: [&[u64]; 3] = [&[], &[300], &[0, 7]];
+    for (n, trailing_numbers) in trailing_numbers.iter().enumerate() {
         let (accepted_unix_ms, expires_unix_ms) = (unix_ms(), unix_ms() + 16_000);
         let envelope = envelope(&format!("m{n}"), 50);
-        let before = Before {
+        let before = RecordWithoutTenant {
             envelope,
             accepted_unix_ms,
             expires_unix_ms,
@@ -235,15 +235,15 @@
             verdict: None,
         };
         let bytes = postcard::to_stdvec(&before).expect("encodes");
-        let bytes = behind
+        let bytes = trailing_numbers
             .iter()
             .fold(bytes, |b, n| postcard::to_extend(n, b).expect("encodes"));
-        log.put(Duration::ZERO, &bytes, 1_000, &Fresh)
+        log.put(Duration::ZERO, &bytes, 1_000, &EmptyStore)
             .result
             .expect("written");
     }
     drop(log);
-    let (_journal, records) = open(&folder, ROOM);
+    let (_journal, records) = open(&folder, LIMIT_BYTES);
     let read = records.iter().map(|r| r.snapshot());
     let read: Vec<_> = read
         .map(|a| ((*a.envelope).clone(), a.attempts, a.policy, a.table))
@@ -271,16 +271,16 @@
 }
 
 #[test]
-fn a_torn_end_costs_only_what_was_being_written() {
+fn a_torn_end_loses_only_the_record_being_written() {
     let folder = TempDir::new().expect("a folder");
-    let (journal, _) = open(&folder, ROOM);
-    let held = [take_on(&journal, "a"), take_on(&journal, "b")];
+    let (journal, _) = open(&folder, LIMIT_BYTES);
+    let held = [accept(&journal, "a"), accept(&journal, "b")];
     drop((journal, held));
     let (path, end) = written(&folder);
     let mut bytes = fs::read(&path).expect("bytes");
     bytes[end - 9..].fill(0);
     fs::write(&path, &bytes).expect("written");
-    let (journal, records) = open(&folder, ROOM);
+    let (journal, records) = open(&folder, LIMIT_BYTES);
     assert_eq!(records.len(), 1);
     assert_eq!(
         records[0].snapshot().possible_run,
@@ -288,16 +288,16 @@
         "a torn end gives no doubt about complete records"
     );
     // Records that are written after the torn end are recovered.
-    let c = take_on(&journal, "c");
+    let c = accept(&journal, "c");
     drop((journal, records, c));
-    assert_eq!(open(&folder, ROOM).1.len(), 2);
+    assert_eq!(open(&folder, LIMIT_BYTES).1.len(), 2);
 }
 
 #[test]
-fn damage_in_the_middle_hides_nothing_behind_it_and_is_never_taken_for_harmless() {
+fn damage_in_the_middle_loses_no_later_record_and_puts_earlier_ones_in_doubt() {
     let folder = TempDir::new().expect("a folder");
-    let (journal, _) = open(&folder, ROOM);
-    let [a, b, c] = ["a", "b", "c"].map(|id| take_on(&journal, id));
+    let (journal, _) = open(&folder, LIMIT_BYTES);
+    let [a, b, c] = ["a", "b", "c"].map(|id| accept(&journal, id));
     drop((journal, a, b, c));
     let (path, _) = written(&folder);
     let mut bytes = fs::read(&path).expect("bytes");
@@ -305,22 +305,22 @@
     let line = (written(&folder).1 - 1024) / 3;
     bytes[1024 + line + 50] ^= 1;
     fs::write(&path, &bytes).expect("written");
-    let (_journal, records) = open(&folder, ROOM);
-    let told: Vec<_> = records
+    let (_journal, records) = open(&folder, LIMIT_BYTES);
+    let recovered: Vec<_> = records
         .iter()
         .map(|r| (r.envelope().id.clone(), r.first_possible_run().is_some()))
         .collect();
-    assert_eq!(told, [("a".to_string(), true), ("c".to_string(), false)]);
+    assert_eq!(recovered, [("a".to_string(), true), ("c".to_string(), false)]);
 }
 
 #[test]
-fn the_first_form_is_read_and_gone_once_all_is_copied() {
+fn a_file_of_the_first_format_is_read_and_removed_after_its_records_are_copied() {
     let folder = TempDir::new().expect("a folder");
     let sent = AttemptStart {
         at_unix_ms: unix_ms() - 500,
         zone: "x".into(),
     };
-    let account = |id: &str| MessageRecord {
+    let record = |id: &str| MessageRecord {
         envelope: Rc::new(envelope(id, 300)),
         accepted_unix_ms: 0,
         expires_unix_ms: unix_ms() + 9_000,
@@ -331,7 +331,7 @@
         policy: 0,
         table: 0,
     };
-    let old = v1::encode_file(&[(5, account("a")), (9, account("b"))]);
+    let old = v1::encode_file(&[(5, record("a")), (9, record("b"))]);
     // An incomplete entry at the end, and an unfinished compaction.
     fs::write(
         folder.path().join("journal"),
@@ -340,7 +340,7 @@
     .expect("written");
     fs::write(folder.path().join("journal.new"), "raildeal").expect("written");
     for round in 0..3 {
-        let (journal, records) = open(&folder, ROOM);
+        let (journal, records) = open(&folder, LIMIT_BYTES);
         let ids: Vec<_> = records.iter().map(|r| r.envelope().id.clone()).collect();
         assert_eq!(ids, ["a", "b"], "round {round}");
         assert_eq!(records[0].snapshot().may_have_run(), Some(&sent));
@@ -354,8 +354,8 @@
 }
 
 #[test]
-fn after_a_clock_was_set_back_no_call_looks_recent_and_no_message_gains_time() {
-    for (ahead, knows) in [(0, true), (3_600_000, false)] {
+fn after_the_clock_was_set_back_the_age_of_a_possible_run_is_unknown() {
+    for (ahead, is_age_known) in [(0, true), (3_600_000, false)] {
         let folder = TempDir::new().expect("a folder");
         let in_flight = Some(AttemptStart {
             at_unix_ms: unix_ms() + ahead - 100,
@@ -363,7 +363,7 @@
         });
         let (envelope, accepted_unix_ms) = (Rc::new(envelope("a", 300)), unix_ms() + ahead - 200);
         let expires_unix_ms = accepted_unix_ms + 9_000;
-        let account = MessageRecord {
+        let record = MessageRecord {
             envelope,
             accepted_unix_ms,
             expires_unix_ms,
@@ -376,32 +376,32 @@
         };
         fs::write(
             folder.path().join("journal"),
-            v1::encode_file(&[(1, account)]),
+            v1::encode_file(&[(1, record)]),
         )
         .expect("written");
-        let (_journal, records) = open(&folder, ROOM);
+        let (_journal, records) = open(&folder, LIMIT_BYTES);
         records[0].attempt_ended(true);
         let run = records[0].first_possible_run().expect("it may have run");
         assert_eq!(
             (run.zone.as_str(), run.age.is_some()),
-            ("x", knows),
+            ("x", is_age_known),
             "{ahead}"
         );
     }
 }
 
 #[test]
-fn bodies_beyond_what_memory_may_hold_are_read_back_wherever_they_are_by_then() {
+fn bodies_beyond_the_cache_limit_are_read_back_after_cleaning_moved_them() {
     let folder = TempDir::new().expect("a folder");
-    let setup = JournalOptions {
+    let journal_options = JournalOptions {
         cached_body_bytes: 50_000,
         ..JournalOptions::new(3_000_000)
     };
-    let (journal, _) = Journal::open(folder.path(), setup).expect("opened");
+    let (journal, _) = Journal::open(folder.path(), journal_options).expect("opened");
     let records: Vec<_> = (0..20)
         .map(|i| {
             journal
-                .append_accepted(envelope(&format!("m{i}"), 10_000 + i), LEFT, 0, 0)
+                .append_accepted(envelope(&format!("m{i}"), 10_000 + i), TIME_LEFT, 0, 0)
                 .expect("accepted")
         })
         .collect();
@@ -425,17 +425,17 @@
     };
     check(&records);
     drop((journal, records));
-    check(&Journal::open(folder.path(), setup).expect("opened").1);
+    check(&Journal::open(folder.path(), journal_options).expect("opened").1);
 }
 
 #[test]
-fn it_keeps_its_limit_and_goes_on_after_a_full_stop() {
+fn a_full_journal_keeps_its_limit_and_accepts_again_after_records_are_closed() {
     let folder = TempDir::new().expect("a folder");
     let limit = 100_000;
     let (journal, _) = open(&folder, limit);
     let mut held = Vec::new();
     loop {
-        match journal.append_accepted(envelope("m", 2000), LEFT, 0, 0) {
+        match journal.append_accepted(envelope("m", 2000), TIME_LEFT, 0, 0) {
             Ok(record) => held.push(record),
             Err(PutError::Full(_)) => break,
             Err(e) => panic!("{e}"),
@@ -457,7 +457,7 @@
     std::thread::sleep(Duration::from_millis(150));
     held.push(
         journal
-            .append_accepted(envelope("n", 2000), LEFT, 0, 0)
+            .append_accepted(envelope("n", 2000), TIME_LEFT, 0, 0)
             .expect("accepted"),
     );
     let kept = held.len();
@@ -466,7 +466,7 @@
 }
 
 #[test]
-fn many_segments_take_few_descriptors() {
+fn many_segments_need_few_file_descriptors() {
     let folder = TempDir::new().expect("a folder");
     let held = |folder: &TempDir| {
         let links = fs::read_dir("/proc/self/fd")
@@ -478,7 +478,7 @@
     let mut records: Vec<_> = (0..300)
         .map(|i| {
             journal
-                .append_accepted(envelope(&format!("m{i}"), 3_000), LEFT, 0, 0)
+                .append_accepted(envelope(&format!("m{i}"), 3_000), TIME_LEFT, 0, 0)
                 .expect("room")
         })
         .collect();
@@ -486,7 +486,7 @@
         records.remove(0).close().expect("written");
         records.push(
             journal
-                .append_accepted(envelope("n", 3_000), LEFT, 0, 0)
+                .append_accepted(envelope("n", 3_000), TIME_LEFT, 0, 0)
                 .expect("room"),
         );
     }
@@ -506,30 +506,30 @@
 }
 
 #[test]
-fn a_folder_serves_one_process_and_one_form() {
+fn a_folder_in_use_or_of_another_format_is_rejected() {
     let folder = TempDir::new().expect("a folder");
-    let first = open(&folder, ROOM);
-    let refused = |words: &str| {
-        let told = Journal::open(folder.path(), JournalOptions::new(ROOM))
+    let first = open(&folder, LIMIT_BYTES);
+    let assert_rejected = |words: &str| {
+        let error = Journal::open(folder.path(), JournalOptions::new(LIMIT_BYTES))
             .err()
             .expect("rejected")
             .to_string();
-        assert!(told.contains(words), "{told}");
+        assert!(error.contains(words), "{error}");
     };
-    refused("another process");
+    assert_rejected("another process");
     drop(first);
     fs::write(folder.path().join("journal"), "something else").expect("written");
-    refused("another format");
+    assert_rejected("another format");
 }
 
 #[test]
-fn an_answer_that_waits_takes_no_room_for_its_message() {
+fn a_decided_message_reserves_no_space_for_its_body() {
     let folder = TempDir::new().expect("a folder");
     let (journal, _) = open(&folder, 700_000);
     let mut waiting = Vec::new();
     for _ in 0..40 {
         let record = journal
-            .append_accepted(envelope("m", 20_000), LEFT, 0, 0)
+            .append_accepted(envelope("m", 20_000), TIME_LEFT, 0, 0)
             .expect("room");
         record.decided(Verdict::Delivered).expect("written");
         waiting.push(record);
