--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -1,5 +1,5 @@
-//! The agent in a sender: its session over faulty connections, evacuations over the endpoint list,
-//! and the real program with a replica that this test stands in for.
+//! The agent in a sender: its session over faulty connections, evacuations of listed endpoints, and
+//! the real program with a stand-in for the replicas.
 #![cfg(feature = "fleet")]
 
 mod common;
@@ -60,8 +60,8 @@
     }
 }
 
-/// A keeper by its own clock, an agent by its own, and lines between them that lose, delay, double
-/// and reorder.
+/// A replica and an agent, each with its own clock, and connections between them that lose, delay,
+/// duplicate and reorder messages.
 struct World {
     dice: fastrand::Rng,
     now: Nanos,
@@ -69,11 +69,11 @@
     line: u64,
     to_keeper: Vec<(Nanos, u64, AgentToReplica)>,
     to_agent: Vec<(Nanos, u64, ReplicaToAgent)>,
-    /// When the keeper takes the lease for over, in true time.
+    /// Time at which the lease expires for the replica, in true time.
     lapses: Nanos,
     reports: BTreeMap<u64, u32>,
     view: SenderView,
-    /// By epoch and report: calls and when they are lost, in true time.
+    /// Granted attempts and the time at which they expire, in true time, by epoch and report.
     granted: BTreeMap<(u64, u64), (u32, Nanos)>,
     evacuations: ZoneEvacuations,
     begun: u32,
@@ -81,7 +81,8 @@
     bad: bool,
 }
 
-/// The agent's clock is 1 % slow and the keeper's 1 % fast: the worst that is allowed.
+/// Converts true time to the agent's clock, which is 1 % slow. The replica's clock is 1 % fast,
+/// which is the largest permitted difference.
 fn by_agent(true_time: Nanos) -> Nanos {
     true_time / 100 * 99
 }
@@ -113,7 +114,7 @@
         }
     }
 
-    /// When something said now arrives, none, once or twice.
+    /// Returns the arrival times of the copies of a message that is sent now: none, one or two.
     fn arrivals(&mut self) -> Vec<Nanos> {
         if !self.bad {
             return vec![self.now + MS];
@@ -231,7 +232,7 @@
                     })
                 };
                 self.say(line, grant(epoch, report));
-                // Those of another order, and of a report that this process never sent.
+                // Invalid grants: under another order, and for a report that was never sent.
                 self.say(line, grant(epoch - 1, report));
                 self.say(line, grant(epoch, report + 1_000));
             }
@@ -269,10 +270,10 @@
         let mut out = Vec::new();
         self.agent.on_tick(now, &Wanting, &mut out);
         self.act(out);
-        // A lease is never believed for longer than the keeper believes in it.
+        // The agent never trusts its lease for longer than the replica counts it.
         assert!(
             !self.agent.holds_lease(now) || self.now < self.lapses,
-            "at {}: over at {}",
+            "at {}: expired at {}",
             self.now,
             self.lapses
         );
@@ -285,7 +286,7 @@
             let reservation = self.evacuations.reserve_attempt(&p, at).expect("leased");
             if self.dice.bool() && self.evacuations.start_attempt(&p, at) {
                 self.begun += 1;
-                // It is a call of some grant that still counts for the keeper.
+                // The attempt belongs to a grant that is still valid for the replica.
                 let epoch = self.view.zones[0].epoch;
                 let open = self
                     .granted
@@ -355,7 +356,7 @@
         );
         begun += world.begun;
     }
-    // The histories have all of it in them.
+    // The runs have to contain all of these cases.
     assert!(
         begun > 300 && alone > 10_000 && held > 100_000,
         "{begun} {alone} {held}"
@@ -418,7 +419,7 @@
                 .map(|until| until - lapse),
         );
     }
-    // Evenly over ten seconds.
+    // The returns are spread evenly over ten seconds.
     for second in 1..10 {
         let back = ends.iter().filter(|e| **e < second * SEC).count() as u64;
         assert!(
@@ -428,7 +429,7 @@
     }
 }
 
-/// Whom it asks.
+/// Returns the replica to which the agent connects.
 fn asked(out: &[SessionEffect]) -> Option<u64> {
     let replica = |o: &SessionEffect| {
         if let SessionEffect::Connect { replica, .. } = o {
@@ -457,7 +458,7 @@
             _ => None,
         })
     };
-    let keeper = asked(&out).expect("one is asked");
+    let keeper = asked(&out).expect("a connection");
     let leader = keeper % 3 + 1;
     agent.on_message(now, 1, ReplicaToAgent::NotLeader(Some(leader)), &mut out);
     out.clear();
@@ -465,7 +466,7 @@
     assert!(now <= SEC + 20 * MS);
     agent.on_tick(now, &Wanting, &mut out);
     assert_eq!(asked(&out), Some(leader));
-    // Nobody leads: the next one is asked, ever more seldom.
+    // No replica leads: the agent tries the next one, with growing backoff.
     let mut gaps = Vec::new();
     for line in 2..9 {
         agent.on_message(now, line, ReplicaToAgent::NotLeader(None), &mut out);
@@ -492,7 +493,7 @@
     );
     assert!(out.contains(&SessionEffect::Log(format!(
         "session with keeper {}",
-        asked(&out).expect("asked")
+        asked(&out).expect("a connection")
     ))));
     let mut told = |version, zones: Vec<ZoneOrder>| {
         let mut out = Vec::new();
@@ -520,7 +521,7 @@
     );
     assert!(
         told(7, vec![order(3, false)]).is_empty(),
-        "an order of before"
+        "an outdated order"
     );
     assert_eq!(told(8, vec![]), ["zone a in use again by epoch 4"]);
 }
@@ -542,7 +543,7 @@
     }
 }
 
-/// What the module believes of each endpoint, by what it was told.
+/// State of each endpoint as the decision module has received it.
 #[derive(Default)]
 struct Module(BTreeMap<EndpointAddress, (Condition, u16, u16)>);
 
@@ -608,12 +609,12 @@
         ("a3", "a", 2, Ready),
     ];
     module.hear(d.apply(&list(1, true, &lines)));
-    assert_eq!(module.hear(d.expire_due()), 0, "nothing is ordered");
+    assert_eq!(module.hear(d.expire_due()), 0, "there is no order");
     d.set_evacuations(vec![evacuation("a", 1, 7), evacuation("a", 2, 7)]);
     assert_eq!(
         module.hear(d.expire_due()),
         1,
-        "what has changed, and no more"
+        "only the changed endpoint"
     );
     assert_eq!((module.ready(&d, "a", 1), module.ready(&d, "b", 1)), (0, 1));
     assert_eq!(
@@ -625,8 +626,8 @@
         "the last route stays"
     );
     assert_eq!(module.admitted(&d), 2);
-    // What the list adds there is never told as wanted, and what it takes away elsewhere gives the
-    // zone back.
+    // Endpoints that the list adds to the evacuated zone are not reported as ready. The zone is in
+    // use again once the list has no other route.
     module.hear(d.apply(&list(2, false, &[("a4", "a", 1, Ready)])));
     assert_eq!(
         (module.ready(&d, "a", 1), module.hear(d.expire_due())),
@@ -637,7 +638,7 @@
     assert_eq!(
         (module.ready(&d, "a", 1), module.ready(&d, "b", 1)),
         (2, 0),
-        "a2 drains, whatever is ordered"
+        "a2 is draining, whatever the orders"
     );
     module.hear(d.apply(&list(
         4,
@@ -646,10 +647,10 @@
     )));
     module.hear(d.expire_due());
     assert_eq!(module.ready(&d, "a", 1), 0);
-    // A lease opens it for its calls, counted as they begin.
+    // A lease makes the zone usable for its attempts, which are counted as they start.
     let until = Instant::now() + Duration::from_secs(60);
     d.grant_lease("a", 1, 6, AttemptLease { attempts: 9, until });
-    assert_eq!(module.hear(d.expire_due()), 0, "of another order");
+    assert_eq!(module.hear(d.expire_due()), 0, "a lease under another order");
     d.grant_lease("a", 1, 7, AttemptLease { attempts: 2, until });
     module.hear(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.admitted(&d)), (1, 3));
@@ -661,7 +662,7 @@
     assert_eq!(
         (module.ready(&d, "a", 1), d.reserve_attempt(&a1)),
         (0, Err(LeaseExhausted)),
-        "both are taken up"
+        "both are reserved"
     );
     assert!(d.start_attempt(&a1));
     [first, second]
@@ -669,14 +670,14 @@
         .flatten()
         .for_each(|n| d.release_reservation(&a1, n));
     module.hear(d.expire_due());
-    assert_eq!(module.ready(&d, "a", 1), 1, "the second never began");
+    assert_eq!(module.ready(&d, "a", 1), 1, "the second attempt never started");
     assert!(
         d.start_attempt(&a1) && !d.start_attempt(&a1),
-        "and then it is spent"
+        "and then the lease is used up"
     );
     module.hear(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.admitted(&d)), (0, 2));
-    // A lease that is over opens nothing.
+    // An expired lease has no effect.
     d.grant_lease(
         "a",
         1,
@@ -690,7 +691,8 @@
         (module.hear(d.expire_due()), d.start_attempt(&a1)),
         (0, false)
     );
-    // In use again it is another one for the module, which had learned the pace of a few calls.
+    // After the evacuation the module gets the endpoint under a new address, as it has learned the
+    // rate from only a few calls.
     let before = module.0.len();
     d.set_evacuations(vec![]);
     module.hear(d.expire_due());
@@ -750,16 +752,16 @@
     };
     let changes = || Event::ListChanges(vec![common::ready(1, 1)]);
     let overrides = || Event::ListOverrides(vec![common::ready(1, 1)]);
-    assert!(of(false, overrides()), "it answers no poll");
-    assert!(of(true, overrides()), "nor is it an event of the watch");
-    assert!(!of(true, changes()), "which a change is");
-    assert!(of(false, changes()), "an answer counts from the poll on");
+    assert!(of(false, overrides()), "an evacuation answers no poll");
+    assert!(of(true, overrides()), "nor is it a watch event");
+    assert!(!of(true, changes()), "a change of the list is a watch event");
+    assert!(of(false, changes()), "an answer counts from the time of its poll");
 }
 
 #[test]
 fn leased_attempts_are_used_in_time_also_in_a_fleet_of_hundreds() {
-    // One message a second for a destination with three routes in use; a fourth comes back by a
-    // call that is lent for a second.
+    // One message a second for a destination with three routes in use. A fourth route returns with
+    // one leased attempt, which is valid for a second.
     let used = |rate: f32| {
         let line = |n, condition, rate| Listing {
             rate,
@@ -793,12 +795,12 @@
         }
         used
     };
-    // Listed as what is lent is, and as the directory has it.
+    // With the rate of leased endpoints, and with the rate in the directory.
     let (lent, listed) = (used(LEASED_RATE), used(60.0));
     assert!(lent == 40 && listed < 20, "{lent} {listed} of 40");
 }
 
-/// Kilobytes of memory and seconds of processor that the newest child of this process has used.
+/// Returns the memory in kB and the processor time in seconds of the newest child of this process.
 fn used() -> (u64, f64) {
     let me = std::process::id().to_string();
     let stat = |pid: &str| std::fs::read_to_string(format!("/proc/{pid}/stat")).ok();
@@ -875,13 +877,13 @@
     let mut sender = Sender::new(program, "n0".into(), config).expect("a folder");
     sender.follows(&text).expect("written");
     let agent = cost(&mut sender);
-    println!("idle, kB and part of a core: without an agent {plain:?}, with one {agent:?}");
+    println!("idle, kB and fraction of a core: without an agent {plain:?}, with one {agent:?}");
     assert!(
         agent.0 < plain.0 + 32_768 && agent.1 < plain.1 + 0.05,
         "{plain:?} {agent:?}"
     );
     let log = sender.log();
-    // What is asked for once is seen from then on.
+    // The log is searched for these lines from now on.
     let lines = [
         "zone a left by epoch 3",
         "zone a returning by epoch 4",
@@ -924,8 +926,8 @@
         .iter()
         .any(|l| l.zone == "a" && l.dest == 0 && l.endpoints == 2));
 
-    // Left: nothing new begins 250 ms after it was said, beside what a loaded machine takes; the
-    // last route stays.
+    // Evacuated: no attempt starts later than 250 ms after the order, with an allowance for a
+    // loaded machine. The last route of a destination stays in use.
     order(5, out(3, false));
     let said_at = Instant::now();
     let quiet = thread::spawn({
@@ -938,19 +940,19 @@
     hand_in(40, 0);
     let at_250 = quiet.join().expect("counted");
     assert!(said_at.elapsed() > Duration::from_secs(1));
-    assert_eq!(calls(&zone_a), at_250, "calls into a zone that was left");
+    assert_eq!(calls(&zone_a), at_250, "calls into an evacuated zone");
     hand_in(3, 1);
     wait("the last route", || calls(&only) == 3);
     assert!(said(lines[0]));
     let untouched = calls(&zone_a);
 
-    // Returning: as many calls as were lent, and no more.
+    // Returning: at most as many calls as were leased.
     keeper.told().budget = 5;
     order(6, out(4, true));
     hand_in(120, 0);
     wait("all granted", || keeper.told().budget == 0);
     let back = calls(&zone_a) - untouched;
-    assert!((1..=5).contains(&back), "{back} calls by 5 that were lent");
+    assert!((1..=5).contains(&back), "{back} calls with 5 leased attempts");
     hand_in(20, 0);
     assert!(calls(&zone_a) - untouched <= 5);
     assert!(said(lines[1]));
@@ -960,7 +962,7 @@
     hand_in(20, 0);
     wait("calls there", || calls(&zone_a) > before);
 
-    // Every call was told once.
+    // Every call was reported once.
     let told = || {
         keeper
             .told()
@@ -983,23 +985,23 @@
         .sum();
     assert_eq!(counts, calls(&zone_b));
 
-    // The keepers are gone: it delivers, and comes back to what was left by itself.
+    // The replicas are unreachable: the sender delivers, and returns to the zone by itself.
     order(8, out(5, false));
-    wait("left again", || said(lines[3]));
+    wait("evacuated again", || said(lines[3]));
     thread::sleep(Duration::from_millis(100));
     let before = calls(&zone_a);
     keeper.told().away = true;
-    wait("alone", || said(lines[4]));
+    wait("standalone", || said(lines[4]));
     hand_in(100, 0);
     wait("calls there", || calls(&zone_a) > before);
-    // They are back: it leaves again, and says when it ends.
+    // The replicas are back: the sender evacuates the zone again, and reports its own end.
     keeper.told().away = false;
     let sessions = keeper.told().counts.len();
     wait("reports", || keeper.told().counts.len() > sessions);
     thread::sleep(Duration::from_millis(300));
     let before = calls(&zone_a);
     hand_in(20, 0);
-    assert_eq!(calls(&zone_a), before, "calls into a zone that was left");
+    assert_eq!(calls(&zone_a), before, "calls into an evacuated zone");
     sender.tell_to_end();
     assert!(sender.ended_well());
     assert!(keeper.told().left);
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -1,5 +1,5 @@
 //! Three senders' agents and a record whose messages are lost, duplicated, delayed and reordered:
-//! never two policies at once.
+//! no two policies are active at the same time.
 #![cfg(feature = "fleet")]
 
 mod common;
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const LEASE_MS: u32 = 1_500;
-/// A pause is taken back after this time.
+/// Time after which a pause is rolled back.
 const PAUSE: Nanos = 400 * MS;
 
 struct Nothing;
@@ -64,12 +64,13 @@
     }
 }
 
-/// A sender, by its own clock.
+/// A sender with its own clock.
 struct Sender {
     session: SessionState,
     boot: u64,
-    /// Its clock began at this true time, and runs so many parts in 10,000 wrong.
+    /// Start of its clock, in true time.
     began: Nanos,
+    /// Error of its clock, in parts per 10,000.
     off: i64,
     line: u64,
     admission: AdmissionRequirement,
@@ -96,7 +97,7 @@
     }
 }
 
-/// What the keepers hold of a sender, in true time.
+/// The replicas' state of a sender, in true time.
 #[derive(Clone, Copy, Default)]
 struct Session {
     boot: u64,
@@ -105,7 +106,7 @@
     turn: u64,
 }
 
-/// A change that is under way.
+/// A policy change in progress.
 #[derive(Clone, Copy, PartialEq)]
 enum Change {
     None,
@@ -217,7 +218,7 @@
                     {
                         assert!(
                             number == 0 || sender.stored.contains_key(&number),
-                            "not written down"
+                            "not stored"
                         );
                         sender.last = number;
                     }
@@ -229,7 +230,7 @@
         }
     }
 
-    /// The longest that a lease of this sender may be believed, from now on.
+    /// Returns the latest time until which a sender may trust a lease that is granted now.
     fn counted(&self) -> Nanos {
         self.now + Nanos::from(LEASE_MS) * MS * 102 / 101
     }
@@ -239,8 +240,7 @@
         let own = live && self.sessions[n].line == line;
         match word {
             AgentToReplica::OpenSession { boot, stored, .. } => {
-                // One that was said long ago by a process before this one, or on a connection
-                // before this one, is shut out.
+                // A late message of an earlier process or on an earlier connection is ignored.
                 if boot != self.senders[n].boot
                     || line < self.sessions[n].line && boot == self.sessions[n].boot
                 {
@@ -254,7 +254,7 @@
                     turn,
                 };
                 self.has[n] = stored
-                    .expect("it follows")
+                    .expect("the sender follows policies")
                     .into_iter()
                     .map(|(number, _)| number)
                     .collect();
@@ -315,7 +315,7 @@
         self.live().into_iter().for_each(|n| self.say_rule(n));
     }
 
-    /// The record goes on: with the word of all that live, or back.
+    /// Advances the record: to the next policy with the replies of all live senders, or back.
     fn keep(&mut self) {
         let live = self.live();
         let behind: Vec<usize> = live
@@ -436,7 +436,7 @@
             self.act(n, out);
         }
         for n in 0..3 {
-            // One that stands still now and then looks at nothing meanwhile.
+            // A sender is occasionally suspended, and checks nothing during that time.
             if self.bad && self.dice.u8(..4) == 0 {
                 continue;
             }
@@ -461,7 +461,7 @@
             .all(|n| self.sessions[*n].turn == self.rule.0);
         assert!(
             !(self.rule.2 && acked && !taking.is_empty()),
-            "taken on while all are paused"
+            "accepted while all are paused"
         );
     }
 }
@@ -481,7 +481,7 @@
         }
         world.bad = false;
         (0..1_500).for_each(|_| world.step());
-        // All come to the record's policy once the lines are good.
+        // All senders apply the record's policy once the connections are reliable.
         while world.rule.2 || world.change != Change::None {
             world.step();
         }
@@ -497,8 +497,8 @@
         );
         (committed, taken_back) = (committed + world.committed, taken_back + world.taken_back);
     }
-    // The histories have all of it in them.
-    println!("{committed} committed, {taken_back} taken back, open in {open} steps of senders");
+    // The runs have to contain all of these cases.
+    println!("{committed} committed, {taken_back} rolled back, open in {open} steps of senders");
     assert!(
         committed > 1_000 && taken_back > 300 && open > 1_000_000,
         "{committed} {taken_back} {open}"
@@ -517,10 +517,10 @@
                 .is_some_and(|why| why.contains("at once"))
         })
     };
-    assert!((0..20).any(breaks), "what is checked for never happens");
+    assert!((0..20).any(breaks), "the checked failure never happens");
 }
 
-/// An agent in a session that has heard this rule, at 1 s by its clock.
+/// Returns an agent in a session that has received this rule, at 1 s of its clock.
 fn in_session(
     on_lease_loss: OnLeaseLoss,
     stored: &[u64],
@@ -583,7 +583,7 @@
         requirements(&out),
         [AdmissionRequirement::Fenced, open(3, until)]
     );
-    let at = |wanted: fn(&SessionEffect) -> bool| out.iter().position(wanted).expect("there");
+    let at = |wanted: fn(&SessionEffect) -> bool| out.iter().position(wanted).expect("the effect");
     let opened = at(|o| {
         matches!(
             o,
@@ -611,18 +611,18 @@
         );
         (requirements(&out), rules(&out))
     };
-    assert_eq!(hear(4, 3, false), (vec![], vec![4]), "doubled");
+    assert_eq!(hear(4, 3, false), (vec![], vec![4]), "a duplicate");
     assert_eq!(
         hear(5, 3, true),
         (vec![AdmissionRequirement::Paused], vec![5])
     );
-    assert_eq!(hear(4, 3, false), (vec![], vec![]), "of before");
+    assert_eq!(hear(4, 3, false), (vec![], vec![]), "an earlier turn");
     assert_eq!(
         hear(5, 3, false),
         (vec![], vec![5]),
-        "one turn has one meaning"
+        "a turn has a single rule"
     );
-    // A policy that is not written down is not gone by, and no word is given before it is.
+    // A policy that is not stored is not applied, and the reply is not sent before it is.
     assert_eq!(
         hear(6, 7, false),
         (vec![AdmissionRequirement::Fenced], vec![])
@@ -645,7 +645,7 @@
     assert_eq!(requirements(&out), [open(7, until)]);
     out.clear();
     agent.on_message(SEC + MS, 1, offer, &mut out);
-    assert_eq!(out, [stored], "written down already");
+    assert_eq!(out, [stored], "already stored");
     let offer = ReplicaToAgent::OfferPolicy {
         number: 8,
         digest: digest(8),
@@ -697,8 +697,8 @@
             &mut out,
         );
         out.clear();
-        // What comes on that connection after the lapse counts for nothing, though it was said
-        // before.
+        // Messages that arrive on that connection after the expiry are ignored, even if they were
+        // sent before.
         let late = agent.next_deadline().max(SEC + 2 * SEC);
         agent.on_message(
             late,
@@ -743,7 +743,7 @@
             },
             &mut out,
         );
-        assert!(rules(&out).is_empty(), "not heard yet");
+        assert!(rules(&out).is_empty(), "no rule was received yet");
         agent.on_message(
             now,
             2,
