--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -28,9 +28,9 @@
 const LEASE_MS: u32 = 3_000;
 const GRANT_MS: u32 = 1_000;
 
-struct Wanting;
+struct FixedDemand;
 
-impl AttemptDemand for Wanting {
+impl AttemptDemand for FixedDemand {
     fn waiting_messages(&self, _: u16) -> u32 {
         3
     }
@@ -63,27 +63,27 @@
 /// A replica and an agent, each with its own clock, and connections between them that lose, delay,
 /// duplicate and reorder messages.
 struct World {
-    dice: fastrand::Rng,
+    random: fastrand::Rng,
     now: Nanos,
     agent: SessionState,
-    line: u64,
-    to_keeper: Vec<(Nanos, u64, AgentToReplica)>,
+    connection: u64,
+    to_replica: Vec<(Nanos, u64, AgentToReplica)>,
     to_agent: Vec<(Nanos, u64, ReplicaToAgent)>,
     /// Time at which the lease expires for the replica, in true time.
-    lapses: Nanos,
+    lease_expires_at: Nanos,
     reports: BTreeMap<u64, u32>,
     view: SenderView,
     /// Granted attempts and the time at which they expire, in true time, by epoch and report.
     granted: BTreeMap<(u64, u64), (u32, Nanos)>,
     evacuations: ZoneEvacuations,
-    begun: u32,
+    started_attempts: u32,
     base: Instant,
-    bad: bool,
+    is_faulty: bool,
 }
 
 /// Converts true time to the agent's clock, which is 1 % slow. The replica's clock is 1 % fast,
 /// which is the largest permitted difference.
-fn by_agent(true_time: Nanos) -> Nanos {
+fn agent_time(true_time: Nanos) -> Nanos {
     true_time / 100 * 99
 }
 
@@ -97,49 +97,49 @@
             calls_per_second: 9.0,
         }]);
         World {
-            dice: fastrand::Rng::with_seed(seed),
+            random: fastrand::Rng::with_seed(seed),
             now: SEC,
             agent,
-            line: 0,
-            to_keeper: Vec::new(),
+            connection: 0,
+            to_replica: Vec::new(),
             to_agent: Vec::new(),
-            lapses: 0,
+            lease_expires_at: 0,
             reports: BTreeMap::new(),
             view: SenderView::default(),
             granted: BTreeMap::new(),
             evacuations: ZoneEvacuations::default(),
-            begun: 0,
+            started_attempts: 0,
             base: Instant::now(),
-            bad: true,
+            is_faulty: true,
         }
     }
 
     /// Returns the arrival times of the copies of a message that is sent now: none, one or two.
     fn arrivals(&mut self) -> Vec<Nanos> {
-        if !self.bad {
+        if !self.is_faulty {
             return vec![self.now + MS];
         }
-        let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.dice.usize(..8)];
-        let most = if self.dice.u8(..10) == 0 { 4_000 } else { 30 };
+        let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.random.usize(..8)];
+        let max_delay_ms = if self.random.u8(..10) == 0 { 4_000 } else { 30 };
         (0..copies)
-            .map(|_| self.now + self.dice.u64(1..most) * MS)
+            .map(|_| self.now + self.random.u64(1..max_delay_ms) * MS)
             .collect()
     }
 
-    fn say(&mut self, line: u64, word: ReplicaToAgent) {
+    fn send_to_agent(&mut self, connection: u64, message: ReplicaToAgent) {
         for at in self.arrivals() {
-            self.to_agent.push((at, line, word.clone()));
+            self.to_agent.push((at, connection, message.clone()));
         }
     }
 
-    fn act(&mut self, out: Vec<SessionEffect>) {
+    fn carry_out(&mut self, out: Vec<SessionEffect>) {
         for out in out {
             match out {
-                SessionEffect::Connect { connection, .. } => self.line = connection,
-                SessionEffect::Disconnect => self.line = 0,
-                SessionEffect::Send(word) => {
+                SessionEffect::Connect { connection, .. } => self.connection = connection,
+                SessionEffect::Disconnect => self.connection = 0,
+                SessionEffect::Send(message) => {
                     for at in self.arrivals() {
-                        self.to_keeper.push((at, self.line, word.clone()));
+                        self.to_replica.push((at, self.connection, message.clone()));
                     }
                 }
                 SessionEffect::SetEvacuations(orders) => {
@@ -173,8 +173,8 @@
         }
     }
 
-    fn keeper_hears(&mut self, line: u64, word: AgentToReplica) {
-        let number = match word {
+    fn replica_receives(&mut self, connection: u64, message: AgentToReplica) {
+        let number = match message {
             AgentToReplica::OpenSession { .. } => 0,
             AgentToReplica::Report {
                 report,
@@ -190,17 +190,17 @@
             | AgentToReplica::PolicyApplied { .. }
             | AgentToReplica::RoutingTable(_) => return,
         };
-        self.lapses = self
-            .lapses
+        self.lease_expires_at = self
+            .lease_expires_at
             .max(self.now + Nanos::from(LEASE_MS) * MS * 100 / 101);
-        self.say(
-            line,
+        self.send_to_agent(
+            connection,
             ReplicaToAgent::LeaseRenewed {
                 report: number,
                 lease_ms: LEASE_MS,
             },
         );
-        self.say(line, ReplicaToAgent::View(self.view.clone()));
+        self.send_to_agent(connection, ReplicaToAgent::View(self.view.clone()));
         let returning = self
             .view
             .zones
@@ -211,16 +211,16 @@
             Some(epoch),
             AgentToReplica::Report {
                 report,
-                lease_requests: wants,
+                lease_requests: requests,
                 ..
             },
-        ) = (returning, word)
+        ) = (returning, message)
         {
-            let calls = wants.first().map_or(0, |w| w.attempts.min(2));
-            let over = self.now + Nanos::from(GRANT_MS) * MS * 100 / 101;
+            let calls = requests.first().map_or(0, |w| w.attempts.min(2));
+            let expires_at = self.now + Nanos::from(GRANT_MS) * MS * 100 / 101;
             let first = !self.granted.contains_key(&(epoch, report));
             if calls > 0 && first {
-                self.granted.insert((epoch, report), (calls, over));
+                self.granted.insert((epoch, report), (calls, expires_at));
                 let grant = |epoch, report| {
                     ReplicaToAgent::GrantAttempts(AttemptLeaseGrant {
                         report,
@@ -231,67 +231,67 @@
                         within_ms: GRANT_MS,
                     })
                 };
-                self.say(line, grant(epoch, report));
+                self.send_to_agent(connection, grant(epoch, report));
                 // Invalid grants: under another order, and for a report that was never sent.
-                self.say(line, grant(epoch - 1, report));
-                self.say(line, grant(epoch, report + 1_000));
+                self.send_to_agent(connection, grant(epoch - 1, report));
+                self.send_to_agent(connection, grant(epoch, report + 1_000));
             }
         }
     }
 
     fn step(&mut self) {
         self.now += 5 * MS;
-        let now = by_agent(self.now);
-        if self.bad && self.dice.u32(..400) == 0 {
-            let (line, lost) = (self.line, self.dice.bool());
-            self.agent.on_connection_lost(now, line);
+        let now = agent_time(self.now);
+        if self.is_faulty && self.random.u32(..400) == 0 {
+            let (connection, lost) = (self.connection, self.random.bool());
+            self.agent.on_connection_lost(now, connection);
             if lost {
                 self.to_agent.clear();
-                self.to_keeper.clear();
+                self.to_replica.clear();
             }
         }
-        let (due, later) = std::mem::take(&mut self.to_keeper)
+        let (due, later) = std::mem::take(&mut self.to_replica)
             .into_iter()
             .partition(|w| w.0 <= self.now);
-        self.to_keeper = later;
+        self.to_replica = later;
         let due: Vec<_> = due;
         due.into_iter()
-            .for_each(|(_, line, word)| self.keeper_hears(line, word));
+            .for_each(|(_, connection, message)| self.replica_receives(connection, message));
         let (due, later) = std::mem::take(&mut self.to_agent)
             .into_iter()
             .partition(|w| w.0 <= self.now);
         self.to_agent = later;
         let due: Vec<_> = due;
-        for (_, line, word) in due {
+        for (_, connection, message) in due {
             let mut out = Vec::new();
-            self.agent.on_message(now, line, word, &mut out);
-            self.act(out);
+            self.agent.on_message(now, connection, message, &mut out);
+            self.carry_out(out);
         }
         let mut out = Vec::new();
-        self.agent.on_tick(now, &Wanting, &mut out);
-        self.act(out);
+        self.agent.on_tick(now, &FixedDemand, &mut out);
+        self.carry_out(out);
         // The agent never trusts its lease for longer than the replica counts it.
         assert!(
-            !self.agent.holds_lease(now) || self.now < self.lapses,
+            !self.agent.holds_lease(now) || self.now < self.lease_expires_at,
             "at {}: expired at {}",
             self.now,
-            self.lapses
+            self.lease_expires_at
         );
-        self.try_to_call(now);
+        self.start_leased_attempt(now);
     }
 
-    fn try_to_call(&mut self, now: Nanos) {
+    fn start_leased_attempt(&mut self, now: Nanos) {
         let (at, p) = (self.base + Duration::from_nanos(now), provider("a", 1));
         if let EvacuationStatus::LeaseAvailable = self.evacuations.status("a", 1, at) {
             let reservation = self.evacuations.reserve_attempt(&p, at).expect("leased");
-            if self.dice.bool() && self.evacuations.start_attempt(&p, at) {
-                self.begun += 1;
+            if self.random.bool() && self.evacuations.start_attempt(&p, at) {
+                self.started_attempts += 1;
                 // The attempt belongs to a grant that is still valid for the replica.
                 let epoch = self.view.zones[0].epoch;
                 let open = self
                     .granted
                     .iter_mut()
-                    .find(|((e, _), (n, over))| *e >= epoch - 1 && *n > 0 && self.now < *over);
+                    .find(|((e, _), (n, expires_at))| *e >= epoch - 1 && *n > 0 && self.now < *expires_at);
                 open.expect("no grant is left").1 .0 -= 1;
             }
             if let Some(epoch) = reservation {
@@ -324,7 +324,7 @@
 #[test]
 fn over_faulty_connections_no_lease_is_overextended_no_grant_overspent_and_no_count_lost_or_doubled(
 ) {
-    let (mut begun, mut alone, mut held) = (0, 0, 0);
+    let (mut started_attempts, mut standalone_steps, mut lease_steps) = (0, 0, 0);
     for seed in 0..150 {
         let mut world = World::new(seed);
         let mut ended = 0;
@@ -336,7 +336,7 @@
                     zones: vec![order(epoch, epoch % 2 == 1)],
                 };
             }
-            if world.dice.u8(..20) == 0 {
+            if world.random.u8(..20) == 0 {
                 world
                     .agent
                     .statistics
@@ -344,27 +344,27 @@
                 ended += 1;
             }
             world.step();
-            alone += u32::from(world.agent.is_standalone());
-            held += u32::from(world.agent.holds_lease(by_agent(world.now)));
+            standalone_steps += u32::from(world.agent.is_standalone());
+            lease_steps += u32::from(world.agent.holds_lease(agent_time(world.now)));
         }
-        world.bad = false;
+        world.is_faulty = false;
         (0..3_000).for_each(|_| world.step());
         assert_eq!(world.reports.values().sum::<u32>(), ended, "seed {seed}");
         assert!(
             !world.agent.is_standalone() && world.agent.record_version() == world.view.version,
             "seed {seed}"
         );
-        begun += world.begun;
+        started_attempts += world.started_attempts;
     }
     // The runs have to contain all of these cases.
     assert!(
-        begun > 300 && alone > 10_000 && held > 100_000,
-        "{begun} {alone} {held}"
+        started_attempts > 300 && standalone_steps > 10_000 && lease_steps > 100_000,
+        "{started_attempts} {standalone_steps} {lease_steps}"
     );
 }
 
 #[test]
-fn evacuated_zones_are_returned_to_by_lot_over_the_warm_up_once_no_replica_answers() {
+fn without_replicas_senders_return_to_evacuated_zones_spread_over_the_warm_up() {
     let (mut ends, count) = (Vec::new(), 300);
     for n in 0..count {
         let mut agent = SessionState::new(
@@ -376,7 +376,7 @@
             0,
         );
         let mut out = Vec::new();
-        agent.on_tick(SEC, &Wanting, &mut out);
+        agent.on_tick(SEC, &FixedDemand, &mut out);
         agent.on_message(
             SEC,
             1,
@@ -395,17 +395,17 @@
             }),
             &mut out,
         );
-        let all = |out: &[SessionEffect]| {
+        let latest_evacuations = |out: &[SessionEffect]| {
             out.iter().rev().find_map(|o| match o {
                 SessionEffect::SetEvacuations(s) => Some(s.clone()),
                 _ => None,
             })
         };
-        let left = all(&out).expect("orders");
-        assert_eq!((left.len(), left[0].epoch, left[0].until), (1, 1, None));
-        let lapse = SEC + 2_940 * MS;
-        agent.on_tick(lapse, &Wanting, &mut out);
-        let alone = all(&out).expect("orders");
+        let ordered = latest_evacuations(&out).expect("orders");
+        assert_eq!((ordered.len(), ordered[0].epoch, ordered[0].until), (1, 1, None));
+        let expiry = SEC + 2_940 * MS;
+        agent.on_tick(expiry, &FixedDemand, &mut out);
+        let standalone = latest_evacuations(&out).expect("orders");
         assert!(
             agent.is_standalone()
                 && out.contains(&SessionEffect::Log(
@@ -413,24 +413,24 @@
                 ))
         );
         ends.extend(
-            alone
+            standalone
                 .iter()
                 .filter_map(|o| o.until)
-                .map(|until| until - lapse),
+                .map(|until| until - expiry),
         );
     }
     // The returns are spread evenly over ten seconds.
     for second in 1..10 {
-        let back = ends.iter().filter(|e| **e < second * SEC).count() as u64;
+        let returned = ends.iter().filter(|e| **e < second * SEC).count() as u64;
         assert!(
-            (count / 10 * second).abs_diff(back) < 35,
-            "{back} after {second} s"
+            (count / 10 * second).abs_diff(returned) < 35,
+            "{returned} after {second} s"
         );
     }
 }
 
 /// Returns the replica to which the agent connects.
-fn asked(out: &[SessionEffect]) -> Option<u64> {
+fn connected_replica(out: &[SessionEffect]) -> Option<u64> {
     let replica = |o: &SessionEffect| {
         if let SessionEffect::Connect { replica, .. } = o {
             Some(*replica)
@@ -451,28 +451,28 @@
     let mut agent = SessionState::new(session_config(), 7, 0);
     let mut out = Vec::new();
     let mut now = SEC;
-    agent.on_tick(now, &Wanting, &mut out);
-    let asked = |out: &[SessionEffect]| {
+    agent.on_tick(now, &FixedDemand, &mut out);
+    let connected_replica = |out: &[SessionEffect]| {
         out.iter().find_map(|o| match o {
             SessionEffect::Connect { replica, .. } => Some(*replica),
             _ => None,
         })
     };
-    let keeper = asked(&out).expect("a connection");
+    let keeper = connected_replica(&out).expect("a connection");
     let leader = keeper % 3 + 1;
     agent.on_message(now, 1, ReplicaToAgent::NotLeader(Some(leader)), &mut out);
     out.clear();
     now = agent.next_deadline();
     assert!(now <= SEC + 20 * MS);
-    agent.on_tick(now, &Wanting, &mut out);
-    assert_eq!(asked(&out), Some(leader));
+    agent.on_tick(now, &FixedDemand, &mut out);
+    assert_eq!(connected_replica(&out), Some(leader));
     // No replica leads: the agent tries the next one, with growing backoff.
     let mut gaps = Vec::new();
-    for line in 2..9 {
-        agent.on_message(now, line, ReplicaToAgent::NotLeader(None), &mut out);
+    for connection in 2..9 {
+        agent.on_message(now, connection, ReplicaToAgent::NotLeader(None), &mut out);
         gaps.push(agent.next_deadline().min(now + 3 * SEC) - now);
         now += 3 * SEC;
-        agent.on_tick(now, &Wanting, &mut out);
+        agent.on_tick(now, &FixedDemand, &mut out);
     }
     assert!(gaps[0] <= 100 * MS && gaps[5] >= SEC, "{gaps:?}");
 }
@@ -481,7 +481,7 @@
 fn outdated_records_and_orders_are_ignored() {
     let mut agent = SessionState::new(session_config(), 7, 0);
     let mut out = Vec::new();
-    agent.on_tick(SEC, &Wanting, &mut out);
+    agent.on_tick(SEC, &FixedDemand, &mut out);
     agent.on_message(
         SEC,
         1,
@@ -493,9 +493,9 @@
     );
     assert!(out.contains(&SessionEffect::Log(format!(
         "session with keeper {}",
-        asked(&out).expect("a connection")
+        connected_replica(&out).expect("a connection")
     ))));
-    let mut told = |version, zones: Vec<ZoneOrder>| {
+    let mut log_after_view = |version, zones: Vec<ZoneOrder>| {
         let mut out = Vec::new();
         agent.on_message(
             SEC,
@@ -511,19 +511,19 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        told(5, vec![order(3, false)]),
+        log_after_view(5, vec![order(3, false)]),
         ["zone a left by epoch 3 for destinations 1"]
     );
-    assert!(told(4, vec![]).is_empty() && told(5, vec![]).is_empty());
+    assert!(log_after_view(4, vec![]).is_empty() && log_after_view(5, vec![]).is_empty());
     assert_eq!(
-        told(6, vec![order(4, true)]),
+        log_after_view(6, vec![order(4, true)]),
         ["zone a returning by epoch 4 for destinations 1"]
     );
     assert!(
-        told(7, vec![order(3, false)]).is_empty(),
+        log_after_view(7, vec![order(3, false)]).is_empty(),
         "an outdated order"
     );
-    assert_eq!(told(8, vec![]), ["zone a in use again by epoch 4"]);
+    assert_eq!(log_after_view(8, vec![]), ["zone a in use again by epoch 4"]);
 }
 
 fn list(
@@ -548,7 +548,7 @@
 struct Module(BTreeMap<EndpointAddress, (Condition, u16, u16)>);
 
 impl Module {
-    fn hear(&mut self, change: Option<DirectoryChange>) -> usize {
+    fn apply_change(&mut self, change: Option<DirectoryChange>) -> usize {
         let Some(DirectoryChange { event, .. }) = change else {
             return 0;
         };
@@ -608,11 +608,11 @@
         ("b1", "b", 1, Ready),
         ("a3", "a", 2, Ready),
     ];
-    module.hear(d.apply(&list(1, true, &lines)));
-    assert_eq!(module.hear(d.expire_due()), 0, "there is no order");
+    module.apply_change(d.apply(&list(1, true, &lines)));
+    assert_eq!(module.apply_change(d.expire_due()), 0, "there is no order");
     d.set_evacuations(vec![evacuation("a", 1, 7), evacuation("a", 2, 7)]);
     assert_eq!(
-        module.hear(d.expire_due()),
+        module.apply_change(d.expire_due()),
         1,
         "only the changed endpoint"
     );
@@ -628,37 +628,37 @@
     assert_eq!(module.admitted(&d), 2);
     // Endpoints that the list adds to the evacuated zone are not reported as ready. The zone is in
     // use again once the list has no other route.
-    module.hear(d.apply(&list(2, false, &[("a4", "a", 1, Ready)])));
+    module.apply_change(d.apply(&list(2, false, &[("a4", "a", 1, Ready)])));
     assert_eq!(
-        (module.ready(&d, "a", 1), module.hear(d.expire_due())),
+        (module.ready(&d, "a", 1), module.apply_change(d.expire_due())),
         (0, 0)
     );
-    module.hear(d.apply(&list(3, false, &[("b1", "b", 1, Draining)])));
-    module.hear(d.expire_due());
+    module.apply_change(d.apply(&list(3, false, &[("b1", "b", 1, Draining)])));
+    module.apply_change(d.expire_due());
     assert_eq!(
         (module.ready(&d, "a", 1), module.ready(&d, "b", 1)),
         (2, 0),
         "a2 is draining, whatever the orders"
     );
-    module.hear(d.apply(&list(
+    module.apply_change(d.apply(&list(
         4,
         false,
         &[("b1", "b", 1, Ready), ("a4", "a", 1, Gone)],
     )));
-    module.hear(d.expire_due());
+    module.apply_change(d.expire_due());
     assert_eq!(module.ready(&d, "a", 1), 0);
     // A lease makes the zone usable for its attempts, which are counted as they start.
     let until = Instant::now() + Duration::from_secs(60);
     d.grant_lease("a", 1, 6, AttemptLease { attempts: 9, until });
-    assert_eq!(module.hear(d.expire_due()), 0, "a lease under another order");
+    assert_eq!(module.apply_change(d.expire_due()), 0, "a lease under another order");
     d.grant_lease("a", 1, 7, AttemptLease { attempts: 2, until });
-    module.hear(d.expire_due());
+    module.apply_change(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.admitted(&d)), (1, 3));
     let a1 = provider("a", 1);
     let first = d.reserve_attempt(&a1).expect("leased");
-    assert_eq!(module.hear(d.expire_due()), 0, "one is left");
+    assert_eq!(module.apply_change(d.expire_due()), 0, "one is left");
     let second = d.reserve_attempt(&a1).expect("leased");
-    module.hear(d.expire_due());
+    module.apply_change(d.expire_due());
     assert_eq!(
         (module.ready(&d, "a", 1), d.reserve_attempt(&a1)),
         (0, Err(LeaseExhausted)),
@@ -669,13 +669,13 @@
         .into_iter()
         .flatten()
         .for_each(|n| d.release_reservation(&a1, n));
-    module.hear(d.expire_due());
+    module.apply_change(d.expire_due());
     assert_eq!(module.ready(&d, "a", 1), 1, "the second attempt never started");
     assert!(
         d.start_attempt(&a1) && !d.start_attempt(&a1),
         "and then the lease is used up"
     );
-    module.hear(d.expire_due());
+    module.apply_change(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.admitted(&d)), (0, 2));
     // An expired lease has no effect.
     d.grant_lease(
@@ -688,14 +688,14 @@
         },
     );
     assert_eq!(
-        (module.hear(d.expire_due()), d.start_attempt(&a1)),
+        (module.apply_change(d.expire_due()), d.start_attempt(&a1)),
         (0, false)
     );
     // After the evacuation the module gets the endpoint under a new address, as it has learned the
     // rate from only a few calls.
     let before = module.0.len();
     d.set_evacuations(vec![]);
-    module.hear(d.expire_due());
+    module.apply_change(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.0.len()), (1, before + 1));
     assert_eq!(module.admitted(&d), 3);
 }
@@ -715,7 +715,7 @@
         ("a1", "a", 1, Condition::Ready),
         ("b1", "b", 1, Condition::Ready),
     ];
-    module.hear(d.apply(&list(1, true, &lines)));
+    module.apply_change(d.apply(&list(1, true, &lines)));
     d.set_evacuations(vec![evacuation("a", 1, 7)]);
     let until = Instant::now() + Duration::from_secs(60);
     d.grant_lease("a", 1, 7, AttemptLease { attempts: 2, until });
@@ -759,7 +759,7 @@
 }
 
 #[test]
-fn leased_attempts_are_used_in_time_also_in_a_fleet_of_hundreds() {
+fn leased_attempts_are_used_before_they_expire_in_a_fleet_of_three_hundred() {
     // One message a second for a destination with three routes in use. A fourth route returns with
     // one leased attempt, which is valid for a second.
     let used = |rate: f32| {
@@ -801,7 +801,7 @@
 }
 
 /// Returns the memory in kB and the processor time in seconds of the newest child of this process.
-fn used() -> (u64, f64) {
+fn child_usage() -> (u64, f64) {
     let me = std::process::id().to_string();
     let stat = |pid: &str| std::fs::read_to_string(format!("/proc/{pid}/stat")).ok();
     let fields = |pid: &str| -> Option<Vec<String>> {
@@ -840,9 +840,9 @@
         Arc::<Record>::default(),
         Arc::<Record>::default(),
     );
-    let takes = Duration::from_millis(20);
+    let call_duration = Duration::from_millis(20);
     let target =
-        |uid: &str, zone: &str, dest, record: &Arc<Record>| target(uid, zone, dest, takes, record);
+        |uid: &str, zone: &str, dest, record: &Arc<Record>| target(uid, zone, dest, call_duration, record);
     let targets = vec![
         target("a1", "a", 0, &zone_a),
         target("a2", "a", 0, &zone_a),
@@ -850,9 +850,9 @@
         target("b2", "b", 0, &zone_b),
         target("c1", "a", 1, &only),
     ];
-    let heard = Arc::<Record>::default();
-    let lists =
-        directory::Directory::start(Duration::from_millis(1), targets.clone(), heard.clone())
+    let answers = Arc::<Record>::default();
+    let directory_server =
+        directory::Directory::start(Duration::from_millis(1), targets.clone(), answers.clone())
             .expect("a port");
     let keeper = Keeper::default();
     let keepers = [keeper.start(false), keeper.start(true)];
@@ -860,15 +860,15 @@
         "site = \"s\"\nzone = \"b\"\nkeepers = [\"{}\", \"{}\"]\nreport_ms = 100\n",
         keepers[0], keepers[1]
     );
-    let config = config(lists.address, &targets);
+    let config = config(directory_server.address, &targets);
     let program = Path::new(env!("CARGO_BIN_EXE_raildeal"));
     let cost = |sender: &mut Sender| {
         sender.spawn().expect("started");
         sender.listens().expect("listens");
         thread::sleep(Duration::from_secs(1));
-        let (_, before) = used();
+        let (_, before) = child_usage();
         thread::sleep(Duration::from_secs(4));
-        let (memory, after) = used();
+        let (memory, after) = child_usage();
         (memory, (after - before) / 4.0)
     };
     let mut without = Sender::new(program, "n0".into(), config.clone()).expect("a folder");
@@ -891,11 +891,11 @@
         "zone a left by epoch 5",
         "no keeper answers; goes on alone",
     ];
-    let said = |line: &str| log.said(&format!("fleet: {line}"));
-    lines.iter().for_each(|l| assert!(!said(l), "{l}"));
-    wait("a session", || said("session with keeper 2"));
-    let order = |version, zones| keeper.told().view = SenderView { version, zones };
-    let out = |epoch, returning| {
+    let is_logged = |line: &str| log.said(&format!("fleet: {line}"));
+    lines.iter().for_each(|l| assert!(!is_logged(l), "{l}"));
+    wait("a session", || is_logged("session with keeper 2"));
+    let set_view = |version, zones| keeper.told().view = SenderView { version, zones };
+    let orders = |epoch, returning| {
         vec![ZoneOrder {
             zone: "a".into(),
             epoch,
@@ -905,19 +905,19 @@
     };
     let calls = |record: &Record| record.seen().lives.len();
     let ids = std::cell::Cell::new(0);
-    let hand_in = |n: u32, dest: usize| {
+    let send_messages = |n: u32, dest: usize| {
         for _ in 0..n {
             ids.set(ids.get() + 1);
             assert!(sender.hand_in(
                 &format!("m{}", ids.get()),
                 dest,
                 Duration::from_secs(16),
-                &heard
+                &answers
             ));
             thread::sleep(Duration::from_millis(25));
         }
     };
-    hand_in(40, 0);
+    send_messages(40, 0);
     wait("all delivered", || calls(&zone_a) + calls(&zone_b) == 40);
     assert!(calls(&zone_a) > 0 && calls(&zone_b) > 0);
     assert!(keeper
@@ -928,38 +928,38 @@
 
     // Evacuated: no attempt starts later than 250 ms after the order, with an allowance for a
     // loaded machine. The last route of a destination stays in use.
-    order(5, out(3, false));
-    let said_at = Instant::now();
-    let quiet = thread::spawn({
+    set_view(5, orders(3, false));
+    let ordered_at = Instant::now();
+    let counter = thread::spawn({
         let zone_a = zone_a.clone();
         move || {
             thread::sleep(Duration::from_millis(350));
             zone_a.seen().lives.len()
         }
     });
-    hand_in(40, 0);
-    let at_250 = quiet.join().expect("counted");
-    assert!(said_at.elapsed() > Duration::from_secs(1));
-    assert_eq!(calls(&zone_a), at_250, "calls into an evacuated zone");
-    hand_in(3, 1);
+    send_messages(40, 0);
+    let calls_after_order = counter.join().expect("counted");
+    assert!(ordered_at.elapsed() > Duration::from_secs(1));
+    assert_eq!(calls(&zone_a), calls_after_order, "calls into an evacuated zone");
+    send_messages(3, 1);
     wait("the last route", || calls(&only) == 3);
-    assert!(said(lines[0]));
-    let untouched = calls(&zone_a);
+    assert!(is_logged(lines[0]));
+    let calls_before_return = calls(&zone_a);
 
     // Returning: at most as many calls as were leased.
     keeper.told().budget = 5;
-    order(6, out(4, true));
-    hand_in(120, 0);
+    set_view(6, orders(4, true));
+    send_messages(120, 0);
     wait("all granted", || keeper.told().budget == 0);
-    let back = calls(&zone_a) - untouched;
-    assert!((1..=5).contains(&back), "{back} calls with 5 leased attempts");
-    hand_in(20, 0);
-    assert!(calls(&zone_a) - untouched <= 5);
-    assert!(said(lines[1]));
+    let returned_calls = calls(&zone_a) - calls_before_return;
+    assert!((1..=5).contains(&returned_calls), "{returned_calls} calls with 5 leased attempts");
+    send_messages(20, 0);
+    assert!(calls(&zone_a) - calls_before_return <= 5);
+    assert!(is_logged(lines[1]));
     let before = calls(&zone_a);
-    order(7, vec![]);
-    wait("in use again", || said(lines[2]));
-    hand_in(20, 0);
+    set_view(7, vec![]);
+    wait("in use again", || is_logged(lines[2]));
+    send_messages(20, 0);
     wait("calls there", || calls(&zone_a) > before);
 
     // Every call was reported once.
@@ -986,13 +986,13 @@
     assert_eq!(counts, calls(&zone_b));
 
     // The replicas are unreachable: the sender delivers, and returns to the zone by itself.
-    order(8, out(5, false));
-    wait("evacuated again", || said(lines[3]));
+    set_view(8, orders(5, false));
+    wait("evacuated again", || is_logged(lines[3]));
     thread::sleep(Duration::from_millis(100));
     let before = calls(&zone_a);
     keeper.told().away = true;
-    wait("standalone", || said(lines[4]));
-    hand_in(100, 0);
+    wait("standalone", || is_logged(lines[4]));
+    send_messages(100, 0);
     wait("calls there", || calls(&zone_a) > before);
     // The replicas are back: the sender evacuates the zone again, and reports its own end.
     keeper.told().away = false;
@@ -1000,7 +1000,7 @@
     wait("reports", || keeper.told().counts.len() > sessions);
     thread::sleep(Duration::from_millis(300));
     let before = calls(&zone_a);
-    hand_in(20, 0);
+    send_messages(20, 0);
     assert_eq!(calls(&zone_a), before, "calls into an evacuated zone");
     sender.tell_to_end();
     assert!(sender.ended_well());
@@ -1008,7 +1008,7 @@
     let ids = ids.get();
     assert_eq!(calls(&zone_a) + calls(&zone_b) + calls(&only), ids as usize);
     assert_eq!(
-        heard.verdict().doubled + zone_a.verdict().doubled + zone_b.verdict().doubled,
+        answers.verdict().doubled + zone_a.verdict().doubled + zone_b.verdict().doubled,
         0
     );
 }
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -15,11 +15,11 @@
 
 const LEASE_MS: u32 = 1_500;
 /// Time after which a pause is rolled back.
-const PAUSE: Nanos = 400 * MS;
+const PAUSE_TIMEOUT: Nanos = 400 * MS;
 
-struct Nothing;
+struct NoDemand;
 
-impl AttemptDemand for Nothing {
+impl AttemptDemand for NoDemand {
     fn waiting_messages(&self, _: u16) -> u32 {
         0
     }
@@ -69,23 +69,23 @@
     session: SessionState,
     boot: u64,
     /// Start of its clock, in true time.
-    began: Nanos,
+    clock_start: Nanos,
     /// Error of its clock, in parts per 10,000.
-    off: i64,
-    line: u64,
+    clock_error: i64,
+    connection: u64,
     admission: AdmissionRequirement,
     stored: BTreeMap<u64, Digest>,
     last: u64,
-    said: u64,
+    last_reply_turn: u64,
 }
 
 impl Sender {
     fn now(&self, now: Nanos) -> Nanos {
-        let true_time = (now - self.began) as i64;
-        (true_time + true_time / 10_000 * self.off) as Nanos
+        let true_time = (now - self.clock_start) as i64;
+        (true_time + true_time / 10_000 * self.clock_error) as Nanos
     }
 
-    fn takes_on(&self, now: Nanos) -> Option<u64> {
+    fn accepting_policy(&self, now: Nanos) -> Option<u64> {
         match self.admission {
             AdmissionRequirement::Open {
                 policy: Some(number),
@@ -101,7 +101,7 @@
 #[derive(Clone, Copy, Default)]
 struct Session {
     boot: u64,
-    line: u64,
+    connection: u64,
     until: Nanos,
     turn: u64,
 }
@@ -115,97 +115,97 @@
 }
 
 struct World {
-    dice: fastrand::Rng,
+    random: fastrand::Rng,
     on_lease_loss: OnLeaseLoss,
     now: Nanos,
     senders: Vec<Sender>,
     sessions: Vec<Session>,
-    has: Vec<BTreeSet<u64>>,
-    to_keeper: Vec<(Nanos, usize, u64, AgentToReplica)>,
+    stored_documents: Vec<BTreeSet<u64>>,
+    to_replica: Vec<(Nanos, usize, u64, AgentToReplica)>,
     to_agent: Vec<(Nanos, usize, u64, ReplicaToAgent)>,
     checks: Vec<(Nanos, usize, u64, Digest)>,
     rule: (u64, u64, bool),
     change: Change,
     proposed: u64,
     committed: u32,
-    taken_back: u32,
-    bad: bool,
+    rolled_back: u32,
+    is_faulty: bool,
 }
 
 impl World {
     fn new(seed: u64, on_lease_loss: OnLeaseLoss) -> World {
-        let mut dice = fastrand::Rng::with_seed(seed);
+        let mut random = fastrand::Rng::with_seed(seed);
         let senders = (0..3).map(|n| {
-            let boot = dice.u64(1..);
+            let boot = random.u64(1..);
             Sender {
                 session: session(n, boot, on_lease_loss, BTreeMap::new(), 0),
                 boot,
-                began: SEC,
-                off: [-99, 0, 99][n],
-                line: 0,
+                clock_start: SEC,
+                clock_error: [-99, 0, 99][n],
+                connection: 0,
                 admission: AdmissionRequirement::Fenced,
                 stored: BTreeMap::new(),
                 last: 0,
-                said: 0,
+                last_reply_turn: 0,
             }
         });
         World {
             senders: senders.collect(),
             on_lease_loss,
-            dice,
+            random,
             now: SEC,
             sessions: vec![Session::default(); 3],
-            has: vec![BTreeSet::new(); 3],
-            to_keeper: Vec::new(),
+            stored_documents: vec![BTreeSet::new(); 3],
+            to_replica: Vec::new(),
             to_agent: Vec::new(),
             checks: Vec::new(),
             rule: (1, 0, false),
             change: Change::None,
             proposed: 0,
             committed: 0,
-            taken_back: 0,
-            bad: true,
+            rolled_back: 0,
+            is_faulty: true,
         }
     }
 
     fn arrivals(&mut self) -> Vec<Nanos> {
-        if !self.bad {
+        if !self.is_faulty {
             return vec![self.now + MS];
         }
-        let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.dice.usize(..8)];
-        let most = if self.dice.u8(..10) == 0 { 3_000 } else { 30 };
+        let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.random.usize(..8)];
+        let max_delay_ms = if self.random.u8(..10) == 0 { 3_000 } else { 30 };
         (0..copies)
-            .map(|_| self.now + self.dice.u64(1..most) * MS)
+            .map(|_| self.now + self.random.u64(1..max_delay_ms) * MS)
             .collect()
     }
 
-    fn say(&mut self, n: usize, word: ReplicaToAgent) {
-        let line = self.sessions[n].line;
+    fn send_to_agent(&mut self, n: usize, message: ReplicaToAgent) {
+        let connection = self.sessions[n].connection;
         for at in self.arrivals() {
-            self.to_agent.push((at, n, line, word.clone()));
+            self.to_agent.push((at, n, connection, message.clone()));
         }
     }
 
-    fn act(&mut self, n: usize, out: Vec<SessionEffect>) {
+    fn carry_out(&mut self, n: usize, out: Vec<SessionEffect>) {
         for out in out {
             match out {
                 SessionEffect::Connect {
-                    connection: line, ..
-                } => self.senders[n].line = line,
-                SessionEffect::Disconnect => self.senders[n].line = 0,
-                SessionEffect::Send(word) => {
-                    if let AgentToReplica::PolicyApplied { turn } = word {
+                    connection, ..
+                } => self.senders[n].connection = connection,
+                SessionEffect::Disconnect => self.senders[n].connection = 0,
+                SessionEffect::Send(message) => {
+                    if let AgentToReplica::PolicyApplied { turn } = message {
                         let sender = &mut self.senders[n];
-                        assert!(turn >= sender.said, "turn {turn} after {}", sender.said);
-                        sender.said = turn;
+                        assert!(turn >= sender.last_reply_turn, "turn {turn} after {}", sender.last_reply_turn);
+                        sender.last_reply_turn = turn;
                     }
-                    let line = self.senders[n].line;
+                    let connection = self.senders[n].connection;
                     for at in self.arrivals() {
-                        self.to_keeper.push((at, n, line, word.clone()));
+                        self.to_replica.push((at, n, connection, message.clone()));
                     }
                 }
                 SessionEffect::CheckDocument { number, digest, .. } => {
-                    let at = self.now + self.dice.u64(1..300) * MS;
+                    let at = self.now + self.random.u64(1..300) * MS;
                     self.checks.push((at, n, number, digest));
                 }
                 SessionEffect::SetAdmission(admission) => {
@@ -231,35 +231,35 @@
     }
 
     /// Returns the latest time until which a sender may trust a lease that is granted now.
-    fn counted(&self) -> Nanos {
+    fn lease_end(&self) -> Nanos {
         self.now + Nanos::from(LEASE_MS) * MS * 102 / 101
     }
 
-    fn keeper_hears(&mut self, n: usize, line: u64, word: AgentToReplica) {
-        let live = self.sessions[n].until > self.now;
-        let own = live && self.sessions[n].line == line;
-        match word {
+    fn replica_receives(&mut self, n: usize, connection: u64, message: AgentToReplica) {
+        let is_live = self.sessions[n].until > self.now;
+        let is_current = is_live && self.sessions[n].connection == connection;
+        match message {
             AgentToReplica::OpenSession { boot, stored, .. } => {
                 // A late message of an earlier process or on an earlier connection is ignored.
                 if boot != self.senders[n].boot
-                    || line < self.sessions[n].line && boot == self.sessions[n].boot
+                    || connection < self.sessions[n].connection && boot == self.sessions[n].boot
                 {
                     return;
                 }
-                let (until, turn) = (self.counted().max(self.sessions[n].until), 0);
+                let (until, turn) = (self.lease_end().max(self.sessions[n].until), 0);
                 self.sessions[n] = Session {
                     boot,
-                    line,
+                    connection,
                     until,
                     turn,
                 };
-                self.has[n] = stored
+                self.stored_documents[n] = stored
                     .expect("the sender follows policies")
                     .into_iter()
                     .map(|(number, _)| number)
                     .collect();
-                self.say_rule(n);
-                self.say(
+                self.send_rule(n);
+                self.send_to_agent(
                     n,
                     ReplicaToAgent::LeaseRenewed {
                         report: 0,
@@ -267,9 +267,9 @@
                     },
                 );
             }
-            AgentToReplica::Report { report, .. } if own => {
-                self.sessions[n].until = self.sessions[n].until.max(self.counted());
-                self.say(
+            AgentToReplica::Report { report, .. } if is_current => {
+                self.sessions[n].until = self.sessions[n].until.max(self.lease_end());
+                self.send_to_agent(
                     n,
                     ReplicaToAgent::LeaseRenewed {
                         report,
@@ -278,23 +278,23 @@
                 );
             }
             AgentToReplica::Report { .. } => {
-                let unknown = (self.now + MS, n, line, ReplicaToAgent::UnknownSession);
+                let unknown = (self.now + MS, n, connection, ReplicaToAgent::UnknownSession);
                 self.to_agent.push(unknown);
             }
             AgentToReplica::PolicyChecked {
                 number,
                 refused: None,
-            } if own => _ = self.has[n].insert(number),
-            AgentToReplica::PolicyApplied { turn } if own => {
+            } if is_current => _ = self.stored_documents[n].insert(number),
+            AgentToReplica::PolicyApplied { turn } if is_current => {
                 self.sessions[n].turn = self.sessions[n].turn.max(turn)
             }
             _ => {}
         }
     }
 
-    fn say_rule(&mut self, n: usize) {
+    fn send_rule(&mut self, n: usize) {
         let (turn, number, paused) = self.rule;
-        self.say(
+        self.send_to_agent(
             n,
             ReplicaToAgent::ApplyPolicy {
                 turn,
@@ -304,27 +304,27 @@
         );
     }
 
-    fn live(&self) -> Vec<usize> {
+    fn live_senders(&self) -> Vec<usize> {
         (0..3)
             .filter(|n| self.sessions[*n].until > self.now)
             .collect()
     }
 
-    fn turn(&mut self, number: u64, paused: bool) {
+    fn set_rule(&mut self, number: u64, paused: bool) {
         self.rule = (self.rule.0 + 1, number, paused);
-        self.live().into_iter().for_each(|n| self.say_rule(n));
+        self.live_senders().into_iter().for_each(|n| self.send_rule(n));
     }
 
     /// Advances the record: to the next policy with the replies of all live senders, or back.
-    fn keep(&mut self) {
-        let live = self.live();
+    fn advance_record(&mut self) {
+        let live = self.live_senders();
         let behind: Vec<usize> = live
             .iter()
             .copied()
             .filter(|n| self.sessions[*n].turn < self.rule.0)
             .collect();
         if self.now % (100 * MS) == 0 {
-            behind.iter().for_each(|n| self.say_rule(*n));
+            behind.iter().for_each(|n| self.send_rule(*n));
             let offered = if let Change::Offered(number) = self.change {
                 number
             } else {
@@ -332,8 +332,8 @@
             };
             for n in live.clone() {
                 for number in [self.rule.1, offered] {
-                    if number > 0 && !self.has[n].contains(&number) {
-                        self.say(
+                    if number > 0 && !self.stored_documents[n].contains(&number) {
+                        self.send_to_agent(
                             n,
                             ReplicaToAgent::OfferPolicy {
                                 number,
@@ -347,26 +347,26 @@
         }
         match self.change {
             Change::None => {
-                if self.dice.u16(..200) == 0 {
+                if self.random.u16(..200) == 0 {
                     self.proposed += 1;
                     self.change = Change::Offered(self.proposed);
                 }
             }
             Change::Offered(number) => {
-                if !live.is_empty() && live.iter().all(|n| self.has[*n].contains(&number)) {
-                    self.turn(self.rule.1, true);
-                    self.change = Change::Paused(number, self.now + PAUSE);
+                if !live.is_empty() && live.iter().all(|n| self.stored_documents[*n].contains(&number)) {
+                    self.set_rule(self.rule.1, true);
+                    self.change = Change::Paused(number, self.now + PAUSE_TIMEOUT);
                 }
             }
             Change::Paused(number, _) if behind.is_empty() => {
-                self.turn(number, false);
+                self.set_rule(number, false);
                 self.committed += 1;
                 self.change = Change::None;
             }
             Change::Paused(number, until) => {
                 if self.now >= until {
-                    self.turn(self.rule.1, false);
-                    self.taken_back += 1;
+                    self.set_rule(self.rule.1, false);
+                    self.rolled_back += 1;
                     self.change = Change::Offered(number);
                 }
             }
@@ -377,11 +377,11 @@
         self.now += 5 * MS;
         for n in 0..3 {
             let at = self.senders[n].now(self.now);
-            if self.bad && self.dice.u32(..500) == 0 {
-                let line = self.senders[n].line;
-                self.senders[n].session.on_connection_lost(at, line);
+            if self.is_faulty && self.random.u32(..500) == 0 {
+                let connection = self.senders[n].connection;
+                self.senders[n].session.on_connection_lost(at, connection);
             }
-            if self.bad && self.dice.u32(..3_000) == 0 {
+            if self.is_faulty && self.random.u32(..3_000) == 0 {
                 let sender = &mut self.senders[n];
                 sender.boot += 1;
                 sender.session = session(
@@ -391,32 +391,32 @@
                     sender.stored.clone(),
                     sender.last,
                 );
-                (sender.began, sender.admission, sender.line, sender.said) =
+                (sender.clock_start, sender.admission, sender.connection, sender.last_reply_turn) =
                     (self.now, AdmissionRequirement::Fenced, 0, 0);
                 self.to_agent.retain(|w| w.1 != n);
                 self.checks.retain(|c| c.1 != n);
             }
         }
         let due = |now, at: &Nanos| *at <= now;
-        let (words, later) = std::mem::take(&mut self.to_keeper)
+        let (due_messages, later) = std::mem::take(&mut self.to_replica)
             .into_iter()
             .partition(|w| due(self.now, &w.0));
-        self.to_keeper = later;
-        let words: Vec<(Nanos, usize, u64, AgentToReplica)> = words;
-        words
+        self.to_replica = later;
+        let due_messages: Vec<(Nanos, usize, u64, AgentToReplica)> = due_messages;
+        due_messages
             .into_iter()
-            .for_each(|(_, n, line, word)| self.keeper_hears(n, line, word));
-        let (words, later) = std::mem::take(&mut self.to_agent)
+            .for_each(|(_, n, connection, message)| self.replica_receives(n, connection, message));
+        let (due_messages, later) = std::mem::take(&mut self.to_agent)
             .into_iter()
             .partition(|w| due(self.now, &w.0));
         self.to_agent = later;
-        let words: Vec<(Nanos, usize, u64, ReplicaToAgent)> = words;
-        for (_, n, line, word) in words {
+        let due_messages: Vec<(Nanos, usize, u64, ReplicaToAgent)> = due_messages;
+        for (_, n, connection, message) in due_messages {
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
             self.senders[n]
                 .session
-                .on_message(now, line, word, &mut out);
-            self.act(n, out);
+                .on_message(now, connection, message, &mut out);
+            self.carry_out(n, out);
         }
         let (checks, later) = std::mem::take(&mut self.checks)
             .into_iter()
@@ -433,34 +433,34 @@
                 Ok(()),
                 &mut out,
             );
-            self.act(n, out);
+            self.carry_out(n, out);
         }
         for n in 0..3 {
             // A sender is occasionally suspended, and checks nothing during that time.
-            if self.bad && self.dice.u8(..4) == 0 {
+            if self.is_faulty && self.random.u8(..4) == 0 {
                 continue;
             }
             let (mut out, now) = (Vec::new(), self.senders[n].now(self.now));
-            self.senders[n].session.on_tick(now, &Nothing, &mut out);
-            self.act(n, out);
+            self.senders[n].session.on_tick(now, &NoDemand, &mut out);
+            self.carry_out(n, out);
         }
-        self.keep();
-        let taking: BTreeSet<u64> = self
+        self.advance_record();
+        let active_policies: BTreeSet<u64> = self
             .senders
             .iter()
-            .filter_map(|s| s.takes_on(self.now))
+            .filter_map(|s| s.accepting_policy(self.now))
             .collect();
         assert!(
-            taking.len() <= 1,
-            "policies {taking:?} at once, rule {:?}",
+            active_policies.len() <= 1,
+            "policies {active_policies:?} at once, rule {:?}",
             self.rule
         );
-        let acked = self
-            .live()
+        let have_all_replied = self
+            .live_senders()
             .iter()
             .all(|n| self.sessions[*n].turn == self.rule.0);
         assert!(
-            !(self.rule.2 && acked && !taking.is_empty()),
+            !(self.rule.2 && have_all_replied && !active_policies.is_empty()),
             "accepted while all are paused"
         );
     }
@@ -468,7 +468,7 @@
 
 #[test]
 fn over_faulty_connections_and_restarts_no_two_senders_accept_under_two_policies() {
-    let (mut committed, mut taken_back, mut open) = (0, 0, 0);
+    let (mut committed, mut rolled_back, mut open) = (0, 0, 0);
     for seed in 0..200 {
         let mut world = World::new(seed, OnLeaseLoss::StopAccepting);
         for _ in 0..8_000 {
@@ -476,59 +476,59 @@
             open += world
                 .senders
                 .iter()
-                .filter(|s| s.takes_on(world.now).is_some())
+                .filter(|s| s.accepting_policy(world.now).is_some())
                 .count();
         }
-        world.bad = false;
+        world.is_faulty = false;
         (0..1_500).for_each(|_| world.step());
         // All senders apply the record's policy once the connections are reliable.
         while world.rule.2 || world.change != Change::None {
             world.step();
         }
         (0..100).for_each(|_| world.step());
-        let taking: Vec<_> = world
+        let active_policies: Vec<_> = world
             .senders
             .iter()
-            .map(|s| s.takes_on(world.now))
+            .map(|s| s.accepting_policy(world.now))
             .collect();
         assert!(
-            world.rule.2 || taking == [Some(world.rule.1); 3],
-            "seed {seed}: {taking:?}"
+            world.rule.2 || active_policies == [Some(world.rule.1); 3],
+            "seed {seed}: {active_policies:?}"
         );
-        (committed, taken_back) = (committed + world.committed, taken_back + world.taken_back);
+        (committed, rolled_back) = (committed + world.committed, rolled_back + world.rolled_back);
     }
     // The runs have to contain all of these cases.
-    println!("{committed} committed, {taken_back} rolled back, open in {open} steps of senders");
+    println!("{committed} committed, {rolled_back} rolled back, open in {open} steps of senders");
     assert!(
-        committed > 1_000 && taken_back > 300 && open > 1_000_000,
-        "{committed} {taken_back} {open}"
+        committed > 1_000 && rolled_back > 300 && open > 1_000_000,
+        "{committed} {rolled_back} {open}"
     );
 }
 
 #[test]
 fn senders_that_keep_the_last_policy_without_a_lease_do_diverge() {
-    let breaks = |seed| {
-        let played = std::panic::catch_unwind(|| {
+    let diverges = |seed| {
+        let result = std::panic::catch_unwind(|| {
             let mut world = World::new(seed, OnLeaseLoss::KeepLast);
             (0..8_000).for_each(|_| world.step());
         });
-        played.is_err_and(|e| {
+        result.is_err_and(|e| {
             e.downcast_ref::<String>()
                 .is_some_and(|why| why.contains("at once"))
         })
     };
-    assert!((0..20).any(breaks), "the checked failure never happens");
+    assert!((0..20).any(diverges), "the checked failure never happens");
 }
 
 /// Returns an agent in a session that has received this rule, at 1 s of its clock.
-fn in_session(
+fn agent_in_session(
     on_lease_loss: OnLeaseLoss,
     stored: &[u64],
     rule: (u64, u64, bool),
 ) -> (SessionState, Vec<SessionEffect>) {
     let stored = stored.iter().map(|n| (*n, digest(*n))).collect();
     let (mut agent, mut out) = (session(0, 9, on_lease_loss, stored, 0), Vec::new());
-    agent.on_tick(SEC, &Nothing, &mut out);
+    agent.on_tick(SEC, &NoDemand, &mut out);
     let (turn, number, paused) = rule;
     agent.on_message(
         SEC,
@@ -564,7 +564,7 @@
         .collect()
 }
 
-fn rules(out: &[SessionEffect]) -> Vec<u64> {
+fn reply_turns(out: &[SessionEffect]) -> Vec<u64> {
     let turn = |o: &SessionEffect| {
         if let SessionEffect::Send(AgentToReplica::PolicyApplied { turn }) = o {
             Some(*turn)
@@ -578,7 +578,7 @@
 #[test]
 fn a_sender_applies_the_highest_turn_replies_once_applied_and_answers_duplicates() {
     let until = Some(SEC + Nanos::from(LEASE_MS) * MS * 98 / 100);
-    let (mut agent, out) = in_session(OnLeaseLoss::StopAccepting, &[3], (4, 3, false));
+    let (mut agent, out) = agent_in_session(OnLeaseLoss::StopAccepting, &[3], (4, 3, false));
     assert_eq!(
         requirements(&out),
         [AdmissionRequirement::Fenced, open(3, until)]
@@ -597,7 +597,7 @@
                 SessionEffect::Send(AgentToReplica::PolicyApplied { turn: 4 })
             ))
     );
-    let mut hear = |turn, number, paused| {
+    let mut receive_rule = |turn, number, paused| {
         let mut out = Vec::new();
         agent.on_message(
             SEC + MS,
@@ -609,22 +609,22 @@
             },
             &mut out,
         );
-        (requirements(&out), rules(&out))
+        (requirements(&out), reply_turns(&out))
     };
-    assert_eq!(hear(4, 3, false), (vec![], vec![4]), "a duplicate");
+    assert_eq!(receive_rule(4, 3, false), (vec![], vec![4]), "a duplicate");
     assert_eq!(
-        hear(5, 3, true),
+        receive_rule(5, 3, true),
         (vec![AdmissionRequirement::Paused], vec![5])
     );
-    assert_eq!(hear(4, 3, false), (vec![], vec![]), "an earlier turn");
+    assert_eq!(receive_rule(4, 3, false), (vec![], vec![]), "an earlier turn");
     assert_eq!(
-        hear(5, 3, false),
+        receive_rule(5, 3, false),
         (vec![], vec![5]),
         "a turn has a single rule"
     );
     // A policy that is not stored is not applied, and the reply is not sent before it is.
     assert_eq!(
-        hear(6, 7, false),
+        receive_rule(6, 7, false),
         (vec![AdmissionRequirement::Fenced], vec![])
     );
     let mut out = Vec::new();
@@ -641,7 +641,7 @@
         number: 7,
         refused: None,
     });
-    assert!(out.contains(&stored) && rules(&out) == [6]);
+    assert!(out.contains(&stored) && reply_turns(&out) == [6]);
     assert_eq!(requirements(&out), [open(7, until)]);
     out.clear();
     agent.on_message(SEC + MS, 1, offer, &mut out);
@@ -674,7 +674,7 @@
         (OnLeaseLoss::StopAccepting, AdmissionRequirement::Fenced),
         (OnLeaseLoss::KeepLast, open(3, None)),
     ] {
-        let (mut agent, _) = in_session(on_lease_loss, &[3], (4, 3, true));
+        let (mut agent, _) = agent_in_session(on_lease_loss, &[3], (4, 3, true));
         let mut out = Vec::new();
         agent.on_message(
             SEC + MS,
@@ -721,13 +721,13 @@
         );
         assert!(out.contains(&SessionEffect::Disconnect), "{out:?}");
         assert_eq!(
-            (requirements(&out), rules(&out)),
+            (requirements(&out), reply_turns(&out)),
             (vec![after], vec![]),
             "{on_lease_loss:?}"
         );
         out.clear();
         let now = late + 20 * MS;
-        agent.on_tick(now, &Nothing, &mut out);
+        agent.on_tick(now, &NoDemand, &mut out);
         assert!(
             out.iter()
                 .any(|o| matches!(o, SessionEffect::Connect { connection: 2, .. })),
@@ -743,7 +743,7 @@
             },
             &mut out,
         );
-        assert!(rules(&out).is_empty(), "no rule was received yet");
+        assert!(reply_turns(&out).is_empty(), "no rule was received yet");
         agent.on_message(
             now,
             2,
@@ -754,7 +754,7 @@
             },
             &mut out,
         );
-        assert_eq!(rules(&out), [9]);
+        assert_eq!(reply_turns(&out), [9]);
     }
 }
 
@@ -770,12 +770,12 @@
             session(0, 9, on_lease_loss, stored.clone(), last),
             Vec::new(),
         );
-        agent.on_tick(SEC, &Nothing, &mut out);
+        agent.on_tick(SEC, &NoDemand, &mut out);
         assert_eq!(requirements(&out), [expected]);
-        let has = out.iter().find_map(|o| match o {
+        let stored_documents = out.iter().find_map(|o| match o {
             SessionEffect::Send(AgentToReplica::OpenSession { stored, .. }) => Some(stored.clone()),
             _ => None,
         });
-        assert_eq!(has, Some(Some(vec![(3, digest(3))])));
+        assert_eq!(stored_documents, Some(Some(vec![(3, digest(3))])));
     }
 }
