--- a/src/agent/document_store/mod.rs
+++ b/src/agent/document_store/mod.rs
@@ -130,7 +130,7 @@
 ///
 /// Where documents of this kind are followed: the space for the maximum number of documents, one
 /// more while it is written, the number of the last applied one, and the folder. Otherwise: the
-/// size of the files that exist.
+/// size of the files that exist, in whole blocks.
 ///
 /// # Errors
 /// The folder cannot be read.
--- a/src/agent/document_store/validation.rs
+++ b/src/agent/document_store/validation.rs
@@ -14,8 +14,8 @@
 use crate::dispatch::routing::Routes;
 use crate::Settings;
 
-/// Minimum size of a message in the state folder, in bytes. A policy is rejected if it allows more
-/// held messages than fit at this size.
+/// Minimum size of a message in the state folder, in bytes. A policy that allows more held messages
+/// than fit at this size is rejected, unless the sender's own settings allow as many.
 const MIN_MESSAGE_BYTES: u64 = 256;
 
 impl StoredDocument for PolicySet {
--- a/src/delivery/journal/event.rs
+++ b/src/delivery/journal/event.rs
@@ -7,7 +7,7 @@
 /// An event of a message after its acceptance.
 ///
 /// Postcard writes the variant's position and its fields in order: both are on disk. Acceptance and
-/// closing are no events but a `Put` and a `Remove` of the store.
+/// closing are not events; they are a `Put` and a `Remove` of the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum JournalEvent {
     /// An attempt is about to start.
--- a/src/delivery/journal/group_sync.rs
+++ b/src/delivery/journal/group_sync.rs
@@ -97,7 +97,7 @@
     /// Waits until everything written so far has the journal's [`super::Durability`].
     ///
     /// # Errors
-    /// A sync failed meanwhile.
+    /// A sync failed during the wait.
     pub(super) async fn durable(&self) -> io::Result<()> {
         if !self.options.requires_sync() {
             return Ok(());
--- a/src/delivery/journal/inspect.rs
+++ b/src/delivery/journal/inspect.rs
@@ -20,7 +20,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Repeated reads of a folder that a process writes to, where part of it could not be read.
+/// Maximum number of repeated reads of a folder that a process writes to, where part of it could
+/// not be read.
 const READ_RETRIES: usize = 5;
 /// Delay between two reads.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/src/delivery/journal/open_record.rs
+++ b/src/delivery/journal/open_record.rs
@@ -11,8 +11,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Reads of a body before the read fails: cleaning may move the body between the lookup and the
-/// read.
+/// Maximum number of reads of a body: cleaning may move the body between the lookup and the read.
 const BODY_READS: usize = 4;
 
 /// The first attempt of a message that may have run at an endpoint.
@@ -117,7 +116,7 @@
     /// Waits until all that was written of the message has the journal's [`super::Durability`].
     ///
     /// # Errors
-    /// A sync failed meanwhile: written data may be lost.
+    /// A sync failed during the wait: written data may be lost.
     pub async fn durable(&self) -> io::Result<()> {
         self.journal.durable().await
     }
