--- a/src/agent/call_statistics.rs
+++ b/src/agent/call_statistics.rs
@@ -199,7 +199,7 @@
         for (zone, dest) in hanging.keys() {
             self.group_mut(zone, *dest);
         }
-        let mut seen = Vec::new();
+        let mut changed_counts = Vec::new();
         for (group, statistics) in &mut self.groups {
             let mut counts = std::mem::take(&mut statistics.counts);
             counts.hanging = hanging.get(group).copied().unwrap_or(0);
@@ -208,10 +208,10 @@
             statistics.reported_hanging = counts.hanging > 0;
             if is_news {
                 let (zone, dest) = group.clone();
-                seen.push(ZoneCallCounts { zone, dest, counts });
+                changed_counts.push(ZoneCallCounts { zone, dest, counts });
             }
         }
-        seen
+        changed_counts
     }
 
     /// Returns the number of hanging calls by group.
--- a/src/agent/connection.rs
+++ b/src/agent/connection.rs
@@ -22,7 +22,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of messages in a connection's queue: the opening of the session, a report, a
 /// leave, and replies on policies and tables, some of them twice.
-const MAX_OUTGOING: usize = 20;
+const MAX_QUEUED_OUTGOING: usize = 20;
 
 /// Event of a connection.
 pub(super) struct ConnectionEvent {
@@ -43,7 +43,7 @@
         let Some(address) = self.config.replicas.get(&replica).copied() else {
             return;
         };
-        let (sender, outgoing) = async_channel::bounded(MAX_OUTGOING);
+        let (sender, outgoing) = async_channel::bounded(MAX_QUEUED_OUTGOING);
         *self.outgoing.borrow_mut() = Some(sender);
         let handshake = Handshake {
             version: PROTOCOL_VERSION,
@@ -53,7 +53,7 @@
         let incoming = self.incoming_sender.clone();
         let wheel = self.parts.delivery.wheel.clone();
         let task = async move {
-            let ended = converse(address, handshake, connection, outgoing, &incoming, &wheel).await;
+            let ended = run_connection(address, handshake, connection, outgoing, &incoming, &wheel).await;
             let lost = ended.err().unwrap_or(FrameError::Closed);
             let event = ConnectionEvent {
                 connection,
@@ -88,7 +88,7 @@
 
 /// Connects, sends the outgoing messages and passes on the received ones, until the connection
 /// breaks or `outgoing` is closed.
-async fn converse(
+async fn run_connection(
     address: SocketAddr,
     handshake: Handshake,
     connection: u64,
--- a/src/agent/documents.rs
+++ b/src/agent/documents.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 /// Maximum number of documents in the queue of checks.
-const MAX_CHECKS: usize = 8;
+const MAX_QUEUED_CHECKS: usize = 8;
 
 /// A document to check and store.
 pub(super) struct DocumentCheck {
@@ -42,7 +42,7 @@
 
 impl DocumentWork {
     pub(super) fn new(parts: &AgentParts) -> DocumentWork {
-        let (check_sender, checks) = async_channel::bounded(MAX_CHECKS);
+        let (check_sender, checks) = async_channel::bounded(MAX_QUEUED_CHECKS);
         let (applied_sender, applied_signal) = async_channel::bounded(1);
         let policies = parts.policies.as_ref();
         let tables = parts.tables.as_ref();
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -49,7 +49,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of received messages in the queue.
-const MAX_INCOMING: usize = 64;
+const MAX_QUEUED_INCOMING: usize = 64;
 /// Longest sleep (ns): the timer wheel reaches no further. The agent wakes up after this time even
 /// if nothing is due.
 const MAX_SLEEP: Nanos = 3_600 * SEC;
@@ -57,7 +57,7 @@
 /// lost.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Interval at which the agent checks whether that message is written.
-const LEAVE_POLL: Duration = Duration::from_millis(5);
+const LEAVE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Dependencies of an agent.
 pub struct AgentParts {
@@ -122,7 +122,7 @@
         let session = start_session(&config, &parts);
         let documents = DocumentWork::new(&parts);
         apply_last_table(&config, &parts);
-        let (incoming_sender, incoming) = async_channel::bounded(MAX_INCOMING);
+        let (incoming_sender, incoming) = async_channel::bounded(MAX_QUEUED_INCOMING);
         let agent = Rc::new(Agent {
             config,
             parts,
@@ -167,7 +167,7 @@
         let wheel = &self.parts.delivery.wheel;
         let written = async {
             while !outgoing.is_empty() {
-                wheel.sleep(LEAVE_POLL).await;
+                wheel.sleep(LEAVE_POLL_INTERVAL).await;
             }
         };
         wheel.timeout(LEAVE_TIMEOUT, written).await;
--- a/src/agent/register.rs
+++ b/src/agent/register.rs
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of documents that are checked at once. The leader repeats offers beyond it.
-const MAX_CHECKS: usize = 4;
+const MAX_CONCURRENT_CHECKS: usize = 4;
 
 /// The kinds of documents that a register names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -250,7 +250,7 @@
         }
         // A document that is already being checked is answered once; the leader repeats offers that
         // exceed the limit.
-        if self.checking.len() < MAX_CHECKS && !self.checking.contains_key(&number) {
+        if self.checking.len() < MAX_CONCURRENT_CHECKS && !self.checking.contains_key(&number) {
             self.checking.insert(number, digest);
             effects.push(RegisterEffect::CheckDocument {
                 number,
@@ -269,12 +269,12 @@
     /// check: the received rule no longer counts, and messages that still arrive on the same
     /// connection must not count either.
     pub fn note_lease(&mut self, holds_lease: bool) -> bool {
-        let has_lapsed = self.held_lease && !holds_lease;
+        let has_expired = self.held_lease && !holds_lease;
         self.held_lease = holds_lease;
-        if has_lapsed {
+        if has_expired {
             self.distrust_rule();
         }
-        has_lapsed
+        has_expired
     }
 
     /// Records that a connection is opened while no lease is held: only messages received on it
--- a/src/agent/session/documents.rs
+++ b/src/agent/session/documents.rs
@@ -51,7 +51,7 @@
         Some(AdmissionRequirement::Open {
             policy: policies.and_then(document_number),
             table: tables.and_then(document_number),
-            until: gates.into_iter().filter_map(bound).min(),
+            until: gates.into_iter().filter_map(permission_end).min(),
         })
     }
 }
@@ -63,7 +63,7 @@
     }
 }
 
-fn bound(gate: AdmissionGate) -> Option<Nanos> {
+fn permission_end(gate: AdmissionGate) -> Option<Nanos> {
     match gate {
         AdmissionGate::Open { until, .. } => until,
         AdmissionGate::Paused | AdmissionGate::Fenced => None,
@@ -72,7 +72,7 @@
 
 /// A register with the gate that it returned last.
 #[derive(Debug)]
-struct Followed {
+struct FollowedRegister {
     register: Register,
     gate: Option<AdmissionGate>,
 }
@@ -80,8 +80,8 @@
 /// The registers that the sender follows.
 #[derive(Debug, Default)]
 pub(super) struct Documents {
-    policies: Option<Followed>,
-    tables: Option<Followed>,
+    policies: Option<FollowedRegister>,
+    tables: Option<FollowedRegister>,
     /// Requirement that was last returned as an effect.
     requirement: Option<AdmissionRequirement>,
 }
@@ -93,24 +93,24 @@
             DocumentKind::Policy => &mut self.policies,
             DocumentKind::Table => &mut self.tables,
         };
-        *followed = Some(Followed {
+        *followed = Some(FollowedRegister {
             register,
             gate: None,
         });
     }
 
-    fn get_mut(&mut self, kind: DocumentKind) -> Option<&mut Followed> {
+    fn get_mut(&mut self, kind: DocumentKind) -> Option<&mut FollowedRegister> {
         match kind {
             DocumentKind::Policy => self.policies.as_mut(),
             DocumentKind::Table => self.tables.as_mut(),
         }
     }
 
-    fn all(&self) -> impl Iterator<Item = &Followed> {
+    fn all(&self) -> impl Iterator<Item = &FollowedRegister> {
         self.policies.iter().chain(&self.tables)
     }
 
-    fn all_mut(&mut self) -> impl Iterator<Item = &mut Followed> {
+    fn all_mut(&mut self) -> impl Iterator<Item = &mut FollowedRegister> {
         self.policies.iter_mut().chain(&mut self.tables)
     }
 
@@ -122,11 +122,11 @@
     /// Passes to every register whether the lease is held. Returns true where one of them saw it
     /// expire.
     pub(super) fn note_lease(&mut self, holds_lease: bool) -> bool {
-        let mut has_lapsed = false;
+        let mut has_expired = false;
         for followed in self.all_mut() {
-            has_lapsed |= followed.register.note_lease(holds_lease);
+            has_expired |= followed.register.note_lease(holds_lease);
         }
-        has_lapsed
+        has_expired
     }
 
     pub(super) fn on_connecting_without_lease(&mut self) {
@@ -147,7 +147,7 @@
         Some(followed.register.stored())
     }
 
-    fn gate(followed: &Option<Followed>) -> Option<AdmissionGate> {
+    fn gate(followed: &Option<FollowedRegister>) -> Option<AdmissionGate> {
         followed.as_ref().and_then(|followed| followed.gate)
     }
 
@@ -192,7 +192,7 @@
         result: Result<(), String>,
         effects: &mut Vec<SessionEffect>,
     ) {
-        self.fence_if_lease_lapsed(now, effects);
+        self.fence_if_lease_expired(now, effects);
         let mut from_register = Vec::new();
         if let Some(followed) = self.documents.get_mut(kind) {
             followed
--- a/src/agent/session/lease.rs
+++ b/src/agent/session/lease.rs
@@ -77,15 +77,15 @@
 
     /// Checks, before anything else, whether the lease has expired. Registers are then received
     /// again on another connection, whatever still arrives on this one.
-    pub(super) fn fence_if_lease_lapsed(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
+    pub(super) fn fence_if_lease_expired(&mut self, now: Nanos, effects: &mut Vec<SessionEffect>) {
         let holds_lease = self.holds_lease(now);
-        let has_lapsed = self.documents.note_lease(holds_lease);
-        if has_lapsed && self.connection.is_open() {
+        let has_expired = self.documents.note_lease(holds_lease);
+        if has_expired && self.connection.is_open() {
             self.reconnect(now, effects);
         }
     }
 
-    pub(super) fn go_standalone_if_lease_lapsed(
+    pub(super) fn go_standalone_if_lease_expired(
         &mut self,
         now: Nanos,
         effects: &mut Vec<SessionEffect>,
--- a/src/agent/session/mod.rs
+++ b/src/agent/session/mod.rs
@@ -171,8 +171,8 @@
         demand: &dyn AttemptDemand,
         effects: &mut Vec<SessionEffect>,
     ) {
-        self.fence_if_lease_lapsed(now, effects);
-        self.go_standalone_if_lease_lapsed(now, effects);
+        self.fence_if_lease_expired(now, effects);
+        self.go_standalone_if_lease_expired(now, effects);
         self.log_standalone(now, effects);
         self.drive_connection(now, demand, effects);
         self.update_admission(now, effects);
@@ -186,7 +186,7 @@
         message: ReplicaToAgent,
         effects: &mut Vec<SessionEffect>,
     ) {
-        self.fence_if_lease_lapsed(now, effects);
+        self.fence_if_lease_expired(now, effects);
         if self.connection.is_current(connection) {
             self.dispatch_message(now, connection, message, effects);
         }
--- a/src/agent/session/reports.rs
+++ b/src/agent/session/reports.rs
@@ -126,7 +126,7 @@
         report.is_some_and(|r| r.granted.insert((zone.to_string(), dest)))
     }
 
-    fn lists(&self, zone: &str, dest: u16) -> bool {
+    fn is_listed(&self, zone: &str, dest: u16) -> bool {
         self.listed.iter().any(|l| l.zone == zone && l.dest == dest)
     }
 }
@@ -201,7 +201,7 @@
                 if wants.len() >= MAX_GROUPS {
                     return wants;
                 }
-                if !self.reports.lists(&order.zone, dest) {
+                if !self.reports.is_listed(&order.zone, dest) {
                     continue;
                 }
                 let usual_rate = self.statistics.calls_per_second(now, dest);
--- a/src/delivery/journal/open_record.rs
+++ b/src/delivery/journal/open_record.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of reads of a body: cleaning may move the body between the lookup and the read.
-const BODY_READS: usize = 4;
+const MAX_BODY_READS: usize = 4;
 
 /// The first attempt of a message that may have run at an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     /// The body cannot be read.
     pub async fn load_envelope(&self) -> io::Result<Rc<Envelope>> {
         let mut failed = io::ErrorKind::NotFound.into();
-        for _ in 0..BODY_READS {
+        for _ in 0..MAX_BODY_READS {
             let envelope = self.envelope();
             if envelope.stored_body_bytes == 0 {
                 return Ok(envelope);
--- a/src/delivery/journal/persistent_clock.rs
+++ b/src/delivery/journal/persistent_clock.rs
@@ -21,7 +21,7 @@
 /// Name of the note's file.
 const FILE_NAME: &str = "clock";
 /// File in which Linux gives the id of the current boot.
-const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
+const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
 /// Largest difference from this clock, in milliseconds, at which an existing note is kept.
 const NOTE_TOLERANCE_MS: u64 = 20;
 
@@ -46,7 +46,7 @@
 impl ClockReadings {
     /// Reads the clocks.
     pub fn now() -> Self {
-        let boot_id = fs::read_to_string(BOOT_ID).ok();
+        let boot_id = fs::read_to_string(BOOT_ID_PATH).ok();
         let boot_id = boot_id.map(|id| id.trim().to_string()).filter(|id| {
             let is_plain = id.bytes().all(|b| b.is_ascii_graphic());
             is_plain && !id.is_empty()
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -132,7 +132,7 @@
             };
             journal
                 .append_accepted(envelope, TIME_LEFT, n * 100, 0)
-                .expect("room")
+                .expect("accepted")
         })
         .collect();
     held.iter()
@@ -142,7 +142,7 @@
         for n in 0..200 {
             journal
                 .append_accepted(envelope(&format!("n{n}"), 4_000), TIME_LEFT, 7, 0)
-                .expect("room")
+                .expect("accepted")
                 .close()
                 .expect("closed");
             journal.maintain_once();
@@ -468,7 +468,7 @@
 #[test]
 fn many_segments_need_few_file_descriptors() {
     let folder = TempDir::new().expect("a folder");
-    let held = |folder: &TempDir| {
+    let open_descriptors = |folder: &TempDir| {
         let links = fs::read_dir("/proc/self/fd")
             .expect("a process")
             .filter_map(|f| fs::read_link(f.ok()?.path()).ok());
@@ -479,7 +479,7 @@
         .map(|i| {
             journal
                 .append_accepted(envelope(&format!("m{i}"), 3_000), TIME_LEFT, 0, 0)
-                .expect("room")
+                .expect("accepted")
         })
         .collect();
     for _ in 0..300 {
@@ -487,21 +487,21 @@
         records.push(
             journal
                 .append_accepted(envelope("n", 3_000), TIME_LEFT, 0, 0)
-                .expect("room"),
+                .expect("accepted"),
         );
     }
     let files = fs::read_dir(folder.path()).expect("a folder").count();
     assert!(
-        files > MAX_OPEN_FILES + 4 && held(&folder) <= MAX_OPEN_FILES,
+        files > MAX_OPEN_FILES + 4 && open_descriptors(&folder) <= MAX_OPEN_FILES,
         "{} of {files}",
-        held(&folder)
+        open_descriptors(&folder)
     );
     drop((journal, records));
     let (_journal, records) = open(&folder, 3_000_000);
     assert!(
-        records.len() == 300 && held(&folder) <= MAX_OPEN_FILES,
+        records.len() == 300 && open_descriptors(&folder) <= MAX_OPEN_FILES,
         "{} after a start",
-        held(&folder)
+        open_descriptors(&folder)
     );
 }
 
@@ -530,7 +530,7 @@
     for _ in 0..40 {
         let record = journal
             .append_accepted(envelope("m", 20_000), TIME_LEFT, 0, 0)
-            .expect("room");
+            .expect("accepted");
         record.decided(Verdict::Delivered).expect("written");
         waiting.push(record);
     }
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -669,7 +669,7 @@
 }
 
 #[test]
-fn a_lapsed_lease_requires_a_new_session_and_rule() {
+fn an_expired_lease_requires_a_new_session_and_rule() {
     for (on_lease_loss, after) in [
         (OnLeaseLoss::StopAccepting, AdmissionRequirement::Fenced),
         (OnLeaseLoss::KeepLast, open(3, None)),
