--- a/src/agent/document_store/files.rs
+++ b/src/agent/document_store/files.rs
@@ -1,9 +1,9 @@
 //! The files of a document store.
 //!
 //! A document is stored in the file `NUMBER.KIND`. Its first line is
-//! `raildeal KIND 1 NUMBER DIGEST`, with the digest in lower-case hexadecimal; the text follows. The
-//! file `last` holds the number of the document that was applied last. While a file is written it
-//! has the additional extension `new`.
+//! `raildeal KIND 1 NUMBER DIGEST`, with the digest in lower-case hexadecimal; the text follows.
+//! The file `last` holds the number of the document that was applied last. While a file is written
+//! it has the additional extension `new`.
 //!
 //! Earlier and later versions read the same names and bytes.
 
--- a/src/agent/mod.rs
+++ b/src/agent/mod.rs
@@ -247,8 +247,8 @@
         let kept = self.parts.delivery.directory.kept_destinations();
         for dest in kept.difference(&self.logged_kept_destinations.borrow()) {
             log::warn!(
-                "fleet: destination {dest} stays in use: all its routes are in zones that are ordered \
-                 left"
+                "fleet: destination {dest} stays in use: all its routes are in zones that are \
+                 ordered left"
             );
         }
         *self.logged_kept_destinations.borrow_mut() = kept;
