--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -1,38 +1,40 @@
-//! What the leader of a term does alone: sessions of senders and their leases, judgement of zones,
-//! the shares of budgets, and the answers to operators.
+//! Duties of the leader of a term: sessions of senders and their leases, judgement of zones,
+//! allocation of recovery budgets, and answers to operators.
 //!
 //! [`LeaderDuties`] is a state machine without I/O and without a clock. The replica that leads
-//! owns one for its term, tells it what comes in ([`LeaderDuties::on_agent_message`],
+//! owns one for its term. It passes in each event ([`LeaderDuties::on_agent_message`],
 //! [`LeaderDuties::on_operator_request`], [`LeaderDuties::on_applied`],
-//! [`LeaderDuties::on_disconnect`], [`LeaderDuties::on_federation_state`]) and that time passes
+//! [`LeaderDuties::on_disconnect`], [`LeaderDuties::on_federation_state`]) and the passage of time
 //! ([`LeaderDuties::on_tick`]), each with the time of its monotonic clock, and carries out the
 //! [`Effect`]s. Nothing here is stored: the next leader starts with the record alone, so whatever
-//! must not be told twice is in the record first. What the record holds is the matter of
-//! [`record`](crate::coordination::record); how it is agreed, of the replica.
+//! must not be granted twice is committed to the record first. The content of the record is
+//! defined by [`record`](crate::coordination::record); the replica replicates it.
 //!
 //! By file: `sessions` begins and ends sessions, `leases` renews them and proves leadership by
-//! heartbeats, `agent_messages` takes what senders say, `announce` sends them the record, policies
-//! and tables, `applied` takes what the record has, `decide`, `capacity` and `returns`
-//! order zones, `orders` and `status` answer operators, `rules` has the settings.
+//! heartbeats, `agent_messages` handles the messages of agents, `announce` sends them the record,
+//! policies and tables, `applied` handles commands that were applied to the record, `decide`,
+//! `capacity` and `returns` order evacuations and recoveries of zones, `orders` and `status`
+//! answer operators, `rules` has the settings.
 //!
 //! # Leases
 //!
-//! An agent counts 98 in 100 of its lease from when it sent the message that was answered; the
-//! leader counts 102 in 100 from when it answers. A leader that was deposed and does not know it
-//! must not go on renewing for long: it renews only until [`LeaderRules::heartbeat_valid_ms`] after
-//! the moment at which it proposed the last heartbeat that the record has. What it proposed after
-//! its successor was elected is never there, so it renews nothing later than that after the
-//! election; its successor counts all leases of the record from its own start, and so much longer.
+//! An agent counts 98 % of its lease from when it sent the message that was answered; the leader
+//! counts 102 % from when it answers. A leader that was deposed and does not know it must stop
+//! renewing soon: it renews only until [`LeaderRules::heartbeat_valid_ms`] after the moment at
+//! which it proposed the last heartbeat that was applied to the record. A heartbeat that it
+//! proposes after its successor was elected is never applied, so it renews no lease later than
+//! that time after the election. Its successor counts all leases of the record from its own start,
+//! and adds `heartbeat_valid_ms` to each.
 //!
-//! Invariant: at no time does an agent count on a lease that the record has as lapsed.
+//! Invariant: an agent never relies on a lease that has expired in the record.
 //!
 //! # Orders
 //!
-//! One decision on a zone is out at a time. Each names the record's epoch that it was based on and
-//! is void where another one came before.
+//! At most one decision on a zone is pending at a time. Each names the record's epoch on which it
+//! was based and is void if another order was applied in between.
 //!
-//! Invariant: what holds for the decision (a destination keeps a route, not too many zones are
-//! evacuated) holds for the record.
+//! Invariant: the conditions that the decision meets (each destination keeps a route, the limit of
+//! evacuated zones is respected) also hold for the record after it is applied.
 
 use crate::coordination::messages::{OperatorRequest, OperatorResponse, ReplicaToAgent};
 use crate::coordination::policy_rollout::register::Change;
@@ -65,35 +67,35 @@
 
 /// Nanoseconds between two judgements of all zones: half of the time between two reports.
 const JUDGE_INTERVAL: Nanos = 100_000_000;
-/// Nanoseconds after which what was proposed and did not come may be proposed again: ten times
-/// what a slow disk takes.
+/// Nanoseconds after which a proposal that was not applied may be proposed again: ten times the
+/// time that a write to a slow disk takes.
 const PROPOSAL_TIMEOUT: Nanos = 1_000_000_000;
-/// Nanoseconds after which an operator hears that an order did not come into the record.
+/// Nanoseconds after which the operator is answered that an order was not applied to the record.
 const ORDER_TIMEOUT: Nanos = 5 * PROPOSAL_TIMEOUT;
-/// Nanoseconds after which a sender that asked for a session and has none is forgotten; it asks
-/// again.
+/// Nanoseconds after which the request of a sender that has no session yet is dropped; the sender
+/// requests a session again.
 const JOIN_TIMEOUT: Nanos = 2 * PROPOSAL_TIMEOUT;
-/// What an operator hears then.
+/// Answer to an operator whose order was not applied within [`ORDER_TIMEOUT`].
 const ORDER_TIMED_OUT: &str =
-    "the keepers did not agree in 5 s; look at the status and say it again";
+    "the keepers did not agree within 5 s; check the status and repeat the order";
 
-/// Names a connection; given by the replica and never used twice in one process.
+/// Identifier of a connection, assigned by the replica and never reused within one process.
 pub type ConnectionId = u64;
 
-/// What the replica is to do for the leader.
+/// An action that the replica carries out for the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Propose this for the record. It may be lost with the term.
+    /// Propose this command for the record. It may be lost when the term ends.
     Propose(Command),
-    /// Send this to the agent on a connection.
+    /// Send this message to the agent on a connection.
     Send(ConnectionId, ReplicaToAgent),
-    /// Answer the operator on a connection.
+    /// Send this response to the operator on a connection.
     Reply(ConnectionId, OperatorResponse),
-    /// Propose this for the federation's record. It may be lost.
+    /// Propose this command for the federation's record. It may be lost.
     ProposeToFederation(federation::Command),
 }
 
-/// An operator's order on a zone that is not in the record yet.
+/// An operator's order on a zone that has not been applied to the record yet.
 #[derive(Clone, Debug)]
 struct PendingZoneOrder {
     connection: ConnectionId,
@@ -101,8 +103,9 @@
     received_at: Nanos,
 }
 
-/// An operator's order that the federation's record does not show yet. It is proposed there once:
-/// what was void as something else ran must not come up again when that is over.
+/// An operator's order that the federation's record does not show yet. It is proposed there only
+/// once: an order that was void because another operation was under way must not take effect when
+/// that operation ends.
 #[derive(Clone, Debug)]
 struct PendingTableOrder {
     connection: ConnectionId,
@@ -110,37 +113,38 @@
     received_at: Nanos,
 }
 
-/// An operator's order on policies that is not in the record yet.
+/// An operator's order on policies that has not been applied to the record yet.
 #[derive(Clone, Debug)]
 struct PendingPolicyOrder {
     connection: ConnectionId,
     request: OperatorRequest,
-    /// The turn that it was proposed on, and as what.
+    /// The turn on which the change was based.
     base_turn: u64,
+    /// The change that was proposed for the request.
     change: Change,
     received_at: Nanos,
 }
 
-/// A decision on a zone that was proposed and is not in the record yet.
+/// A decision on a zone that was proposed and has not been applied to the record yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingDecision {
-    /// The record's epoch that it was based on.
+    /// The record's epoch on which it was based.
     epoch: u64,
     proposed_at: Nanos,
 }
 
-/// What the leader of one term knows and does.
+/// State and duties of the leader of one term.
 #[derive(Clone, Debug)]
 pub struct LeaderDuties {
     rules: LeaderRules,
     term: u64,
     heartbeats: Heartbeats,
-    /// By name of the sender. Every sender that the record has as live has one.
+    /// Sessions by name of the sender. Every sender that is live in the record has one.
     sessions: BTreeMap<String, Session>,
-    /// Names of the senders, by the id of their session.
+    /// Names of the senders, by the id of their sessions.
     sender_names: BTreeMap<u32, String>,
     next_session_id: u32,
-    /// The sender that has its session on a connection.
+    /// The sender whose session uses a connection.
     connections: BTreeMap<ConnectionId, String>,
     joining: BTreeMap<String, JoiningSender>,
     pending_zone_orders: VecDeque<PendingZoneOrder>,
@@ -154,14 +158,15 @@
     endpoint_lists: EndpointLists,
     recovery_ramp: RecoveryRamp,
     verdicts: BTreeMap<String, ZoneVerdict>,
-    /// When zones were judged last.
+    /// Time at which zones were last judged.
     judged_at: Nanos,
     pending_decision: Option<PendingDecision>,
 }
 
 impl LeaderDuties {
-    /// Starts a term with nothing but the record. Leases that an earlier term gave may still run:
-    /// all of them count as renewed now.
+    /// Starts a term with nothing but the record.
+    ///
+    /// Leases that an earlier term granted may still be valid: all of them count as renewed now.
     pub fn new(rules: LeaderRules, term: u64, now: Nanos, record: &Record) -> LeaderDuties {
         let mut duties = LeaderDuties {
             term,
@@ -193,9 +198,11 @@
         duties
     }
 
-    /// Tells when this replica last saw a leader, before it led itself; nothing where it never did.
+    /// Sets the time at which this replica last saw another leader before it was elected; `None`
+    /// if it never saw one.
     ///
-    /// The time since then counts with the first heartbeat, as nobody else counts it.
+    /// The time since then is added to the record's clock by the first heartbeat, as no other
+    /// leader counts it.
     pub fn with_last_leader_seen(mut self, now: Nanos, at: Option<Nanos>) -> LeaderDuties {
         self.roll = Roll::new(now, at);
         self.cutover = Cutover::new(now, at);
@@ -203,7 +210,7 @@
         self
     }
 
-    /// Notes that time has passed; to be called some ten times a second.
+    /// Performs all duties that depend on time; to be called about ten times a second.
     pub fn on_tick(&mut self, now: Nanos, record: &Record, effects: &mut Vec<Effect>) {
         self.propose_heartbeat(now, record, effects);
         self.end_lapsed_sessions(now, effects);
@@ -223,10 +230,10 @@
         self.send_grants(now, effects);
     }
 
-    /// Takes the state of the federation; nothing where the site is in none.
+    /// Handles the state of the federation; `None` if the site is not a member of one.
     ///
-    /// To be called at each change and some ten times a second, and when the leader begins, before
-    /// it is given any message of a sender.
+    /// To be called at each change and about ten times a second, and at the start of a term before
+    /// any message of a sender is passed in.
     pub fn on_federation_state(
         &mut self,
         now: Nanos,
@@ -238,7 +245,8 @@
         self.advance_cutover(now, record, effects);
     }
 
-    /// Forgets a decision that is void, as the record has another order, or that was lost.
+    /// Drops a pending decision that is void because the record has another order, or that was
+    /// lost.
     fn forget_stale_decision(&mut self, now: Nanos, record: &Record) {
         let is_current = |pending: &PendingDecision| {
             pending.epoch == record.epoch && now < pending.proposed_at + PROPOSAL_TIMEOUT
--- a/src/coordination/leader/agent_messages.rs
+++ b/src/coordination/leader/agent_messages.rs
@@ -1,4 +1,4 @@
-//! What the agents of senders say to the leader: one function a kind of message.
+//! Messages of the senders' agents to the leader: one function per kind of message.
 
 use crate::coordination::leader::orders::propose_policy_change;
 use crate::coordination::leader::sessions::SessionRequest;
@@ -10,22 +10,23 @@
 use crate::coordination::record::Record;
 use crate::Nanos;
 
-/// Most entries of a report's counts, and of its wants, that are read: 50 zones with 80
-/// destinations.
+/// Maximum number of entries that are read of a report's call counts, and of its lease requests: 50
+/// zones with 80 destinations.
 const MAX_REPORT_ENTRIES: usize = 4_000;
-/// Reports of an agent a second.
+/// Number of reports that an agent sends per second.
 const REPORTS_PER_SECOND: f32 = 5.0;
-/// A sender's load counts up to so many times the even part of all senders: a fifth of a fleet
-/// sees three to five times the even part, few see more.
+/// Multiple of the average load per sender up to which a sender's load counts. A fifth of a fleet
+/// has three to five times the average; few senders have more.
 const MAX_UNEVENNESS: f32 = 20.0;
-/// A sender's load counts up to this share of a destination's listed rate, however few there are.
+/// Share of a destination's listed rate up to which a sender's load counts, even if there are few
+/// senders.
 const MAX_LOAD_SHARE: f32 = 0.5;
 
-/// What an agent reports.
+/// A report of an agent.
 struct Report<'a> {
-    /// Numbers the reports of one boot.
+    /// Number of the report among those of the sender's process.
     number: u64,
-    /// The version of the record that the sender goes by.
+    /// Version of the record that the sender applies.
     record_version: u64,
     seen: &'a [ZoneCallCounts],
     listed: Option<&'a [ListedZoneCapacity]>,
@@ -34,7 +35,7 @@
 }
 
 impl LeaderDuties {
-    /// Takes a message of an agent.
+    /// Handles a message of an agent.
     pub fn on_agent_message(
         &mut self,
         now: Nanos,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Takes a report. The session is renewed whatever the report is; what it contains counts once,
-    /// however often it comes.
+    /// Handles a report. Every report renews the session; its content is counted once, even if the
+    /// report arrives several times.
     fn on_report(
         &mut self,
         now: Nanos,
@@ -123,7 +124,7 @@
         self.send_grants(now, effects);
     }
 
-    /// Counts what a sender observed, has listed and wants.
+    /// Records a sender's call counts, endpoint list and lease requests.
     fn record_counts(&mut self, now: Nanos, session_id: u32, report: &Report<'_>) {
         let seen = &report.seen[..report.seen.len().min(MAX_REPORT_ENTRIES)];
         let wants = &report.wants[..report.wants.len().min(MAX_REPORT_ENTRIES)];
@@ -151,7 +152,7 @@
             .request_grants(now, session_id, report.number, wants);
     }
 
-    /// Counts what became of a sender's messages, for the rollout of policies.
+    /// Records the outcomes of a sender's messages for the rollout of policies.
     fn record_health(
         &mut self,
         now: Nanos,
@@ -168,7 +169,7 @@
         }
     }
 
-    /// A sender has stored a policy that it was offered, or refuses it.
+    /// Handles a sender's report that it has stored or rejected a policy that it was offered.
     fn on_policy_stored(
         &mut self,
         connection: ConnectionId,
@@ -183,7 +184,7 @@
         }
     }
 
-    /// A sender goes by the policies of a turn.
+    /// Handles a sender's report that it applies the policies of a turn.
     fn on_policy_turn(
         &mut self,
         now: Nanos,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Sends the calls that may be granted now to the senders that have a connection.
+    /// Sends the grants that are due to the senders that have a connection.
     pub(super) fn send_grants(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let sender_names = &self.sender_names;
         let sessions = &self.sessions;
@@ -221,8 +222,8 @@
     }
 }
 
-/// Most accepted calls of one report that count as load of a destination: up to `max_share` of its
-/// listed rate, and one at least. All count where no rate is listed.
+/// Returns the maximum number of accepted calls of one report that count as load of a destination:
+/// `max_share` of its listed rate, and at least one. All count if no rate is listed.
 fn max_load_per_report(listed_per_second: f64, max_share: f32) -> f32 {
     let max_load = listed_per_second as f32 / REPORTS_PER_SECOND * max_share;
     if max_load > 0.0 {
--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -1,8 +1,8 @@
-//! What is announced to senders: the record, policies and routing tables, and what they answer of
-//! tables.
+//! Announcements to senders of the record, policies and routing tables, and the senders' answers
+//! on tables.
 //!
-//! Which policy or table a sender needs is worked out by the rollout and the cutover; here it is
-//! sent to the connection that the sender has, with a bound on the texts that are offered at once.
+//! The rollout and the cutover determine which policy or table a sender needs. This module sends
+//! it on the sender's connection and limits the number of texts that are offered at once.
 
 use crate::coordination::leader::sessions::{SentView, Session};
 use crate::coordination::leader::{
@@ -15,14 +15,15 @@
 use crate::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use crate::Nanos;
 
-/// Nanoseconds after which a view is sent again to a sender that does not come to have it.
+/// Nanoseconds after which a view is sent again to a sender that has not reported it as applied.
 const VIEW_TIMEOUT: Nanos = PROPOSAL_TIMEOUT / 2;
-/// What an operator hears whose order the federation's record did not have in time.
-const TABLE_ORDER_TIMED_OUT: &str = "not agreed in 5 s; look at the status and say it again";
+/// Answer to an operator whose order was not applied to the federation's record within
+/// [`ORDER_TIMEOUT`].
+const TABLE_ORDER_TIMED_OUT: &str = "not agreed within 5 s; check the status and repeat the order";
 
 impl LeaderDuties {
-    /// Takes what a sender says of routing tables. What it has stored it says right behind its
-    /// request for a session, before the record has that.
+    /// Handles a sender's message on routing tables. A sender reports its stored tables right after
+    /// its request for a session, before the session has been applied to the record.
     pub(super) fn on_table_message(
         &mut self,
         now: Nanos,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Takes what a sender that has a session says of routing tables.
+    /// Handles a message on routing tables of a sender that has a session.
     pub(super) fn take_table_message(
         &mut self,
         now: Nanos,
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Advances the site's routing tables, and answers the operators whose orders the federation's
-    /// record shows by now.
+    /// Advances the site's routing tables, and answers the operators whose orders have been applied
+    /// to the federation's record.
     pub(super) fn advance_cutover(
         &mut self,
         now: Nanos,
@@ -90,7 +91,8 @@
         });
     }
 
-    /// Sends a sender what concerns policies; `offers` is how many texts may still be offered.
+    /// Sends a sender the messages on policies that are due; `offers` is the number of texts that
+    /// may still be offered.
     pub(super) fn announce_policies(
         &mut self,
         now: Nanos,
@@ -110,8 +112,8 @@
             .say(now, sender, &member.zone, record, offers, send);
     }
 
-    /// Sends a sender what concerns routing tables; `offers` is how many texts may still be
-    /// offered.
+    /// Sends a sender the messages on routing tables that are due; `offers` is the number of texts
+    /// that may still be offered.
     pub(super) fn announce_tables(
         &mut self,
         now: Nanos,
@@ -133,7 +135,7 @@
             .send_due_messages(now, sender, record, offers, send);
     }
 
-    /// Sends every sender what concerns policies.
+    /// Sends every sender the messages on policies that are due.
     pub(super) fn announce_policies_to_all(
         &mut self,
         now: Nanos,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Sends every sender what concerns routing tables.
+    /// Sends every sender the messages on routing tables that are due.
     pub(super) fn announce_tables_to_all(
         &mut self,
         now: Nanos,
@@ -165,8 +167,8 @@
     }
 }
 
-/// Sends the record to a sender that lacks some of it: once, and again where it does not come to
-/// have it in time.
+/// Sends the record's view to a sender whose version is out of date, and again if the sender does
+/// not report the new version within [`VIEW_TIMEOUT`].
 pub(super) fn send_view(
     now: Nanos,
     session: &mut Session,
@@ -192,7 +194,7 @@
     ));
 }
 
-/// Turns what the cutover wants proposed into effects.
+/// Converts the proposals of the cutover to effects.
 fn propose_table_changes(
     record: &Record,
     proposals: Vec<cutover::CutoverEffect>,
@@ -208,7 +210,7 @@
     }
 }
 
-/// A change of the site's tables, based on the turn that the record has.
+/// Returns the proposal of a change of the site's tables, based on the record's current turn.
 fn propose_table_change(record: &Record, change: tables::Change) -> Effect {
     Effect::Propose(Command::ChangeTables {
         base: record.tables.turn,
--- a/src/coordination/leader/applied.rs
+++ b/src/coordination/leader/applied.rs
@@ -1,4 +1,5 @@
-//! What the leader does with each command that the record has: one function a kind of command.
+//! The leader's reaction to each command that was applied to the record: one function per kind of
+//! command.
 
 use crate::coordination::leader::announce::send_view;
 use crate::coordination::leader::sessions::JoinedSender;
@@ -9,8 +10,8 @@
 use crate::Nanos;
 
 impl LeaderDuties {
-    /// Takes a command that was applied to the record at a place of the log; `record` is as it is
-    /// after that.
+    /// Handles the command that was applied to the record at `index` of the log; `record` is the
+    /// state after that command.
     pub fn on_applied(
         &mut self,
         now: Nanos,
@@ -54,12 +55,12 @@
             Command::ChangeTables { change, .. } => {
                 self.on_table_change_applied(now, index, change, record, effects);
             }
-            // The federation's matter alone.
+            // These commands concern only the site's member of the federation.
             Command::FenceMember { .. } | Command::PersistMemberLog { .. } => {}
         }
     }
 
-    /// A zone was ordered. An order that was void has changed nothing.
+    /// Handles an order for a zone. A void order has changed nothing in the record.
     fn on_zone_order_applied(
         &mut self,
         now: Nanos,
@@ -79,8 +80,8 @@
         }
     }
 
-    /// An operator's request on a zone is in the record: whoever made it is answered, and what
-    /// follows from it is decided at once.
+    /// Handles an operator's request on a zone that was applied to the record: answers the operator
+    /// and immediately decides on the orders that follow from the request.
     fn on_operator_request_applied(
         &mut self,
         now: Nanos,
@@ -103,8 +104,8 @@
         self.decide(now, record, effects);
     }
 
-    /// Whether a slice was proposed in this term and is the last one of a return that goes on:
-    /// only of such a one may calls be granted. Invariant: no call of the budget is granted twice.
+    /// Whether a slice was proposed in this term and is the last one of an ongoing return. Calls
+    /// may be granted only of such a slice. Invariant: no call of the budget is granted twice.
     fn is_slice_current(
         &self,
         term: u64,
--- a/src/coordination/leader/capacity.rs
+++ b/src/coordination/leader/capacity.rs
@@ -1,9 +1,9 @@
-//! How much of a zone's traffic the other zones can take, and how many senders a zone that is
-//! returned to can get back.
+//! Computes how much of a zone's traffic the other zones can take, and how many senders a returning
+//! zone can readmit.
 //!
-//! Compares what the senders report (load, outcomes, endpoint lists) with the settings, and
-//! decides nothing: `decide` asks before it proposes an evacuation or a step of a return, and
-//! `orders` and `status` for the reason why a zone can't be evacuated.
+//! Compares the senders' reports (load, outcomes, endpoint lists) with the settings and makes no
+//! decision. `decide` uses it before it proposes an evacuation or a step of a return; `orders` and
+//! `status` use it for the reason why a zone cannot be evacuated.
 
 use crate::coordination::leader::LeaderDuties;
 use crate::coordination::record::{Phase, Record, Zone};
@@ -12,49 +12,49 @@
 use crate::coordination::zones::spare_capacity::{movable_share, AlternativeZone, EndpointLists};
 use std::collections::BTreeMap;
 
-/// Senders are readmitted at most by this share of those that are out; the last ones, at most this
-/// share of those that were moved out, all at once.
+/// Maximum share of the evacuated senders that one step readmits. Once no more than this share of
+/// the senders that were moved out at first is still out, the rest may be readmitted at once.
 const MAX_READMITTED_SHARE: f32 = 0.5;
-/// A partial evacuation is extended by so great a share of the senders at least: less is not worth
-/// an order.
-const LEAST_EXTENSION: f32 = 0.1;
-/// Steps in which a destination's senders are readmitted. Each is an order, which voids what was
-/// granted before, so they are few.
+/// Minimum share of the senders by which a partial evacuation is extended: a smaller share is not
+/// worth an order.
+const MIN_EXTENSION_SHARE: f32 = 0.1;
+/// Number of steps in which a destination's senders are readmitted. Each step is an order, which
+/// voids the outstanding grants, so there are only a few.
 const READMISSION_STEPS: f64 = 4.0;
-/// Share of the senders that the first of these steps readmits: a destination that takes less goes
-/// by granted calls alone.
-const LEAST_READMISSION: f64 = 0.5;
-/// Steps of a return come no closer than this part of the warm-up, and not further apart than
-/// [`MAX_READMISSION_INTERVAL_MS`].
+/// Minimum share of the senders that the first of these steps readmits: a destination that can take
+/// less gets granted calls only.
+const MIN_READMISSION_SHARE: f64 = 0.5;
+/// The minimum interval between two steps of a return is the warm-up divided by this number, but at
+/// most [`MAX_READMISSION_INTERVAL_MS`].
 const READMISSION_INTERVALS_IN_WARMUP: u32 = 20;
-/// Longest time between two steps of a return, in milliseconds, whatever the warm-up is.
+/// Upper limit of the interval that follows from the warm-up, in milliseconds.
 const MAX_READMISSION_INTERVAL_MS: u32 = 1_000;
-/// Span over which outcomes are counted where the settings have no window, in milliseconds.
+/// Span over which outcomes are counted if the settings contain no window, in milliseconds.
 const DEFAULT_SPAN_MS: u32 = 1_000;
 
-/// Why a zone can't be evacuated.
+/// Reason why a zone cannot be evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CannotEvacuate {
-    /// As many zones are evacuated as the settings permit.
-    #[error("{evacuated} zones of {listed} are out already, of {max} that may be")]
+    /// The maximum number of zones that the settings permit is evacuated.
+    #[error("{evacuated} of {listed} zones are evacuated already, at most {max} may be")]
     TooManyEvacuated {
         evacuated: usize,
         listed: usize,
         max: usize,
     },
-    /// The record can't name another zone.
-    #[error("the record names as many zones as it may")]
+    /// The record has no room for another zone.
+    #[error("the record already names the maximum number of zones")]
     RecordFull,
-    /// There is no destination of which the other zones can take any traffic.
-    #[error("no other zone can bear what goes there")]
+    /// The other zones can take no traffic of any destination.
+    #[error("no other zone has spare capacity for the traffic of this zone")]
     NoSpareCapacity,
 }
 
 impl LeaderDuties {
-    /// By destination, the share of the senders that stays out of a zone that is being returned
-    /// to; empty where all are readmitted.
+    /// Returns, by destination, the share of the senders that stays out of a returning zone; empty
+    /// if all are readmitted.
     ///
-    /// Of each destination as many are readmitted as it can take by now, in steps, and at most
+    /// Each destination readmits as many senders as it can currently take, in steps, and at most
     /// half of them at once.
     pub(super) fn evacuation_after_readmission(
         &self,
@@ -82,8 +82,8 @@
                 remaining.push((*destination, share));
             }
         }
-        // A destination that alone does not answer, or that nobody calls, keeps the order no
-        // longer than the others do.
+        // Destinations that have not answered, or that no sender calls, do not prolong the return
+        // once another destination has readmitted all of its senders and no remaining one answers.
         if remaining.len() < zone.left.len() && !any_answers {
             return Vec::new();
         }
@@ -97,7 +97,8 @@
             .is_some()
     }
 
-    /// The share of the senders that a destination of a zone can take by now, in whole steps.
+    /// Returns the share of the senders that a destination of a zone can currently take, in whole
+    /// steps.
     fn admissible_share(&self, zone: &str, destination: u16, progress: ReturnProgress) -> f64 {
         let capacity = match progress {
             ReturnProgress::Unused => 1.0,
@@ -109,18 +110,19 @@
         let when_warm = self.admissible_share_when_warm(zone, destination);
         let steps = (READMISSION_STEPS * capacity * when_warm).floor();
         let share = steps.min(READMISSION_STEPS) / READMISSION_STEPS;
-        if share < LEAST_READMISSION {
+        if share < MIN_READMISSION_SHARE {
             return 0.0;
         }
         share
     }
 
-    /// The share of the senders that a destination of a zone can take when it has warmed up; over
-    /// 1 where it has capacity to spare.
+    /// Returns the share of the senders that a destination of a zone can take when it has warmed
+    /// up; more than 1 if it has capacity to spare.
     ///
-    /// By the list at least: no more than its headroom is used. Where less traffic comes than is
-    /// listed, by the traffic: the zone's part of all that the destination carries now, and no
-    /// more senders than overload one that is warming up with their even parts.
+    /// The lower limit follows from the listed rate, of which `headroom` is used. If the
+    /// destination carries less traffic than is listed, the share follows from the traffic: the
+    /// zone's part of the destination's current load. It is then limited so that senders with even
+    /// parts of the traffic do not overload a destination that is warming up.
     fn admissible_share_when_warm(&self, zone: &str, destination: u16) -> f64 {
         let rules = &self.rules.zones;
         let by_list = 1.0 / rules.headroom;
@@ -146,22 +148,23 @@
         by_list.max(by_load.min(without_overload))
     }
 
-    /// Milliseconds between two steps of a return.
+    /// Returns the milliseconds between two steps of a return.
     pub(super) fn readmission_interval_ms(&self) -> u32 {
         readmission_interval_ms(self.rules.zones.warmup_ms, self.rules.heartbeat_interval_ms)
     }
 
-    /// By destination, the share of the senders that can be moved out of one more zone.
+    /// Returns, by destination, the share of the senders that can be moved out of one more zone.
     ///
     /// # Errors
     ///
-    /// Why it can't be evacuated for any destination.
+    /// Returns the reason if the zone cannot be evacuated for any destination.
     pub(super) fn evacuation_shares(
         &self,
         name: &str,
         record: &Record,
     ) -> Result<Vec<(u16, f32)>, CannotEvacuate> {
-        // A zone that no list names any more carries nothing, whatever the record has of it.
+        // A zone that is no longer listed carries no traffic and does not count, even if the record
+        // has it as evacuated.
         let evacuated = record
             .zones
             .iter()
@@ -188,16 +191,16 @@
         Ok(shares)
     }
 
-    /// Most zones, of so many that are listed, that may be evacuated at once.
+    /// Returns the maximum number of zones that may be evacuated at once, of `listed` zones.
     fn max_evacuated_zones(&self, listed: usize) -> usize {
         let rules = &self.rules.zones;
         let by_share = (listed as f64 * rules.max_evacuated_share).floor() as usize;
         by_share.max(1).min(rules.max_evacuated_zones as usize)
     }
 
-    /// By destination, the share of the senders that is out of a zone after a partial evacuation
-    /// is extended to what the rest can take by now, of destinations that still fail there.
-    /// Nothing where that is too little.
+    /// Returns, by destination, the share of the senders that is out of a zone after a partial
+    /// evacuation is extended to what the other zones can currently take. Only destinations that
+    /// still fail in the zone are extended. `None` if the extension would be too small.
     pub(super) fn extended_evacuation(
         &self,
         name: &str,
@@ -214,12 +217,12 @@
                 .is_some_and(|counts| counts.mostly_failed())
         };
         let may_extend =
-            |destination| staying(destination) >= LEAST_EXTENSION && is_failing(destination);
+            |destination| staying(destination) >= MIN_EXTENSION_SHARE && is_failing(destination);
         if !self.endpoint_lists.destinations(name).any(may_extend) {
             return None;
         }
-        // What those that stay would bring elsewhere; some of it is there already, after a call
-        // that failed.
+        // Load that the remaining senders would bring to the other zones. Part of it already
+        // arrives there, as retries of failed calls.
         let load = |destination| {
             let full =
                 full_load_per_second(&self.endpoint_lists, &self.evidence, name, destination);
@@ -229,7 +232,7 @@
         let mut is_extended = false;
         for (destination, movable) in self.movable_shares(name, record, load) {
             let extension = staying(destination) * movable;
-            if is_failing(destination) && extension >= LEAST_EXTENSION {
+            if is_failing(destination) && extension >= MIN_EXTENSION_SHARE {
                 *evacuated.entry(destination).or_insert(0.0) += extension;
                 is_extended = true;
             }
@@ -237,7 +240,7 @@
         is_extended.then(|| evacuated.into_iter().collect())
     }
 
-    /// By destination, the share of the senders whose load the other zones can take.
+    /// Returns, by destination, the share of the senders whose load the other zones can take.
     fn movable_shares(
         &self,
         zone: &str,
@@ -255,7 +258,7 @@
             .collect()
     }
 
-    /// For each destination of a zone, the other zones that list it.
+    /// Returns, for each destination of a zone, the other zones that list it.
     pub(super) fn alternatives(
         &self,
         zone: &str,
@@ -296,15 +299,16 @@
             .collect()
     }
 
-    /// The longest span over which zones are judged.
+    /// Returns the longest window over which zones are judged.
     fn longest_window_ms(&self) -> u32 {
         let windows = &self.rules.zones.windows_ms;
         windows.last().copied().unwrap_or(DEFAULT_SPAN_MS)
     }
 }
 
-/// The share of the senders that is out of a destination after one step, where `admissible` can be
-/// in it, `moved_out` were moved out at first and `still_out` are out before the step.
+/// Returns the share of the senders that is out of a destination after one step. `admissible` is
+/// the share that the destination can take, `moved_out` the share that was moved out at first, and
+/// `still_out` the share that is out before the step.
 fn share_after_step(moved_out: f32, still_out: f32, admissible: f64) -> f32 {
     let least_out = if still_out > moved_out * MAX_READMITTED_SHARE {
         still_out * MAX_READMITTED_SHARE
@@ -315,8 +319,8 @@
     not_admissible.max(least_out).min(still_out)
 }
 
-/// Calls a second that a zone would get for a destination if no sender were out of it: its part,
-/// by the list, of all that is carried there.
+/// Returns the calls per second that a zone would get for a destination if no sender were out of
+/// it: the zone's part, by listed rate, of the destination's load in all zones.
 pub(super) fn full_load_per_second(
     lists: &EndpointLists,
     evidence: &Evidence,
@@ -337,7 +341,7 @@
     carried_by_all * listed / f64::max(listed_by_all, 1e-9)
 }
 
-/// The share of the senders that a list of shares has for a destination; 0 where it has none.
+/// Returns the share for a destination in a list of shares; 0 if the list does not contain it.
 pub(super) fn share_of(shares: &[(u16, f32)], destination: u16) -> f32 {
     shares
         .iter()
@@ -345,9 +349,9 @@
         .map_or(0.0, |(_, share)| *share)
 }
 
-/// Milliseconds between two steps of a return to what warms up for so long. Steps are counted on
-/// the record's clock, so a heartbeat is the least, also where heartbeats are further apart than
-/// steps may be otherwise.
+/// Returns the milliseconds between two steps of a return with this warm-up. Steps are timed by the
+/// record's clock, which advances with heartbeats, so the interval is at least one heartbeat
+/// interval even if that exceeds [`MAX_READMISSION_INTERVAL_MS`].
 fn readmission_interval_ms(warmup_ms: u32, heartbeat_interval_ms: u32) -> u32 {
     let by_warmup = warmup_ms / READMISSION_INTERVALS_IN_WARMUP;
     by_warmup
--- a/src/coordination/leader/decide.rs
+++ b/src/coordination/leader/decide.rs
@@ -1,10 +1,10 @@
-//! Which zone is evacuated or returned to next: one order at most, by what operators request and
-//! by the evidence.
+//! Decisions on the next evacuation or recovery of a zone: at most one order at a time, based on
+//! operators' requests and the evidence.
 //!
-//! Owns the rules of precedence (an operator's request goes before evidence, a return that goes
-//! wrong before a new evacuation) and proposes the order. How much can be moved is worked out by
-//! `capacity`; how a return goes, by `returns`. Called by the leader's tick and when an
-//! operator's request on a zone is in the record.
+//! This module owns the rules of precedence (an operator's request takes precedence over evidence,
+//! a failing return over a new evacuation) and proposes the order. `capacity` computes how much
+//! traffic can be moved, `returns` the progress of returns. The leader's tick calls it, and so does
+//! the application of an operator's request on a zone.
 
 use crate::coordination::leader::capacity::share_of;
 use crate::coordination::leader::returns::{requested_by_operator, ReturnsProgress};
@@ -16,24 +16,25 @@
 use crate::Nanos;
 use std::cmp::Reverse;
 
-/// Most destinations of which the log says why a zone is not evacuated by all senders.
+/// Maximum number of destinations for which the log explains a partial evacuation.
 const MAX_LOGGED_DESTINATIONS: usize = 10;
-/// Most times that the time to the next return is doubled: more would overflow, and the settings
-/// limit it long before.
+/// Maximum number of times that the time to the next return is doubled. More doublings would
+/// overflow; the setting for the longest time limits it much earlier.
 const MAX_BACKOFF_DOUBLINGS: u32 = 20;
 
-/// Reason of an order that an operator requested. It is in the record and in the status.
+/// Reason of an order that an operator requested. It is stored in the record and shown in the
+/// status.
 const OPERATOR_REQUEST: &str = "a person's word";
 
-/// What is to be ordered of a zone.
+/// An order for a zone that is to be proposed.
 struct ZoneDecision {
     zone: String,
     phase: Phase,
-    /// By destination, the share of the senders that is out.
+    /// By destination, the share of the senders that is evacuated.
     evacuated: Vec<(u16, f32)>,
-    /// How often the zone was returned to recently, successfully or not.
+    /// Number of recent returns to the zone, successful or not.
     recent_returns: u32,
-    /// For operators; kept in the record.
+    /// Reason, for operators; stored in the record.
     why: String,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl LeaderDuties {
-    /// Judges all zones and proposes one order at most; none while another one is out.
+    /// Judges all zones and proposes at most one order; none while another one is pending.
     pub(super) fn decide(&mut self, now: Nanos, record: &Record, effects: &mut Vec<Effect>) {
         self.judge_zones(now, record);
         let progress = self.advance_returns(now, record);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Brings evidence, lists and returns up to date, and judges.
+    /// Updates evidence, lists and returns, and judges all zones.
     fn judge_zones(&mut self, now: Nanos, record: &Record) {
         self.judged_at = now;
         self.evidence.expire(now);
@@ -91,8 +92,7 @@
             .judge(now, live_senders, listed_destinations, is_evacuated);
     }
 
-    /// The first zone of the record of which something is to be ordered, else the one that is to be
-    /// evacuated next.
+    /// Returns the first order that is due for a zone of the record, or else the next evacuation.
     fn next_decision(
         &self,
         record: &Record,
@@ -129,14 +129,14 @@
             .filter(|(_, share, _)| *share < 1.0);
         for (destination, share, rest) in in_part.take(MAX_LOGGED_DESTINATIONS) {
             log::info!(
-                "zone={zone} destination={destination} is left by a part of {share}, \
-                 as the rest is {rest:?}"
+                "zone={zone} destination={destination} is evacuated in part: share={share}, \
+                 other zones: {rest:?}"
             );
         }
     }
 
-    /// Proposes an order on the epoch that it was decided on. Any order that the record gets before
-    /// voids it.
+    /// Proposes an order based on the epoch on which it was decided. It is void if any other order
+    /// is applied to the record first.
     fn propose_decision(
         &mut self,
         now: Nanos,
@@ -158,7 +158,7 @@
         }));
     }
 
-    /// What is to be ordered of a zone that the record names.
+    /// Returns the order that is due for a zone of the record, if any.
     fn decide_recorded_zone(
         &self,
         name: &str,
@@ -174,7 +174,7 @@
             .or_else(|| self.decide_phase(name, zone, progress, ms_since_order, record))
     }
 
-    /// Whether more senders are to be moved out of a zone that is evacuated.
+    /// Returns the order that moves more senders out of an evacuated zone, if one is due.
     fn decide_extension(
         &self,
         name: &str,
@@ -182,7 +182,8 @@
         ms_since_order: u64,
         record: &Record,
     ) -> Option<ZoneDecision> {
-        // Load is a mean over this time; before, it does not tell of the last order.
+        // Load is averaged over this window; before it has passed, the average does not reflect
+        // the last order.
         let load_is_known = ms_since_order >= u64::from(self.rules.zones.load_window_ms);
         let is_out = zone.phase != Phase::Used && !self.recovery_ramp.has_begun(name);
         let is_return_requested = requested_by_operator(zone) == Some(RequestedZoneState::Return);
@@ -200,7 +201,8 @@
         ))
     }
 
-    /// Whether a zone changes its phase, or goes a step further in a return.
+    /// Returns the order that changes a zone's phase or takes the next step of its return, if one
+    /// is due.
     fn decide_phase(
         &self,
         name: &str,
@@ -216,7 +218,8 @@
         }
     }
 
-    /// A zone in use is evacuated on request, and forgotten when it was in use for long.
+    /// Decides on a zone in use: it is evacuated on request, and its history of returns is reset
+    /// when it has been in use for long enough.
     fn decide_used(
         &self,
         name: &str,
@@ -242,7 +245,8 @@
         Some(ZoneDecision::new(name, Phase::Used, Vec::new(), 0, why))
     }
 
-    /// A return begins on request, or after a time that doubles with each return.
+    /// Decides on an evacuated zone: a return begins on request, or after a time that doubles with
+    /// each recent return.
     fn decide_evacuated(
         &self,
         name: &str,
@@ -269,7 +273,7 @@
         ))
     }
 
-    /// Milliseconds from an evacuation to the next return.
+    /// Returns the milliseconds from an evacuation to the next return.
     fn return_backoff_ms(&self, zone: &Zone) -> u64 {
         let rules = &self.rules.zones;
         let backoff_ms =
@@ -277,7 +281,8 @@
         backoff_ms.min(rules.max_return_backoff_ms.into())
     }
 
-    /// A return ends on request or when it fails; else it goes a step further when it can.
+    /// Decides on a zone that is returning: the return ends on request or when it fails; otherwise
+    /// it takes its next step when one is possible.
     fn decide_returning(
         &self,
         name: &str,
@@ -307,7 +312,8 @@
         self.decide_readmission(name, zone, progress, ms_since_order)
     }
 
-    /// Why a return has failed; an operator's request keeps it up whatever fails.
+    /// Returns why a return has failed, if it has. A return that an operator requested continues
+    /// despite failures.
     fn return_failure(
         &self,
         name: &str,
@@ -320,7 +326,7 @@
         if progress == ReturnProgress::Failed {
             return Some("the return failed");
         }
-        // Senders that are readmitted see it, and not by granted calls.
+        // These failures are reported by readmitted senders, whose calls need no grant.
         let is_failing = matches!(self.verdicts.get(name), Some(ZoneVerdict::Failing { .. }));
         if is_failing && self.recovery_ramp.has_begun(name) {
             return Some("it fails while it is returned to");
@@ -328,7 +334,7 @@
         None
     }
 
-    /// The next step of a return that goes well.
+    /// Returns the order for the next step of a return that has not failed, if one is due.
     fn decide_readmission(
         &self,
         name: &str,
@@ -371,8 +377,10 @@
         ))
     }
 
-    /// Milliseconds from one step of a return to the next. An order voids what was granted: where a
-    /// destination has not answered yet, its grants have their time first.
+    /// Returns the minimum number of milliseconds from one step of a return to the next.
+    ///
+    /// Each order voids outstanding grants. Where a destination has not answered yet, the step
+    /// therefore waits until its grants have expired.
     fn least_step_ms(&self, name: &str, zone: &Zone) -> u32 {
         let interval_ms = self.readmission_interval_ms();
         let all_answer = zone.out.iter().all(|(destination, _)| {
@@ -387,8 +395,8 @@
         }
     }
 
-    /// The zone that the evidence says to evacuate next, if any: where several fail, the one that
-    /// most reporters see fail.
+    /// Returns the next evacuation that the evidence calls for, if any: of several failing zones,
+    /// the one that most reporters see failing.
     fn decide_evacuation(&self, record: &Record) -> Option<ZoneDecision> {
         let mut failing: Vec<FailingZone<'_>> = self.failing_zones();
         failing.sort_by_key(|zone| Reverse(zone.seen_by));
@@ -426,10 +434,11 @@
     }
 }
 
-/// A zone that is judged to fail.
+/// A zone that is judged to be failing.
 struct FailingZone<'a> {
     name: &'a str,
-    /// Reporters that see it fail, of those that call there.
+    /// Number of reporters that see it failing.
     seen_by: usize,
+    /// Number of reporters that call it.
     of: usize,
 }
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -1,9 +1,9 @@
 //! Leases of senders, and the heartbeats by which the leader proves that it still leads.
 //!
-//! Owns the times of [`leader`](super)'s section on leases: how much longer than the agent the
-//! leader counts a lease, for how long a heartbeat in the record is valid, and when a lease has
-//! lapsed. Whether a sender's routing-table lease in the federation bars its renewal is asked of
-//! the cutover.
+//! This module implements the timing of [`leader`](super)'s section on leases: how much longer the
+//! leader counts a lease than the agent does, how long an applied heartbeat is valid, and when a
+//! lease has expired. The cutover determines whether the site's lease in the federation forbids
+//! renewal.
 
 use crate::coordination::leader::announce::send_view;
 use crate::coordination::leader::{ConnectionId, Effect, LeaderDuties, PROPOSAL_TIMEOUT};
@@ -13,14 +13,14 @@
 use crate::Nanos;
 use std::collections::VecDeque;
 
-/// Nanoseconds that the leader counts for each millisecond of a lease: 102 in 100, more than any
-/// other clock counts. Invariant: the agent's lease always ends before the leader's.
+/// Nanoseconds that the leader counts for each millisecond of a lease: 102 %, more than any other
+/// clock counts. Invariant: the agent's lease always ends before the leader's.
 const LEADER_SIDE_NANOS_PER_MS: Nanos = 1_020_000;
-/// Most heartbeats that are waited for; those before are lost.
+/// Maximum number of pending heartbeats; when it is exceeded, the oldest counts as lost.
 const MAX_PENDING_HEARTBEATS: usize = 64;
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// A heartbeat that was proposed and is not in the record yet.
+/// A heartbeat that was proposed and has not been applied to the record yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingHeartbeat {
     number: u64,
@@ -36,11 +36,11 @@
 pub(super) struct Heartbeats {
     pending: VecDeque<PendingHeartbeat>,
     last_number: u64,
-    /// Up to when time is counted on the record's clock.
+    /// Time up to which this leader has added time to the record's clock.
     counted_until: Nanos,
-    /// Nobody here knows for how long nobody counted before this term.
+    /// Whether the length of the gap before this term, in which no leader counted, is unknown.
     has_unknown_gap: bool,
-    /// Leases may be renewed until then.
+    /// Time until which leases may be renewed.
     leadership_valid_until: Nanos,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Counts the time from when a leader was last seen, where that is known.
+    /// Starts counting at the time at which a leader was last seen, if that is known.
     pub(super) fn count_since(&mut self, now: Nanos, last_leader_seen: Option<Nanos>) {
         self.counted_until = last_leader_seen.unwrap_or(now);
         self.has_unknown_gap = last_leader_seen.is_none();
@@ -65,8 +65,8 @@
         self.last_number == 0 || now >= self.counted_until + ms(interval_ms)
     }
 
-    /// The whole milliseconds that have passed and were not counted yet. What is left of a
-    /// millisecond counts with the next heartbeat.
+    /// Returns the whole milliseconds that have passed and were not counted yet, and marks them as
+    /// counted. The remaining fraction of a millisecond is counted by the next heartbeat.
     fn count_milliseconds(&mut self, now: Nanos) -> u32 {
         let passed = (now - self.counted_until) / NANOS_PER_MS;
         let passed = passed.min(u64::from(u32::MAX)) as u32;
@@ -74,7 +74,7 @@
         passed
     }
 
-    /// Notes a heartbeat that is being proposed and returns its number.
+    /// Records a heartbeat that is being proposed and returns its number.
     fn add_pending(&mut self, now: Nanos) -> u64 {
         self.last_number += 1;
         if self.pending.len() >= MAX_PENDING_HEARTBEATS {
@@ -87,8 +87,8 @@
         self.last_number
     }
 
-    /// Notes that the record has a heartbeat of this term: leadership is proved for some time
-    /// after it was proposed.
+    /// Records that a heartbeat of this term was applied: leadership is proved for `valid_ms` after
+    /// the heartbeat was proposed.
     fn on_applied(&mut self, number: u64, valid_ms: u32) {
         while let Some(heartbeat) = self.pending.front().copied() {
             if heartbeat.number > number {
@@ -102,8 +102,8 @@
 }
 
 impl LeaderDuties {
-    /// Proposes a heartbeat where one is due. It carries the time that has passed since the last
-    /// one to the record's clock.
+    /// Proposes a heartbeat if one is due. The heartbeat adds the time since the last one to the
+    /// record's clock.
     pub(super) fn propose_heartbeat(
         &mut self,
         now: Nanos,
@@ -124,8 +124,9 @@
         }));
     }
 
-    /// Milliseconds that the first heartbeat counts for a gap that nobody knows: all that is left
-    /// of the lease in the federation, as a later leader would believe that.
+    /// Returns the milliseconds that the first heartbeat counts for a gap of unknown length: the
+    /// whole remaining lease in the federation, as a later leader would otherwise believe that the
+    /// lease is still valid.
     fn unknown_gap_ms(&mut self, record: &Record) -> u32 {
         if !std::mem::take(&mut self.heartbeats.has_unknown_gap) {
             return 0;
@@ -134,7 +135,7 @@
         lease_left_ms.min(u64::from(u32::MAX)) as u32
     }
 
-    /// Takes a heartbeat that is in the record. One of another term proves nothing.
+    /// Handles a heartbeat that was applied to the record. One of another term proves nothing.
     pub(super) fn on_heartbeat_applied(
         &mut self,
         now: Nanos,
@@ -156,19 +157,20 @@
         now < self.heartbeats.leadership_valid_until
     }
 
-    /// Until when a lease that is given now counts here.
+    /// Returns the time at which a lease that is granted now expires by the leader's clock.
     pub(super) fn lease_until(&self, now: Nanos) -> Nanos {
         now + leader_side_lease(self.rules.lease_ms)
     }
 
-    /// Until when leases that earlier leaders may have renewed count here, at the start of a term.
+    /// Returns the time at which leases that earlier leaders may have renewed expire, counted from
+    /// the start of a term.
     pub(super) fn end_of_inherited_leases(&self, now: Nanos) -> Nanos {
         let rules = &self.rules;
         now + leader_side_lease(rules.lease_ms.saturating_add(rules.heartbeat_valid_ms))
     }
 
-    /// Renews the lease of the sender on a connection in answer to a report, or leaves the report
-    /// unanswered until leadership is proved.
+    /// Renews the lease of the sender on a connection in answer to a report. Leaves the report
+    /// unanswered until leadership is proved and the federation's lease permits renewal.
     pub(super) fn renew(
         &mut self,
         now: Nanos,
@@ -195,7 +197,7 @@
         send_view(now, session, record, effects);
     }
 
-    /// Answers the reports that were left unanswered, once leadership is proved.
+    /// Answers the pending reports once leadership is proved.
     pub(super) fn renew_unanswered(
         &mut self,
         now: Nanos,
@@ -216,14 +218,15 @@
         }
     }
 
-    /// Proposes the end of every session whose lease has lapsed.
+    /// Proposes the end of every session whose lease has expired.
     pub(super) fn end_lapsed_sessions(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         for (sender, session) in &mut self.sessions {
             if now < session.lease_until {
                 continue;
             }
             session.is_ending = true;
-            // Proposed again after this time, should it be lost; by then it has no connection.
+            // The end is proposed again after this time if the proposal is lost; by then the
+            // session has no connection.
             session.lease_until = now + PROPOSAL_TIMEOUT;
             effects.push(Effect::Propose(Command::ExpireSender {
                 sender: sender.clone(),
@@ -233,7 +236,7 @@
     }
 }
 
-/// A lease of so many milliseconds, counted longer than any other clock counts it.
+/// Returns the length of a lease as the leader counts it: longer than by any other clock.
 fn leader_side_lease(ms: u32) -> Nanos {
     Nanos::from(ms) * LEADER_SIDE_NANOS_PER_MS
 }
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -1,8 +1,9 @@
-//! Requests of operators: checked, proposed, and answered when the record has them.
+//! Requests of operators: validated, proposed, and answered when they have been applied to the
+//! record.
 //!
-//! Owns the orders that wait for the record, of which there is a bound. What an order on policies
-//! or tables means is worked out by the rollout and the cutover; an operator's order on the
-//! replicas themselves is the replica's matter and refused here.
+//! This module owns the pending orders, whose number is limited. The rollout and the cutover
+//! interpret orders on policies and tables. Orders on the replicas themselves are handled by the
+//! replica and rejected here.
 
 use crate::coordination::leader::{
     ConnectionId, Effect, LeaderDuties, PendingPolicyOrder, PendingTableOrder, PendingZoneOrder,
@@ -17,25 +18,25 @@
 use crate::coordination::routing_table::cutover::Cutover;
 use crate::Nanos;
 
-/// Most orders of each kind that wait for the record: more than operators have at hand, and few
-/// enough to look through.
+/// Maximum number of pending orders of each kind: more than operators issue at once, and few enough
+/// to search linearly.
 const MAX_PENDING_ORDERS: usize = 100;
-const TOO_MANY_ORDERS: &str = "too many orders wait; again in a second";
+const TOO_MANY_ORDERS: &str = "too many orders are pending; retry in a second";
 const NO_FEDERATION: &str = "this site is in no federation";
 
-/// What an operator orders of a zone.
+/// An operator's order on a zone.
 struct ZoneRequest<'a> {
     zone: &'a str,
     wish: RequestedZoneState,
-    /// Seconds for which it holds; 0 until another one.
+    /// Seconds for which it is valid; 0 until the next order.
     for_seconds: u64,
 }
 
 impl LeaderDuties {
-    /// Takes an operator's request: answered at once, or when the record has it.
+    /// Handles an operator's request. The answer follows at once, or when the order has been applied
+    /// to the record.
     ///
-    /// Of the status, what the leader does not know (site, replicas) is left for the replica to
-    /// fill in.
+    /// The replica fills in the fields of the status that the leader does not know (site, replicas).
     pub fn on_operator_request(
         &mut self,
         now: Nanos,
@@ -71,7 +72,7 @@
             }
             OperatorRequest::PolicyText { number } => policy_text(*number, record),
             OperatorRequest::AddReplica { .. } | OperatorRequest::RemoveReplica { .. } => {
-                OperatorResponse::Rejected("keepers are not the office's to change".into())
+                OperatorResponse::Rejected("the list of keepers can't be changed here".into())
             }
         };
         effects.push(Effect::Reply(connection, answer));
@@ -98,11 +99,11 @@
         }
     }
 
-    /// The command that brings an order on a zone into the record.
+    /// Returns the command that applies an order on a zone to the record.
     ///
     /// # Errors
     ///
-    /// What the operator is answered at once, where there is nothing to propose.
+    /// Returns the immediate answer to the operator if there is nothing to propose.
     fn zone_command(
         &mut self,
         request: ZoneRequest<'_>,
@@ -125,8 +126,8 @@
         })
     }
 
-    /// For how long an order holds on the record's clock, which may be a heartbeat behind; 0 until
-    /// another one.
+    /// Returns the milliseconds for which an order is valid on the record's clock; 0 until the next
+    /// order. The clock may be one heartbeat interval behind, so that interval is added.
     fn order_duration_ms(&self, for_seconds: u64) -> u64 {
         if for_seconds == 0 {
             return 0;
@@ -136,15 +137,15 @@
             .saturating_add(u64::from(self.rules.heartbeat_interval_ms))
     }
 
-    /// Why an order on a zone is refused.
+    /// Returns why an order on a zone is rejected, if it is.
     fn zone_refusal(&self, request: &ZoneRequest<'_>, record: &Record) -> Option<String> {
         let name = request.zone;
         let zone = record.zones.get(name);
         if zone.is_none() && self.endpoint_lists.destination_count(name) == 0 {
-            return Some(format!("no list names a zone {name:?}"));
+            return Some(format!("no endpoint list names a zone {name:?}"));
         }
         if !record.has_room(name) {
-            return Some("the record names as many zones as it may".into());
+            return Some("the record already names the maximum number of zones".into());
         }
         let is_used = zone.is_none_or(|zone| zone.phase == Phase::Used);
         if request.wish == RequestedZoneState::Leave && is_used {
@@ -154,8 +155,8 @@
         None
     }
 
-    /// Takes an order on policies that came first at `received_at`: proposed on the turn that the
-    /// record has.
+    /// Handles an order on policies that was first received at `received_at`, and proposes it based
+    /// on the record's current turn.
     fn order_policy(
         &mut self,
         received_at: Nanos,
@@ -232,11 +233,11 @@
                 digest: table.digest,
                 text: table.text.clone(),
             },
-            None => OperatorResponse::Rejected(format!("no text of table {number} is held")),
+            None => OperatorResponse::Rejected(format!("the text of table {number} is not stored")),
         }
     }
 
-    /// Proposes a change of the federation's record.
+    /// Proposes a change to the federation's record.
     fn change_federation(
         &mut self,
         now: Nanos,
@@ -265,7 +266,7 @@
         effects.push(Effect::Reply(connection, answer));
     }
 
-    /// Proposes what the rollout does next by itself.
+    /// Proposes the next automatic change of the rollout, if one is due.
     pub(super) fn advance_rollout(
         &mut self,
         now: Nanos,
@@ -277,8 +278,8 @@
         }
     }
 
-    /// A change of policies was applied, or was void: answers whoever ordered it, and looks anew at
-    /// the orders that another change came before.
+    /// Handles a change of policies that was applied or was void: answers the operator who ordered
+    /// it, and re-evaluates the orders that another change preceded.
     pub(super) fn on_policy_change_applied(
         &mut self,
         now: Nanos,
@@ -313,8 +314,7 @@
         }
     }
 
-    /// Answers the operators whose orders on zones and policies did not come into the record in
-    /// time.
+    /// Rejects the orders on zones and policies that were not applied to the record in time.
     pub(super) fn refuse_timed_out_orders(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let has_timed_out = |received_at: Nanos| now >= received_at + ORDER_TIMEOUT;
         let mut refuse = |connection: ConnectionId| {
@@ -337,7 +337,7 @@
         });
     }
 
-    /// Forgets the orders that came over a connection.
+    /// Drops the pending orders that were received over a connection.
     pub(super) fn forget_orders_on(&mut self, connection: ConnectionId) {
         self.pending_zone_orders
             .retain(|order| order.connection != connection);
@@ -348,8 +348,8 @@
     }
 }
 
-/// Whether the record has exactly this order: then it is not written again. An order for some time
-/// always is, as its time begins anew.
+/// Whether the record already has exactly this order, so that it need not be written again. An order
+/// for a limited time is always written again, as its time starts over.
 fn is_recorded(request: &ZoneRequest<'_>, record: &Record) -> bool {
     let recorded = record.zones.get(request.zone).and_then(|zone| zone.request);
     if request.wish == RequestedZoneState::Free {
@@ -373,7 +373,7 @@
     }
 }
 
-/// A change of policies, based on the turn that the record has.
+/// Returns the proposal of a change of policies, based on the record's current turn.
 pub(super) fn propose_policy_change(record: &Record, change: Change) -> Effect {
     Effect::Propose(Command::ChangePolicies {
         base: record.policies.turn,
--- a/src/coordination/leader/returns.rs
+++ b/src/coordination/leader/returns.rs
@@ -1,5 +1,6 @@
-//! What ties the [recovery ramp] to the record: which zones are returned to, how each return goes,
-//! and the slices of calls that are proposed for them. Decides on no order.
+//! Connection between the [recovery ramp] and the record: the zones that are returning, the
+//! progress of each return, and the slices of calls that are proposed for them. This module makes
+//! no decision on orders.
 //!
 //! [recovery ramp]: crate::coordination::zones::recovery_ramp
 
@@ -11,11 +12,11 @@
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// How each return of the record goes.
+/// Progress of each return in the record, by zone.
 pub(super) type ReturnsProgress<'a> = BTreeMap<&'a str, ReturnProgress>;
 
 impl LeaderDuties {
-    /// Tells the recovery ramp which zones the record has as being returned to.
+    /// Passes the zones that are returning in the record to the recovery ramp.
     pub(super) fn follow_returns(&mut self, now: Nanos, record: &Record) {
         let returning = returning_zones(record).map(|(name, zone)| ReturningZone {
             name,
@@ -26,7 +27,7 @@
         self.recovery_ramp.follow(now, returning);
     }
 
-    /// Proposes the next slice of calls for each return whose last one is over.
+    /// Proposes the next slice of calls for each return whose last slice has ended.
     pub(super) fn reserve_slices(
         &mut self,
         now: Nanos,
@@ -38,7 +39,7 @@
             let evidence = &self.evidence;
             let headroom = self.rules.zones.headroom;
             let budget = |destination| {
-                // A destination that is not listed any more gets nothing.
+                // A destination that is no longer listed gets no budget.
                 let Some(listed) = lists.capacity(name, destination) else {
                     return DestinationBudget::default();
                 };
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Lets time pass for all returns, and says how each goes.
+    /// Advances all returns to `now` and returns the progress of each.
     pub(super) fn advance_returns<'a>(
         &mut self,
         now: Nanos,
@@ -81,7 +82,7 @@
             .collect()
     }
 
-    /// Starts the returns over that failed where an operator requests the return all the same.
+    /// Restarts the failed returns that an operator still requests.
     pub(super) fn restart_failed_returns(
         &mut self,
         record: &Record,
@@ -97,7 +98,7 @@
     }
 }
 
-/// The zones that the record has as being returned to.
+/// Returns the zones that are returning in the record.
 fn returning_zones(record: &Record) -> impl Iterator<Item = (&str, &Zone)> {
     record
         .zones
@@ -106,7 +107,7 @@
         .map(|(name, zone)| (name.as_str(), zone))
 }
 
-/// What an operator's request on a zone says, while it holds.
+/// Returns the state that an operator requests for a zone, while the request is valid.
 pub(super) fn requested_by_operator(zone: &Zone) -> Option<RequestedZoneState> {
     zone.request.map(|request| request.state)
 }
--- a/src/coordination/leader/rules.rs
+++ b/src/coordination/leader/rules.rs
@@ -1,29 +1,30 @@
-//! The settings that a leader goes by: `[rules]` of the keeper's file, with their permitted ranges.
+//! Settings of a leader: `[rules]` of the replica's configuration file, with their permitted
+//! ranges.
 //!
-//! The keys keep the spelling that the operators' files have; where a field has a clearer name
+//! The keys keep the spelling of existing configuration files; where a field has a clearer name
 //! here, `serde(rename)` gives the key.
 
 use crate::coordination::record::MAX_SENDERS;
 use crate::coordination::zones::ZoneRules;
 use serde::Deserialize;
 
-/// The settings that a leader goes by. Times are in milliseconds.
+/// Settings of a leader. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaderRules {
-    /// A sender's session holds for so long without a message from it.
+    /// Time for which a sender's session lasts without a message from the sender.
     pub lease_ms: u32,
-    /// Time between two heartbeats, by which a leader shows the record that it leads.
+    /// Time between two heartbeats, by which a leader proves that it still leads.
     #[serde(rename = "beat_ms")]
     pub heartbeat_interval_ms: u32,
-    /// A leader renews leases for so long after it proposed a heartbeat that the record has: two
-    /// heartbeats and a slow disk.
+    /// Time for which a leader renews leases after it proposed a heartbeat that was applied: two
+    /// heartbeat intervals and a write to a slow disk.
     #[serde(rename = "sure_ms")]
     pub heartbeat_valid_ms: u32,
-    /// Most senders with a session.
+    /// Maximum number of senders with a session.
     #[serde(rename = "most_senders")]
     pub max_senders: usize,
-    /// What zones are judged by.
+    /// Settings by which zones are judged.
     pub zones: ZoneRules,
 }
 
@@ -40,7 +41,8 @@
 }
 
 impl LeaderRules {
-    /// Every setting that is out of its range, named by its key; empty where all are valid.
+    /// Returns an error text for every setting that is out of its range, named by its key; empty if
+    /// all are valid.
     pub fn faults(&self) -> Vec<String> {
         let LeaderRules {
             lease_ms,
@@ -63,7 +65,7 @@
         let two_heartbeats = heartbeat_interval_ms.saturating_mul(2);
         if !(two_heartbeats..=60_000).contains(heartbeat_valid_ms) {
             faults.push(format!(
-                "rules.sure_ms: {heartbeat_valid_ms} is not from two beats to 60000"
+                "rules.sure_ms: {heartbeat_valid_ms} is not from twice beat_ms to 60000"
             ));
         }
         if !(1..=MAX_SENDERS).contains(max_senders) {
--- a/src/coordination/leader/rules/tests.rs
+++ b/src/coordination/leader/rules/tests.rs
@@ -1,6 +1,6 @@
 use crate::coordination::leader::LeaderRules;
 
-/// The keys of the operators' files stay, whatever the fields are called.
+/// Guards against a renamed field that changes the key of existing configuration files.
 #[test]
 fn every_settings_key_keeps_its_spelling_and_its_field() {
     let file = "
@@ -39,7 +39,7 @@
         [
             "rules.lease_ms: 499 is not from 500 to 60000",
             "rules.beat_ms: 99 is not from 100 to 10000",
-            "rules.sure_ms: 197 is not from two beats to 60000",
+            "rules.sure_ms: 197 is not from twice beat_ms to 60000",
             "rules.most_senders: 0 is not from 1 to 10000",
         ]
     );
--- a/src/coordination/leader/sessions.rs
+++ b/src/coordination/leader/sessions.rs
@@ -1,9 +1,9 @@
-//! Sessions of senders: how one begins, how it moves to another connection, and how it ends.
+//! Sessions of senders: their start, their move to another connection, and their end.
 //!
-//! A session begins when the record has the sender's `Join` and ends when it has its `Lapse`, so
-//! every later leader knows of it. Owns the maps between senders, connections and session ids.
-//! What a session's lease is renewed by is in `leases`; what is said in it, in `agent_messages`
-//! and `announce`.
+//! A session begins when the sender's [`Command::AddSender`] is applied to the record and ends when
+//! its [`Command::ExpireSender`] is, so every later leader knows of it. This module owns the maps
+//! between senders, connections and session ids. Renewal of a session's lease is in `leases`; the
+//! messages of a session are handled in `agent_messages` and `announce`.
 
 use crate::coordination::leader::{ConnectionId, Effect, LeaderDuties, PROPOSAL_TIMEOUT};
 use crate::coordination::messages::{AgentTableMessage, Digest, ReplicaToAgent};
@@ -11,29 +11,29 @@
 use crate::coordination::sender_registry::MAX_OFFERS_PER_ROUND;
 use crate::Nanos;
 
-/// Nanoseconds for which a session that is ending is not ended again while its sender joins anew:
-/// an end that came after that would end what begins now.
+/// Nanoseconds for which the end of an ending session is not proposed again while its sender joins
+/// anew: an end that is applied after the new session has begun would end the new session.
 const END_SUSPENDED: Nanos = 60 * PROPOSAL_TIMEOUT;
 
-/// What the leader knows of a sender that the record has as live.
+/// State of a sender that is live in the record, as the leader sees it.
 #[derive(Clone, Debug)]
 pub(super) struct Session {
     /// Unique within a term.
     pub(super) id: u32,
-    /// The sender's process.
+    /// Identifier of the sender's process.
     pub(super) boot: u64,
     pub(super) connection: Option<ConnectionId>,
-    /// When the lease has lapsed, as the leader counts it.
+    /// Time at which the lease expires by the leader's clock.
     pub(super) lease_until: Nanos,
-    /// The highest report that was counted.
+    /// Highest number of a report that was counted.
     pub(super) last_report: u64,
-    /// A report that is not answered yet, as leadership is not proved.
+    /// Report that is not answered yet because leadership is not proved.
     pub(super) unanswered_report: Option<u64>,
-    /// The version of the record that the sender goes by.
+    /// Version of the record that the sender applies.
     pub(super) record_version: u64,
-    /// The view that was sent last over this connection.
+    /// Last view that was sent over this connection.
     pub(super) last_view: Option<SentView>,
-    /// Its end is proposed.
+    /// Whether the end of the session has been proposed.
     pub(super) is_ending: bool,
 }
 
@@ -45,7 +45,8 @@
 }
 
 impl Session {
-    /// The connection on which the sender can be spoken to.
+    /// Returns the connection on which messages can be sent to the sender, unless the session is
+    /// ending.
     pub(super) fn open_connection(&self) -> Option<ConnectionId> {
         self.connection.filter(|_| !self.is_ending)
     }
@@ -55,7 +56,7 @@
     }
 }
 
-/// A sender that asked for a session which the record does not have yet.
+/// A sender that requested a session which has not been applied to the record yet.
 #[derive(Clone, Debug)]
 pub(super) struct JoiningSender {
     boot: u64,
@@ -63,11 +64,11 @@
     record_version: u64,
     pub(super) requested_at: Nanos,
     stored_policies: Option<Vec<(u64, Digest)>>,
-    /// Routing tables that it has stored, once it has said so.
+    /// Routing tables that it has stored, once it has reported them.
     stored_tables: Option<Vec<(u64, Digest)>>,
 }
 
-/// What a sender asks for a session with.
+/// A sender's request for a session.
 pub(super) struct SessionRequest<'a> {
     pub(super) sender: &'a str,
     pub(super) boot: u64,
@@ -76,7 +77,7 @@
     pub(super) stored_policies: Option<&'a [(u64, Digest)]>,
 }
 
-/// A sender that joined, as the record has it.
+/// A sender that joined, as applied to the record.
 pub(super) struct JoinedSender<'a> {
     pub(super) name: &'a str,
     pub(super) boot: u64,
@@ -84,7 +85,7 @@
 }
 
 impl LeaderDuties {
-    /// Adds a session without a connection, in place of any that the sender has.
+    /// Adds a session without a connection and replaces any earlier one of the sender.
     pub(super) fn add_session(
         &mut self,
         sender: &str,
@@ -122,39 +123,40 @@
         self.cutover.on_session_closed(sender);
     }
 
-    /// The session of the sender that spoke on a connection last.
+    /// Returns the session that uses a connection, also if the session is ending.
     pub(super) fn session_on_mut(&mut self, connection: ConnectionId) -> Option<&mut Session> {
         let sender = self.connections.get(&connection)?;
         self.sessions.get_mut(sender)
     }
 
-    /// The sender that has a session on a connection.
+    /// Returns the sender whose open session uses a connection.
     pub(super) fn sender_on(&self, connection: ConnectionId) -> Option<String> {
         let sender = self.connections.get(&connection)?;
         let session = self.sessions.get(sender)?;
         session.is_open_on(connection).then(|| sender.clone())
     }
 
-    /// The connection on which a sender that has a session can be spoken to.
+    /// Returns the connection on which messages can be sent to a sender that has a session.
     pub(super) fn connection_of(&self, sender: &str) -> Option<ConnectionId> {
         self.sessions.get(sender)?.open_connection()
     }
 
-    /// The sender that asked for a session on a connection and has none yet.
+    /// Returns the sender that requested a session on a connection and has none yet.
     fn joining_on_mut(&mut self, connection: ConnectionId) -> Option<&mut JoiningSender> {
         self.joining
             .values_mut()
             .find(|joining| joining.connection == connection)
     }
 
-    /// Whether a sender has asked for a session on a connection and has none yet.
+    /// Whether a sender has requested a session on a connection and has none yet.
     pub(super) fn is_joining_on(&self, connection: ConnectionId) -> bool {
         self.joining
             .values()
             .any(|joining| joining.connection == connection)
     }
 
-    /// Keeps the routing tables that a sender says it has stored until the record has its session.
+    /// Keeps the routing tables that a sender reports as stored until its session is applied to the
+    /// record.
     pub(super) fn keep_tables_of_joining(
         &mut self,
         connection: ConnectionId,
@@ -165,7 +167,7 @@
         }
     }
 
-    /// A sender asks for a session: goes on with the one that it has, or proposes one.
+    /// Handles a sender's request for a session: resumes an existing session or proposes a new one.
     pub(super) fn on_session_request(
         &mut self,
         now: Nanos,
@@ -180,7 +182,7 @@
             self.propose_session(now, connection, request, effects);
         } else {
             log::warn!(
-                "a sender finds no room sender={} most={}",
+                "sender not admitted: the limit of sessions is reached sender={} limit={}",
                 request.sender,
                 self.rules.max_senders
             );
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Whether the record and the leader have the session that is asked for, of the same process.
+    /// Whether both the record and the leader have the requested session, of the same process.
     fn has_session(&self, request: &SessionRequest<'_>, record: &Record) -> bool {
         let is_live = record.roster.get(request.sender).is_some_and(|member| {
             member.live && member.boot == request.boot && member.zone == request.home_zone
@@ -203,7 +205,7 @@
             || self.joining.contains_key(sender)
     }
 
-    /// Goes on with a session over another connection.
+    /// Resumes a session over another connection.
     fn resume_session(
         &mut self,
         now: Nanos,
@@ -226,12 +228,13 @@
         self.roll
             .meet(sender, request.boot, request.stored_policies);
         self.cutover.on_session_opened(sender, request.boot);
-        // Its lease never comes before what is in force.
+        // The sender gets the active policies before its lease is renewed.
         self.announce_policies(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
         self.renew(now, connection, 0, record, effects);
     }
 
-    /// Proposes a session; again where it was proposed so long ago that it is lost.
+    /// Proposes a session, and proposes it again if the proposal is older than
+    /// [`PROPOSAL_TIMEOUT`] and so counts as lost.
     fn propose_session(
         &mut self,
         now: Nanos,
@@ -264,7 +267,7 @@
         self.joining.insert(request.sender.to_string(), joining);
     }
 
-    /// Does not propose the end of a session again that is ending, as its sender joins anew.
+    /// Suspends the repeated proposal of an ending session's end, as its sender joins anew.
     fn suspend_end(&mut self, now: Nanos, sender: &str) {
         if let Some(session) = self.sessions.get_mut(sender) {
             if session.is_ending {
@@ -273,7 +276,7 @@
         }
     }
 
-    /// The record has a sender's session, or has no room for it.
+    /// Handles a sender's join that was applied to the record, or that the full roster rejected.
     pub(super) fn on_joined(
         &mut self,
         now: Nanos,
@@ -299,7 +302,7 @@
         }
     }
 
-    /// Sends a sender elsewhere, as the roster is full of senders that live.
+    /// Rejects a sender's request for a session, as the roster is full of live senders.
     fn refuse_joining(&mut self, sender: &str, boot: u64, effects: &mut Vec<Effect>) {
         let refused = self.joining.remove(sender);
         if let Some(refused) = refused.filter(|joining| joining.boot == boot) {
@@ -308,7 +311,7 @@
         }
     }
 
-    /// Adds the session of a sender that joined, unless the leader has it.
+    /// Adds the session of a sender that joined, unless the leader has it already.
     fn begin_or_keep_session(&mut self, now: Nanos, joined: &JoinedSender<'_>) {
         let session = self.sessions.get(joined.name);
         let kept = session.filter(|s| s.boot == joined.boot && !s.is_ending);
@@ -323,7 +326,8 @@
         self.add_session(joined.name, joined.boot, joined.home_zone, lease_until);
     }
 
-    /// Begins to speak to a sender whose session the record has by now.
+    /// Attaches the connection to a session that has been applied to the record, and sends the
+    /// first messages.
     fn connect_session(
         &mut self,
         now: Nanos,
@@ -349,7 +353,7 @@
         self.renew(now, connection, 0, record, effects);
     }
 
-    /// A sender ends its session.
+    /// Handles a sender's request to end its session.
     pub(super) fn on_leave(
         &mut self,
         now: Nanos,
@@ -364,13 +368,14 @@
         };
         session.is_ending = true;
         session.connection = None;
-        // The end is proposed again after this time, should it be lost.
+        // The end is proposed again after this time if the proposal is lost.
         session.lease_until = now + PROPOSAL_TIMEOUT;
         let boot = session.boot;
         effects.push(Effect::Propose(Command::ExpireSender { sender, boot }));
     }
 
-    /// The record has the end of a session. Invariant: it ends no session of a later process.
+    /// Handles the end of a session that was applied to the record. Invariant: it ends no session
+    /// of a later process.
     pub(super) fn on_lapsed(&mut self, sender: &str, boot: u64, record: &Record) {
         let Some(session) = self.sessions.get(sender).filter(|s| s.boot == boot) else {
             return;
@@ -384,8 +389,8 @@
         self.remove_session(sender);
     }
 
-    /// A connection is gone. A session goes on until its lease lapses; the operator's orders that
-    /// wait on the connection are answered to nobody.
+    /// Handles the loss of a connection. Its session continues until the lease expires; orders of
+    /// an operator that are pending on the connection get no answer.
     pub fn on_disconnect(&mut self, connection: ConnectionId) {
         if let Some(sender) = self.connections.remove(&connection) {
             if let Some(session) = self.sessions.get_mut(&sender) {
@@ -397,7 +402,7 @@
         self.forget_orders_on(connection);
     }
 
-    /// Forgets the connections of sessions that are ending or over.
+    /// Removes the connections of sessions that are ending or have ended.
     pub(super) fn drop_connections_without_session(&mut self) {
         let sessions = &self.sessions;
         self.connections
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -1,6 +1,6 @@
-//! What an operator is told of senders and zones. Reads the leader's state and changes nothing.
+//! Status of senders and zones for operators. Reads the leader's state and changes nothing.
 //!
-//! The texts are the status output of `raildeal fleet`, which operators' scripts read.
+//! The texts are the status output of `raildeal fleet`, which operators' scripts parse.
 
 use crate::coordination::leader::LeaderDuties;
 use crate::coordination::messages::{CoordinationStatus, RequestedZoneState};
@@ -8,7 +8,7 @@
 use crate::coordination::zones::evidence::ZoneVerdict;
 use std::collections::BTreeMap;
 
-/// What the status says of a zone.
+/// Status of a zone.
 struct ZoneLine {
     ordered: String,
     why: String,
@@ -24,7 +24,7 @@
 }
 
 impl LeaderDuties {
-    /// The status, without what the replica fills in.
+    /// Returns the status, without the fields that the replica fills in.
     pub(super) fn status(&self, record: &Record) -> CoordinationStatus {
         let (live, lapsed): (Vec<_>, Vec<_>) =
             record.roster.iter().partition(|(_, member)| member.live);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// One line for each zone that is listed, recorded, or judged.
+    /// Returns one line for each zone that is listed, recorded, or judged.
     fn zone_lines(&self, record: &Record) -> BTreeMap<String, ZoneLine> {
         let mut lines = BTreeMap::new();
         for zone in self.endpoint_lists.zones() {
@@ -100,7 +100,7 @@
         )
     }
 
-    /// What is observed of a zone; nothing where it is healthy.
+    /// Describes the verdict on a zone; `None` if it is healthy.
     fn describe_verdict(
         &self,
         name: &str,
@@ -126,7 +126,7 @@
     }
 }
 
-/// An operator's request on a zone, and for how long it still holds.
+/// Describes an operator's request on a zone and its remaining time.
 fn describe_request(wish: ZoneOverride, clock_ms: u64) -> String {
     let until = match wish.until_ms {
         0 => "until another word".to_string(),
@@ -144,8 +144,8 @@
     format!("; a person's word: {request}, {until}")
 }
 
-/// For how many destinations a zone is evacuated, and by how large a share of the senders at the
-/// least.
+/// Describes for how many destinations a zone is evacuated, and the smallest share of the senders
+/// among them.
 fn describe_evacuation(evacuated: &[(u16, f32)]) -> String {
     let least_share = evacuated
         .iter()
