--- a/src/coordination/zones/counts.rs
+++ b/src/coordination/zones/counts.rs
@@ -1,19 +1,19 @@
-//! Counts of call outcomes, and the shares that follow from them. Used by `evidence` for what
-//! senders report and by `recovery_ramp` for the results of granted calls.
+//! Counts of call outcomes, and the shares computed from them. Used by `evidence` for the senders'
+//! reports and by `recovery_ramp` for the results of granted calls.
 
-/// Outcomes of recent calls, weighted: a count need not be a whole number.
+/// Weighted outcomes of recent calls; because of the weights, a count need not be an integer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RecentCounts {
     /// Calls that were accepted.
     pub accepted: f64,
-    /// Calls that were rejected unseen.
+    /// Calls that were rejected without being processed.
     pub rejected: f64,
     /// Calls that failed.
     pub failed: f64,
 }
 
-/// Least divisor of a share: without any call the share is 0 and not undefined.
-const LEAST_TOTAL: f64 = 1e-9;
+/// Minimum divisor of a share, so that the share is 0 and not undefined if there were no calls.
+const MIN_TOTAL: f64 = 1e-9;
 
 impl RecentCounts {
     pub(super) fn total(self) -> f64 {
@@ -21,7 +21,7 @@
     }
 
     pub(super) fn failure_share(self) -> f64 {
-        self.failed / self.total().max(LEAST_TOTAL)
+        self.failed / self.total().max(MIN_TOTAL)
     }
 
     /// Whether more calls failed than were answered.
@@ -29,12 +29,13 @@
         self.failed > self.accepted + self.rejected
     }
 
-    /// Share of the calls that reached the endpoint that was rejected.
+    /// Returns the rejected share of the calls that the endpoint answered.
     pub fn rejected_share(self) -> f64 {
-        self.rejected / (self.accepted + self.rejected).max(LEAST_TOTAL)
+        self.rejected / (self.accepted + self.rejected).max(MIN_TOTAL)
     }
 
-    /// The same less a standard error: one rejection in nine calls is chance.
+    /// Returns [`Self::rejected_share`] less one standard error, so that a single rejection in nine
+    /// calls counts as chance.
     pub fn rejected_share_lower_bound(self) -> f64 {
         share_lower_bound(self.rejected, self.accepted + self.rejected, 1.0)
     }
@@ -54,8 +55,8 @@
     }
 }
 
-/// The share `part / total`, less so many standard errors: the lower end of Wilson's interval,
-/// which holds for few calls as well.
+/// Returns the share `part / total` less `standard_errors`: the lower end of the Wilson score
+/// interval, which is also valid for few calls.
 pub(super) fn share_lower_bound(part: f64, total: f64, standard_errors: f64) -> f64 {
     if total <= 0.0 {
         return 0.0;
--- a/src/coordination/zones/evidence.rs
+++ b/src/coordination/zones/evidence.rs
@@ -1,24 +1,26 @@
-//! What senders report of zones, and what it says about them.
+//! Collection of the senders' reports on zones, and the verdicts that follow from them.
 //!
 //! A report consists of counts. [`Evidence`] keeps those of the last windows by zone (`window`),
-//! the load of each zone, and when each reporter was heard. `judgement` turns them into one
-//! [`ZoneVerdict`] a zone. A zone is judged in each window by four questions; it fails if all of
-//! them are answered with yes for [`ZoneRules::confirm_ms`]:
+//! the load of each zone, and the time of each reporter's last report. `judgement` derives one
+//! [`ZoneVerdict`] per zone. A zone is judged in each window by four questions; it fails if the
+//! answer to all of them is yes for [`ZoneRules::confirm_ms`]:
 //!
-//! 1. Do its calls fail: is the share of failures, less some standard errors, over
-//!    [`ZoneRules::failure_share`]? Rejections are no failures.
-//! 2. Is it the zone: do [`ZoneRules::destination_share`] of the destinations called there fail,
-//!    and two at least where it lists two? A destination that fails in most other zones as well
-//!    is at fault itself and counts for neither side.
-//! 3. Do most reporters that call there see it, both by what they send (each up to
-//!    [`ZoneRules::max_reporter_weight`]) and by head?
+//! 1. Do its calls fail: is the share of failures, less
+//!    [`standard_errors`](ZoneRules::standard_errors), at least [`ZoneRules::failure_share`]?
+//!    Rejections do not count as failures.
+//! 2. Is the zone the cause: do [`ZoneRules::destination_share`] of the destinations called there
+//!    fail, and at least two if it lists two? A destination that fails in most other zones as well
+//!    is the cause itself and is left out of the count.
+//! 3. Do most reporters that call the zone see the failure, counted both by calls (each reporter up
+//!    to [`ZoneRules::max_reporter_weight`]) and by reporters?
 //! 4. Are they in more than [`ZoneRules::home_zone_share`] of the home zones of its reporters?
 //!
-//! A reporter that sees all other zones fail is isolated itself and counts for none; so are all
-//! reporters of a home zone, where the sum of what they see says so. Where few of the senders
-//! report, the replicas are isolated, and nothing is judged.
+//! A reporter that sees all zones but its own failing is isolated itself and does not count. The
+//! same applies to all reporters of a home zone if their summed counts show this. If few of the
+//! senders report, the replicas are isolated, and no zone is judged.
 //!
-//! The leader owns one [`Evidence`] for its term and is the only caller. It decides nothing here.
+//! The leader owns one [`Evidence`] for its term and is the only caller. This module makes no
+//! decisions.
 
 use crate::coordination::messages::{CallCounts, ZoneCallCounts};
 use crate::coordination::zones::{ms, RecentCounts, ZoneRules};
@@ -34,10 +36,10 @@
 use load::LoadHistory;
 use window::{HangingCalls, Observation, ReporterDestination, Window};
 
-/// Milliseconds for which a reported number of hanging calls is valid: five reports.
+/// Milliseconds for which a reported number of hanging calls is valid: five report intervals.
 const HANGING_VALID_MS: u32 = 1_000;
-/// Most home zones that are told apart; reporters of any others count for the last one. Bounds
-/// what senders can make the leader keep, and fits the index's 16 bits.
+/// Maximum number of distinct home zones; reporters of any others count for the last one. Bounds
+/// the memory that senders can make the leader use, and fits the index's 16 bits.
 const MAX_HOME_ZONES: usize = 256;
 
 /// A reporter: the number of a sender's session within one leader's term.
@@ -46,10 +48,10 @@
 /// Position of a home zone in [`Evidence::home_zones`].
 type HomeZoneIndex = u16;
 
-/// What is kept of one zone.
+/// Recent observations of one zone.
 #[derive(Clone, Debug, Default)]
 struct ZoneObservations {
-    /// In the order in which they were reported.
+    /// Observations in the order in which they were reported.
     observations: VecDeque<Observation>,
     hanging: BTreeMap<ReporterDestination, HangingCalls>,
     load: BTreeMap<u16, LoadHistory>,
@@ -57,7 +59,7 @@
 }
 
 impl ZoneObservations {
-    /// The observations of the last `span_ms`, the newest first.
+    /// Returns the observations of the last `span_ms`, the newest first.
     fn recent(&self, now: Nanos, span_ms: u32) -> impl Iterator<Item = &Observation> {
         self.observations
             .iter()
@@ -70,7 +72,7 @@
     }
 }
 
-/// All that senders have reported of zones and that is recent enough to count.
+/// The senders' reports on zones that are recent enough to count.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     rules: ZoneRules,
@@ -79,7 +81,7 @@
     home_zones: Vec<String>,
     home_zone_of: BTreeMap<ReporterId, HomeZoneIndex>,
     last_report_at: BTreeMap<ReporterId, Nanos>,
-    /// Observations of all zones together.
+    /// Number of observations of all zones.
     observation_count: usize,
 }
 
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Notes the zone that a reporter runs in.
+    /// Records the zone in which a reporter runs.
     pub fn add_reporter(&mut self, reporter: ReporterId, home_zone: &str) {
         let known = self.home_zones.iter().position(|zone| zone == home_zone);
         let index = known.unwrap_or_else(|| self.add_home_zone(home_zone));
@@ -111,17 +113,17 @@
         self.home_zones.len() - 1
     }
 
-    /// Forgets a reporter whose session is over; what it observed expires by its age.
+    /// Removes a reporter whose session has ended; its observations expire by their age.
     pub fn remove_reporter(&mut self, reporter: ReporterId) {
         self.home_zone_of.remove(&reporter);
         self.last_report_at.remove(&reporter);
     }
 
-    /// Takes the counts of one report.
+    /// Records the counts of one report.
     ///
-    /// `max_load` gives, for a zone and destination, the most accepted calls of one report that
-    /// count as load; nothing where no list names the zone. Counts of such a zone are dropped:
-    /// names made up by one reporter must not fill the tables.
+    /// `max_load` returns, for a zone and destination, the maximum number of accepted calls of one
+    /// report that count as load; `None` if no list names the zone and destination. Their counts are
+    /// dropped, as names invented by one reporter must not fill the tables.
     pub fn record_report(
         &mut self,
         now: Nanos,
@@ -148,7 +150,7 @@
         self.drop_surplus_observations();
     }
 
-    /// Drops the oldest observations of the zone that has most, down to the limit of all.
+    /// Drops the oldest observations of the zone with the most, down to the limit for all zones.
     fn drop_surplus_observations(&mut self) {
         while self.observation_count > self.rules.max_observations {
             let longest = self
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Drops what is too old to count for anything.
+    /// Drops observations that are too old to count.
     pub fn expire(&mut self, now: Nanos) {
         let longest_window = self.rules.windows_ms.last().copied().unwrap_or(0);
         let max_age = ms(longest_window.max(self.rules.silent_ms));
@@ -178,7 +180,7 @@
             .sum();
     }
 
-    /// Calls a second that a zone accepted for a destination, over
+    /// Returns the calls per second that a zone accepted for a destination, averaged over
     /// [`ZoneRules::load_window_ms`].
     pub fn load_per_second(&self, zone: &str, destination: u16) -> f64 {
         let load = self
@@ -188,7 +190,7 @@
         load.map_or(0.0, |load| load.per_second(self.rules.load_window_ms))
     }
 
-    /// Outcomes of calls to a zone in the last `span_ms`, by destination.
+    /// Returns the outcomes of calls to a zone in the last `span_ms`, by destination.
     pub fn recent_counts(
         &self,
         zone: &str,
@@ -204,12 +206,13 @@
         window.by_destination(&weights, |_| true)
     }
 
-    /// The home zone of a reporter; that of an unknown reporter counts as the first one.
+    /// Returns the index of a reporter's home zone; that of the first zone if the reporter is
+    /// unknown.
     fn home_zone_index(&self, reporter: ReporterId) -> HomeZoneIndex {
         self.home_zone_of.get(&reporter).copied().unwrap_or(0)
     }
 
-    /// Whether a reporter runs in this zone.
+    /// Whether a zone is the home zone of a reporter.
     fn is_home_zone(&self, reporter: ReporterId, zone: &str) -> bool {
         let index = usize::from(self.home_zone_index(reporter));
         self.home_zones.get(index).is_some_and(|home| home == zone)
@@ -217,7 +220,7 @@
 }
 
 impl ZoneObservations {
-    /// Replaces what a reporter said before of calls that hang.
+    /// Replaces the number of hanging calls that a reporter reported before.
     fn record_hanging(
         &mut self,
         now: Nanos,
@@ -240,8 +243,8 @@
         self.hanging.insert(key, hanging);
     }
 
-    /// Drops observations of `max_age` and more, hanging calls that were not reported again, and
-    /// load of intervals that are over.
+    /// Drops observations of at least `max_age`, hanging calls that were not reported again, and
+    /// load of intervals that have left the load window.
     fn expire(&mut self, now: Nanos, max_age: Nanos, interval: u64) {
         while self
             .observations
--- a/src/coordination/zones/evidence/judgement.rs
+++ b/src/coordination/zones/evidence/judgement.rs
@@ -1,4 +1,4 @@
-//! The verdict on each zone: the four questions of [`evidence`](super), asked in each window.
+//! Verdicts on zones: the four questions of [`evidence`](super), answered for each window.
 
 use crate::coordination::zones::counts::share_lower_bound;
 use crate::coordination::zones::evidence::window::{ReporterWeights, Window};
@@ -9,28 +9,28 @@
 use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a zone is judged to be.
+/// Verdict on a zone.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ZoneVerdict {
-    /// Nothing says that it fails.
+    /// There is no evidence of a failure.
     Healthy,
-    /// Something fails there, but too little is observed to say what.
+    /// Calls fail, but there is too little evidence to determine the cause.
     Unclear,
-    /// Only these destinations fail there.
+    /// Only these destinations fail in the zone.
     FailingDestinations(Vec<u16>),
-    /// Reporters that run in these home zones see it fail, and the others do not.
+    /// Reporters that run in these home zones see it failing, and the others do not.
     SeenFromHomeZones(Vec<String>),
     /// The zone fails.
     Failing {
-        /// Reporters that see it fail.
+        /// Number of reporters that see it failing.
         seen_by: usize,
-        /// Reporters that call there.
+        /// Number of reporters that call it.
         of: usize,
     },
 }
 
 impl ZoneVerdict {
-    /// Order in which one verdict goes before another of the same zone, from another window.
+    /// Returns the precedence of a verdict over verdicts on the same zone from other windows.
     fn severity(&self) -> u8 {
         match self {
             ZoneVerdict::Healthy => 0,
@@ -42,18 +42,18 @@
     }
 }
 
-/// One window of one zone, and what follows from it.
+/// One window of one zone, and its summary.
 struct ZoneWindow {
     window: Window,
     weights: ReporterWeights,
-    /// Without isolated reporters.
+    /// Counts by destination, without those of isolated reporters.
     destinations: BTreeMap<u16, RecentCounts>,
 }
 
-/// Names of zones, each with its window.
+/// Window of each zone, by name of the zone.
 type ZoneWindows<'a> = BTreeMap<&'a str, ZoneWindow>;
 
-/// How many of the zones that somebody calls fail, in its eyes.
+/// Number of zones that an observer calls, and of those that it sees failing.
 #[derive(Clone, Copy, Debug, Default)]
 struct FailingZones {
     failing: u32,
@@ -66,34 +66,37 @@
         self.called += 1;
     }
 
-    /// All zones fail, two at least: it is the observer that is isolated.
+    /// Whether the observer is isolated: it sees all of the zones that it calls failing, and calls at
+    /// least two.
     fn is_isolated(self) -> bool {
         self.called >= 2 && self.failing == self.called
     }
 }
 
-/// How many reporters of a home zone call a zone, and how many see it fail.
+/// Number of reporters of a home zone that call a zone, and of those that see it failing.
 #[derive(Clone, Copy, Debug, Default)]
 struct HomeZoneView {
     seeing: usize,
     calling: usize,
 }
 
-/// Who sees a zone fail.
+/// Reporters that call a zone.
 #[derive(Debug, Default)]
 struct ZoneReporters {
-    /// Reporters that call the zone, and those of them that see it fail.
+    /// Number of reporters that call the zone.
     calling: usize,
+    /// Number of those reporters that see it failing.
     seeing: usize,
-    /// Their calls, each reporter counted up to its weight.
+    /// Weighted calls of all reporters.
     calls: f64,
+    /// Weighted calls of the reporters that see the zone failing.
     calls_of_seeing: f64,
     by_home_zone: BTreeMap<HomeZoneIndex, HomeZoneView>,
 }
 
 impl ZoneReporters {
-    /// Home zones of which more than half the reporters see the zone fail: reporters that run
-    /// together see together.
+    /// Returns the home zones in which more than half of the reporters see the zone failing:
+    /// reporters in one home zone share its network faults and count as one observer.
     fn seeing_home_zones(&self) -> Vec<HomeZoneIndex> {
         self.by_home_zone
             .iter()
@@ -104,11 +107,11 @@
 }
 
 impl Evidence {
-    /// Judges every zone of which something is observed.
+    /// Judges every zone with recent failures.
     ///
-    /// `live_senders` is the number of senders with a session; `listed_destinations` says how
-    /// many destinations a zone lists. The zones that are evacuated are not asked whether a
-    /// destination fails elsewhere as well.
+    /// `live_senders` is the number of senders with a session; `listed_destinations` returns the
+    /// number of destinations that a zone lists. Evacuated zones are ignored when checking whether a
+    /// destination fails in other zones as well.
     pub fn judge(
         &mut self,
         now: Nanos,
@@ -127,7 +130,7 @@
         verdicts
     }
 
-    /// Whether so many senders report that what they say holds for all.
+    /// Whether enough senders report for the reports to represent all of them.
     fn enough_report(&self, now: Nanos, live_senders: usize) -> bool {
         let reporting = self
             .last_report_at
@@ -137,7 +140,7 @@
         reporting as f64 >= self.rules.reporting_share * live_senders as f64
     }
 
-    /// Holds a verdict of failure back until the zone has been failing for
+    /// Delays a verdict of failure until the zone has been failing for
     /// [`ZoneRules::confirm_ms`](crate::coordination::zones::ZoneRules::confirm_ms).
     fn require_confirmation(&mut self, now: Nanos, verdicts: &mut BTreeMap<String, ZoneVerdict>) {
         let confirm = ms(self.rules.confirm_ms);
@@ -153,7 +156,7 @@
         }
     }
 
-    /// The verdicts of one window, on the zones with any failed or hanging call.
+    /// Returns the verdicts of one window, on the zones with any failed or hanging call.
     fn judge_window(
         &self,
         now: Nanos,
@@ -161,8 +164,8 @@
         listed_destinations: &impl Fn(&str) -> usize,
         is_evacuated: &impl Fn(&str) -> bool,
     ) -> Vec<(String, ZoneVerdict)> {
-        // A quiet moment costs a look at each observation, and no tables.
-        if !self.zones.values().any(|z| z.has_trouble(now, span_ms)) {
+        // Without failures, no tables are built: only the observations are scanned.
+        if !self.zones.values().any(|z| z.has_failures(now, span_ms)) {
             return Vec::new();
         }
         let windows = self.windows(now, span_ms);
@@ -171,7 +174,7 @@
         let troubled = self
             .zones
             .iter()
-            .filter(|(_, z)| z.has_trouble(now, span_ms));
+            .filter(|(_, z)| z.has_failures(now, span_ms));
         let judged = troubled.map(|(name, _)| {
             let faulty = self.destinations_at_fault(name, &windows, is_evacuated);
             let zone = &windows[name.as_str()];
@@ -182,10 +185,10 @@
         judged.collect()
     }
 
-    /// The counts of every zone in a window.
+    /// Returns the counts of every zone in a window.
     fn windows(&self, now: Nanos, span_ms: u32) -> BTreeMap<&str, Window> {
-        // A failure has to be seen for `confirm_ms`: when it is believed, the zone has been
-        // silent for that much longer.
+        // A failure has to be seen for `confirm_ms`, so that the zone has been silent for
+        // `silent_ms` in total when the failure is confirmed.
         let silent_ms = self.rules.silent_ms.saturating_sub(self.rules.confirm_ms);
         let max_weight = self.rules.max_reporter_weight;
         self.zones
@@ -216,8 +219,8 @@
         windows.into_iter().map(summarize_one).collect()
     }
 
-    /// Destinations of a zone that fail in more than half of the other zones in which they are
-    /// called: the fault is the destination's own, wherever it runs.
+    /// Returns the destinations of a zone that fail in more than half of the other zones in which
+    /// they are called: the destination itself is the cause, whatever the zone.
     fn destinations_at_fault(
         &self,
         zone: &str,
@@ -244,7 +247,7 @@
             .collect()
     }
 
-    /// Asks the four questions of one zone.
+    /// Answers the four questions for one zone.
     fn judge_zone(
         &self,
         zone: &ZoneWindow,
@@ -294,14 +297,15 @@
             .collect()
     }
 
-    /// Question 2: whether so many of the destinations fail that it is the zone, and two at least
-    /// where it lists two.
+    /// Question 2: whether enough destinations fail for the zone to be the cause, and at least two
+    /// if it lists two.
     fn is_fault_of_zone(&self, failing: usize, counted: usize, listed: usize) -> bool {
         let needed = counted as f64 * self.rules.destination_share;
         failing as f64 >= needed.max(listed.min(2) as f64)
     }
 
-    /// Question 1: whether the share of failures, less some standard errors, is high enough.
+    /// Question 1: whether the share of failures, less the configured standard errors, is high
+    /// enough.
     fn fails_beyond_chance(&self, destinations: &BTreeMap<u16, RecentCounts>) -> bool {
         let mut sum = RecentCounts::default();
         for counts in destinations.values() {
@@ -311,13 +315,13 @@
         share >= self.rules.failure_share
     }
 
-    /// Question 4.
+    /// Question 4: whether reporters in enough home zones see the failure.
     fn is_seen_from_enough_home_zones(&self, seeing: usize, reporters: &ZoneReporters) -> bool {
         let home_zones = reporters.by_home_zone.len();
         seeing as f64 > self.rules.home_zone_share * home_zones as f64
     }
 
-    /// Question 3.
+    /// Question 3: whether enough reporters see the failure, by calls and by number.
     fn is_seen_by_enough_reporters(&self, reporters: &ZoneReporters) -> bool {
         let share = self.rules.reporter_share;
         reporters.seeing as f64 >= share * reporters.calling as f64
@@ -332,8 +336,8 @@
             .collect()
     }
 
-    /// Who calls a zone and who sees it fail, without isolated reporters and without the
-    /// destinations that are at fault themselves.
+    /// Counts the reporters that call a zone and those that see it failing, without isolated
+    /// reporters and without the destinations that are at fault themselves.
     fn zone_reporters(
         &self,
         zone: &ZoneWindow,
@@ -367,8 +371,9 @@
         reporters
     }
 
-    /// Reporters that see all zones but their own fail, two at least: it is they that are
-    /// isolated. Where that is so for the sum of a home zone's reporters, all of them.
+    /// Returns the isolated reporters: those that see all zones but their own failing, and call at
+    /// least two others. If the summed counts of a home zone's reporters meet this condition, all
+    /// of them are isolated.
     fn isolated_reporters(&self, windows: &BTreeMap<&str, Window>) -> BTreeSet<ReporterId> {
         let mut reporters: BTreeMap<ReporterId, FailingZones> = BTreeMap::new();
         let mut home_zones: BTreeMap<HomeZoneIndex, FailingZones> = BTreeMap::new();
@@ -407,7 +412,7 @@
     }
 }
 
-/// Takes the verdicts of one window over where they are more severe than those of the others.
+/// Merges the verdicts of one window into those of the others and keeps the most severe per zone.
 fn keep_most_severe(
     verdicts: &mut BTreeMap<String, ZoneVerdict>,
     judged: Vec<(String, ZoneVerdict)>,
@@ -422,12 +427,12 @@
 
 impl ZoneObservations {
     /// Whether any call hangs, or failed in the window.
-    fn has_trouble(&self, now: Nanos, span_ms: u32) -> bool {
+    fn has_failures(&self, now: Nanos, span_ms: u32) -> bool {
         !self.hanging.is_empty() || self.recent(now, span_ms).any(|seen| seen.failed > 0.0)
     }
 }
 
-/// Logs what a zone with failed calls was judged by.
+/// Logs the counts by which a zone with failed or hanging calls was judged.
 fn log_judgement(name: &str, span_ms: u32, zone: &ZoneWindow, verdict: &ZoneVerdict) {
     let mut sum = RecentCounts::default();
     for counts in zone.destinations.values() {
--- a/src/coordination/zones/evidence/tests.rs
+++ b/src/coordination/zones/evidence/tests.rs
@@ -1,7 +1,7 @@
 use crate::coordination::zones::counts::{share_lower_bound, RecentCounts};
 
 #[test]
-fn one_rejection_in_few_calls_is_chance() {
+fn one_rejection_in_nine_calls_does_not_exceed_the_limit() {
     let of = |accepted, rejected| {
         RecentCounts {
             accepted,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn few_calls_prove_little() {
+fn the_lower_bound_of_a_share_is_low_for_few_calls() {
     assert!(share_lower_bound(13.0, 13.0, 3.0) < 0.6 && share_lower_bound(14.0, 14.0, 3.0) > 0.6);
     assert!(share_lower_bound(60.0, 100.0, 3.0) < 0.5 && share_lower_bound(0.0, 0.0, 3.0) == 0.0);
 }
--- a/src/coordination/zones/evidence/window.rs
+++ b/src/coordination/zones/evidence/window.rs
@@ -1,4 +1,4 @@
-//! What one window of time shows of one zone.
+//! Counts of one zone in one window of time.
 
 use crate::coordination::messages::CallCounts;
 use crate::coordination::zones::evidence::{ReporterId, ZoneObservations};
@@ -6,18 +6,18 @@
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Answered calls that a zone may have, for each that hangs, and still count as silent: answers
-/// that were under way in the moment in which it fell silent.
+/// Maximum number of answered calls, per hanging call, with which a zone still counts as silent:
+/// answers that were already in transit when the zone stopped answering.
 const ANSWERED_PER_HANGING: f64 = 0.1;
 
-/// Who reported of which destination.
+/// A reporter and the destination of its calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ReporterDestination {
     pub(super) reporter: ReporterId,
     pub(super) destination: u16,
 }
 
-/// What one report says of calls to one zone and destination.
+/// Outcomes of calls to one zone and destination, from one report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Observation {
     pub(super) at: Nanos,
@@ -65,22 +65,22 @@
     }
 }
 
-/// Calls that a reporter has out for longer than usual, as of its last report.
+/// Calls of a reporter that are pending for longer than usual, as of its last report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HangingCalls {
     pub(super) reported_at: Nanos,
     pub(super) calls: f32,
 }
 
-/// The counts of one zone in one window, by reporter and destination.
+/// Counts of one zone in one window, by reporter and destination.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Window(BTreeMap<ReporterDestination, RecentCounts>);
 
-/// What each reporter's counts are multiplied by.
+/// Factor by which each reporter's counts are multiplied.
 pub(super) type ReporterWeights = BTreeMap<ReporterId, f64>;
 
 impl Window {
-    /// What came of calls in the last `span_ms`. Calls that hang are not part of it.
+    /// Returns the outcomes of calls in the last `span_ms`, without hanging calls.
     pub(super) fn of_outcomes(zone: &ZoneObservations, now: Nanos, span_ms: u32) -> Window {
         let mut window = Window::default();
         for observation in zone.recent(now, span_ms) {
@@ -90,8 +90,9 @@
         window
     }
 
-    /// The same, where calls that hang count as failed if the zone has answered next to none in
-    /// the last `silent_ms`: one that is slow still answers some, one that is dead none.
+    /// Returns the outcomes of calls in the last `span_ms`. Hanging calls count as failed if the zone
+    /// has answered almost none in the last `silent_ms`: a slow zone still answers some calls, a dead
+    /// one none.
     pub(super) fn with_hanging(
         zone: &ZoneObservations,
         now: Nanos,
@@ -109,12 +110,12 @@
         window
     }
 
-    /// Every reporter's counts of every destination that it called.
+    /// Returns every reporter's counts for every destination that it called.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&ReporterDestination, &RecentCounts)> {
         self.0.iter()
     }
 
-    /// What each reporter's counts are multiplied by, so that none counts for more calls than
+    /// Returns the factor for each reporter's counts, so that no reporter counts for more calls than
     /// `max_reporter_weight`.
     pub(super) fn reporter_weights(&self, max_reporter_weight: f64) -> ReporterWeights {
         let mut weights: ReporterWeights = BTreeMap::new();
@@ -128,7 +129,7 @@
         weights
     }
 
-    /// The weighted counts of each destination, of the reporters that `include` names.
+    /// Returns the weighted counts of each destination, of the reporters for which `include` is true.
     pub(super) fn by_destination(
         &self,
         weights: &ReporterWeights,
@@ -144,7 +145,7 @@
 }
 
 impl ZoneObservations {
-    /// Whether calls hang and next to none was answered in the last `silent_ms`.
+    /// Whether almost no call was answered in the last `silent_ms`, compared with the hanging calls.
     fn is_silent(&self, now: Nanos, silent_ms: u32, max_reporter_weight: f64) -> bool {
         let answered: f64 = self
             .recent(now, silent_ms)
--- a/src/coordination/zones/mod.rs
+++ b/src/coordination/zones/mod.rs
@@ -1,18 +1,18 @@
-//! Judgement of zones: whether one fails, how much of its traffic the others can take, and how
-//! fast one that was evacuated gets its traffic back.
+//! Judgement of zones: whether a zone fails, how much of its traffic the others can take, and how
+//! fast an evacuated zone gets its traffic back.
 //!
-//! - [`evidence`] collects what senders report and gives each zone a verdict.
-//! - [`spare_capacity`] knows what each zone lists, and how much of a zone's traffic the rest
-//!   can take when it is evacuated.
-//! - [`recovery_ramp`] is the budget of calls to a zone that is being returned to, handed out to
-//!   senders as leased grants.
-//! - [`rules`] are the settings of all three.
+//! - [`evidence`] collects the senders' reports and computes a verdict for each zone.
+//! - [`spare_capacity`] keeps the listed capacity of each zone, and computes how much of a zone's
+//!   traffic the other zones can take when it is evacuated.
+//! - [`recovery_ramp`] manages the budget of calls to a returning zone, which senders get as leased
+//!   grants.
+//! - [`rules`] contains the settings of all three.
 //!
-//! Nothing here decides: the [leader](crate::coordination::leader) brings the three together,
+//! This module makes no decisions. The [leader](crate::coordination::leader) combines the three,
 //! keeps one of each for its term, and proposes evacuations and returns; the
-//! [record](crate::coordination::record) holds what was agreed. Only the leader calls this
-//! module. It reads no clock and does no I/O: every function that depends on time is given `now`,
-//! in nanoseconds of the leader's monotonic clock.
+//! [record](crate::coordination::record) holds the agreed orders. Only the leader calls this
+//! module. It reads no clock and does no I/O: every function that depends on time takes `now`, in
+//! nanoseconds of the leader's monotonic clock.
 
 mod counts;
 pub mod evidence;
--- a/src/coordination/zones/recovery_ramp/budget.rs
+++ b/src/coordination/zones/recovery_ramp/budget.rs
@@ -1,10 +1,10 @@
-//! How many calls a second a destination of a zone that is being returned to may get.
+//! Permitted rate of calls to a destination of a returning zone.
 
 use crate::coordination::zones::ZoneRules;
 use crate::dispatch::slow_start::{self, SlowStartQuota};
 
-/// Calls a second that a zone may get for a destination, all senders together, after it has
-/// warmed up for `warmed_ms`. `listed_per_second` is 0 where no rate is listed.
+/// Returns the calls per second that a zone may get for a destination from all senders together,
+/// after a warm-up of `warmed_ms`. `listed_per_second` is 0 if no rate is listed.
 pub(super) fn calls_per_second(rules: &ZoneRules, listed_per_second: f64, warmed_ms: f64) -> f64 {
     let listed = if listed_per_second > 0.0 {
         listed_per_second
@@ -22,7 +22,7 @@
     capacity.min(ramp.rate)
 }
 
-/// The share of its listed rate that an endpoint takes after it has warmed up for `warmed_ms`.
+/// Returns the share of its listed rate that an endpoint takes after a warm-up of `warmed_ms`.
 pub(super) fn capacity_share(rules: &ZoneRules, warmed_ms: f64) -> f64 {
     let warmed_fraction = if rules.warmup_ms == 0 {
         1.0
--- a/src/coordination/zones/recovery_ramp/results.rs
+++ b/src/coordination/zones/recovery_ramp/results.rs
@@ -1,5 +1,5 @@
-//! Results of granted calls: when a zone and its destinations have answered, how far they have
-//! warmed up, and whether the return has failed.
+//! Results of granted calls: the first answers of a zone and its destinations, their warm-up, and
+//! the failure of a return.
 
 use crate::coordination::messages::CallCounts;
 use crate::coordination::zones::recovery_ramp::zone_return::{ReturningDestination, ZoneReturn};
@@ -7,56 +7,58 @@
 use crate::coordination::zones::{ms, RecentCounts, ZoneRules};
 use crate::Nanos;
 
-/// Once a probe has failed, the next ones come after this share of the time for which the zone has
-/// been probed: the end of an outage is found so much later than it was...
+/// Time from a failed probe to the next one, as a share of the time for which the zone has been
+/// probed. The end of an outage is detected later by at most this share.
 const PROBE_BACKOFF_SHARE: f64 = 0.1;
-/// ...and at the most by this share of the warm-up, which is short beside the return...
+/// Upper limit of that time as a share of the warm-up, so that it is short compared with the return.
 const MAX_PROBE_BACKOFF_WARMUP_SHARE: f64 = 0.1;
-/// ...or this many milliseconds, where that is longer.
-const LEAST_MAX_PROBE_BACKOFF_MS: f64 = 1_000.0;
-/// Seconds after which results weigh half as much: two seconds are some ten reports.
+/// Minimum of that upper limit, in milliseconds, for short warm-ups.
+const MIN_PROBE_BACKOFF_LIMIT_MS: f64 = 1_000.0;
+/// Seconds after which the weight of results is halved: two seconds are about ten reports.
 const RESULT_HALF_LIFE_SECONDS: f64 = 2.0;
-/// Share of a destination's results that are rejections from which it counts as overloaded: its
-/// warm-up waits, and nobody is readmitted.
+/// Share of rejections in a destination's results from which it counts as overloaded: its warm-up
+/// pauses, and no sender is readmitted.
 pub const OVERLOADED_REJECTED_SHARE: f64 = 0.2;
-/// Fewest results by which a destination counts as overloaded; with fewer it is chance.
+/// Minimum number of results from which a destination may count as overloaded; fewer are not
+/// significant.
 const MIN_RESULTS_FOR_OVERLOAD: f64 = 3.0;
-/// Share of the results that are failures from which a destination, or a return, has failed: what
-/// is called an outage elsewhere as well.
+/// Share of failures in the results from which a destination, or a return, has failed; the same
+/// share defines an outage in other modules.
 const FAILED_SHARE: f64 = 0.5;
-/// Fewest results by which a destination counts as failed; with fewer it is chance.
+/// Minimum number of results from which a destination may count as failed; fewer are not
+/// significant.
 const MIN_RESULTS_FOR_FAILURE: f64 = 5.0;
-/// Answers by which one sender is believed where no other was granted any call.
+/// Number of answers that confirm a destination if only one sender was granted calls.
 const MIN_ANSWERS_OF_LONE_SENDER: f64 = 3.0;
-/// Milliseconds, and the warm-up's on top, after which a return ends that nobody requests calls
-/// of: then it is enough that each sender limits itself.
+/// Milliseconds, in addition to the warm-up, after which a return ends if no sender requests calls:
+/// the limits of the individual senders then suffice.
 const UNUSED_AFTER_MS: u32 = 30_000;
-/// Milliseconds after a grant for which its results are waited for.
+/// Milliseconds after a grant until its outstanding results are given up.
 const RESULTS_DUE_MS: u32 = 30_000;
 
-/// Results of all destinations of a return.
+/// Sums of the results of all destinations of a return.
 #[derive(Clone, Copy, Debug, Default)]
 struct ResultTotals {
     results: f64,
     failed: f64,
 }
 
-/// How a return goes.
+/// Progress of a return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReturnProgress {
-    /// It goes on.
+    /// The return continues.
     Ongoing,
-    /// It had begun and failed.
+    /// Answers had been confirmed, and the return has failed since.
     Failed,
-    /// Nobody calls there.
+    /// No sender calls the zone.
     Unused,
 }
 
 impl RecoveryRamp {
-    /// Takes what a sender tells of its calls to a destination.
+    /// Records a sender's results of calls to a destination.
     ///
-    /// Counts no more than the calls that were granted to the sender: the others are not of this
-    /// return.
+    /// Counts at most the number of calls that were granted to the sender: other calls do not belong
+    /// to this return.
     pub fn record_results(
         &mut self,
         now: Nanos,
@@ -76,9 +78,9 @@
         zone_return.add_results(now, destination, &results);
     }
 
-    /// Counts the time since the last call for a zone's return: destinations warm up unless they
-    /// are overloaded, and results fade. `is_held` is the operator's order to leave all as it is:
-    /// then nothing warms up and nothing fails.
+    /// Advances a zone's return to `now`: destinations warm up unless they are overloaded, and the
+    /// weight of results decays. `is_held` is set if an operator has ordered that the zone's state
+    /// is kept: then no destination warms up and the return does not fail.
     pub fn advance(&mut self, now: Nanos, zone: &str, is_held: bool) -> ReturnProgress {
         let Some(zone_return) = self.returns.get_mut(zone) else {
             return ReturnProgress::Ongoing;
@@ -91,7 +93,7 @@
             if zone_return.begun_at.is_some() {
                 return ReturnProgress::Failed;
             }
-            // Nothing was readmitted yet: it is probed on, as a zone that does not answer.
+            // No sender was readmitted yet: probing continues, as for a zone that does not answer.
             zone_return.restart();
         }
         let unused_after = ms(UNUSED_AFTER_MS) + ms(self.rules.warmup_ms);
@@ -103,8 +105,9 @@
 }
 
 impl ZoneReturn {
-    /// What of a sender's counts are results of calls that were granted to it; nothing where none
-    /// are outstanding or the destination is not part of the return.
+    /// Returns the part of a sender's counts that are results of granted calls, and deducts it from
+    /// the outstanding calls; `None` if the sender was granted none or the destination is not part
+    /// of the return.
     fn take_outstanding(
         &mut self,
         sender: u32,
@@ -131,7 +134,7 @@
         })
     }
 
-    /// Notes the zone's first answer, or when it is probed next as it did not answer.
+    /// Records the zone's first answer, or sets the time of the next probe after a failed one.
     fn note_whether_zone_answers(&mut self, now: Nanos, results: &RecentCounts, rules: &ZoneRules) {
         if results.total() > 0.0 {
             self.last_used_at = now;
@@ -140,7 +143,7 @@
             return;
         }
         if results.accepted + results.rejected > 0.0 {
-            // It is back: what failed before tells of the time before.
+            // The zone is back: earlier failures belong to the outage.
             self.has_answered = true;
             self.failed_for.clear();
             for destination in self.destinations.values_mut() {
@@ -151,19 +154,19 @@
         }
     }
 
-    /// The time from a failed probe to the next one.
+    /// Returns the time from a failed probe to the next one.
     fn probe_backoff(&self, now: Nanos, rules: &ZoneRules) -> Nanos {
         let probed_for_ms = (now - self.since) as f64 / 1e6;
         let longest_ms = (f64::from(rules.warmup_ms) * MAX_PROBE_BACKOFF_WARMUP_SHARE)
-            .max(LEAST_MAX_PROBE_BACKOFF_MS);
+            .max(MIN_PROBE_BACKOFF_LIMIT_MS);
         let backoff_ms = (probed_for_ms * PROBE_BACKOFF_SHARE)
             .min(longest_ms)
             .max(f64::from(rules.slice_ms));
         ms(backoff_ms as u32)
     }
 
-    /// Notes who told of failures and of answers. That the zone answers is told by two senders;
-    /// from then on one is enough for each destination.
+    /// Records which senders reported failures and answers. Two senders have to confirm that the zone
+    /// answers; after that, one sender suffices for each destination.
     fn note_reporting_sender(&mut self, sender: u32, results: &RecentCounts) {
         if results.failed > 0.0 && self.failed_for.len() < MIN_CONFIRMING_SENDERS {
             self.failed_for.insert(sender);
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Adds results to a destination's; its warm-up begins with the first answer that is believed.
+    /// Adds results to those of a destination; its warm-up begins with the first confirmed answer.
     fn add_results(&mut self, now: Nanos, destination: u16, results: &RecentCounts) {
         let zone_is_believed = self.is_answer_confirmed();
         let has_lone_sender = self.granted_to.len() < MIN_CONFIRMING_SENDERS;
@@ -193,7 +196,8 @@
         }
     }
 
-    /// Lets time pass for all destinations. Returns the totals of the results before they faded.
+    /// Advances all destinations to `now`. Returns the sums of the results before their weight
+    /// decays.
     fn advance(&mut self, now: Nanos, is_held: bool, rules: &ZoneRules) -> ResultTotals {
         let passed_ms = (now - self.advanced_at) as f64 / 1e6;
         self.advanced_at = now;
@@ -210,7 +214,7 @@
         totals
     }
 
-    /// Whether so many results, of two senders at least, are failures that the return has failed.
+    /// Whether enough results, from at least two senders, are failures for the return to have failed.
     fn has_failed(&self, totals: ResultTotals, rules: &ZoneRules) -> bool {
         totals.results >= f64::from(rules.min_results)
             && totals.failed >= FAILED_SHARE * totals.results
@@ -232,13 +236,13 @@
         let has_failed =
             total >= MIN_RESULTS_FOR_FAILURE && self.results.failed >= FAILED_SHARE * total;
         if has_failed && !is_held {
-            // This one does not take its calls; the others may.
+            // This destination fails its calls; others of the zone may still answer.
             self.warmed_ms = None;
             self.results.accepted = 0.0;
         }
         let is_overloaded = total >= MIN_RESULTS_FOR_OVERLOAD
             && self.results.rejected >= OVERLOADED_REJECTED_SHARE * total;
-        // Without an answer there is no other count of failures than all of them.
+        // Before the first answer the results do not decay, so that all failures are counted.
         let Some(warmed_ms) = &mut self.warmed_ms else {
             return;
         };
--- a/src/coordination/zones/recovery_ramp/slices.rs
+++ b/src/coordination/zones/recovery_ramp/slices.rs
@@ -1,4 +1,5 @@
-//! Slices of a return's budget: reserved in the record, then granted to the senders that wait.
+//! Slices of a return's budget: reserved in the record, then granted to the senders that requested
+//! calls.
 
 use crate::coordination::messages::AttemptLeaseGrant;
 use crate::coordination::zones::recovery_ramp::budget;
@@ -10,37 +11,37 @@
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Calls of one destination in a slice before any has been answered there.
+/// Calls to one destination in a slice before the destination has answered any.
 const TRIAL_CALLS_PER_DESTINATION: f64 = 2.0;
-/// Calls in a slice where nothing of the zone has answered, until a result is told: a granted call
-/// finds a message in one of two cases.
+/// Calls in a slice while no destination of the zone has answered. Two, as only every second granted
+/// call finds a message to send.
 const PROBE_CALLS: f64 = 2.0;
-/// Calls of one destination in such a slice.
+/// Calls to one destination in such a slice.
 const PROBE_CALLS_PER_DESTINATION: f64 = 1.0;
 
-/// What the calls of one destination are reserved by.
+/// Rates from which the calls to one destination are reserved.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DestinationBudget {
-    /// Calls a second that are listed.
+    /// Listed calls per second.
     pub rate_per_second: f64,
-    /// The share of the senders that was moved out of it when the zone was evacuated.
+    /// Share of the senders that was moved out when the zone was evacuated.
     pub evacuated_share: f64,
-    /// Calls a second that those senders bring which have been readmitted since.
+    /// Expected calls per second of the senders that have been readmitted since.
     pub readmitted_per_second: f64,
 }
 
-/// A slice to be brought into the record.
+/// A slice that is to be proposed for the record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SliceReservation {
-    /// Numbers the slices of a term.
+    /// Number of the slice within the term.
     pub number: u64,
     /// Calls by destination.
     pub calls: Vec<(u16, u32)>,
-    /// By destination, for how long it has warmed up, in milliseconds.
+    /// Warm-up time by destination, in milliseconds.
     pub warmed_ms: Vec<(u16, u32)>,
 }
 
-/// How many calls a slice may have of destinations that have not answered yet.
+/// Limits on the calls of a slice to destinations that have not answered yet.
 #[derive(Clone, Copy, Debug)]
 struct TrialLimit {
     remaining: f64,
@@ -50,14 +51,14 @@
 /// Calls that a sender is granted.
 struct Granted {
     sender: u32,
-    /// The number of the report that requested them.
+    /// Number of the report that requested them.
     report: u64,
     calls: u32,
 }
 
 impl RecoveryRamp {
-    /// Reserves the next slice of a zone's budget; nothing while the last one runs or where no
-    /// call is requested. `budget` gives what there is for each destination.
+    /// Reserves the next slice of a zone's budget; `None` while the last slice is valid or if no call
+    /// is requested. `budget` returns the rates of each destination.
     pub fn reserve_slice(
         &mut self,
         now: Nanos,
@@ -80,7 +81,7 @@
         Some(zone_return.begin_slice(now, self.last_slice, calls))
     }
 
-    /// Notes that the record has a slice of this term: from now on it is granted of.
+    /// Records that a slice of this term was applied to the record; its calls may now be granted.
     pub fn on_slice_committed(&mut self, zone: &str, number: u64) {
         let slice = self
             .returns
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Grants the calls that may be begun now, and hands each grant to `send` with the sender that
-    /// it is for. A slice's calls come evenly over its time, to those that wait longest first.
+    /// Grants the calls that are due, and passes each grant to `send` with its sender. A slice's
+    /// calls are spread evenly over its time; the oldest requests are served first.
     pub fn issue_grants(&mut self, now: Nanos, mut send: impl FnMut(u32, AttemptLeaseGrant)) {
         for (zone, zone_return) in &mut self.returns {
             for (sender, grant) in zone_return.issue_grants(now, zone, &self.rules) {
@@ -104,7 +105,7 @@
 }
 
 impl ZoneReturn {
-    /// Whether the last slice is over, and the next probe is due where nothing answers.
+    /// Whether the last slice has ended and, if no destination answers, the next probe is due.
     fn may_reserve(&self, now: Nanos, rules: &ZoneRules) -> bool {
         let slice_is_over = self
             .slice
@@ -113,7 +114,8 @@
         slice_is_over && (self.has_answered || now >= self.next_probe_at)
     }
 
-    /// Takes the calls of a slice off the credit of the destinations that they are requested for.
+    /// Deducts the calls of a slice from the credit of the destinations for which they are
+    /// requested.
     fn reserve_calls(
         &mut self,
         now: Nanos,
@@ -150,8 +152,8 @@
         reserved
     }
 
-    /// Seconds since the last slice began. Credit saves up for one slice, so a moment without
-    /// senders is not made up for later.
+    /// Returns the seconds since the last slice began, at most two slices. Credit accumulates for one
+    /// slice only, so that a pause without senders is not made up for later.
     fn seconds_of_credit(&self, now: Nanos, rules: &ZoneRules) -> f64 {
         let slice_length = ms(rules.slice_ms);
         let since = self
@@ -161,8 +163,8 @@
         (now - since).min(2 * slice_length) as f64 / 1e9
     }
 
-    /// Until something answers, one call each of a few destinations; until two senders tell of
-    /// answers, a few calls of some.
+    /// Returns the limits on calls to destinations without an answer: one call each to a few
+    /// destinations until any answers, and a few calls to some until two senders report answers.
     fn trial_limit(&self, rules: &ZoneRules) -> TrialLimit {
         if !self.has_answered {
             return TrialLimit {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// All destinations in turn, from the one after that which was probed last.
+    /// Returns all destinations in cyclic order, starting after the last probed one.
     fn destinations_after_last_probed(&self) -> Vec<u16> {
         let last = self.last_probed.unwrap_or(u16::MAX);
         let mut destinations: Vec<u16> = self.destinations.keys().copied().collect();
@@ -214,7 +216,7 @@
         reservation
     }
 
-    /// Grants what is due of the slice, by destination.
+    /// Grants the calls of the slice that are due, by destination.
     fn issue_grants(
         &mut self,
         now: Nanos,
@@ -266,13 +268,13 @@
 }
 
 impl ReturningDestination {
-    /// Drops requests that are so old that a call granted now could come too late to be used.
+    /// Drops requests that are so old that a call granted now may arrive too late to be used.
     fn drop_late_requests(&mut self, now: Nanos, rules: &ZoneRules) {
         self.requests.retain(|request| !request.is_late(now, rules));
     }
 
-    /// Adds the credit of some time. A rate of less than one call a slice is saved up: credit
-    /// holds one slice and a whole call at the most.
+    /// Adds the credit of some time. A rate of less than one call per slice accumulates: credit is
+    /// limited to one slice plus a whole call.
     fn earn_credit(&mut self, seconds: f64, rules: &ZoneRules, budget: &DestinationBudget) {
         let warmed_ms = self.warmed_ms.unwrap_or(0.0);
         let for_all = budget::calls_per_second(rules, budget.rate_per_second, warmed_ms);
@@ -282,8 +284,8 @@
         self.credit = (self.credit + per_second * seconds).min(most);
     }
 
-    /// Takes whole calls off the credit, no more than are requested and no more than `most`.
-    /// Returns how many; none where that is less than one.
+    /// Deducts whole calls from the credit, at most those requested and at most `most`. Returns their
+    /// number; nothing is deducted if it is less than one.
     fn spend_credit(&mut self, most: f64) -> f64 {
         let requested: f64 = self
             .requests
@@ -297,8 +299,8 @@
         calls
     }
 
-    /// Shares calls out to those that wait, the longest first, in even parts. Requests that are
-    /// too old are dropped.
+    /// Distributes calls evenly among the queued requests, the oldest first. Requests that are too
+    /// old are dropped.
     fn serve_requests(&mut self, now: Nanos, mut calls: u32, rules: &ZoneRules) -> Vec<Granted> {
         let mut served = Vec::new();
         while calls > 0 {
@@ -322,15 +324,15 @@
 }
 
 impl GrantRequest {
-    /// Whether half of a grant's validity has passed since the report that requests it.
+    /// Whether half of a grant's validity has passed since the request was received.
     fn is_late(&self, now: Nanos, rules: &ZoneRules) -> bool {
         self.received_at + ms(rules.grant_validity_ms) / 2 <= now
     }
 }
 
 impl SliceCalls {
-    /// Calls that may be granted so long after the slice began: its even part, less what was
-    /// granted before.
+    /// Returns the calls that are due `elapsed` after the slice began: the proportional part of the
+    /// total, less the calls already granted.
     fn due(&self, elapsed: Nanos, slice_length: Nanos) -> u32 {
         let by_now = f64::from(self.total) * elapsed as f64 / slice_length as f64;
         let granted = self.total - self.remaining;
--- a/src/coordination/zones/recovery_ramp/zone_return.rs
+++ b/src/coordination/zones/recovery_ramp/zone_return.rs
@@ -1,73 +1,76 @@
-//! The state of one zone's return.
+//! State of one zone's return.
 
 use crate::coordination::zones::recovery_ramp::{ReturningZone, MIN_CONFIRMING_SENDERS};
 use crate::coordination::zones::RecentCounts;
 use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most senders that wait for calls of one zone and destination: as many as the record names.
-/// Any others ask again with their next report.
+/// Maximum number of senders with queued requests for one zone and destination: as many as the
+/// record names. Any others request again with their next report.
 const MAX_QUEUED_REQUESTS: usize = 10_000;
 
 /// One zone's return, in one leader's term.
 #[derive(Clone, Debug)]
 pub(super) struct ZoneReturn {
-    /// The epoch of the order that it follows.
+    /// Epoch of the order.
     pub(super) epoch: u64,
+    /// Time at which this leader learned of the return.
     pub(super) since: Nanos,
-    /// Up to when warm-up has been counted.
+    /// Time up to which warm-up has been counted.
     pub(super) advanced_at: Nanos,
-    /// When a call was requested or its result told last.
+    /// Time at which a call was last requested or its result reported.
     pub(super) last_used_at: Nanos,
     pub(super) destinations: BTreeMap<u16, ReturningDestination>,
-    /// The last slice, which may be over.
+    /// The last slice, which may have ended.
     pub(super) slice: Option<Slice>,
-    /// Something of the zone has answered since this return began, or was restarted.
+    /// Whether any destination has answered since this return began or was restarted.
     pub(super) has_answered: bool,
-    /// When two senders had told of answers.
+    /// Time at which answers were confirmed.
     pub(super) begun_at: Option<Nanos>,
-    /// Nothing is granted before this while nothing answers.
+    /// Time before which nothing is granted while no destination answers.
     pub(super) next_probe_at: Nanos,
-    /// The destination that was probed last while nothing answered.
+    /// The last destination without an answer for which calls were reserved.
     pub(super) last_probed: Option<u16>,
-    /// Granted calls whose results are not told yet, by sender.
+    /// Granted calls whose results have not been reported yet, by sender.
     pub(super) outstanding: BTreeMap<u32, OutstandingCalls>,
-    /// Senders that were granted calls; up to [`MIN_CONFIRMING_SENDERS`], as for the next two.
+    /// Senders that were granted calls; at most [`MIN_CONFIRMING_SENDERS`], as in the next two sets.
     pub(super) granted_to: BTreeSet<u32>,
-    /// Senders that told of an answer.
+    /// Senders that reported an accepted call.
     pub(super) answered_to: BTreeSet<u32>,
-    /// Senders that told of a failure.
+    /// Senders that reported a failed call.
     pub(super) failed_for: BTreeSet<u32>,
 }
 
-/// One destination of a zone that is being returned to.
+/// One destination of a returning zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReturningDestination {
-    /// For how long it has warmed up since its first answer; nothing before that.
+    /// Warm-up time since its first answer, in milliseconds; `None` before that.
     pub(super) warmed_ms: Option<f64>,
-    /// For how long the zone had been back before that answer without a failed call here.
+    /// Time before that answer for which the zone had been back and no call failed here, in
+    /// milliseconds.
     pub(super) zone_lead_ms: f64,
     pub(super) last_failure_at: Nanos,
-    /// Calls that may be reserved: rate saved up, one slice and a call at the most.
+    /// Number of calls that may be reserved: the rate accumulated over time, at most one slice and a
+    /// call.
     pub(super) credit: f64,
-    /// Results of granted calls; they fade once it has answered.
+    /// Results of granted calls; their weight decays once the destination has answered.
     pub(super) results: RecentCounts,
     pub(super) requests: VecDeque<GrantRequest>,
-    /// Calls were requested for it in this return.
+    /// Whether calls were requested for it in this return.
     pub(super) was_requested: bool,
 }
 
-/// A sender's request for calls of one destination.
+/// A sender's request for calls to one destination.
 #[derive(Clone, Debug)]
 pub(super) struct GrantRequest {
     pub(super) sender: u32,
-    /// The number of the report that it came with.
+    /// Number of the report that contained it.
     pub(super) report: u64,
     pub(super) received_at: Nanos,
     pub(super) calls: u32,
 }
 
-/// Calls that are reserved of the budget for [`slice_ms`].
+/// Calls of the budget that are reserved for [`slice_ms`].
 ///
 /// [`slice_ms`]: crate::coordination::zones::ZoneRules::slice_ms
 #[derive(Clone, Debug)]
@@ -75,7 +78,7 @@
     pub(super) number: u64,
     pub(super) begun_at: Nanos,
     pub(super) calls: BTreeMap<u16, SliceCalls>,
-    /// The record has it: nothing is granted of it before.
+    /// Whether it was applied to the record; no call of it is granted before.
     pub(super) is_committed: bool,
 }
 
@@ -83,11 +86,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SliceCalls {
     pub(super) total: u32,
-    /// Those that are not granted yet.
+    /// Calls that have not been granted yet.
     pub(super) remaining: u32,
 }
 
-/// Granted calls of a sender whose results are not told yet.
+/// Granted calls of a sender whose results have not been reported yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OutstandingCalls {
     pub(super) calls: u32,
@@ -95,8 +98,8 @@
 }
 
 impl ZoneReturn {
-    /// A return that this leader has just learned of. Where the record has a warm-up, the zone has
-    /// answered under an earlier leader.
+    /// Creates a return of which this leader has just learned. If the record contains a warm-up, the
+    /// zone has answered under an earlier leader.
     pub(super) fn new(now: Nanos, zone: &ReturningZone<'_>) -> ZoneReturn {
         let has_answered = !zone.warmed_ms.is_empty();
         ZoneReturn {
@@ -117,12 +120,12 @@
         }
     }
 
-    /// Takes over the epoch and the destinations that the record has.
+    /// Updates the epoch and the destinations to those of the record.
     pub(super) fn follow(&mut self, zone: &ReturningZone<'_>) {
         if self.epoch != zone.epoch {
             self.epoch = zone.epoch;
-            // What is left of the slice is lost, as grants of another epoch are void. Its time
-            // still counts: calls of it may yet begin.
+            // The remaining calls of the slice are dropped, as grants of another epoch are void.
+            // Its time still counts, as calls that were granted may still begin.
             if let Some(slice) = &mut self.slice {
                 slice.calls.clear();
             }
@@ -144,7 +147,7 @@
         }
     }
 
-    /// Queues a request for calls of a destination.
+    /// Queues a request for calls to a destination.
     pub(super) fn request(&mut self, now: Nanos, destination: u16, request: GrantRequest) {
         let Some(destination) = self.destinations.get_mut(&destination) else {
             return;
@@ -154,7 +157,7 @@
         destination.queue(request);
     }
 
-    /// Starts over as a zone that has not answered.
+    /// Restarts the return as that of a zone that has not answered.
     pub(super) fn restart(&mut self) {
         self.failed_for.clear();
         self.answered_to.clear();
@@ -166,14 +169,14 @@
         }
     }
 
-    /// Whether so many senders have told of answers that they are believed.
+    /// Whether enough senders have reported answers for the zone to count as back.
     pub(super) fn is_answer_confirmed(&self) -> bool {
         self.answered_to.len() >= MIN_CONFIRMING_SENDERS
     }
 }
 
 impl ReturningDestination {
-    /// Puts a request in the queue. A sender that waits already keeps its place.
+    /// Adds a request to the queue. A sender with a queued request keeps its position.
     fn queue(&mut self, request: GrantRequest) {
         let waiting = self
             .requests
--- a/src/coordination/zones/rules.rs
+++ b/src/coordination/zones/rules.rs
@@ -1,129 +1,132 @@
-//! The settings by which zones are judged: `[rules.zones]` of the keeper's file.
+//! Settings by which zones are judged: `[rules.zones]` of the replica's configuration file.
 //!
-//! Owns the keys, their defaults and their permitted ranges. The leader's own settings are in
+//! Defines the keys, their defaults and their permitted ranges. The leader's own settings are in
 //! [`leader::rules`](crate::coordination::leader::LeaderRules), which contains these.
 //!
-//! The keys keep the spelling that the operators' files have; where a field has a clearer name
+//! The keys keep the spelling of existing configuration files; where a field has a clearer name
 //! here, `serde(rename)` gives the key.
 
 use serde::Deserialize;
 
-/// The settings by which zones are judged. Times are in milliseconds, shares from 0 to 1.
+/// Settings by which zones are judged. Times are in milliseconds, shares from 0 to 1.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ZoneRules {
     /// Windows in which a zone is judged, the shortest first.
     ///
-    /// The first spans two reports of agents; the second lets a zone be evacuated in 1.5 s where
-    /// it gets some 20 calls a second; the last is for little traffic.
+    /// The first spans two reports of each agent; the second permits evacuation within 1.5 s of a
+    /// zone that gets about 20 calls per second; the last is for little traffic.
     pub windows_ms: Vec<u32>,
-    /// Share of a destination's calls that fail from which it counts as failing.
+    /// Share of failed calls from which a destination counts as failing.
     ///
-    /// Over a half, as one of two endpoints may be down.
+    /// More than a half, as one of two endpoints may be down.
     #[serde(rename = "fail_share")]
     pub failure_share: f64,
     /// Standard errors by which the observed share of failures has to exceed `failure_share`.
     ///
-    /// 3: one window in a thousand exceeds it by chance, and it has to happen twice.
+    /// With 3, one window in a thousand exceeds the share by chance, and two in succession are
+    /// required.
     #[serde(rename = "errors")]
     pub standard_errors: f64,
     /// Share of the destinations called in the zone that have to fail.
     #[serde(rename = "dest_share")]
     pub destination_share: f64,
-    /// Share of the reporters that call the zone that have to see it fail, both by what they send
-    /// and by head.
+    /// Share of the reporters calling the zone that have to see it failing, counted both by calls
+    /// and by reporters.
     pub reporter_share: f64,
-    /// Fewest reporters that have to see it fail.
+    /// Minimum number of reporters that have to see it failing.
     ///
-    /// Three: two that err together move nothing.
+    /// Three, so that two reporters with the same fault cause no evacuation.
     #[serde(rename = "least_reporters")]
     pub min_reporters: u32,
-    /// Most calls of one reporter that count in a window, so that no one outweighs the others.
+    /// Maximum number of calls of one reporter that count in a window, so that no reporter outweighs
+    /// the others.
     #[serde(rename = "most_weight")]
     pub max_reporter_weight: f64,
-    /// Share of the reporters' home zones that have to see it fail; more than that.
+    /// Share of the reporters' home zones that has to be exceeded by those that see it failing.
     #[serde(rename = "own_share")]
     pub home_zone_share: f64,
     /// Share of the senders with a session that have to report.
     ///
-    /// With fewer, the replicas themselves are cut off, and judge nothing.
+    /// If fewer report, the replicas themselves are isolated, and no zone is judged.
     #[serde(rename = "heard_share")]
     pub reporting_share: f64,
-    /// Calls that hang count as failures once a zone has answered none for so long, `confirm_ms`
-    /// included.
+    /// Time without an answer of a zone after which its hanging calls count as failures, including
+    /// `confirm_ms`.
     ///
-    /// Five reports of agents. A zone where every call takes longer than that cannot be told from
-    /// a dead one.
+    /// Equals five reports of an agent. A zone in which every call takes longer than this cannot be
+    /// distinguished from a dead one.
     pub silent_ms: u32,
-    /// A zone has to be seen failing for so long: one report and more.
+    /// Time for which a zone has to be seen failing: more than one report.
     pub confirm_ms: u32,
-    /// Most zones that are evacuated at once.
+    /// Maximum number of zones that are evacuated at once.
     #[serde(rename = "most_left")]
     pub max_evacuated_zones: u32,
-    /// Largest share of all zones that is evacuated at once; one always may be.
+    /// Maximum share of all zones that is evacuated at once; one zone may always be evacuated.
     ///
-    /// The rest has to carry their traffic.
+    /// The remaining zones have to carry the traffic.
     #[serde(rename = "left_share")]
     pub max_evacuated_share: f64,
-    /// Share of the listed rates of the rest that may be filled by the evacuated traffic.
+    /// Share of the listed rates of the other zones that evacuated traffic may use.
     ///
-    /// The remainder is for chance.
+    /// The remainder absorbs random fluctuations.
     pub headroom: f64,
-    /// Share of rejected calls over which a zone has no spare capacity.
+    /// Share of rejected calls above which a zone has no spare capacity.
     #[serde(rename = "refused_share")]
     pub rejected_share: f64,
-    /// The time over which a zone's load is averaged; long against an outage's first seconds.
+    /// Time over which a zone's load is averaged; long compared with the first seconds of an
+    /// outage.
     #[serde(rename = "load_ms")]
     pub load_window_ms: u32,
-    /// A return begins so long after the evacuation...
+    /// Time from an evacuation to the first return. Doubles with each recent return.
     #[serde(rename = "rest_ms")]
     pub return_backoff_ms: u32,
-    /// ...which doubles with each return that failed, up to this.
+    /// Maximum time from an evacuation to the next return.
     #[serde(rename = "most_rest_ms")]
     pub max_return_backoff_ms: u32,
-    /// A zone that has been in use for so long after a return counts as one without failed
-    /// returns.
+    /// Time in use after a return from which a zone counts as one without earlier returns.
     #[serde(rename = "calm_ms")]
     pub return_history_reset_ms: u32,
-    /// Calls of all destinations in a slice before two reporters have told of answers; two of
-    /// each destination.
+    /// Calls of all destinations in a slice before two reporters have reported answers; at most two
+    /// per destination.
     pub trial_calls: u32,
-    /// Fewest results in a return by which it is judged.
+    /// Minimum number of results by which a return is judged.
     #[serde(rename = "least_results")]
     pub min_results: u32,
-    /// Calls of a return are reserved for so long at once.
+    /// Time for which the calls of a return are reserved at once.
     pub slice_ms: u32,
-    /// A grant holds for so long from when the report that asked for it was sent.
+    /// Validity of a grant, from when the report that requested it was sent.
     ///
-    /// A message comes to that sender in this time or the call is lost: one in two is, with 12
-    /// senders and 6 messages a second for a destination.
+    /// The granted call is lost if the sender gets no message for it in this time. With 12 senders
+    /// and 6 messages per second for a destination, one in two is lost.
     #[serde(rename = "within_ms")]
     pub grant_validity_ms: u32,
-    /// Longest time from when a sender begins a granted call until it reaches its endpoint: the
-    /// connection and the transit.
+    /// Maximum time from a sender's start of a granted call to its arrival at the endpoint:
+    /// connection setup and transit.
     #[serde(rename = "flight_ms")]
     pub max_transit_ms: u32,
-    /// Largest share by which the clocks of replicas and senders differ in pace.
+    /// Maximum relative difference in rate between the clocks of replicas and senders.
     #[serde(rename = "drift")]
     pub max_clock_drift: f64,
-    /// What an endpoint takes right after it comes back, as a share of its listed rate.
+    /// Capacity of an endpoint right after it comes back, as a share of its listed rate.
     #[serde(rename = "cold_share")]
     pub initial_capacity_share: f64,
-    /// An endpoint takes its whole listed rate after this time.
+    /// Time after which an endpoint takes its whole listed rate.
     #[serde(rename = "warm_after_ms")]
     pub warmup_ms: u32,
-    /// Multiple of its current capacity that overloads an endpoint that is warming up...
+    /// Multiple of its current capacity that overloads an endpoint that is warming up, if sustained
+    /// for `overload_for_ms`.
     pub overload_factor: f64,
-    /// ...when it is kept up for so long; 0: none is ever overloaded.
+    /// Time for which that multiple has to be sustained; 0: no endpoint is ever overloaded.
     #[serde(rename = "overload_for_ms")]
     pub overload_window_ms: u32,
-    /// Calls a second to a destination of a zone that lists no rate, when it has warmed up.
+    /// Calls per second to a warmed-up destination of a zone that lists no rate.
     #[serde(rename = "unlisted_rate")]
     pub unlisted_rate_per_second: f64,
-    /// Most observations that are kept at once, over all zones.
+    /// Maximum number of observations that are kept at once, over all zones.
     ///
-    /// 10,000 senders with four in each report of the longest window would be twice that, and
-    /// then the oldest go.
+    /// 10,000 senders with four observations in each report of the longest window would have twice
+    /// as many; the oldest are then dropped.
     #[serde(rename = "most_sights")]
     pub max_observations: usize,
 }
@@ -167,7 +170,8 @@
 }
 
 impl ZoneRules {
-    /// Every setting that is out of its range, named by its key; empty where all are valid.
+    /// Returns an error text for every setting that is out of its range, named by its key; empty if
+    /// all are valid.
     pub fn faults(&self) -> Vec<String> {
         let mut faults: Vec<String> = [
             self.judgement_ranges(),
@@ -182,7 +186,7 @@
         faults
     }
 
-    /// The settings by which [`evidence`](super::evidence) judges.
+    /// Returns the ranges of the settings by which [`evidence`](super::evidence) judges.
     fn judgement_ranges(&self) -> Vec<SettingRange> {
         vec![
             range("fail_share", self.failure_share, 0.5, 0.95),
@@ -198,7 +202,7 @@
         ]
     }
 
-    /// The settings by which a zone is evacuated and stays so.
+    /// Returns the ranges of the settings for evacuations and their duration.
     fn evacuation_ranges(&self) -> Vec<SettingRange> {
         vec![
             range("most_left", self.max_evacuated_zones, 0.0, 100.0),
@@ -222,7 +226,8 @@
         ]
     }
 
-    /// The settings of [`recovery_ramp`](super::recovery_ramp), and the bound on memory.
+    /// Returns the ranges of the settings of [`recovery_ramp`](super::recovery_ramp), and of the
+    /// limit on memory.
     fn return_ranges(&self) -> Vec<SettingRange> {
         vec![
             range("trial_calls", self.trial_calls, 1.0, 1_000.0),
@@ -256,7 +261,7 @@
     }
 }
 
-/// A setting's value, and the range that it has to be in, both ends included.
+/// A setting's value and its permitted range, both ends included.
 struct SettingRange {
     key: &'static str,
     value: f64,
@@ -274,7 +279,7 @@
 }
 
 impl SettingRange {
-    /// What is wrong with the value; a value that is not a number is in no range.
+    /// Returns an error text if the value is out of its range; NaN is in no range.
     fn fault(&self) -> Option<String> {
         let SettingRange {
             key,
--- a/src/coordination/zones/rules/tests.rs
+++ b/src/coordination/zones/rules/tests.rs
@@ -1,7 +1,7 @@
 use crate::coordination::zones::*;
 
 #[test]
-fn all_faults_are_named_and_unknown_keys_are_some() {
+fn all_faults_are_reported_and_unknown_keys_are_rejected() {
     assert_eq!(ZoneRules::default().faults(), Vec::<String>::new());
     let bad = ZoneRules {
         failure_share: f64::NAN,
@@ -20,7 +20,7 @@
     );
 }
 
-/// Every key, as operators' files spell it.
+/// Every key with the spelling of existing configuration files.
 const ALL_KEYS: &str = "
     windows_ms = [300, 900]
     fail_share = 0.51
@@ -55,7 +55,7 @@
     most_sights = 1001
 ";
 
-/// What the fields are with [`ALL_KEYS`].
+/// Returns the settings that [`ALL_KEYS`] is expected to give.
 fn rules_of_all_keys() -> ZoneRules {
     ZoneRules {
         windows_ms: vec![300, 900],
--- a/src/coordination/zones/spare_capacity.rs
+++ b/src/coordination/zones/spare_capacity.rs
@@ -1,68 +1,70 @@
-//! What each zone lists, and how much of a zone's traffic the rest can take when it is evacuated.
+//! Listed capacity of each zone, and the share of a zone's traffic that the others can take when it
+//! is evacuated.
 //!
-//! Senders report the endpoint lists that they hold. [`EndpointLists`] keeps equal lists once, and
-//! has for each zone and destination the median of all senders' values, so that one that lies, or
-//! is late, moves nothing. [`movable_share`] compares what a zone carries with what is free
-//! elsewhere.
+//! Senders report the endpoint lists that they hold. [`EndpointLists`] stores equal lists once, and
+//! computes for each zone and destination the median of all senders' values, so that a single wrong
+//! or outdated list has no effect. [`movable_share`] compares the load of a zone with the spare
+//! capacity of the others.
 //!
-//! The leader owns one [`EndpointLists`] for its term and is the only caller. Which zone is
-//! evacuated is decided by [`leader`](crate::coordination::leader).
+//! The leader owns one [`EndpointLists`] for its term and is the only caller. The
+//! [leader](crate::coordination::leader) decides which zone is evacuated.
 
 use crate::coordination::messages::ListedZoneCapacity;
 use crate::coordination::zones::ZoneRules;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Most lines of one list that count: 50 zones with 80 destinations.
+/// Maximum number of lines that count of one list: 50 zones with 80 destinations.
 pub const MAX_LINES_PER_LIST: usize = 4_000;
-/// Most lines of all lists that differ. A sender whose list exceeds it counts as one without.
+/// Maximum number of lines of all distinct lists together. A sender whose list would exceed it
+/// counts as one without a list.
 const MAX_LINES: usize = 100_000;
 /// Share of the senders below which evacuating a zone for a destination is not worth an order.
-const LEAST_MOVABLE_SHARE: f64 = 0.05;
+const MIN_MOVABLE_SHARE: f64 = 0.05;
 
-/// A zone and a destination there.
+/// A zone and a destination in it.
 type Route = (String, u16);
 
-/// What most lists say of a zone and destination.
+/// Capacity of a zone and destination, as the median of all senders' lists.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ListedCapacity {
-    /// Endpoints that want calls.
+    /// Number of endpoints that accept calls.
     pub endpoints: u32,
-    /// Calls a second that they take together; 0 where no rate is listed.
+    /// Calls per second that they take together; 0 if no rate is listed.
     pub rate_per_second: f64,
 }
 
-/// One list, and how many senders hold it.
+/// A list and the number of senders that hold it.
 #[derive(Clone, Debug)]
 struct SharedList {
     lines: Vec<ListedZoneCapacity>,
     senders: usize,
 }
 
-/// What some senders' list says of a zone and destination.
+/// Capacity of a zone and destination in one list, and the number of senders that hold the list.
 struct ReportedCapacity {
     capacity: ListedCapacity,
     senders: usize,
 }
 
-/// The endpoint lists of all senders, and what most of them say.
+/// Endpoint lists of all senders, and their medians.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLists {
     by_digest: BTreeMap<u64, SharedList>,
     digest_of: BTreeMap<u32, u64>,
-    /// Lines of all lists that differ.
+    /// Number of lines of all distinct lists.
     line_count: usize,
-    /// Something was reported since the medians were worked out.
+    /// Whether a list has changed since the medians were computed.
     is_stale: bool,
     capacities: BTreeMap<Route, ListedCapacity>,
-    /// Zones that are listed, with the number of their destinations.
+    /// Number of destinations of each listed zone.
     destination_counts: BTreeMap<String, usize>,
 }
 
 impl EndpointLists {
-    /// Takes the list that a sender holds, in place of the one that it reported before.
+    /// Records the list that a sender holds and replaces the one that it reported before.
     ///
-    /// Counts from the next [`EndpointLists::refresh`] on.
+    /// Takes effect with the next [`EndpointLists::refresh`].
     pub fn report(&mut self, sender: u32, listed: &[ListedZoneCapacity]) {
         self.remove_sender(sender);
         self.is_stale = true;
@@ -70,7 +72,7 @@
         let digest = Digest::of_list(&lines).0;
         match self.by_digest.get_mut(&digest) {
             Some(shared) if shared.lines == lines => shared.senders += 1,
-            // Two lists with one digest: the later one is dropped, as one of very many.
+            // Digest collision: the later list is dropped, as it is only one of very many.
             Some(_) => return,
             None if self.line_count + lines.len() > MAX_LINES => return,
             None => {
@@ -82,7 +84,7 @@
         self.digest_of.insert(sender, digest);
     }
 
-    /// Forgets the list of a sender whose session is over.
+    /// Removes the list of a sender whose session has ended.
     pub fn remove_sender(&mut self, sender: u32) {
         let Some(digest) = self.digest_of.remove(&sender) else {
             return;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Works out what most lists say, if any list has changed since.
+    /// Recomputes the medians if any list has changed.
     pub fn refresh(&mut self) {
         if !std::mem::take(&mut self.is_stale) {
             return;
@@ -117,7 +119,7 @@
         self.capacities = capacities;
     }
 
-    /// What each list says of each zone and destination that it names.
+    /// Returns the capacities in all lists, by zone and destination.
     fn reported_capacities(&self) -> BTreeMap<(&str, u16), Vec<ReportedCapacity>> {
         let mut reported: BTreeMap<(&str, u16), Vec<ReportedCapacity>> = BTreeMap::new();
         for shared in self.by_digest.values() {
@@ -135,14 +137,15 @@
         reported
     }
 
-    /// What is listed of a zone for a destination; nothing where most lists name none.
+    /// Returns the listed capacity of a zone for a destination; `None` if the median list has no
+    /// endpoint for it.
     pub fn capacity(&self, zone: &str, destination: u16) -> Option<ListedCapacity> {
         self.capacities
             .get(&(zone.to_string(), destination))
             .copied()
     }
 
-    /// Destinations that a zone lists, in ascending order.
+    /// Returns the destinations that a zone lists, in ascending order.
     pub fn destinations<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = u16> + 'a {
         let first = (zone.to_string(), 0);
         self.capacities
@@ -152,19 +155,19 @@
             .map(|(_, destination)| destination)
     }
 
-    /// How many destinations a zone lists; 0 where nobody lists it.
+    /// Returns the number of destinations that a zone lists; 0 if the zone is not listed.
     pub fn destination_count(&self, zone: &str) -> usize {
         self.destination_counts.get(zone).copied().unwrap_or(0)
     }
 
-    /// The zones that are listed, in order of their names.
+    /// Returns the listed zones, in order of their names.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.destination_counts.keys().map(String::as_str)
     }
 }
 
-/// A list in a form that is the same for all senders that hold it: sorted, without lines that
-/// come twice or have an impossible rate, and cut to the length that counts.
+/// Returns the canonical form of a list, which is the same for all senders that hold it: sorted,
+/// without duplicate lines or invalid rates, and cut to the length that counts.
 fn normalized(listed: &[ListedZoneCapacity]) -> Vec<ListedZoneCapacity> {
     let mut lines: Vec<ListedZoneCapacity> =
         listed.iter().take(MAX_LINES_PER_LIST).cloned().collect();
@@ -174,10 +177,10 @@
     lines
 }
 
-/// The median over all senders of what their lists say of one zone and destination; nothing where
-/// that is no endpoint.
+/// Returns the median over all senders of the capacities that they list for one zone and
+/// destination; `None` if the median has no endpoint.
 fn median_capacity(mut reported: Vec<ReportedCapacity>, senders: usize) -> Option<ListedCapacity> {
-    // Senders whose list does not name the route say that it has no endpoint.
+    // A list that does not name the route counts as one that has no endpoint there.
     let naming: usize = reported.iter().map(|value| value.senders).sum();
     reported.push(ReportedCapacity {
         capacity: ListedCapacity::default(),
@@ -197,13 +200,15 @@
     key(a).partial_cmp(&key(b)).unwrap_or(Ordering::Equal)
 }
 
-/// Digest of a list (FNV-1a): equal lists have equal digests in every process.
+/// FNV-1a digest of a list: equal lists have equal digests in every process.
 struct Digest(u64);
 
-/// FNV-1a's offset basis and prime for 64 bits.
+/// Offset basis of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
-/// Ends each field in a digest, so that bytes which move from one field to the next change it.
+/// Separator of the fields in a digest, so that bytes which move from one field to the next change
+/// the digest.
 const FIELD_END: u8 = 0xff;
 
 impl Digest {
@@ -225,40 +230,40 @@
     }
 }
 
-/// What another zone can take for a destination, as it stands before the evacuation.
+/// Capacity and load of another zone for a destination, before the evacuation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AlternativeZone {
-    /// Calls a second that are listed; 0 where none are.
+    /// Listed calls per second; 0 if no rate is listed.
     pub rate_per_second: f64,
-    /// Calls a second that it carries.
+    /// Calls per second that it accepts.
     pub load_per_second: f64,
     /// Share of recent calls that it rejected.
     pub rejected_share: f64,
-    /// Share of the senders that has been moved out of it already.
+    /// Share of the senders that has already been moved out of it.
     pub evacuated_share: f64,
     /// Whether calls to it for this destination fail.
     pub is_failing: bool,
 }
 
 impl AlternativeZone {
-    /// Whether it may get any of the traffic.
+    /// Whether it may receive any of the traffic.
     fn is_usable(&self, rules: &ZoneRules) -> bool {
         self.evacuated_share < 1.0
             && !self.is_failing
             && self.rejected_share <= rules.rejected_share
     }
 
-    /// Calls a second that it can take beyond what it carries.
+    /// Returns the calls per second that it can take in addition to its load.
     fn spare_per_second(&self, rules: &ZoneRules) -> f64 {
         let usable = self.rate_per_second * rules.headroom * (1.0 - self.evacuated_share);
         (usable - self.load_per_second).max(0.0)
     }
 }
 
-/// The share of the senders that can be moved out of a zone for a destination, which carried
-/// `load_per_second` there: as much as the other zones have spare capacity for.
+/// Returns the share of the senders that can be moved out of a zone for a destination with a load
+/// of `load_per_second`: as much as the other zones have spare capacity for.
 ///
-/// 0 where there is no other route: the last one is never evacuated.
+/// Returns 0 if there is no other route: the last one is never evacuated.
 pub fn movable_share(
     rules: &ZoneRules,
     load_per_second: f64,
@@ -267,7 +272,7 @@
     let mut spare = 0.0;
     for alternative in alternatives.iter().filter(|zone| zone.is_usable(rules)) {
         if alternative.rate_per_second <= 0.0 {
-            // No rate is listed and next to nothing is rejected.
+            // No rate is listed and almost no call is rejected, so that the zone takes everything.
             return 1.0;
         }
         spare += alternative.spare_per_second(rules);
@@ -276,9 +281,10 @@
         return 0.0;
     }
     let share = (spare / load_per_second.max(1e-9)).min(1.0);
-    // In hundredths: a share that moves with each report would be another order each time.
+    // Rounded down to hundredths: a share that changes with each report would cause an order each
+    // time.
     let share = (share * 100.0).floor() / 100.0;
-    if share < LEAST_MOVABLE_SHARE {
+    if share < MIN_MOVABLE_SHARE {
         return 0.0;
     }
     share
--- a/src/coordination/zones/spare_capacity/tests.rs
+++ b/src/coordination/zones/spare_capacity/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn one_list_that_lies_moves_nothing() {
+fn one_wrong_list_does_not_change_the_medians() {
     let mut lists = EndpointLists::default();
     for id in 0..4 {
         lists.report(id, &[line("a", 1, 10.0), line("b", 1, 10.0)]);
