--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,31 +1,32 @@
-//! The agreed record of a site: 3 or 5 replicas hold it, and the agents in the senders follow it.
+//! Coordination of the senders of a site: 3 or 5 replicas hold an agreed record, and the agents in
+//! the senders apply it.
 //!
-//! Senders that share nothing do without all of this: it is built with the feature `fleet` alone.
+//! Senders without coordination do not need this module; it is built only with the feature `fleet`.
 //!
-//! From the bottom up; each module uses only those above it in this list:
+//! The modules from the lowest to the highest; each uses only those listed before it:
 //!
 //! | module | owns |
 //! | --- | --- |
-//! | [`messages`] | what agents, operators and replicas say to each other |
-//! | [`framing`] | how a message stands on a stream |
-//! | [`replicated_state`] | what a Raft group has to know of what it agrees on |
+//! | [`messages`] | messages between agents, operators and replicas |
+//! | [`framing`] | framing of messages on a stream |
+//! | [`replicated_state`] | interface of a state that a Raft group replicates |
 //! | [`raft_log`] | a replica's log, on disk and in memory |
-//! | [`policy_rollout`], [`routing_table`] | documents, their registers in the record, and how they come into force; of the second also the federation of sites |
-//! | [`record`] | what all replicas of a site agree on |
+//! | [`policy_rollout`], [`routing_table`] | documents, their registers in the record, and their activation; `routing_table` also contains the federation of sites |
+//! | [`record`] | the state on which all replicas of a site agree |
 //! | [`raft_group`] | terms, votes, the commit index and the members of a group |
 //! | [`bootstrap`] | the first start of a site, before its replicas vote |
-//! | [`sender_registry`] | what a leader knows of senders by their own messages |
+//! | [`sender_registry`] | state of senders according to their own messages |
 //! | [`zones`] | evidence on zones, spare capacity and recovery ramps |
-//! | [`leader`] | what the leader alone does: sessions and their leases, decisions, orders |
-//! | [`config`] | the file of a replica |
+//! | [`leader`] | duties of the leader: sessions and their leases, decisions, orders |
+//! | [`config`] | the configuration file of a replica |
 //! | [`replica`] | the process: sockets, threads, clocks, and the loop that drives all of it |
 //!
-//! Two of them have parts on both sides of the record: the registers and documents of
-//! [`policy_rollout`] and [`routing_table`] are below it, what the leader does with them
-//! (`policy_rollout::rollout`, `routing_table::{cutover, member}`) is above.
+//! [`policy_rollout`] and [`routing_table`] have parts below and above the record: their registers
+//! and documents are below it, the leader's use of them (`policy_rollout::rollout`,
+//! `routing_table::{cutover, member}`) is above.
 //!
-//! Only [`replica`] reads a clock or opens a socket. Everything below it is driven by events and
-//! returns effects, so that tests and the simulator drive it without either.
+//! Only [`replica`] reads a clock or opens a socket. All other modules are driven by events and
+//! return effects, so that tests and the simulator need neither.
 
 pub mod bootstrap;
 pub mod config;
@@ -42,7 +43,7 @@
 pub mod sender_registry;
 pub mod zones;
 
-/// Keeps as much of a text as fits in so many bytes, in whole characters.
+/// Returns the longest prefix of a text that fits in `max_bytes`, cut at a character boundary.
 fn truncate_utf8(text: &str, max_bytes: usize) -> String {
     let end = (0..=max_bytes.min(text.len()))
         .rev()
--- a/src/coordination/record/apply.rs
+++ b/src/coordination/record/apply.rs
@@ -1,11 +1,11 @@
-//! How each command changes the record. Every step is a function of the record and the command
-//! alone, so that all replicas come to the same.
+//! Application of commands to the record. Every change is a function of the record and the command
+//! alone, so that all replicas reach the same state.
 
 use super::{
     Command, Phase, Record, RequestedZoneState, RosterEntry, SliceId, ZoneOverride, MAX_SENDERS,
 };
 
-/// An order for a zone, as [`Command::SetZonePhase`] brings it.
+/// An order for a zone, as contained in [`Command::SetZonePhase`].
 struct ZoneDecision<'a> {
     zone: &'a str,
     phase: Phase,
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Names a sender on the roster. On a full roster it takes the place of the one that lapsed
-    /// first; where all hold a lease, it is not named.
+    /// Adds a sender to the roster. On a full roster it replaces the sender that expired first; if
+    /// all hold a lease, it is not added.
     fn add_sender(&mut self, index: u64, sender: &str, boot: u64, zone: &str) {
         if !self.roster.contains_key(sender) && self.roster.len() >= MAX_SENDERS {
-            let Some(lapsed) = self.first_lapsed() else {
+            let Some(expired) = self.first_expired() else {
                 return;
             };
-            self.roster.remove(&lapsed);
+            self.roster.remove(&expired);
         }
         let entry = RosterEntry {
             boot,
@@ -91,9 +91,9 @@
         self.roster.insert(sender.to_string(), entry);
     }
 
-    fn first_lapsed(&self) -> Option<String> {
-        let lapsed = self.roster.iter().filter(|(_, entry)| !entry.live);
-        let first = lapsed.min_by_key(|(_, entry)| entry.since);
+    fn first_expired(&self) -> Option<String> {
+        let expired = self.roster.iter().filter(|(_, entry)| !entry.live);
+        let first = expired.min_by_key(|(_, entry)| entry.since);
         first.map(|(name, _)| name.clone())
     }
 
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Adds time to the record's clock, and ends requests whose time is over.
+    /// Adds time to the record's clock, and removes requests that have expired.
     fn advance_clock(&mut self, ms: u32) {
         self.clock_ms += u64::from(ms);
         let now_ms = self.clock_ms;
         for zone in self.zones.values_mut() {
-            let stands = |r: &ZoneOverride| r.until_ms == 0 || r.until_ms > now_ms;
-            zone.request = zone.request.filter(stands);
+            let is_valid = |r: &ZoneOverride| r.until_ms == 0 || r.until_ms > now_ms;
+            zone.request = zone.request.filter(is_valid);
         }
         self.forget_unnamed_zones();
     }
@@ -125,7 +125,7 @@
         self.epoch += 1;
         self.changed = index;
         let zone = self.zones.entry(decision.zone.to_string()).or_default();
-        // Steps at the end of a return don't set back its recovery ramp.
+        // Steps of readmission within a return do not reset its recovery ramp.
         if zone.phase != Phase::Returning || decision.phase != Phase::Returning {
             zone.warm.clear();
         }
--- a/src/coordination/record/mod.rs
+++ b/src/coordination/record/mod.rs
@@ -1,23 +1,24 @@
-//! The record of a site: what all its replicas agree on. Each applies the same commands in the same
-//! order and comes to the same record.
+//! The record of a site: the state on which all its replicas agree. Each applies the same commands
+//! in the same order and reaches the same record.
 //!
 //! This module owns the roster of senders, the orders for zones and the record's clock. The parts
-//! for policies, routing tables and the site's member of a federation are of
+//! for policies, routing tables and the site's member of a federation belong to
 //! [`super::policy_rollout::register`], [`super::routing_table::tables`] and
-//! [`super::routing_table::durable_vote`]; a command for one of them is handed on. It decides
-//! nothing: the leader proposes commands ([`super::leader`]), the group brings them into their
-//! order ([`super::raft_group`]) and calls [`Record::apply`].
+//! [`super::routing_table::durable_vote`]; commands for them are passed on. The record makes no
+//! decisions: the leader proposes commands ([`super::leader`]), the Raft group orders them
+//! ([`super::raft_group`]) and calls [`Record::apply`].
 //!
 //! # The record's clock
 //!
-//! The record reads no clock, yet some of it lasts for a time (an operator's request, a rest before
-//! a return). So it has a clock of its own, [`Record::clock_ms`]: the leader adds what it counted
-//! itself since its last heartbeat ([`Command::AdvanceClock`]). What a leader proposes after its
-//! successor was elected is not committed; a successor counts from the last heartbeat that it saw,
-//! and with it the time between the two: else what is to end in time (a site's lease in its
-//! federation) would last longer with each leader. So two leaders count the same moment for a
-//! heartbeat at the most. The clock is up to a heartbeat behind: what waits for it may be one or two
-//! short.
+//! The record reads no clock, yet some of its content is valid for a limited time (an operator's
+//! request, the backoff before a return). It therefore has a clock of its own,
+//! [`Record::clock_ms`], to which the leader adds the time since its last heartbeat by its own clock
+//! ([`Command::AdvanceClock`]). A proposal that a leader makes after its successor was elected is
+//! not committed. The successor counts from the last heartbeat that it saw, and so includes the time
+//! between the two terms; otherwise anything with a time limit (a site's lease in its federation)
+//! would last longer with each change of leader. Two leaders therefore count the same time twice for
+//! at most one heartbeat interval. The clock is up to one heartbeat interval behind, so a time limit
+//! may be off by one or two intervals.
 
 mod apply;
 mod replicated;
@@ -30,72 +31,71 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Senders that the roster names at the most, those that lapsed among them: three fleets of the
-/// largest size that is tested. Those that lapsed first go first.
+/// Maximum number of senders on the roster, including those that expired: three fleets of the
+/// largest size that is tested. The senders that expired first are removed first.
 pub const MAX_SENDERS: usize = 10_000;
-/// Zones that the record names at the most: four times as many as any site that is tested has.
+/// Maximum number of zones in the record: four times the number in the largest site that is tested.
 pub const MAX_ZONES: usize = 200;
 
-/// A change of the record. Nothing in it is read from a clock when it is applied.
+/// A change to the record. Applying it reads no clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// A sender has a session.
     AddSender {
         /// Name of the sender.
         sender: String,
-        /// Drawn when its process started.
+        /// Random identifier of its process, drawn at the start of the process.
         boot: u64,
-        /// Zone that it stands in.
+        /// Zone in which it runs.
         zone: String,
     },
-    /// A sender's lease has expired, or it shut down; says nothing of a later process of it.
+    /// A sender's lease has expired, or it shut down. Does not apply to a later process of the
+    /// sender.
     ExpireSender {
         /// Name of the sender.
         sender: String,
-        /// The process.
+        /// Identifier of the process.
         boot: u64,
     },
-    /// The leader of this term led when it proposed this, and has counted so much time since its
-    /// last heartbeat.
+    /// Heartbeat of the leader of this term, with the time that it has counted since its last one.
     AdvanceClock {
         /// Term of the leader.
         term: u64,
-        /// Numbers the heartbeats of a term.
+        /// Number of the heartbeat within the term.
         beat: u64,
         /// Milliseconds on the leader's clock.
         ms: u32,
     },
-    /// What is to be done with a zone; void where another order was applied since it was decided.
+    /// An order for a zone; void if another order was applied since it was decided.
     SetZonePhase {
-        /// [`Record::epoch`] that the decision was based on.
+        /// [`Record::epoch`] on which the decision was based.
         base: u64,
         /// The zone.
         zone: String,
         /// The phase.
         phase: Phase,
-        /// By destination, the fraction of the senders that is out, in ascending order of
-        /// destinations.
+        /// Fraction of the senders that is evacuated, by destination in ascending order.
         out: Vec<(u16, f32)>,
-        /// How often it was returned to lately, successfully or not.
+        /// Number of recent returns to the zone, successful or not.
         return_attempts: u32,
-        /// Why, for operators.
+        /// Reason, for operators.
         reason: String,
     },
     /// An operator's request for a zone.
     RequestZoneState {
         /// The zone.
         zone: String,
-        /// The state; [`RequestedZoneState::Free`] withdraws the request.
+        /// The requested state; [`RequestedZoneState::Free`] withdraws the request.
         state: RequestedZoneState,
-        /// How long it holds on the record's clock, in milliseconds; 0 until another request.
+        /// Validity on the record's clock, in milliseconds; 0 until the next request.
         for_ms: u64,
     },
-    /// Attempts in a zone on a recovery ramp that the leader of this term may lease out, and how
-    /// far the ramp is by destination. Of another epoch: void.
+    /// Attempts in a zone on a recovery ramp that the leader of this term may lease out, and the
+    /// progress of the ramp by destination. Void if the zone is in another epoch.
     AllocateAttempts {
         /// Term of the leader.
         term: u64,
-        /// Numbers the slices of a term.
+        /// Number of the slice within the term.
         slice: u64,
         /// The zone.
         zone: String,
@@ -106,31 +106,31 @@
         /// Time since the first answer of this return, by destination, in milliseconds.
         warm: Vec<(u16, u32)>,
     },
-    /// A change of the policies; void where another change came first.
+    /// A change of the policies; void if another change was applied first.
     ChangePolicies {
-        /// [`Policies::turn`] that the decision was based on.
+        /// [`Policies::turn`] on which the decision was based.
         base: u64,
         /// The change.
         change: Box<Change>,
     },
-    /// A change of the routing tables at this site; void where another change came first.
+    /// A change of the routing tables at this site; void if another change was applied first.
     ChangeTables {
-        /// [`SiteTables::turn`] that the decision was based on.
+        /// [`SiteTables::turn`] on which the decision was based.
         base: u64,
         /// The change.
         change: Box<tables::Change>,
     },
-    /// The leader of this term is the site's member of its federation: what earlier leaders propose
-    /// later is void.
+    /// The leader of this term acts as the site's member of its federation: later proposals of
+    /// earlier leaders are void.
     FenceMember {
         /// Term of the leader.
         term: u64,
     },
-    /// What the site's member of its federation writes to its log; see [`DurableVote::put`].
+    /// An item that the site's member of its federation writes to its log; see [`DurableVote::put`].
     PersistMemberLog {
         /// Term of the leader.
         term: u64,
-        /// Numbers the items of a term, from 1.
+        /// Number of the item within the term, from 1.
         number: u64,
         /// The item.
         item: LogItem,
@@ -140,20 +140,20 @@
 /// A sender on the roster.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RosterEntry {
-    /// Its process.
+    /// Identifier of its process.
     pub boot: u64,
-    /// Zone that it stands in.
+    /// Zone in which it runs.
     pub zone: String,
     /// Whether it holds a lease.
     pub live: bool,
-    /// Index of the entry that said so last.
+    /// Index of the log entry that last set `live`.
     pub since: u64,
 }
 
-/// What stands of a zone.
+/// Phase of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// In use: there is no order.
+    /// In use, without an evacuation order.
     #[default]
     Used,
     /// Evacuated.
@@ -165,9 +165,9 @@
 /// An operator's request for a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneOverride {
-    /// The state.
+    /// The requested state.
     pub state: RequestedZoneState,
-    /// Time on the record's clock at which it ends; never, where it is 0.
+    /// Time on the record's clock at which the request expires; 0: never.
     pub until_ms: u64,
 }
 
@@ -176,37 +176,38 @@
 pub struct SliceId {
     /// Term of the leader.
     pub term: u64,
-    /// Number of the slice in that term.
+    /// Number of the slice within that term.
     pub number: u64,
 }
 
-/// A zone of the record. Those that are in use and without a request are not named.
+/// A zone of the record. Zones in use without a request or recent returns are not stored.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Zone {
-    /// What is ordered.
+    /// The ordered phase.
     pub phase: Phase,
     /// Epoch of the order.
     pub epoch: u64,
-    /// By destination, the fraction of the senders that is out.
+    /// Fraction of the senders that is evacuated, by destination.
     pub out: Vec<(u16, f32)>,
-    /// The same as it was when the zone was last evacuated.
+    /// Fraction of the senders that the last evacuation moved out, by destination.
     pub left: Vec<(u16, f32)>,
-    /// How often it was returned to lately, successfully or not.
+    /// Number of recent returns to the zone, successful or not.
     pub return_attempts: u32,
-    /// Why it is ordered.
+    /// Reason of the order.
     pub reason: String,
-    /// When it was ordered, on the record's clock.
+    /// Time of the order on the record's clock, in milliseconds.
     pub since_ms: u64,
     /// An operator's request.
     pub request: Option<ZoneOverride>,
-    /// The last slice of its return.
+    /// Last slice of its return.
     pub last_slice: SliceId,
-    /// How long it has been warming up, by destination, in milliseconds.
+    /// Warm-up time by destination, in milliseconds.
     pub warm: Vec<(u16, u32)>,
 }
 
 impl Zone {
-    /// A zone in use, without a request and without failed returns, is not named.
+    /// Whether the record has to store the zone: it is not in use, or has a request or recent
+    /// returns.
     fn is_named(&self) -> bool {
         self.phase != Phase::Used || self.request.is_some() || self.return_attempts > 0
     }
@@ -215,7 +216,7 @@
 /// The record of a site.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Index of the last command that was applied.
+    /// Index of the last applied command.
     pub version: u64,
     /// The senders, by name.
     pub roster: BTreeMap<String, RosterEntry>,
@@ -223,28 +224,29 @@
     pub zones: BTreeMap<String, Zone>,
     /// Epoch of the last order.
     pub epoch: u64,
-    /// Index of the entry that last changed what senders are to know.
+    /// Index of the log entry that last changed the view for senders.
     pub changed: u64,
-    /// Time that leaders counted, in milliseconds.
+    /// The record's clock: time counted by leaders, in milliseconds.
     pub clock_ms: u64,
-    /// Policies. They came later: in a snapshot they stand behind what older programs wrote.
+    /// Policies. They were added later, so a snapshot contains them after the fields that older
+    /// versions wrote.
     #[serde(skip)]
     pub policies: Policies,
-    /// Routing tables, which came even later and stand behind those.
+    /// Routing tables. They were added after the policies and follow them in a snapshot.
     #[serde(skip)]
     pub tables: SiteTables,
-    /// What the site's member of its federation has written; behind those.
+    /// Log of the site's member of its federation; follows the routing tables in a snapshot.
     #[serde(skip)]
     pub durable_vote: DurableVote,
 }
 
 impl Record {
-    /// Whether a zone is named or may be.
+    /// Whether the record contains a zone or has room for it.
     pub fn has_room(&self, zone: &str) -> bool {
         self.zones.contains_key(zone) || self.zones.len() < MAX_ZONES
     }
 
-    /// The part of the record that senders are to know.
+    /// Returns the part of the record that senders apply.
     pub fn view(&self) -> SenderView {
         let ordered = self.zones.iter().filter(|(_, z)| z.phase != Phase::Used);
         let zones = ordered.map(|(zone, z)| ZoneOrder {
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Whether a sender that goes by this version lacks something of what senders are to know.
+    /// Whether the view of a sender that applies this version is out of date.
     pub fn is_news_to(&self, version: u64) -> bool {
         version == 0 || version < self.changed || version > self.version
     }
--- a/src/coordination/record/replicated.rs
+++ b/src/coordination/record/replicated.rs
@@ -24,7 +24,8 @@
         postcard::to_stdvec(&extension).unwrap_or_default()
     }
 
-    /// Policies came first; tables and the member's log came together, later.
+    /// Decodes the policies, and the tables and the member's log if present: those two were added
+    /// together in a later version.
     fn decode_extension(&mut self, bytes: &[u8]) -> Result<(), postcard::Error> {
         if bytes.is_empty() {
             return Ok(());
--- a/src/coordination/record/tests.rs
+++ b/src/coordination/record/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_late_lapse_ends_no_later_process() {
+fn an_expiry_of_an_earlier_process_does_not_end_a_later_one() {
     let mut record = Record::default();
     record.apply(1, &join("n", 1));
     record.apply(2, &join("n", 2));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_order_that_another_one_came_before_is_void() {
+fn an_order_based_on_an_old_epoch_is_void() {
     let mut record = Record::default();
     record.apply(1, &order(0, Phase::Left));
     record.apply(2, &order(0, Phase::Returning));
@@ -57,12 +57,12 @@
     record.apply(4, &order(2, Phase::Left));
     assert_eq!(
         record.zones["z"].epoch, 3,
-        "it grows though the zone was in use between"
+        "the epoch grows although the zone was in use in between"
     );
 }
 
 #[test]
-fn a_word_ends_by_the_clock_of_the_record_alone() {
+fn an_operators_request_expires_by_the_clock_of_the_record() {
     let mut record = Record::default();
     record.apply(
         1,
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_roster_is_bounded_and_those_that_live_stay() {
+fn a_full_roster_replaces_expired_senders_only() {
     let mut record = Record::default();
     for n in 0..MAX_SENDERS as u64 {
         record.apply(n + 1, &join(&format!("n{n}"), 1));
--- a/src/coordination/replicated_state.rs
+++ b/src/coordination/replicated_state.rs
@@ -1,57 +1,60 @@
-//! What a Raft group agrees on, as far as the group has to know it.
+//! Interface of a state that a Raft group replicates.
 //!
-//! The trait lets one [`RaftGroup`](super::raft_group::RaftGroup) carry the record of a site
-//! ([`super::record`]) and the record of a federation ([`super::routing_table::federation`]). It
-//! stands below all three, so that none of them imports the others in a circle.
+//! The trait lets one [`RaftGroup`](super::raft_group::RaftGroup) type replicate the record of a
+//! site ([`super::record`]) and the record of a federation ([`super::routing_table::federation`]).
+//! It is defined in a module below all three, so that they have no circular imports.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::fmt::Debug;
 
-/// Longest command of a site's record, in bytes. What the site's member of a federation writes down
-/// is a [`LogItem`](super::raft_log::LogItem) in such a command.
+/// Maximum length of a command of a site's record, in bytes. It has to hold the
+/// [`LogItem`](super::raft_log::LogItem)s that the site's member of a federation writes.
 pub const MAX_COMMAND_BYTES: usize = 128 * 1024;
 
-/// Limits of a group, in bytes.
+/// Size limits of a group, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct SizeLimits {
-    /// A command.
+    /// Size of a command.
     pub command: usize,
-    /// Entries in one message, unless one entry is longer.
+    /// Total size of the entries in one message, unless a single entry is longer.
     pub message: u64,
-    /// Proposals that are not committed yet; more are refused.
+    /// Total size of uncommitted proposals; further proposals are rejected.
     pub uncommitted: u64,
-    /// Batches up to this size are written as one.
+    /// Total size up to which batches are merged into one write.
     pub merged_batch: usize,
-    /// Entries that a checkpoint may have behind its snapshot; with more, it waits.
+    /// Total size of the entries that follow the snapshot in a checkpoint; while they are larger, the
+    /// checkpoint is delayed.
     pub checkpoint_entries: usize,
-    /// A checkpoint.
+    /// Size of a checkpoint.
     pub checkpoint: usize,
 }
 
-/// A state that all replicas of a group hold: each applies the same commands in the same order and
-/// comes to the same state. Nothing in it reads a clock, a random number or anything outside.
+/// State that all replicas of a group hold: each applies the same commands in the same order and
+/// reaches the same state. It depends on no clock, random number or other external input.
 pub trait ReplicatedState:
     Clone + Default + Debug + PartialEq + Serialize + DeserializeOwned
 {
-    /// A change of the state.
+    /// A change to the state.
     type Command: Clone + Debug + PartialEq + Serialize + DeserializeOwned;
-    /// Limits of the group that holds it.
+    /// Size limits of the group that replicates it.
     const LIMITS: SizeLimits;
 
     /// Applies the command of the log entry with this index.
     fn apply(&mut self, index: u64, command: &Self::Command);
 
-    /// Encodes the parts that older programs did not know. They stand behind everything else in a
-    /// snapshot, where an older program does not read.
+    /// Encodes the parts that were added in later versions. They follow everything else in a
+    /// snapshot, where older versions do not read.
     fn encode_extension(&self) -> Vec<u8> {
         Vec::new()
     }
 
-    /// Decodes those parts, also where an older program wrote fewer of them.
+    /// Decodes the parts that were added in later versions, also if an older version wrote only
+    /// some of them.
     ///
     /// # Errors
-    /// They are of another form.
+    ///
+    /// Returns an error if the bytes are in another format.
     fn decode_extension(&mut self, bytes: &[u8]) -> Result<(), postcard::Error> {
         match bytes {
             [] => Ok(()),
--- a/src/coordination/sender_registry.rs
+++ b/src/coordination/sender_registry.rs
@@ -1,11 +1,11 @@
-//! What a leader knows of senders by their own messages: the documents that each has stored, those
-//! that it refuses, and the turn that it goes by.
+//! State of senders according to their own messages: the documents that each has stored, those that
+//! it has rejected, and the turn that it applies.
 //!
-//! One registry is kept for each kind of document: policies ([`super::policy_rollout::rollout`])
-//! and routing tables ([`super::routing_table::cutover`]). It belongs to one leadership: the next
-//! leader begins with an empty one and hears everything again from the senders that live, so
-//! nothing goes on by a message that only an earlier leader got. It sends nothing itself; it says
-//! what is due to be sent, and counts it as sent.
+//! There is one registry for each kind of document: policies ([`super::policy_rollout::rollout`])
+//! and routing tables ([`super::routing_table::cutover`]). It lasts for one term: the next leader
+//! starts with an empty registry and gets all reports again from the live senders, so no progress
+//! depends on a message that only an earlier leader received. The registry sends nothing itself; it
+//! determines which messages are due, and records them as sent.
 
 use crate::coordination::messages::Digest;
 use crate::coordination::record::{Record, RosterEntry};
@@ -14,19 +14,19 @@
 use std::collections::BTreeMap;
 
 const SECOND: Nanos = 1_000_000_000;
-/// What is announced and not confirmed is announced again after this time.
+/// Nanoseconds after which an unconfirmed announcement is sent again.
 const RESEND_AFTER: Nanos = SECOND / 2;
-/// A document that is offered and not answered is offered again after this time: a sender validates
-/// and stores it first.
+/// Nanoseconds after which an unanswered offer of a document is sent again. Longer than
+/// [`RESEND_AFTER`], as a sender validates and stores the document before it answers.
 const REOFFER_AFTER: Nanos = SECOND;
-/// Offers of one kind in one round of the leader: what is sent at once is a few megabytes, and
-/// three thousand senders have theirs in 6 s.
+/// Maximum number of offers of one kind in one round of the leader. Limits the data sent at once to
+/// a few megabytes; 3,000 senders get their offers in 6 s.
 pub const MAX_OFFERS_PER_ROUND: usize = 50;
-/// Names in a line, at the most.
+/// Maximum number of names in a line.
 const MAX_NAMES_SHOWN: usize = 10;
-/// Documents that a sender is known to have, at the most: as many as a record has of one kind.
+/// Maximum number of stored documents that are kept per sender: as many as a record has of one kind.
 const MAX_STORED_DOCUMENTS: usize = 8;
-/// Longest reason of a sender that is kept, in bytes.
+/// Maximum length of a sender's reason that is kept, in bytes.
 const MAX_REASON_BYTES: usize = 2_000;
 
 /// A turn that was announced to a sender.
@@ -36,27 +36,27 @@
     at: Nanos,
 }
 
-/// What a leader knows of a sender, from its messages in this session.
+/// State of a sender according to its messages in this session.
 #[derive(Clone, Debug, Default)]
 pub struct KnownSender {
     boot: u64,
-    /// Documents that it has, by number; nothing where it follows none, or has not reported yet.
+    /// Stored documents, by number; `None` if it follows none or has not reported them yet.
     stored: Option<BTreeMap<u64, Digest>>,
-    /// It has sent something that it sends after the report of what it has stored.
+    /// Whether it has sent a message that it sends only after the report of its stored documents.
     inventory_due: bool,
-    /// Documents that it cannot go by, and why.
+    /// Documents that it has rejected, with the reason.
     refused: BTreeMap<u64, String>,
-    /// The turn that it goes by.
+    /// The turn that it applies.
     applied_turn: u64,
     /// The turn that was last announced on its connection.
     announced: Option<Announcement>,
-    /// When each document was last offered.
+    /// Time at which each document was last offered.
     offered_at: BTreeMap<u64, Nanos>,
 }
 
 impl KnownSender {
-    /// Whether it has reported this document as stored. Number 0 stands for none, which everybody
-    /// has.
+    /// Whether it has reported this document as stored. Number 0 stands for no document, which always
+    /// counts as stored.
     pub fn has_stored(&self, number: u64, digest: Option<Digest>) -> bool {
         if number == 0 {
             return true;
@@ -65,42 +65,42 @@
         digest.is_some() && stored == digest.as_ref()
     }
 
-    /// Whether it has reported what it has stored at all.
+    /// Whether it has reported its stored documents.
     pub fn has_reported(&self) -> bool {
         self.stored.is_some()
     }
 
-    /// Whether it would have reported by now what it has stored, and has not.
+    /// Whether the report of its stored documents is due and missing.
     pub fn failed_to_report(&self) -> bool {
         self.inventory_due && self.stored.is_none()
     }
 
-    /// Why it cannot go by a document; nothing where it has not refused it.
+    /// Returns the reason for which it rejected a document; `None` if it has not.
     pub fn refusal(&self, number: u64) -> Option<&String> {
         self.refused.get(&number)
     }
 }
 
-/// A sender that holds a lease by the record.
+/// A sender that holds a lease according to the record.
 #[derive(Clone, Copy, Debug)]
 pub struct LiveSender<'a> {
-    /// Its name.
+    /// Name of the sender.
     pub name: &'a String,
-    /// Its entry on the roster.
+    /// Entry on the roster.
     pub entry: &'a RosterEntry,
-    /// What is known of it in the session that the record has.
+    /// State in the session that is in the record.
     pub known: Option<&'a KnownSender>,
 }
 
-/// What senders reported of one kind of document.
+/// State of all senders with respect to one kind of document.
 #[derive(Clone, Debug, Default)]
 pub struct SenderRegistry {
     senders: BTreeMap<String, KnownSender>,
 }
 
 impl SenderRegistry {
-    /// A sender opens a session, perhaps on another connection, where nothing was announced or
-    /// offered yet. It may report what it has stored with that.
+    /// Starts or resumes a sender's session. Earlier announcements and offers no longer count, as the
+    /// connection may be a new one. `stored` are the documents reported with the request, if any.
     pub fn open_session(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
         let known = self.senders.entry(sender.into()).or_default();
         if known.boot != boot {
@@ -116,34 +116,35 @@
         known.inventory_due = false;
     }
 
-    /// A sender reports what it has stored behind the message that opened its session.
+    /// Records the stored documents that a sender reports after the message that opened its session.
     pub fn set_stored(&mut self, sender: &str, stored: &[(u64, Digest)]) {
         if let Some(known) = self.senders.get_mut(sender) {
             known.stored = Some(bounded(stored));
         }
     }
 
-    /// A sender sent something that it sends after the report of what it has stored.
+    /// Records that a sender has sent a message that it sends only after the report of its stored
+    /// documents.
     pub fn note_inventory_due(&mut self, sender: &str) {
         if let Some(known) = self.senders.get_mut(sender) {
             known.inventory_due = true;
         }
     }
 
-    /// Forgets who refused a document: it may be offered to them again.
+    /// Removes all rejections of a document, so that it may be offered again.
     pub fn clear_refusals(&mut self, number: u64) {
         for known in self.senders.values_mut() {
             known.refused.remove(&number);
         }
     }
 
-    /// A sender's session is over.
+    /// Removes a sender whose session has ended.
     pub fn close_session(&mut self, sender: &str) {
         self.senders.remove(sender);
     }
 
-    /// A sender has validated a document. Gives the reason for which it cannot go by it, where that
-    /// is new. Documents for which `is_kept` says no are forgotten.
+    /// Records a sender's validation of a document. Returns the reason if the sender rejected the
+    /// document and had not done so before. Documents for which `is_kept` is false are removed.
     pub fn record_check(
         &mut self,
         sender: &str,
@@ -166,7 +167,7 @@
         is_new.then_some(reason)
     }
 
-    /// A sender goes by a turn; false where nothing is known of it.
+    /// Records that a sender applies a turn. Returns false if the sender is unknown.
     pub fn record_applied(&mut self, sender: &str, turn: u64) -> bool {
         let Some(known) = self.senders.get_mut(sender) else {
             return false;
@@ -175,13 +176,13 @@
         true
     }
 
-    /// What is known of a sender, in whatever session.
+    /// Returns the state of a sender, in any session.
     pub fn get(&self, sender: &str) -> Option<&KnownSender> {
         self.senders.get(sender)
     }
 
-    /// Whether what a sender is to go by, which changed last with the turn `changed`, is to be
-    /// announced to it now. If so, it counts as announced, as of `turn`.
+    /// Whether an announcement to a sender is due, if its documents last changed with the turn
+    /// `changed`. If so, it is recorded as sent, for `turn`.
     pub fn claim_announcement(
         &mut self,
         now: Nanos,
@@ -202,8 +203,8 @@
         is_due
     }
 
-    /// Whether a sender is to be offered a document now, while `offers` last. If so, it counts as
-    /// offered.
+    /// Whether the offer of a document to a sender is due and `offers` are left. If so, it is recorded
+    /// as sent and deducted from `offers`.
     pub fn claim_offer(
         &mut self,
         now: Nanos,
@@ -229,14 +230,14 @@
         true
     }
 
-    /// Forgets offers to a sender of documents for which `is_kept` says no.
+    /// Removes the offers to a sender of documents for which `is_kept` is false.
     pub fn forget_offers(&mut self, sender: &str, is_kept: impl Fn(u64) -> bool) {
         if let Some(known) = self.senders.get_mut(sender) {
             known.offered_at.retain(|n, _| is_kept(*n));
         }
     }
 
-    /// Live senders of those that `is_asked` names.
+    /// Returns the live senders for which `is_asked` is true.
     pub fn live<'a>(
         &'a self,
         record: &'a Record,
@@ -256,7 +257,8 @@
         })
     }
 
-    /// Live senders that have not confirmed the turn with which what they go by last changed.
+    /// Returns the live senders that have not confirmed the turn with which their documents last
+    /// changed.
     pub fn unconfirmed<'a>(
         &'a self,
         record: &'a Record,
@@ -271,8 +273,8 @@
         behind.map(|sender| sender.name).collect()
     }
 
-    /// Live senders that have not reported as stored what they are to go by: its number and its
-    /// digest.
+    /// Returns the live senders that have not reported as stored the document that they are to
+    /// apply, which `document` returns by number and digest.
     pub fn without_document<'a>(
         &'a self,
         record: &'a Record,
@@ -292,7 +294,7 @@
     stored.iter().take(MAX_STORED_DOCUMENTS).copied().collect()
 }
 
-/// Formats some names, and how many more there are.
+/// Formats the first names of a list, and the number of the others.
 pub fn format_names(all: &[&String]) -> String {
     let shown: Vec<&str> = all
         .iter()
--- a/src/coordination/zones/recovery_ramp.rs
+++ b/src/coordination/zones/recovery_ramp.rs
@@ -70,8 +70,8 @@
 
 use zone_return::{GrantRequest, ZoneReturn};
 
-/// Minimum number of senders that have to report a first answer or a failed return. Reports of a
-/// single sender have no effect.
+/// Minimum number of senders that have to report a zone's first answer or a failed return. Reports
+/// of a single sender do not suffice.
 const MIN_CONFIRMING_SENDERS: usize = 2;
 
 /// State of all returns in one leader's term.
