--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -153,7 +153,7 @@
     roll: Roll,
     cutover: Cutover,
     /// The federation, where the site is in one.
-    known: Option<FederationView>,
+    federation_view: Option<FederationView>,
     evidence: Evidence,
     endpoint_lists: EndpointLists,
     recovery_ramp: RecoveryRamp,
@@ -181,7 +181,7 @@
             pending_table_orders: Vec::new(),
             roll: Roll::new(now, Some(now)),
             cutover: Cutover::new(now, Some(now)),
-            known: None,
+            federation_view: None,
             evidence: Evidence::new(rules.zones.clone()),
             endpoint_lists: EndpointLists::default(),
             recovery_ramp: RecoveryRamp::new(rules.zones.clone(), now),
@@ -213,11 +213,11 @@
     /// Performs all duties that depend on time; to be called about ten times a second.
     pub fn on_tick(&mut self, now: Nanos, record: &Record, effects: &mut Vec<Effect>) {
         self.propose_heartbeat(now, record, effects);
-        self.end_lapsed_sessions(now, effects);
+        self.end_expired_sessions(now, effects);
         self.drop_connections_without_session();
         self.joining
             .retain(|_, joining| now < joining.requested_at + JOIN_TIMEOUT);
-        self.refuse_timed_out_orders(now, effects);
+        self.reject_timed_out_orders(now, effects);
         self.forget_stale_decision(now, record);
         if now >= self.judged_at + JUDGE_INTERVAL {
             self.decide(now, record, effects);
@@ -237,11 +237,11 @@
     pub fn on_federation_state(
         &mut self,
         now: Nanos,
-        known: Option<FederationView>,
+        federation_view: Option<FederationView>,
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
-        self.known = known;
+        self.federation_view = federation_view;
         self.advance_cutover(now, record, effects);
     }
 
--- a/src/coordination/leader/agent_messages.rs
+++ b/src/coordination/leader/agent_messages.rs
@@ -28,10 +28,10 @@
     number: u64,
     /// Version of the record that the sender applies.
     record_version: u64,
-    seen: &'a [ZoneCallCounts],
+    call_counts: &'a [ZoneCallCounts],
     listed: Option<&'a [ListedZoneCapacity]>,
-    wants: &'a [AttemptLeaseRequest],
-    health: &'a [MessageOutcomeCounts],
+    lease_requests: &'a [AttemptLeaseRequest],
+    outcomes: &'a [MessageOutcomeCounts],
 }
 
 impl LeaderDuties {
@@ -49,33 +49,33 @@
                 sender,
                 boot,
                 zone,
-                record_version: has,
+                record_version,
                 stored,
             } => {
                 let request = SessionRequest {
                     sender,
                     boot: *boot,
                     home_zone: zone,
-                    record_version: *has,
+                    record_version: *record_version,
                     stored_policies: stored.as_deref(),
                 };
                 self.on_session_request(now, connection, request, record, effects);
             }
             AgentToReplica::Report {
                 report,
-                record_version: has,
-                call_counts: seen,
+                record_version,
+                call_counts,
                 listed,
-                lease_requests: wants,
-                outcomes: health,
+                lease_requests,
+                outcomes,
             } => {
                 let report = Report {
                     number: *report,
-                    record_version: *has,
-                    seen,
+                    record_version: *record_version,
+                    call_counts,
                     listed: listed.as_deref(),
-                    wants,
-                    health,
+                    lease_requests,
+                    outcomes,
                 };
                 self.on_report(now, connection, &report, record, effects);
             }
@@ -89,7 +89,7 @@
             AgentToReplica::RoutingTable(message) => {
                 self.on_table_message(now, connection, message, record, effects);
             }
-            AgentToReplica::CloseSession => self.on_leave(now, connection, effects),
+            AgentToReplica::CloseSession => self.on_session_close(now, connection, effects),
         }
     }
 
@@ -118,7 +118,7 @@
         if report.number > session.last_report {
             session.last_report = report.number;
             self.record_counts(now, session_id, report);
-            self.record_health(now, connection, report, record);
+            self.record_outcomes(now, connection, report, record);
         }
         self.renew(now, connection, report.number, record, effects);
         self.send_grants(now, effects);
@@ -126,8 +126,8 @@
 
     /// Records a sender's call counts, endpoint list and lease requests.
     fn record_counts(&mut self, now: Nanos, session_id: u32, report: &Report<'_>) {
-        let seen = &report.seen[..report.seen.len().min(MAX_REPORT_ENTRIES)];
-        let wants = &report.wants[..report.wants.len().min(MAX_REPORT_ENTRIES)];
+        let call_counts = &report.call_counts[..report.call_counts.len().min(MAX_REPORT_ENTRIES)];
+        let lease_requests = &report.lease_requests[..report.lease_requests.len().min(MAX_REPORT_ENTRIES)];
         let senders = self.sessions.len().max(1) as f32;
         let max_share = (MAX_UNEVENNESS / senders).min(MAX_LOAD_SHARE);
         let lists = &self.endpoint_lists;
@@ -135,8 +135,8 @@
             let listed = lists.capacity(zone, destination)?;
             Some(max_load_per_report(listed.rate_per_second, max_share))
         };
-        self.evidence.record_report(now, session_id, seen, max_load);
-        for counted in seen {
+        self.evidence.record_report(now, session_id, call_counts, max_load);
+        for counted in call_counts {
             self.recovery_ramp.record_results(
                 now,
                 session_id,
@@ -149,11 +149,11 @@
             self.endpoint_lists.report(session_id, listed);
         }
         self.recovery_ramp
-            .request_grants(now, session_id, report.number, wants);
+            .request_grants(now, session_id, report.number, lease_requests);
     }
 
     /// Records the outcomes of a sender's messages for the rollout of policies.
-    fn record_health(
+    fn record_outcomes(
         &mut self,
         now: Nanos,
         connection: ConnectionId,
@@ -165,7 +165,7 @@
             .get(&connection)
             .and_then(|sender| record.roster.get(sender));
         if let Some(member) = member {
-            self.roll.hear(now, &member.zone, report.health, record);
+            self.roll.hear(now, &member.zone, report.outcomes, record);
         }
     }
 
--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -69,13 +69,13 @@
     ) {
         let mut proposals = Vec::new();
         self.cutover
-            .on_tick(now, record, self.known.as_ref(), &mut proposals);
+            .on_tick(now, record, self.federation_view.as_ref(), &mut proposals);
         propose_table_changes(record, proposals, effects);
         self.answer_table_orders(now, effects);
     }
 
     fn answer_table_orders(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
-        let known = self.known.as_ref();
+        let known = self.federation_view.as_ref();
         self.pending_table_orders.retain(|order| {
             let outcome = known.map_or(OrderOutcome::Pending, |known| {
                 Cutover::order_outcome(&order.command, known)
--- a/src/coordination/leader/applied.rs
+++ b/src/coordination/leader/applied.rs
@@ -27,9 +27,9 @@
                     boot: *boot,
                     home_zone: zone,
                 };
-                self.on_joined(now, joined, record, effects);
+                self.on_sender_added(now, joined, record, effects);
             }
-            Command::ExpireSender { sender, boot } => self.on_lapsed(sender, *boot, record),
+            Command::ExpireSender { sender, boot } => self.on_sender_expired(sender, *boot, record),
             Command::AdvanceClock { term, beat, .. } => {
                 self.on_heartbeat_applied(now, *term, *beat, record, effects);
             }
--- a/src/coordination/leader/decide.rs
+++ b/src/coordination/leader/decide.rs
@@ -348,7 +348,7 @@
             .ms_since_begun(name, self.judged_at)
             .unwrap_or(u64::MAX);
         let ms_since_step = ms_since_order.min(ms_since_begun);
-        if evacuated == zone.out || ms_since_step < u64::from(self.least_step_ms(name, zone)) {
+        if evacuated == zone.out || ms_since_step < u64::from(self.min_step_ms(name, zone)) {
             return None;
         }
         if !evacuated.is_empty() {
@@ -381,7 +381,7 @@
     ///
     /// Each order voids outstanding grants. Where a destination has not answered yet, the step
     /// therefore waits until its grants have expired.
-    fn least_step_ms(&self, name: &str, zone: &Zone) -> u32 {
+    fn min_step_ms(&self, name: &str, zone: &Zone) -> u32 {
         let interval_ms = self.readmission_interval_ms();
         let all_answer = zone.out.iter().all(|(destination, _)| {
             self.recovery_ramp
--- a/src/coordination/leader/leases.rs
+++ b/src/coordination/leader/leases.rs
@@ -219,7 +219,7 @@
     }
 
     /// Proposes the end of every session whose lease has expired.
-    pub(super) fn end_lapsed_sessions(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn end_expired_sessions(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         for (sender, session) in &mut self.sessions {
             if now < session.lease_until {
                 continue;
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -27,7 +27,7 @@
 /// An operator's order on a zone.
 struct ZoneRequest<'a> {
     zone: &'a str,
-    wish: RequestedZoneState,
+    state: RequestedZoneState,
     /// Seconds for which it is valid; 0 until the next order.
     for_seconds: u64,
 }
@@ -49,7 +49,7 @@
             OperatorRequest::RequestZoneState { zone, order, for_s } => {
                 let request = ZoneRequest {
                     zone,
-                    wish: *order,
+                    state: *order,
                     for_seconds: *for_s,
                 };
                 return self.order_zone(now, connection, request, record, effects);
@@ -110,7 +110,7 @@
         record: &Record,
     ) -> Result<Command, OperatorResponse> {
         self.endpoint_lists.refresh();
-        if let Some(why) = self.zone_refusal(&request, record) {
+        if let Some(why) = self.zone_rejection(&request, record) {
             return Err(OperatorResponse::Rejected(why));
         }
         if is_recorded(&request, record) {
@@ -121,7 +121,7 @@
         }
         Ok(Command::RequestZoneState {
             zone: request.zone.into(),
-            state: request.wish,
+            state: request.state,
             for_ms: self.order_duration_ms(request.for_seconds),
         })
     }
@@ -138,7 +138,7 @@
     }
 
     /// Returns why an order on a zone is rejected, if it is.
-    fn zone_refusal(&self, request: &ZoneRequest<'_>, record: &Record) -> Option<String> {
+    fn zone_rejection(&self, request: &ZoneRequest<'_>, record: &Record) -> Option<String> {
         let name = request.zone;
         let zone = record.zones.get(name);
         if zone.is_none() && self.endpoint_lists.destination_count(name) == 0 {
@@ -148,9 +148,9 @@
             return Some("the record already names the maximum number of zones".into());
         }
         let is_used = zone.is_none_or(|zone| zone.phase == Phase::Used);
-        if request.wish == RequestedZoneState::Leave && is_used {
-            let refusal = self.evacuation_shares(name, record).err()?;
-            return Some(refusal.to_string());
+        if request.state == RequestedZoneState::Leave && is_used {
+            let rejection = self.evacuation_shares(name, record).err()?;
+            return Some(rejection.to_string());
         }
         None
     }
@@ -211,7 +211,7 @@
     }
 
     fn federation_status(&self, now: Nanos, record: &Record) -> OperatorResponse {
-        match &self.known {
+        match &self.federation_view {
             Some(known) => OperatorResponse::FederationStatus(Box::new(
                 self.cutover.status(now, record, known),
             )),
@@ -220,14 +220,14 @@
     }
 
     fn table_history(&self) -> OperatorResponse {
-        match &self.known {
+        match &self.federation_view {
             Some(known) => OperatorResponse::TableHistory(Cutover::history(known)),
             None => OperatorResponse::Rejected(NO_FEDERATION.into()),
         }
     }
 
     fn table_text(&self, number: u64, record: &Record) -> OperatorResponse {
-        match Cutover::text(number, record, self.known.as_ref()) {
+        match Cutover::text(number, record, self.federation_view.as_ref()) {
             Some(table) => OperatorResponse::TableText {
                 number: table.number,
                 digest: table.digest,
@@ -246,7 +246,7 @@
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
-        let known = self.known.as_ref();
+        let known = self.federation_view.as_ref();
         let answer = match self.cutover.command_for_order(order, record, known) {
             Err(rejected) => OperatorResponse::Rejected(rejected.to_string()),
             Ok(None) => OperatorResponse::Done(known.map_or(0, |known| known.record.version)),
@@ -315,9 +315,9 @@
     }
 
     /// Rejects the orders on zones and policies that were not applied to the record in time.
-    pub(super) fn refuse_timed_out_orders(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
+    pub(super) fn reject_timed_out_orders(&mut self, now: Nanos, effects: &mut Vec<Effect>) {
         let has_timed_out = |received_at: Nanos| now >= received_at + ORDER_TIMEOUT;
-        let mut refuse = |connection: ConnectionId| {
+        let mut reject = |connection: ConnectionId| {
             let refused = OperatorResponse::Rejected(ORDER_TIMED_OUT.into());
             effects.push(Effect::Reply(connection, refused));
         };
@@ -325,13 +325,13 @@
             if !has_timed_out(order.received_at) {
                 break;
             }
-            refuse(order.connection);
+            reject(order.connection);
             self.pending_zone_orders.pop_front();
         }
         self.pending_policy_orders.retain(|order| {
             let keeps = !has_timed_out(order.received_at);
             if !keeps {
-                refuse(order.connection);
+                reject(order.connection);
             }
             keeps
         });
@@ -352,11 +352,11 @@
 /// for a limited time is always written again, as its time starts over.
 fn is_recorded(request: &ZoneRequest<'_>, record: &Record) -> bool {
     let recorded = record.zones.get(request.zone).and_then(|zone| zone.request);
-    if request.wish == RequestedZoneState::Free {
+    if request.state == RequestedZoneState::Free {
         return recorded.is_none();
     }
     let same = ZoneOverride {
-        state: request.wish,
+        state: request.state,
         until_ms: 0,
     };
     request.for_seconds == 0 && recorded == Some(same)
--- a/src/coordination/leader/sessions.rs
+++ b/src/coordination/leader/sessions.rs
@@ -13,7 +13,7 @@
 
 /// Nanoseconds for which the end of an ending session is not proposed again while its sender joins
 /// anew: an end that is applied after the new session has begun would end the new session.
-const END_SUSPENDED: Nanos = 60 * PROPOSAL_TIMEOUT;
+const END_SUSPENSION: Nanos = 60 * PROPOSAL_TIMEOUT;
 
 /// State of a sender that is live in the record, as the leader sees it.
 #[derive(Clone, Debug)]
@@ -271,13 +271,13 @@
     fn suspend_end(&mut self, now: Nanos, sender: &str) {
         if let Some(session) = self.sessions.get_mut(sender) {
             if session.is_ending {
-                session.lease_until = now + END_SUSPENDED;
+                session.lease_until = now + END_SUSPENSION;
             }
         }
     }
 
     /// Handles a sender's join that was applied to the record, or that the full roster rejected.
-    pub(super) fn on_joined(
+    pub(super) fn on_sender_added(
         &mut self,
         now: Nanos,
         joined: JoinedSender<'_>,
@@ -290,7 +290,7 @@
             .get(sender)
             .is_some_and(|member| member.live && member.boot == joined.boot);
         if !is_live {
-            self.refuse_joining(sender, joined.boot, effects);
+            self.reject_joining(sender, joined.boot, effects);
             return;
         }
         self.begin_or_keep_session(now, &joined);
@@ -303,11 +303,11 @@
     }
 
     /// Rejects a sender's request for a session, as the roster is full of live senders.
-    fn refuse_joining(&mut self, sender: &str, boot: u64, effects: &mut Vec<Effect>) {
-        let refused = self.joining.remove(sender);
-        if let Some(refused) = refused.filter(|joining| joining.boot == boot) {
+    fn reject_joining(&mut self, sender: &str, boot: u64, effects: &mut Vec<Effect>) {
+        let rejected = self.joining.remove(sender);
+        if let Some(rejected) = rejected.filter(|joining| joining.boot == boot) {
             let elsewhere = ReplicaToAgent::NotLeader(None);
-            effects.push(Effect::Send(refused.connection, elsewhere));
+            effects.push(Effect::Send(rejected.connection, elsewhere));
         }
     }
 
@@ -354,7 +354,7 @@
     }
 
     /// Handles a sender's request to end its session.
-    pub(super) fn on_leave(
+    pub(super) fn on_session_close(
         &mut self,
         now: Nanos,
         connection: ConnectionId,
@@ -376,7 +376,7 @@
 
     /// Handles the end of a session that was applied to the record. Invariant: it ends no session
     /// of a later process.
-    pub(super) fn on_lapsed(&mut self, sender: &str, boot: u64, record: &Record) {
+    pub(super) fn on_sender_expired(&mut self, sender: &str, boot: u64, record: &Record) {
         let Some(session) = self.sessions.get(sender).filter(|s| s.boot == boot) else {
             return;
         };
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -69,8 +69,8 @@
     }
 
     fn recorded_line(&self, name: &str, zone: &Zone, record: &Record) -> ZoneLine {
-        let request = zone.request.map_or(String::new(), |wish| {
-            describe_request(wish, record.clock_ms)
+        let request = zone.request.map_or(String::new(), |zone_request| {
+            describe_request(zone_request, record.clock_ms)
         });
         ZoneLine {
             ordered: self.describe_order(name, zone),
@@ -127,15 +127,15 @@
 }
 
 /// Describes an operator's request on a zone and its remaining time.
-fn describe_request(wish: ZoneOverride, clock_ms: u64) -> String {
-    let until = match wish.until_ms {
+fn describe_request(zone_request: ZoneOverride, clock_ms: u64) -> String {
+    let until = match zone_request.until_ms {
         0 => "until another word".to_string(),
         until_ms => {
             let seconds = until_ms.saturating_sub(clock_ms) / 1_000;
             format!("for {seconds} s more")
         }
     };
-    let request = match wish.state {
+    let request = match zone_request.state {
         RequestedZoneState::Leave => "leave",
         RequestedZoneState::Return => "return",
         RequestedZoneState::Hold => "hold",
