--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -152,7 +152,7 @@
     pending_table_orders: Vec<PendingTableOrder>,
     roll: Roll,
     cutover: Cutover,
-    /// The federation, where the site is in one.
+    /// The federation as this replica sees it; `None` if the site is not a member of one.
     federation_view: Option<FederationView>,
     evidence: Evidence,
     endpoint_lists: EndpointLists,
--- a/src/coordination/leader/agent_messages.rs
+++ b/src/coordination/leader/agent_messages.rs
@@ -127,7 +127,8 @@
     /// Records a sender's call counts, endpoint list and lease requests.
     fn record_counts(&mut self, now: Nanos, session_id: u32, report: &Report<'_>) {
         let call_counts = &report.call_counts[..report.call_counts.len().min(MAX_REPORT_ENTRIES)];
-        let lease_requests = &report.lease_requests[..report.lease_requests.len().min(MAX_REPORT_ENTRIES)];
+        let lease_requests =
+            &report.lease_requests[..report.lease_requests.len().min(MAX_REPORT_ENTRIES)];
         let senders = self.sessions.len().max(1) as f32;
         let max_share = (MAX_UNEVENNESS / senders).min(MAX_LOAD_SHARE);
         let lists = &self.endpoint_lists;
@@ -135,7 +136,8 @@
             let listed = lists.capacity(zone, destination)?;
             Some(max_load_per_report(listed.rate_per_second, max_share))
         };
-        self.evidence.record_report(now, session_id, call_counts, max_load);
+        self.evidence
+            .record_report(now, session_id, call_counts, max_load);
         for counted in call_counts {
             self.recovery_ramp.record_results(
                 now,
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -33,10 +33,11 @@
 }
 
 impl LeaderDuties {
-    /// Handles an operator's request. The answer follows at once, or when the order has been applied
-    /// to the record.
+    /// Handles an operator's request. The answer follows at once, or when the order has been
+    /// applied to the record.
     ///
-    /// The replica fills in the fields of the status that the leader does not know (site, replicas).
+    /// The replica fills in the fields of the status that the leader does not know (site,
+    /// replicas).
     pub fn on_operator_request(
         &mut self,
         now: Nanos,
@@ -348,8 +349,8 @@
     }
 }
 
-/// Whether the record already has exactly this order, so that it need not be written again. An order
-/// for a limited time is always written again, as its time starts over.
+/// Whether the record already has exactly this order, so that it need not be written again. An
+/// order for a limited time is always written again, as its time starts over.
 fn is_recorded(request: &ZoneRequest<'_>, record: &Record) -> bool {
     let recorded = record.zones.get(request.zone).and_then(|zone| zone.request);
     if request.state == RequestedZoneState::Free {
--- a/src/coordination/record/mod.rs
+++ b/src/coordination/record/mod.rs
@@ -12,13 +12,13 @@
 //!
 //! The record reads no clock, yet some of its content is valid for a limited time (an operator's
 //! request, the backoff before a return). It therefore has a clock of its own,
-//! [`Record::clock_ms`], to which the leader adds the time since its last heartbeat by its own clock
-//! ([`Command::AdvanceClock`]). A proposal that a leader makes after its successor was elected is
-//! not committed. The successor counts from the last heartbeat that it saw, and so includes the time
-//! between the two terms; otherwise anything with a time limit (a site's lease in its federation)
-//! would last longer with each change of leader. Two leaders therefore count the same time twice for
-//! at most one heartbeat interval. The clock is up to one heartbeat interval behind, so a time limit
-//! may be off by one or two intervals.
+//! [`Record::clock_ms`], to which the leader adds the time since its last heartbeat by its own
+//! clock ([`Command::AdvanceClock`]). A proposal that a leader makes after its successor was
+//! elected is not committed. The successor counts from the last heartbeat that it saw, and so
+//! includes the time between the two terms; otherwise anything with a time limit (a site's lease in
+//! its federation) would last longer with each change of leader. Two leaders therefore count the
+//! same time twice for at most one heartbeat interval. The clock is up to one heartbeat interval
+//! behind, so a time limit may be off by one or two intervals.
 
 mod apply;
 mod replicated;
@@ -126,7 +126,8 @@
         /// Term of the leader.
         term: u64,
     },
-    /// An item that the site's member of its federation writes to its log; see [`DurableVote::put`].
+    /// An item that the site's member of its federation writes to its log; see
+    /// [`DurableVote::put`].
     PersistMemberLog {
         /// Term of the leader.
         term: u64,
--- a/src/coordination/replicated_state.rs
+++ b/src/coordination/replicated_state.rs
@@ -23,8 +23,8 @@
     pub uncommitted: u64,
     /// Total size up to which batches are merged into one write.
     pub merged_batch: usize,
-    /// Total size of the entries that follow the snapshot in a checkpoint; while they are larger, the
-    /// checkpoint is delayed.
+    /// Total size of the entries that follow the snapshot in a checkpoint; while they are larger,
+    /// the checkpoint is delayed.
     pub checkpoint_entries: usize,
     /// Size of a checkpoint.
     pub checkpoint: usize,
--- a/src/coordination/sender_registry.rs
+++ b/src/coordination/sender_registry.rs
@@ -24,7 +24,8 @@
 pub const MAX_OFFERS_PER_ROUND: usize = 50;
 /// Maximum number of names in a line.
 const MAX_NAMES_SHOWN: usize = 10;
-/// Maximum number of stored documents that are kept per sender: as many as a record has of one kind.
+/// Maximum number of stored documents that are kept per sender: as many as a record has of one
+/// kind.
 const MAX_STORED_DOCUMENTS: usize = 8;
 /// Maximum length of a sender's reason that is kept, in bytes.
 const MAX_REASON_BYTES: usize = 2_000;
@@ -55,8 +56,8 @@
 }
 
 impl KnownSender {
-    /// Whether it has reported this document as stored. Number 0 stands for no document, which always
-    /// counts as stored.
+    /// Whether it has reported this document as stored. Number 0 stands for no document, which
+    /// always counts as stored.
     pub fn has_stored(&self, number: u64, digest: Option<Digest>) -> bool {
         if number == 0 {
             return true;
@@ -99,8 +100,9 @@
 }
 
 impl SenderRegistry {
-    /// Starts or resumes a sender's session. Earlier announcements and offers no longer count, as the
-    /// connection may be a new one. `stored` are the documents reported with the request, if any.
+    /// Starts or resumes a sender's session. Earlier announcements and offers no longer count, as
+    /// the connection may be a new one. `stored` are the documents reported with the request, if
+    /// any.
     pub fn open_session(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
         let known = self.senders.entry(sender.into()).or_default();
         if known.boot != boot {
@@ -116,7 +118,8 @@
         known.inventory_due = false;
     }
 
-    /// Records the stored documents that a sender reports after the message that opened its session.
+    /// Records the stored documents that a sender reports after the message that opened its
+    /// session.
     pub fn set_stored(&mut self, sender: &str, stored: &[(u64, Digest)]) {
         if let Some(known) = self.senders.get_mut(sender) {
             known.stored = Some(bounded(stored));
@@ -203,8 +206,8 @@
         is_due
     }
 
-    /// Whether the offer of a document to a sender is due and `offers` are left. If so, it is recorded
-    /// as sent and deducted from `offers`.
+    /// Whether the offer of a document to a sender is due and `offers` are left. If so, it is
+    /// recorded as sent and deducted from `offers`.
     pub fn claim_offer(
         &mut self,
         now: Nanos,
--- a/src/coordination/zones/evidence.rs
+++ b/src/coordination/zones/evidence.rs
@@ -122,8 +122,8 @@
     /// Records the counts of one report.
     ///
     /// `max_load` returns, for a zone and destination, the maximum number of accepted calls of one
-    /// report that count as load; `None` if no list names the zone and destination. Their counts are
-    /// dropped, as names invented by one reporter must not fill the tables.
+    /// report that count as load; `None` if no list names the zone and destination. Their counts
+    /// are dropped, as names invented by one reporter must not fill the tables.
     pub fn record_report(
         &mut self,
         now: Nanos,
--- a/src/coordination/zones/evidence/judgement.rs
+++ b/src/coordination/zones/evidence/judgement.rs
@@ -66,8 +66,8 @@
         self.called += 1;
     }
 
-    /// Whether the observer is isolated: it sees all of the zones that it calls failing, and calls at
-    /// least two.
+    /// Whether the observer is isolated: it sees all of the zones that it calls failing, and calls
+    /// at least two.
     fn is_isolated(self) -> bool {
         self.called >= 2 && self.failing == self.called
     }
@@ -110,8 +110,8 @@
     /// Judges every zone with recent failures.
     ///
     /// `live_senders` is the number of senders with a session; `listed_destinations` returns the
-    /// number of destinations that a zone lists. Evacuated zones are ignored when checking whether a
-    /// destination fails in other zones as well.
+    /// number of destinations that a zone lists. Evacuated zones are ignored when checking whether
+    /// a destination fails in other zones as well.
     pub fn judge(
         &mut self,
         now: Nanos,
--- a/src/coordination/zones/evidence/window.rs
+++ b/src/coordination/zones/evidence/window.rs
@@ -90,9 +90,9 @@
         window
     }
 
-    /// Returns the outcomes of calls in the last `span_ms`. Hanging calls count as failed if the zone
-    /// has answered almost none in the last `silent_ms`: a slow zone still answers some calls, a dead
-    /// one none.
+    /// Returns the outcomes of calls in the last `span_ms`. Hanging calls count as failed if the
+    /// zone has answered almost none in the last `silent_ms`: a slow zone still answers some calls,
+    /// a dead one none.
     pub(super) fn with_hanging(
         zone: &ZoneObservations,
         now: Nanos,
@@ -115,8 +115,8 @@
         self.0.iter()
     }
 
-    /// Returns the factor for each reporter's counts, so that no reporter counts for more calls than
-    /// `max_reporter_weight`.
+    /// Returns the factor for each reporter's counts, so that no reporter counts for more calls
+    /// than `max_reporter_weight`.
     pub(super) fn reporter_weights(&self, max_reporter_weight: f64) -> ReporterWeights {
         let mut weights: ReporterWeights = BTreeMap::new();
         for (key, counts) in self.iter() {
@@ -129,7 +129,8 @@
         weights
     }
 
-    /// Returns the weighted counts of each destination, of the reporters for which `include` is true.
+    /// Returns the weighted counts of each destination, of the reporters for which `include` is
+    /// true.
     pub(super) fn by_destination(
         &self,
         weights: &ReporterWeights,
@@ -145,7 +146,8 @@
 }
 
 impl ZoneObservations {
-    /// Whether almost no call was answered in the last `silent_ms`, compared with the hanging calls.
+    /// Whether almost no call was answered in the last `silent_ms`, compared with the hanging
+    /// calls.
     fn is_silent(&self, now: Nanos, silent_ms: u32, max_reporter_weight: f64) -> bool {
         let answered: f64 = self
             .recent(now, silent_ms)
--- a/src/coordination/zones/recovery_ramp.rs
+++ b/src/coordination/zones/recovery_ramp.rs
@@ -5,8 +5,8 @@
 //! for calls, the outstanding grants, and the current slice of the budget. It proposes slices
 //! (`slices`), judges the progress of the return by the results of granted calls (`results`), and
 //! estimates the current capacity of a destination (`budget`). The
-//! [leader](crate::coordination::leader) decides whether a return begins, continues or ends. It owns
-//! one [`RecoveryRamp`] for its term and is the only caller.
+//! [leader](crate::coordination::leader) decides whether a return begins, continues or ends. It
+//! owns one [`RecoveryRamp`] for its term and is the only caller.
 //!
 //! # The budget
 //!
@@ -109,8 +109,8 @@
 }
 
 impl RecoveryRamp {
-    /// Starts a term. No call is granted before all calls that earlier leaders may have granted have
-    /// begun.
+    /// Starts a term. No call is granted before all calls that earlier leaders may have granted
+    /// have begun.
     pub fn new(rules: ZoneRules, now: Nanos) -> RecoveryRamp {
         let longest_ms = f64::from(rules.slice_ms + rules.grant_validity_ms)
             * (1.0 + 2.0 * rules.max_clock_drift);
@@ -140,8 +140,8 @@
         self.ended_returns.retain(|_, until| *until > now);
     }
 
-    /// Drops a return. Calls of its last slice may still begin for some time, and the next return of
-    /// the zone waits until then.
+    /// Drops a return. Calls of its last slice may still begin for some time, and the next return
+    /// of the zone waits until then.
     fn end_return(&mut self, zone: String) {
         let slice = self.returns.remove(&zone).and_then(|ended| ended.slice);
         if let Some(slice) = slice {
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Queues a sender's requests for calls and replaces its earlier ones. `report` is the number of
-    /// the report that contained them.
+    /// Queues a sender's requests for calls and replaces its earlier ones. `report` is the number
+    /// of the report that contained them.
     pub fn request_grants(
         &mut self,
         now: Nanos,
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Restarts a return as that of a zone that has not answered yet, after the return failed and an
-    /// operator still requests it.
+    /// Restarts a return as that of a zone that has not answered yet, after the return failed and
+    /// an operator still requests it.
     pub fn restart(&mut self, zone: &str) {
         if let Some(zone_return) = self.returns.get_mut(zone) {
             zone_return.restart();
--- a/src/coordination/zones/recovery_ramp/results.rs
+++ b/src/coordination/zones/recovery_ramp/results.rs
@@ -8,9 +8,10 @@
 use crate::Nanos;
 
 /// Time from a failed probe to the next one, as a share of the time for which the zone has been
-/// probed. The end of an outage is detected later by at most this share.
+/// probed. The end of an outage is therefore detected with a delay of this share of its duration.
 const PROBE_BACKOFF_SHARE: f64 = 0.1;
-/// Upper limit of that time as a share of the warm-up, so that it is short compared with the return.
+/// Upper limit of that time as a share of the warm-up, so that it is short compared with the
+/// return.
 const MAX_PROBE_BACKOFF_WARMUP_SHARE: f64 = 0.1;
 /// Minimum of that upper limit, in milliseconds, for short warm-ups.
 const MIN_PROBE_BACKOFF_LIMIT_MS: f64 = 1_000.0;
@@ -57,8 +58,8 @@
 impl RecoveryRamp {
     /// Records a sender's results of calls to a destination.
     ///
-    /// Counts at most the number of calls that were granted to the sender: other calls do not belong
-    /// to this return.
+    /// Counts at most the number of calls that were granted to the sender: other calls do not
+    /// belong to this return.
     pub fn record_results(
         &mut self,
         now: Nanos,
@@ -165,8 +166,8 @@
         ms(backoff_ms as u32)
     }
 
-    /// Records which senders reported failures and answers. Two senders have to confirm that the zone
-    /// answers; after that, one sender suffices for each destination.
+    /// Records which senders reported failures and answers. Two senders have to confirm that the
+    /// zone answers; after that, one sender suffices for each destination.
     fn note_reporting_sender(&mut self, sender: u32, results: &RecentCounts) {
         if results.failed > 0.0 && self.failed_for.len() < MIN_CONFIRMING_SENDERS {
             self.failed_for.insert(sender);
@@ -214,7 +215,8 @@
         totals
     }
 
-    /// Whether enough results, from at least two senders, are failures for the return to have failed.
+    /// Whether enough results, from at least two senders, are failures for the return to have
+    /// failed.
     fn has_failed(&self, totals: ResultTotals, rules: &ZoneRules) -> bool {
         totals.results >= f64::from(rules.min_results)
             && totals.failed >= FAILED_SHARE * totals.results
--- a/src/coordination/zones/recovery_ramp/slices.rs
+++ b/src/coordination/zones/recovery_ramp/slices.rs
@@ -13,8 +13,8 @@
 
 /// Calls to one destination in a slice before the destination has answered any.
 const TRIAL_CALLS_PER_DESTINATION: f64 = 2.0;
-/// Calls in a slice while no destination of the zone has answered. Two, as only every second granted
-/// call finds a message to send.
+/// Calls in a slice while no destination of the zone has answered. Two, as only every second
+/// granted call finds a message to send.
 const PROBE_CALLS: f64 = 2.0;
 /// Calls to one destination in such a slice.
 const PROBE_CALLS_PER_DESTINATION: f64 = 1.0;
@@ -57,8 +57,8 @@
 }
 
 impl RecoveryRamp {
-    /// Reserves the next slice of a zone's budget; `None` while the last slice is valid or if no call
-    /// is requested. `budget` returns the rates of each destination.
+    /// Reserves the next slice of a zone's budget; `None` while the last slice is valid or if no
+    /// call is requested. `budget` returns the rates of each destination.
     pub fn reserve_slice(
         &mut self,
         now: Nanos,
@@ -152,8 +152,8 @@
         reserved
     }
 
-    /// Returns the seconds since the last slice began, at most two slices. Credit accumulates for one
-    /// slice only, so that a pause without senders is not made up for later.
+    /// Returns the seconds since the last slice began, at most two slices. Credit accumulates for
+    /// one slice only, so that a pause without senders is not made up for later.
     fn seconds_of_credit(&self, now: Nanos, rules: &ZoneRules) -> f64 {
         let slice_length = ms(rules.slice_ms);
         let since = self
@@ -284,8 +284,8 @@
         self.credit = (self.credit + per_second * seconds).min(most);
     }
 
-    /// Deducts whole calls from the credit, at most those requested and at most `most`. Returns their
-    /// number; nothing is deducted if it is less than one.
+    /// Deducts whole calls from the credit, at most those requested and at most `most`. Returns
+    /// their number; nothing is deducted if it is less than one.
     fn spend_credit(&mut self, most: f64) -> f64 {
         let requested: f64 = self
             .requests
--- a/src/coordination/zones/recovery_ramp/zone_return.rs
+++ b/src/coordination/zones/recovery_ramp/zone_return.rs
@@ -33,7 +33,8 @@
     pub(super) last_probed: Option<u16>,
     /// Granted calls whose results have not been reported yet, by sender.
     pub(super) outstanding: BTreeMap<u32, OutstandingCalls>,
-    /// Senders that were granted calls; at most [`MIN_CONFIRMING_SENDERS`], as in the next two sets.
+    /// Senders that were granted calls; at most [`MIN_CONFIRMING_SENDERS`], as in the next two
+    /// sets.
     pub(super) granted_to: BTreeSet<u32>,
     /// Senders that reported an accepted call.
     pub(super) answered_to: BTreeSet<u32>,
@@ -50,8 +51,8 @@
     /// milliseconds.
     pub(super) zone_lead_ms: f64,
     pub(super) last_failure_at: Nanos,
-    /// Number of calls that may be reserved: the rate accumulated over time, at most one slice and a
-    /// call.
+    /// Number of calls that may be reserved: the rate accumulated over time, at most one slice and
+    /// a call.
     pub(super) credit: f64,
     /// Results of granted calls; their weight decays once the destination has answered.
     pub(super) results: RecentCounts,
@@ -98,8 +99,8 @@
 }
 
 impl ZoneReturn {
-    /// Creates a return of which this leader has just learned. If the record contains a warm-up, the
-    /// zone has answered under an earlier leader.
+    /// Creates a return of which this leader has just learned. If the record contains a warm-up,
+    /// the zone has answered under an earlier leader.
     pub(super) fn new(now: Nanos, zone: &ReturningZone<'_>) -> ZoneReturn {
         let has_answered = !zone.warmed_ms.is_empty();
         ZoneReturn {
--- a/src/coordination/zones/rules.rs
+++ b/src/coordination/zones/rules.rs
@@ -39,8 +39,8 @@
     /// Three, so that two reporters with the same fault cause no evacuation.
     #[serde(rename = "least_reporters")]
     pub min_reporters: u32,
-    /// Maximum number of calls of one reporter that count in a window, so that no reporter outweighs
-    /// the others.
+    /// Maximum number of calls of one reporter that count in a window, so that no reporter
+    /// outweighs the others.
     #[serde(rename = "most_weight")]
     pub max_reporter_weight: f64,
     /// Share of the reporters' home zones that has to be exceeded by those that see it failing.
--- a/tests/model_zones.rs
+++ b/tests/model_zones.rs
@@ -1,7 +1,7 @@
 //! Model check of the unmodified [`LeaderDuties`] and [`Record`]: all orders of events between an
 //! agreed log, leaders that are deposed, paused and resumed, and three senders. The log stands for
-//! the Raft group: a leader's proposal is committed only while its term is the latest one, or if the
-//! next leader inherits it.
+//! the Raft group: a leader's proposal is committed only while its term is the latest one, or if
+//! the next leader inherits it.
 #![cfg(feature = "fleet")]
 
 #[path = "common/printed.rs"]
@@ -309,7 +309,8 @@
                 z.is_some_and(|z| z.out.iter().any(|(_, part)| *part >= 1.0))
             };
             if (is_out("z0") && is_out("z1")) || (is_out("z2") && is_out("z3")) {
-                s.violations.push("a destination's last route was evacuated");
+                s.violations
+                    .push("a destination's last route was evacuated");
             }
             if let Command::ExpireSender { boot, .. } = &command {
                 let ended = boots
@@ -378,7 +379,11 @@
         self.tick(&mut s, 0);
         if self.returning {
             // The first slice is committed, and none of its calls is granted yet.
-            for action in [Action::Report(0, 0, false), Action::Commit, Action::AdvanceTime] {
+            for action in [
+                Action::Report(0, 0, false),
+                Action::Commit,
+                Action::AdvanceTime,
+            ] {
                 s = self.next_state(&s, action).unwrap_or(s);
             }
         }
@@ -579,7 +584,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
-            Property::<Self>::always("no invariant is violated", |_, s: &State| s.violations.is_empty()),
+            Property::<Self>::always("no invariant is violated", |_, s: &State| {
+                s.violations.is_empty()
+            }),
             Property::<Self>::sometimes("two leaders at once", |_, s: &State| s.leaders.len() > 1),
         ];
         if self.returning {
@@ -697,7 +704,10 @@
 #[test]
 fn orders_keep_a_route_for_each_destination_and_increase_the_epoch() {
     assert_eq!(check("orders", orders(Fault::None), MAX_STATES), None);
-    for (fault, what) in [(Fault::IgnoresBase, "last route"), (Fault::KeepsEpoch, "epoch")] {
+    for (fault, what) in [
+        (Fault::IgnoresBase, "last route"),
+        (Fault::KeepsEpoch, "epoch"),
+    ] {
         let found = check("orders", orders(fault), MAX_STATES);
         assert!(
             found.as_ref().is_some_and(|f| f.contains(what)),
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -8,9 +8,9 @@
 #[allow(dead_code)]
 mod simulation;
 
-use simulation::{calm, name, play, Draw, Plan, Played, State, Trouble, MS, SECOND};
 use raildeal::coordination::messages::{OperatorRequest, OperatorResponse, RequestedZoneState};
 use raildeal::coordination::record::Phase;
+use simulation::{calm, name, play, Draw, Plan, Played, State, Trouble, MS, SECOND};
 
 /// Time at which the zone fails, in nanoseconds of a run.
 const OUTAGE_AT: u64 = 8 * SECOND;
@@ -54,8 +54,8 @@
     }
 }
 
-/// Runs a fleet in which a zone fails at [`OUTAGE_AT`] and is back at `back`; the run continues until
-/// well after the warm-up.
+/// Runs a fleet in which a zone fails at [`OUTAGE_AT`] and is back at `back`; the run continues
+/// until well after the warm-up.
 fn run_temporary_outage(
     senders: usize,
     zones: usize,
@@ -117,8 +117,8 @@
     }
 }
 
-/// Draws a few minor faults, none of which justifies an evacuation.
-fn plan_with_minor_faults(senders: usize, seed: u64) -> Plan {
+/// Returns a plan with a few random minor faults, none of which justifies an evacuation.
+fn minor_faults(senders: usize, seed: u64) -> Plan {
     let mut draw = Draw::new(seed ^ 0xA5A5);
     let zones = 3 + draw.under(4);
     let mut plan = calm(senders, zones, seed);
@@ -201,9 +201,7 @@
     let sizes = [(10, 110), (100, 70), (300, 16), (3_000, 4)];
     let runs = sizes
         .iter()
-        .flat_map(|(senders, runs)| {
-            (0..*runs).map(|seed| plan_with_minor_faults(*senders, seed))
-        });
+        .flat_map(|(senders, runs)| (0..*runs).map(|seed| minor_faults(*senders, seed)));
     let mut failures = Vec::new();
     for (plan, played) in run_all(runs.collect()) {
         if played.leaves() > 0 {
@@ -224,7 +222,7 @@
 #[test]
 fn rules_without_thresholds_cause_evacuations_with_the_same_faults() {
     let plans = (0..20).map(|seed| {
-        let mut plan = plan_with_minor_faults(100, seed);
+        let mut plan = minor_faults(100, seed);
         let rules = &mut plan.rules.zones;
         (
             rules.min_reporters,
@@ -421,7 +419,9 @@
     ];
     let played = play(&plan);
     assert!(
-        played.when("z1", Phase::Left, OUTAGE_AT + 3 * SECOND).is_some(),
+        played
+            .when("z1", Phase::Left, OUTAGE_AT + 3 * SECOND)
+            .is_some(),
         "{:?}",
         played.orders
     );
@@ -468,7 +468,9 @@
     ];
     let played = play(&plan);
     assert!(
-        played.when("z1", Phase::Left, OUTAGE_AT + 3 * SECOND).is_some(),
+        played
+            .when("z1", Phase::Left, OUTAGE_AT + 3 * SECOND)
+            .is_some(),
         "{:?}",
         played.orders
     );
