--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -181,7 +181,7 @@
     let is_under_way = session
         .last_view
         .is_some_and(|view| view.version >= record.changed && now < view.sent_at + VIEW_TIMEOUT);
-    if is_under_way || !record.is_news_to(session.record_version) {
+    if is_under_way || !record.is_view_outdated(session.record_version) {
         return;
     }
     session.last_view = Some(SentView {
--- a/src/coordination/leader/capacity.rs
+++ b/src/coordination/leader/capacity.rs
@@ -35,7 +35,7 @@
 /// Reason why a zone cannot be evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum CannotEvacuate {
-    /// The maximum number of zones that the settings permit is evacuated.
+    /// The number of evacuated zones has reached the limit in the settings.
     #[error("{evacuated} of {listed} zones are evacuated already, at most {max} may be")]
     TooManyEvacuated {
         evacuated: usize,
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -187,8 +187,8 @@
         effects.push(Effect::Reply(connection, answer));
     }
 
-    /// Takes an order on the federation and its table: answered at once, or when the federation's
-    /// record shows it.
+    /// Handles a request on the federation and its table. The answer follows at once, or when the
+    /// order has been applied to the federation's record.
     fn order_table(
         &mut self,
         now: Nanos,
--- a/src/coordination/record/apply.rs
+++ b/src/coordination/record/apply.rs
@@ -115,7 +115,7 @@
             let is_valid = |r: &ZoneOverride| r.until_ms == 0 || r.until_ms > now_ms;
             zone.request = zone.request.filter(is_valid);
         }
-        self.forget_unnamed_zones();
+        self.remove_default_zones();
     }
 
     fn set_zone_phase(&mut self, index: u64, base: u64, decision: &ZoneDecision<'_>) {
@@ -138,7 +138,7 @@
         if decision.phase == Phase::Left {
             zone.left = decision.out.to_vec();
         }
-        self.forget_unnamed_zones();
+        self.remove_default_zones();
     }
 
     fn request_zone_state(&mut self, zone: &str, state: RequestedZoneState, for_ms: u64) {
@@ -154,7 +154,7 @@
             _ => Some(ZoneOverride { state, until_ms }),
         };
         self.zones.entry(zone.to_string()).or_default().request = request;
-        self.forget_unnamed_zones();
+        self.remove_default_zones();
     }
 
     fn allocate_attempts(&mut self, zone: &str, epoch: u64, slice: SliceId, warm: &[(u16, u32)]) {
@@ -167,7 +167,8 @@
         }
     }
 
-    fn forget_unnamed_zones(&mut self) {
-        self.zones.retain(|_, zone| zone.is_named());
+    /// Removes the zones that the record need not store.
+    fn remove_default_zones(&mut self) {
+        self.zones.retain(|_, zone| zone.must_be_stored());
     }
 }
--- a/src/coordination/record/mod.rs
+++ b/src/coordination/record/mod.rs
@@ -209,7 +209,7 @@
 impl Zone {
     /// Whether the record has to store the zone: it is not in use, or has a request or recent
     /// returns.
-    fn is_named(&self) -> bool {
+    fn must_be_stored(&self) -> bool {
         self.phase != Phase::Used || self.request.is_some() || self.return_attempts > 0
     }
 }
@@ -263,7 +263,7 @@
     }
 
     /// Whether the view of a sender that applies this version is out of date.
-    pub fn is_news_to(&self, version: u64) -> bool {
+    pub fn is_view_outdated(&self, version: u64) -> bool {
         version == 0 || version < self.changed || version > self.version
     }
 }
--- a/src/coordination/record/tests.rs
+++ b/src/coordination/record/tests.rs
@@ -53,7 +53,7 @@
     );
     record.apply(3, &order(1, Phase::Used));
     assert!(record.zones.is_empty() && record.view().zones.is_empty());
-    assert!(record.is_news_to(2) && !record.is_news_to(3));
+    assert!(record.is_view_outdated(2) && !record.is_view_outdated(3));
     record.apply(4, &order(2, Phase::Left));
     assert_eq!(
         record.zones["z"].epoch, 3,
