--- a/src/coordination/bootstrap.rs
+++ b/src/coordination/bootstrap.rs
@@ -1,9 +1,9 @@
-//! The first start of a site: the replicas learn each other's folders before one of them votes.
+//! First start of a site: the replicas learn each other's folders before one of them votes.
 //!
-//! [`super::raft_group`] says why a vote belongs to a folder. This module owns the state of a
+//! [`super::raft_group`] explains why a vote belongs to a folder. This module owns the state of a
 //! replica that does not take part yet ([`Bootstrap`]), and the check of whether another replica's
-//! messages may be taken ([`admit`]). It neither sends nor writes: [`super::replica`] and
-//! [`super::routing_table::member`] bring it what others say and write its checkpoint.
+//! messages may be accepted ([`admit`]). It neither sends nor writes: [`super::replica`] and
+//! [`super::routing_table::member`] pass it what others report and write its checkpoint.
 
 use crate::coordination::raft_group::{GroupMember, GroupState};
 use crate::coordination::raft_log::{Checkpoint, ReplicaIdentity};
@@ -12,14 +12,14 @@
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether another replica's messages may be taken.
+/// Whether another replica's messages may be accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerAdmission {
-    /// They may: its folder is known already.
+    /// They may be accepted: its folder is known already.
     Known,
-    /// They may, once its folder, which is now known, is written down.
+    /// They may be accepted once its folder, which was unknown before, is stored.
     New,
-    /// They may not, for this reason.
+    /// They are rejected for this reason.
     Rejected(String),
 }
 
@@ -27,12 +27,12 @@
 pub struct Bootstrap {
     checkpoint: Checkpoint,
     peers: BTreeSet<u64>,
-    /// Peers that have written down this replica's folder.
+    /// Peers that have stored this replica's incarnation.
     known_to: BTreeSet<u64>,
 }
 
 impl Bootstrap {
-    /// What an empty folder begins with, as one of the first replicas of a site.
+    /// Returns the first checkpoint of an empty folder of one of a site's first replicas.
     pub fn first_checkpoint(
         identity: ReplicaIdentity,
         peers: impl Iterator<Item = u64>,
@@ -40,7 +40,7 @@
         Bootstrap::first_checkpoint_of::<Record>(identity, peers)
     }
 
-    /// The same as [`Bootstrap::first_checkpoint`], for a group that agrees on something else.
+    /// Does the same as [`Bootstrap::first_checkpoint`], for a group that agrees on another state.
     pub fn first_checkpoint_of<R: ReplicatedState>(
         identity: ReplicaIdentity,
         peers: impl Iterator<Item = u64>,
@@ -50,12 +50,13 @@
         Checkpoint::new(identity, 1, voters.into_iter().collect(), state)
     }
 
-    /// What an empty folder begins with where the group exists already.
+    /// Returns the first checkpoint of an empty folder where the group exists already.
     pub fn joining_checkpoint(identity: ReplicaIdentity) -> Checkpoint {
         Bootstrap::joining_checkpoint_of::<Record>(identity)
     }
 
-    /// The same as [`Bootstrap::joining_checkpoint`], for a group that agrees on something else.
+    /// Does the same as [`Bootstrap::joining_checkpoint`], for a group that agrees on another
+    /// state.
     pub fn joining_checkpoint_of<R: ReplicatedState>(identity: ReplicaIdentity) -> Checkpoint {
         let state = GroupState::<R>::default().encode();
         Checkpoint {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Goes on with a first start.
+    /// Continues a first start from a checkpoint.
     pub fn new(checkpoint: Checkpoint) -> Bootstrap {
         let own = checkpoint.identity.replica;
         let voters = checkpoint.voters.iter().copied();
@@ -75,12 +76,13 @@
         }
     }
 
-    /// The checkpoint as it is to be written.
+    /// Returns the checkpoint as it has to be written.
     pub fn checkpoint(&self) -> &Checkpoint {
         &self.checkpoint
     }
 
-    /// Learns the incarnation of a peer's folder. One folder is known for a number, for good.
+    /// Records the incarnation of a peer's folder. A number keeps the first folder that is known
+    /// for it.
     pub fn learn_incarnation(&mut self, replica: u64, incarnation: u64) -> PeerAdmission {
         if !self.peers.contains(&replica) {
             return PeerAdmission::Rejected(format!("keeper {replica} is none of the first"));
@@ -96,14 +98,14 @@
         }
     }
 
-    /// Notes that a peer has written down this replica's incarnation.
+    /// Records that a peer has stored this replica's incarnation.
     pub fn note_known_to(&mut self, replica: u64) {
         if self.peers.contains(&replica) {
             self.known_to.insert(replica);
         }
     }
 
-    /// Peers that are waited for.
+    /// Returns the peers that have not completed the exchange of incarnations.
     pub fn missing(&self) -> Vec<u64> {
         let known = &self.checkpoint.known_incarnations;
         let is_met = |id: &u64| self.known_to.contains(id) && known.contains_key(id);
@@ -111,12 +113,12 @@
         missing.copied().collect()
     }
 
-    /// The checkpoint that the replica takes part with; nothing while a peer is missing.
+    /// Returns the checkpoint with which the replica takes part; `None` while a peer is missing.
     pub fn finish(&self, addresses: &BTreeMap<u64, String>) -> Option<Checkpoint> {
         self.finish_of::<Record>(addresses)
     }
 
-    /// The same as [`Bootstrap::finish`], for a group that agrees on something else.
+    /// Does the same as [`Bootstrap::finish`], for a group that agrees on another state.
     pub fn finish_of<R: ReplicatedState>(
         &self,
         addresses: &BTreeMap<u64, String>,
@@ -143,8 +145,8 @@
     }
 }
 
-/// Decides whether the messages of another replica may be taken: it is a member, and has the folder
-/// that the group knows.
+/// Decides whether the messages of another replica may be accepted: it has to be a member, with the
+/// folder that the group knows.
 pub fn admit<R: ReplicatedState>(
     state: &GroupState<R>,
     replica: u64,
@@ -153,7 +155,7 @@
     match state.members.get(&replica) {
         Some(member) if member.incarnation == incarnation => PeerAdmission::Known,
         Some(_) => PeerAdmission::Rejected(another_folder(replica)),
-        // A replica that joins knows nobody yet, and has nothing to lose.
+        // A replica that joins knows no members yet, and has no state to lose.
         None if state.members.is_empty() => PeerAdmission::Known,
         None if state.removed.contains(&replica) => {
             PeerAdmission::Rejected(format!("keeper {replica} was removed"))
--- a/src/coordination/framing.rs
+++ b/src/coordination/framing.rs
@@ -1,10 +1,10 @@
-//! Frames on a stream: a length of four bytes (big end first), then a body that [`postcard`]
+//! Frames on a stream: a length of four bytes in big-endian order, then a body that [`postcard`]
 //! encodes.
 //!
-//! This module owns the encoding and its limits. It opens no connection and gives no frame a
-//! meaning: agents, the `fleet` commands and the replicas call it with the types of
-//! [`super::messages`]. A frame that is torn, too long or malformed ends its connection, and
-//! nothing else.
+//! This module owns the encoding and its limits. It opens no connection and does not interpret
+//! messages: agents, the `fleet` commands and the replicas call it with the types of
+//! [`super::messages`]. A frame that is truncated, too long or malformed ends its connection and
+//! has no other effect.
 
 use crate::coordination::messages::{Handshake, PROTOCOL_VERSION};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
@@ -12,28 +12,28 @@
 use serde::Serialize;
 use std::io::{self, Read, Write};
 
-/// Bytes of the length before a body.
+/// Bytes of the length prefix.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a connection is ended.
+/// Reason for which a connection is closed.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The other side closed it between two frames.
+    /// The other side closed the connection between two frames.
     #[error("the line was ended")]
     Closed,
-    /// It failed, or ended in the middle of a frame.
+    /// The connection failed, or ended in the middle of a frame.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// A frame has more bytes than the limit.
     #[error("a frame of {0} bytes, of {1} that may be")]
     TooLong(usize, usize),
-    /// A body is not what was expected here.
+    /// The body cannot be decoded as the expected message.
     #[error("a frame that makes no sense: {0}")]
     Malformed(#[from] postcard::Error),
-    /// The other side speaks another version of the protocol.
+    /// The other side uses another version of the protocol.
     #[error("it speaks form {0}, this one speaks {PROTOCOL_VERSION}")]
     VersionMismatch(u16),
-    /// The other side is of another site.
+    /// The other side belongs to another site.
     #[error("it is of site {0:?}")]
     SiteMismatch(String),
 }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Decodes the length of a body, if it is within the limit.
+/// Decodes the length of a body and checks it against the limit.
 fn decode_length(head: [u8; LENGTH_BYTES], max_bytes: usize) -> Result<usize, FrameError> {
     let len = u32::from_be_bytes(head) as usize;
     if len > max_bytes {
@@ -63,7 +63,7 @@
     Ok(len)
 }
 
-/// Decodes a body. Bytes behind the message are a fault.
+/// Decodes a body. Bytes after the message are an error.
 fn decode_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, FrameError> {
     match postcard::take_from_bytes(body)? {
         (message, []) => Ok(message),
@@ -73,7 +73,7 @@
     }
 }
 
-/// What a failure to read the first byte of a frame says.
+/// Converts a failure to read the first byte of a frame.
 fn closed_at_end(e: io::Error) -> FrameError {
     match e.kind() {
         io::ErrorKind::UnexpectedEof => FrameError::Closed,
@@ -81,7 +81,8 @@
     }
 }
 
-/// Reads until all of it is full. A signal may interrupt that, which says nothing of the connection.
+/// Reads until the buffer is full. A read that a signal interrupts is repeated, as that is no
+/// failure of the connection.
 async fn fill(from: &mut (impl AsyncRead + Unpin), mut into: &mut [u8]) -> io::Result<()> {
     while !into.is_empty() {
         match from.read(into).await {
@@ -94,10 +95,10 @@
     Ok(())
 }
 
-/// Writes frames that are encoded, however short and interrupted the writes are.
+/// Writes encoded frames completely, also where single writes are short or interrupted.
 ///
 /// # Errors
-/// The connection failed; a part may have gone.
+/// The connection failed; a part may have been sent.
 pub async fn write_encoded(
     to: &mut (impl AsyncWrite + Unpin),
     mut frames: &[u8],
@@ -116,13 +117,13 @@
 /// Reads a message with a body of at most `max_bytes`.
 ///
 /// # Errors
-/// The connection ended or failed, or the frame is not what was expected.
+/// The connection ended or failed, or the frame is not the expected message.
 pub async fn read<T: DeserializeOwned>(
     from: &mut (impl AsyncRead + Unpin),
     max_bytes: usize,
 ) -> Result<T, FrameError> {
     let mut head = [0; LENGTH_BYTES];
-    // An end before the first byte is in order.
+    // The other side may close the connection before the first byte of a frame.
     fill(from, &mut head[..1]).await.map_err(closed_at_end)?;
     fill(from, &mut head[1..]).await?;
     let mut body = vec![0; decode_length(head, max_bytes)?];
@@ -142,7 +143,7 @@
     write_encoded(to, &encode(message, max_bytes)?).await
 }
 
-/// The same as [`read`], for a client that blocks.
+/// Reads a message like [`read`], for a blocking client.
 ///
 /// # Errors
 /// As [`read`].
@@ -151,7 +152,7 @@
     max_bytes: usize,
 ) -> Result<T, FrameError> {
     let mut head = [0; LENGTH_BYTES];
-    // Unlike a single read, this goes on after a signal.
+    // Unlike a single read, `read_exact` continues after a signal.
     from.read_exact(&mut head[..1]).map_err(closed_at_end)?;
     from.read_exact(&mut head[1..])?;
     let mut body = vec![0; decode_length(head, max_bytes)?];
@@ -159,7 +160,7 @@
     decode_body(&body)
 }
 
-/// The same as [`write`](fn@write), for a client that blocks.
+/// Writes a message like [`write`](fn@write), for a blocking client.
 ///
 /// # Errors
 /// As [`write`](fn@write).
@@ -172,10 +173,10 @@
 }
 
 impl Handshake {
-    /// Checks the version and the site of whoever opens a connection to a replica of `site`.
+    /// Checks the version and the site of the side that opens a connection to a replica of `site`.
     ///
     /// # Errors
-    /// One of them is another.
+    /// The version or the site is another one.
     pub fn admit(&self, site: &str) -> Result<(), FrameError> {
         if self.version != PROTOCOL_VERSION {
             return Err(FrameError::VersionMismatch(self.version));
--- a/src/coordination/messages/agent_replica.rs
+++ b/src/coordination/messages/agent_replica.rs
@@ -1,7 +1,7 @@
 //! Messages between the agent in a sender and the replica that leads its site.
 //!
 //! The agent opens a session, renews its lease with every report, and answers offers of policies
-//! and routing tables. The leader grants the lease and tells the agent what to go by.
+//! and routing tables. The leader grants the lease and orders which policy and table to apply.
 
 use super::Digest;
 use serde::{Deserialize, Serialize};
@@ -51,26 +51,26 @@
 /// Messages from an agent to a replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AgentToReplica {
-    /// Opens a session or takes it up again on another connection. A sender that starts has another
+    /// Opens a session or resumes it on another connection. A sender that restarts has another
     /// `boot`.
     OpenSession {
         /// Name of the sender.
         sender: String,
-        /// Drawn when the sender's process starts.
+        /// Random number that is drawn when the sender's process starts.
         boot: u64,
-        /// Zone that the sender stands in.
+        /// Zone of the sender.
         zone: String,
         /// Version of the record that the sender has; 0 for none.
         record_version: u64,
-        /// Policies that the sender has validated and stored, by number. Nothing where the file of
-        /// the sender lets it follow no policies: then it is never offered one.
+        /// Policies that the sender has validated and stored, by number. `None` where the sender's
+        /// file lets it follow no policies: such a sender is never offered one.
         stored: Option<Vec<(u64, Digest)>>,
     },
     /// Renews the lease and reports what the sender observed.
     Report {
         /// Numbers the reports of one boot, from 1; one that arrives twice counts once.
         report: u64,
-        /// Version of the record that the sender goes by.
+        /// Version of the record that the sender uses.
         record_version: u64,
         /// Results of calls since the last report.
         call_counts: Vec<ZoneCallCounts>,
@@ -85,11 +85,11 @@
     PolicyChecked {
         /// Number of the policy.
         number: u64,
-        /// Why the sender cannot go by it, a fault a line; nothing where it is validated and
+        /// Why the sender cannot apply it, one fault per line; `None` where it is validated and
         /// stored.
         refused: Option<String>,
     },
-    /// The sender goes by [`ReplicaToAgent::ApplyPolicy`] of this turn. Where that was a pause, the
+    /// The sender applies [`ReplicaToAgent::ApplyPolicy`] of this turn. If that was a pause, the
     /// sender accepts nothing new until a later turn.
     PolicyApplied {
         /// The turn.
@@ -111,11 +111,11 @@
     TableChecked {
         /// Number of the table.
         number: u64,
-        /// Why the sender cannot go by it, a fault a line; nothing where it is validated and
+        /// Why the sender cannot apply it, one fault per line; `None` where it is validated and
         /// stored.
         refused: Option<String>,
     },
-    /// The sender goes by [`ReplicaTableMessage::ApplyTable`] of this turn. Where that stopped
+    /// The sender applies [`ReplicaTableMessage::ApplyTable`] of this turn. If that stopped
     /// admission, the sender accepts nothing new until a later turn.
     TableApplied {
         /// The turn.
@@ -130,7 +130,7 @@
     pub zone: String,
     /// Destination, as a position in the settings.
     pub dest: u16,
-    /// How many attempts.
+    /// Number of attempts.
     pub attempts: u32,
 }
 
@@ -152,8 +152,8 @@
     GrantAttempts(AttemptLeaseGrant),
     /// The session has expired or never existed: open it.
     UnknownSession,
-    /// Asks the sender to validate this policy against its own settings and to store it. Nothing
-    /// changes by it yet.
+    /// Asks the sender to validate this policy against its own settings and to store it. The offer
+    /// alone changes nothing.
     OfferPolicy {
         /// Number of the policy.
         number: u64,
@@ -162,14 +162,15 @@
         /// Text of the policy.
         text: String,
     },
-    /// Policy that messages are accepted under in the sender's zone from now on. One of an earlier
-    /// turn than one that arrived before is void.
+    /// Policy under which messages are accepted in the sender's zone from now on. A message with an
+    /// earlier turn than one that arrived before has no effect.
     ApplyPolicy {
         /// Grows with each change of what is in force or paused anywhere in the record.
         turn: u64,
         /// Number of the policy in force; 0 for the sender's own settings alone.
         number: u64,
-        /// Nothing new is accepted before the next of these messages, not even under this policy.
+        /// Whether nothing new is accepted before the next of these messages, not even under this
+        /// policy.
         paused: bool,
     },
     /// About routing tables; only to a sender that sent [`AgentTableMessage::StoredTables`] on this
@@ -181,7 +182,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaTableMessage {
     /// Asks the sender to validate this table against its own list and settings and to store it.
-    /// Nothing changes by it yet.
+    /// The offer alone changes nothing.
     OfferTable {
         /// Number of the table.
         number: u64,
@@ -190,8 +191,8 @@
         /// Text of the table.
         text: String,
     },
-    /// Table that messages are accepted and routed by at this site from now on. One of an earlier
-    /// turn than one that arrived before is void.
+    /// Table by which messages are accepted and routed at this site from now on. A message with an
+    /// earlier turn than one that arrived before has no effect.
     ApplyTable {
         /// Grows with each change of the site's table or its admission.
         turn: u64,
@@ -205,12 +206,13 @@
 /// Whether a site accepts new messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SiteAdmission {
-    /// It does.
+    /// The site accepts messages.
     #[default]
     Open,
-    /// It does not for the moment between two tables.
+    /// Admission is paused for the moment between two tables.
     Paused,
-    /// It does not until its federation hears it again: its lease there has expired.
+    /// Admission has stopped because the site's lease in its federation has expired, until the
+    /// federation receives its messages again.
     LeaseExpired,
 }
 
@@ -228,35 +230,35 @@
     pub accepted: u32,
     /// Delivered within the latency objective.
     pub delivered: u32,
-    /// Delivered later than that.
+    /// Delivered after the latency objective.
     pub delivered_late: u32,
-    /// Given back without an attempt: deferred.
+    /// Deferred: ended without an attempt.
     pub deferred: u32,
-    /// Failed for good.
+    /// Undeliverable.
     pub failed: u32,
     /// Rejected by admission control before they were accepted.
     pub rejected: u32,
 }
 
-/// Attempts that a sender may begin in a zone on a recovery ramp. What is not begun in time is
-/// lost.
+/// Attempts that a sender may begin in a zone on a recovery ramp. Those that are not begun in time
+/// expire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptLeaseGrant {
     /// Report that asked for it: the lease counts from when that was sent.
     pub report: u64,
     /// Zone of the endpoints.
     pub zone: String,
-    /// Epoch of the return to the zone. A lease of another epoch is void.
+    /// Epoch of the return to the zone. A lease of another epoch has no effect.
     pub epoch: u64,
     /// Destination, as a position in the settings.
     pub dest: u16,
-    /// How many attempts.
+    /// Number of attempts.
     pub attempts: u32,
-    /// How long after the report was sent they may be begun, in milliseconds.
+    /// Time after the report was sent within which they may be begun, in milliseconds.
     pub within_ms: u32,
 }
 
-/// The record as it concerns senders.
+/// The part of the record that concerns senders.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SenderView {
     /// Version of the record.
@@ -265,32 +267,33 @@
     pub zones: Vec<ZoneOrder>,
 }
 
-/// What is ordered for one zone.
+/// The order for one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneOrder {
     /// The zone.
     pub zone: String,
     /// Grows with each order.
     pub epoch: u64,
-    /// Whether the zone is being returned to: then a sender that is out may begin calls there by
+    /// Whether the zone is being returned to: then an evacuated sender may begin calls there by
     /// [`AttemptLeaseGrant`]s.
     pub returning: bool,
-    /// By destination, the fraction of the senders that is out, over 0 and up to 1: those whose
-    /// [`sender_hash_fraction`] is under it. Destinations that are not named stay.
+    /// Evacuated fraction of the senders by destination, over 0 and up to 1: those whose
+    /// [`sender_hash_fraction`] is below it. Senders stay in the zone for destinations that are not
+    /// named.
     pub out: Vec<(u16, f32)>,
 }
 
 /// Maps a sender to a fraction from 0 to 1, evenly over senders, for a destination of a zone.
 ///
-/// A sender compares it with [`ZoneOrder::out`]: as the fraction that is out grows, more senders
-/// leave and those that left stay out.
+/// A sender compares it with [`ZoneOrder::out`]: as the evacuated fraction grows, more senders
+/// leave, and those that left before stay out.
 pub fn sender_hash_fraction(sender: &str, zone: &str, dest: u16) -> f32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(sender.as_bytes());
     hasher.update(&[0]);
     hasher.update(zone.as_bytes());
     hasher.update(&dest.to_be_bytes());
-    // A checksum of short names is not even in its upper bits alone.
+    // The upper bits of a checksum of short names are not evenly distributed by themselves.
     let mixed = u64::from(hasher.finalize()).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     (mixed >> 40) as f32 / (1u32 << 24) as f32
 }
--- a/src/coordination/messages/mod.rs
+++ b/src/coordination/messages/mod.rs
@@ -1,19 +1,19 @@
-//! Messages of the coordination protocol: plain data, one file for each pair that talks.
+//! Messages of the coordination protocol: plain data, with one file for each pair of participants.
 //!
 //! - [`agent_replica`]: the agent in a sender, and the replica that leads its site.
 //! - [`operator_replica`]: an operator's command, and any replica of a site.
-//! - Replica to replica and site to site: their messages carry Raft messages and stand with the
-//!   links that send them, in `replica/peers.rs` and `replica/site_links.rs`.
+//! - Replica to replica and site to site: their messages carry Raft messages and are defined with
+//!   the links that send them, in `replica/peers.rs` and `replica/site_links.rs`.
 //!
-//! This module owns what may be said, and the [`Handshake`] that opens each connection. It opens no
+//! This module defines the messages, and the [`Handshake`] that opens each connection. It opens no
 //! connection, reads no clock and decides nothing; [`super::framing`] puts messages on a stream.
 //! Agents, the `fleet` commands, the leader and the replicas use it.
 //!
 //! # Encoding
 //!
-//! All of it is encoded by `postcard`, which writes variants by their position and fields in their
-//! order, without names. Names may change; the order and the types of variants and fields may not,
-//! unless [`PROTOCOL_VERSION`] is raised.
+//! All messages are encoded by `postcard`, which writes variants by their position and fields in
+//! their order, without names. Names may change; the order and the types of variants and fields may
+//! not, unless [`PROTOCOL_VERSION`] is raised.
 
 mod agent_replica;
 mod operator_replica;
@@ -23,25 +23,25 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol. A side that is offered another version closes the connection.
+/// Version of the protocol. A side that receives another version closes the connection.
 pub const PROTOCOL_VERSION: u16 = 3;
 /// Longest body of a frame, in bytes, between agents, operators and replicas: a report of fifty
 /// zones with eighty destinations each fits in it.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 
-/// Names the side that opens a connection; the first message on every connection.
+/// Identifies the side that opens a connection; the first message on every connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
-    /// [`PROTOCOL_VERSION`] of the side that opens.
+    /// [`PROTOCOL_VERSION`] of the side that opens the connection.
     pub version: u16,
     /// Site that the connection is for, or the federation where the role is [`PeerRole::Site`]. A
-    /// replica of another site refuses it.
+    /// replica of another site rejects it.
     pub site: String,
-    /// What the side that opens is.
+    /// Role of the side that opens the connection.
     pub role: PeerRole,
 }
 
-/// What the side that opens a connection is.
+/// Role of the side that opens a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRole {
     /// A replica of the same site, by its number.
@@ -56,7 +56,7 @@
 }
 
 /// Digest of a policy or a routing table: a hash of its canonical form, by which senders and
-/// replicas make sure that they mean the same document.
+/// replicas verify that they refer to the same document.
 pub type Digest = [u8; 32];
 
 #[cfg(test)]
--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -1,8 +1,8 @@
-//! A policy: what may change in a sender while it runs. Nothing in it belongs to one machine
-//! (addresses, folders, memory, descriptors).
+//! A policy: the settings of a sender that may change while it runs. None of them belongs to one
+//! machine (addresses, folders, memory, descriptors).
 //!
-//! What a policy does not name stays as the sender's own settings say, so that policies do not add
-//! up: each lies over those alone.
+//! A setting that a policy does not name keeps the value of the sender's own settings. Policies do
+//! not accumulate: each is merged with the sender's own settings alone.
 
 use crate::config::{Door, Name};
 use crate::coordination::messages::Digest;
@@ -19,24 +19,26 @@
 use toml::de::{DeTable, DeValue};
 use toml::Table;
 
-/// Longest policy, in bytes of its text. It has to fit into a command of the record (64 KiB) beside
-/// its plan, and a snapshot of 1 MiB has to hold eight of them beside ten thousand senders.
+/// Longest policy, in bytes of its text. A policy has to fit into a command of the record (64 KiB)
+/// together with its plan, and a snapshot of 1 MiB has to hold eight of them together with ten
+/// thousand senders.
 pub const MOST_TEXT: usize = 32 * 1024;
-/// Classes that a policy may name: four times as many as any site that is played has.
+/// Most classes that a policy may name: four times as many as any simulated site has.
 const MOST_CLASSES: usize = 64;
-/// Longest time of a class, in milliseconds: a day.
+/// Longest time that a class may set, in milliseconds: a day.
 const MOST_MS: u64 = 86_400_000;
-/// Before what is hashed, so that the print of a policy is never that of something else.
+/// Prefix of the hashed bytes, so that the digest of a policy never equals that of another kind of
+/// document.
 const KIND: &[u8] = b"raildeal policy 1\n";
 
-/// Something in a text that cannot be used.
+/// A fault in the text of a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// The line, from 1; nothing where the text does not say it.
+    /// Line number, from 1; `None` where it is unknown.
     pub line: Option<usize>,
-    /// The setting, as in `class.bulk.deadline_ms`.
+    /// Path of the setting, as in `class.bulk.deadline_ms`.
     pub setting: String,
-    /// What is wrong with it.
+    /// Description of the problem.
     pub problem: String,
 }
 
@@ -52,31 +54,31 @@
     }
 }
 
-/// A policy as it is written.
+/// A parsed policy.
 #[derive(Clone, Debug, Default, Serialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// The module's limits.
+    /// Limits of the decision module.
     #[garde(dive)]
     pub limits: Limits,
-    /// Terms of classes, by name; a class that a sender does not have is a fault there.
+    /// Terms of classes, by name. A sender that has no class of that name rejects the policy.
     #[garde(length(max = MOST_CLASSES), dive)]
     pub class: BTreeMap<String, ClassTerms>,
-    /// Who may connect and whose messages are taken on.
+    /// Limits of admission control: who may connect and whose messages are accepted.
     #[garde(dive)]
     pub door: DoorTerms,
-    /// The script hook's text; an empty one takes the sender's own away.
+    /// Text of the script hook; an empty text removes the sender's own hook.
     #[garde(custom(compiles))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hook: Option<String>,
-    /// Where the text says what.
+    /// Line number of each setting in the text.
     #[garde(skip)]
     #[serde(skip)]
     lines: BTreeMap<String, usize>,
 }
 
-/// Two policies are the same where they mean the same, wherever their texts say it.
+/// Compares policies by their canonical form, however their texts are written.
 impl PartialEq for Document {
     fn eq(&self, other: &Document) -> bool {
         self.canonical() == other.canonical()
@@ -88,85 +90,85 @@
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Calls that may be out at once.
+    /// Most calls in flight at once.
     #[garde(range(min = 1, max = 1_000_000))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
-    /// Messages that may be held.
+    /// Most messages that may be pending.
     #[garde(range(min = 1, max = 100_000_000))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub room: Option<u32>,
-    /// Attempts allowed for one message.
+    /// Most attempts for one message.
     #[garde(range(min = 1, max = 10_000))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_attempts: Option<u32>,
-    /// Longest wait that a client is told, in milliseconds.
+    /// Longest Retry-After that a client is given, in milliseconds.
     #[garde(range(max = MOST_MS))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_retry_after_ms: Option<u64>,
 }
 
-/// What a repeat of a message does.
+/// Effect of a message that an endpoint receives a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum EffectTerm {
-    /// It takes effect again, which must not happen.
+    /// The message takes effect a second time, which must not happen.
     SideEffect,
-    /// No harm.
+    /// The repeat is harmless.
     Pure,
-    /// It is dropped for `window_ms`.
+    /// The repeat is dropped for `window_ms`.
     Token,
 }
 
-/// Where repeats are dropped.
+/// Scope within which repeats are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(rename_all = "snake_case")]
 pub enum ScopeTerm {
-    /// In the zone of the endpoint that may have run the first.
+    /// In the zone of the endpoint that may have processed the first copy.
     Zone,
-    /// Everywhere.
+    /// In all zones.
     All,
 }
 
-/// Terms of a class. Times in milliseconds.
+/// Terms of a class. Times are in milliseconds.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct ClassTerms {
-    /// Wanted within this time.
+    /// Latency objective of a message.
     #[garde(range(min = 1, max = MOST_MS), custom(in_time(&self.deadline_ms)))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub promise_ms: Option<u64>,
-    /// Given up after this time.
+    /// Deadline after which a message is given up.
     #[garde(range(min = 1, max = MOST_MS))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
-    /// What a repeat does.
+    /// Effect of a repeated message.
     #[garde(skip)]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub effect: Option<EffectTerm>,
-    /// Where repeats are dropped.
+    /// Scope within which repeats are dropped.
     #[garde(skip)]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dedup_scope: Option<ScopeTerm>,
-    /// How long repeats are dropped.
+    /// Time for which repeats are dropped.
     #[garde(range(max = MOST_MS))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub window_ms: Option<u64>,
-    /// Worth in time.
+    /// Value of a message that is delivered in time.
     #[garde(custom(from_to(0.0, 1e6)))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub points: Option<f64>,
-    /// Part of the worth that is left at the deadline.
+    /// Fraction of that value that is left at the deadline.
     #[garde(custom(from_to(0.0, 1.0)))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub late_worth: Option<f64>,
 }
 
-/// The door's limits; names and meanings as in an operator's file. Its ranges are judged by
-/// [`Door::faults`], over the whole door that comes of them.
+/// Limits of admission control; names and meanings are those of the sender's settings file.
+/// [`Door::faults`] checks the ranges, after these limits are merged with the others.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
@@ -178,35 +180,36 @@
     /// Client ids and user names of known MQTT clients.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub known_names: Option<Vec<String>>,
-    /// Places that only known clients may take.
+    /// Connection slots that only known clients may take.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reserve: Option<usize>,
-    /// Most connections of one address.
+    /// Most connections from one address.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub per_address: Option<usize>,
-    /// Most connections of one prefix.
+    /// Most connections from one prefix.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub per_prefix: Option<usize>,
-    /// New connections of one address, a second.
+    /// New connections from one address per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate_per_address: Option<f64>,
-    /// New connections of one prefix, a second.
+    /// New connections from one prefix per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate_per_prefix: Option<f64>,
-    /// Messages that one client may hand in, a second.
+    /// Messages that one client may send per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub messages_per_client: Option<f64>,
-    /// Part of the room that one client's messages may take.
+    /// Fraction of the message capacity that one client's messages may take.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub client_share: Option<f64>,
-    /// Part of the room that only known clients' messages may take.
+    /// Fraction of the message capacity that is reserved for messages of known clients.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub known_room: Option<f64>,
-    /// Part of the room up to which a class is taken on; classes that are not named stay as they
-    /// are.
+    /// Fraction of the message capacity up to which messages of a class are accepted; classes that
+    /// are not named keep their value.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub class_room: Option<BTreeMap<String, f64>>,
-    /// How long the quickest message may stay before less is held, in milliseconds.
+    /// Time that the quickest message may stay before fewer messages are kept pending, in
+    /// milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub target_ms: Option<u64>,
 }
@@ -239,10 +242,10 @@
 }
 
 impl Document {
-    /// Reads a text.
+    /// Parses the text of a policy.
     ///
     /// # Errors
-    /// All that is wrong with it at once, each with its line and setting.
+    /// All faults of the text at once, each with its line and setting.
     pub fn parse(text: &str) -> Result<Document, Vec<Fault>> {
         let table = Text::read(text, MOST_TEXT)?;
         let mut faults = Vec::new();
@@ -277,7 +280,7 @@
             }
         }
         faults.extend(table.judged(&document));
-        // Of the door's faults those count that no sender's own settings could mend.
+        // Only those faults count that no sender's own admission settings could correct.
         let own: Vec<String> = document
             .door
             .class_room
@@ -285,7 +288,7 @@
             .flat_map(|m| m.keys().cloned())
             .collect();
         let mut door = document.door.over(&Door::default());
-        // Somebody may be known to the sender's own door.
+        // The sender's own settings may name known clients.
         door.known_names.push(String::new());
         faults.extend(document.split(door.faults(&own)));
         faults.sort();
@@ -297,7 +300,7 @@
         }
     }
 
-    /// What means the same becomes the same.
+    /// Brings settings of the same meaning into the same form.
     fn settle(&mut self) {
         if let Some(known) = &mut self.door.known {
             known.iter_mut().for_each(|name| name.0 = name.0.trunc());
@@ -318,13 +321,14 @@
         );
     }
 
-    /// The one form of all texts that mean the same: JSON without blanks, fields in the order of
-    /// their declaration, classes by name, nothing that is not set.
+    /// Returns the canonical form, which is the same for all texts of the same meaning: JSON
+    /// without white space, fields in the order of their declaration, classes by name, without
+    /// settings that are unset.
     pub fn canonical(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// The print of that.
+    /// Returns the digest of the canonical form.
     pub fn digest(&self) -> Digest {
         Sha256::new()
             .chain_update(KIND)
@@ -333,7 +337,7 @@
             .into()
     }
 
-    /// Its settings, each by its path, as JSON.
+    /// Returns the settings by path, with their values as JSON.
     fn settings(&self) -> BTreeMap<String, String> {
         fn under(path: &str, value: &Value, into: &mut BTreeMap<String, String>) {
             match value {
@@ -355,17 +359,17 @@
         settings
     }
 
-    /// What is another in the later one, by setting: its name, what it was and what it is, as JSON;
-    /// nothing where it is not said.
+    /// Returns the settings that differ in a later policy, with the value in each as JSON, or
+    /// `None` where the policy does not set it.
     pub fn diff(&self, later: &Document) -> Vec<Difference> {
         differences(&self.settings(), &later.settings())
     }
 
-    /// What a sender goes by under it, by its own settings, the names of its classes and its door.
-    /// Its hook is [`Document::hook`].
+    /// Merges the policy with a sender's own settings, the names of its classes and its admission
+    /// settings. The hook is in [`Document::hook`].
     ///
     /// # Errors
-    /// All for which this sender cannot go by it.
+    /// All reasons why this sender cannot apply the policy.
     pub fn lay_over(
         &self,
         own: &Settings,
@@ -424,7 +428,7 @@
         }
     }
 
-    /// Faults as settings tell them, `name: problem`.
+    /// Converts faults of the form `name: problem`, as settings report them.
     fn split(&self, told: Vec<String>) -> Vec<Fault> {
         let split = |told: &String| match told.split_once(": ") {
             Some((setting, problem)) => self.fault(setting, problem),
@@ -481,16 +485,16 @@
     }
 }
 
-/// The JSON Schema of a policy (draft 2020-12).
+/// Returns the JSON Schema of a policy (draft 2020-12).
 #[cfg(feature = "tools")]
 pub fn schema() -> schemars::Schema {
     schemars::schema_for!(Document)
 }
 
-/// A setting, what it was and what it is, as JSON.
+/// A setting with its earlier and its later value, as JSON.
 pub type Difference = (String, Option<String>, Option<String>);
 
-/// What is another in the later settings.
+/// Returns the settings that differ between two sets.
 pub(in crate::coordination) fn differences(
     was: &BTreeMap<String, String>,
     is: &BTreeMap<String, String>,
@@ -502,7 +506,7 @@
     lines.filter(|(_, was, is)| was != is).collect()
 }
 
-/// The line of a setting, or else of what it stands in.
+/// Returns the line of a setting, or else of the innermost table that contains it.
 fn line_of(lines: &BTreeMap<String, usize>, setting: &str) -> Option<usize> {
     let mut at = Some(setting);
     while let Some(path) = at {
@@ -514,14 +518,14 @@
     None
 }
 
-/// A text's values, and the line of each.
+/// The values of a TOML text, and the line of each.
 pub(in crate::coordination) struct Text {
     pub(in crate::coordination) values: Table,
     pub(in crate::coordination) lines: BTreeMap<String, usize>,
 }
 
 impl Text {
-    /// Reads a text of so many bytes at the most; all that is no TOML is told at once.
+    /// Parses a text of at most `most` bytes; all syntax errors are reported at once.
     pub(in crate::coordination) fn read(text: &str, most: usize) -> Result<Text, Vec<Fault>> {
         if text.len() > most {
             let problem = format!("{} bytes; {most} may be", text.len());
@@ -572,7 +576,7 @@
         }
     }
 
-    /// Reads the fields of a table one by one: one that does not read hides none of the others.
+    /// Reads the fields of a table one by one, so that a fault in one hides none in the others.
     pub(in crate::coordination) fn fields<T: DeserializeOwned + Default>(
         &self,
         at: &str,
@@ -595,7 +599,7 @@
         good.try_into().unwrap_or_default()
     }
 
-    /// What is wrong with values that read.
+    /// Returns the validation faults of a value that was read.
     pub(in crate::coordination) fn judged<T: Validate<Context = ()>>(
         &self,
         what: &T,
--- a/src/coordination/policy_rollout/health.rs
+++ b/src/coordination/policy_rollout/health.rs
@@ -1,34 +1,35 @@
-//! Whether a stage of a rollout is worse for its policy, from counts that senders report.
+//! Judges whether a stage of a rollout got worse under its policy, from counts that senders report.
 //!
-//! [`RolloutHealth`] owns the counts of a rollout and judges its stages; it reads no clock, does
-//! no I/O and decides nothing. The rollout owns one for a leader's term and is the only caller.
-//! The counts are in `counts`, the bounds on shares in `estimate`, what a stage is compared with
-//! in `comparison`.
+//! [`RolloutHealth`] owns the counts of a rollout and judges its stages; it reads no clock, does no
+//! I/O and decides nothing. The rollout owns one for a leader's term and is the only caller. The
+//! counts are in `counts`, the bounds on shares in `estimate`, the comparison of a stage with
+//! others in `comparison`.
 //!
-//! **What is compared.** A stage, from when it changed to its policy, with the zones that have
-//! not, in the same seconds; less what it was worse by before, and a standard error of that. The
-//! last stage has nothing left to be compared with at the same time: it is compared with what it
-//! was itself, less what the other zones got worse by meanwhile. So what strikes both moves
-//! nothing. By class and tenant, in the last 10 s, the last minute and all since the change: what
-//! begins later is not drowned in what was good before.
+//! **Comparison.** A stage is compared, from its change to the policy on, with the zones that have
+//! not changed yet, over the same seconds. The difference that existed before the change is
+//! subtracted, with one standard error. The last stage has no other zones left and is compared with
+//! itself before the change, less what the other zones got worse by in the meantime. So a
+//! disturbance that affects both sides has no effect on the result. Each class and tenant is
+//! compared over the last 10 s, the last minute and the whole time since the change, so that a
+//! fault that begins late is not hidden by good results from before.
 //!
-//! **Shares** are bad ends of messages that were accepted, not of ends: a message that fails takes
-//! longer than one that is delivered, and one that is rejected ends at once; as a share of ends the
-//! first seconds would look like nothing else. So a stage looks better than it is for as long as
-//! its messages last, never worse.
+//! **Shares** are bad outcomes relative to accepted messages and not to finished ones: a message
+//! that fails takes longer than one that is delivered, and a rejected one ends immediately, so
+//! shares of finished messages would be distorted in the first seconds. As a result a stage can
+//! look better than it is until its first messages have ended, but never worse.
 //!
-//! **When it is enough.** A stage is over only when what was observed of it rules out that it is
-//! worse by [`sees`](super::plan::Health::sees) (in one of thirty looks wrongly): each class and
-//! tenant in the last minute, all together also in the last 10 s. Until then there are too few
-//! messages to judge. So a policy that is worse by that much does not pass its first stage,
-//! however little comes there.
+//! **Enough messages.** A stage is complete only when the observations rule out that it is worse by
+//! [`sees`](super::plan::Health::sees) (with an error in at most one of thirty checks): for each
+//! class and tenant over the last minute, and for all messages together also over the last 10 s.
+//! Until then there are too few messages to judge. So a policy that is worse by that much does not
+//! pass its first stage, even with little traffic.
 //!
-//! **How sure.** Bounds of a share are Chernoff's by relative entropy, which hold for any number of
-//! messages and far out in the tails, where those of the normal law don't. Counts are widened by
-//! how much more neighbouring spans differ than chance alone lets them (ends of messages come in
-//! heaps); the largest such step is left out, as a policy that turns worse makes one. All looks,
-//! classes, tenants, shares and spans of a stage share one [`FALSE_ALARM_PROBABILITY`]
-//! (Bonferroni).
+//! **Certainty.** The bounds of a share are Chernoff bounds by relative entropy, which hold for any
+//! number of messages and far out in the tails, where those of the normal distribution do not. The
+//! counts are scaled by how much more neighbouring spans differ than chance explains, because
+//! messages end in bursts; the largest such step is left out, as a policy that turns worse causes
+//! one. All checks, classes, tenants, shares and windows of a stage share one
+//! [`FALSE_ALARM_PROBABILITY`] (Bonferroni correction).
 
 use crate::coordination::messages;
 use crate::coordination::policy_rollout::plan::Plan;
@@ -42,29 +43,32 @@
 use comparison::{Comparison, Observed, Window};
 use counts::{MessageCounts, ShareKind, SpanHistory};
 
-/// Probability, over all that is looked at in a stage, that an equal policy is taken for worse.
+/// Probability, over all checks of a stage, that an equally good policy is judged to be worse.
 const FALSE_ALARM_PROBABILITY: f64 = 1e-3;
-/// Looks of which one lets a stage pass that is worse by [`super::plan::Health::sees`], at most.
+/// At most one check in this number lets a stage pass that is worse by
+/// [`super::plan::Health::sees`].
 const LOOKS_PER_MISS: f64 = 30.0;
-/// Nanoseconds of a span, by which counts are kept. A stage is judged once a span.
+/// Length of a span, the interval by which counts are kept, in nanoseconds. A stage is judged once
+/// per span.
 pub const SPAN: Nanos = 2_000_000_000;
-/// Spans of the longest window that is looked at, and of the time before a change that a stage is
-/// compared with: a minute.
+/// Spans of the longest window, and of the time before a change that a stage is compared with: one
+/// minute.
 const LONG_WINDOW_SPANS: u64 = 30;
 /// Spans of the shorter window: 10 s.
 const SHORT_WINDOW_SPANS: u64 = 5;
-/// Most classes and tenants of all stages; what comes beyond is counted in the sum of its stage
-/// alone. Bounds what reports can make the leader keep.
+/// Most groups (a class and tenant of one stage) that are counted separately; messages of further
+/// groups count only in the total of their stage. Limits the memory that reports can occupy in the
+/// leader.
 const MAX_GROUPS: usize = 2_000;
-/// A class and tenant with this share of the messages has to be judged before a stage is over.
+/// Share of the messages from which a class and tenant has to be judged before a stage is complete.
 const LEAST_JUDGED_SHARE: f64 = 0.02;
 /// Most lines of one report that are read.
 const MAX_REPORT_LINES: usize = 1_000;
 
-/// The messages of a class and tenant, or of all of them together.
+/// The messages of one class and tenant, or of all of them together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TrafficGroup {
-    /// Empty for all classes and tenants.
+    /// Name of the class; empty for all classes and tenants.
     class: String,
     tenant: u16,
 }
@@ -88,7 +92,7 @@
         self.class.is_empty()
     }
 
-    /// For operators.
+    /// Describes the group for operators.
     fn describe(&self) -> String {
         if self.is_all() {
             return "all classes".into();
@@ -104,37 +108,38 @@
     group: TrafficGroup,
 }
 
-/// What a leader has observed of a rollout's messages. Starts empty with each leader.
+/// Message counts of a rollout that a leader has observed. Empty when a leader's term begins.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutHealth {
     histories: BTreeMap<StageGroup, SpanHistory>,
-    /// The first span that is all after the change of the stage that is looked at.
+    /// First span that lies completely after the change of the observed stage.
     first_span: u64,
     /// Counts of the minute before that change.
     before_change: BTreeMap<StageGroup, MessageCounts>,
 }
 
-/// Whether a stage may go on.
+/// Result of judging a stage.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StageVerdict {
-    /// It is worse than the bounds allow: which share, and by what.
+    /// The stage is worse than the bounds allow; names the share and the difference.
     Worse(String),
-    /// Nothing speaks against it.
+    /// The counts show no deterioration.
     Healthy,
-    /// Nothing speaks against it so far, yet too few messages came: of what.
+    /// The counts show no deterioration, but there are too few messages to rule it out; names what
+    /// is missing.
     TooFewMessages(String),
 }
 
 impl RolloutHealth {
-    /// Forgets everything, as a rollout begins or is over.
+    /// Clears all counts, when a rollout begins or ends.
     pub fn clear(&mut self) {
         *self = RolloutHealth::default();
     }
 
-    /// Takes the report of a sender whose zone is in a stage.
+    /// Adds the report of a sender whose zone is in a stage.
     ///
-    /// `only_policy` is the policy of a stage that has changed to it: there only messages count
-    /// that were accepted under it.
+    /// `only_policy` is the policy of a stage that has changed to it: in that stage only messages
+    /// count that were accepted under this policy.
     pub fn record_report(
         &mut self,
         now: Nanos,
@@ -166,7 +171,8 @@
         history.add(span, first_span, counts);
     }
 
-    /// Notes that a stage changes to its policy: what was before is what it is compared with.
+    /// Records that a stage changes to its policy, and keeps the counts from before for the
+    /// comparison.
     pub fn on_stage_changed(&mut self, now: Nanos) {
         let span = now / SPAN;
         let first = span.saturating_sub(LONG_WINDOW_SPANS);
@@ -178,7 +184,7 @@
         self.restart_observation(now);
     }
 
-    /// Looks at the stage anew from now on, compared with what was before its change.
+    /// Restarts the observation of the stage. It is still compared with the time before its change.
     pub fn restart_observation(&mut self, now: Nanos) {
         self.first_span = now / SPAN + 1;
         for history in self.histories.values_mut() {
@@ -186,7 +192,7 @@
         }
     }
 
-    /// Messages that came to a stage since the change.
+    /// Returns the number of messages that arrived in a stage since the change.
     pub fn messages_since_change(&self, stage: usize) -> u64 {
         let group = TrafficGroup::all();
         self.histories
@@ -223,8 +229,8 @@
         too_few.map_or(StageVerdict::Healthy, StageVerdict::TooFewMessages)
     }
 
-    /// What a stage lacks of messages, of each class and tenant that has a share of them elsewhere
-    /// or had one before.
+    /// Describes which messages a stage lacks: in total, or of a class and tenant that has a share
+    /// of the messages elsewhere or had one before.
     fn lacking_messages(
         &self,
         comparison: &Comparison<'_>,
@@ -244,7 +250,7 @@
         })
     }
 
-    /// Counts of a traffic group, added up over some stages.
+    /// Adds up the counts of a traffic group over some stages.
     fn sum(
         &self,
         stages: &[usize],
@@ -260,7 +266,7 @@
         sum
     }
 
-    /// The same of the minute before the change.
+    /// Adds up the counts of a traffic group in the minute before the change, over some stages.
     fn sum_before_change(&self, stages: &[usize], group: &TrafficGroup) -> MessageCounts {
         let mut sum = MessageCounts::default();
         for stage in stages {
@@ -279,8 +285,8 @@
     }
 }
 
-/// The certainty that each single bound needs, as the negative logarithm of its probability of
-/// error: all that is looked at in a stage shares [`FALSE_ALARM_PROBABILITY`].
+/// Returns the certainty that each single bound needs, as the negative logarithm of its probability
+/// of error: all checks of a stage share [`FALSE_ALARM_PROBABILITY`].
 fn certainty(groups: usize, plan: &Plan) -> f64 {
     let looks = plan.most_soak() as f64 / (SPAN as f64 / 1e9) + 1.0;
     let bounds_per_group = ShareKind::ALL.len() * Window::ALL.len();
@@ -288,8 +294,8 @@
     (2.0 * bounds / FALSE_ALARM_PROBABILITY).ln()
 }
 
-/// What an operator is told where a share may still be worse than is allowed; nothing where that
-/// is ruled out.
+/// Describes for operators that a share may still be worse than allowed; `None` where that is ruled
+/// out.
 fn describe_uncertainty(
     group: &TrafficGroup,
     kind: ShareKind,
--- a/src/coordination/policy_rollout/health/comparison.rs
+++ b/src/coordination/policy_rollout/health/comparison.rs
@@ -1,4 +1,4 @@
-//! A stage compared with those that have not changed to the policy, or with itself before.
+//! Comparison of a stage with those that have not changed to the policy, or with itself before.
 
 use crate::coordination::policy_rollout::health::counts::{
     BadEnds, MessageCounts, ShareKind, SpanHistory, MAX_SPANS,
@@ -9,22 +9,22 @@
 };
 use crate::coordination::policy_rollout::plan::Plan;
 
-/// Steps between neighbouring spans without which nobody knows how much they differ by chance...
+/// Fewest steps between neighbouring spans from which their dispersion is estimated.
 const MIN_DISPERSION_STEPS: usize = 8;
-/// ...and what is taken for it until then.
+/// Dispersion that is assumed while there are fewer steps than that.
 const UNKNOWN_DISPERSION: f64 = 3.0;
 
-/// The time that a share is looked at in.
+/// The time over which a share is observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Window {
-    /// The last so many spans.
+    /// The given number of last spans.
     Last(u64),
-    /// All since the change.
+    /// The whole time since the change.
     SinceChange,
 }
 
 impl Window {
-    /// In the order in which they are looked at.
+    /// All windows, in the order in which they are checked.
     pub(super) const ALL: [Window; 3] = [
         Window::Last(SHORT_WINDOW_SPANS),
         Window::Last(LONG_WINDOW_SPANS),
@@ -32,36 +32,36 @@
     ];
 }
 
-/// A stage, and what it is compared with.
+/// A stage, and the stages that it is compared with.
 pub(super) struct Comparison<'a> {
     health: &'a RolloutHealth,
     stage: [usize; 1],
     others: Vec<usize>,
-    /// The last stage is compared with itself before the change.
+    /// Whether this is the last stage, which is compared with itself before the change.
     is_last_stage: bool,
-    /// The span that runs: it is not complete and does not count.
+    /// Current span: it is not complete and does not count.
     current_span: u64,
 }
 
-/// What is observed of one share.
+/// The observation of one share in one window.
 pub(super) struct Observed {
     pub(super) own: ShareEstimate,
-    /// What it would be like without the policy.
+    /// The share that is expected without the policy.
     reference: ShareEstimate,
-    /// By how much more it may be worse for other reasons.
+    /// Difference that is attributed to reasons other than the policy.
     tolerance: f64,
     first_span: u64,
 }
 
 impl Observed {
-    /// Whether the share is worse than the bound allows, beyond doubt.
+    /// Returns whether the share is certainly worse than the bound allows.
     pub(super) fn is_worse(&self, bound: f64, certainty: f64) -> bool {
         let lowest = self.own.lower_bound(certainty);
         lowest > self.reference.upper_bound(certainty) + self.tolerance + bound
     }
 
-    /// The share that there would be without the policy, with what it may be worse by for other
-    /// reasons.
+    /// Returns the share that is expected without the policy, with the difference that is
+    /// attributed to other reasons.
     pub(super) fn expected(&self) -> f64 {
         self.reference.share() + self.tolerance
     }
@@ -75,7 +75,7 @@
 }
 
 impl SpanDifference {
-    /// Nothing where a side has no message.
+    /// Compares the two sides in a span; `None` where one of them has no message.
     fn of(own: BadEnds, others: Option<BadEnds>) -> Option<SpanDifference> {
         let has_messages = |ends: &BadEnds| ends.total != 0.0;
         if !has_messages(&own) || !others.iter().all(has_messages) {
@@ -99,7 +99,8 @@
         })
     }
 
-    /// The square of the step from the span before, relative to what chance makes it.
+    /// Returns the square of the step from the previous span, relative to its expectation by
+    /// chance.
     fn step_from(&self, before: &SpanDifference) -> f64 {
         let step = self.difference - before.difference;
         step * step / (self.variance + before.variance)
@@ -128,8 +129,8 @@
         }
     }
 
-    /// A share in a window; nothing where the window reaches back before the change, or there is
-    /// nothing to compare with.
+    /// Returns a share in a window; `None` where the window reaches back before the change, or
+    /// there is nothing to compare with.
     pub(super) fn observe(
         &self,
         group: &TrafficGroup,
@@ -168,7 +169,7 @@
         })
     }
 
-    /// The first span of a window; nothing where it is not after the change.
+    /// Returns the first span of a window; `None` where it does not lie after the change.
     fn first_span(&self, window: Window) -> Option<u64> {
         let after_change = self.health.first_span;
         match window {
@@ -180,8 +181,9 @@
         }
     }
 
-    /// Whether a stage goes on only when this share is known well enough: all messages together in
-    /// each window of its own length, each class and tenant in a minute.
+    /// Returns whether a stage is complete only once this share is known precisely enough: all
+    /// messages together in each window of fixed length, each class and tenant in the window of a
+    /// minute.
     pub(super) fn has_to_be_sure(
         &self,
         group: &TrafficGroup,
@@ -197,8 +199,8 @@
         is_in_time && self.has_judged_share(group)
     }
 
-    /// Whether a class and tenant has so large a share of the messages, where it is compared, that
-    /// it has to be judged.
+    /// Returns whether a class and tenant has a large enough share of the messages on the side it
+    /// is compared with that it has to be judged.
     pub(super) fn has_judged_share(&self, group: &TrafficGroup) -> bool {
         let offered = |group: &TrafficGroup| {
             let counts = if self.is_last_stage {
@@ -213,7 +215,7 @@
         offered(group) as f64 >= LEAST_JUDGED_SHARE * all as f64
     }
 
-    /// By how much neighbouring spans differ more than chance lets them, at least 1.
+    /// Returns by how much more neighbouring spans differ than chance explains, at least 1.
     pub(super) fn dispersion(&self, group: &TrafficGroup, kind: ShareKind) -> f64 {
         let first = self.current_span.saturating_sub(MAX_SPANS as u64);
         let differences: Vec<SpanDifference> = (first..self.current_span)
@@ -226,7 +228,7 @@
         if steps.len() < MIN_DISPERSION_STEPS {
             return UNKNOWN_DISPERSION;
         }
-        // The largest step is left out: a policy that turns worse makes one.
+        // The largest step is left out: a policy that turns worse causes one.
         steps.sort_by(f64::total_cmp);
         steps.pop();
         (steps.iter().sum::<f64>() / steps.len() as f64).max(1.0)
@@ -246,7 +248,7 @@
         SpanDifference::of(ends(&self.stage), others)
     }
 
-    /// What an operator is told of a share that is worse.
+    /// Describes for operators that a share is worse.
     pub(super) fn describe_worse(
         &self,
         group: &TrafficGroup,
--- a/src/coordination/policy_rollout/health/counts.rs
+++ b/src/coordination/policy_rollout/health/counts.rs
@@ -1,16 +1,16 @@
-//! Counts of messages by span, and the shares that are looked at.
+//! Message counts by span, and the kinds of shares that are checked.
 
 use crate::coordination::messages;
 use crate::coordination::policy_rollout::plan::Bounds;
 use std::collections::VecDeque;
 
-/// Most spans that are kept: the longest window that is looked at, and as many before it.
+/// Most spans that are kept: enough for the longest window and as many spans before it.
 pub(super) const MAX_SPANS: usize = 64;
 
-/// What became of the messages of a span.
+/// Outcomes of the messages of a span.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct MessageCounts {
-    /// All that came: accepted or turned away.
+    /// All messages that arrived, accepted or rejected.
     pub(super) offered: u64,
     accepted: u64,
     late: u64,
@@ -19,7 +19,7 @@
     turned_away: u64,
 }
 
-/// Bad ends, and the messages that they are a share of.
+/// The number of bad outcomes, and the number of messages that they are a share of.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BadEnds {
     pub(super) bad: f64,
@@ -61,7 +61,7 @@
             ShareKind::TurnedAway => self.offered,
             _ => self.accepted,
         };
-        // Some of what ended was accepted before.
+        // Some of the messages that ended in this span were accepted in an earlier one.
         BadEnds {
             bad: bad.min(total) as f64,
             total: total as f64,
@@ -76,12 +76,12 @@
     Late,
     Rejected,
     Failed,
-    /// Before they were accepted.
+    /// Rejected by admission control before they were accepted.
     TurnedAway,
 }
 
 impl ShareKind {
-    /// In the order in which they are looked at.
+    /// All kinds, in the order in which they are checked.
     pub(super) const ALL: [ShareKind; 5] = [
         ShareKind::NotDeliveredInTime,
         ShareKind::Late,
@@ -90,7 +90,7 @@
         ShareKind::TurnedAway,
     ];
 
-    /// For operators.
+    /// Returns the description for operators.
     pub(super) fn label(self) -> &'static str {
         match self {
             ShareKind::NotDeliveredInTime => "not delivered in time",
@@ -101,7 +101,7 @@
         }
     }
 
-    /// By how much the share may be worse than without the policy.
+    /// Returns by how much the share may be worse than without the policy.
     pub(super) fn bound(self, bounds: &Bounds) -> f64 {
         match self {
             ShareKind::NotDeliveredInTime => bounds.delivered,
@@ -123,14 +123,14 @@
 /// The counts of a traffic group in a stage, by span.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SpanHistory {
-    /// In ascending order; spans without a message are missing.
+    /// Counts in ascending order of spans; spans without a message are missing.
     spans: VecDeque<Span>,
-    /// All since the change of the stage that is looked at.
+    /// Sum of the counts since the change of the observed stage.
     pub(super) since_change: MessageCounts,
 }
 
 impl SpanHistory {
-    /// Adds counts to a span, and to those since the change where the span is not before
+    /// Adds counts to a span, and to the sum since the change unless the span lies before
     /// `first_span`.
     pub(super) fn add(&mut self, span: u64, first_span: u64, counts: &MessageCounts) {
         if self.spans.back().is_none_or(|last| last.number < span) {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The counts from one span until before another one.
+    /// Returns the sum of the counts from one span until before another one.
     pub(super) fn between(&self, from: u64, to: u64) -> MessageCounts {
         let mut sum = MessageCounts::default();
         for span in &self.spans {
@@ -161,7 +161,7 @@
         sum
     }
 
-    /// The counts of one span.
+    /// Returns the counts of one span.
     pub(super) fn at(&self, number: u64) -> MessageCounts {
         self.spans
             .iter()
--- a/src/coordination/policy_rollout/health/estimate.rs
+++ b/src/coordination/policy_rollout/health/estimate.rs
@@ -2,19 +2,20 @@
 
 use crate::coordination::policy_rollout::health::counts::{MessageCounts, ShareKind};
 
-/// Messages by which the difference of two groups before a change is drawn to nothing: a few say
-/// little of it.
+/// Weight, in messages, by which the difference of two groups before a change is shrunk towards
+/// zero, as a few messages say little about it.
 const SHRINKAGE_MESSAGES: f64 = 2.0;
-/// Halvings by which a bound is found: thirty are finer than a share of any number of messages.
+/// Bisection steps for a bound: thirty are finer than the share of one message in any number of
+/// them.
 const BISECTIONS: u32 = 30;
 
-/// A share, and how many messages that come singly it is worth.
+/// A share, and the number of independent messages that it is worth.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShareEstimate {
     pub(super) bad: f64,
     pub(super) total: f64,
-    /// The number of independent messages that say as much: less than `total`, as ends of messages
-    /// come in heaps.
+    /// Number of independent messages that carry as much information: less than `total`, because
+    /// messages end in bursts.
     pub(super) effective_total: f64,
 }
 
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The share; 0 where there is no message.
+    /// Returns the share; 0 where there is no message.
     pub(super) fn share(&self) -> f64 {
         if self.total > 0.0 {
             self.bad / self.total
@@ -37,8 +38,8 @@
         }
     }
 
-    /// By how much it exceeds another one, and one standard error more: so much is no surprise
-    /// later. Nothing where nobody looked.
+    /// Returns by how much the share exceeds another one, plus one standard error: a difference of
+    /// that size is expected later as well. Returns 0 where one of them has no message.
     pub(super) fn excess_over(&self, other: &ShareEstimate) -> f64 {
         if self.total == 0.0 || other.total == 0.0 {
             return 0.0;
@@ -52,17 +53,18 @@
         (share - expected + standard_error).max(0.0)
     }
 
-    /// The least that it may be with an error of `exp(-certainty)`.
+    /// Returns the lower bound of the true share, with an error of `exp(-certainty)`.
     pub(super) fn lower_bound(&self, certainty: f64) -> f64 {
         self.bound_towards(0.0, certainty)
     }
 
-    /// The most that it may be with an error of `exp(-certainty)`.
+    /// Returns the upper bound of the true share, with an error of `exp(-certainty)`.
     pub(super) fn upper_bound(&self, certainty: f64) -> f64 {
         self.bound_towards(1.0, certainty)
     }
 
-    /// Chernoff's bound on the side of `end`: the first share that the observed one rules out.
+    /// Returns the Chernoff bound on the side of `end`: the first share that the observed one rules
+    /// out.
     fn bound_towards(&self, end: f64, certainty: f64) -> f64 {
         let observed = self.share();
         if self.effective_total <= 0.0 {
@@ -82,8 +84,8 @@
     }
 }
 
-/// How strongly an observed share speaks against a true one, for each message: the relative entropy
-/// of two coins.
+/// Returns how strongly each message speaks against a true share, given the observed one: the
+/// relative entropy of two Bernoulli distributions.
 fn relative_entropy(observed: f64, true_share: f64) -> f64 {
     let term = |p: f64, q: f64| {
         if p <= 0.0 {
--- a/src/coordination/policy_rollout/mod.rs
+++ b/src/coordination/policy_rollout/mod.rs
@@ -1,9 +1,10 @@
-//! Rules that are rolled out: what a policy may say, how a region goes from one to the next, and
-//! when that halts by itself.
+//! Staged rollout of policies: what a policy may set, how the zones of a site change from one
+//! policy to the next, and when a rollout halts automatically.
 //!
-//! [`document`] is what a policy is and how it lies over a sender's own settings, [`plan`] how it
-//! is rolled out, [`register`] what the record holds of both, [`rollout`] what the leader does with
-//! that, [`health`] what it judges by. Nothing here does I/O or reads a clock.
+//! [`document`] defines a policy and how it is merged with a sender's own settings, [`plan`] how a
+//! policy is rolled out, [`register`] what the record stores of both, [`rollout`] what the leader
+//! does with that state, and [`health`] the statistics by which it judges a stage. None of these
+//! modules does I/O or reads a clock.
 
 pub mod document;
 pub mod health;
--- a/src/coordination/policy_rollout/plan.rs
+++ b/src/coordination/policy_rollout/plan.rs
@@ -1,21 +1,21 @@
-//! How a policy is rolled out: which zones go together and in which order, how long each stage is
-//! watched, and what halts it.
+//! The plan of a rollout: which zones change together and in which order, how long each stage is
+//! observed, and what halts the rollout.
 
 use crate::coordination::policy_rollout::document::{Fault, Text};
 use garde::Validate;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Longest plan, in bytes of its text: 200 zones with names of 64 bytes, and what stands round
-/// them.
+/// Longest plan, in bytes of its text: enough for 200 zones with names of 64 bytes and the syntax
+/// around them.
 pub const MOST_TEXT: usize = 16 * 1024;
-/// Stages, at the most. What is seen of each is held apart.
+/// Most stages of a plan. The counts of each stage are kept separately.
 pub const MOST_STAGES: usize = 16;
-/// Longest name of a zone, in bytes, as in a sender's file.
+/// Longest name of a zone, in bytes; the same limit as in a sender's file.
 const NAME: usize = 64;
 
-/// A plan. Zones that it does not name cannot be left out: each zone of the site stands in exactly
-/// one stage.
+/// A rollout plan. It has to name each zone of the site in exactly one stage; no zone can be left
+/// out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
@@ -23,103 +23,105 @@
     /// The stages, in order.
     #[garde(length(min = 1, max = MOST_STAGES), dive)]
     pub stage: Vec<Stage>,
-    /// Each stage is watched for so long before it, in seconds: what is seen then says what its
-    /// zones are like without the policy.
+    /// Time that each stage is observed before it changes, in seconds, to learn what its zones are
+    /// like without the policy.
     #[garde(range(max = 3_600))]
     pub watch_s: u32,
-    /// And for so long after it.
+    /// Time that each stage is observed after it has changed, in seconds.
     #[garde(range(min = 1, max = 86_400))]
     pub soak_s: u32,
-    /// It halts where too few messages came to judge it in this time. Nothing says four times
-    /// `soak_s`.
+    /// Time after which the rollout halts because too few messages arrived to judge the stage, in
+    /// seconds. Unset means four times `soak_s`.
     #[garde(range(min = 1, max = 345_600))]
     pub most_soak_s: Option<u32>,
-    /// So few messages of a stage are too few to judge it by.
+    /// Fewest messages of a stage by which it can be judged.
     #[garde(range(min = 1, max = 1_000_000_000))]
     pub least: u32,
-    /// A sender that does not say in this time whether it can go by the policy ends the rollout.
+    /// Time within which each sender has to answer whether it can apply the policy, in seconds. A
+    /// sender that does not answer ends the rollout.
     #[garde(range(min = 1, max = 3_600))]
     pub offer_s: u32,
-    /// A stage's senders take nothing on for so long at the most, in milliseconds, until the
-    /// keepers give the change up for now. Senders hold messages for 300 ms; the rest is for the
-    /// word to come.
+    /// Longest time for which a stage's senders accept nothing, in milliseconds; after it the
+    /// keepers revoke the pause and retry later. Senders queue messages for 300 ms; the rest of
+    /// that time is for the notification to arrive.
     #[garde(range(min = 20, max = 250))]
     pub pause_ms: u32,
-    /// What halts it.
+    /// Bounds that halt the rollout.
     #[garde(dive)]
     pub health: Health,
 }
 
-/// Zones that go from one policy to the next at one moment.
+/// Zones that change from one policy to the next at the same moment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Stage {
-    /// Their names.
+    /// Names of the zones.
     #[garde(length(min = 1, max = 200), inner(length(min = 1, max = NAME)))]
     pub zones: Vec<String>,
 }
 
-/// What halts a rollout.
+/// Bounds that halt a rollout.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Health {
-    /// For classes that are not named.
+    /// Bounds for classes that are not named.
     #[garde(dive)]
     pub all: Bounds,
-    /// By class; what is not said of one is as for all.
+    /// Bounds by class; a bound that is unset for a class is the one for all classes.
     #[garde(dive)]
     pub class: BTreeMap<String, ClassBounds>,
-    /// Part of a stage's senders that may lapse in it.
+    /// Fraction of a stage's senders whose lease may expire during the stage.
     #[garde(custom(share))]
     pub lapsed: f64,
-    /// A stage is watched until what is seen rules out that a share is worse by this much over its
-    /// bound; 1 takes any for enough.
+    /// Difference that the observations have to rule out before a stage is complete: that a share
+    /// is worse by this much more than its bound allows. 1 accepts any number of messages as
+    /// enough.
     #[garde(custom(share))]
     pub sees: f64,
 }
 
-/// By how much shares may be worse than without the policy.
+/// Most by which each share may be worse than without the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Not delivered within the promise, of those taken on.
+    /// Not delivered within the latency objective, of those accepted.
     #[garde(custom(share))]
     pub delivered: f64,
-    /// Delivered late, of those taken on.
+    /// Delivered late, of those accepted.
     #[garde(custom(share))]
     pub late: f64,
-    /// Given back unseen, of those taken on.
+    /// Deferred without an attempt, of those accepted.
     #[garde(custom(share))]
     pub refused: f64,
-    /// Failed for good, of those taken on.
+    /// Undeliverable, of those accepted.
     #[garde(custom(share))]
     pub failed: f64,
-    /// Turned away, of all that came.
+    /// Rejected, of all that arrived.
     #[garde(custom(share))]
     pub turned_away: f64,
 }
 
-/// The same for one class, as far as it is said.
+/// Bounds for one class; those that are unset are the ones for all classes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct ClassBounds {
-    /// As in [`Bounds`].
+    /// Bound for [`Bounds::delivered`].
     #[garde(custom(told_share))]
     pub delivered: Option<f64>,
-    /// As there.
+    /// Bound for [`Bounds::late`].
     #[garde(custom(told_share))]
     pub late: Option<f64>,
-    /// As there.
+    /// Bound for [`Bounds::refused`].
     #[garde(custom(told_share))]
     pub refused: Option<f64>,
-    /// As there.
+    /// Bound for [`Bounds::failed`].
     #[garde(custom(told_share))]
     pub failed: Option<f64>,
-    /// As there.
+    /// Bound for [`Bounds::turned_away`].
     #[garde(custom(told_share))]
     pub turned_away: Option<f64>,
 }
@@ -174,10 +176,10 @@
 }
 
 impl Plan {
-    /// Reads a text.
+    /// Parses the text of a plan.
     ///
     /// # Errors
-    /// All that is wrong with it at once, each with its line and setting.
+    /// All faults of the text at once, each with its line and setting.
     pub fn parse(text: &str) -> Result<Plan, Vec<Fault>> {
         let mut told = Text::read(text, MOST_TEXT)?;
         let (stages, health) = (told.values.remove("stage"), told.values.remove("health"));
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Zones that are named more than once: where, and what is wrong.
+    /// Returns the zones that are named more than once, each as the setting and the problem.
     fn twice(&self) -> Vec<(String, String)> {
         let mut known = BTreeSet::new();
         let mut twice = Vec::new();
@@ -241,25 +243,25 @@
         twice
     }
 
-    /// All zones that it names.
+    /// Returns all zones that the plan names.
     pub fn zones(&self) -> impl Iterator<Item = &String> {
         self.stage.iter().flat_map(|stage| &stage.zones)
     }
 
-    /// The stage of a zone.
+    /// Returns the stage of a zone.
     pub fn stage_of(&self, zone: &str) -> Option<usize> {
         self.stage
             .iter()
             .position(|stage| stage.zones.iter().any(|z| z == zone))
     }
 
-    /// Longest soak, in seconds.
+    /// Returns the longest soak period, in seconds.
     pub fn most_soak(&self) -> u64 {
         self.most_soak_s
             .map_or(4 * u64::from(self.soak_s), u64::from)
     }
 
-    /// The bounds of a class.
+    /// Returns the bounds of a class.
     pub fn bounds(&self, class: &str) -> Bounds {
         let Bounds {
             delivered,
@@ -279,7 +281,7 @@
     }
 }
 
-/// The JSON Schema of a plan (draft 2020-12).
+/// Returns the JSON Schema of a plan (draft 2020-12).
 #[cfg(feature = "tools")]
 pub fn schema() -> schemars::Schema {
     schemars::schema_for!(Plan)
--- a/src/coordination/policy_rollout/register.rs
+++ b/src/coordination/policy_rollout/register.rs
@@ -1,9 +1,9 @@
-//! What the record holds of policies: the register of each zone, texts, the rollout that runs, and
-//! those before.
+//! The policy state in the record: the register of each zone, the policy texts, the current rollout
+//! and the past ones.
 //!
-//! Each change is based on a turn and is void where another one came first (compare and set). What
-//! it decides is therefore decided about the record as it stands. Nothing here reads a clock; times
-//! are the record's own.
+//! Each change is based on a turn and has no effect where another change was applied first (compare
+//! and set), so that every decision applies to the state that it was made from. Nothing here reads
+//! a clock; times are the record's own.
 
 use crate::coordination::messages::Digest;
 use crate::coordination::policy_rollout::plan::Plan;
@@ -11,79 +11,80 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Policies with their text, at the most: in force, rolled out, gone back to, and the last ones
-/// before.
+/// Most policies whose text is kept: those in force, being rolled out, being rolled back to, and
+/// the most recent earlier ones.
 pub const MOST_TEXTS: usize = 8;
-/// Rollouts that are over and told.
+/// Most past rollouts that are kept and reported.
 pub const MOST_PAST: usize = 50;
-/// Longest reason that is kept, in bytes: some lines of faults.
+/// Longest reason that is stored, in bytes: enough for several lines of faults.
 const MOST_WHY: usize = 1_000;
 
-/// What is in force in a zone. One that is not named goes by number 0: each sender's own settings.
+/// The policy in force in a zone. A zone without a register has number 0: each sender's own
+/// settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
-    /// The policy.
+    /// Number of the policy.
     pub number: u64,
-    /// Nothing new is taken on.
+    /// Whether nothing new is accepted.
     pub paused: bool,
-    /// The turn that said so.
+    /// Turn of the change that set this register.
     pub turn: u64,
 }
 
-/// A policy.
+/// A stored policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Text {
-    /// Its print.
+    /// Digest of the policy.
     pub digest: Digest,
-    /// Its text.
+    /// Text of the policy.
     pub text: String,
 }
 
-/// Where a rollout stands with its stage.
+/// Progress of a rollout within its stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
-    /// The stage is to go over: senders check the policy, and its zones are watched.
+    /// The stage has not changed yet: senders check the policy, and the zones are observed.
     #[default]
     Ready,
-    /// Its zones are paused.
+    /// The zones of the stage are paused.
     Paused,
-    /// The policy is in force there, and is watched.
+    /// The policy is in force in the zones of the stage and is observed.
     Soaking,
 }
 
-/// A rollout that runs.
+/// A rollout in progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rollout {
-    /// Its policy; the first of them, where it goes back to several.
+    /// Number of its policy; the lowest one, where it rolls back to several.
     pub number: u64,
-    /// The policy that it goes back from; 0 for none.
+    /// Number of the policy that it rolls back; 0 for none.
     pub back_of: u64,
-    /// The policy of each zone that it names, after and before it.
+    /// Number of the policy in each zone of the plan after the rollout.
     pub to: BTreeMap<String, u64>,
-    /// Before it.
+    /// Number of the policy in each zone of the plan before the rollout.
     pub from: BTreeMap<String, u64>,
-    /// Its plan.
+    /// Plan of the rollout.
     pub plan: Plan,
-    /// Its stage, as a position in the plan.
+    /// Current stage, as a position in the plan.
     pub stage: u32,
-    /// Where it stands with that.
+    /// Progress within the stage.
     pub step: Step,
-    /// Pauses of this stage that were taken back.
+    /// Number of pauses of this stage that were revoked.
     pub tries: u32,
-    /// Why it halts.
+    /// Reason for which the rollout is halted.
     pub halted: Option<String>,
-    /// How often it did.
+    /// Number of times that the rollout was halted.
     pub halts: u32,
-    /// The place of the log at which this step began.
+    /// Index of the log entry at which this step began.
     pub at: u64,
-    /// When it began, and when this step did, on the record's clock.
+    /// Time at which the rollout began, in milliseconds of the record's clock.
     pub begun_ms: u64,
-    /// Of this step.
+    /// Time at which this step began, in milliseconds of the record's clock.
     pub since_ms: u64,
 }
 
 impl Rollout {
-    /// Zones of the stage.
+    /// Returns the zones of the stage.
     pub fn zones(&self) -> &[String] {
         self.plan
             .stage
@@ -91,119 +92,120 @@
             .map_or(&[], |stage| &stage.zones)
     }
 
-    /// Stages in which its policy is in force.
+    /// Returns the number of stages in which its policy is in force.
     pub fn in_force(&self) -> usize {
         self.stage as usize + usize::from(self.step == Step::Soaking)
     }
 
-    /// Whether it is the last stage.
+    /// Returns whether the current stage is the last one.
     pub fn is_last(&self) -> bool {
         self.stage as usize + 1 >= self.plan.stage.len()
     }
 
-    /// Its policies.
+    /// Returns the numbers of its policies.
     pub fn numbers(&self) -> BTreeSet<u64> {
         self.to.values().copied().collect()
     }
 }
 
-/// A rollout that is over.
+/// A rollout that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Past {
-    /// Its policy.
+    /// Number of its policy.
     pub number: u64,
-    /// The policy that it went back from; 0 for none.
+    /// Number of the policy that it rolled back; 0 for none.
     pub back_of: u64,
-    /// The policy's print.
+    /// Digest of the policy.
     pub digest: Digest,
-    /// Stages in which it was in force, and all.
+    /// Number of stages in which the policy was in force, and number of all stages.
     pub stages: (u32, u32),
-    /// How it ended.
+    /// How the rollout ended.
     pub end: String,
-    /// How often it halted.
+    /// Number of times that it was halted.
     pub halts: u32,
-    /// When it began and ended, on the record's clock.
+    /// Time at which it began, in milliseconds of the record's clock.
     pub begun_ms: u64,
-    /// Ended.
+    /// Time at which it ended, in milliseconds of the record's clock.
     pub ended_ms: u64,
 }
 
-/// A change of all this.
+/// A change of the policy state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// A policy is rolled out; its number is the next one.
+    /// Starts the rollout of a policy, which gets the next number.
     Propose {
-        /// Its text.
+        /// Text of the policy.
         text: String,
-        /// Its print.
+        /// Digest of the policy.
         digest: Digest,
-        /// Its plan.
+        /// Plan of the rollout.
         plan: Plan,
     },
-    /// The stage's zones take nothing new on.
+    /// Makes the stage's zones stop accepting new messages.
     Pause,
-    /// They go by the policy from now on.
+    /// Puts the policy in force in the stage's zones.
     Commit,
-    /// They go on under the earlier one: these did not answer in time.
+    /// Revokes the pause: the zones continue under the earlier policy, as some senders did not
+    /// answer in time.
     TakeBack {
-        /// Their names, as far as there is room.
+        /// Names of those senders, as many as fit.
         silent: String,
     },
-    /// The stage is done.
+    /// Completes the stage.
     Next,
-    /// Nothing goes on until a person says so; a pause is taken back.
+    /// Halts the rollout until an operator resumes it; a pause is revoked.
     Halt {
-        /// Why.
+        /// Reason for the halt.
         why: String,
     },
-    /// It goes on.
+    /// Resumes the rollout.
     Resume,
-    /// Back to what was before, stage by stage, the last one first.
+    /// Rolls back to what was in force before, stage by stage, the last one first.
     Back {
-        /// Print of the policy that says nothing.
+        /// Digest of the policy that sets nothing.
         own: Digest,
     },
-    /// It ends before it changed anything.
+    /// Ends the rollout before it changed anything.
     End {
-        /// Why.
+        /// Reason for the end.
         why: String,
     },
 }
 
-/// All that the record holds of policies.
+/// All policy state in the record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Policies {
-    /// Grows with each change.
+    /// Turn of the last change; grows by one with each change.
     pub turn: u64,
-    /// The place of the log of the last one.
+    /// Index of the log entry of the last change.
     pub at: u64,
-    /// The registers.
+    /// Register of each zone.
     pub zones: BTreeMap<String, Register>,
-    /// The last number that was given.
+    /// Number of the last policy that was given one.
     pub given: u64,
-    /// Texts by number.
+    /// Stored policies by number.
     pub texts: BTreeMap<u64, Text>,
-    /// The rollout that runs.
+    /// Rollout in progress.
     pub rollout: Option<Rollout>,
-    /// The last one that came to its end and may be gone back from.
+    /// Last rollout that was completed and can still be rolled back.
     pub last: Option<Rollout>,
-    /// Those that are over, the newest last.
+    /// Rollouts that have ended, the newest last.
     pub past: VecDeque<Past>,
 }
 
 impl Policies {
-    /// What is in force in a zone.
+    /// Returns what is in force in a zone.
     pub fn register(&self, zone: &str) -> Register {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// The print of a policy; nothing for 0 and those that are not held any more.
+    /// Returns the digest of a policy; `None` for 0 and for policies that are no longer stored.
     pub fn digest(&self, number: u64) -> Option<Digest> {
         self.texts.get(&number).map(|t| t.digest)
     }
 
-    /// Applies a change that was based on this turn; void where another one came first, or where it
-    /// does not fit.
+    /// Applies a change that was based on the turn `base`. A change has no effect where another one
+    /// was applied first, or where it does not fit the state.
     pub fn apply(&mut self, index: u64, clock_ms: u64, base: u64, change: &Change) {
         if base == self.turn && self.change(index, clock_ms, change).is_some() {
             (self.turn, self.at) = (self.turn + 1, index);
@@ -211,13 +213,15 @@
         }
     }
 
-    /// Whether a proposal has room beside what is in force: why not.
+    /// Checks whether a proposal fits beside what is in force, and returns the reason where it does
+    /// not.
     pub fn room(&self, plan: &Plan, most_zones: usize) -> Result<(), String> {
         let zones: BTreeSet<&String> = self.zones.keys().chain(plan.zones()).collect();
         if zones.len() > most_zones {
             return Err(format!("the record names {most_zones} zones at the most"));
         }
-        // One more for it, and as many to go back to as its zones go by now.
+        // One number for the proposal, and one for each policy in its zones that a rollback may
+        // need.
         let before: BTreeSet<u64> = plan
             .zones()
             .map(|zone| self.register(zone).number)
@@ -343,7 +347,7 @@
         Some(())
     }
 
-    /// Zones that are paused go on under what they went by.
+    /// Ends the pause of all paused zones, which continue under their current policy.
     fn go_on(&mut self, turn: u64) {
         for register in self.zones.values_mut().filter(|r| r.paused) {
             (register.paused, register.turn) = (false, turn);
@@ -359,7 +363,7 @@
         let running = self.rollout.take().is_some();
         self.last = None;
         self.go_on(turn);
-        // One that is over is in force everywhere.
+        // A completed rollout is in force in all stages.
         let stages = if running {
             r.in_force()
         } else {
@@ -380,8 +384,8 @@
             stage: r.plan.stage[..stages].iter().rev().cloned().collect(),
             ..r.plan.clone()
         };
-        // A number for each policy that is gone back to; what was no policy is one that says
-        // nothing.
+        // Each distinct policy that is rolled back to gets one new number. Where no policy was in
+        // force before, that is the policy that sets nothing.
         let mut numbers: BTreeMap<Digest, u64> = BTreeMap::new();
         let mut to = BTreeMap::new();
         for zone in plan.zones() {
@@ -431,8 +435,8 @@
         });
     }
 
-    /// Texts that nobody goes by, may go by or may go back to are kept while there is room, the
-    /// newest ones.
+    /// Removes the oldest texts while more than [`MOST_TEXTS`] are stored. Texts that a register or
+    /// a rollout refers to are never removed.
     fn tidy(&mut self) {
         let mut used: BTreeSet<u64> = self.zones.values().map(|r| r.number).collect();
         for r in self.rollout.iter().chain(&self.last) {
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -1,15 +1,16 @@
-//! What the leader does with a rollout: whom it waits for, when a stage is paused, goes over, is
-//! taken back, and what halts it.
+//! The leader's part in a rollout: which senders it waits for, when a stage is paused, changes or
+//! is taken back, and what halts the rollout.
 //!
-//! All that has to outlast a leader stands in the record ([`super::register`]). What a leader has
-//! heard of senders (policies that they have, turns that they go by, counts) it forgets with its
-//! office; the next one hears it again from those that live, and a stage is watched anew. So
-//! nothing is counted twice, and nothing goes on by a word that only an earlier leader heard.
+//! All state that has to survive a change of leaders is in the record ([`super::register`]). What a
+//! leader has learned from senders (policies that they have stored, turns that they apply, counts)
+//! is lost when its term ends. The next leader collects it again from the live senders and observes
+//! the stage anew. So nothing is counted twice, and no decision rests on a report that only an
+//! earlier leader received.
 //!
-//! A live sender is one that the record has as live. A leader proposes a change only where each of
-//! them has said what is needed to it, in the session that the record has. One that joins between
-//! that and the change finds the pause in the record, and takes nothing on before it has heard the
-//! change.
+//! A sender is live if the record says so. A leader proposes a change only when every live sender
+//! has confirmed what the change requires, in the session that the record has. A sender that joins
+//! between the confirmation and the change finds the pause in the record and accepts nothing before
+//! it has received the change.
 
 use crate::coordination::messages::{self, Digest, OperatorRequest, ReplicaToAgent, SiteAdmission};
 use crate::coordination::policy_rollout::document::Document;
@@ -23,54 +24,56 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
-/// A decision that does not come into the record within this time may be proposed again, as in the
-/// office.
+/// Time after which a decision that was not applied to the record may be proposed again; the leader
+/// uses the same time for its other decisions.
 const DECIDED: Nanos = SECOND;
-/// Between two looks at what senders report.
+/// Time between two checks of the reported counts.
 const LOOK: Nanos = SECOND;
-/// First and longest time between a pause that was taken back and the next one; it doubles.
+/// First and longest time between a pause that was revoked and the next one; it doubles each time.
 const RETRY: (Nanos, Nanos) = (SECOND, 60 * SECOND);
-/// After a pause for a routing table comes none of a stage for so long: what waited at doors is let
-/// in between.
+/// Least time between a pause for a routing table and the pause of a stage, so that waiting
+/// messages are accepted in between.
 pub(crate) const APART: Nanos = SECOND / 2;
-/// So many pauses of a stage are taken back before it halts.
+/// Number of revoked pauses of a stage after which the rollout halts.
 const MOST_TRIES: u32 = 10;
-/// What is missing from a stage has to be missing for so long: a sender that is started anew is
-/// there again.
+/// Time for which senders have to be missing from a stage before that counts: a sender that
+/// restarts is back within it.
 const GONE: Nanos = 10 * SECOND;
-/// Nobody led for longer than this: what senders did meanwhile nobody saw. Five elections.
+/// Time without a leader after which a rollout halts, as nobody observed the senders meanwhile.
+/// Five elections fit in it.
 const UNLED: Nanos = 10 * SECOND;
 
-/// What a leader does with policies.
+/// Runs the rollout of policies while this replica leads.
 #[derive(Clone, Debug)]
 pub struct Roll {
     begun: Nanos,
     registry: SenderRegistry,
     health: RolloutHealth,
-    /// The decision that is out: the turn it was based on, and when it was proposed.
+    /// Decision that was proposed and is not applied yet: the turn that it was based on, and when
+    /// it was proposed.
     deciding: Option<(u64, Nanos)>,
-    /// When this leader saw the step that runs begin: its place in the log.
+    /// Index of the log entry at which the current step began, and when this leader saw that.
     step: (u64, Nanos),
     /// Senders that a pause still waits for, as far as is known.
     waits: Option<BTreeSet<String>>,
-    /// Those that the last pause was taken back for.
+    /// Senders that did not answer the last pause, which was revoked.
     silent: BTreeSet<String>,
-    /// What a stage misses, and since when.
+    /// Description of what the stage lacks, and since when.
     missing: Option<(String, Nanos)>,
     looked: Nanos,
-    /// Since when this leader watches the zones of the stage that is next.
+    /// Time since which this leader has observed the zones of the next stage.
     watched: Nanos,
-    /// What the last look said.
+    /// Result of the last check of the counts.
     verdict: Option<StageVerdict>,
-    /// For how long nobody led, as far as that is known.
+    /// Whether no replica may have led for [`UNLED`] or longer.
     unled: bool,
-    /// When a pause for a routing table was last seen.
+    /// Time at which admission was last seen paused for a routing table.
     tables: Option<Nanos>,
 }
 
 impl Roll {
-    /// Begins with nothing. `led` is when this keeper saw another leader, or itself, in office
-    /// last; nothing, where it never did.
+    /// Creates the state of a new leader. `led` is when this replica last saw a leader, another one
+    /// or itself; `None` where it never did.
     pub fn new(now: Nanos, led: Option<Nanos>) -> Roll {
         Roll {
             begun: now,
@@ -89,22 +92,23 @@
         }
     }
 
-    /// A sender has a session, and says what it has. On a line of its own nothing was said yet.
+    /// Records that a sender opened a session, with the policies that it has stored. On a new
+    /// connection it has confirmed nothing yet.
     pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
         self.registry.open_session(sender, boot, stored);
     }
 
-    /// Its session is over.
+    /// Records that a sender's session was closed.
     pub fn part(&mut self, sender: &str) {
         self.registry.close_session(sender);
     }
 
-    /// It has checked a policy.
+    /// Records that a sender has checked a policy.
     pub fn stored(&mut self, sender: &str, number: u64, refused: Option<&str>, record: &Record) {
         let Some(digest) = record.policies.digest(number) else {
             return;
         };
-        // The record has a few at the most, and only those are asked for.
+        // The record keeps only a few policies, and senders are asked for those alone.
         let kept = |number| record.policies.texts.contains_key(&number);
         if let Some(why) = self
             .registry
@@ -117,7 +121,8 @@
         }
     }
 
-    /// It goes by a turn. Where it was the last one that a pause waited for, that goes on at once.
+    /// Records that a sender applies a turn. If it was the last one that a pause waited for, the
+    /// next decision is made immediately.
     pub fn rules(
         &mut self,
         now: Nanos,
@@ -125,7 +130,7 @@
         turn: u64,
         record: &Record,
     ) -> Option<Change> {
-        // Nobody can go by what is not yet.
+        // No sender can apply a turn that does not exist yet.
         if turn > record.policies.turn || !self.registry.record_applied(sender, turn) {
             return None;
         }
@@ -136,7 +141,7 @@
         None
     }
 
-    /// It reports what became of messages.
+    /// Records the message outcomes that a sender reports.
     pub fn hear(
         &mut self,
         now: Nanos,
@@ -154,7 +159,7 @@
         self.health.record_report(now, stage, only, told);
     }
 
-    /// A change of policies was applied.
+    /// Updates the state after a change of policies was applied to the record.
     pub fn applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
         let policies = &record.policies;
         self.deciding = self.deciding.filter(|(base, _)| *base >= policies.turn);
@@ -222,9 +227,9 @@
         }
     }
 
-    /// Time has passed: what is to be changed, if anything is.
+    /// Returns the change that is due as time passes, if any.
     pub fn tick(&mut self, now: Nanos, record: &Record) -> Option<Change> {
-        // Whom a pause waits for is counted anew: some may have joined or lapsed.
+        // The senders that a pause waits for are determined anew: some may have joined or expired.
         self.waits = None;
         if record.tables.register.stance == SiteAdmission::Paused {
             self.tables = Some(now);
@@ -232,8 +237,8 @@
         self.decide(now, record)
     }
 
-    /// What a sender is to be told: its register where it has not said that it goes by it, and
-    /// policies that it lacks.
+    /// Sends a sender what it lacks: its register, where it has not confirmed that turn, and
+    /// policies that it has not stored.
     pub fn say(
         &mut self,
         now: Nanos,
@@ -287,7 +292,8 @@
             .forget_offers(sender, |number| policies.texts.contains_key(&number));
     }
 
-    /// Live senders of some zones, with what is known of each in the session that the record has.
+    /// Returns the live senders of some zones, each with what is known of it in the session that
+    /// the record has.
     fn live<'a>(
         &'a self,
         record: &'a Record,
@@ -296,14 +302,15 @@
         self.registry.live(record, |m| zones.contains(&m.zone))
     }
 
-    /// Those of them that have not said that they go by their zone's register.
+    /// Returns the live senders that have not confirmed the turn of their zone's register.
     fn unheard<'a>(&'a self, record: &'a Record, zones: &'a [String]) -> Vec<&'a String> {
         let turn = |m: &RosterEntry| record.policies.register(&m.zone).turn;
         self.registry
             .unconfirmed(record, |m| zones.contains(&m.zone), turn)
     }
 
-    /// Those that have not said that they have what they are to go by.
+    /// Returns the live senders that have not confirmed that they stored the policy they are to
+    /// change to.
     fn unstored<'a>(
         &'a self,
         record: &'a Record,
@@ -318,7 +325,7 @@
             .without_document(record, |m| zones.contains(&m.zone), needs)
     }
 
-    /// Why live senders of these zones cannot go by it, the first of them.
+    /// Returns the first reason for which a live sender of these zones cannot apply the policy.
     fn refusal(&self, record: &Record, r: &Rollout, zones: &[String]) -> Option<String> {
         self.live(record, zones)
             .find_map(|LiveSender { name, entry, known }| {
@@ -333,14 +340,14 @@
             })
     }
 
-    /// A zone of these without a live sender, and a zone of senders that the plan does not name.
+    /// Returns the first of these zones that has no live sender.
     fn empty<'a>(record: &Record, zones: &'a [String]) -> Option<&'a String> {
         zones
             .iter()
             .find(|zone| !record.roster.values().any(|m| m.live && m.zone == **zone))
     }
 
-    /// What the stage lacks now, if that has been so for long enough.
+    /// Returns what the stage lacks, once it has been lacking for [`GONE`].
     fn missed(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<String> {
         let told = match Roll::empty(record, r.zones()) {
             Some(zone) => Some(format!("zone {zone}: none of its senders holds a lease")),
@@ -360,7 +367,7 @@
             }
             None => None,
         };
-        // Which of them are missing may change; that some are is what counts.
+        // The senders that are missing may change; the time counts for which any are missing.
         let kind = |why: &String| why.split(':').next().map(str::to_string);
         let since = match (&self.missing, &told) {
             (Some((why, since)), Some(told)) if kind(why) == kind(told) => *since,
@@ -373,7 +380,7 @@
             .map(|(why, _)| why.clone())
     }
 
-    /// One decision at a time.
+    /// Returns the next change of the rollout, if one is due and none is pending.
     fn decide(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         let turn = record.policies.turn;
         self.deciding = self
@@ -388,7 +395,7 @@
             .as_ref()
             .filter(|r| r.halted.is_none())?;
         if self.step.0 != r.at {
-            // It began under another leader, who may have waited long.
+            // The step began under another leader, which may have waited for a long time already.
             (self.step, self.waits) = ((r.at, self.begun), None);
             if r.step == Step::Soaking {
                 self.health.on_stage_changed(now);
@@ -451,7 +458,8 @@
                         r.tries
                     ));
                 }
-                // Those that were silent have answered since, or lapsed.
+                // Senders that were silent have to have answered, or expired, before the next
+                // pause.
                 let silent = self
                     .unheard(record, r.zones())
                     .into_iter()
@@ -495,7 +503,7 @@
                 }
                 let done = |roll: &Roll| roll.unheard(record, r.zones()).is_empty();
                 if r.back_of != 0 {
-                    // What ran there before is not put to the test again.
+                    // A policy that ran there before is not judged again.
                     return done(self).then_some(Change::Next);
                 }
                 if now < self.looked + LOOK {
@@ -529,11 +537,10 @@
         }
     }
 
-    /// What a person wants of policies: a change to be brought into the record, or how things are
-    /// already.
+    /// Returns the change that an operator's request requires; `None` where nothing has to change.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why the request is rejected.
     pub fn order(&self, word: &OperatorRequest, record: &Record) -> Result<Option<Change>, String> {
         let p = &record.policies;
         let runs = || p.rollout.as_ref().ok_or("no rollout runs".to_string());
@@ -633,7 +640,7 @@
         }
     }
 
-    /// How things stand.
+    /// Returns the status of policies and of the rollout.
     pub fn status(&self, now: Nanos, record: &Record) -> messages::PolicyStatus {
         let p = &record.policies;
         let mut zones: BTreeMap<&String, (u64, bool, usize)> = BTreeMap::new();
@@ -731,7 +738,7 @@
         }
     }
 
-    /// Rollouts that are over, the newest first.
+    /// Returns the rollouts that have ended, the newest first.
     pub fn history(record: &Record) -> Vec<messages::PastRollout> {
         record.policies.past.iter().rev().map(past).collect()
     }
