--- a/src/coordination/config/error.rs
+++ b/src/coordination/config/error.rs
@@ -1,26 +1,26 @@
-//! What is wrong with a replica's file.
+//! Faults of a replica's configuration file.
 
 use std::io;
 use std::path::PathBuf;
 
-/// A fault of a file.
+/// A fault of a file, with the file's path.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {fault}", .file.display())]
 pub struct ConfigError {
     /// The file.
     pub file: PathBuf,
-    /// What is wrong with it.
+    /// Description of the fault.
     #[source]
     pub fault: ConfigFault,
 }
 
-/// What is wrong with a file's text.
+/// A fault in the text of a file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFault {
     /// The file cannot be read.
     #[error("{0}")]
     Unreadable(#[source] io::Error),
-    /// The text is no TOML.
+    /// The text is no valid TOML.
     #[error("{0}")]
     Syntax(#[source] toml::de::Error),
     /// A key is unknown, missing or of another type.
@@ -28,17 +28,17 @@
     Type {
         /// The key, with its path.
         key: String,
-        /// What was expected, and what came.
+        /// Error of the deserializer.
         source: toml::de::Error,
     },
-    /// A value is not what is expected.
+    /// The value of a key is not allowed.
     #[error("{key}: {}{expected}", .found.as_ref().map(|f| format!("{f}: ")).unwrap_or_default())]
     Invalid {
         /// The key, with its path.
         key: String,
-        /// The value; nothing where none was given, or it does not help.
+        /// The value; `None` where none was given or it would not help.
         found: Option<String>,
-        /// What is expected.
+        /// Description of the expected value.
         expected: String,
     },
 }
--- a/src/coordination/config/file.rs
+++ b/src/coordination/config/file.rs
@@ -1,4 +1,5 @@
-//! The file as it is written. Its keys are an interface of operators and keep their spelling.
+//! The configuration file in its TOML form. Operators depend on its keys, so they keep their
+//! spelling.
 
 use crate::coordination::leader::LeaderRules;
 use ipnet::IpNet;
@@ -40,18 +41,18 @@
     pub(super) address: SocketAddr,
 }
 
-/// What a site does when its lease in the federation has expired.
+/// Behaviour of a site when its lease in the federation has expired.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum OnLeaseLoss {
-    /// It accepts nothing new.
+    /// The site accepts nothing new.
     #[default]
     Hold,
-    /// It goes on by its last table.
+    /// The site continues with its last table.
     Last,
 }
 
-/// The federation that the site is in: `[federation]`.
+/// The federation that the site belongs to: `[federation]`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FederationFile {
--- a/src/coordination/config/mod.rs
+++ b/src/coordination/config/mod.rs
@@ -1,9 +1,10 @@
-//! The file of a replica (`keeper.toml`).
+//! Configuration file of a replica (`keeper.toml`).
 //!
 //! This module owns the keys of the file and their checks. All faults of a file are reported at
-//! once, each with its key. It opens the file and nothing else: [`super::replica`] starts from the
-//! [`Config`], the `keeper` command loads it. What the leader goes by (`[rules]`) is described in
-//! [`super::leader`], the settings of a federation in [`super::routing_table::member`].
+//! once, each with its key. The module opens the file and nothing else: [`super::replica`] starts
+//! from the [`Config`], the `keeper` command loads it. The rules of the leader (`[rules]`) are
+//! described in [`super::leader`], the settings of a federation in
+//! [`super::routing_table::member`].
 
 mod error;
 mod file;
@@ -19,21 +20,21 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// What a replica is configured with.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Site that it belongs to.
+    /// Site that the replica belongs to.
     pub site: String,
-    /// Its number; never given twice in a site.
+    /// Number of the replica; a site never uses a number twice.
     pub replica: u64,
-    /// Address that it listens on.
+    /// Address that the replica listens on.
     pub listen: SocketAddr,
-    /// Its folder.
+    /// Folder of the replica.
     pub folder: PathBuf,
     /// Bytes that the folder may hold.
     pub disk_bytes: u64,
-    /// The site starts for the first time, with this replica and all peers: only then may an empty
-    /// folder vote.
+    /// Whether the site starts for the first time, with this replica and all peers: only then may a
+    /// replica with an empty folder vote.
     pub begin: bool,
     /// Length of a tick, in milliseconds.
     pub tick_ms: u64,
@@ -41,9 +42,9 @@
     pub peers: BTreeMap<u64, SocketAddr>,
     /// Networks that agents and operators may connect from.
     pub agents: Vec<IpNet>,
-    /// What the leader goes by.
+    /// Rules of the leader.
     pub rules: LeaderRules,
-    /// Federation that the site is in.
+    /// Federation that the site belongs to.
     pub federation: Option<MemberSettings>,
 }
 
@@ -51,7 +52,7 @@
     /// Loads a file.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// All faults of the file.
     pub fn load(path: &Path) -> Result<Config, Vec<ConfigError>> {
         let config = match std::fs::read_to_string(path) {
             Ok(text) => Config::from_toml(&text),
@@ -66,10 +67,10 @@
         })
     }
 
-    /// Reads a file's text.
+    /// Parses the text of a file.
     ///
     /// # Errors
-    /// All that is wrong with it. A key of a wrong type hides the faults of the others.
+    /// All faults of the text. A key of a wrong type hides the faults of the others.
     pub fn from_toml(text: &str) -> Result<Config, Vec<ConfigFault>> {
         let file = parse(text).map_err(|fault| vec![fault])?;
         let faults = validate::faults(&file);
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Whether an agent or an operator may connect from this address.
+    /// Returns whether an agent or an operator may connect from this address.
     pub fn may_connect(&self, from: IpAddr) -> bool {
         let from = from.to_canonical();
         self.agents.iter().any(|network| network.contains(&from))
--- a/src/coordination/config/validate.rs
+++ b/src/coordination/config/validate.rs
@@ -1,5 +1,5 @@
-//! The checks of a file's values. All faults are collected; each names its key, what came and what
-//! is expected.
+//! Checks of a file's values. All faults are collected; each names its key, the value found and the
+//! value expected.
 
 use super::error::ConfigFault;
 use super::file::{ConfigFile, FederationFile, PeerEntry, SiteEntry};
@@ -12,23 +12,24 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Megabytes of a folder: of the least, sixteen segments hold a snapshot of the longest kind each.
+/// Disk space of a folder, in megabytes: with the least, each of sixteen segments can hold the
+/// longest snapshot.
 const DISK_MB: RangeInclusive<u64> = 20..=4096;
-/// Length of a tick, in milliseconds: shorter ones are less than what a busy machine loses, longer
+/// Length of a tick, in milliseconds: shorter ticks are within the delays of a busy machine; longer
 /// ones leave a site without a leader for more than two seconds.
 const TICK_MS: RangeInclusive<u64> = 10..=100;
-/// Replicas that a file may name: more of them only make every commit slower.
+/// Most replicas that a file may name: more of them only make every commit slower.
 const MAX_REPLICAS: usize = 9;
 
-/// Length of a tick in the federation, in milliseconds: an election takes 10 to 20 of them, so the
-/// shortest one bears round trips of some 100 ms, and with the longest one a site that led is
-/// missed for 10 s.
+/// Length of a tick in the federation, in milliseconds. An election takes 10 to 20 ticks, so the
+/// shortest one tolerates round trips of some 100 ms, and with the longest one the loss of the
+/// leading site takes up to 10 s to repair.
 const FEDERATION_TICK_MS: RangeInclusive<u32> = 20..=500;
 /// Lease of a site, in seconds.
 const LEASE_S: RangeInclusive<u32> = 5..=3_600;
-/// Longest fence, in seconds; the shortest one is derived.
+/// Longest fence time, in seconds; the shortest one is derived from the rules.
 const MAX_FENCE_S: u32 = 3_600;
-/// What a stop of admission takes to come into force beyond what the leases of senders say, in
+/// Time that a stop of admission takes to become effective in addition to the leases of senders, in
 /// milliseconds.
 const FENCE_MARGIN_MS: u32 = 2_000;
 
@@ -36,7 +37,7 @@
 const NAMED_TWICE: &str = "named twice";
 const UNREACHABLE: &str = "nobody can be reached there";
 
-/// All faults of a file.
+/// Returns all faults of a file.
 pub(super) fn faults(file: &ConfigFile) -> Vec<ConfigFault> {
     let mut faults = FaultList::default();
     check_replica(file, &mut faults);
@@ -60,16 +61,16 @@
     faults.list
 }
 
-/// Faults that are found, in the order of the checks.
+/// Faults that were found, in the order of the checks.
 #[derive(Default)]
 struct FaultList {
-    /// Stands before each key.
+    /// Prefix of each key.
     prefix: &'static str,
     list: Vec<ConfigFault>,
 }
 
 impl FaultList {
-    /// Notes a fault with the value that came, unless the condition holds.
+    /// Adds a fault with the value found, unless the condition holds.
     fn require(
         &mut self,
         holds: bool,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Notes a fault without a value, unless the condition holds.
+    /// Adds a fault without a value, unless the condition holds.
     fn require_key(&mut self, holds: bool, key: impl Display, expected: impl Display) {
         if !holds {
             self.push(key, None, expected);
@@ -197,8 +198,9 @@
     );
 }
 
-/// Shortest fence, in seconds. Senders whose replicas were cut off from each other when admission
-/// was to stop go on for the length of their lease, by a clock that may be two percent slow.
+/// Returns the shortest fence time, in seconds. Senders whose replicas were cut off from each other
+/// when admission was to stop continue for the length of their lease, by a clock that may be two
+/// percent slow.
 fn least_fence_s(rules: &LeaderRules) -> u32 {
     let lease_ms =
         (rules.lease_ms.saturating_add(rules.heartbeat_valid_ms) / 100).saturating_mul(102);
--- a/src/coordination/raft_group/apply.rs
+++ b/src/coordination/raft_group/apply.rs
@@ -1,4 +1,4 @@
-//! The library's work, step by step: messages, what is to be written, and what was committed.
+//! Processes the output of the `raft` library: messages, items to write, and committed entries.
 
 use super::{
     GroupEvent, GroupFailure, GroupState, Leadership, RaftGroup, UnsavedItem, WaitingMessages,
@@ -10,11 +10,11 @@
 use raft::Ready;
 
 impl<R: ReplicatedState> RaftGroup<R> {
-    /// Goes on as far as it can. Gives messages to send, each with the replica that it is for, and
-    /// adds what happened to `events`.
+    /// Processes all output that is available. Returns the messages to send, each with the replica
+    /// that it is for, and adds what happened to `events`.
     ///
     /// # Errors
-    /// This replica must not go on.
+    /// This replica has to stop.
     pub fn process_ready(
         &mut self,
         events: &mut Vec<GroupEvent<R::Command>>,
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Takes a snapshot of another replica in place of everything, and has it written.
+    /// Replaces the whole state by a snapshot of another replica, and queues it for writing.
     fn restore(
         &mut self,
         ready_number: u64,
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Has term, vote and entries written.
+    /// Queues term, vote and entries for writing.
     fn queue_batch(&mut self, ready_number: u64, entries: &[Entry]) {
         let batch = Batch {
             hard_state: PersistedHardState::of(&self.raw.store().hard_state),
@@ -118,7 +118,7 @@
     ) -> Result<(), GroupFailure> {
         let index = entry.index;
         match entry.get_entry_type() {
-            // A leader's first entry, and what the library emptied.
+            // A leader's first entry, or one that the library emptied.
             EntryType::EntryNormal if entry.data.is_empty() => {}
             EntryType::EntryNormal => self.apply_command(&entry, events)?,
             EntryType::EntryConfChange => self.apply_member_change(&entry, events)?,
--- a/src/coordination/raft_group/error.rs
+++ b/src/coordination/raft_group/error.rs
@@ -1,24 +1,25 @@
-//! What a group refuses, and what it cannot go on after.
+//! Errors of a Raft group: rejected requests and messages, and failures that stop the replica.
 
-/// Why the group cannot go on; its replica stops.
+/// A failure after which the replica has to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum GroupFailure {
-    /// The library failed.
+    /// The library reported an error.
     #[error("the group: {0}")]
     Raft(#[from] raft::Error),
-    /// Something committed that this program cannot read: it must not go on without it.
+    /// A committed entry or snapshot cannot be read by this program, which must not continue
+    /// without it.
     #[error("what was agreed cannot be read: {0}")]
     Unreadable(String),
-    /// The folder lost what this replica had acknowledged, and with it maybe a vote.
+    /// The folder lost entries that this replica had acknowledged, and possibly a vote.
     #[error(
         "the folder ends at place {last}, and keeper {leader}, which leads, knows that it held \
          {known}: what was acknowledged is lost, and this keeper may not vote again: remove it from \
          the group and add one under another number"
     )]
     LostAcknowledged {
-        /// Index of the last entry that it has.
+        /// Index of the last entry in the folder.
         last: u64,
-        /// Index of the last entry that it had, as far as the leader knows.
+        /// Index of the last entry that the replica had, as far as the leader knows.
         known: u64,
         /// The leader.
         leader: u64,
@@ -37,26 +38,26 @@
     }
 }
 
-/// Why an order is not carried out.
+/// Reason for which a proposal is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
     /// Another replica leads, or none.
     #[error("this keeper does not lead")]
     NotLeader,
-    /// Members change one after the other: so any two majorities, before and after a change, have a
-    /// replica in common.
+    /// Members are changed one at a time, so that any two majorities, before and after a change,
+    /// have a replica in common.
     #[error("another change of the keepers is not done yet")]
     ChangePending,
-    /// The number was used before: a vote of the earlier replica might be counted for the new one.
+    /// The number was used before: a vote of the earlier replica could be counted for the new one.
     #[error("that number was used: another keeper needs another number")]
     NumberUsed,
     /// No member has that number.
     #[error("no keeper has that number")]
     UnknownReplica,
-    /// The last member stays.
+    /// The last member cannot be removed.
     #[error("the last keeper cannot go")]
     LastReplica,
-    /// The replica leads; another one is asked to lead.
+    /// The replica leads; another one has been asked to take over.
     #[error("it leads: another keeper is asked to lead, order it again there")]
     LeadershipTransferring,
     /// Too much is proposed at once, or a command is too long.
@@ -64,13 +65,13 @@
     TooMuchPending,
 }
 
-/// Why a message of another replica is refused.
+/// Reason for which a message of another replica is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RefusedMessage {
     /// It cannot be decoded.
     #[error("{0}")]
     Malformed(String),
-    /// It is not from the replica that sent it, or not for this one.
+    /// It does not name the replica that sent it, or is not addressed to this one.
     #[error("a message from {from} to {to}")]
     Misdirected {
         /// Sender that it names.
@@ -78,7 +79,7 @@
         /// Receiver that it names.
         to: u64,
     },
-    /// Replicas do not send this kind.
+    /// Replicas do not send messages of this kind.
     #[error("a message of kind {0}")]
     Kind(String),
 }
--- a/src/coordination/raft_group/membership.rs
+++ b/src/coordination/raft_group/membership.rs
@@ -1,4 +1,4 @@
-//! What is brought before the group: commands, and changes of its members.
+//! Proposals to the group: commands, and changes of its members.
 
 use super::{GroupMember, ProposeError, RaftGroup};
 use crate::coordination::replicated_state::ReplicatedState;
@@ -6,8 +6,8 @@
 use raft::StateRole;
 
 impl<R: ReplicatedState> RaftGroup<R> {
-    /// Proposes a command. Whether it is committed comes out as
-    /// [`GroupEvent::Applied`](super::GroupEvent::Applied), or never.
+    /// Proposes a command. [`GroupEvent::Applied`](super::GroupEvent::Applied) reports that it was
+    /// committed; it may never be.
     ///
     /// # Errors
     /// This replica does not lead, the command is too long, or too much is proposed.
@@ -33,7 +33,7 @@
         if !self.is_ready_to_lead() {
             return Err(ProposeError::NotLeader);
         }
-        // The library would turn it into nothing, silently.
+        // The library would silently replace the change by an empty entry.
         if self.raw.raft.has_pending_conf() {
             return Err(ProposeError::ChangePending);
         }
@@ -65,19 +65,19 @@
     /// Proposes to add a member.
     ///
     /// # Errors
-    /// Its number may not be added, this replica does not lead, or another change runs.
+    /// Its number may not be added, this replica does not lead, or another change is in progress.
     pub fn add_member(&mut self, replica: u64, member: &GroupMember) -> Result<(), ProposeError> {
         self.may_add(replica)?;
         let context = postcard::to_stdvec(member).map_err(|_| ProposeError::TooMuchPending)?;
         self.propose_member_change(ConfChangeType::AddNode, replica, context)
     }
 
-    /// Proposes to remove a member. A leader that is asked to remove itself hands its leadership on
-    /// instead.
+    /// Proposes to remove a member. A leader that is asked to remove itself transfers its
+    /// leadership instead.
     ///
     /// # Errors
-    /// It is no member or the last one, it leads, this replica does not lead, or another change
-    /// runs.
+    /// It is no member or the last one, it leads, this replica does not lead, or another change is
+    /// in progress.
     pub fn remove_member(&mut self, replica: u64) -> Result<(), ProposeError> {
         if !self.voters().contains(&replica) {
             return Err(ProposeError::UnknownReplica);
@@ -92,7 +92,7 @@
         self.propose_member_change(ConfChangeType::RemoveNode, replica, Vec::new())
     }
 
-    /// Asks another replica to lead: the one that was heard last.
+    /// Asks another replica to lead: the one that was heard from last.
     ///
     /// # Errors
     /// There is no other replica.
--- a/src/coordination/raft_group/mod.rs
+++ b/src/coordination/raft_group/mod.rs
@@ -1,35 +1,37 @@
-//! A Raft group, around the state machine of the `raft` library: no file, no socket, no clock.
+//! A Raft group, around the state machine of the `raft` library, without files, sockets or clocks.
 //!
 //! The replicas of a site are one group, which agrees on the site's record. The sites of a
-//! federation are another, of the same code, with one member for each site. Below, a member is
-//! called a replica.
+//! federation are another group, run by the same code, with one member for each site. In this
+//! module a member is called a replica.
 //!
 //! This module owns terms, votes, heartbeats, the commit index and the members of the group. It
-//! neither writes nor sends: what is to be written comes out of [`RaftGroup::next_item`] and is
-//! reported back by [`RaftGroup::item_saved`], and only then do the messages that rely on it come
-//! out. What was committed comes out of [`RaftGroup::process_ready`] as [`GroupEvent`]s, in the
-//! order in which all replicas see it. [`super::replica`] drives a site's group,
+//! neither writes nor sends: [`RaftGroup::next_item`] returns what has to be written,
+//! [`RaftGroup::item_saved`] reports that it is, and only then are the messages released that rely
+//! on it. [`RaftGroup::process_ready`] returns what was committed as [`GroupEvent`]s, in the same
+//! order on all replicas. [`super::replica`] drives a site's group,
 //! [`super::routing_table::member`] that of a federation.
 //!
 //! # Who may vote
 //!
-//! A replica that has lost its folder has forgotten what it voted and what it acknowledged. If it
-//! voted as the old one, two leaders could stand in one term, and what was committed could be lost.
-//! So a vote belongs to a folder and not to a number. Each folder has an *incarnation*, drawn when
-//! it is created. The group commits the incarnation of each member, and a replica hears only
-//! members with the committed one. There are two ways to become a member:
+//! A replica that has lost its folder no longer knows what it voted and what it acknowledged. If it
+//! voted again under its old number, one term could have two leaders, and committed entries could
+//! be lost. So a vote belongs to a folder and not to a number. Each folder has an *incarnation*,
+//! drawn when it is created. The group commits the incarnation of each member, and a replica
+//! accepts messages only from members with the committed one. There are two ways to become a
+//! member:
 //!
 //! - *The first start of a site* (`begin = true`, an empty folder; [`super::bootstrap`]). The
-//!   replicas tell each other their incarnations and write down those of the others; one takes part
-//!   when all others have said that they have written down its own. So whoever has ever voted or
-//!   acknowledged anything is known, with its folder, to all: one that comes again without it is
-//!   refused by each of the others, never hears from all of them, and never takes part. A first
-//!   start that breaks off with a folder lost is begun anew with empty folders.
-//! - *By an order* ([`RaftGroup::add_member`]). The leader asks the new replica for its
+//!   replicas send each other their incarnations and store those of the others. A replica takes
+//!   part once all others have confirmed that they stored its own. So the folder of each replica
+//!   that has ever voted or acknowledged anything is known to all others: a replica that returns
+//!   without it is rejected by each of them, never gets all their confirmations and never takes
+//!   part. If a folder is lost before the first start is complete, the start is repeated with empty
+//!   folders.
+//! - *An operator's request* ([`RaftGroup::add_member`]). The leader asks the new replica for its
 //!   incarnation, and both are committed in one entry. A replica that has not applied that entry
-//!   neither counts the new one as a voter nor hears it.
+//!   neither counts the new one as a voter nor accepts its messages.
 //!
-//! Numbers of replicas that were removed are never used again; the group refuses them.
+//! Numbers of replicas that were removed are never used again; the group rejects them.
 
 mod apply;
 mod error;
@@ -48,30 +50,32 @@
 use raft::{Config, RawNode, StateRole};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Ticks without a heartbeat of the leader after which a replica stands for election, at least; at
-/// most twice as many.
+/// Fewest ticks without a heartbeat of the leader after which a replica stands for election; the
+/// most are twice as many.
 pub const ELECTION_TICKS: usize = 10;
 /// Ticks between two heartbeats of the leader.
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks by which others may have heard the leader earlier than the leader hears of that.
+/// Ticks by which other replicas may have received a heartbeat before the leader receives the
+/// response.
 const HEARD_SLACK_TICKS: u64 = 2;
-/// Messages with entries that are on their way to one replica at once.
+/// Most messages with entries in flight to one replica.
 const MAX_INFLIGHT_APPENDS: usize = 16;
 
-/// What a group commits, or what became of this replica's place in it.
+/// An event of the group, for the code that drives it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupEvent<C = record::Command> {
     /// The command of the entry with this index was applied to the state.
     Applied(u64, C),
     /// The entry with this index added or removed the replica of this number.
     MembersChanged(u64, u64),
-    /// The complete state, as of this index, came from another replica.
+    /// The complete state as of this index was received from another replica.
     SnapshotRestored(u64),
     /// The leader and the term changed, in this order; no leader is 0.
     LeaderChanged(u64, u64),
 }
 
-/// What the draw of an election timeout holds for: it is drawn anew when one of these changes.
+/// Role and term for which an election timeout was drawn: it is drawn again when one of them
+/// changes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ElectionRound {
     term: u64,
@@ -79,13 +83,13 @@
     role: StateRole,
 }
 
-/// How long this replica waits for a leader before it stands for election.
+/// Time that this replica waits for a leader before it stands for election.
 struct ElectionTimeout {
     round: ElectionRound,
     ticks: usize,
 }
 
-/// A leader in a term; no leader is 0.
+/// The leader of a term; 0 for none.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Leadership {
     leader: u64,
@@ -98,13 +102,13 @@
     item: LogItem,
 }
 
-/// Messages that may go out once all work up to `ready_number` is durable.
+/// Messages that may be sent once all work up to `ready_number` is durable.
 struct WaitingMessages {
     ready_number: u64,
     messages: Vec<Message>,
 }
 
-/// One replica's side of a group.
+/// A group as one replica runs it.
 pub struct RaftGroup<R: ReplicatedState = Record> {
     raw: RawNode<MemoryStorage>,
     rng: fastrand::Rng,
@@ -114,25 +118,26 @@
     state: GroupState<R>,
     /// Index of the last entry that was applied.
     applied: u64,
-    /// Ticks so far.
+    /// Number of ticks since the start.
     ticks: u64,
-    /// Tick in which each other replica was last heard in the current term.
+    /// Tick at which each other replica was last heard from in the current term.
     heard_at: BTreeMap<u64, u64>,
     unsaved: VecDeque<UnsavedItem>,
-    /// The library's work that the item which is being written makes durable.
+    /// Number of the library's work that the item being written makes durable.
     saving: Option<u64>,
     waiting: VecDeque<WaitingMessages>,
     outbox: Vec<Message>,
-    /// The library's work that a snapshot of another replica belongs to, until it is written.
+    /// Number of the library's work that a snapshot of another replica belongs to, until it is
+    /// written.
     restoring: Option<u64>,
-    /// Why this replica must not go on, where a message showed it.
+    /// Failure that a message revealed, after which this replica has to stop.
     failure: Option<GroupFailure>,
     leadership: Leadership,
 }
 
 impl<R: ReplicatedState> RaftGroup<R> {
-    /// Goes on from a checkpoint that was perhaps written without a sync: so the first item that
-    /// comes out is that checkpoint. The seed draws the election timeouts.
+    /// Continues from a checkpoint that may have been written without a sync, so that checkpoint is
+    /// the first item to write. Election timeouts are drawn from the seed.
     ///
     /// # Errors
     /// The checkpoint cannot be read.
@@ -145,7 +150,7 @@
         Ok(group)
     }
 
-    /// Goes on from a checkpoint that is known to be durable.
+    /// Continues from a checkpoint that is known to be durable.
     ///
     /// # Errors
     /// The checkpoint cannot be read.
@@ -182,8 +187,8 @@
         Ok(group)
     }
 
-    /// Sets the election timeout, and draws it anew where the library would. What the library draws
-    /// itself has no seed, and is not used.
+    /// Sets the election timeout, and draws it anew whenever the library would. The library's own
+    /// draw has no seed and is not used.
     fn set_election_timeout(&mut self) {
         let raft = &mut self.raw.raft;
         let round = ElectionRound {
@@ -198,50 +203,51 @@
         raft.set_randomized_election_timeout(self.election_timeout.ticks);
     }
 
-    /// Number of this replica.
+    /// Returns the number of this replica.
     pub fn id(&self) -> u64 {
         self.checkpoint.identity.replica
     }
 
-    /// The record that the group agrees on.
+    /// Returns the record that the group agrees on.
     pub fn record(&self) -> &R {
         &self.state.record
     }
 
-    /// All that the group agrees on.
+    /// Returns the whole state that the group agrees on.
     pub fn state(&self) -> &GroupState<R> {
         &self.state
     }
 
-    /// Replicas that vote.
+    /// Returns the replicas that vote.
     pub fn voters(&self) -> &[u64] {
         self.raw.store().voters()
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> u64 {
         self.raw.raft.term
     }
 
-    /// Leader of the current term, as far as this replica knows; 0 for none.
+    /// Returns the leader of the current term, as far as this replica knows; 0 for none.
     pub fn leader(&self) -> u64 {
         self.raw.raft.leader_id
     }
 
-    /// Index of the last entry that was applied.
+    /// Returns the index of the last entry that was applied.
     pub fn applied_index(&self) -> u64 {
         self.applied
     }
 
-    /// Whether this replica leads and has applied all that was committed before its term. Only then
-    /// may it decide anything: what an earlier leader granted is known to it.
+    /// Returns whether this replica leads and has applied all entries that were committed before
+    /// its term. Only then may it decide anything, as it then knows all that earlier leaders
+    /// granted.
     pub fn is_ready_to_lead(&self) -> bool {
         self.raw.raft.state == StateRole::Leader && self.raw.raft.apply_to_current_term()
     }
 
-    /// Whether this replica holds the leader's lease: it has heard a majority lately enough that
-    /// nobody else can lead by now. It protects that what is answered without an entry of its own
-    /// (a grant, a status) is never answered by a leader that was deposed.
+    /// Returns whether this replica holds the leader's lease: it has heard from a majority so
+    /// recently that no other replica can lead yet. This ensures that a response without a log
+    /// entry of its own (a grant, a status) never comes from a leader that was deposed.
     pub fn holds_leader_lease(&self) -> bool {
         if self.raw.raft.state != StateRole::Leader {
             return false;
@@ -251,7 +257,8 @@
         fresh > voters.len() / 2
     }
 
-    /// Whether a replica was heard so lately that it elects nobody else yet.
+    /// Returns whether a replica was heard from so recently that it does not elect another leader
+    /// yet.
     fn is_fresh(&self, replica: u64) -> bool {
         let heard_at = self.heard_at.get(&replica);
         replica == self.id()
@@ -259,14 +266,15 @@
                 .is_some_and(|at| self.ticks - at + HEARD_SLACK_TICKS < ELECTION_TICKS as u64)
     }
 
-    /// Whether, as this leader knows, another replica has written all entries up to an index.
+    /// Returns whether another replica, as this leader knows, has written all entries up to an
+    /// index.
     pub fn has_replicated(&self, replica: u64, index: u64) -> bool {
         let progress = self.raw.raft.prs().get(replica);
         progress.is_some_and(|known| known.matched >= index)
     }
 
-    /// Voters that, as this leader knows, have nothing of the record; none, where this replica does
-    /// not lead.
+    /// Returns the voters that, as this leader knows, have nothing of the record; none where this
+    /// replica does not lead.
     pub fn voters_without_record(&self) -> Vec<u64> {
         if !self.is_ready_to_lead() {
             return Vec::new();
@@ -275,7 +283,7 @@
         voters.filter(|id| !self.has_replicated(*id, 1)).collect()
     }
 
-    /// Lets a tick pass.
+    /// Advances the group by one tick.
     pub fn tick(&mut self) {
         self.ticks += 1;
         if self.restoring.is_none() {
@@ -284,7 +292,7 @@
         }
     }
 
-    /// Takes a message of another replica.
+    /// Processes a message of another replica.
     ///
     /// # Errors
     /// The message is not from that replica, not for this one, or of a kind that replicas do not
@@ -298,8 +306,8 @@
         if message.term == self.term() {
             self.heard_at.insert(from, self.ticks);
         }
-        // The library can do nothing with a snapshot that is not written yet; what is lost
-        // meanwhile is sent again.
+        // The library cannot process messages while a snapshot is not written yet; messages that
+        // are dropped meanwhile are sent again.
         if self.restoring.is_some() {
             return Ok(());
         }
@@ -307,7 +315,8 @@
             self.failure = Some(failure);
             return Ok(());
         }
-        // What the library refuses is late or of no use, and no fault of the connection.
+        // Messages that the library rejects are late or of no use; that is no fault of the
+        // connection.
         let _ = self.raw.step(message);
         self.set_election_timeout();
         Ok(())
@@ -335,8 +344,9 @@
         }
     }
 
-    /// Whether a heartbeat shows that this replica's folder lost what it had acknowledged: a leader
-    /// names no higher commit index to a replica than that replica has acknowledged.
+    /// Checks whether a heartbeat shows that this replica's folder lost acknowledged entries: a
+    /// leader sends a replica no commit index that is higher than what the replica has
+    /// acknowledged.
     fn lost_acknowledged(&self, from: u64, message: &Message) -> Option<GroupFailure> {
         let last = self.raw.raft.raft_log.last_index();
         let is_heartbeat = message.get_msg_type() == MessageType::MsgHeartbeat;
@@ -350,7 +360,7 @@
         })
     }
 
-    /// Reports that a message could not be brought to another replica.
+    /// Reports that a message could not be delivered to another replica.
     pub fn report_unreachable(&mut self, replica: u64, was_snapshot: bool) {
         self.raw.report_unreachable(replica);
         if was_snapshot {
@@ -366,8 +376,9 @@
     }
 }
 
-/// Settings of the library. `check_quorum` deposes a leader that hears no majority, `pre_vote`
-/// keeps a replica that was cut off from deposing a leader that others hear.
+/// Returns the settings of the library. `check_quorum` deposes a leader that hears from no
+/// majority; `pre_vote` prevents a replica that was cut off from deposing a leader that others
+/// still hear.
 fn library_config<R: ReplicatedState>(checkpoint: &Checkpoint) -> Config {
     Config {
         id: checkpoint.identity.replica,
@@ -384,7 +395,8 @@
     }
 }
 
-/// The library's own log lines are not used: what matters of them is a [`GroupEvent`].
+/// Returns a logger that discards the library's own log lines; relevant changes are reported as
+/// [`GroupEvent`]s.
 fn no_logger() -> slog::Logger {
     slog::Logger::root(slog::Discard, slog::o!())
 }
--- a/src/coordination/raft_group/persistence.rs
+++ b/src/coordination/raft_group/persistence.rs
@@ -1,16 +1,16 @@
-//! What the group wants written, and what becomes possible once it is.
+//! The items that the group has to write, and the steps that become possible once they are written.
 //!
 //! The library numbers its steps of work. Each item makes the work up to a number durable; messages
-//! that rely on a number wait until it is. It protects that no vote and no acknowledgement leaves
-//! this replica before it survives a power cut.
+//! that rely on a number wait until it is. This ensures that every vote and acknowledgement
+//! survives a power cut before it leaves this replica.
 
 use super::{RaftGroup, UnsavedItem, WaitingMessages};
 use crate::coordination::raft_log::{Batch, LogItem};
 use crate::coordination::replicated_state::ReplicatedState;
 
 impl<R: ReplicatedState> RaftGroup<R> {
-    /// Whether a checkpoint may be written now: nothing is on its way to the disk, and what would
-    /// stand behind its snapshot is short.
+    /// Returns whether a checkpoint may be written now: nothing is being written, and few entries
+    /// follow its snapshot.
     fn may_compact(&self) -> bool {
         let log = &self.raw.raft.raft_log;
         let behind = log.last_index().saturating_sub(self.applied);
@@ -46,8 +46,8 @@
         });
     }
 
-    /// The item that is to be written next; nothing while one is being written. Whoever takes it
-    /// writes it, if need be again and again, until it is saved.
+    /// Returns the item that has to be written next; `None` while one is being written. The caller
+    /// writes the item, retrying if necessary, until it is saved.
     pub fn next_item(&mut self) -> Option<LogItem> {
         if self.saving.is_some() {
             return None;
@@ -65,7 +65,8 @@
         Some(unsaved.item)
     }
 
-    /// Takes the next item, if it is a batch that may be written together with this one.
+    /// Removes and returns the next item, if it is a batch that may be written together with this
+    /// one.
     fn next_mergeable(&mut self, batch: &Batch) -> Option<UnsavedItem> {
         let fits = match self.unsaved.front().map(|next| &next.item) {
             Some(LogItem::Batch(next)) => batch.size() + next.size() <= R::LIMITS.merged_batch,
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Lets go on what waited for the work up to this number to be durable; and what comes after
-    /// it, as far as that needs no writing.
+    /// Releases what waited for the work up to this number to be durable, and following work that
+    /// requires no writing.
     pub(super) fn became_durable(&mut self, ready_number: u64) {
         let next_unsaved = self.unsaved.front().map_or(u64::MAX, |u| u.ready_number);
         let mut durable = ready_number;
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Tells the library how far this replica has applied; a snapshot counts only when it is
+    /// Reports to the library how far this replica has applied; a snapshot counts only once it is
     /// written.
     pub(super) fn report_applied(&mut self) {
         let log = &self.raw.raft.raft_log;
--- a/src/coordination/raft_group/tests.rs
+++ b/src/coordination/raft_group/tests.rs
@@ -1,7 +1,6 @@
 use crate::coordination::raft_group::*;
 
-/// A snapshot as it was written before the record had policies: one sender on the roster, one
-/// keeper, version 3.
+/// A snapshot from before the record had policies: one sender on the roster, one keeper, version 3.
 const OLDER: &[u8] = &[
     3, 1, 2, b'n', b'1', 9, 1, b'a', 1, 2, 0, 0, 2, 0, 1, 1, 11, b'1', b'2', b'7', b'.', b'0',
     b'.', b'0', b'.', b'1', b':', b'7', 101, 0,
--- a/src/coordination/raft_log/item.rs
+++ b/src/coordination/raft_log/item.rs
@@ -1,5 +1,6 @@
-//! The items of a replica's log and how they add up. Their bytes (`postcard`: order and types of
-//! variants and fields) are those on disk and stay as they are; older forms are read as well.
+//! Items of a replica's log, and how they are combined on start. Their encoding (`postcard`: order
+//! and types of variants and fields) is the one on disk and does not change; older formats are read
+//! as well.
 
 use super::MemoryStorage;
 use protobuf::ProtobufEnum;
@@ -9,30 +10,31 @@
 use serde_bytes::ByteBuf;
 use std::collections::BTreeMap;
 
-/// Version of the form that is written. The second one has policies behind the record in a
-/// snapshot, the third routing tables behind those. Older ones are read as well, and become the
-/// third with the next snapshot.
+/// Format version that is written. Version 2 appends policies to the record in a snapshot, version
+/// 3 routing tables after those. Older versions are read as well, and become version 3 with the
+/// next snapshot.
 const FORMAT_VERSION: u16 = 3;
-/// Oldest version of the form that is read.
+/// Oldest format version that is read.
 const OLDEST_FORMAT_VERSION: u16 = 1;
-/// What an entry or a batch takes besides its data, about, in bytes.
+/// Approximate size of an entry or a batch besides its data, in bytes.
 const OVERHEAD_BYTES: usize = 32;
 
-/// Whose folder it is.
+/// Identity of a folder's owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIdentity {
     /// The site.
     pub site: String,
     /// Number of the replica.
     pub replica: u64,
-    /// Drawn when the folder was created: another folder of the same replica has another one.
+    /// Random number drawn when the folder was created: another folder of the same replica has
+    /// another one.
     pub incarnation: u64,
 }
 
 /// Term, vote and commit index, as they are written to disk.
 ///
-/// It protects that a replica votes once in a term, also across a restart: the vote is synced
-/// before the message that carries it is sent.
+/// Ensures that a replica votes once per term, also across a restart: the vote is synced before the
+/// message that carries it is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedHardState {
     /// The term.
@@ -44,7 +46,7 @@
 }
 
 impl PersistedHardState {
-    /// Converts the library's form.
+    /// Converts from the library's type.
     pub fn of(state: &HardState) -> PersistedHardState {
         PersistedHardState {
             term: state.term,
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Converts to the library's form.
+    /// Converts to the library's type.
     pub(super) fn to_library(self) -> HardState {
         HardState {
             term: self.term,
@@ -75,7 +77,7 @@
 }
 
 impl LogEntry {
-    /// Converts the library's form.
+    /// Converts from the library's type.
     pub fn of(entry: &Entry) -> LogEntry {
         LogEntry {
             kind: entry.get_entry_type().value(),
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Converts to the library's form; nothing for an entry of an unknown kind.
+    /// Converts to the library's type; `None` for an entry of an unknown kind.
     pub(super) fn into_library(self) -> Option<Entry> {
         let mut entry = Entry::default();
         entry.set_entry_type(EntryType::from_i32(self.kind)?);
@@ -97,23 +99,23 @@
         Some(entry)
     }
 
-    /// Bytes that it takes, about.
+    /// Returns the approximate size, in bytes.
     pub fn size(&self) -> usize {
         self.data.len() + self.context.len() + OVERHEAD_BYTES
     }
 }
 
-/// All that a replica has, complete in itself.
+/// Complete state of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// Version of the form.
+    /// Format version.
     pub format_version: u16,
-    /// Whose folder it is.
+    /// Identity of the folder's owner.
     pub identity: ReplicaIdentity,
     /// Whether the replica takes part: at a site's first start it waits until all replicas know
     /// each other.
     pub takes_part: bool,
-    /// Incarnations of the other replicas, as far as they are known before that.
+    /// Incarnations of the other replicas that are known before the replica takes part.
     pub known_incarnations: BTreeMap<u64, u64>,
     /// Term, vote and commit index.
     pub hard_state: PersistedHardState,
@@ -125,13 +127,14 @@
     pub voters: Vec<u64>,
     /// The snapshot: a [`GroupState`](crate::coordination::raft_group::GroupState).
     pub state: ByteBuf,
-    /// The entries behind the snapshot.
+    /// The entries after the snapshot.
     pub entries: Vec<LogEntry>,
 }
 
 impl Checkpoint {
-    /// What a folder begins with. A group that begins has a snapshot of nothing as its entry 1, so
-    /// that a replica which joins later is sent one; a replica that joins a group begins at 0.
+    /// Creates the first checkpoint of a folder. A group that begins has an empty snapshot as its
+    /// entry 1, so that a replica which joins later is sent one; a replica that joins a group
+    /// begins at 0.
     pub fn new(
         identity: ReplicaIdentity,
         index: u64,
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Copies it without snapshot, entries and voters.
+    /// Copies the checkpoint without snapshot, entries and voters.
     pub fn without_state(&self) -> Checkpoint {
         Checkpoint {
             identity: self.identity.clone(),
@@ -168,8 +171,8 @@
         }
     }
 
-    /// The next checkpoint of the same replica: a snapshot as of `index`, with what `storage` has
-    /// behind it.
+    /// Returns the next checkpoint of the same replica: a snapshot as of `index`, with the later
+    /// entries of `storage`.
     pub fn next(
         &self,
         storage: &MemoryStorage,
@@ -193,7 +196,7 @@
         }
     }
 
-    /// Adds what was written after it.
+    /// Adds a batch that was written after this checkpoint.
     pub fn append(&mut self, batch: Batch) {
         let mut merged = Batch {
             hard_state: self.hard_state,
@@ -204,12 +207,12 @@
         self.entries = merged.entries;
     }
 
-    /// Bytes of the entries behind the snapshot, about.
+    /// Returns the approximate size of the entries after the snapshot, in bytes.
     pub fn entries_size(&self) -> usize {
         self.entries.iter().map(LogEntry::size).sum()
     }
 
-    /// Whether the entries behind the snapshot are an unbroken run.
+    /// Returns whether the entries follow the snapshot without a gap.
     fn is_unbroken(&self) -> bool {
         let indexes = self.index + 1..;
         self.entries
@@ -219,17 +222,17 @@
     }
 }
 
-/// What was written after a checkpoint.
+/// Changes that were written after a checkpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
     /// Term, vote and commit index.
     pub hard_state: PersistedHardState,
-    /// Entries; they replace all from the first one's index on.
+    /// Entries; they replace all existing ones from the first one's index on.
     pub entries: Vec<LogEntry>,
 }
 
 impl Batch {
-    /// Makes one batch of this one and the one behind it.
+    /// Merges the batch that follows this one into it.
     pub fn merge(&mut self, later: Batch) {
         self.hard_state = later.hard_state;
         if let Some(first) = later.entries.first() {
@@ -239,7 +242,7 @@
         self.entries.extend(later.entries);
     }
 
-    /// Bytes that it takes, about.
+    /// Returns the approximate size, in bytes.
     pub fn size(&self) -> usize {
         self.entries.iter().map(LogEntry::size).sum::<usize>() + OVERHEAD_BYTES
     }
@@ -248,19 +251,19 @@
 /// An item of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogItem {
-    /// All that the replica has.
+    /// The complete state of the replica.
     Checkpoint(Box<Checkpoint>),
-    /// What came after it.
+    /// Changes after the checkpoint.
     Batch(Batch),
 }
 
-/// Why items that were read add up to nothing that a replica may go on from.
+/// Reason for which the items that were read do not form a valid state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnreadableLog {
-    /// A checkpoint of a form that this program does not know.
+    /// A checkpoint of a format version that this program does not know.
     #[error("it has form {0}, this program knows {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}")]
     Form(u16),
-    /// Entries between the checkpoint and its last entry are not there.
+    /// Entries between the checkpoint and the last entry are missing.
     #[error("entries are missing")]
     EntriesMissing,
     /// An entry of a kind that this program does not know.
@@ -268,10 +271,10 @@
     EntryKind,
 }
 
-/// Adds up the newest checkpoint and the batches behind it; nothing, where there is no checkpoint.
+/// Combines the newest checkpoint with the batches after it; `None` where there is no checkpoint.
 ///
 /// # Errors
-/// The items add up to nothing that a replica may go on from.
+/// The items do not form a valid state.
 pub fn assemble_checkpoint(
     items: impl Iterator<Item = LogItem>,
 ) -> Result<Option<Checkpoint>, UnreadableLog> {
@@ -285,8 +288,8 @@
                 newest = Some(*checkpoint);
             }
             LogItem::Batch(batch) => {
-                // Without a checkpoint before it, it is older than the checkpoint, and not yet
-                // noted as obsolete.
+                // A batch without a checkpoint before it is older than the checkpoint, and not yet
+                // marked as obsolete.
                 if let Some(checkpoint) = &mut newest {
                     checkpoint.append(batch);
                     if !checkpoint.is_unbroken() {
--- a/src/coordination/raft_log/memory.rs
+++ b/src/coordination/raft_log/memory.rs
@@ -1,11 +1,11 @@
-//! What the `raft` library reads of the log: all in memory, ahead of what is written.
+//! The log as the `raft` library reads it: in memory, ahead of what is written to disk.
 
 use super::{Checkpoint, LogEntry, UnreadableLog};
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 use std::collections::VecDeque;
 
-/// Entries that stay in memory before a snapshot, so that a replica that is a little behind needs
+/// Entries before a snapshot that stay in memory, so that a replica that is slightly behind needs
 /// no snapshot.
 const RETAINED_ENTRIES: usize = 512;
 
@@ -22,13 +22,13 @@
     pub hard_state: HardState,
     conf_state: ConfState,
     snapshot: Snapshot,
-    /// Position just before the first entry that is in memory.
+    /// Position before the first entry that is in memory.
     before: Position,
     entries: VecDeque<Entry>,
 }
 
 impl MemoryStorage {
-    /// Builds it from what was written.
+    /// Builds the storage from what was written.
     ///
     /// # Errors
     /// An entry is of a kind that this program does not know.
@@ -68,9 +68,9 @@
         self.snapshot = snapshot;
     }
 
-    /// Takes over a change of the voters, by the entry of this index. A replica refuses a snapshot
-    /// that does not count it as a voter, so the snapshot that is sent from now on is of this
-    /// index; no entry is dropped.
+    /// Records a change of the voters by the entry of this index. A replica rejects a snapshot that
+    /// does not count it as a voter, so the snapshot that is sent from now on is of this index; no
+    /// entry is dropped.
     pub fn set_conf_state(&mut self, conf_state: ConfState, index: u64, state: Vec<u8>) {
         self.conf_state = conf_state;
         if let Ok(term) = self.term(index) {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Replicas that vote.
+    /// Returns the replicas that vote.
     pub fn voters(&self) -> &[u64] {
         &self.conf_state.voters
     }
@@ -96,7 +96,7 @@
         self.snapshot = snapshot;
     }
 
-    /// Adds entries; they replace all from the first one's index on.
+    /// Adds entries; they replace all existing ones from the first one's index on.
     pub fn append(&mut self, entries: &[Entry]) {
         let Some(first) = entries.first() else { return };
         let kept = first.index.saturating_sub(self.before.index + 1);
@@ -104,8 +104,8 @@
         self.entries.extend(entries.iter().cloned());
     }
 
-    /// Takes a snapshot of what was applied up to `index`, and drops entries before it, but for the
-    /// last of them.
+    /// Replaces the snapshot by one of the state at `index`, and drops the entries before it except
+    /// the last [`RETAINED_ENTRIES`].
     pub fn compact(&mut self, index: u64, state: Vec<u8>) {
         let Ok(term) = self.term(index) else { return };
         self.set_snapshot(index, term, state);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Entries behind an index.
+    /// Returns the entries after an index.
     pub(super) fn entries_after(&self, index: u64) -> Vec<LogEntry> {
         self.entries
             .iter()
--- a/src/coordination/raft_log/store.rs
+++ b/src/coordination/raft_log/store.rs
@@ -1,5 +1,5 @@
-//! The folder of a replica's log, on the project's own store. All of it blocks: a thread of its own
-//! calls it.
+//! The folder of a replica's log, in the segment store of this project. All calls block, so a
+//! separate thread makes them.
 
 use super::{assemble_checkpoint, Checkpoint, LogItem, MAX_CHECKPOINT_BYTES};
 use crate::store::disk::Disk;
@@ -11,22 +11,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Bytes of batches after which a checkpoint is due, at least; or as many as the last checkpoint
-/// had.
+/// Fewest bytes of batches after which a checkpoint is due; more are needed where the last
+/// checkpoint was larger.
 const COMPACT_AFTER_BYTES: u64 = 128 * 1024;
-/// Most space that is reserved for the next checkpoint, in bytes: half of what the smallest folder
-/// holds.
+/// Most space that is reserved for the next checkpoint, in bytes: half of the capacity of the
+/// smallest folder.
 const MAX_RESERVED_BYTES: u64 = 2560 * 1024;
-/// Segments that a checkpoint may add for the space that is reserved with it.
+/// Most segments that are added for the space reserved with a checkpoint.
 const MAX_RESERVE_SEGMENTS: usize = 8;
 
-/// Why an item was not written.
+/// Reason for which an item was not written.
 #[derive(Debug, thiserror::Error)]
 pub enum SaveError {
-    /// Not now: the same may work at another time.
+    /// The item cannot be written now; the same item may be written later.
     #[error("{0}")]
     Retryable(String),
-    /// What is written may be lost whatever a later sync says: the replica must stop.
+    /// Written items may be lost even if a later sync succeeds: the replica has to stop.
     #[error("{0}")]
     Fatal(String),
 }
@@ -37,22 +37,22 @@
     }
 }
 
-/// Why a folder cannot be used.
+/// Reason for which a folder cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The file system failed.
+    /// The file system reported an error.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// Something that was written cannot be read: it might be a vote.
+    /// A written item cannot be read, and it may have been a vote.
     #[error(
         "damaged: {0}; this keeper may not vote again: remove it from the group and add one under \
          another number"
     )]
     Damaged(String),
-    /// The folder is of another replica.
+    /// The folder belongs to another replica.
     #[error("it is of keeper {0} of site {1:?}")]
     ForeignFolder(u64, String),
-    /// The folder may hold too little; its segments have this many bytes.
+    /// The folder's capacity is too small; its segments have this many bytes.
     #[error(
         "the file system has too little room for disk_mb: segments of {0} bytes, \
          {MAX_CHECKPOINT_BYTES} are needed"
@@ -60,7 +60,7 @@
     InsufficientSpace(u64),
 }
 
-/// Moves items from segment to segment as they were written: they are read again for that.
+/// Moves items between segments unchanged, by reading the written bytes again.
 struct MoveUnchanged;
 
 impl SnapshotSource for MoveUnchanged {
@@ -69,10 +69,10 @@
     }
 }
 
-/// An item that a start found.
+/// An item that was found on start.
 struct ReplayedItem {
     item: LogItem,
-    /// Bytes of its data.
+    /// Size of its data, in bytes.
     len: usize,
 }
 
@@ -102,33 +102,33 @@
     fn on_losses_known(&mut self, _: &[bool]) {}
 }
 
-/// The checkpoint that counts.
+/// The newest checkpoint.
 #[derive(Clone, Copy)]
 struct SavedCheckpoint {
     number: u64,
-    /// Bytes of its frame.
+    /// Size of its frame, in bytes.
     len: u64,
 }
 
-/// The owner of a folder's files.
+/// The store of a replica's log, which owns the files of the folder.
 pub struct RaftLogStore {
     log: SegmentLog,
     start: Instant,
     checkpoint: Option<SavedCheckpoint>,
-    /// Items behind the checkpoint.
+    /// Numbers of the items after the checkpoint.
     batches: Vec<u64>,
-    /// Items that are obsolete and not yet noted as such.
+    /// Numbers of the items that are obsolete and not yet marked as such.
     obsolete: Vec<u64>,
-    /// Bytes of batches behind the checkpoint.
+    /// Bytes of the batches after the checkpoint.
     batch_bytes: u64,
 }
 
 impl RaftLogStore {
-    /// Opens a folder that may hold `limit` bytes, and gives what stands in it; nothing, where it
-    /// is empty.
+    /// Opens a folder that may hold `limit` bytes, and returns the checkpoint that it contains;
+    /// `None` where the folder is empty.
     ///
     /// # Errors
-    /// The folder cannot be read, or may hold too little.
+    /// The folder cannot be read, or its capacity is too small.
     pub fn open(
         disk: Arc<dyn Disk>,
         limit: u64,
@@ -155,7 +155,7 @@
         if segment < (MAX_CHECKPOINT_BYTES + 1024) as u64 {
             return Err(OpenError::InsufficientSpace(segment));
         }
-        // Also what was found is obsolete with the first checkpoint.
+        // The items that were found become obsolete with the first checkpoint as well.
         let obsolete = found.items.keys().copied().collect();
         let checkpoint = assemble_checkpoint(found.items.into_values().map(|i| i.item))
             .map_err(|e| OpenError::Damaged(e.to_string()))?;
@@ -170,10 +170,10 @@
         Ok((store, checkpoint))
     }
 
-    /// Writes an item and returns when it survives a power cut.
+    /// Writes an item, and returns once it survives a power cut.
     ///
     /// # Errors
-    /// The item is not written, or not certain to stay.
+    /// The item is not written, or is not certain to survive.
     pub fn save(&mut self, item: &LogItem) -> Result<(), SaveError> {
         let data = postcard::to_stdvec(item).map_err(SaveError::retryable)?;
         let len = frame::encoded_len(data.len());
@@ -193,7 +193,7 @@
         Ok(())
     }
 
-    /// Writes a frame, and gives the item's number.
+    /// Writes a frame, and returns the item's number.
     fn write(&mut self, data: &[u8], len: u64) -> Result<u64, SaveError> {
         let put = self.log.put(self.now(), data, len, &MoveUnchanged);
         if let Some(change) = put.gate_change {
@@ -244,9 +244,9 @@
         self.back_reserve(checkpoint);
     }
 
-    /// Space that a checkpoint stands for: with each, space for the batches behind it and for the
-    /// next checkpoint is reserved. So a file system that others have filled stops neither of them
-    /// nor, with the next checkpoint, the removal of what is obsolete.
+    /// Returns the space to reserve with a checkpoint, for the batches after it and for the next
+    /// checkpoint. So when other programs fill the file system, batches and the next checkpoint can
+    /// still be written, and with that checkpoint obsolete items are removed.
     fn reserved_bytes(len: u64) -> u64 {
         (3 * (len + COMPACT_AFTER_BYTES.max(len))).min(MAX_RESERVED_BYTES)
     }
@@ -256,7 +256,7 @@
         self.log.set_reserved_size(checkpoint.number, reserved);
     }
 
-    /// Frees the reserved space for the next checkpoint to be written to.
+    /// Releases the reserved space so that the next checkpoint can be written to it.
     fn release_reserve(&mut self) {
         if let Some(checkpoint) = self.checkpoint {
             self.log
@@ -264,8 +264,8 @@
         }
     }
 
-    /// Adds segments for the reserved space; where the file system gives no more, half of what is
-    /// left is reserved.
+    /// Adds segments for the reserved space; where the file system provides no more, reserves half
+    /// of the capacity that is left.
     fn back_reserve(&mut self, checkpoint: SavedCheckpoint) {
         for _ in 0..MAX_RESERVE_SEGMENTS {
             let _ = self.log.maintain(self.now(), &MoveUnchanged);
@@ -283,7 +283,8 @@
         self.log.set_reserved_size(number, len + left / 2);
     }
 
-    /// Notes items as obsolete. A note may be lost: a later checkpoint makes them obsolete, too.
+    /// Marks items as obsolete. If a mark is lost, a later checkpoint makes the item obsolete
+    /// again.
     fn drop_obsolete(&mut self) {
         while let Some(number) = self.obsolete.last().copied() {
             if self.log.remove(number, &MoveUnchanged).is_err() {
@@ -297,7 +298,7 @@
         self.start.elapsed()
     }
 
-    /// Whether a new checkpoint should be written.
+    /// Returns whether a new checkpoint should be written.
     pub fn wants_checkpoint(&self) -> bool {
         self.checkpoint
             .is_some_and(|checkpoint| self.batch_bytes > checkpoint.len.max(COMPACT_AFTER_BYTES))
