--- a/src/coordination/framing/tests.rs
+++ b/src/coordination/framing/tests.rs
@@ -67,7 +67,7 @@
     ));
 }
 
-/// Bytes that are read and written one at a time; each other call is interrupted.
+/// Stream that reads and writes one byte at a time and interrupts every other call.
 #[derive(Default)]
 struct Interrupted {
     bytes: Vec<u8>,
@@ -127,7 +127,8 @@
     }
 }
 
-/// Guards against half a frame, and the end of its connection, where a write of it is interrupted.
+/// Guards against a frame that is sent only in part, which ends its connection, when a write of it
+/// is interrupted.
 #[test]
 fn a_frame_goes_whole_through_interrupted_writes() {
     let mut line = Interrupted::default();
@@ -138,7 +139,7 @@
     );
 }
 
-/// Guards against a connection that ends without its answer where a read of it is interrupted.
+/// Guards against a connection that ends without a response when a read is interrupted.
 #[test]
 fn a_frame_comes_whole_through_interrupted_reads() {
     let line = || Interrupted {
--- a/src/coordination/messages/operator_replica.rs
+++ b/src/coordination/messages/operator_replica.rs
@@ -3,7 +3,7 @@
 use super::Digest;
 use serde::{Deserialize, Serialize};
 
-/// What an operator orders or asks.
+/// A request of an operator: an order or a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorRequest {
     /// Asks for the status of the site.
@@ -14,7 +14,7 @@
         zone: String,
         /// The state.
         order: RequestedZoneState,
-        /// How long the request holds, in seconds; 0 until another one.
+        /// Time for which the request is valid, in seconds; 0 until another request replaces it.
         for_s: u64,
     },
     /// Adds a replica to the group.
@@ -24,12 +24,12 @@
         /// Address that it listens on.
         at: String,
     },
-    /// Removes a replica from the group for good.
+    /// Removes a replica from the group permanently.
     RemoveReplica {
         /// Number of the replica.
         keeper: u64,
     },
-    /// Proposes a policy and the plan of its rollout, both as they are written.
+    /// Proposes a policy and the plan of its rollout, both as text.
     ProposePolicy {
         /// Text of the policy.
         text: String,
@@ -38,34 +38,35 @@
     },
     /// Asks for the status of policies and their rollout.
     PolicyStatus,
-    /// Asks for the rollouts that are over.
+    /// Asks for the rollouts that have ended.
     PolicyHistory,
     /// Asks for the text of a policy.
     PolicyText {
         /// Number of the policy.
         number: u64,
     },
-    /// Halts the rollout until another order.
+    /// Halts the rollout until another request.
     HaltRollout {
         /// The reason; may be empty.
         why: String,
     },
-    /// Lets a halted rollout go on.
+    /// Resumes a halted rollout.
     ResumeRollout,
     /// Rolls back, the last stage first.
     RollBack,
-    /// About the federation and its routing table.
+    /// A request about the federation and its routing table.
     Federation(FederationRequest),
 }
 
-/// What an operator orders or asks of the federation, at any of its sites.
+/// A request of an operator to the federation, at any of its sites.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FederationRequest {
-    /// Proposes a table to all sites; done when the federation's record has the proposal.
+    /// Proposes a table to all sites; succeeds once the federation's record has the proposal.
     ProposeTable {
         /// Text of the table.
         text: String,
-        /// The proposal ends without effect if not all sites have accepted it in so many seconds.
+        /// Time after which the proposal ends without effect unless all sites have accepted it, in
+        /// seconds.
         within_s: u32,
     },
     /// Asks for the status of the federation.
@@ -75,15 +76,15 @@
         /// The reason; may be empty.
         why: String,
     },
-    /// Asks for the proposals that are over.
+    /// Asks for the proposals that have ended.
     TableHistory,
-    /// Asks for the text of a table that is in force, was before, or is proposed.
+    /// Asks for the text of a table that is or was in force, or is proposed.
     TableText {
         /// Number of the table.
         number: u64,
     },
-    /// Takes a site off the roster, once it is fenced: once it certainly accepts nothing by its
-    /// table any more.
+    /// Removes a site from the roster, once it is fenced, so that it is certain to accept nothing
+    /// by its table any more.
     RemoveSite {
         /// Name of the site.
         site: String,
@@ -106,18 +107,18 @@
     Leave,
     /// Return to the zone, by its recovery ramp.
     Return,
-    /// Leave the zone as it is: evidence moves nothing.
+    /// Keep the zone in its state: evidence changes nothing.
     Hold,
     /// Let evidence decide again.
     Free,
 }
 
-/// What a replica answers an operator.
+/// A replica's response to an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum OperatorResponse {
-    /// Done, or as it was before: the version of the record that has it.
+    /// The request succeeded, or changed nothing: the version of the record that has its result.
     Done(u64),
-    /// Not done, and why.
+    /// The request was rejected for this reason.
     Rejected(String),
     /// This replica does not lead. Names the one that does, where it is known.
     NotLeader(Option<u64>),
@@ -125,7 +126,7 @@
     Status(Box<CoordinationStatus>),
     /// Status of policies.
     PolicyStatus(Box<PolicyStatus>),
-    /// Rollouts that are over, the newest first.
+    /// Rollouts that have ended, the newest first.
     PolicyHistory(Vec<PastRollout>),
     /// A policy.
     PolicyText {
@@ -138,7 +139,7 @@
     },
     /// Status of the federation and its table.
     FederationStatus(Box<FederationStatus>),
-    /// Proposals of tables that are over, the newest first.
+    /// Proposals of tables that have ended, the newest first.
     TableHistory(Vec<PastProposal>),
     /// A routing table.
     TableText {
@@ -156,23 +157,25 @@
 pub struct FederationStatus {
     /// Name of the federation.
     pub federation: String,
-    /// Site that answers.
+    /// Site that sent the response.
     pub site: String,
-    /// Site that leads; empty where none is known to.
+    /// Site that leads; empty where none is known.
     pub leader: String,
-    /// Rest of this site's lease, in milliseconds; 0 where it has expired.
+    /// Remaining time of this site's lease, in milliseconds; 0 where it has expired.
     pub lease_ms: u64,
-    /// Whether this site stops accepting messages when its lease has expired, or goes on.
+    /// Whether this site stops accepting messages when its lease has expired; otherwise it
+    /// continues.
     pub holds: bool,
     /// Number and digest of the table in force; 0 for the endpoint list alone.
     pub table: (u64, Digest),
     /// The sites.
     pub sites: Vec<SiteStatus>,
-    /// Proposal that runs.
+    /// Proposal in progress.
     pub proposal: Option<ProposalStatus>,
-    /// What is waited for at this site, in words, and from which senders: a thousand at the most.
+    /// Description of what this site waits for, and the names of up to a thousand senders that it
+    /// waits for.
     pub here: (String, Vec<String>),
-    /// Senders of this site that refuse a table, and why.
+    /// Senders of this site that reject a table, and the reasons.
     pub refused: Vec<(String, String)>,
 }
 
@@ -183,15 +186,15 @@
     pub site: String,
     /// Number of the site.
     pub number: u64,
-    /// Number of the table that it goes by.
+    /// Number of the table that the site uses.
     pub uses: u64,
-    /// Whether it has accepted the proposal that runs.
+    /// Whether the site has accepted the proposal in progress.
     pub accepted: bool,
-    /// Whether the site that answers hears it.
+    /// Whether the responding site receives messages from this site.
     pub heard: bool,
 }
 
-/// A proposal of a table that runs.
+/// A proposal of a table that is in progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ProposalStatus {
     /// Number of the table.
@@ -206,7 +209,7 @@
     pub waits: Vec<String>,
 }
 
-/// A proposal of a table that is over.
+/// A proposal of a table that has ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PastProposal {
     /// Number of the table.
@@ -217,7 +220,7 @@
     pub by: String,
     /// How it ended.
     pub end: String,
-    /// From its proposal to its end, on the federation's clock, in milliseconds.
+    /// Time from its proposal to its end on the federation's clock, in milliseconds.
     pub took_ms: u64,
 }
 
@@ -228,9 +231,9 @@
     pub turn: u64,
     /// What is in force in each zone.
     pub zones: Vec<ZonePolicy>,
-    /// Rollout that runs.
+    /// Rollout in progress.
     pub rollout: Option<RolloutStatus>,
-    /// The last rollout that is over.
+    /// The last rollout that has ended.
     pub done: Option<PastRollout>,
 }
 
@@ -243,11 +246,11 @@
     pub number: u64,
     /// Whether nothing new is accepted.
     pub paused: bool,
-    /// Senders there that hold a lease.
+    /// Number of senders in the zone that hold a lease.
     pub senders: u32,
 }
 
-/// A rollout that runs.
+/// A rollout in progress.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutStatus {
     /// Number of its policy.
@@ -256,25 +259,25 @@
     pub back_of: u64,
     /// Digest of the policy.
     pub digest: Digest,
-    /// Its stage, from 1.
+    /// Current stage, from 1.
     pub stage: u32,
-    /// The zones of each stage, and how many senders hold a lease there.
+    /// Zones of each stage, and the number of senders there that hold a lease.
     pub stages: Vec<(Vec<String>, u32)>,
-    /// How far it is with the stage, in words.
+    /// Description of the progress within the stage.
     pub step: String,
-    /// Why it halts.
+    /// Reason for which the rollout is halted.
     pub halted: Option<String>,
-    /// What is observed of the stage.
+    /// Description of what was observed of the stage.
     pub seen: String,
-    /// What senders are waited for to do.
+    /// Description of what the rollout waits for senders to do.
     pub waits_what: String,
-    /// Names of those senders: a thousand at the most.
+    /// Names of up to a thousand of those senders.
     pub waits: Vec<String>,
-    /// Senders that cannot go by the policy, and why.
+    /// Senders that cannot apply the policy, and the reasons.
     pub refused: Vec<(String, String)>,
 }
 
-/// A rollout that is over.
+/// A rollout that has ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PastRollout {
     /// Number of its policy.
@@ -283,25 +286,25 @@
     pub back_of: u64,
     /// Digest of the policy.
     pub digest: Digest,
-    /// Stages in which it was in force.
+    /// Number of stages in which it was in force.
     pub in_force: u32,
-    /// All its stages.
+    /// Number of all its stages.
     pub stages: u32,
     /// How it ended.
     pub end: String,
-    /// How often it halted.
+    /// Number of times that it was halted.
     pub halts: u32,
-    /// From its proposal to its end, on the record's clock, in milliseconds.
+    /// Time from its proposal to its end on the record's clock, in milliseconds.
     pub took_ms: u64,
 }
 
-/// Status of a site, as one of its replicas knows it. Its JSON is an interface of operators, so the
-/// keys keep their spelling.
+/// Status of a site, as one of its replicas knows it. Operators depend on its JSON, so the keys
+/// keep their spelling.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CoordinationStatus {
     /// Name of the site.
     pub site: String,
-    /// Replica that answers.
+    /// Replica that sent the response.
     #[serde(rename = "keeper")]
     pub replica: u64,
     /// Replica that leads.
@@ -313,13 +316,14 @@
     /// Replicas that vote.
     #[serde(rename = "keepers")]
     pub voters: Vec<u64>,
-    /// Senders that hold a lease, with the version of the record that each goes by.
+    /// Senders that hold a lease, each with the version of the record that it uses.
     pub senders: Vec<(String, u64)>,
     /// Senders whose lease expired.
     pub lapsed: Vec<String>,
-    /// The zones: name, what is ordered, and why.
+    /// Each zone's name, its order, and the reason.
     pub zones: Vec<(String, String, String)>,
-    /// Replicas that cannot take part, and why, as the one that answers knows it.
+    /// Replicas that cannot take part, and the reasons, as far as the responding replica knows
+    /// them.
     #[serde(rename = "trouble")]
     pub faults: Vec<(u64, String)>,
 }
--- a/src/coordination/policy_rollout/document/tests.rs
+++ b/src/coordination/policy_rollout/document/tests.rs
@@ -101,7 +101,7 @@
         .map(|(name, ..)| name.clone())
         .collect();
     assert_eq!(changed, ["class.bulk.deadline_ms", "limits.slots"]);
-    // A print never changes: senders and keepers of different programs compare it.
+    // The digest must not change: senders and keepers of different program versions compare it.
     let shown = data_encoding::HEXLOWER.encode(&Document::default().digest());
     assert_eq!(
         shown,
--- a/src/coordination/policy_rollout/health/tests.rs
+++ b/src/coordination/policy_rollout/health/tests.rs
@@ -8,7 +8,7 @@
     Plan::parse(&text).expect("a plan")
 }
 
-/// Messages of a class in a span, of which some fail.
+/// Counts of a class's messages in a span, some of which failed.
 fn report_line(
     policy: u64,
     class: &str,
@@ -26,8 +26,8 @@
     }
 }
 
-/// Twenty spans before the change, then as many as wanted: shares that fail, in 100, of the stage
-/// and of the others.
+/// Judges a stage after twenty spans before the change and `spans` after it. The pairs are the
+/// percentages of messages that fail in the stage and in the others.
 fn judge_after(
     stages: usize,
     stage: usize,
@@ -74,7 +74,8 @@
         21,
     );
     well(judge_after(3, 0, (1, 1), |_| (1, 1), 100));
-    // An outage strikes both, and one more in the stage's zones was there before.
+    // An outage affects both sides, and another fault in the stage's zones existed before the
+    // change.
     well(judge_after(
         3,
         1,
@@ -89,7 +90,7 @@
         60,
     ));
     well(judge_after(3, 0, (12, 2), |_| (12, 2), 60));
-    // The last stage is compared with itself before, less what the others got worse by.
+    // The last stage is compared with itself before, less the increase in the other stages.
     worse(judge_after(3, 2, (1, 1), |_| (20, 1), 30), 5);
     well(judge_after(
         3,
@@ -150,7 +151,7 @@
         "class b of tenant 0: 0 messages of 20",
     );
     health.record_report(21 * SPAN, 0, Some(2), &[report_line(2, "b", 20, 0)]);
-    // Of twenty messages that came well up to 40 in 100 may be bad all the same.
+    // With twenty messages that were all delivered, up to 40 in 100 could still fail.
     few(
         health.judge(22 * SPAN, 0, &plan),
         "class b of tenant 0: by 20 messages up to 40 in 100",
@@ -161,7 +162,8 @@
 
 #[test]
 fn bounds_hold_far_out_and_for_few() {
-    // Three of three: one in 1,000 says no more than that over a tenth of them fail.
+    // Three failures of three messages: with an error of one in 1,000 they show no more than that
+    // over a tenth of the messages fail.
     let all = ShareEstimate {
         bad: 3.0,
         total: 3.0,
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -1,8 +1,8 @@
-//! Orders, drawn from a seed, of what can happen between an agreed log, leaders of which one is
-//! deposed and goes on, and three senders in two zones, over the unchanged machines of a rollout.
-//! The log stands for the keepers. Sessions and leases have a model of their own
-//! (`model_zones.rs`); here a sender's lease may end in its own count at any time, and the record
-//! has it as lapsed only after that.
+//! Model check of policy rollouts: random sequences of events, drawn from a seed, between an agreed
+//! log, leaders of which one is deposed and continues, and three senders in two zones. The state
+//! machines of a rollout are the production code; the log stands for the replicas. Sessions and
+//! leases have a model of their own (`model_zones.rs`); here a sender's lease may expire by its own
+//! clock at any time, and the record notes that only afterwards.
 #![cfg(feature = "fleet")]
 
 #[path = "common/printed.rs"]
@@ -19,25 +19,25 @@
 use std::hash::{Hash, Hasher};
 
 const MS: u64 = 1_000_000;
-/// Time goes on by this: longer than a pause.
+/// Time that a step advances the clock by, in milliseconds: longer than a pause.
 const STEP: u64 = 500;
 const ZONES: [&str; 3] = ["a", "a", "b"];
 
-/// A fault that is put in, to see that the model finds it.
+/// A fault that is injected to check that the model detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The leader changes the policy without the word of anybody.
+    /// The leader changes the policy without confirmations from the senders.
     Hasty,
-    /// Changes keep the turn.
+    /// Changes do not advance the turn.
     SameTurn,
-    /// Senders obey words of earlier turns.
+    /// Senders apply messages of earlier turns.
     ObeysEarlier,
-    /// The record has a sender as lapsed that still counts on its lease.
+    /// The record has a sender as expired that still relies on its lease.
     LapsesEarly,
-    /// A sender that starts takes messages on before it has heard what is in force.
+    /// A sender that starts accepts messages before it has received what is in force.
     TakesUnheard,
-    /// A sender goes by a policy that it has not checked.
+    /// A sender applies a policy that it has not checked.
     TakesUnchecked,
 }
 
@@ -52,11 +52,12 @@
 #[derive(Clone, Debug, Default)]
 struct Sender {
     boot: u64,
-    /// The leader that it speaks to, by term, and the name of the line; nobody is 0.
+    /// The term of the leader that it is connected to, and the number of the connection; the term
+    /// is 0 for none.
     line: (u64, u64),
     lease: bool,
-    /// What it has heard since it began to hold a lease: the number, and whether nothing is taken
-    /// on.
+    /// What it has received since it obtained its lease: the policy's number, and whether admission
+    /// is paused.
     heard: Option<(u64, bool)>,
     turn: u64,
     stored: BTreeSet<u64>,
@@ -68,11 +69,11 @@
     log: Vec<Command>,
     leaders: Vec<Leader>,
     senders: [Sender; 3],
-    /// Words to senders: which, the line, and what.
+    /// Messages in flight to senders: the receiver, its connection, and the message.
     words: Vec<(usize, (u64, u64), ReplicaToAgent)>,
     lines: u64,
-    /// What still may go wrong: elections, losses (and returns to a deposed leader), doublings,
-    /// leases that end, restarts, refusals.
+    /// How often each fault may still occur: elections, losses (and returns to a deposed leader),
+    /// duplicates, expired leases, restarts, rejections.
     left: [u8; 6],
     /// Policies that were in force somewhere.
     were: BTreeSet<u64>,
@@ -95,18 +96,19 @@
 enum Action {
     Later,
     Commit,
-    /// Another leader is elected, and has in its log what the last one proposed, or not.
+    /// Another leader is elected; whether its log contains what the previous one proposed.
     Elect(bool),
-    /// A word arrives: the answer arrives as well, or is lost; the word stays to arrive once more.
+    /// A message arrives. The first flag loses its response; the second keeps the message so that
+    /// it arrives once more.
     Arrives(usize, bool, bool),
     Lost(usize),
-    /// A sender refuses what it is offered.
+    /// A sender rejects the policy that it is offered.
     Refuses(usize),
     /// A sender opens a session with a leader.
     Opens(usize, usize),
-    /// Its lease ends in its own count.
+    /// The lease of a sender expires by the sender's own clock.
     Expires(usize),
-    /// The record is to have it as lapsed.
+    /// The leader proposes to record a sender as expired.
     Lapses(usize),
     Restarts(usize),
 }
@@ -114,8 +116,8 @@
 struct Rollouts {
     fault: Fault,
     left: [u8; 6],
-    /// Two stages, one after the other, back to what was before; else one that is proposed, until
-    /// it is in force.
+    /// Whether two stages were changed one after the other and are rolled back. Otherwise one
+    /// policy is proposed and rolled out until it is in force.
     back: bool,
     until: u64,
 }
@@ -161,7 +163,7 @@
         }
     }
 
-    /// What must hold at any time.
+    /// Checks the invariants of every state.
     fn look(&self, s: &mut State) {
         let taking: Vec<(usize, u64)> = (0..3)
             .filter_map(|n| Some((n, self.taking(s, n)?)))
@@ -188,7 +190,7 @@
         }
     }
 
-    /// What a leader has to say to a sender.
+    /// Sends a sender the messages that a leader has for it.
     fn say(&self, s: &mut State, at: usize, n: usize) {
         let (leader, line) = (&mut s.leaders[at], s.senders[n].line);
         if line.0 != leader.term {
@@ -203,7 +205,7 @@
             &leader.record,
             &mut offers,
             &mut |word| {
-                // What is said again while the first is under way says nothing new.
+                // A message that is sent again while the first copy is in flight adds nothing.
                 if !words.contains(&(n, line, word.clone())) {
                     words.push((n, line, word));
                 }
@@ -305,7 +307,7 @@
             }
             Command::AddSender { sender, boot, .. } => {
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
-                // It waits for its session on this line.
+                // The sender waits for its session on this connection.
                 if s.senders[n].boot == *boot && s.senders[n].line.0 == s.leaders[at].term {
                     self.meets(s, at, n);
                 }
@@ -322,7 +324,8 @@
         (0..3).for_each(|n| self.say(s, at, n));
     }
 
-    /// A session begins: it hears what is in force by a word of its line before anything else.
+    /// Opens a session: the sender receives what is in force on its connection before anything
+    /// else.
     fn meets(&self, s: &mut State, at: usize, n: usize) {
         let leader = &mut s.leaders[at];
         let policies = &leader.record.policies;
@@ -338,7 +341,7 @@
         self.say(s, at, n);
     }
 
-    /// A word arrives at its sender, which answers where the answer is not lost.
+    /// Delivers a message to its sender, which responds unless the response is lost.
     fn arrives(
         &self,
         s: &mut State,
@@ -450,7 +453,7 @@
         };
         self.lead(&mut s, 1);
         (0..3).for_each(|n| self.meets(&mut s, 0, n));
-        // What is said at the begin arrives: the policy is offered, and the register is known.
+        // The first messages arrive: the policy is offered, and the register is known.
         for _ in 0..20 {
             let Some((n, line, word)) = s.words.first().cloned().filter(|_| self.left[5] == 0)
             else {
@@ -477,7 +480,7 @@
             }
         }
         for at in 0..s.words.len() {
-            // Words on one line keep their order.
+            // Messages on one connection keep their order.
             if s.words[..at].iter().any(|w| w.1 == s.words[at].1) {
                 continue;
             }
@@ -495,7 +498,7 @@
         for n in 0..3 {
             let sender = &s.senders[n];
             for (at, leader) in s.leaders.iter().enumerate() {
-                // A leader that is deposed renews no lease that has ended, and begins no session.
+                // A deposed leader renews no expired lease and opens no session.
                 let back = sender.line.0 > leader.term && s.left[1] > 0;
                 if (sender.line.0 < leader.term || back) && (at == last || sender.lease) {
                     actions.push(Action::Opens(n, at));
@@ -542,8 +545,8 @@
                 s.left[0] -= 1;
                 let left = std::mem::take(&mut s.leaders[leads].proposed);
                 if inherits {
-                    // A leader has applied all that it inherits before it says anything; the
-                    // deposed one hears nothing of it.
+                    // A leader applies all that it inherits before it sends anything; the deposed
+                    // one receives none of it.
                     let deposed = s.leaders[leads].clone();
                     let words = s.words.clone();
                     left.into_iter()
@@ -659,8 +662,8 @@
     }
 }
 
-/// A policy goes over in one zone: an election, a lost word or answer, a doubled one, and one of: a
-/// lease that ends, a restart.
+/// A policy is put in force in one zone, with an election, a lost message or response, a duplicate,
+/// and either an expired lease or a restart.
 fn change(fault: Fault, lapses: u8, restarts: u8) -> Rollouts {
     Rollouts {
         fault,
@@ -690,8 +693,8 @@
 
 fn check(what: &str, model: Rollouts, most: usize) -> Option<String> {
     let (fault, begun) = (model.fault, std::time::Instant::now());
-    // There are far more orders than can be looked at, and what matters lies deep: walks drawn from
-    // a seed, each to its end.
+    // There are far more sequences than can be explored, and faults appear late in them: so random
+    // walks are drawn from a seed, each to its end.
     let checker = model
         .checker()
         .target_state_count(most)
@@ -719,7 +722,7 @@
     Some(format!("{last:?}"))
 }
 
-/// States that are looked at, at the most; in CI.
+/// Most states that are explored in CI.
 const MOST: usize = 30_000;
 
 fn most() -> usize {
@@ -762,7 +765,7 @@
 #[test]
 fn a_refusal_changes_nothing_anywhere() {
     assert_eq!(check("refusal", refusal(Fault::None), most()), None);
-    // One that lapsed before it had checked it joins where it is in force.
+    // A sender that expired before it had checked the policy joins again where it is in force.
     let unchecked = Rollouts {
         left: [0, 0, 0, 1, 0, 1],
         until: 6 * STEP,
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -1,5 +1,5 @@
-//! The real program under load, with a keeper that this test plays: from policy to policy without a
-//! restart.
+//! The real program under load, with a stand-in keeper that this test controls: it changes from
+//! policy to policy without a restart.
 #![cfg(feature = "fleet")]
 
 #[path = "common/keeper.rs"]
@@ -18,7 +18,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a client on one connection saw.
+/// Observations of a client on one connection.
 #[derive(Default)]
 struct Client {
     taken_on: u32,
@@ -27,8 +27,7 @@
     connections: u32,
 }
 
-/// Hands messages in on one connection, each as soon as the one before is answered and a moment has
-/// passed.
+/// Sends messages on one connection, each 20 ms after the response to the previous one.
 fn client(at: SocketAddr, n: u32, stop: &AtomicBool, heard: &Record) -> Client {
     let mut seen = Client::default();
     let mut line: Option<BufReader<TcpStream>> = None;
@@ -100,7 +99,7 @@
     sender.follows(&text).expect("written");
     sender.spawn().expect("started");
     sender.listens().expect("listens");
-    // Nothing is taken on before it is known under which policy.
+    // Nothing is accepted before the sender knows which policy applies.
     assert!(!sender.hand_in("early", 0, Duration::from_secs(16), &heard));
     keeper.told().rule = Some((1, 0, false));
     keeper.told().away = false;
@@ -113,7 +112,8 @@
             thread::spawn(move || client(at, n, &stop, &heard))
         })
         .collect();
-    // Slots shrink and grow, attempts and deadlines change; more policies come than are kept.
+    // Slots decrease and increase, attempts and deadlines change; there are more policies than the
+    // sender keeps.
     let policy = |number: u64| {
         let slots = [2, 12, 5][number as usize % 3];
         let attempts = 3 + number;
@@ -148,7 +148,7 @@
         go_by(number);
         thread::sleep(Duration::from_millis(200));
     }
-    // One that this sender cannot go by is refused with all its faults, and changes nothing.
+    // A policy that this sender cannot apply is rejected with all its faults, and changes nothing.
     let bad = "[limits]\nslots = 60000\n[class.other]\ndeadline_ms = 5\n";
     let refused = offer(last + 1, bad.into()).expect("refused");
     assert!(
@@ -179,7 +179,7 @@
     heard.settle(Duration::from_secs(20));
     let verdict = heard.verdict();
     assert_eq!((verdict.lost, verdict.doubled), (0, 0));
-    // Each is told once, under the policy that it was taken on under.
+    // Each message is reported once, under the policy that it was accepted under.
     let told = |of: fn(&MessageOutcomeCounts) -> u32| -> u32 {
         keeper
             .told()
@@ -203,8 +203,8 @@
         .collect();
     assert_eq!(policies, (0..=last).collect());
 
-    // Killed with a message that is held, and no keeper there: the next process ends it under its
-    // policy and takes nothing on.
+    // The sender is killed with a message pending while no keeper answers: the next process
+    // finishes the message under its policy and accepts nothing new.
     assert!(sender.hand_in("held", 2, Duration::from_secs(16), &heard));
     wait("a call", || called.seen().lives.contains_key("held"));
     sender.kill();
@@ -215,12 +215,12 @@
     assert!(!log.said("hook: ended under 12"));
     assert!(!sender.hand_in("new", 0, Duration::from_secs(16), &heard));
     wait("its end", || log.said("hook: ended under 12"));
-    // And on with the record's policy once a keeper is back.
+    // It continues with the record's policy once a keeper answers again.
     keeper.told().away = false;
     wait("taken on", || {
         sender.hand_in("again", 0, Duration::from_secs(16), &heard)
     });
-    // A lease that lapses shuts the door, and nothing else.
+    // An expired lease stops admission, and nothing else.
     keeper.told().away = true;
     wait("fenced", || {
         !sender.hand_in("late", 0, Duration::from_secs(16), &heard)
