--- a/src/coordination/bootstrap.rs
+++ b/src/coordination/bootstrap.rs
@@ -85,7 +85,7 @@
     /// for it.
     pub fn learn_incarnation(&mut self, replica: u64, incarnation: u64) -> PeerAdmission {
         if !self.peers.contains(&replica) {
-            return PeerAdmission::Rejected(format!("keeper {replica} is none of the first"));
+            return PeerAdmission::Rejected(format!("keeper {replica} is not one of the first keepers of the group"));
         }
         match self.checkpoint.known_incarnations.get(&replica) {
             Some(known) if *known == incarnation => PeerAdmission::Known,
@@ -161,7 +161,7 @@
             PeerAdmission::Rejected(format!("keeper {replica} was removed"))
         }
         None => PeerAdmission::Rejected(format!(
-            "keeper {replica} is not in the group: an order adds it"
+            "keeper {replica} is not in the group: it has to be added by an operator"
         )),
     }
 }
--- a/src/coordination/config/validate.rs
+++ b/src/coordination/config/validate.rs
@@ -35,7 +35,7 @@
 
 const NUMBERS_BEGIN: &str = "numbers begin at 1";
 const NAMED_TWICE: &str = "named twice";
-const UNREACHABLE: &str = "nobody can be reached there";
+const UNREACHABLE: &str = "nothing can be reached at this address";
 
 /// Returns all faults of a file.
 pub(super) fn faults(file: &ConfigFile) -> Vec<ConfigFault> {
@@ -49,7 +49,7 @@
         !file.begin || voters % 2 == 1,
         "begin",
         format!("{voters} keepers"),
-        "an odd number begins, since one more bears no more losses",
+        "the first start needs an odd number, since one keeper more tolerates no more failures",
     );
     if let Some(federation) = &file.federation {
         faults.prefix = "federation.";
@@ -91,7 +91,7 @@
     }
 
     fn require_name(&mut self, key: impl Display, name: &str) {
-        let expected = format!("1 to {MAX_NAME_BYTES} letters, digits, -, _ or . are a name");
+        let expected = format!("a name has 1 to {MAX_NAME_BYTES} letters, digits, -, _ or .");
         self.require(is_valid_name(name), key, format!("{name:?}"), expected);
     }
 
@@ -101,7 +101,7 @@
         key: impl Display,
         found: T,
     ) {
-        let expected = format!("{} to {} may be", range.start(), range.end());
+        let expected = format!("has to be from {} to {}", range.start(), range.end());
         self.require(range.contains(&found), key, found, expected);
     }
 
@@ -121,21 +121,21 @@
         !file.listen.ip().is_unspecified(),
         "listen",
         file.listen,
-        "a keeper listens on one address, never on all",
+        "a keeper has to listen on one address, not on all",
     );
     let has_folder = !file.folder.as_os_str().is_empty();
-    faults.require_key(has_folder, "state", "a folder is needed");
+    faults.require_key(has_folder, "state", "a folder has to be set");
     faults.require_in(&DISK_MB, "disk_mb", file.disk_mb);
     faults.require_in(&TICK_MS, "tick_ms", file.tick_ms);
     faults.require_key(
         file.peers.len() < MAX_REPLICAS,
         "peer",
-        format!("{} of them, {} may be", file.peers.len(), MAX_REPLICAS - 1),
+        format!("{} entries, at most {} are allowed", file.peers.len(), MAX_REPLICAS - 1),
     );
     faults.require_key(
         !file.agents.is_empty(),
         "agents",
-        "without an address nobody may speak",
+        "without an address no agent or operator may connect",
     );
 }
 
@@ -148,7 +148,7 @@
         *replica != file.replica,
         &key,
         replica,
-        "that is this keeper",
+        "this is the number of the keeper itself",
     );
     let is_new = before.iter().all(|p| p.replica != *replica);
     faults.require(is_new, &key, replica, NAMED_TWICE);
@@ -171,12 +171,12 @@
         federation.formerly != Some(number),
         "formerly",
         number,
-        "that is its number now",
+        "this is the current number of the site",
     );
     faults.require_key(
         !federation.begin || federation.formerly.is_none(),
         "formerly",
-        "a federation that begins has had no site before",
+        "a site cannot have had another number in a federation that starts for the first time",
     );
     faults.require_in(&LEASE_S, "lease_s", federation.lease_s);
     let least = least_fence_s(&file.rules);
@@ -185,7 +185,7 @@
         "fence_s",
         federation.fence_s,
         format!(
-            "{least} to {MAX_FENCE_S} may be, as rules.lease_ms is {}",
+            "has to be from {least} to {MAX_FENCE_S}, as rules.lease_ms is {}",
             file.rules.lease_ms
         ),
     );
@@ -194,7 +194,7 @@
     faults.require_key(
         federation.sites.len() <= max_sites,
         "site",
-        format!("{} of them, {max_sites} may be", federation.sites.len()),
+        format!("{} entries, at most {max_sites} are allowed", federation.sites.len()),
     );
 }
 
@@ -229,7 +229,7 @@
         *number != federation.number,
         &key,
         number,
-        "that is this site",
+        "this is the number of the site itself",
     );
     let is_new = before.iter().all(|s| s.number != *number);
     faults.require(is_new, &key, number, NAMED_TWICE);
@@ -241,7 +241,7 @@
         (1..=MAX_ADDRESSES_PER_SITE).contains(&addresses.len()),
         format!("site[{n}].at"),
         format!(
-            "{} addresses, 1 to {MAX_ADDRESSES_PER_SITE} may be",
+            "{} addresses, 1 to {MAX_ADDRESSES_PER_SITE} are allowed",
             addresses.len()
         ),
     );
--- a/src/coordination/framing.rs
+++ b/src/coordination/framing.rs
@@ -19,22 +19,22 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The other side closed the connection between two frames.
-    #[error("the line was ended")]
+    #[error("the other side closed the connection")]
     Closed,
     /// The connection failed, or ended in the middle of a frame.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// A frame has more bytes than the limit.
-    #[error("a frame of {0} bytes, of {1} that may be")]
+    #[error("a frame of {0} bytes is longer than the limit of {1}")]
     TooLong(usize, usize),
     /// The body cannot be decoded as the expected message.
-    #[error("a frame that makes no sense: {0}")]
+    #[error("a frame cannot be decoded: {0}")]
     Malformed(#[from] postcard::Error),
     /// The other side uses another version of the protocol.
-    #[error("it speaks form {0}, this one speaks {PROTOCOL_VERSION}")]
+    #[error("the other side uses protocol version {0}, this one uses {PROTOCOL_VERSION}")]
     VersionMismatch(u16),
     /// The other side belongs to another site.
-    #[error("it is of site {0:?}")]
+    #[error("the other side is of site {0:?}")]
     SiteMismatch(String),
 }
 
--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -226,7 +226,7 @@
 fn in_time(deadline: &Option<u64>) -> impl FnOnce(&Option<u64>, &()) -> garde::Result + '_ {
     move |promise, ()| match (promise, deadline) {
         (Some(promise), Some(deadline)) if promise > deadline => Err(garde::Error::new(format!(
-            "{promise} is later than its deadline_ms, {deadline}"
+            "{promise} is later than deadline_ms, which is {deadline}"
         ))),
         _ => Ok(()),
     }
@@ -274,9 +274,9 @@
                     }
                 }
                 ("hook", toml::Value::String(script)) => document.hook = Some(script.clone()),
-                ("hook", _) => faults.push(table.fault(key, "is not a text")),
+                ("hook", _) => faults.push(table.fault(key, "is not a string")),
                 ("limits" | "class" | "door", _) => faults.push(table.fault(key, "is not a table")),
-                _ => faults.push(table.fault(key, "no policy may say this")),
+                _ => faults.push(table.fault(key, "no policy may set this")),
             }
         }
         faults.extend(table.judged(&document));
@@ -528,7 +528,7 @@
     /// Parses a text of at most `most` bytes; all syntax errors are reported at once.
     pub(in crate::coordination) fn read(text: &str, most: usize) -> Result<Text, Vec<Fault>> {
         if text.len() > most {
-            let problem = format!("{} bytes; {most} may be", text.len());
+            let problem = format!("{} bytes; at most {most} may be used", text.len());
             return Err(vec![Fault {
                 line: None,
                 setting: String::new(),
--- a/src/coordination/policy_rollout/plan.rs
+++ b/src/coordination/policy_rollout/plan.rs
@@ -195,9 +195,9 @@
                     }
                 }
             }
-            Some(_) => faults.push(told.fault("stage", "is not a list of tables, [[stage]]")),
+            Some(_) => faults.push(told.fault("stage", "is not an array of tables, [[stage]]")),
             None => {
-                faults.push(told.fault("stage", "not set; each zone of the site stands in one"))
+                faults.push(told.fault("stage", "not set; each zone of the site has to be in exactly one stage"))
             }
         }
         match health {
@@ -214,7 +214,7 @@
             );
         }
         if plan.most_soak_s.is_some_and(|most| most < plan.soak_s) {
-            faults.push(told.fault("most_soak_s", format!("less than soak_s, {}", plan.soak_s)));
+            faults.push(told.fault("most_soak_s", format!("less than soak_s, which is {}", plan.soak_s)));
         }
         faults.sort();
         faults.dedup();
--- a/src/coordination/policy_rollout/register.rs
+++ b/src/coordination/policy_rollout/register.rs
@@ -218,7 +218,7 @@
     pub fn room(&self, plan: &Plan, most_zones: usize) -> Result<(), String> {
         let zones: BTreeSet<&String> = self.zones.keys().chain(plan.zones()).collect();
         if zones.len() > most_zones {
-            return Err(format!("the record names {most_zones} zones at the most"));
+            return Err(format!("the record can name at most {most_zones} zones"));
         }
         // One number for the proposal, and one for each policy in its zones that a rollback may
         // need.
@@ -235,7 +235,7 @@
             .len();
         if kept + 1 + before.len() > MOST_TEXTS {
             return Err(format!(
-                "{kept} policies are in force at once; bring zones under one first"
+                "{kept} policies are in force at once; roll out one policy to several of these zones first"
             ));
         }
         Ok(())
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -562,9 +562,9 @@
                 (Some(_), ..) | (None, Some(_), _) => Ok(Some(Change::Back {
                     own: Document::default().digest(),
                 })),
-                _ => Err("no rollout runs, and none was done that could be gone back from".into()),
+                _ => Err("no rollout runs, and there is no completed one that can be rolled back".into()),
             },
-            _ => Err("that is no order on policies".into()),
+            _ => Err("the request does not concern policies".into()),
         }
     }
 
@@ -597,7 +597,7 @@
             let (what, halted) = (r.number, if r.halted.is_some() { ", halted" } else { "" });
             let stage = r.stage + 1;
             return Err(format!(
-                "policy {what} is rolled out (stage {stage} of {}{halted}); only one is at a time: see its status, or go back",
+                "policy {what} is being rolled out (stage {stage} of {}{halted}); only one rollout may run at a time: check its status, or roll it back",
                 r.plan.stage.len()
             ));
         }
@@ -617,7 +617,7 @@
         faults.extend(
             named
                 .difference(&live)
-                .map(|zone| format!("plan: zone {zone}: no sender that lives stands there")),
+                .map(|zone| format!("plan: zone {zone}: no live sender is in this zone")),
         );
         let deaf = self
             .registry
@@ -627,7 +627,7 @@
         if !deaf.is_empty() {
             let told = format_names(&deaf);
             faults.push(format!(
-                "{told}: a fleet file without a table [policy], so no policy is followed there"
+                "{told}: the fleet file has no table [policy], so these senders follow no policy"
             ));
         }
         match faults.is_empty() {
--- a/src/coordination/raft_group/apply.rs
+++ b/src/coordination/raft_group/apply.rs
@@ -123,7 +123,7 @@
             EntryType::EntryNormal => self.apply_command(&entry, events)?,
             EntryType::EntryConfChange => self.apply_member_change(&entry, events)?,
             EntryType::EntryConfChangeV2 => {
-                let fault = "a change of many keepers at once";
+                let fault = "a change of several keepers at once";
                 return Err(GroupFailure::entry(index, fault));
             }
         }
--- a/src/coordination/raft_group/error.rs
+++ b/src/coordination/raft_group/error.rs
@@ -4,11 +4,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum GroupFailure {
     /// The library reported an error.
-    #[error("the group: {0}")]
+    #[error("the Raft library failed: {0}")]
     Raft(#[from] raft::Error),
     /// A committed entry or snapshot cannot be read by this program, which must not continue
     /// without it.
-    #[error("what was agreed cannot be read: {0}")]
+    #[error("a committed item cannot be read: {0}")]
     Unreadable(String),
     /// The folder lost entries that this replica had acknowledged, and possibly a vote.
     #[error(
@@ -46,22 +46,22 @@
     NotLeader,
     /// Members are changed one at a time, so that any two majorities, before and after a change,
     /// have a replica in common.
-    #[error("another change of the keepers is not done yet")]
+    #[error("another change of the keepers is still in progress")]
     ChangePending,
     /// The number was used before: a vote of the earlier replica could be counted for the new one.
-    #[error("that number was used: another keeper needs another number")]
+    #[error("that number was used before: a new keeper needs a new number")]
     NumberUsed,
     /// No member has that number.
     #[error("no keeper has that number")]
     UnknownReplica,
     /// The last member cannot be removed.
-    #[error("the last keeper cannot go")]
+    #[error("the last keeper cannot be removed")]
     LastReplica,
     /// The replica leads; another one has been asked to take over.
-    #[error("it leads: another keeper is asked to lead, order it again there")]
+    #[error("this keeper leads: another one has been asked to take over, repeat the command there")]
     LeadershipTransferring,
     /// Too much is proposed at once, or a command is too long.
-    #[error("too much is waiting to be agreed")]
+    #[error("too many proposals are pending, or the command is too long")]
     TooMuchPending,
 }
 
@@ -72,7 +72,7 @@
     #[error("{0}")]
     Malformed(String),
     /// It does not name the replica that sent it, or is not addressed to this one.
-    #[error("a message from {from} to {to}")]
+    #[error("a message names {from} as its sender and {to} as its receiver")]
     Misdirected {
         /// Sender that it names.
         from: u64,
@@ -80,6 +80,6 @@
         to: u64,
     },
     /// Replicas do not send messages of this kind.
-    #[error("a message of kind {0}")]
+    #[error("a message of the unexpected kind {0}")]
     Kind(String),
 }
--- a/src/coordination/raft_log/item.rs
+++ b/src/coordination/raft_log/item.rs
@@ -261,13 +261,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnreadableLog {
     /// A checkpoint of a format version that this program does not know.
-    #[error("it has form {0}, this program knows {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}")]
+    #[error("the checkpoint has format version {0}, this program knows {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}")]
     Form(u16),
     /// Entries between the checkpoint and the last entry are missing.
-    #[error("entries are missing")]
+    #[error("log entries are missing")]
     EntriesMissing,
     /// An entry of a kind that this program does not know.
-    #[error("an entry of a kind that is not known")]
+    #[error("a log entry is of an unknown kind")]
     EntryKind,
 }
 
--- a/src/coordination/raft_log/store.rs
+++ b/src/coordination/raft_log/store.rs
@@ -50,11 +50,11 @@
     )]
     Damaged(String),
     /// The folder belongs to another replica.
-    #[error("it is of keeper {0} of site {1:?}")]
+    #[error("the folder belongs to keeper {0} of site {1:?}")]
     ForeignFolder(u64, String),
     /// The folder's capacity is too small; its segments have this many bytes.
     #[error(
-        "the file system has too little room for disk_mb: segments of {0} bytes, \
+        "the file system has too little space for disk_mb: segments would have {0} bytes, \
          {MAX_CHECKPOINT_BYTES} are needed"
     )]
     InsufficientSpace(u64),
