--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -24,12 +24,12 @@
 /// thousand senders.
 pub const MOST_TEXT: usize = 32 * 1024;
 /// Most classes that a policy may name: four times as many as any simulated site has.
-const MOST_CLASSES: usize = 64;
+const MAX_CLASSES: usize = 64;
 /// Longest time that a class may set, in milliseconds: a day.
-const MOST_MS: u64 = 86_400_000;
+const MAX_CLASS_TIME_MS: u64 = 86_400_000;
 /// Prefix of the hashed bytes, so that the digest of a policy never equals that of another kind of
 /// document.
-const KIND: &[u8] = b"raildeal policy 1\n";
+const DIGEST_PREFIX: &[u8] = b"raildeal policy 1\n";
 
 /// A fault in the text of a document.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -63,13 +63,13 @@
     #[garde(dive)]
     pub limits: Limits,
     /// Terms of classes, by name. A sender that has no class of that name rejects the policy.
-    #[garde(length(max = MOST_CLASSES), dive)]
+    #[garde(length(max = MAX_CLASSES), dive)]
     pub class: BTreeMap<String, ClassTerms>,
     /// Limits of admission control: who may connect and whose messages are accepted.
     #[garde(dive)]
     pub door: DoorTerms,
     /// Text of the script hook; an empty text removes the sender's own hook.
-    #[garde(custom(compiles))]
+    #[garde(custom(compilable_hook))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hook: Option<String>,
     /// Line number of each setting in the text.
@@ -103,7 +103,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_attempts: Option<u32>,
     /// Longest Retry-After that a client is given, in milliseconds.
-    #[garde(range(max = MOST_MS))]
+    #[garde(range(max = MAX_CLASS_TIME_MS))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub max_retry_after_ms: Option<u64>,
 }
@@ -138,11 +138,11 @@
 #[serde(deny_unknown_fields, default)]
 pub struct ClassTerms {
     /// Latency objective of a message.
-    #[garde(range(min = 1, max = MOST_MS), custom(in_time(&self.deadline_ms)))]
+    #[garde(range(min = 1, max = MAX_CLASS_TIME_MS), custom(not_after_deadline(&self.deadline_ms)))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub promise_ms: Option<u64>,
     /// Deadline after which a message is given up.
-    #[garde(range(min = 1, max = MOST_MS))]
+    #[garde(range(min = 1, max = MAX_CLASS_TIME_MS))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub deadline_ms: Option<u64>,
     /// Effect of a repeated message.
@@ -154,15 +154,15 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dedup_scope: Option<ScopeTerm>,
     /// Time for which repeats are dropped.
-    #[garde(range(max = MOST_MS))]
+    #[garde(range(max = MAX_CLASS_TIME_MS))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub window_ms: Option<u64>,
     /// Value of a message that is delivered in time.
-    #[garde(custom(from_to(0.0, 1e6)))]
+    #[garde(custom(in_range(0.0, 1e6)))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub points: Option<f64>,
     /// Fraction of that value that is left at the deadline.
-    #[garde(custom(from_to(0.0, 1.0)))]
+    #[garde(custom(in_range(0.0, 1.0)))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub late_worth: Option<f64>,
 }
@@ -214,7 +214,7 @@
     pub target_ms: Option<u64>,
 }
 
-fn from_to(low: f64, high: f64) -> impl FnOnce(&Option<f64>, &()) -> garde::Result {
+fn in_range(low: f64, high: f64) -> impl FnOnce(&Option<f64>, &()) -> garde::Result {
     move |value, ()| match value {
         Some(value) if !(low..=high).contains(value) => Err(garde::Error::new(format!(
             "{value} is not from {low} to {high}"
@@ -223,7 +223,7 @@
     }
 }
 
-fn in_time(deadline: &Option<u64>) -> impl FnOnce(&Option<u64>, &()) -> garde::Result + '_ {
+fn not_after_deadline(deadline: &Option<u64>) -> impl FnOnce(&Option<u64>, &()) -> garde::Result + '_ {
     move |promise, ()| match (promise, deadline) {
         (Some(promise), Some(deadline)) if promise > deadline => Err(garde::Error::new(format!(
             "{promise} is later than deadline_ms, which is {deadline}"
@@ -232,7 +232,7 @@
     }
 }
 
-fn compiles(text: &Option<String>, (): &()) -> garde::Result {
+fn compilable_hook(text: &Option<String>, (): &()) -> garde::Result {
     match text.as_deref().filter(|text| !text.is_empty()) {
         Some(text) => ScriptHook::compile(text)
             .map(drop)
@@ -279,7 +279,7 @@
                 _ => faults.push(table.fault(key, "no policy may set this")),
             }
         }
-        faults.extend(table.judged(&document));
+        faults.extend(table.validation_faults(&document));
         // Only those faults count that no sender's own admission settings could correct.
         let own: Vec<String> = document
             .door
@@ -290,10 +290,10 @@
         let mut door = document.door.over(&Door::default());
         // The sender's own settings may name known clients.
         door.known_names.push(String::new());
-        faults.extend(document.split(door.faults(&own)));
+        faults.extend(document.faults_of_settings(door.faults(&own)));
         faults.sort();
         faults.dedup();
-        document.settle();
+        document.normalize();
         match faults.is_empty() {
             true => Ok(document),
             false => Err(faults),
@@ -301,7 +301,7 @@
     }
 
     /// Brings settings of the same meaning into the same form.
-    fn settle(&mut self) {
+    fn normalize(&mut self) {
         if let Some(known) = &mut self.door.known {
             known.iter_mut().for_each(|name| name.0 = name.0.trunc());
             known.sort();
@@ -331,7 +331,7 @@
     /// Returns the digest of the canonical form.
     pub fn digest(&self) -> Digest {
         Sha256::new()
-            .chain_update(KIND)
+            .chain_update(DIGEST_PREFIX)
             .chain_update(self.canonical())
             .finalize()
             .into()
@@ -339,7 +339,7 @@
 
     /// Returns the settings by path, with their values as JSON.
     fn settings(&self) -> BTreeMap<String, String> {
-        fn under(path: &str, value: &Value, into: &mut BTreeMap<String, String>) {
+        fn flatten(path: &str, value: &Value, into: &mut BTreeMap<String, String>) {
             match value {
                 Value::Object(fields) => {
                     let at = |key: &String| match path {
@@ -348,14 +348,14 @@
                     };
                     fields
                         .iter()
-                        .for_each(|(key, value)| under(&at(key), value, into));
+                        .for_each(|(key, value)| flatten(&at(key), value, into));
                 }
                 other => _ = into.insert(path.into(), other.to_string()),
             }
         }
         let mut settings = BTreeMap::new();
         let value = serde_json::to_value(self).unwrap_or_default();
-        under("", &value, &mut settings);
+        flatten("", &value, &mut settings);
         settings
     }
 
@@ -413,7 +413,7 @@
             faults.push(self.fault(&setting, e.problem));
         }
         let door = self.door.over(door);
-        faults.extend(self.split(door.faults(classes)));
+        faults.extend(self.faults_of_settings(door.faults(classes)));
         match faults.is_empty() {
             true => Ok((settings, door)),
             false => Err(faults),
@@ -429,7 +429,7 @@
     }
 
     /// Converts faults of the form `name: problem`, as settings report them.
-    fn split(&self, told: Vec<String>) -> Vec<Fault> {
+    fn faults_of_settings(&self, told: Vec<String>) -> Vec<Fault> {
         let split = |told: &String| match told.split_once(": ") {
             Some((setting, problem)) => self.fault(setting, problem),
             None => self.fault("", told.as_str()),
@@ -542,17 +542,17 @@
                 .count()
                 + 1
         };
-        let (read, wrong) = DeTable::parse_recoverable(text);
-        if !wrong.is_empty() {
+        let (read, errors) = DeTable::parse_recoverable(text);
+        if !errors.is_empty() {
             let fault = |e: &toml::de::Error| Fault {
                 line: e.span().map(|span| line_at(span.start)),
                 setting: String::new(),
                 problem: e.message().trim().replace('\n', "; "),
             };
-            return Err(wrong.iter().map(fault).collect());
+            return Err(errors.iter().map(fault).collect());
         }
         let mut lines = BTreeMap::new();
-        walk("", read.get_ref(), &line_at, &mut lines);
+        collect_lines("", read.get_ref(), &line_at, &mut lines);
         let whole = |e: toml::de::Error| Fault {
             line: e.span().map(|span| line_at(span.start)),
             setting: String::new(),
@@ -600,7 +600,7 @@
     }
 
     /// Returns the validation faults of a value that was read.
-    pub(in crate::coordination) fn judged<T: Validate<Context = ()>>(
+    pub(in crate::coordination) fn validation_faults<T: Validate<Context = ()>>(
         &self,
         what: &T,
     ) -> Vec<Fault> {
@@ -616,7 +616,7 @@
     }
 }
 
-fn walk(
+fn collect_lines(
     path: &str,
     table: &DeTable<'_>,
     line_at: &dyn Fn(usize) -> usize,
@@ -630,13 +630,13 @@
         };
         lines.insert(at.clone(), line_at(key.span().start));
         match value.get_ref() {
-            DeValue::Table(inner) => walk(&at, inner, line_at, lines),
+            DeValue::Table(inner) => collect_lines(&at, inner, line_at, lines),
             DeValue::Array(items) => {
                 for (n, item) in items.iter().enumerate() {
                     let at = format!("{at}[{n}]");
                     lines.insert(at.clone(), line_at(item.span().start));
                     if let DeValue::Table(inner) = item.get_ref() {
-                        walk(&at, inner, line_at, lines);
+                        collect_lines(&at, inner, line_at, lines);
                     }
                 }
             }
--- a/src/coordination/policy_rollout/health.rs
+++ b/src/coordination/policy_rollout/health.rs
@@ -288,7 +288,7 @@
 /// Returns the certainty that each single bound needs, as the negative logarithm of its probability
 /// of error: all checks of a stage share [`FALSE_ALARM_PROBABILITY`].
 fn certainty(groups: usize, plan: &Plan) -> f64 {
-    let looks = plan.most_soak() as f64 / (SPAN as f64 / 1e9) + 1.0;
+    let looks = plan.max_soak_s() as f64 / (SPAN as f64 / 1e9) + 1.0;
     let bounds_per_group = ShareKind::ALL.len() * Window::ALL.len();
     let bounds = groups.max(1) as f64 * bounds_per_group as f64 * looks;
     (2.0 * bounds / FALSE_ALARM_PROBABILITY).ln()
--- a/src/coordination/policy_rollout/plan.rs
+++ b/src/coordination/policy_rollout/plan.rs
@@ -8,11 +8,11 @@
 
 /// Longest plan, in bytes of its text: enough for 200 zones with names of 64 bytes and the syntax
 /// around them.
-pub const MOST_TEXT: usize = 16 * 1024;
+pub const MAX_TEXT_BYTES: usize = 16 * 1024;
 /// Most stages of a plan. The counts of each stage are kept separately.
-pub const MOST_STAGES: usize = 16;
+pub const MAX_STAGES: usize = 16;
 /// Longest name of a zone, in bytes; the same limit as in a sender's file.
-const NAME: usize = 64;
+const MAX_ZONE_NAME_BYTES: usize = 64;
 
 /// A rollout plan. It has to name each zone of the site in exactly one stage; no zone can be left
 /// out.
@@ -21,7 +21,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
     /// The stages, in order.
-    #[garde(length(min = 1, max = MOST_STAGES), dive)]
+    #[garde(length(min = 1, max = MAX_STAGES), dive)]
     pub stage: Vec<Stage>,
     /// Time that each stage is observed before it changes, in seconds, to learn what its zones are
     /// like without the policy.
@@ -57,7 +57,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Stage {
     /// Names of the zones.
-    #[garde(length(min = 1, max = 200), inner(length(min = 1, max = NAME)))]
+    #[garde(length(min = 1, max = 200), inner(length(min = 1, max = MAX_ZONE_NAME_BYTES)))]
     pub zones: Vec<String>,
 }
 
@@ -110,19 +110,19 @@
 #[serde(deny_unknown_fields, default)]
 pub struct ClassBounds {
     /// Bound for [`Bounds::delivered`].
-    #[garde(custom(told_share))]
+    #[garde(custom(optional_share))]
     pub delivered: Option<f64>,
     /// Bound for [`Bounds::late`].
-    #[garde(custom(told_share))]
+    #[garde(custom(optional_share))]
     pub late: Option<f64>,
     /// Bound for [`Bounds::refused`].
-    #[garde(custom(told_share))]
+    #[garde(custom(optional_share))]
     pub refused: Option<f64>,
     /// Bound for [`Bounds::failed`].
-    #[garde(custom(told_share))]
+    #[garde(custom(optional_share))]
     pub failed: Option<f64>,
     /// Bound for [`Bounds::turned_away`].
-    #[garde(custom(told_share))]
+    #[garde(custom(optional_share))]
     pub turned_away: Option<f64>,
 }
 
@@ -171,7 +171,7 @@
     }
 }
 
-fn told_share(value: &Option<f64>, (): &()) -> garde::Result {
+fn optional_share(value: &Option<f64>, (): &()) -> garde::Result {
     value.as_ref().map_or(Ok(()), |value| share(value, &()))
 }
 
@@ -181,40 +181,40 @@
     /// # Errors
     /// All faults of the text at once, each with its line and setting.
     pub fn parse(text: &str) -> Result<Plan, Vec<Fault>> {
-        let mut told = Text::read(text, MOST_TEXT)?;
-        let (stages, health) = (told.values.remove("stage"), told.values.remove("health"));
+        let mut source = Text::read(text, MAX_TEXT_BYTES)?;
+        let (stages, health) = (source.values.remove("stage"), source.values.remove("health"));
         let mut faults = Vec::new();
-        let mut plan: Plan = told.fields("", &told.values, &mut faults);
+        let mut plan: Plan = source.fields("", &source.values, &mut faults);
         match stages {
             Some(toml::Value::Array(stages)) => {
                 for (n, stage) in stages.iter().enumerate() {
                     let at = format!("stage[{n}]");
                     match stage {
-                        toml::Value::Table(t) => plan.stage.push(told.fields(&at, t, &mut faults)),
-                        _ => faults.push(told.fault(&at, "is not a table")),
+                        toml::Value::Table(t) => plan.stage.push(source.fields(&at, t, &mut faults)),
+                        _ => faults.push(source.fault(&at, "is not a table")),
                     }
                 }
             }
-            Some(_) => faults.push(told.fault("stage", "is not an array of tables, [[stage]]")),
+            Some(_) => faults.push(source.fault("stage", "is not an array of tables, [[stage]]")),
             None => {
-                faults.push(told.fault("stage", "not set; each zone of the site has to be in exactly one stage"))
+                faults.push(source.fault("stage", "not set; each zone of the site has to be in exactly one stage"))
             }
         }
         match health {
-            Some(toml::Value::Table(t)) => plan.health = told.fields("health", &t, &mut faults),
-            Some(_) => faults.push(told.fault("health", "is not a table")),
+            Some(toml::Value::Table(t)) => plan.health = source.fields("health", &t, &mut faults),
+            Some(_) => faults.push(source.fault("health", "is not a table")),
             None => {}
         }
         if faults.is_empty() {
-            faults = told.judged(&plan);
+            faults = source.validation_faults(&plan);
             faults.extend(
-                plan.twice()
+                plan.duplicate_zones()
                     .into_iter()
-                    .map(|(at, why)| told.fault(&at, why)),
+                    .map(|(at, why)| source.fault(&at, why)),
             );
         }
         if plan.most_soak_s.is_some_and(|most| most < plan.soak_s) {
-            faults.push(told.fault("most_soak_s", format!("less than soak_s, which is {}", plan.soak_s)));
+            faults.push(source.fault("most_soak_s", format!("less than soak_s, which is {}", plan.soak_s)));
         }
         faults.sort();
         faults.dedup();
@@ -225,22 +225,22 @@
     }
 
     /// Returns the zones that are named more than once, each as the setting and the problem.
-    fn twice(&self) -> Vec<(String, String)> {
+    fn duplicate_zones(&self) -> Vec<(String, String)> {
         let mut known = BTreeSet::new();
-        let mut twice = Vec::new();
+        let mut duplicates = Vec::new();
         for (n, stage) in self.stage.iter().enumerate() {
             for zone in stage
                 .zones
                 .iter()
                 .filter(|zone| !known.insert(zone.as_str()))
             {
-                twice.push((
+                duplicates.push((
                     format!("stage[{n}].zones"),
                     format!("zone {zone:?} is named twice"),
                 ));
             }
         }
-        twice
+        duplicates
     }
 
     /// Returns all zones that the plan names.
@@ -256,7 +256,7 @@
     }
 
     /// Returns the longest soak period, in seconds.
-    pub fn most_soak(&self) -> u64 {
+    pub fn max_soak_s(&self) -> u64 {
         self.most_soak_s
             .map_or(4 * u64::from(self.soak_s), u64::from)
     }
--- a/src/coordination/policy_rollout/plan/tests.rs
+++ b/src/coordination/policy_rollout/plan/tests.rs
@@ -8,7 +8,7 @@
         (plan.stage.len(), plan.stage_of("c"), plan.stage_of("d")),
         (2, Some(1), None)
     );
-    assert_eq!((plan.most_soak(), plan.bounds("any").failed), (240, 0.01));
+    assert_eq!((plan.max_soak_s(), plan.bounds("any").failed), (240, 0.01));
     let text =
         "soak_s = 5\n[[stage]]\nzones = ['a']\n[health.class.bulk]\nlate = 0.3\n[health.all]\nfailed = 0.1\n";
     let plan = Plan::parse(text).expect("good");
--- a/src/coordination/policy_rollout/register.rs
+++ b/src/coordination/policy_rollout/register.rs
@@ -13,11 +13,11 @@
 
 /// Most policies whose text is kept: those in force, being rolled out, being rolled back to, and
 /// the most recent earlier ones.
-pub const MOST_TEXTS: usize = 8;
+pub const MAX_TEXTS: usize = 8;
 /// Most past rollouts that are kept and reported.
-pub const MOST_PAST: usize = 50;
+pub const MAX_PAST_ROLLOUTS: usize = 50;
 /// Longest reason that is stored, in bytes: enough for several lines of faults.
-const MOST_WHY: usize = 1_000;
+const MAX_REASON_BYTES: usize = 1_000;
 
 /// The policy in force in a zone. A zone without a register has number 0: each sender's own
 /// settings.
@@ -207,15 +207,15 @@
     /// Applies a change that was based on the turn `base`. A change has no effect where another one
     /// was applied first, or where it does not fit the state.
     pub fn apply(&mut self, index: u64, clock_ms: u64, base: u64, change: &Change) {
-        if base == self.turn && self.change(index, clock_ms, change).is_some() {
+        if base == self.turn && self.try_apply(index, clock_ms, change).is_some() {
             (self.turn, self.at) = (self.turn + 1, index);
-            self.tidy();
+            self.remove_old_texts();
         }
     }
 
     /// Checks whether a proposal fits beside what is in force, and returns the reason where it does
     /// not.
-    pub fn room(&self, plan: &Plan, most_zones: usize) -> Result<(), String> {
+    pub fn check_capacity(&self, plan: &Plan, most_zones: usize) -> Result<(), String> {
         let zones: BTreeSet<&String> = self.zones.keys().chain(plan.zones()).collect();
         if zones.len() > most_zones {
             return Err(format!("the record can name at most {most_zones} zones"));
@@ -233,7 +233,7 @@
             .filter(|n| *n != 0)
             .collect::<BTreeSet<u64>>()
             .len();
-        if kept + 1 + before.len() > MOST_TEXTS {
+        if kept + 1 + before.len() > MAX_TEXTS {
             return Err(format!(
                 "{kept} policies are in force at once; roll out one policy to several of these zones first"
             ));
@@ -241,7 +241,7 @@
         Ok(())
     }
 
-    fn change(&mut self, index: u64, now: u64, change: &Change) -> Option<()> {
+    fn try_apply(&mut self, index: u64, now: u64, change: &Change) -> Option<()> {
         let turn = self.turn + 1;
         match change {
             Change::Propose { text, digest, plan } => {
@@ -302,7 +302,7 @@
                 let r = self.rollout.as_mut().filter(|r| r.step == Step::Paused)?;
                 (r.step, r.tries, r.at, r.since_ms) =
                     (Step::Ready, r.tries.saturating_add(1), index, now);
-                self.go_on(turn);
+                self.end_pauses(turn);
             }
             Change::Next => {
                 let r = self
@@ -311,7 +311,7 @@
                     .filter(|r| r.step == Step::Soaking && r.halted.is_none())?;
                 if r.is_last() {
                     let r = self.rollout.take()?;
-                    self.over(&r, now, "done");
+                    self.add_past(&r, now, "done");
                     self.last = Some(r).filter(|r| r.back_of == 0);
                 } else {
                     (r.stage, r.step, r.at, r.since_ms) = (r.stage + 1, Step::Ready, index, now);
@@ -320,27 +320,27 @@
             Change::Halt { why } => {
                 let r = self.rollout.as_mut().filter(|r| r.halted.is_none())?;
                 (r.halted, r.halts, r.at) = (
-                    Some(truncate_utf8(why, MOST_WHY)),
+                    Some(truncate_utf8(why, MAX_REASON_BYTES)),
                     r.halts.saturating_add(1),
                     index,
                 );
                 if r.step == Step::Paused {
                     (r.step, r.since_ms) = (Step::Ready, now);
-                    self.go_on(turn);
+                    self.end_pauses(turn);
                 }
             }
             Change::Resume => {
                 let r = self.rollout.as_mut().filter(|r| r.halted.is_some())?;
                 (r.halted, r.tries, r.at, r.since_ms) = (None, 0, index, now);
             }
-            Change::Back { own } => self.back(index, now, own)?,
+            Change::Back { own } => self.roll_back(index, now, own)?,
             Change::End { why } => {
                 let r = self
                     .rollout
                     .as_ref()
                     .filter(|r| r.in_force() == 0 && r.step == Step::Ready)?;
                 let r = r.clone();
-                self.over(&r, now, &truncate_utf8(why, MOST_WHY));
+                self.add_past(&r, now, &truncate_utf8(why, MAX_REASON_BYTES));
                 self.rollout = None;
             }
         }
@@ -348,13 +348,13 @@
     }
 
     /// Ends the pause of all paused zones, which continue under their current policy.
-    fn go_on(&mut self, turn: u64) {
+    fn end_pauses(&mut self, turn: u64) {
         for register in self.zones.values_mut().filter(|r| r.paused) {
             (register.paused, register.turn) = (false, turn);
         }
     }
 
-    fn back(&mut self, index: u64, now: u64, own: &Digest) -> Option<()> {
+    fn roll_back(&mut self, index: u64, now: u64, own: &Digest) -> Option<()> {
         let turn = self.turn + 1;
         let r = match (&self.rollout, &self.last) {
             (Some(r), _) | (None, Some(r)) if r.back_of == 0 => r.clone(),
@@ -362,7 +362,7 @@
         };
         let running = self.rollout.take().is_some();
         self.last = None;
-        self.go_on(turn);
+        self.end_pauses(turn);
         // A completed rollout is in force in all stages.
         let stages = if running {
             r.in_force()
@@ -375,7 +375,7 @@
             } else {
                 "goes back"
             };
-            self.over(&r, now, how);
+            self.add_past(&r, now, how);
         }
         if stages == 0 {
             return Some(());
@@ -419,8 +419,8 @@
         Some(())
     }
 
-    fn over(&mut self, r: &Rollout, now: u64, end: &str) {
-        if self.past.len() >= MOST_PAST {
+    fn add_past(&mut self, r: &Rollout, now: u64, end: &str) {
+        if self.past.len() >= MAX_PAST_ROLLOUTS {
             self.past.pop_front();
         }
         self.past.push_back(Past {
@@ -435,14 +435,14 @@
         });
     }
 
-    /// Removes the oldest texts while more than [`MOST_TEXTS`] are stored. Texts that a register or
+    /// Removes the oldest texts while more than [`MAX_TEXTS`] are stored. Texts that a register or
     /// a rollout refers to are never removed.
-    fn tidy(&mut self) {
+    fn remove_old_texts(&mut self) {
         let mut used: BTreeSet<u64> = self.zones.values().map(|r| r.number).collect();
         for r in self.rollout.iter().chain(&self.last) {
             used.extend(r.to.values().chain(r.from.values()));
         }
-        while self.texts.len() > MOST_TEXTS {
+        while self.texts.len() > MAX_TEXTS {
             let Some(oldest) = self
                 .texts
                 .keys()
--- a/src/coordination/policy_rollout/register/tests.rs
+++ b/src/coordination/policy_rollout/register/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn go(p: &mut Policies, changes: &[Change]) {
+fn apply_all(p: &mut Policies, changes: &[Change]) {
     for change in changes {
         let (turn, at) = (p.turn, p.at);
         p.apply(at + 1, 10 * at, turn, change);
@@ -33,7 +33,7 @@
 #[test]
 fn a_change_that_another_one_came_before_is_void() {
     let mut p = Policies::default();
-    go(&mut p, &[propose(1), Change::Pause]);
+    apply_all(&mut p, &[propose(1), Change::Pause]);
     let before = p.clone();
     for (base, change) in [
         (1, Change::Commit),
@@ -53,7 +53,7 @@
         }
     );
     assert_eq!(p.register("b"), Register::default());
-    go(
+    apply_all(
         &mut p,
         &[Change::TakeBack {
             silent: "n1".into(),
@@ -76,10 +76,10 @@
 #[test]
 fn stages_go_over_one_by_one_and_back_in_reverse_under_a_new_number() {
     let mut p = Policies::default();
-    go(&mut p, &[propose(1)]);
-    go(&mut p, &STAGE);
+    apply_all(&mut p, &[propose(1)]);
+    apply_all(&mut p, &STAGE);
     assert_eq!((p.register("a").number, p.register("b").number), (1, 0));
-    go(&mut p, &STAGE);
+    apply_all(&mut p, &STAGE);
     assert!(p.rollout.is_none() && p.last.is_some());
     assert_eq!(
         (
@@ -89,9 +89,9 @@
         ),
         (1, "done", (2, 2))
     );
-    go(&mut p, &[propose(2)]);
-    go(&mut p, &STAGE);
-    go(
+    apply_all(&mut p, &[propose(2)]);
+    apply_all(&mut p, &STAGE);
+    apply_all(
         &mut p,
         &[
             Change::Pause,
@@ -103,15 +103,15 @@
     let r = p.rollout.clone().expect("it runs");
     assert_eq!(
         (r.step, r.halted.map(|w| w.len()), p.register("b").paused),
-        (Step::Ready, Some(MOST_WHY), false)
+        (Step::Ready, Some(MAX_REASON_BYTES), false)
     );
-    go(&mut p, &[Change::Back { own: [0; 32] }]);
+    apply_all(&mut p, &[Change::Back { own: [0; 32] }]);
     let r = p.rollout.clone().expect("it goes back");
     assert_eq!(
         (r.number, r.back_of, r.plan.stage.len(), &p.texts[&3].text),
         (3, 2, 1, &"# 1".to_string())
     );
-    go(&mut p, &STAGE);
+    apply_all(&mut p, &STAGE);
     assert_eq!((p.register("a").number, p.register("b").number), (3, 1));
     assert!(p.rollout.is_none() && p.last.is_none());
 }
@@ -119,7 +119,7 @@
 #[test]
 fn one_that_is_over_may_be_gone_back_from_whole_and_each_zone_to_its_own() {
     let mut p = Policies::default();
-    go(
+    apply_all(
         &mut p,
         &[Change::Propose {
             text: "# 0".into(),
@@ -127,11 +127,11 @@
             plan: plan(&[&["a"]]),
         }],
     );
-    go(&mut p, &STAGE);
-    go(&mut p, &[propose(2)]);
-    go(&mut p, &STAGE);
-    go(&mut p, &STAGE);
-    go(&mut p, &[Change::Back { own: [0; 32] }]);
+    apply_all(&mut p, &STAGE);
+    apply_all(&mut p, &[propose(2)]);
+    apply_all(&mut p, &STAGE);
+    apply_all(&mut p, &STAGE);
+    apply_all(&mut p, &[Change::Back { own: [0; 32] }]);
     let r = p.rollout.clone().expect("it goes back");
     assert_eq!(
         r.plan
@@ -156,7 +156,7 @@
 fn a_refusal_changes_nothing_and_tables_are_bounded() {
     let mut p = Policies::default();
     for n in 0..80 {
-        go(
+        apply_all(
             &mut p,
             &[
                 propose(n),
@@ -169,14 +169,14 @@
     assert!(p.zones.is_empty() && p.rollout.is_none());
     assert_eq!(
         (p.texts.len(), p.past.len(), p.past[0].number),
-        (MOST_TEXTS, MOST_PAST, 31)
+        (MAX_TEXTS, MAX_PAST_ROLLOUTS, 31)
     );
-    go(&mut p, &[propose(81)]);
-    go(&mut p, &[Change::Pause, Change::Commit]);
+    apply_all(&mut p, &[propose(81)]);
+    apply_all(&mut p, &[Change::Pause, Change::Commit]);
     let turn = p.turn;
     p.apply(99, 0, turn, &Change::End { why: "late".into() });
     assert_eq!(p.turn, turn, "what is in force does not end so");
-    go(
+    apply_all(
         &mut p,
         &[
             Change::Halt { why: "w".into() },
@@ -184,5 +184,5 @@
             Change::Back { own: [0; 32] },
         ],
     );
-    assert!(p.room(&plan(&[&["a"]]), 200).is_ok() && p.room(&plan(&[&["z"]]), 1).is_err());
+    assert!(p.check_capacity(&plan(&[&["a"]]), 200).is_ok() && p.check_capacity(&plan(&[&["z"]]), 1).is_err());
 }
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -26,22 +26,22 @@
 const SECOND: Nanos = 1_000 * MS;
 /// Time after which a decision that was not applied to the record may be proposed again; the leader
 /// uses the same time for its other decisions.
-const DECIDED: Nanos = SECOND;
+const DECISION_TIMEOUT: Nanos = SECOND;
 /// Time between two checks of the reported counts.
-const LOOK: Nanos = SECOND;
+const HEALTH_CHECK_INTERVAL: Nanos = SECOND;
 /// First and longest time between a pause that was revoked and the next one; it doubles each time.
-const RETRY: (Nanos, Nanos) = (SECOND, 60 * SECOND);
+const PAUSE_RETRY_DELAYS: (Nanos, Nanos) = (SECOND, 60 * SECOND);
 /// Least time between a pause for a routing table and the pause of a stage, so that waiting
 /// messages are accepted in between.
 pub(crate) const APART: Nanos = SECOND / 2;
 /// Number of revoked pauses of a stage after which the rollout halts.
-const MOST_TRIES: u32 = 10;
+const MAX_REVOKED_PAUSES: u32 = 10;
 /// Time for which senders have to be missing from a stage before that counts: a sender that
 /// restarts is back within it.
-const GONE: Nanos = 10 * SECOND;
+const MISSING_GRACE: Nanos = 10 * SECOND;
 /// Time without a leader after which a rollout halts, as nobody observed the senders meanwhile.
 /// Five elections fit in it.
-const UNLED: Nanos = 10 * SECOND;
+const MAX_LEADERLESS: Nanos = 10 * SECOND;
 
 /// Runs the rollout of policies while this replica leads.
 #[derive(Clone, Debug)]
@@ -51,24 +51,24 @@
     health: RolloutHealth,
     /// Decision that was proposed and is not applied yet: the turn that it was based on, and when
     /// it was proposed.
-    deciding: Option<(u64, Nanos)>,
+    pending_decision: Option<(u64, Nanos)>,
     /// Index of the log entry at which the current step began, and when this leader saw that.
-    step: (u64, Nanos),
+    step_seen: (u64, Nanos),
     /// Senders that a pause still waits for, as far as is known.
-    waits: Option<BTreeSet<String>>,
+    awaited: Option<BTreeSet<String>>,
     /// Senders that did not answer the last pause, which was revoked.
-    silent: BTreeSet<String>,
+    unanswered: BTreeSet<String>,
     /// Description of what the stage lacks, and since when.
     missing: Option<(String, Nanos)>,
-    looked: Nanos,
+    checked_at: Nanos,
     /// Time since which this leader has observed the zones of the next stage.
-    watched: Nanos,
+    observed_since: Nanos,
     /// Result of the last check of the counts.
     verdict: Option<StageVerdict>,
-    /// Whether no replica may have led for [`UNLED`] or longer.
-    unled: bool,
+    /// Whether no replica may have led for [`MAX_LEADERLESS`] or longer.
+    leaderless: bool,
     /// Time at which admission was last seen paused for a routing table.
-    tables: Option<Nanos>,
+    table_paused_at: Option<Nanos>,
 }
 
 impl Roll {
@@ -79,16 +79,16 @@
             begun: now,
             registry: SenderRegistry::default(),
             health: RolloutHealth::default(),
-            deciding: None,
-            step: (0, now),
-            waits: None,
-            silent: BTreeSet::new(),
+            pending_decision: None,
+            step_seen: (0, now),
+            awaited: None,
+            unanswered: BTreeSet::new(),
             missing: None,
-            looked: now,
-            watched: now,
+            checked_at: now,
+            observed_since: now,
             verdict: None,
-            unled: led.is_none_or(|at| now >= at + UNLED),
-            tables: None,
+            leaderless: led.is_none_or(|at| now >= at + MAX_LEADERLESS),
+            table_paused_at: None,
         }
     }
 
@@ -134,7 +134,7 @@
         if turn > record.policies.turn || !self.registry.record_applied(sender, turn) {
             return None;
         }
-        let waits = self.waits.as_mut()?;
+        let waits = self.awaited.as_mut()?;
         if waits.remove(sender) && waits.is_empty() {
             return self.decide(now, record);
         }
@@ -162,11 +162,11 @@
     /// Updates the state after a change of policies was applied to the record.
     pub fn applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
         let policies = &record.policies;
-        self.deciding = self.deciding.filter(|(base, _)| *base >= policies.turn);
+        self.pending_decision = self.pending_decision.filter(|(base, _)| *base >= policies.turn);
         if policies.at != index {
             return;
         }
-        (self.step, self.waits, self.missing) = ((index, now), None, None);
+        (self.step_seen, self.awaited, self.missing) = ((index, now), None, None);
         let rollout = policies.rollout.as_ref();
         let number = rollout.map_or_else(
             || policies.past.back().map_or(0, |p| p.number),
@@ -177,13 +177,13 @@
         match change {
             Change::Propose { .. } => {
                 self.health.clear();
-                self.silent.clear();
-                (self.watched, self.unled) = (now, false);
+                self.unanswered.clear();
+                (self.observed_since, self.leaderless) = (now, false);
                 log::info!("policy {number}: offered");
             }
             Change::Pause => {
-                self.waits = rollout.map(|r| {
-                    self.unheard(record, r.zones())
+                self.awaited = rollout.map(|r| {
+                    self.without_confirmation(record, r.zones())
                         .into_iter()
                         .cloned()
                         .collect()
@@ -203,21 +203,21 @@
             }
             Change::Next if rollout.is_none() => log::info!("policy {number}: rolled out"),
             Change::Next => {
-                self.watched = now;
-                self.silent.clear();
+                self.observed_since = now;
+                self.unanswered.clear();
                 log::info!("policy {number}: stage {stage} is next by turn {turn}");
             }
             Change::Halt { why } => log::warn!("policy {number}: halted: {why}"),
             Change::Resume => {
                 self.health.restart_observation(now);
-                (self.verdict, self.unled) = (None, false);
-                self.silent.clear();
+                (self.verdict, self.leaderless) = (None, false);
+                self.unanswered.clear();
                 log::info!("policy {number}: resumed by turn {turn}");
             }
             Change::Back { .. } => {
                 self.health.clear();
-                self.silent.clear();
-                self.unled = false;
+                self.unanswered.clear();
+                self.leaderless = false;
                 match rollout {
                     Some(r) => log::info!("policy {}: goes back as {number}", r.back_of),
                     None => log::info!("policy {number}: called back before it was in force"),
@@ -230,9 +230,9 @@
     /// Returns the change that is due as time passes, if any.
     pub fn tick(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         // The senders that a pause waits for are determined anew: some may have joined or expired.
-        self.waits = None;
+        self.awaited = None;
         if record.tables.register.stance == SiteAdmission::Paused {
-            self.tables = Some(now);
+            self.table_paused_at = Some(now);
         }
         self.decide(now, record)
     }
@@ -303,7 +303,7 @@
     }
 
     /// Returns the live senders that have not confirmed the turn of their zone's register.
-    fn unheard<'a>(&'a self, record: &'a Record, zones: &'a [String]) -> Vec<&'a String> {
+    fn without_confirmation<'a>(&'a self, record: &'a Record, zones: &'a [String]) -> Vec<&'a String> {
         let turn = |m: &RosterEntry| record.policies.register(&m.zone).turn;
         self.registry
             .unconfirmed(record, |m| zones.contains(&m.zone), turn)
@@ -311,7 +311,7 @@
 
     /// Returns the live senders that have not confirmed that they stored the policy they are to
     /// change to.
-    fn unstored<'a>(
+    fn without_policy<'a>(
         &'a self,
         record: &'a Record,
         r: &'a Rollout,
@@ -341,15 +341,15 @@
     }
 
     /// Returns the first of these zones that has no live sender.
-    fn empty<'a>(record: &Record, zones: &'a [String]) -> Option<&'a String> {
+    fn zone_without_senders<'a>(record: &Record, zones: &'a [String]) -> Option<&'a String> {
         zones
             .iter()
             .find(|zone| !record.roster.values().any(|m| m.live && m.zone == **zone))
     }
 
-    /// Returns what the stage lacks, once it has been lacking for [`GONE`].
-    fn missed(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<String> {
-        let told = match Roll::empty(record, r.zones()) {
+    /// Returns what the stage lacks, once it has been lacking for [`MISSING_GRACE`].
+    fn missing_for_long(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<String> {
+        let told = match Roll::zone_without_senders(record, r.zones()) {
             Some(zone) => Some(format!("zone {zone}: none of its senders holds a lease")),
             None if r.step == Step::Soaking && r.back_of == 0 => {
                 let own = record
@@ -376,17 +376,17 @@
         self.missing = told.map(|told| (told, since));
         self.missing
             .as_ref()
-            .filter(|(_, since)| now >= since + GONE)
+            .filter(|(_, since)| now >= since + MISSING_GRACE)
             .map(|(why, _)| why.clone())
     }
 
     /// Returns the next change of the rollout, if one is due and none is pending.
     fn decide(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         let turn = record.policies.turn;
-        self.deciding = self
-            .deciding
-            .filter(|(base, at)| *base == turn && now < at + DECIDED);
-        if self.deciding.is_some() {
+        self.pending_decision = self
+            .pending_decision
+            .filter(|(base, at)| *base == turn && now < at + DECISION_TIMEOUT);
+        if self.pending_decision.is_some() {
             return None;
         }
         let r = record
@@ -394,30 +394,30 @@
             .rollout
             .as_ref()
             .filter(|r| r.halted.is_none())?;
-        if self.step.0 != r.at {
+        if self.step_seen.0 != r.at {
             // The step began under another leader, which may have waited for a long time already.
-            (self.step, self.waits) = ((r.at, self.begun), None);
+            (self.step_seen, self.awaited) = ((r.at, self.begun), None);
             if r.step == Step::Soaking {
                 self.health.on_stage_changed(now);
             }
         }
         let change = self.next(now, record, r);
         if change.is_some() {
-            self.deciding = Some((turn, now));
+            self.pending_decision = Some((turn, now));
         }
         change
     }
 
     fn next(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<Change> {
         let halt = |why: String| Some(Change::Halt { why });
-        if self.unled {
+        if self.leaderless {
             return halt(format!(
                 "no keeper led for {} s or longer, as far as is known",
-                UNLED / SECOND
+                MAX_LEADERLESS / SECOND
             ));
         }
         let all: Vec<String> = r.plan.zones().cloned().collect();
-        let passed = now.saturating_sub(self.step.1);
+        let passed = now.saturating_sub(self.step_seen.1);
         match r.step {
             Step::Ready => {
                 let end = |why: String| match r.in_force() == 0 && r.back_of == 0 {
@@ -437,21 +437,21 @@
                         m.zone
                     ));
                 }
-                if let Some(why) = self.missed(now, record, r) {
+                if let Some(why) = self.missing_for_long(now, record, r) {
                     return end(why);
                 }
-                let unstored = self.unstored(record, r, &all);
-                if !unstored.is_empty() {
+                let without_policy = self.without_policy(record, r, &all);
+                if !without_policy.is_empty() {
                     let late = passed >= Nanos::from(r.plan.offer_s) * SECOND;
                     return match late {
                         true => end(format!(
                             "no answer to the offer from {}",
-                            format_names(&unstored)
+                            format_names(&without_policy)
                         )),
                         false => None,
                     };
                 }
-                if r.tries >= MOST_TRIES {
+                if r.tries >= MAX_REVOKED_PAUSES {
                     return halt(format!(
                         "the pause of stage {} was taken back {} times",
                         r.stage + 1,
@@ -461,25 +461,25 @@
                 // Senders that were silent have to have answered, or expired, before the next
                 // pause.
                 let silent = self
-                    .unheard(record, r.zones())
+                    .without_confirmation(record, r.zones())
                     .into_iter()
-                    .any(|name| self.silent.contains(name));
-                let first = RETRY.0 << r.tries.saturating_sub(1).min(10);
-                let rested = r.tries == 0 || passed >= first.min(RETRY.1);
+                    .any(|name| self.unanswered.contains(name));
+                let first = PAUSE_RETRY_DELAYS.0 << r.tries.saturating_sub(1).min(10);
+                let rested = r.tries == 0 || passed >= first.min(PAUSE_RETRY_DELAYS.1);
                 let watch = Nanos::from(r.plan.watch_s) * SECOND;
-                let watched = r.back_of != 0 || now >= self.watched + watch;
-                let empty = Roll::empty(record, r.zones()).is_some();
-                let apart = self.tables.is_none_or(|at| now >= at + APART);
+                let watched = r.back_of != 0 || now >= self.observed_since + watch;
+                let empty = Roll::zone_without_senders(record, r.zones()).is_some();
+                let apart = self.table_paused_at.is_none_or(|at| now >= at + APART);
                 (!silent && rested && watched && !empty && apart).then_some(Change::Pause)
             }
             Step::Paused => {
                 let over = passed >= Nanos::from(r.plan.pause_ms) * MS;
-                if !over && self.waits.as_ref().is_some_and(|waits| !waits.is_empty()) {
+                if !over && self.awaited.as_ref().is_some_and(|waits| !waits.is_empty()) {
                     return None;
                 }
                 let zones = r.zones();
-                let mut late = self.unheard(record, zones);
-                late.extend(self.unstored(record, r, zones));
+                let mut late = self.without_confirmation(record, zones);
+                late.extend(self.without_policy(record, r, zones));
                 late.sort();
                 late.dedup();
                 if late.is_empty() {
@@ -488,28 +488,28 @@
                 let silent = format_names(&late);
                 let late: BTreeSet<String> = late.into_iter().cloned().collect();
                 if over {
-                    self.silent = late;
+                    self.unanswered = late;
                     return Some(Change::TakeBack { silent });
                 }
-                self.waits = Some(late);
+                self.awaited = Some(late);
                 None
             }
             Step::Soaking => {
                 if let Some(why) = self.refusal(record, r, r.zones()) {
                     return halt(format!("a sender cannot go by it: {why}"));
                 }
-                if let Some(why) = self.missed(now, record, r) {
+                if let Some(why) = self.missing_for_long(now, record, r) {
                     return halt(why);
                 }
-                let done = |roll: &Roll| roll.unheard(record, r.zones()).is_empty();
+                let done = |roll: &Roll| roll.without_confirmation(record, r.zones()).is_empty();
                 if r.back_of != 0 {
                     // A policy that ran there before is not judged again.
                     return done(self).then_some(Change::Next);
                 }
-                if now < self.looked + LOOK {
+                if now < self.checked_at + HEALTH_CHECK_INTERVAL {
                     return None;
                 }
-                self.looked = now;
+                self.checked_at = now;
                 let stage = r.stage as usize;
                 let verdict = self.health.judge(now, stage, &r.plan);
                 self.verdict = Some(verdict.clone());
@@ -517,7 +517,7 @@
                     StageVerdict::Worse(why) => {
                         halt(format!("stage {} is worse: {why}", r.stage + 1))
                     }
-                    StageVerdict::TooFewMessages(what) if passed >= r.plan.most_soak() * SECOND => {
+                    StageVerdict::TooFewMessages(what) if passed >= r.plan.max_soak_s() * SECOND => {
                         halt(format!(
                             "too few to judge stage {}: {what} in {} s",
                             r.stage + 1,
@@ -601,7 +601,7 @@
                 r.plan.stage.len()
             ));
         }
-        p.room(&plan, MAX_ZONES)?;
+        p.check_capacity(&plan, MAX_ZONES)?;
         let named: BTreeSet<&String> = plan.zones().collect();
         let live: BTreeSet<&String> = record
             .roster
@@ -619,13 +619,13 @@
                 .difference(&live)
                 .map(|zone| format!("plan: zone {zone}: no live sender is in this zone")),
         );
-        let deaf = self
+        let without_policies = self
             .registry
             .live(record, |_| true)
             .filter(|LiveSender { known, .. }| known.is_some_and(|k| !k.has_reported()));
-        let deaf: Vec<&String> = deaf.map(|sender| sender.name).collect();
-        if !deaf.is_empty() {
-            let told = format_names(&deaf);
+        let without_policies: Vec<&String> = without_policies.map(|sender| sender.name).collect();
+        if !without_policies.is_empty() {
+            let told = format_names(&without_policies);
             faults.push(format!(
                 "{told}: the fleet file has no table [policy], so these senders follow no policy"
             ));
@@ -667,13 +667,13 @@
             let all: Vec<String> = r.plan.zones().cloned().collect();
             let (waits, what) = match r.step {
                 Step::Ready => (
-                    self.unstored(record, r, &all),
+                    self.without_policy(record, r, &all),
                     "to check it and write it down",
                 ),
-                Step::Paused => (self.unheard(record, r.zones()), "to take nothing on"),
-                Step::Soaking => (self.unheard(record, r.zones()), "to go by it"),
+                Step::Paused => (self.without_confirmation(record, r.zones()), "to take nothing on"),
+                Step::Soaking => (self.without_confirmation(record, r.zones()), "to go by it"),
             };
-            let passed = now.saturating_sub(self.step.1) / SECOND;
+            let passed = now.saturating_sub(self.step_seen.1) / SECOND;
             let count = |zones: &[String]| self.live(record, zones).count();
             let step = match r.step {
                 Step::Ready if r.tries > 0 => {
--- a/src/coordination/routing_table/document/parse.rs
+++ b/src/coordination/routing_table/document/parse.rs
@@ -22,7 +22,7 @@
         // What did not read is told, and not once more for what follows from it.
         let unread = faults.clone();
         let follows = |fault: &Fault| unread.iter().any(|u| is_same_place(u, fault));
-        let field_faults = text.judged(&document).into_iter();
+        let field_faults = text.validation_faults(&document).into_iter();
         faults.extend(field_faults.filter(|fault| !follows(fault)));
         document.normalize();
         document.check_meaning(&text, &unread, &mut faults);
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -28,17 +28,17 @@
 enum Fault {
     None,
     /// The leader changes the policy without confirmations from the senders.
-    Hasty,
+    CommitsUnconfirmed,
     /// Changes do not advance the turn.
     SameTurn,
     /// Senders apply messages of earlier turns.
-    ObeysEarlier,
+    AppliesEarlierTurns,
     /// The record has a sender as expired that still relies on its lease.
-    LapsesEarly,
+    ExpiresEarly,
     /// A sender that starts accepts messages before it has received what is in force.
-    TakesUnheard,
+    AcceptsUninformed,
     /// A sender applies a policy that it has not checked.
-    TakesUnchecked,
+    AcceptsUnchecked,
 }
 
 #[derive(Clone, Debug)]
@@ -54,11 +54,11 @@
     boot: u64,
     /// The term of the leader that it is connected to, and the number of the connection; the term
     /// is 0 for none.
-    line: (u64, u64),
+    connection: (u64, u64),
     lease: bool,
     /// What it has received since it obtained its lease: the policy's number, and whether admission
     /// is paused.
-    heard: Option<(u64, bool)>,
+    received: Option<(u64, bool)>,
     turn: u64,
     stored: BTreeSet<u64>,
 }
@@ -70,14 +70,14 @@
     leaders: Vec<Leader>,
     senders: [Sender; 3],
     /// Messages in flight to senders: the receiver, its connection, and the message.
-    words: Vec<(usize, (u64, u64), ReplicaToAgent)>,
-    lines: u64,
+    messages: Vec<(usize, (u64, u64), ReplicaToAgent)>,
+    connections: u64,
     /// How often each fault may still occur: elections, losses (and returns to a deposed leader),
     /// duplicates, expired leases, restarts, rejections.
-    left: [u8; 6],
+    faults_left: [u8; 6],
     /// Policies that were in force somewhere.
-    were: BTreeSet<u64>,
-    wrong: Vec<&'static str>,
+    were_in_force: BTreeSet<u64>,
+    violations: Vec<&'static str>,
 }
 
 impl Hash for State {
@@ -94,28 +94,28 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Action {
-    Later,
+    Advance,
     Commit,
     /// Another leader is elected; whether its log contains what the previous one proposed.
     Elect(bool),
     /// A message arrives. The first flag loses its response; the second keeps the message so that
     /// it arrives once more.
-    Arrives(usize, bool, bool),
-    Lost(usize),
+    Deliver(usize, bool, bool),
+    Lose(usize),
     /// A sender rejects the policy that it is offered.
-    Refuses(usize),
+    Reject(usize),
     /// A sender opens a session with a leader.
-    Opens(usize, usize),
+    OpenSession(usize, usize),
     /// The lease of a sender expires by the sender's own clock.
-    Expires(usize),
+    ExpireLease(usize),
     /// The leader proposes to record a sender as expired.
-    Lapses(usize),
-    Restarts(usize),
+    RecordExpired(usize),
+    Restart(usize),
 }
 
 struct Rollouts {
     fault: Fault,
-    left: [u8; 6],
+    faults_left: [u8; 6],
     /// Whether two stages were changed one after the other and are rolled back. Otherwise one
     /// policy is proposed and rolled out until it is in force.
     back: bool,
@@ -146,68 +146,68 @@
         }
     }
 
-    fn taking(&self, s: &State, n: usize) -> Option<u64> {
+    fn accepting(&self, s: &State, n: usize) -> Option<u64> {
         let sender = &s.senders[n];
         if !sender.lease {
             return None;
         }
-        match sender.heard {
+        match sender.received {
             Some((number, false)) => {
                 let has = number == 0
                     || sender.stored.contains(&number)
-                    || self.fault == Fault::TakesUnchecked;
+                    || self.fault == Fault::AcceptsUnchecked;
                 has.then_some(number)
             }
             Some((_, true)) => None,
-            None => (self.fault == Fault::TakesUnheard).then_some(0),
+            None => (self.fault == Fault::AcceptsUninformed).then_some(0),
         }
     }
 
     /// Checks the invariants of every state.
-    fn look(&self, s: &mut State) {
-        let taking: Vec<(usize, u64)> = (0..3)
-            .filter_map(|n| Some((n, self.taking(s, n)?)))
+    fn check_invariants(&self, s: &mut State) {
+        let accepting: Vec<(usize, u64)> = (0..3)
+            .filter_map(|n| Some((n, self.accepting(s, n)?)))
             .collect();
         let two = |(n, number): &(usize, u64)| {
-            taking
+            accepting
                 .iter()
                 .any(|(m, other)| ZONES[*n] == ZONES[*m] && number != other)
         };
-        if taking.iter().any(two) {
-            s.wrong.push("two policies in a zone");
+        if accepting.iter().any(two) {
+            s.violations.push("two policies in a zone");
         }
-        if taking
+        if accepting
             .iter()
             .any(|(n, number)| *number != 0 && !s.senders[*n].stored.contains(number))
         {
-            s.wrong.push("a policy that was not checked");
+            s.violations.push("a policy that was not checked");
         }
-        if taking
+        if accepting
             .iter()
-            .any(|(_, number)| *number != 0 && !s.were.contains(number))
+            .any(|(_, number)| *number != 0 && !s.were_in_force.contains(number))
         {
-            s.wrong.push("a policy that never was in force");
+            s.violations.push("a policy that never was in force");
         }
     }
 
     /// Sends a sender the messages that a leader has for it.
-    fn say(&self, s: &mut State, at: usize, n: usize) {
-        let (leader, line) = (&mut s.leaders[at], s.senders[n].line);
-        if line.0 != leader.term {
+    fn send_messages(&self, s: &mut State, at: usize, n: usize) {
+        let (leader, connection) = (&mut s.leaders[at], s.senders[n].connection);
+        if connection.0 != leader.term {
             return;
         }
         let (now, mut offers) = (s.now * MS, 10);
-        let words = &mut s.words;
+        let messages = &mut s.messages;
         leader.roll.say(
             now,
             &name(n),
             ZONES[n],
             &leader.record,
             &mut offers,
-            &mut |word| {
+            &mut |message| {
                 // A message that is sent again while the first copy is in flight adds nothing.
-                if !words.contains(&(n, line, word.clone())) {
-                    words.push((n, line, word));
+                if !messages.contains(&(n, connection, message.clone())) {
+                    messages.push((n, connection, message));
                 }
             },
         );
@@ -235,14 +235,14 @@
             .rollout
             .as_ref()
             .is_some_and(|r| r.step == Step::Paused);
-        if self.fault == Fault::Hasty && paused && leader.proposed.is_empty() {
+        if self.fault == Fault::CommitsUnconfirmed && paused && leader.proposed.is_empty() {
             change = Some(Change::Commit);
         }
         self.propose(s, at, change);
-        (0..3).for_each(|n| self.say(s, at, n));
+        (0..3).for_each(|n| self.send_messages(s, at, n));
     }
 
-    fn lead(&self, s: &mut State, term: u64) {
+    fn elect(&self, s: &mut State, term: u64) {
         let mut record = Record::default();
         for (index, command) in s.log.iter().enumerate() {
             self.apply(&mut record, index as u64 + 1, command);
@@ -267,7 +267,7 @@
         self.apply(&mut leader.record, index, &command);
         let record = leader.record.clone();
         if record.policies.turn < turn {
-            s.wrong.push("a turn that shrank");
+            s.violations.push("a turn that shrank");
         }
         for zone in ["a", "b"] {
             let (was, is) = (
@@ -277,7 +277,7 @@
             if was.number == is.number {
                 continue;
             }
-            s.were.insert(is.number);
+            s.were_in_force.insert(is.number);
             let ended = matches!(&command, Command::ChangePolicies { change, .. } if matches!(**change, Change::End { .. }));
             let live = |n: usize| {
                 record
@@ -289,15 +289,15 @@
             if ended
                 || here
                     .iter()
-                    .any(|n| self.taking(s, *n).is_some_and(|number| number != is.number))
+                    .any(|n| self.accepting(s, *n).is_some_and(|number| number != is.number))
             {
-                s.wrong.push("a change without the word of all");
+                s.violations.push("a change without the word of all");
             }
             if here
                 .iter()
                 .any(|n| live(*n) && !s.senders[*n].stored.contains(&is.number))
             {
-                s.wrong.push("a change before all had it");
+                s.violations.push("a change before all had it");
             }
         }
         let leader = &mut s.leaders[at];
@@ -308,25 +308,25 @@
             Command::AddSender { sender, boot, .. } => {
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
                 // The sender waits for its session on this connection.
-                if s.senders[n].boot == *boot && s.senders[n].line.0 == s.leaders[at].term {
-                    self.meets(s, at, n);
+                if s.senders[n].boot == *boot && s.senders[n].connection.0 == s.leaders[at].term {
+                    self.open_session(s, at, n);
                 }
             }
             Command::ExpireSender { sender, .. } => {
                 leader.roll.part(sender);
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
-                if s.senders[n].line.0 == leader.term {
-                    s.senders[n].line = (0, 0);
+                if s.senders[n].connection.0 == leader.term {
+                    s.senders[n].connection = (0, 0);
                 }
             }
             _ => {}
         }
-        (0..3).for_each(|n| self.say(s, at, n));
+        (0..3).for_each(|n| self.send_messages(s, at, n));
     }
 
     /// Opens a session: the sender receives what is in force on its connection before anything
     /// else.
-    fn meets(&self, s: &mut State, at: usize, n: usize) {
+    fn open_session(&self, s: &mut State, at: usize, n: usize) {
         let leader = &mut s.leaders[at];
         let policies = &leader.record.policies;
         let has = s.senders[n]
@@ -336,28 +336,28 @@
         let stored: Vec<_> = has.collect();
         leader.roll.meet(&name(n), s.senders[n].boot, Some(&stored));
         if !s.senders[n].lease {
-            (s.senders[n].lease, s.senders[n].heard) = (true, None);
+            (s.senders[n].lease, s.senders[n].received) = (true, None);
         }
-        self.say(s, at, n);
+        self.send_messages(s, at, n);
     }
 
     /// Delivers a message to its sender, which responds unless the response is lost.
-    fn arrives(
+    fn deliver(
         &self,
         s: &mut State,
         n: usize,
-        line: (u64, u64),
-        word: &ReplicaToAgent,
+        connection: (u64, u64),
+        message: &ReplicaToAgent,
         lost: bool,
         refuses: bool,
     ) {
         let sender = &mut s.senders[n];
-        if sender.line != line {
+        if sender.connection != connection {
             return;
         }
-        let at = s.leaders.iter().position(|l| l.term == line.0);
+        let at = s.leaders.iter().position(|l| l.term == connection.0);
         let mut rules = None;
-        match word {
+        match message {
             ReplicaToAgent::OfferPolicy { number, .. } => {
                 if !refuses {
                     sender.stored.insert(*number);
@@ -367,8 +367,8 @@
                     let why = refuses.then_some("no");
                     leader.roll.stored(&name(n), *number, why, &leader.record);
                 }
-                let (heard, turn) = (sender.heard, sender.turn);
-                rules = heard
+                let (received, turn) = (sender.received, sender.turn);
+                rules = received
                     .filter(|(now, paused)| !paused && now == number && !refuses)
                     .map(|_| turn);
             }
@@ -377,11 +377,11 @@
                 number,
                 paused,
             } => {
-                if *turn < sender.turn && self.fault != Fault::ObeysEarlier {
+                if *turn < sender.turn && self.fault != Fault::AppliesEarlierTurns {
                     return;
                 }
                 if sender.lease {
-                    (sender.turn, sender.heard) = (*turn, Some((*number, *paused)));
+                    (sender.turn, sender.received) = (*turn, Some((*number, *paused)));
                     let has = *paused || *number == 0 || sender.stored.contains(number);
                     rules = has.then_some(*turn);
                 }
@@ -434,9 +434,9 @@
         let number = u64::from(self.back);
         let sender = |term: u64, n: u64| Sender {
             boot: 1,
-            line: (term, n),
+            connection: (term, n),
             lease: true,
-            heard: Some((number, false)),
+            received: Some((number, false)),
             turn: if self.back { 7 } else { 0 },
             stored: (1..=number).collect(),
         };
@@ -445,22 +445,22 @@
             log,
             leaders: Vec::new(),
             senders: [sender(1, 0), sender(1, 1), sender(1, 2)],
-            words: Vec::new(),
-            lines: 3,
-            left: self.left,
-            were: (1..=number).collect(),
-            wrong: Vec::new(),
+            messages: Vec::new(),
+            connections: 3,
+            faults_left: self.faults_left,
+            were_in_force: (1..=number).collect(),
+            violations: Vec::new(),
         };
-        self.lead(&mut s, 1);
-        (0..3).for_each(|n| self.meets(&mut s, 0, n));
+        self.elect(&mut s, 1);
+        (0..3).for_each(|n| self.open_session(&mut s, 0, n));
         // The first messages arrive: the policy is offered, and the register is known.
         for _ in 0..20 {
-            let Some((n, line, word)) = s.words.first().cloned().filter(|_| self.left[5] == 0)
+            let Some((n, connection, message)) = s.messages.first().cloned().filter(|_| self.faults_left[5] == 0)
             else {
                 break;
             };
-            s.words.remove(0);
-            self.arrives(&mut s, n, line, &word, false, false);
+            s.messages.remove(0);
+            self.deliver(&mut s, n, connection, &message, false, false);
         }
         vec![s]
     }
@@ -468,51 +468,51 @@
     fn actions(&self, s: &State, actions: &mut Vec<Action>) {
         let last = s.leaders.len() - 1;
         if s.now < 10_000 + self.until {
-            actions.push(Action::Later);
+            actions.push(Action::Advance);
         }
         if !s.leaders[last].proposed.is_empty() {
             actions.push(Action::Commit);
         }
-        if s.left[0] > 0 {
+        if s.faults_left[0] > 0 {
             actions.push(Action::Elect(true));
             if !s.leaders[last].proposed.is_empty() {
                 actions.push(Action::Elect(false));
             }
         }
-        for at in 0..s.words.len() {
+        for at in 0..s.messages.len() {
             // Messages on one connection keep their order.
-            if s.words[..at].iter().any(|w| w.1 == s.words[at].1) {
+            if s.messages[..at].iter().any(|w| w.1 == s.messages[at].1) {
                 continue;
             }
-            actions.push(Action::Arrives(at, false, false));
-            if s.left[1] > 0 {
-                actions.extend([Action::Arrives(at, true, false), Action::Lost(at)]);
+            actions.push(Action::Deliver(at, false, false));
+            if s.faults_left[1] > 0 {
+                actions.extend([Action::Deliver(at, true, false), Action::Lose(at)]);
             }
-            if s.left[2] > 0 {
-                actions.push(Action::Arrives(at, false, true));
+            if s.faults_left[2] > 0 {
+                actions.push(Action::Deliver(at, false, true));
             }
-            if s.left[5] > 0 && matches!(s.words[at].2, ReplicaToAgent::OfferPolicy { .. }) {
-                actions.push(Action::Refuses(at));
+            if s.faults_left[5] > 0 && matches!(s.messages[at].2, ReplicaToAgent::OfferPolicy { .. }) {
+                actions.push(Action::Reject(at));
             }
         }
         for n in 0..3 {
             let sender = &s.senders[n];
             for (at, leader) in s.leaders.iter().enumerate() {
                 // A deposed leader renews no expired lease and opens no session.
-                let back = sender.line.0 > leader.term && s.left[1] > 0;
-                if (sender.line.0 < leader.term || back) && (at == last || sender.lease) {
-                    actions.push(Action::Opens(n, at));
+                let back = sender.connection.0 > leader.term && s.faults_left[1] > 0;
+                if (sender.connection.0 < leader.term || back) && (at == last || sender.lease) {
+                    actions.push(Action::OpenSession(n, at));
                 }
             }
-            if s.left[3] > 0 && sender.lease {
-                actions.push(Action::Expires(n));
+            if s.faults_left[3] > 0 && sender.lease {
+                actions.push(Action::ExpireLease(n));
             }
             let live = s.leaders[last]
                 .record
                 .roster
                 .get(&name(n))
                 .is_some_and(|m| m.live && m.boot <= sender.boot);
-            let early = self.fault == Fault::LapsesEarly && s.left[3] > 0;
+            let early = self.fault == Fault::ExpiresEarly && s.faults_left[3] > 0;
             let lapsed = !sender.lease || early;
             if live
                 && lapsed
@@ -521,10 +521,10 @@
                     .iter()
                     .any(|c| matches!(c, Command::ExpireSender { .. }))
             {
-                actions.push(Action::Lapses(n));
+                actions.push(Action::RecordExpired(n));
             }
-            if s.left[4] > 0 {
-                actions.push(Action::Restarts(n));
+            if s.faults_left[4] > 0 {
+                actions.push(Action::Restart(n));
             }
         }
     }
@@ -533,7 +533,7 @@
         let mut s = last.clone();
         let leads = s.leaders.len() - 1;
         match action {
-            Action::Later => {
+            Action::Advance => {
                 s.now += STEP;
                 (0..s.leaders.len()).for_each(|at| self.tick(&mut s, at));
             }
@@ -542,45 +542,45 @@
                 self.commit(&mut s, command);
             }
             Action::Elect(inherits) => {
-                s.left[0] -= 1;
+                s.faults_left[0] -= 1;
                 let left = std::mem::take(&mut s.leaders[leads].proposed);
                 if inherits {
                     // A leader applies all that it inherits before it sends anything; the deposed
                     // one receives none of it.
                     let deposed = s.leaders[leads].clone();
-                    let words = s.words.clone();
+                    let messages = s.messages.clone();
                     left.into_iter()
                         .for_each(|command| self.commit(&mut s, command));
-                    (s.leaders[leads], s.words) = (deposed, words);
+                    (s.leaders[leads], s.messages) = (deposed, messages);
                     s.leaders[leads].proposed.clear();
                 }
                 let term = s.leaders[leads].term + 1;
-                self.lead(&mut s, term);
+                self.elect(&mut s, term);
             }
-            Action::Arrives(at, lost, doubled) => {
-                let (n, line, word) = s.words[at].clone();
+            Action::Deliver(at, lost, doubled) => {
+                let (n, connection, message) = s.messages[at].clone();
                 if doubled {
-                    s.left[2] -= 1;
+                    s.faults_left[2] -= 1;
                 } else {
-                    s.words.remove(at);
+                    s.messages.remove(at);
                 }
-                s.left[1] -= u8::from(lost);
-                self.arrives(&mut s, n, line, &word, lost, false);
+                s.faults_left[1] -= u8::from(lost);
+                self.deliver(&mut s, n, connection, &message, lost, false);
             }
-            Action::Lost(at) => {
-                s.left[1] -= 1;
-                s.words.remove(at);
+            Action::Lose(at) => {
+                s.faults_left[1] -= 1;
+                s.messages.remove(at);
             }
-            Action::Refuses(at) => {
-                s.left[5] -= 1;
-                let (n, line, word) = s.words.remove(at);
-                self.arrives(&mut s, n, line, &word, false, true);
+            Action::Reject(at) => {
+                s.faults_left[5] -= 1;
+                let (n, connection, message) = s.messages.remove(at);
+                self.deliver(&mut s, n, connection, &message, false, true);
             }
-            Action::Opens(n, at) => {
-                s.left[1] -= u8::from(s.senders[n].line.0 > s.leaders[at].term);
-                s.lines += 1;
+            Action::OpenSession(n, at) => {
+                s.faults_left[1] -= u8::from(s.senders[n].connection.0 > s.leaders[at].term);
+                s.connections += 1;
                 let term = s.leaders[at].term;
-                s.senders[n].line = (term, s.lines);
+                s.senders[n].connection = (term, s.connections);
                 let boot = s.senders[n].boot;
                 let live = s.leaders[at]
                     .record
@@ -589,7 +589,7 @@
                     .is_some_and(|m| m.live && m.boot == boot);
                 let ends = |c: &Command| matches!(c, Command::ExpireSender { sender, .. } if *sender == name(n));
                 if live && !s.leaders[at].proposed.iter().any(ends) {
-                    self.meets(&mut s, at, n);
+                    self.open_session(&mut s, at, n);
                 } else {
                     let (sender, zone) = (name(n), ZONES[n].to_string());
                     s.leaders[at]
@@ -597,21 +597,21 @@
                         .push(Command::AddSender { sender, boot, zone });
                 }
             }
-            Action::Expires(n) => {
-                s.left[3] -= 1;
+            Action::ExpireLease(n) => {
+                s.faults_left[3] -= 1;
                 let sender = &mut s.senders[n];
-                (sender.lease, sender.heard, sender.line) = (false, None, (0, 0));
+                (sender.lease, sender.received, sender.connection) = (false, None, (0, 0));
             }
-            Action::Lapses(n) => {
-                s.left[3] = s.left[3].saturating_sub(u8::from(s.senders[n].lease));
+            Action::RecordExpired(n) => {
+                s.faults_left[3] = s.faults_left[3].saturating_sub(u8::from(s.senders[n].lease));
                 let boot = s.leaders[leads].record.roster[&name(n)].boot;
                 s.leaders[leads].proposed.push(Command::ExpireSender {
                     sender: name(n),
                     boot,
                 });
             }
-            Action::Restarts(n) => {
-                s.left[4] -= 1;
+            Action::Restart(n) => {
+                s.faults_left[4] -= 1;
                 let (boot, stored) = (
                     s.senders[n].boot + 1,
                     std::mem::take(&mut s.senders[n].stored),
@@ -623,15 +623,15 @@
                 };
             }
         }
-        self.look(&mut s);
+        self.check_invariants(&mut s);
         Some(s)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
-            Property::<Self>::always("nothing goes wrong", |_, s: &State| s.wrong.is_empty()),
+            Property::<Self>::always("nothing goes wrong", |_, s: &State| s.violations.is_empty()),
             Property::<Self>::sometimes("a zone goes over", |m: &Rollouts, s: &State| {
-                s.were.len() > usize::from(m.back)
+                s.were_in_force.len() > usize::from(m.back)
             }),
         ];
         fn taken(s: &State, what: fn(&Change) -> bool) -> bool {
@@ -643,7 +643,7 @@
             properties.push(Property::<Self>::sometimes("it is done", |_, s: &State| {
                 s.leaders.iter().any(|l| l.record.policies.past.len() > 1)
             }));
-        } else if self.left[5] > 0 {
+        } else if self.faults_left[5] > 0 {
             properties.push(Property::<Self>::sometimes(
                 "a refusal ends it",
                 |_, s: &State| taken(s, |c| matches!(c, Change::End { .. })),
@@ -658,7 +658,7 @@
     }
 
     fn within_boundary(&self, s: &State) -> bool {
-        s.words.len() <= 8 && s.leaders.iter().all(|l| l.proposed.len() <= 3)
+        s.messages.len() <= 8 && s.leaders.iter().all(|l| l.proposed.len() <= 3)
     }
 }
 
@@ -667,7 +667,7 @@
 fn change(fault: Fault, lapses: u8, restarts: u8) -> Rollouts {
     Rollouts {
         fault,
-        left: [1, 1, 1, lapses, restarts, 0],
+        faults_left: [1, 1, 1, lapses, restarts, 0],
         back: false,
         until: 8 * STEP,
     }
@@ -676,7 +676,7 @@
 fn refusal(fault: Fault) -> Rollouts {
     Rollouts {
         fault,
-        left: [1, 0, 1, 0, 0, 1],
+        faults_left: [1, 0, 1, 0, 0, 1],
         back: false,
         until: 2 * STEP,
     }
@@ -685,19 +685,19 @@
 fn back(fault: Fault, restarts: u8) -> Rollouts {
     Rollouts {
         fault,
-        left: [1 - restarts, 0, 1, 0, restarts, 0],
+        faults_left: [1 - restarts, 0, 1, 0, restarts, 0],
         back: true,
         until: 12 * STEP,
     }
 }
 
-fn check(what: &str, model: Rollouts, most: usize) -> Option<String> {
+fn check(what: &str, model: Rollouts, max_states: usize) -> Option<String> {
     let (fault, begun) = (model.fault, std::time::Instant::now());
     // There are far more sequences than can be explored, and faults appear late in them: so random
     // walks are drawn from a seed, each to its end.
     let checker = model
         .checker()
-        .target_state_count(most)
+        .target_state_count(max_states)
         .spawn_simulation(7, UniformChooser)
         .join();
     let found = checker.discovery("nothing goes wrong");
@@ -717,34 +717,34 @@
         }
     }
     let path = found?;
-    let last = path.last_state().wrong.clone();
+    let last = path.last_state().violations.clone();
     println!("  found: {last:?} by {:?}", path.into_actions());
     Some(format!("{last:?}"))
 }
 
 /// Most states that are explored in CI.
-const MOST: usize = 30_000;
+const MAX_STATES: usize = 30_000;
 
-fn most() -> usize {
+fn max_states() -> usize {
     std::env::var("MODEL_STATES")
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(MOST)
+        .unwrap_or(MAX_STATES)
 }
 
 #[test]
 fn a_zone_goes_over_with_the_word_of_all_that_live() {
     assert_eq!(
-        check("change, lapses", change(Fault::None, 1, 0), most()),
+        check("change, lapses", change(Fault::None, 1, 0), max_states()),
         None
     );
     for (fault, what) in [
-        (Fault::Hasty, "a change without"),
-        (Fault::LapsesEarly, "a change without"),
+        (Fault::CommitsUnconfirmed, "a change without"),
+        (Fault::ExpiresEarly, "a change without"),
         (Fault::SameTurn, "a change without"),
-        (Fault::ObeysEarlier, "two policies"),
+        (Fault::AppliesEarlierTurns, "two policies"),
     ] {
-        let found = check("change, lapses", change(fault, 1, 0), most());
+        let found = check("change, lapses", change(fault, 1, 0), max_states());
         assert!(
             found.as_ref().is_some_and(|f| f.contains(what)),
             "{fault:?}: {found:?}"
@@ -755,23 +755,23 @@
 #[test]
 fn a_sender_that_starts_anew_takes_nothing_on_before_it_has_heard() {
     assert_eq!(
-        check("change, restarts", change(Fault::None, 0, 1), most()),
+        check("change, restarts", change(Fault::None, 0, 1), max_states()),
         None
     );
-    let found = check("back, restarts", back(Fault::TakesUnheard, 1), most());
+    let found = check("back, restarts", back(Fault::AcceptsUninformed, 1), max_states());
     assert!(found.is_some(), "{found:?}");
 }
 
 #[test]
 fn a_refusal_changes_nothing_anywhere() {
-    assert_eq!(check("refusal", refusal(Fault::None), most()), None);
+    assert_eq!(check("refusal", refusal(Fault::None), max_states()), None);
     // A sender that expired before it had checked the policy joins again where it is in force.
     let unchecked = Rollouts {
-        left: [0, 0, 0, 1, 0, 1],
+        faults_left: [0, 0, 0, 1, 0, 1],
         until: 6 * STEP,
-        ..refusal(Fault::TakesUnchecked)
+        ..refusal(Fault::AcceptsUnchecked)
     };
-    let found = check("refusal, lapses", unchecked, most());
+    let found = check("refusal, lapses", unchecked, max_states());
     assert!(
         found.as_ref().is_some_and(|f| f.contains("not checked")),
         "{found:?}"
@@ -780,5 +780,5 @@
 
 #[test]
 fn stages_go_back_one_by_one() {
-    assert_eq!(check("back", back(Fault::None, 0), most()), None);
+    assert_eq!(check("back", back(Fault::None, 0), max_states()), None);
 }
