--- a/src/coordination/config/tests.rs
+++ b/src/coordination/config/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_short_file_is_enough() {
+fn a_file_with_only_required_keys_gets_defaults() {
     let config = Config::from_toml(GOOD).expect("good");
     assert_eq!(
         (config.tick_ms, config.disk_bytes >> 20, config.begin),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn all_faults_are_told_by_name() {
+fn all_faults_are_reported_with_their_key() {
     let text = GOOD
         .replace("\"north\"", "\"no/rth\"")
         .replace(
--- a/src/coordination/framing/tests.rs
+++ b/src/coordination/framing/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn torn_long_and_senseless_frames_are_told_apart() {
+fn truncated_long_and_malformed_frames_are_distinguished() {
     let whole = encode(&hello(), MAX_FRAME_BYTES).expect("short");
     assert_eq!(
         read_blocking::<Handshake>(&mut &whole[..], MAX_FRAME_BYTES).expect("whole"),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn another_form_or_site_is_shut_out() {
+fn another_protocol_version_or_site_is_rejected() {
     assert!(hello().admit("north").is_ok());
     assert!(matches!(
         hello().admit("south"),
@@ -71,13 +71,13 @@
 #[derive(Default)]
 struct Interrupted {
     bytes: Vec<u8>,
-    goes: bool,
+    passes: bool,
 }
 
 impl Interrupted {
     fn call(&mut self) -> io::Result<()> {
-        self.goes = !self.goes;
-        match self.goes {
+        self.passes = !self.passes;
+        match self.passes {
             true => Err(io::ErrorKind::Interrupted.into()),
             false => Ok(()),
         }
@@ -130,7 +130,7 @@
 /// Guards against a frame that is sent only in part, which ends its connection, when a write of it
 /// is interrupted.
 #[test]
-fn a_frame_goes_whole_through_interrupted_writes() {
+fn a_frame_is_written_completely_when_writes_are_interrupted() {
     let mut line = Interrupted::default();
     async_io::block_on(write(&mut line, &hello(), MAX_FRAME_BYTES)).expect("written");
     assert_eq!(
@@ -141,10 +141,10 @@
 
 /// Guards against a connection that ends without a response when a read is interrupted.
 #[test]
-fn a_frame_comes_whole_through_interrupted_reads() {
+fn a_frame_is_read_completely_when_reads_are_interrupted() {
     let line = || Interrupted {
         bytes: encode(&hello(), MAX_FRAME_BYTES).expect("short"),
-        goes: false,
+        passes: false,
     };
     let read: Handshake = async_io::block_on(read(&mut line(), MAX_FRAME_BYTES)).expect("whole");
     assert_eq!(read, hello());
--- a/src/coordination/policy_rollout/document/tests.rs
+++ b/src/coordination/policy_rollout/document/tests.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_line_and_setting() {
+fn all_faults_are_reported_at_once_with_line_and_setting() {
     let text = "listen = 3\nhook = 'fn nothing() {}'\n[limits]\nslots = 0\nroom = \"much\"\nspeed = 3\n\
                 [class.bulk]\npromise_ms = 9\ndeadline_ms = 8\nlate_worth = nan\neffect = \"maybe\"\n\
                 [door]\nclient_share = 2.0\nknown = [\"nowhere\"]\nrate_per_address = -1.0\n";
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn texts_that_mean_the_same_have_one_print() {
+fn texts_of_the_same_meaning_have_the_same_digest() {
     let one = Document::parse(GOOD).expect("good");
     let other = "class.bulk = { points = 1.0, effect = 'token', deadline_ms = 60000 }\nclass.quick = {}\n\
                  door.known = ['127.0.0.1', '10.1.0.0/16', '127.0.0.1/32']\ndoor.class_room.bulk = 0.5\n\
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn it_lies_over_own_settings_and_says_nothing_of_the_rest() {
+fn a_policy_replaces_the_settings_it_names_and_keeps_all_others() {
     let (own, classes) = own();
     let policy = Document::parse(GOOD).expect("good");
     let own_door = Door {
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_sender_names_all_for_which_it_cannot_go_by_it() {
+fn a_sender_reports_every_reason_why_it_cannot_apply_a_policy() {
     let (own, classes) = own();
     let text = "[class.quick]\ndeadline_ms = 1000\n[class.odd]\npoints = 2.0\n[door]\nreserve = 3\nclass_room = { rare = 0.5 }\n";
     let policy = Document::parse(text).expect("good as such");
--- a/src/coordination/policy_rollout/health/tests.rs
+++ b/src/coordination/policy_rollout/health/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_worse_stage_is_found_and_what_strikes_both_is_not() {
+fn a_worse_stage_is_detected_and_a_disturbance_of_both_sides_is_not() {
     let worse = |(at, verdict): (u64, StageVerdict), by: u64| {
         assert!(
             matches!(&verdict, StageVerdict::Worse(why) if why.contains("not delivered in time")),
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn messages_of_the_earlier_policy_say_nothing_of_the_new_one() {
+fn messages_accepted_under_the_earlier_policy_do_not_count() {
     let (mut health, plan) = (RolloutHealth::default(), plan(2));
     health.on_stage_changed(0);
     for span in 1..40 {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn too_few_are_told_by_class() {
+fn too_few_messages_are_reported_by_class() {
     let (mut health, plan) = (RolloutHealth::default(), plan(2));
     health.on_stage_changed(0);
     let few = |verdict: StageVerdict, what: &str| {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn bounds_hold_far_out_and_for_few() {
+fn bounds_hold_in_the_tails_and_for_few_messages() {
     // Three failures of three messages: with an error of one in 1,000 they show no more than that
     // over a tenth of the messages fail.
     let all = ShareEstimate {
--- a/src/coordination/policy_rollout/plan/tests.rs
+++ b/src/coordination/policy_rollout/plan/tests.rs
@@ -1,7 +1,7 @@
 use crate::coordination::policy_rollout::plan::*;
 
 #[test]
-fn a_plan_needs_no_more_than_its_stages() {
+fn a_plan_with_only_stages_gets_defaults() {
     let plan =
         Plan::parse("[[stage]]\nzones = ['a']\n[[stage]]\nzones = ['b', 'c']\n").expect("good");
     assert_eq!(
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn all_faults_are_told_by_line() {
+fn all_faults_are_reported_with_their_line() {
     let text = "soak_s = 0\npause_ms = 'long'\nspeed = 1\n[[stage]]\nzones = []\n[[stage]]\nzone = 'a'\n[health]\nlapsed = 2.0\n";
     let told: Vec<String> = Plan::parse(text)
         .expect_err("bad")
--- a/src/coordination/policy_rollout/register/tests.rs
+++ b/src/coordination/policy_rollout/register/tests.rs
@@ -31,7 +31,7 @@
 const STAGE: [Change; 3] = [Change::Pause, Change::Commit, Change::Next];
 
 #[test]
-fn a_change_that_another_one_came_before_is_void() {
+fn a_change_based_on_an_earlier_turn_has_no_effect() {
     let mut p = Policies::default();
     apply_all(&mut p, &[propose(1), Change::Pause]);
     let before = p.clone();
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn stages_go_over_one_by_one_and_back_in_reverse_under_a_new_number() {
+fn stages_change_in_order_and_roll_back_in_reverse_under_a_new_number() {
     let mut p = Policies::default();
     apply_all(&mut p, &[propose(1)]);
     apply_all(&mut p, &STAGE);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn one_that_is_over_may_be_gone_back_from_whole_and_each_zone_to_its_own() {
+fn a_completed_rollout_can_be_rolled_back_with_each_zone_to_its_own_policy() {
     let mut p = Policies::default();
     apply_all(
         &mut p,
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_refusal_changes_nothing_and_tables_are_bounded() {
+fn an_ended_proposal_changes_nothing_and_texts_and_history_are_bounded() {
     let mut p = Policies::default();
     for n in 0..80 {
         apply_all(
--- a/src/coordination/raft_group/tests.rs
+++ b/src/coordination/raft_group/tests.rs
@@ -7,7 +7,7 @@
 ];
 
 #[test]
-fn a_snapshot_of_an_older_keeper_is_one_without_policies() {
+fn a_snapshot_of_an_older_replica_is_read_without_policies() {
     let mut held: GroupState = GroupState::decode(OLDER).expect("it reads");
     assert_eq!(
         (
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -267,7 +267,7 @@
         self.apply(&mut leader.record, index, &command);
         let record = leader.record.clone();
         if record.policies.turn < turn {
-            s.violations.push("a turn that shrank");
+            s.violations.push("a turn that decreased");
         }
         for zone in ["a", "b"] {
             let (was, is) = (
@@ -291,13 +291,13 @@
                     .iter()
                     .any(|n| self.accepting(s, *n).is_some_and(|number| number != is.number))
             {
-                s.violations.push("a change without the word of all");
+                s.violations.push("a change without all confirmations");
             }
             if here
                 .iter()
                 .any(|n| live(*n) && !s.senders[*n].stored.contains(&is.number))
             {
-                s.violations.push("a change before all had it");
+                s.violations.push("a change before all senders had stored it");
             }
         }
         let leader = &mut s.leaders[at];
@@ -629,8 +629,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
-            Property::<Self>::always("nothing goes wrong", |_, s: &State| s.violations.is_empty()),
-            Property::<Self>::sometimes("a zone goes over", |m: &Rollouts, s: &State| {
+            Property::<Self>::always("no invariant is violated", |_, s: &State| s.violations.is_empty()),
+            Property::<Self>::sometimes("a zone changes its policy", |m: &Rollouts, s: &State| {
                 s.were_in_force.len() > usize::from(m.back)
             }),
         ];
@@ -640,17 +640,17 @@
                 .any(|c| matches!(c, Command::ChangePolicies { change, .. } if what(change)))
         }
         if self.back {
-            properties.push(Property::<Self>::sometimes("it is done", |_, s: &State| {
+            properties.push(Property::<Self>::sometimes("the rollback completes", |_, s: &State| {
                 s.leaders.iter().any(|l| l.record.policies.past.len() > 1)
             }));
         } else if self.faults_left[5] > 0 {
             properties.push(Property::<Self>::sometimes(
-                "a refusal ends it",
+                "a rejection ends the rollout",
                 |_, s: &State| taken(s, |c| matches!(c, Change::End { .. })),
             ));
         } else {
             properties.push(Property::<Self>::sometimes(
-                "a pause is taken back",
+                "a pause is revoked",
                 |_, s: &State| taken(s, |c| matches!(c, Change::TakeBack { .. })),
             ));
         }
@@ -700,7 +700,7 @@
         .target_state_count(max_states)
         .spawn_simulation(7, UniformChooser)
         .join();
-    let found = checker.discovery("nothing goes wrong");
+    let found = checker.discovery("no invariant is violated");
     println!(
         "{what}, fault {fault:?}: {} states, depth {}, {:?}",
         checker.state_count(),
@@ -733,7 +733,7 @@
 }
 
 #[test]
-fn a_zone_goes_over_with_the_word_of_all_that_live() {
+fn a_zone_changes_only_when_all_live_senders_confirmed() {
     assert_eq!(
         check("change, lapses", change(Fault::None, 1, 0), max_states()),
         None
@@ -753,7 +753,7 @@
 }
 
 #[test]
-fn a_sender_that_starts_anew_takes_nothing_on_before_it_has_heard() {
+fn a_restarted_sender_accepts_nothing_before_it_received_its_policy() {
     assert_eq!(
         check("change, restarts", change(Fault::None, 0, 1), max_states()),
         None
@@ -763,7 +763,7 @@
 }
 
 #[test]
-fn a_refusal_changes_nothing_anywhere() {
+fn a_rejected_policy_changes_nothing_in_any_zone() {
     assert_eq!(check("refusal", refusal(Fault::None), max_states()), None);
     // A sender that expired before it had checked the policy joins again where it is in force.
     let unchecked = Rollouts {
@@ -779,6 +779,6 @@
 }
 
 #[test]
-fn stages_go_back_one_by_one() {
+fn stages_roll_back_one_by_one() {
     assert_eq!(check("back", back(Fault::None, 0), max_states()), None);
 }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -21,8 +21,8 @@
 /// Observations of a client on one connection.
 #[derive(Default)]
 struct Client {
-    taken_on: u32,
-    turned_away: u32,
+    accepted: u32,
+    rejected: u32,
     longest: Duration,
     connections: u32,
 }
@@ -61,9 +61,9 @@
         match answer {
             Ok(head) if head.starts_with("HTTP/1.1 202") => {
                 heard.taken_on(&id);
-                seen.taken_on += 1;
+                seen.accepted += 1;
             }
-            Ok(_) => seen.turned_away += 1,
+            Ok(_) => seen.rejected += 1,
             Err(_) => line = None,
         }
         thread::sleep(Duration::from_millis(20));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_sender_goes_from_policy_to_policy_under_load_and_ends_each_message_under_its_own() {
+fn a_sender_changes_policies_under_load_and_finishes_each_message_under_its_own() {
     let (heard, called) = (Arc::<Record>::default(), Arc::<Record>::default());
     let (quick, slow) = (Duration::from_millis(10), Duration::from_millis(1_500));
     let mut targets = vec![
@@ -126,26 +126,26 @@
     let offer = |number: u64, text: String| {
         let digest = Document::parse(&text).expect("usable").digest();
         keeper.told().offer = Some((number, digest, text));
-        wait("stored or refused", || {
+        wait("stored or rejected", || {
             keeper.told().stored.contains_key(&number)
         });
         keeper.told().stored[&number].clone()
     };
     let (mut turn, last) = (1, 12);
     let mut paused = Duration::ZERO;
-    let mut go_by = |number: u64| {
+    let mut apply = |number: u64| {
         let begun = Instant::now();
         let old = keeper.told().rule.map_or(0, |r| r.1);
         for (number, pause) in [(old, true), (number, false)] {
             turn += 1;
             keeper.told().rule = Some((turn, number, pause));
-            wait("its word", || keeper.told().turn == turn);
+            wait("a confirmation", || keeper.told().turn == turn);
         }
         paused = paused.max(begun.elapsed());
     };
     for number in 1..=last {
         assert_eq!(offer(number, policy(number)), None);
-        go_by(number);
+        apply(number);
         thread::sleep(Duration::from_millis(200));
     }
     // A policy that this sender cannot apply is rejected with all its faults, and changes nothing.
@@ -164,23 +164,23 @@
         .map(|c| c.join().expect("a client"))
         .collect();
     let longest = clients.iter().map(|c| c.longest).max().expect("some");
-    let (taken, away): (u32, u32) = clients
+    let (accepted, rejected): (u32, u32) = clients
         .iter()
-        .fold((0, 0), |sum, c| (sum.0 + c.taken_on, sum.1 + c.turned_away));
-    println!("{last} changes, {taken} taken on, {away} turned away; longest gap of a client {longest:?}, longest change {paused:?}");
+        .fold((0, 0), |sum, c| (sum.0 + c.accepted, sum.1 + c.rejected));
+    println!("{last} changes, {accepted} accepted, {rejected} rejected; longest gap of a client {longest:?}, longest change {paused:?}");
     assert!(
         clients.iter().all(|c| c.connections == 1),
         "a connection was dropped"
     );
     assert!(
-        taken > 400 && longest < Duration::from_millis(400),
-        "{taken} {longest:?}"
+        accepted > 400 && longest < Duration::from_millis(400),
+        "{accepted} {longest:?}"
     );
     heard.settle(Duration::from_secs(20));
     let verdict = heard.verdict();
     assert_eq!((verdict.lost, verdict.doubled), (0, 0));
     // Each message is reported once, under the policy that it was accepted under.
-    let told = |of: fn(&MessageOutcomeCounts) -> u32| -> u32 {
+    let reported = |of: fn(&MessageOutcomeCounts) -> u32| -> u32 {
         keeper
             .told()
             .health
@@ -190,10 +190,10 @@
             .map(of)
             .sum()
     };
-    wait("all told", || {
-        told(|h| h.delivered + h.delivered_late + h.deferred + h.failed) == taken
+    wait("all messages reported", || {
+        reported(|h| h.delivered + h.delivered_late + h.deferred + h.failed) == accepted
     });
-    assert_eq!(told(|h| h.accepted), taken);
+    assert_eq!(reported(|h| h.accepted), accepted);
     let policies: std::collections::BTreeSet<u64> = keeper
         .told()
         .health
@@ -214,10 +214,10 @@
     let log = sender.log();
     assert!(!log.said("hook: ended under 12"));
     assert!(!sender.hand_in("new", 0, Duration::from_secs(16), &heard));
-    wait("its end", || log.said("hook: ended under 12"));
+    wait("the end of the pending message", || log.said("hook: ended under 12"));
     // It continues with the record's policy once a keeper answers again.
     keeper.told().away = false;
-    wait("taken on", || {
+    wait("an accepted message", || {
         sender.hand_in("again", 0, Duration::from_secs(16), &heard)
     });
     // An expired lease stops admission, and nothing else.
