--- a/src/coordination/config/tests.rs
+++ b/src/coordination/config/tests.rs
@@ -14,7 +14,7 @@
         at = "127.0.0.1:7103"
     "#;
 
-/// The lines that an operator reads of a file that is refused.
+/// Returns the lines that an operator reads when a file is rejected.
 fn fault_lines(text: &str) -> Vec<String> {
     let faults = Config::from_toml(text).expect_err("a file with faults");
     faults.iter().map(ToString::to_string).collect()
--- a/src/coordination/messages/agent_replica.rs
+++ b/src/coordination/messages/agent_replica.rs
@@ -85,7 +85,7 @@
     PolicyChecked {
         /// Number of the policy.
         number: u64,
-        /// Why the sender cannot apply it, one fault per line; `None` where it is validated and
+        /// Reasons why the sender cannot apply it, one per line; `None` where it is validated and
         /// stored.
         refused: Option<String>,
     },
@@ -104,14 +104,14 @@
 /// Messages from an agent to a replica about routing tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentTableMessage {
-    /// Tables that the sender has validated and stored, by number. Sent right behind
+    /// Tables that the sender has validated and stored, by number. Sent directly after
     /// [`AgentToReplica::OpenSession`].
     StoredTables(Vec<(u64, Digest)>),
     /// Answers [`ReplicaTableMessage::OfferTable`].
     TableChecked {
         /// Number of the table.
         number: u64,
-        /// Why the sender cannot apply it, one fault per line; `None` where it is validated and
+        /// Reasons why the sender cannot apply it, one per line; `None` where it is validated and
         /// stored.
         refused: Option<String>,
     },
--- a/src/coordination/messages/operator_replica.rs
+++ b/src/coordination/messages/operator_replica.rs
@@ -218,7 +218,7 @@
     pub digest: Digest,
     /// Site where it was proposed.
     pub by: String,
-    /// How it ended.
+    /// Description of how it ended.
     pub end: String,
     /// Time from its proposal to its end on the federation's clock, in milliseconds.
     pub took_ms: u64,
@@ -229,7 +229,7 @@
 pub struct PolicyStatus {
     /// The last turn.
     pub turn: u64,
-    /// What is in force in each zone.
+    /// Policy in force in each zone.
     pub zones: Vec<ZonePolicy>,
     /// Rollout in progress.
     pub rollout: Option<RolloutStatus>,
@@ -237,7 +237,7 @@
     pub done: Option<PastRollout>,
 }
 
-/// What is in force in a zone.
+/// The policy in force in a zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZonePolicy {
     /// The zone.
@@ -290,7 +290,7 @@
     pub in_force: u32,
     /// Number of all its stages.
     pub stages: u32,
-    /// How it ended.
+    /// Description of how it ended.
     pub end: String,
     /// Number of times that it was halted.
     pub halts: u32,
--- a/src/coordination/policy_rollout/register.rs
+++ b/src/coordination/policy_rollout/register.rs
@@ -119,7 +119,7 @@
     pub digest: Digest,
     /// Number of stages in which the policy was in force, and number of all stages.
     pub stages: (u32, u32),
-    /// How the rollout ended.
+    /// Description of how the rollout ended.
     pub end: String,
     /// Number of times that it was halted.
     pub halts: u32,
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -39,11 +39,11 @@
 /// Time for which senders have to be missing from a stage before that counts: a sender that
 /// restarts is back within it.
 const MISSING_GRACE: Nanos = 10 * SECOND;
-/// Time without a leader after which a rollout halts, as nobody observed the senders meanwhile.
+/// Time without a leader after which a rollout halts, as the senders were not observed meanwhile.
 /// Five elections fit in it.
 const MAX_LEADERLESS: Nanos = 10 * SECOND;
 
-/// Runs the rollout of policies while this replica leads.
+/// State of the policy rollouts that a leader runs.
 #[derive(Clone, Debug)]
 pub struct Roll {
     begun: Nanos,
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -56,7 +56,7 @@
     /// is 0 for none.
     connection: (u64, u64),
     lease: bool,
-    /// What it has received since it obtained its lease: the policy's number, and whether admission
+    /// The policy that it has received since it obtained its lease: the number, and whether admission
     /// is paused.
     received: Option<(u64, bool)>,
     turn: u64,
@@ -72,7 +72,7 @@
     /// Messages in flight to senders: the receiver, its connection, and the message.
     messages: Vec<(usize, (u64, u64), ReplicaToAgent)>,
     connections: u64,
-    /// How often each fault may still occur: elections, losses (and returns to a deposed leader),
+    /// Number of times that each fault may still occur: elections, losses (and returns to a deposed leader),
     /// duplicates, expired leases, restarts, rejections.
     faults_left: [u8; 6],
     /// Policies that were in force somewhere.
