--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -65,7 +65,7 @@
     observed_since: Nanos,
     /// Result of the last check of the counts.
     verdict: Option<StageVerdict>,
-    /// Whether no replica may have led for [`MAX_LEADERLESS`] or longer.
+    /// Whether it is possible that no replica led for [`MAX_LEADERLESS`] or longer.
     leaderless: bool,
     /// Time at which admission was last seen paused for a routing table.
     table_paused_at: Option<Nanos>,
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -56,8 +56,8 @@
     /// is 0 for none.
     connection: (u64, u64),
     lease: bool,
-    /// The policy that it has received since it obtained its lease: the number, and whether admission
-    /// is paused.
+    /// The policy that it has received since it obtained its lease: the number, and whether
+    /// admission is paused.
     received: Option<(u64, bool)>,
     turn: u64,
     stored: BTreeSet<u64>,
@@ -72,8 +72,8 @@
     /// Messages in flight to senders: the receiver, its connection, and the message.
     messages: Vec<(usize, (u64, u64), ReplicaToAgent)>,
     connections: u64,
-    /// Number of times that each fault may still occur: elections, losses (and returns to a deposed leader),
-    /// duplicates, expired leases, restarts, rejections.
+    /// Number of times that each fault may still occur: elections, losses (and returns to a deposed
+    /// leader), duplicates, expired leases, restarts, rejections.
     faults_left: [u8; 6],
     /// Policies that were in force somewhere.
     were_in_force: BTreeSet<u64>,
