--- a/src/coordination/bootstrap.rs
+++ b/src/coordination/bootstrap.rs
@@ -85,7 +85,9 @@
     /// for it.
     pub fn learn_incarnation(&mut self, replica: u64, incarnation: u64) -> PeerAdmission {
         if !self.peers.contains(&replica) {
-            return PeerAdmission::Rejected(format!("keeper {replica} is not one of the first keepers of the group"));
+            return PeerAdmission::Rejected(format!(
+                "keeper {replica} is not one of the first keepers of the group"
+            ));
         }
         match self.checkpoint.known_incarnations.get(&replica) {
             Some(known) if *known == incarnation => PeerAdmission::Known,
--- a/src/coordination/config/tests.rs
+++ b/src/coordination/config/tests.rs
@@ -67,14 +67,14 @@
          [[federation.site]]\nnumber = 0\nname = \"south\"\nat = []\n"
     );
     let faults = fault_lines(&text);
-    let told: Vec<&str> = faults.iter().filter_map(|f| f.split(": ").next()).collect();
+    let keys: Vec<&str> = faults.iter().filter_map(|f| f.split(": ").next()).collect();
     let fields = "name formerly formerly lease_s fence_s tick_ms site[0].number site[0].name site[0].at[0] site[0].at[1] \
                   site[1].number site[1].at";
     let fields: Vec<String> = fields
         .split_whitespace()
         .map(|f| format!("federation.{f}"))
         .collect();
-    assert_eq!(told, fields, "{faults:#?}");
+    assert_eq!(keys, fields, "{faults:#?}");
     let unknown = fault_lines(&format!("colour = 1\n{GOOD}"));
     assert!(unknown[0].contains("colour"), "{unknown:?}");
     let typed = fault_lines(&GOOD.replace("127.0.0.1:7103", "here"));
--- a/src/coordination/framing/tests.rs
+++ b/src/coordination/framing/tests.rs
@@ -22,8 +22,8 @@
     let read: Handshake = async_io::block_on(read(&mut slow, MAX_FRAME_BYTES)).expect("whole");
     assert_eq!(read, hello());
     for torn in 1..whole.len() {
-        let told = read_blocking::<Handshake>(&mut &whole[..torn], MAX_FRAME_BYTES);
-        assert!(matches!(told, Err(FrameError::Io(_))), "{torn}: {told:?}");
+        let result = read_blocking::<Handshake>(&mut &whole[..torn], MAX_FRAME_BYTES);
+        assert!(matches!(result, Err(FrameError::Io(_))), "{torn}: {result:?}");
     }
     assert!(matches!(
         read_blocking::<Handshake>(&mut &[][..], MAX_FRAME_BYTES),
--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -223,7 +223,9 @@
     }
 }
 
-fn not_after_deadline(deadline: &Option<u64>) -> impl FnOnce(&Option<u64>, &()) -> garde::Result + '_ {
+fn not_after_deadline(
+    deadline: &Option<u64>,
+) -> impl FnOnce(&Option<u64>, &()) -> garde::Result + '_ {
     move |promise, ()| match (promise, deadline) {
         (Some(promise), Some(deadline)) if promise > deadline => Err(garde::Error::new(format!(
             "{promise} is later than deadline_ms, which is {deadline}"
@@ -429,18 +431,18 @@
     }
 
     /// Converts faults of the form `name: problem`, as settings report them.
-    fn faults_of_settings(&self, told: Vec<String>) -> Vec<Fault> {
-        let split = |told: &String| match told.split_once(": ") {
+    fn faults_of_settings(&self, texts: Vec<String>) -> Vec<Fault> {
+        let split = |text: &String| match text.split_once(": ") {
             Some((setting, problem)) => self.fault(setting, problem),
-            None => self.fault("", told.as_str()),
+            None => self.fault("", text.as_str()),
         };
-        told.iter().map(split).collect()
+        texts.iter().map(split).collect()
     }
 }
 
 impl ClassTerms {
     fn lay_over(&self, class: &mut Class) {
-        let ms = |told: Option<u64>, own| told.map_or(own, |ms| ms * MS);
+        let ms = |set: Option<u64>, own| set.map_or(own, |ms| ms * MS);
         class.latency_objective = ms(self.promise_ms, class.latency_objective);
         class.deadline = ms(self.deadline_ms, class.deadline);
         class.dedup_window = ms(self.window_ms, class.dedup_window);
@@ -580,11 +582,11 @@
     pub(in crate::coordination) fn fields<T: DeserializeOwned + Default>(
         &self,
         at: &str,
-        told: &Table,
+        table: &Table,
         faults: &mut Vec<Fault>,
     ) -> T {
-        let mut good = told.clone();
-        for (key, value) in told {
+        let mut good = table.clone();
+        for (key, value) in table {
             let one = Table::from_iter([(key.clone(), value.clone())]);
             if let Err(e) = one.try_into::<T>() {
                 let setting = if at.is_empty() {
--- a/src/coordination/policy_rollout/document/tests.rs
+++ b/src/coordination/policy_rollout/document/tests.rs
@@ -42,7 +42,7 @@
                 [class.bulk]\npromise_ms = 9\ndeadline_ms = 8\nlate_worth = nan\neffect = \"maybe\"\n\
                 [door]\nclient_share = 2.0\nknown = [\"nowhere\"]\nrate_per_address = -1.0\n";
     let faults = Document::parse(text).expect_err("refused");
-    let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let reported: Vec<String> = faults.iter().map(Fault::to_string).collect();
     for named in [
         "line 1: listen: no policy",
         "line 2: hook: defines neither",
@@ -56,15 +56,15 @@
         "line 15: door.rate_per_address: -1 is not",
     ] {
         assert!(
-            told.iter().any(|t| t.starts_with(named)),
-            "{named}: {told:#?}"
+            reported.iter().any(|t| t.starts_with(named)),
+            "{named}: {reported:#?}"
         );
     }
     assert!(
-        told.iter().any(|t| t.contains("door.client_share")),
-        "{told:#?}"
+        reported.iter().any(|t| t.contains("door.client_share")),
+        "{reported:#?}"
     );
-    assert_eq!(told.len(), 11, "{told:#?}");
+    assert_eq!(reported.len(), 11, "{reported:#?}");
     let torn = Document::parse("[limits\nslots = = 3\n").expect_err("no TOML");
     assert!(
         torn.iter().any(|f| f.line == Some(1)) && torn.iter().any(|f| f.line == Some(2)),
@@ -150,7 +150,7 @@
     let faults = policy
         .lay_over(&own, &classes, &Door::default())
         .expect_err("not here");
-    let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let reported: Vec<String> = faults.iter().map(Fault::to_string).collect();
     for named in [
         "line 1: class.quick: wanted within 3000 ms",
         "line 3: class.odd: this sender",
@@ -158,11 +158,11 @@
         "line 7: door.class_room: settings",
     ] {
         assert!(
-            told.iter().any(|t| t.starts_with(named)),
-            "{named}: {told:#?}"
+            reported.iter().any(|t| t.starts_with(named)),
+            "{named}: {reported:#?}"
         );
     }
-    assert_eq!(told.len(), 4, "{told:#?}");
+    assert_eq!(reported.len(), 4, "{reported:#?}");
     let none = Settings {
         max_in_flight_calls: 0,
         ..own
--- a/src/coordination/policy_rollout/plan.rs
+++ b/src/coordination/policy_rollout/plan.rs
@@ -190,15 +190,18 @@
                 for (n, stage) in stages.iter().enumerate() {
                     let at = format!("stage[{n}]");
                     match stage {
-                        toml::Value::Table(t) => plan.stage.push(source.fields(&at, t, &mut faults)),
+                        toml::Value::Table(t) => {
+                            plan.stage.push(source.fields(&at, t, &mut faults))
+                        }
                         _ => faults.push(source.fault(&at, "is not a table")),
                     }
                 }
             }
             Some(_) => faults.push(source.fault("stage", "is not an array of tables, [[stage]]")),
-            None => {
-                faults.push(source.fault("stage", "not set; each zone of the site has to be in exactly one stage"))
-            }
+            None => faults.push(source.fault(
+                "stage",
+                "not set; each zone of the site has to be in exactly one stage",
+            )),
         }
         match health {
             Some(toml::Value::Table(t)) => plan.health = source.fields("health", &t, &mut faults),
@@ -214,7 +217,10 @@
             );
         }
         if plan.most_soak_s.is_some_and(|most| most < plan.soak_s) {
-            faults.push(source.fault("most_soak_s", format!("less than soak_s, which is {}", plan.soak_s)));
+            faults.push(source.fault(
+                "most_soak_s",
+                format!("less than soak_s, which is {}", plan.soak_s),
+            ));
         }
         faults.sort();
         faults.dedup();
--- a/src/coordination/policy_rollout/plan/tests.rs
+++ b/src/coordination/policy_rollout/plan/tests.rs
@@ -25,7 +25,7 @@
 #[test]
 fn all_faults_are_reported_with_their_line() {
     let text = "soak_s = 0\npause_ms = 'long'\nspeed = 1\n[[stage]]\nzones = []\n[[stage]]\nzone = 'a'\n[health]\nlapsed = 2.0\n";
-    let told: Vec<String> = Plan::parse(text)
+    let reported: Vec<String> = Plan::parse(text)
         .expect_err("bad")
         .iter()
         .map(Fault::to_string)
@@ -36,12 +36,12 @@
         "line 7: stage[1].zone: unknown",
     ] {
         assert!(
-            told.iter().any(|t| t.starts_with(named)),
-            "{named}: {told:#?}"
+            reported.iter().any(|t| t.starts_with(named)),
+            "{named}: {reported:#?}"
         );
     }
     let text = "soak_s = 0\nmost_soak_s = 0\n[[stage]]\nzones = []\n[[stage]]\nzones = ['a', 'b', 'a']\n[health]\nlapsed = 2.0\n";
-    let told: Vec<String> = Plan::parse(text)
+    let reported: Vec<String> = Plan::parse(text)
         .expect_err("bad")
         .iter()
         .map(Fault::to_string)
@@ -55,8 +55,8 @@
     ];
     for named in named {
         assert!(
-            told.iter().any(|t| t.starts_with(named)),
-            "{named}: {told:#?}"
+            reported.iter().any(|t| t.starts_with(named)),
+            "{named}: {reported:#?}"
         );
     }
     assert!(Plan::parse("").expect_err("none")[0]
--- a/src/coordination/policy_rollout/register/tests.rs
+++ b/src/coordination/policy_rollout/register/tests.rs
@@ -184,5 +184,8 @@
             Change::Back { own: [0; 32] },
         ],
     );
-    assert!(p.check_capacity(&plan(&[&["a"]]), 200).is_ok() && p.check_capacity(&plan(&[&["z"]]), 1).is_err());
+    assert!(
+        p.check_capacity(&plan(&[&["a"]]), 200).is_ok()
+            && p.check_capacity(&plan(&[&["z"]]), 1).is_err()
+    );
 }
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -146,7 +146,7 @@
         &mut self,
         now: Nanos,
         zone: &str,
-        told: &[messages::MessageOutcomeCounts],
+        outcomes: &[messages::MessageOutcomeCounts],
         record: &Record,
     ) {
         let Some(r) = &record.policies.rollout else {
@@ -156,7 +156,7 @@
             return;
         };
         let only = (stage < r.in_force()).then(|| r.to.get(zone).copied().unwrap_or_default());
-        self.health.record_report(now, stage, only, told);
+        self.health.record_report(now, stage, only, outcomes);
     }
 
     /// Updates the state after a change of policies was applied to the record.
@@ -246,7 +246,7 @@
         zone: &str,
         record: &Record,
         offers: &mut usize,
-        say: &mut dyn FnMut(ReplicaToAgent),
+        send: &mut dyn FnMut(ReplicaToAgent),
     ) {
         let policies = &record.policies;
         if !self
@@ -262,7 +262,7 @@
             .claim_announcement(now, sender, register.turn, policies.turn)
         {
             let turn = policies.turn;
-            say(ReplicaToAgent::ApplyPolicy {
+            send(ReplicaToAgent::ApplyPolicy {
                 turn,
                 number: register.number,
                 paused: register.paused,
@@ -281,7 +281,7 @@
                 .registry
                 .claim_offer(now, sender, *number, &text.digest, offers)
             {
-                say(ReplicaToAgent::OfferPolicy {
+                send(ReplicaToAgent::OfferPolicy {
                     number: *number,
                     digest: text.digest,
                     text: text.text.clone(),
@@ -303,7 +303,11 @@
     }
 
     /// Returns the live senders that have not confirmed the turn of their zone's register.
-    fn without_confirmation<'a>(&'a self, record: &'a Record, zones: &'a [String]) -> Vec<&'a String> {
+    fn without_confirmation<'a>(
+        &'a self,
+        record: &'a Record,
+        zones: &'a [String],
+    ) -> Vec<&'a String> {
         let turn = |m: &RosterEntry| record.policies.register(&m.zone).turn;
         self.registry
             .unconfirmed(record, |m| zones.contains(&m.zone), turn)
@@ -349,7 +353,7 @@
 
     /// Returns what the stage lacks, once it has been lacking for [`MISSING_GRACE`].
     fn missing_for_long(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<String> {
-        let told = match Roll::zone_without_senders(record, r.zones()) {
+        let lack = match Roll::zone_without_senders(record, r.zones()) {
             Some(zone) => Some(format!("zone {zone}: none of its senders holds a lease")),
             None if r.step == Step::Soaking && r.back_of == 0 => {
                 let own = record
@@ -369,11 +373,11 @@
         };
         // The senders that are missing may change; the time counts for which any are missing.
         let kind = |why: &String| why.split(':').next().map(str::to_string);
-        let since = match (&self.missing, &told) {
-            (Some((why, since)), Some(told)) if kind(why) == kind(told) => *since,
+        let since = match (&self.missing, &lack) {
+            (Some((why, since)), Some(lack)) if kind(why) == kind(lack) => *since,
             _ => now,
         };
-        self.missing = told.map(|told| (told, since));
+        self.missing = lack.map(|lack| (lack, since));
         self.missing
             .as_ref()
             .filter(|(_, since)| now >= since + MISSING_GRACE)
@@ -517,7 +521,9 @@
                     StageVerdict::Worse(why) => {
                         halt(format!("stage {} is worse: {why}", r.stage + 1))
                     }
-                    StageVerdict::TooFewMessages(what) if passed >= r.plan.max_soak_s() * SECOND => {
+                    StageVerdict::TooFewMessages(what)
+                        if passed >= r.plan.max_soak_s() * SECOND =>
+                    {
                         halt(format!(
                             "too few to judge stage {}: {what} in {} s",
                             r.stage + 1,
@@ -541,10 +547,14 @@
     ///
     /// # Errors
     /// The reason why the request is rejected.
-    pub fn order(&self, word: &OperatorRequest, record: &Record) -> Result<Option<Change>, String> {
+    pub fn order(
+        &self,
+        request: &OperatorRequest,
+        record: &Record,
+    ) -> Result<Option<Change>, String> {
         let p = &record.policies;
         let runs = || p.rollout.as_ref().ok_or("no rollout runs".to_string());
-        match word {
+        match request {
             OperatorRequest::ProposePolicy { text, plan } => self.propose(text, plan, record),
             OperatorRequest::HaltRollout { why } => Ok(match &runs()?.halted {
                 Some(_) => None,
@@ -562,7 +572,9 @@
                 (Some(_), ..) | (None, Some(_), _) => Ok(Some(Change::Back {
                     own: Document::default().digest(),
                 })),
-                _ => Err("no rollout runs, and there is no completed one that can be rolled back".into()),
+                _ => Err(
+                    "no rollout runs, and there is no completed one that can be rolled back".into(),
+                ),
             },
             _ => Err("the request does not concern policies".into()),
         }
@@ -625,9 +637,9 @@
             .filter(|LiveSender { known, .. }| known.is_some_and(|k| !k.has_reported()));
         let without_policies: Vec<&String> = without_policies.map(|sender| sender.name).collect();
         if !without_policies.is_empty() {
-            let told = format_names(&without_policies);
+            let names = format_names(&without_policies);
             faults.push(format!(
-                "{told}: the fleet file has no table [policy], so these senders follow no policy"
+                "{names}: the fleet file has no table [policy], so these senders follow no policy"
             ));
         }
         match faults.is_empty() {
@@ -670,7 +682,10 @@
                     self.without_policy(record, r, &all),
                     "to check it and write it down",
                 ),
-                Step::Paused => (self.without_confirmation(record, r.zones()), "to take nothing on"),
+                Step::Paused => (
+                    self.without_confirmation(record, r.zones()),
+                    "to take nothing on",
+                ),
                 Step::Soaking => (self.without_confirmation(record, r.zones()), "to go by it"),
             };
             let passed = now.saturating_sub(self.step_seen.1) / SECOND;
--- a/src/coordination/raft_log/item.rs
+++ b/src/coordination/raft_log/item.rs
@@ -261,7 +261,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnreadableLog {
     /// A checkpoint of a format version that this program does not know.
-    #[error("the checkpoint has format version {0}, this program knows {OLDEST_FORMAT_VERSION} to {FORMAT_VERSION}")]
+    #[error(
+        "the checkpoint has format version {0}, this program knows {OLDEST_FORMAT_VERSION} to \
+         {FORMAT_VERSION}"
+    )]
     Form(u16),
     /// Entries between the checkpoint and the last entry are missing.
     #[error("log entries are missing")]
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -455,7 +455,11 @@
         (0..3).for_each(|n| self.open_session(&mut s, 0, n));
         // The first messages arrive: the policy is offered, and the register is known.
         for _ in 0..20 {
-            let Some((n, connection, message)) = s.messages.first().cloned().filter(|_| self.faults_left[5] == 0)
+            let Some((n, connection, message)) = s
+                .messages
+                .first()
+                .cloned()
+                .filter(|_| self.faults_left[5] == 0)
             else {
                 break;
             };
@@ -491,7 +495,9 @@
             if s.faults_left[2] > 0 {
                 actions.push(Action::Deliver(at, false, true));
             }
-            if s.faults_left[5] > 0 && matches!(s.messages[at].2, ReplicaToAgent::OfferPolicy { .. }) {
+            if s.faults_left[5] > 0
+                && matches!(s.messages[at].2, ReplicaToAgent::OfferPolicy { .. })
+            {
                 actions.push(Action::Reject(at));
             }
         }
@@ -629,7 +635,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
-            Property::<Self>::always("no invariant is violated", |_, s: &State| s.violations.is_empty()),
+            Property::<Self>::always("no invariant is violated", |_, s: &State| {
+                s.violations.is_empty()
+            }),
             Property::<Self>::sometimes("a zone changes its policy", |m: &Rollouts, s: &State| {
                 s.were_in_force.len() > usize::from(m.back)
             }),
