--- a/src/coordination/policy_rollout/register.rs
+++ b/src/coordination/policy_rollout/register.rs
@@ -181,7 +181,7 @@
     pub at: u64,
     /// Register of each zone.
     pub zones: BTreeMap<String, Register>,
-    /// Number of the last policy that was given one.
+    /// Highest policy number that was assigned.
     pub given: u64,
     /// Stored policies by number.
     pub texts: BTreeMap<u64, Text>,
