--- a/src/coordination/config/tests.rs
+++ b/src/coordination/config/tests.rs
@@ -14,14 +14,14 @@
         at = "127.0.0.1:7103"
     "#;
 
-/// The lines that an operator reads of a file that is refused.
+/// Returns the lines that an operator reads when a file is rejected.
 fn fault_lines(text: &str) -> Vec<String> {
     let faults = Config::from_toml(text).expect_err("a file with faults");
     faults.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn a_short_file_is_enough() {
+fn a_file_with_only_required_keys_gets_defaults() {
     let config = Config::from_toml(GOOD).expect("good");
     assert_eq!(
         (config.tick_ms, config.disk_bytes >> 20, config.begin),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn all_faults_are_told_by_name() {
+fn all_faults_are_reported_with_their_key() {
     let text = GOOD
         .replace("\"north\"", "\"no/rth\"")
         .replace(
@@ -67,14 +67,14 @@
          [[federation.site]]\nnumber = 0\nname = \"south\"\nat = []\n"
     );
     let faults = fault_lines(&text);
-    let told: Vec<&str> = faults.iter().filter_map(|f| f.split(": ").next()).collect();
+    let keys: Vec<&str> = faults.iter().filter_map(|f| f.split(": ").next()).collect();
     let fields = "name formerly formerly lease_s fence_s tick_ms site[0].number site[0].name site[0].at[0] site[0].at[1] \
                   site[1].number site[1].at";
     let fields: Vec<String> = fields
         .split_whitespace()
         .map(|f| format!("federation.{f}"))
         .collect();
-    assert_eq!(told, fields, "{faults:#?}");
+    assert_eq!(keys, fields, "{faults:#?}");
     let unknown = fault_lines(&format!("colour = 1\n{GOOD}"));
     assert!(unknown[0].contains("colour"), "{unknown:?}");
     let typed = fault_lines(&GOOD.replace("127.0.0.1:7103", "here"));
--- a/src/coordination/config/validate.rs
+++ b/src/coordination/config/validate.rs
@@ -1,5 +1,5 @@
-//! The checks of a file's values. All faults are collected; each names its key, what came and what
-//! is expected.
+//! Checks of a file's values. All faults are collected; each names its key, the value found and the
+//! value expected.
 
 use super::error::ConfigFault;
 use super::file::{ConfigFile, FederationFile, PeerEntry, SiteEntry};
@@ -12,31 +12,32 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Megabytes of a folder: of the least, sixteen segments hold a snapshot of the longest kind each.
+/// Disk space of a folder, in megabytes: with the least, each of sixteen segments can hold the
+/// longest snapshot.
 const DISK_MB: RangeInclusive<u64> = 20..=4096;
-/// Length of a tick, in milliseconds: shorter ones are less than what a busy machine loses, longer
+/// Length of a tick, in milliseconds: shorter ticks are within the delays of a busy machine; longer
 /// ones leave a site without a leader for more than two seconds.
 const TICK_MS: RangeInclusive<u64> = 10..=100;
-/// Replicas that a file may name: more of them only make every commit slower.
+/// Most replicas that a file may name: more of them only make every commit slower.
 const MAX_REPLICAS: usize = 9;
 
-/// Length of a tick in the federation, in milliseconds: an election takes 10 to 20 of them, so the
-/// shortest one bears round trips of some 100 ms, and with the longest one a site that led is
-/// missed for 10 s.
+/// Length of a tick in the federation, in milliseconds. An election takes 10 to 20 ticks, so the
+/// shortest one tolerates round trips of some 100 ms, and with the longest one the loss of the
+/// leading site takes up to 10 s to repair.
 const FEDERATION_TICK_MS: RangeInclusive<u32> = 20..=500;
 /// Lease of a site, in seconds.
 const LEASE_S: RangeInclusive<u32> = 5..=3_600;
-/// Longest fence, in seconds; the shortest one is derived.
+/// Longest fence time, in seconds; the shortest one is derived from the rules.
 const MAX_FENCE_S: u32 = 3_600;
-/// What a stop of admission takes to come into force beyond what the leases of senders say, in
+/// Time that a stop of admission takes to become effective in addition to the leases of senders, in
 /// milliseconds.
 const FENCE_MARGIN_MS: u32 = 2_000;
 
 const NUMBERS_BEGIN: &str = "numbers begin at 1";
 const NAMED_TWICE: &str = "named twice";
-const UNREACHABLE: &str = "nobody can be reached there";
+const UNREACHABLE: &str = "nothing can be reached at this address";
 
-/// All faults of a file.
+/// Returns all faults of a file.
 pub(super) fn faults(file: &ConfigFile) -> Vec<ConfigFault> {
     let mut faults = FaultList::default();
     check_replica(file, &mut faults);
@@ -48,7 +49,7 @@
         !file.begin || voters % 2 == 1,
         "begin",
         format!("{voters} keepers"),
-        "an odd number begins, since one more bears no more losses",
+        "the first start needs an odd number, since one keeper more tolerates no more failures",
     );
     if let Some(federation) = &file.federation {
         faults.prefix = "federation.";
@@ -60,16 +61,16 @@
     faults.list
 }
 
-/// Faults that are found, in the order of the checks.
+/// Faults that were found, in the order of the checks.
 #[derive(Default)]
 struct FaultList {
-    /// Stands before each key.
+    /// Prefix of each key.
     prefix: &'static str,
     list: Vec<ConfigFault>,
 }
 
 impl FaultList {
-    /// Notes a fault with the value that came, unless the condition holds.
+    /// Adds a fault with the value found, unless the condition holds.
     fn require(
         &mut self,
         holds: bool,
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Notes a fault without a value, unless the condition holds.
+    /// Adds a fault without a value, unless the condition holds.
     fn require_key(&mut self, holds: bool, key: impl Display, expected: impl Display) {
         if !holds {
             self.push(key, None, expected);
@@ -90,7 +91,7 @@
     }
 
     fn require_name(&mut self, key: impl Display, name: &str) {
-        let expected = format!("1 to {MAX_NAME_BYTES} letters, digits, -, _ or . are a name");
+        let expected = format!("a name has 1 to {MAX_NAME_BYTES} letters, digits, -, _ or .");
         self.require(is_valid_name(name), key, format!("{name:?}"), expected);
     }
 
@@ -100,7 +101,7 @@
         key: impl Display,
         found: T,
     ) {
-        let expected = format!("{} to {} may be", range.start(), range.end());
+        let expected = format!("has to be from {} to {}", range.start(), range.end());
         self.require(range.contains(&found), key, found, expected);
     }
 
@@ -120,21 +121,21 @@
         !file.listen.ip().is_unspecified(),
         "listen",
         file.listen,
-        "a keeper listens on one address, never on all",
+        "a keeper has to listen on one address, not on all",
     );
     let has_folder = !file.folder.as_os_str().is_empty();
-    faults.require_key(has_folder, "state", "a folder is needed");
+    faults.require_key(has_folder, "state", "a folder has to be set");
     faults.require_in(&DISK_MB, "disk_mb", file.disk_mb);
     faults.require_in(&TICK_MS, "tick_ms", file.tick_ms);
     faults.require_key(
         file.peers.len() < MAX_REPLICAS,
         "peer",
-        format!("{} of them, {} may be", file.peers.len(), MAX_REPLICAS - 1),
+        format!("{} entries, at most {} are allowed", file.peers.len(), MAX_REPLICAS - 1),
     );
     faults.require_key(
         !file.agents.is_empty(),
         "agents",
-        "without an address nobody may speak",
+        "without an address no agent or operator may connect",
     );
 }
 
@@ -147,7 +148,7 @@
         *replica != file.replica,
         &key,
         replica,
-        "that is this keeper",
+        "this is the number of the keeper itself",
     );
     let is_new = before.iter().all(|p| p.replica != *replica);
     faults.require(is_new, &key, replica, NAMED_TWICE);
@@ -170,12 +171,12 @@
         federation.formerly != Some(number),
         "formerly",
         number,
-        "that is its number now",
+        "this is the current number of the site",
     );
     faults.require_key(
         !federation.begin || federation.formerly.is_none(),
         "formerly",
-        "a federation that begins has had no site before",
+        "a site cannot have had another number in a federation that starts for the first time",
     );
     faults.require_in(&LEASE_S, "lease_s", federation.lease_s);
     let least = least_fence_s(&file.rules);
@@ -184,7 +185,7 @@
         "fence_s",
         federation.fence_s,
         format!(
-            "{least} to {MAX_FENCE_S} may be, as rules.lease_ms is {}",
+            "has to be from {least} to {MAX_FENCE_S}, as rules.lease_ms is {}",
             file.rules.lease_ms
         ),
     );
@@ -193,12 +194,13 @@
     faults.require_key(
         federation.sites.len() <= max_sites,
         "site",
-        format!("{} of them, {max_sites} may be", federation.sites.len()),
+        format!("{} entries, at most {max_sites} are allowed", federation.sites.len()),
     );
 }
 
-/// Shortest fence, in seconds. Senders whose replicas were cut off from each other when admission
-/// was to stop go on for the length of their lease, by a clock that may be two percent slow.
+/// Returns the shortest fence time, in seconds. Senders whose replicas were cut off from each other
+/// when admission was to stop continue for the length of their lease, by a clock that may be two
+/// percent slow.
 fn least_fence_s(rules: &LeaderRules) -> u32 {
     let lease_ms =
         (rules.lease_ms.saturating_add(rules.heartbeat_valid_ms) / 100).saturating_mul(102);
@@ -227,7 +229,7 @@
         *number != federation.number,
         &key,
         number,
-        "that is this site",
+        "this is the number of the site itself",
     );
     let is_new = before.iter().all(|s| s.number != *number);
     faults.require(is_new, &key, number, NAMED_TWICE);
@@ -239,7 +241,7 @@
         (1..=MAX_ADDRESSES_PER_SITE).contains(&addresses.len()),
         format!("site[{n}].at"),
         format!(
-            "{} addresses, 1 to {MAX_ADDRESSES_PER_SITE} may be",
+            "{} addresses, 1 to {MAX_ADDRESSES_PER_SITE} are allowed",
             addresses.len()
         ),
     );
--- a/src/coordination/policy_rollout/document/tests.rs
+++ b/src/coordination/policy_rollout/document/tests.rs
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_line_and_setting() {
+fn all_faults_are_reported_at_once_with_line_and_setting() {
     let text = "listen = 3\nhook = 'fn nothing() {}'\n[limits]\nslots = 0\nroom = \"much\"\nspeed = 3\n\
                 [class.bulk]\npromise_ms = 9\ndeadline_ms = 8\nlate_worth = nan\neffect = \"maybe\"\n\
                 [door]\nclient_share = 2.0\nknown = [\"nowhere\"]\nrate_per_address = -1.0\n";
     let faults = Document::parse(text).expect_err("refused");
-    let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let reported: Vec<String> = faults.iter().map(Fault::to_string).collect();
     for named in [
         "line 1: listen: no policy",
         "line 2: hook: defines neither",
@@ -56,15 +56,15 @@
         "line 15: door.rate_per_address: -1 is not",
     ] {
         assert!(
-            told.iter().any(|t| t.starts_with(named)),
-            "{named}: {told:#?}"
+            reported.iter().any(|t| t.starts_with(named)),
+            "{named}: {reported:#?}"
         );
     }
     assert!(
-        told.iter().any(|t| t.contains("door.client_share")),
-        "{told:#?}"
+        reported.iter().any(|t| t.contains("door.client_share")),
+        "{reported:#?}"
     );
-    assert_eq!(told.len(), 11, "{told:#?}");
+    assert_eq!(reported.len(), 11, "{reported:#?}");
     let torn = Document::parse("[limits\nslots = = 3\n").expect_err("no TOML");
     assert!(
         torn.iter().any(|f| f.line == Some(1)) && torn.iter().any(|f| f.line == Some(2)),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn texts_that_mean_the_same_have_one_print() {
+fn texts_of_the_same_meaning_have_the_same_digest() {
     let one = Document::parse(GOOD).expect("good");
     let other = "class.bulk = { points = 1.0, effect = 'token', deadline_ms = 60000 }\nclass.quick = {}\n\
                  door.known = ['127.0.0.1', '10.1.0.0/16', '127.0.0.1/32']\ndoor.class_room.bulk = 0.5\n\
@@ -101,7 +101,7 @@
         .map(|(name, ..)| name.clone())
         .collect();
     assert_eq!(changed, ["class.bulk.deadline_ms", "limits.slots"]);
-    // A print never changes: senders and keepers of different programs compare it.
+    // The digest must not change: senders and keepers of different program versions compare it.
     let shown = data_encoding::HEXLOWER.encode(&Document::default().digest());
     assert_eq!(
         shown,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn it_lies_over_own_settings_and_says_nothing_of_the_rest() {
+fn a_policy_replaces_the_settings_it_names_and_keeps_all_others() {
     let (own, classes) = own();
     let policy = Document::parse(GOOD).expect("good");
     let own_door = Door {
@@ -143,14 +143,14 @@
 }
 
 #[test]
-fn a_sender_names_all_for_which_it_cannot_go_by_it() {
+fn a_sender_reports_every_reason_why_it_cannot_apply_a_policy() {
     let (own, classes) = own();
     let text = "[class.quick]\ndeadline_ms = 1000\n[class.odd]\npoints = 2.0\n[door]\nreserve = 3\nclass_room = { rare = 0.5 }\n";
     let policy = Document::parse(text).expect("good as such");
     let faults = policy
         .lay_over(&own, &classes, &Door::default())
         .expect_err("not here");
-    let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let reported: Vec<String> = faults.iter().map(Fault::to_string).collect();
     for named in [
         "line 1: class.quick: wanted within 3000 ms",
         "line 3: class.odd: this sender",
@@ -158,11 +158,11 @@
         "line 7: door.class_room: settings",
     ] {
         assert!(
-            told.iter().any(|t| t.starts_with(named)),
-            "{named}: {told:#?}"
+            reported.iter().any(|t| t.starts_with(named)),
+            "{named}: {reported:#?}"
         );
     }
-    assert_eq!(told.len(), 4, "{told:#?}");
+    assert_eq!(reported.len(), 4, "{reported:#?}");
     let none = Settings {
         max_in_flight_calls: 0,
         ..own
--- a/src/coordination/policy_rollout/plan/tests.rs
+++ b/src/coordination/policy_rollout/plan/tests.rs
@@ -1,14 +1,14 @@
 use crate::coordination::policy_rollout::plan::*;
 
 #[test]
-fn a_plan_needs_no_more_than_its_stages() {
+fn a_plan_with_only_stages_gets_defaults() {
     let plan =
         Plan::parse("[[stage]]\nzones = ['a']\n[[stage]]\nzones = ['b', 'c']\n").expect("good");
     assert_eq!(
         (plan.stage.len(), plan.stage_of("c"), plan.stage_of("d")),
         (2, Some(1), None)
     );
-    assert_eq!((plan.most_soak(), plan.bounds("any").failed), (240, 0.01));
+    assert_eq!((plan.max_soak_s(), plan.bounds("any").failed), (240, 0.01));
     let text =
         "soak_s = 5\n[[stage]]\nzones = ['a']\n[health.class.bulk]\nlate = 0.3\n[health.all]\nfailed = 0.1\n";
     let plan = Plan::parse(text).expect("good");
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn all_faults_are_told_by_line() {
+fn all_faults_are_reported_with_their_line() {
     let text = "soak_s = 0\npause_ms = 'long'\nspeed = 1\n[[stage]]\nzones = []\n[[stage]]\nzone = 'a'\n[health]\nlapsed = 2.0\n";
-    let told: Vec<String> = Plan::parse(text)
+    let reported: Vec<String> = Plan::parse(text)
         .expect_err("bad")
         .iter()
         .map(Fault::to_string)
@@ -36,12 +36,12 @@
         "line 7: stage[1].zone: unknown",
     ] {
         assert!(
-            told.iter().any(|t| t.starts_with(named)),
-            "{named}: {told:#?}"
+            reported.iter().any(|t| t.starts_with(named)),
+            "{named}: {reported:#?}"
         );
     }
     let text = "soak_s = 0\nmost_soak_s = 0\n[[stage]]\nzones = []\n[[stage]]\nzones = ['a', 'b', 'a']\n[health]\nlapsed = 2.0\n";
-    let told: Vec<String> = Plan::parse(text)
+    let reported: Vec<String> = Plan::parse(text)
         .expect_err("bad")
         .iter()
         .map(Fault::to_string)
@@ -55,8 +55,8 @@
     ];
     for named in named {
         assert!(
-            told.iter().any(|t| t.starts_with(named)),
-            "{named}: {told:#?}"
+            reported.iter().any(|t| t.starts_with(named)),
+            "{named}: {reported:#?}"
         );
     }
     assert!(Plan::parse("").expect_err("none")[0]
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -1,15 +1,16 @@
-//! What the leader does with a rollout: whom it waits for, when a stage is paused, goes over, is
-//! taken back, and what halts it.
+//! The leader's part in a rollout: which senders it waits for, when a stage is paused, changes or
+//! is taken back, and what halts the rollout.
 //!
-//! All that has to outlast a leader stands in the record ([`super::register`]). What a leader has
-//! heard of senders (policies that they have, turns that they go by, counts) it forgets with its
-//! office; the next one hears it again from those that live, and a stage is watched anew. So
-//! nothing is counted twice, and nothing goes on by a word that only an earlier leader heard.
+//! All state that has to survive a change of leaders is in the record ([`super::register`]). What a
+//! leader has learned from senders (policies that they have stored, turns that they apply, counts)
+//! is lost when its term ends. The next leader collects it again from the live senders and observes
+//! the stage anew. So nothing is counted twice, and no decision rests on a report that only an
+//! earlier leader received.
 //!
-//! A live sender is one that the record has as live. A leader proposes a change only where each of
-//! them has said what is needed to it, in the session that the record has. One that joins between
-//! that and the change finds the pause in the record, and takes nothing on before it has heard the
-//! change.
+//! A sender is live if the record says so. A leader proposes a change only when every live sender
+//! has confirmed what the change requires, in the session that the record has. A sender that joins
+//! between the confirmation and the change finds the pause in the record and accepts nothing before
+//! it has received the change.
 
 use crate::coordination::messages::{self, Digest, OperatorRequest, ReplicaToAgent, SiteAdmission};
 use crate::coordination::policy_rollout::document::Document;
@@ -23,88 +24,91 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
-/// A decision that does not come into the record within this time may be proposed again, as in the
-/// office.
-const DECIDED: Nanos = SECOND;
-/// Between two looks at what senders report.
-const LOOK: Nanos = SECOND;
-/// First and longest time between a pause that was taken back and the next one; it doubles.
-const RETRY: (Nanos, Nanos) = (SECOND, 60 * SECOND);
-/// After a pause for a routing table comes none of a stage for so long: what waited at doors is let
-/// in between.
+/// Time after which a decision that was not applied to the record may be proposed again; the leader
+/// uses the same time for its other decisions.
+const DECISION_TIMEOUT: Nanos = SECOND;
+/// Time between two checks of the reported counts.
+const HEALTH_CHECK_INTERVAL: Nanos = SECOND;
+/// First and longest time between a pause that was revoked and the next one; it doubles each time.
+const PAUSE_RETRY_DELAYS: (Nanos, Nanos) = (SECOND, 60 * SECOND);
+/// Least time between a pause for a routing table and the pause of a stage, so that waiting
+/// messages are accepted in between.
 pub(crate) const APART: Nanos = SECOND / 2;
-/// So many pauses of a stage are taken back before it halts.
-const MOST_TRIES: u32 = 10;
-/// What is missing from a stage has to be missing for so long: a sender that is started anew is
-/// there again.
-const GONE: Nanos = 10 * SECOND;
-/// Nobody led for longer than this: what senders did meanwhile nobody saw. Five elections.
-const UNLED: Nanos = 10 * SECOND;
+/// Number of revoked pauses of a stage after which the rollout halts.
+const MAX_REVOKED_PAUSES: u32 = 10;
+/// Time for which senders have to be missing from a stage before that counts: a sender that
+/// restarts is back within it.
+const MISSING_GRACE: Nanos = 10 * SECOND;
+/// Time without a leader after which a rollout halts, as the senders were not observed meanwhile.
+/// Five elections fit in it.
+const MAX_LEADERLESS: Nanos = 10 * SECOND;
 
-/// What a leader does with policies.
+/// State of the policy rollouts that a leader runs.
 #[derive(Clone, Debug)]
 pub struct Roll {
     begun: Nanos,
     registry: SenderRegistry,
     health: RolloutHealth,
-    /// The decision that is out: the turn it was based on, and when it was proposed.
-    deciding: Option<(u64, Nanos)>,
-    /// When this leader saw the step that runs begin: its place in the log.
-    step: (u64, Nanos),
+    /// Decision that was proposed and is not applied yet: the turn that it was based on, and when
+    /// it was proposed.
+    pending_decision: Option<(u64, Nanos)>,
+    /// Index of the log entry at which the current step began, and when this leader saw that.
+    step_seen: (u64, Nanos),
     /// Senders that a pause still waits for, as far as is known.
-    waits: Option<BTreeSet<String>>,
-    /// Those that the last pause was taken back for.
-    silent: BTreeSet<String>,
-    /// What a stage misses, and since when.
+    awaited: Option<BTreeSet<String>>,
+    /// Senders that did not answer the last pause, which was revoked.
+    unanswered: BTreeSet<String>,
+    /// Description of what the stage lacks, and since when.
     missing: Option<(String, Nanos)>,
-    looked: Nanos,
-    /// Since when this leader watches the zones of the stage that is next.
-    watched: Nanos,
-    /// What the last look said.
+    checked_at: Nanos,
+    /// Time since which this leader has observed the zones of the next stage.
+    observed_since: Nanos,
+    /// Result of the last check of the counts.
     verdict: Option<StageVerdict>,
-    /// For how long nobody led, as far as that is known.
-    unled: bool,
-    /// When a pause for a routing table was last seen.
-    tables: Option<Nanos>,
+    /// Whether it is possible that no replica led for [`MAX_LEADERLESS`] or longer.
+    leaderless: bool,
+    /// Time at which admission was last seen paused for a routing table.
+    table_paused_at: Option<Nanos>,
 }
 
 impl Roll {
-    /// Begins with nothing. `led` is when this keeper saw another leader, or itself, in office
-    /// last; nothing, where it never did.
+    /// Creates the state of a new leader. `led` is when this replica last saw a leader, another one
+    /// or itself; `None` where it never did.
     pub fn new(now: Nanos, led: Option<Nanos>) -> Roll {
         Roll {
             begun: now,
             registry: SenderRegistry::default(),
             health: RolloutHealth::default(),
-            deciding: None,
-            step: (0, now),
-            waits: None,
-            silent: BTreeSet::new(),
+            pending_decision: None,
+            step_seen: (0, now),
+            awaited: None,
+            unanswered: BTreeSet::new(),
             missing: None,
-            looked: now,
-            watched: now,
+            checked_at: now,
+            observed_since: now,
             verdict: None,
-            unled: led.is_none_or(|at| now >= at + UNLED),
-            tables: None,
+            leaderless: led.is_none_or(|at| now >= at + MAX_LEADERLESS),
+            table_paused_at: None,
         }
     }
 
-    /// A sender has a session, and says what it has. On a line of its own nothing was said yet.
+    /// Records that a sender opened a session, with the policies that it has stored. On a new
+    /// connection it has confirmed nothing yet.
     pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
         self.registry.open_session(sender, boot, stored);
     }
 
-    /// Its session is over.
+    /// Records that a sender's session was closed.
     pub fn part(&mut self, sender: &str) {
         self.registry.close_session(sender);
     }
 
-    /// It has checked a policy.
+    /// Records that a sender has checked a policy.
     pub fn stored(&mut self, sender: &str, number: u64, refused: Option<&str>, record: &Record) {
         let Some(digest) = record.policies.digest(number) else {
             return;
         };
-        // The record has a few at the most, and only those are asked for.
+        // The record keeps only a few policies, and senders are asked for those alone.
         let kept = |number| record.policies.texts.contains_key(&number);
         if let Some(why) = self
             .registry
@@ -117,7 +121,8 @@
         }
     }
 
-    /// It goes by a turn. Where it was the last one that a pause waited for, that goes on at once.
+    /// Records that a sender applies a turn. If it was the last one that a pause waited for, the
+    /// next decision is made immediately.
     pub fn rules(
         &mut self,
         now: Nanos,
@@ -125,23 +130,23 @@
         turn: u64,
         record: &Record,
     ) -> Option<Change> {
-        // Nobody can go by what is not yet.
+        // No sender can apply a turn that does not exist yet.
         if turn > record.policies.turn || !self.registry.record_applied(sender, turn) {
             return None;
         }
-        let waits = self.waits.as_mut()?;
+        let waits = self.awaited.as_mut()?;
         if waits.remove(sender) && waits.is_empty() {
             return self.decide(now, record);
         }
         None
     }
 
-    /// It reports what became of messages.
+    /// Records the message outcomes that a sender reports.
     pub fn hear(
         &mut self,
         now: Nanos,
         zone: &str,
-        told: &[messages::MessageOutcomeCounts],
+        outcomes: &[messages::MessageOutcomeCounts],
         record: &Record,
     ) {
         let Some(r) = &record.policies.rollout else {
@@ -151,17 +156,17 @@
             return;
         };
         let only = (stage < r.in_force()).then(|| r.to.get(zone).copied().unwrap_or_default());
-        self.health.record_report(now, stage, only, told);
+        self.health.record_report(now, stage, only, outcomes);
     }
 
-    /// A change of policies was applied.
+    /// Updates the state after a change of policies was applied to the record.
     pub fn applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
         let policies = &record.policies;
-        self.deciding = self.deciding.filter(|(base, _)| *base >= policies.turn);
+        self.pending_decision = self.pending_decision.filter(|(base, _)| *base >= policies.turn);
         if policies.at != index {
             return;
         }
-        (self.step, self.waits, self.missing) = ((index, now), None, None);
+        (self.step_seen, self.awaited, self.missing) = ((index, now), None, None);
         let rollout = policies.rollout.as_ref();
         let number = rollout.map_or_else(
             || policies.past.back().map_or(0, |p| p.number),
@@ -172,13 +177,13 @@
         match change {
             Change::Propose { .. } => {
                 self.health.clear();
-                self.silent.clear();
-                (self.watched, self.unled) = (now, false);
+                self.unanswered.clear();
+                (self.observed_since, self.leaderless) = (now, false);
                 log::info!("policy {number}: offered");
             }
             Change::Pause => {
-                self.waits = rollout.map(|r| {
-                    self.unheard(record, r.zones())
+                self.awaited = rollout.map(|r| {
+                    self.without_confirmation(record, r.zones())
                         .into_iter()
                         .cloned()
                         .collect()
@@ -198,21 +203,21 @@
             }
             Change::Next if rollout.is_none() => log::info!("policy {number}: rolled out"),
             Change::Next => {
-                self.watched = now;
-                self.silent.clear();
+                self.observed_since = now;
+                self.unanswered.clear();
                 log::info!("policy {number}: stage {stage} is next by turn {turn}");
             }
             Change::Halt { why } => log::warn!("policy {number}: halted: {why}"),
             Change::Resume => {
                 self.health.restart_observation(now);
-                (self.verdict, self.unled) = (None, false);
-                self.silent.clear();
+                (self.verdict, self.leaderless) = (None, false);
+                self.unanswered.clear();
                 log::info!("policy {number}: resumed by turn {turn}");
             }
             Change::Back { .. } => {
                 self.health.clear();
-                self.silent.clear();
-                self.unled = false;
+                self.unanswered.clear();
+                self.leaderless = false;
                 match rollout {
                     Some(r) => log::info!("policy {}: goes back as {number}", r.back_of),
                     None => log::info!("policy {number}: called back before it was in force"),
@@ -222,18 +227,18 @@
         }
     }
 
-    /// Time has passed: what is to be changed, if anything is.
+    /// Returns the change that is due as time passes, if any.
     pub fn tick(&mut self, now: Nanos, record: &Record) -> Option<Change> {
-        // Whom a pause waits for is counted anew: some may have joined or lapsed.
-        self.waits = None;
+        // The senders that a pause waits for are determined anew: some may have joined or expired.
+        self.awaited = None;
         if record.tables.register.stance == SiteAdmission::Paused {
-            self.tables = Some(now);
+            self.table_paused_at = Some(now);
         }
         self.decide(now, record)
     }
 
-    /// What a sender is to be told: its register where it has not said that it goes by it, and
-    /// policies that it lacks.
+    /// Sends a sender what it lacks: its register, where it has not confirmed that turn, and
+    /// policies that it has not stored.
     pub fn say(
         &mut self,
         now: Nanos,
@@ -241,7 +246,7 @@
         zone: &str,
         record: &Record,
         offers: &mut usize,
-        say: &mut dyn FnMut(ReplicaToAgent),
+        send: &mut dyn FnMut(ReplicaToAgent),
     ) {
         let policies = &record.policies;
         if !self
@@ -257,7 +262,7 @@
             .claim_announcement(now, sender, register.turn, policies.turn)
         {
             let turn = policies.turn;
-            say(ReplicaToAgent::ApplyPolicy {
+            send(ReplicaToAgent::ApplyPolicy {
                 turn,
                 number: register.number,
                 paused: register.paused,
@@ -276,7 +281,7 @@
                 .registry
                 .claim_offer(now, sender, *number, &text.digest, offers)
             {
-                say(ReplicaToAgent::OfferPolicy {
+                send(ReplicaToAgent::OfferPolicy {
                     number: *number,
                     digest: text.digest,
                     text: text.text.clone(),
@@ -287,7 +292,8 @@
             .forget_offers(sender, |number| policies.texts.contains_key(&number));
     }
 
-    /// Live senders of some zones, with what is known of each in the session that the record has.
+    /// Returns the live senders of some zones, each with what is known of it in the session that
+    /// the record has.
     fn live<'a>(
         &'a self,
         record: &'a Record,
@@ -296,15 +302,20 @@
         self.registry.live(record, |m| zones.contains(&m.zone))
     }
 
-    /// Those of them that have not said that they go by their zone's register.
-    fn unheard<'a>(&'a self, record: &'a Record, zones: &'a [String]) -> Vec<&'a String> {
+    /// Returns the live senders that have not confirmed the turn of their zone's register.
+    fn without_confirmation<'a>(
+        &'a self,
+        record: &'a Record,
+        zones: &'a [String],
+    ) -> Vec<&'a String> {
         let turn = |m: &RosterEntry| record.policies.register(&m.zone).turn;
         self.registry
             .unconfirmed(record, |m| zones.contains(&m.zone), turn)
     }
 
-    /// Those that have not said that they have what they are to go by.
-    fn unstored<'a>(
+    /// Returns the live senders that have not confirmed that they stored the policy they are to
+    /// change to.
+    fn without_policy<'a>(
         &'a self,
         record: &'a Record,
         r: &'a Rollout,
@@ -318,7 +329,7 @@
             .without_document(record, |m| zones.contains(&m.zone), needs)
     }
 
-    /// Why live senders of these zones cannot go by it, the first of them.
+    /// Returns the first reason for which a live sender of these zones cannot apply the policy.
     fn refusal(&self, record: &Record, r: &Rollout, zones: &[String]) -> Option<String> {
         self.live(record, zones)
             .find_map(|LiveSender { name, entry, known }| {
@@ -333,16 +344,16 @@
             })
     }
 
-    /// A zone of these without a live sender, and a zone of senders that the plan does not name.
-    fn empty<'a>(record: &Record, zones: &'a [String]) -> Option<&'a String> {
+    /// Returns the first of these zones that has no live sender.
+    fn zone_without_senders<'a>(record: &Record, zones: &'a [String]) -> Option<&'a String> {
         zones
             .iter()
             .find(|zone| !record.roster.values().any(|m| m.live && m.zone == **zone))
     }
 
-    /// What the stage lacks now, if that has been so for long enough.
-    fn missed(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<String> {
-        let told = match Roll::empty(record, r.zones()) {
+    /// Returns what the stage lacks, once it has been lacking for [`MISSING_GRACE`].
+    fn missing_for_long(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<String> {
+        let lack = match Roll::zone_without_senders(record, r.zones()) {
             Some(zone) => Some(format!("zone {zone}: none of its senders holds a lease")),
             None if r.step == Step::Soaking && r.back_of == 0 => {
                 let own = record
@@ -360,26 +371,26 @@
             }
             None => None,
         };
-        // Which of them are missing may change; that some are is what counts.
+        // The senders that are missing may change; the time counts for which any are missing.
         let kind = |why: &String| why.split(':').next().map(str::to_string);
-        let since = match (&self.missing, &told) {
-            (Some((why, since)), Some(told)) if kind(why) == kind(told) => *since,
+        let since = match (&self.missing, &lack) {
+            (Some((why, since)), Some(lack)) if kind(why) == kind(lack) => *since,
             _ => now,
         };
-        self.missing = told.map(|told| (told, since));
+        self.missing = lack.map(|lack| (lack, since));
         self.missing
             .as_ref()
-            .filter(|(_, since)| now >= since + GONE)
+            .filter(|(_, since)| now >= since + MISSING_GRACE)
             .map(|(why, _)| why.clone())
     }
 
-    /// One decision at a time.
+    /// Returns the next change of the rollout, if one is due and none is pending.
     fn decide(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         let turn = record.policies.turn;
-        self.deciding = self
-            .deciding
-            .filter(|(base, at)| *base == turn && now < at + DECIDED);
-        if self.deciding.is_some() {
+        self.pending_decision = self
+            .pending_decision
+            .filter(|(base, at)| *base == turn && now < at + DECISION_TIMEOUT);
+        if self.pending_decision.is_some() {
             return None;
         }
         let r = record
@@ -387,30 +398,30 @@
             .rollout
             .as_ref()
             .filter(|r| r.halted.is_none())?;
-        if self.step.0 != r.at {
-            // It began under another leader, who may have waited long.
-            (self.step, self.waits) = ((r.at, self.begun), None);
+        if self.step_seen.0 != r.at {
+            // The step began under another leader, which may have waited for a long time already.
+            (self.step_seen, self.awaited) = ((r.at, self.begun), None);
             if r.step == Step::Soaking {
                 self.health.on_stage_changed(now);
             }
         }
         let change = self.next(now, record, r);
         if change.is_some() {
-            self.deciding = Some((turn, now));
+            self.pending_decision = Some((turn, now));
         }
         change
     }
 
     fn next(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<Change> {
         let halt = |why: String| Some(Change::Halt { why });
-        if self.unled {
+        if self.leaderless {
             return halt(format!(
                 "no keeper led for {} s or longer, as far as is known",
-                UNLED / SECOND
+                MAX_LEADERLESS / SECOND
             ));
         }
         let all: Vec<String> = r.plan.zones().cloned().collect();
-        let passed = now.saturating_sub(self.step.1);
+        let passed = now.saturating_sub(self.step_seen.1);
         match r.step {
             Step::Ready => {
                 let end = |why: String| match r.in_force() == 0 && r.back_of == 0 {
@@ -430,48 +441,49 @@
                         m.zone
                     ));
                 }
-                if let Some(why) = self.missed(now, record, r) {
+                if let Some(why) = self.missing_for_long(now, record, r) {
                     return end(why);
                 }
-                let unstored = self.unstored(record, r, &all);
-                if !unstored.is_empty() {
+                let without_policy = self.without_policy(record, r, &all);
+                if !without_policy.is_empty() {
                     let late = passed >= Nanos::from(r.plan.offer_s) * SECOND;
                     return match late {
                         true => end(format!(
                             "no answer to the offer from {}",
-                            format_names(&unstored)
+                            format_names(&without_policy)
                         )),
                         false => None,
                     };
                 }
-                if r.tries >= MOST_TRIES {
+                if r.tries >= MAX_REVOKED_PAUSES {
                     return halt(format!(
                         "the pause of stage {} was taken back {} times",
                         r.stage + 1,
                         r.tries
                     ));
                 }
-                // Those that were silent have answered since, or lapsed.
+                // Senders that were silent have to have answered, or expired, before the next
+                // pause.
                 let silent = self
-                    .unheard(record, r.zones())
+                    .without_confirmation(record, r.zones())
                     .into_iter()
-                    .any(|name| self.silent.contains(name));
-                let first = RETRY.0 << r.tries.saturating_sub(1).min(10);
-                let rested = r.tries == 0 || passed >= first.min(RETRY.1);
+                    .any(|name| self.unanswered.contains(name));
+                let first = PAUSE_RETRY_DELAYS.0 << r.tries.saturating_sub(1).min(10);
+                let rested = r.tries == 0 || passed >= first.min(PAUSE_RETRY_DELAYS.1);
                 let watch = Nanos::from(r.plan.watch_s) * SECOND;
-                let watched = r.back_of != 0 || now >= self.watched + watch;
-                let empty = Roll::empty(record, r.zones()).is_some();
-                let apart = self.tables.is_none_or(|at| now >= at + APART);
+                let watched = r.back_of != 0 || now >= self.observed_since + watch;
+                let empty = Roll::zone_without_senders(record, r.zones()).is_some();
+                let apart = self.table_paused_at.is_none_or(|at| now >= at + APART);
                 (!silent && rested && watched && !empty && apart).then_some(Change::Pause)
             }
             Step::Paused => {
                 let over = passed >= Nanos::from(r.plan.pause_ms) * MS;
-                if !over && self.waits.as_ref().is_some_and(|waits| !waits.is_empty()) {
+                if !over && self.awaited.as_ref().is_some_and(|waits| !waits.is_empty()) {
                     return None;
                 }
                 let zones = r.zones();
-                let mut late = self.unheard(record, zones);
-                late.extend(self.unstored(record, r, zones));
+                let mut late = self.without_confirmation(record, zones);
+                late.extend(self.without_policy(record, r, zones));
                 late.sort();
                 late.dedup();
                 if late.is_empty() {
@@ -480,28 +492,28 @@
                 let silent = format_names(&late);
                 let late: BTreeSet<String> = late.into_iter().cloned().collect();
                 if over {
-                    self.silent = late;
+                    self.unanswered = late;
                     return Some(Change::TakeBack { silent });
                 }
-                self.waits = Some(late);
+                self.awaited = Some(late);
                 None
             }
             Step::Soaking => {
                 if let Some(why) = self.refusal(record, r, r.zones()) {
                     return halt(format!("a sender cannot go by it: {why}"));
                 }
-                if let Some(why) = self.missed(now, record, r) {
+                if let Some(why) = self.missing_for_long(now, record, r) {
                     return halt(why);
                 }
-                let done = |roll: &Roll| roll.unheard(record, r.zones()).is_empty();
+                let done = |roll: &Roll| roll.without_confirmation(record, r.zones()).is_empty();
                 if r.back_of != 0 {
-                    // What ran there before is not put to the test again.
+                    // A policy that ran there before is not judged again.
                     return done(self).then_some(Change::Next);
                 }
-                if now < self.looked + LOOK {
+                if now < self.checked_at + HEALTH_CHECK_INTERVAL {
                     return None;
                 }
-                self.looked = now;
+                self.checked_at = now;
                 let stage = r.stage as usize;
                 let verdict = self.health.judge(now, stage, &r.plan);
                 self.verdict = Some(verdict.clone());
@@ -509,7 +521,9 @@
                     StageVerdict::Worse(why) => {
                         halt(format!("stage {} is worse: {why}", r.stage + 1))
                     }
-                    StageVerdict::TooFewMessages(what) if passed >= r.plan.most_soak() * SECOND => {
+                    StageVerdict::TooFewMessages(what)
+                        if passed >= r.plan.max_soak_s() * SECOND =>
+                    {
                         halt(format!(
                             "too few to judge stage {}: {what} in {} s",
                             r.stage + 1,
@@ -529,15 +543,18 @@
         }
     }
 
-    /// What a person wants of policies: a change to be brought into the record, or how things are
-    /// already.
+    /// Returns the change that an operator's request requires; `None` where nothing has to change.
     ///
     /// # Errors
-    /// Why not.
-    pub fn order(&self, word: &OperatorRequest, record: &Record) -> Result<Option<Change>, String> {
+    /// The reason why the request is rejected.
+    pub fn order(
+        &self,
+        request: &OperatorRequest,
+        record: &Record,
+    ) -> Result<Option<Change>, String> {
         let p = &record.policies;
         let runs = || p.rollout.as_ref().ok_or("no rollout runs".to_string());
-        match word {
+        match request {
             OperatorRequest::ProposePolicy { text, plan } => self.propose(text, plan, record),
             OperatorRequest::HaltRollout { why } => Ok(match &runs()?.halted {
                 Some(_) => None,
@@ -555,9 +572,11 @@
                 (Some(_), ..) | (None, Some(_), _) => Ok(Some(Change::Back {
                     own: Document::default().digest(),
                 })),
-                _ => Err("no rollout runs, and none was done that could be gone back from".into()),
+                _ => Err(
+                    "no rollout runs, and there is no completed one that can be rolled back".into(),
+                ),
             },
-            _ => Err("that is no order on policies".into()),
+            _ => Err("the request does not concern policies".into()),
         }
     }
 
@@ -590,11 +609,11 @@
             let (what, halted) = (r.number, if r.halted.is_some() { ", halted" } else { "" });
             let stage = r.stage + 1;
             return Err(format!(
-                "policy {what} is rolled out (stage {stage} of {}{halted}); only one is at a time: see its status, or go back",
+                "policy {what} is being rolled out (stage {stage} of {}{halted}); only one rollout may run at a time: check its status, or roll it back",
                 r.plan.stage.len()
             ));
         }
-        p.room(&plan, MAX_ZONES)?;
+        p.check_capacity(&plan, MAX_ZONES)?;
         let named: BTreeSet<&String> = plan.zones().collect();
         let live: BTreeSet<&String> = record
             .roster
@@ -610,17 +629,17 @@
         faults.extend(
             named
                 .difference(&live)
-                .map(|zone| format!("plan: zone {zone}: no sender that lives stands there")),
+                .map(|zone| format!("plan: zone {zone}: no live sender is in this zone")),
         );
-        let deaf = self
+        let without_policies = self
             .registry
             .live(record, |_| true)
             .filter(|LiveSender { known, .. }| known.is_some_and(|k| !k.has_reported()));
-        let deaf: Vec<&String> = deaf.map(|sender| sender.name).collect();
-        if !deaf.is_empty() {
-            let told = format_names(&deaf);
+        let without_policies: Vec<&String> = without_policies.map(|sender| sender.name).collect();
+        if !without_policies.is_empty() {
+            let names = format_names(&without_policies);
             faults.push(format!(
-                "{told}: a fleet file without a table [policy], so no policy is followed there"
+                "{names}: the fleet file has no table [policy], so these senders follow no policy"
             ));
         }
         match faults.is_empty() {
@@ -633,7 +652,7 @@
         }
     }
 
-    /// How things stand.
+    /// Returns the status of policies and of the rollout.
     pub fn status(&self, now: Nanos, record: &Record) -> messages::PolicyStatus {
         let p = &record.policies;
         let mut zones: BTreeMap<&String, (u64, bool, usize)> = BTreeMap::new();
@@ -660,13 +679,16 @@
             let all: Vec<String> = r.plan.zones().cloned().collect();
             let (waits, what) = match r.step {
                 Step::Ready => (
-                    self.unstored(record, r, &all),
+                    self.without_policy(record, r, &all),
                     "to check it and write it down",
                 ),
-                Step::Paused => (self.unheard(record, r.zones()), "to take nothing on"),
-                Step::Soaking => (self.unheard(record, r.zones()), "to go by it"),
+                Step::Paused => (
+                    self.without_confirmation(record, r.zones()),
+                    "to take nothing on",
+                ),
+                Step::Soaking => (self.without_confirmation(record, r.zones()), "to go by it"),
             };
-            let passed = now.saturating_sub(self.step.1) / SECOND;
+            let passed = now.saturating_sub(self.step_seen.1) / SECOND;
             let count = |zones: &[String]| self.live(record, zones).count();
             let step = match r.step {
                 Step::Ready if r.tries > 0 => {
@@ -731,7 +753,7 @@
         }
     }
 
-    /// Rollouts that are over, the newest first.
+    /// Returns the rollouts that have ended, the newest first.
     pub fn history(record: &Record) -> Vec<messages::PastRollout> {
         record.policies.past.iter().rev().map(past).collect()
     }
--- a/src/coordination/raft_group/tests.rs
+++ b/src/coordination/raft_group/tests.rs
@@ -1,14 +1,13 @@
 use crate::coordination::raft_group::*;
 
-/// A snapshot as it was written before the record had policies: one sender on the roster, one
-/// keeper, version 3.
+/// A snapshot from before the record had policies: one sender on the roster, one keeper, version 3.
 const OLDER: &[u8] = &[
     3, 1, 2, b'n', b'1', 9, 1, b'a', 1, 2, 0, 0, 2, 0, 1, 1, 11, b'1', b'2', b'7', b'.', b'0',
     b'.', b'0', b'.', b'1', b':', b'7', 101, 0,
 ];
 
 #[test]
-fn a_snapshot_of_an_older_keeper_is_one_without_policies() {
+fn a_snapshot_of_an_older_replica_is_read_without_policies() {
     let mut held: GroupState = GroupState::decode(OLDER).expect("it reads");
     assert_eq!(
         (
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -1,8 +1,8 @@
-//! Orders, drawn from a seed, of what can happen between an agreed log, leaders of which one is
-//! deposed and goes on, and three senders in two zones, over the unchanged machines of a rollout.
-//! The log stands for the keepers. Sessions and leases have a model of their own
-//! (`model_zones.rs`); here a sender's lease may end in its own count at any time, and the record
-//! has it as lapsed only after that.
+//! Model check of policy rollouts: random sequences of events, drawn from a seed, between an agreed
+//! log, leaders of which one is deposed and continues, and three senders in two zones. The state
+//! machines of a rollout are the production code; the log stands for the replicas. Sessions and
+//! leases have a model of their own (`model_zones.rs`); here a sender's lease may expire by its own
+//! clock at any time, and the record notes that only afterwards.
 #![cfg(feature = "fleet")]
 
 #[path = "common/printed.rs"]
@@ -19,26 +19,26 @@
 use std::hash::{Hash, Hasher};
 
 const MS: u64 = 1_000_000;
-/// Time goes on by this: longer than a pause.
+/// Time that a step advances the clock by, in milliseconds: longer than a pause.
 const STEP: u64 = 500;
 const ZONES: [&str; 3] = ["a", "a", "b"];
 
-/// A fault that is put in, to see that the model finds it.
+/// A fault that is injected to check that the model detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The leader changes the policy without the word of anybody.
-    Hasty,
-    /// Changes keep the turn.
+    /// The leader changes the policy without confirmations from the senders.
+    CommitsUnconfirmed,
+    /// Changes do not advance the turn.
     SameTurn,
-    /// Senders obey words of earlier turns.
-    ObeysEarlier,
-    /// The record has a sender as lapsed that still counts on its lease.
-    LapsesEarly,
-    /// A sender that starts takes messages on before it has heard what is in force.
-    TakesUnheard,
-    /// A sender goes by a policy that it has not checked.
-    TakesUnchecked,
+    /// Senders apply messages of earlier turns.
+    AppliesEarlierTurns,
+    /// The record has a sender as expired that still relies on its lease.
+    ExpiresEarly,
+    /// A sender that starts accepts messages before it has received what is in force.
+    AcceptsUninformed,
+    /// A sender applies a policy that it has not checked.
+    AcceptsUnchecked,
 }
 
 #[derive(Clone, Debug)]
@@ -52,12 +52,13 @@
 #[derive(Clone, Debug, Default)]
 struct Sender {
     boot: u64,
-    /// The leader that it speaks to, by term, and the name of the line; nobody is 0.
-    line: (u64, u64),
+    /// The term of the leader that it is connected to, and the number of the connection; the term
+    /// is 0 for none.
+    connection: (u64, u64),
     lease: bool,
-    /// What it has heard since it began to hold a lease: the number, and whether nothing is taken
-    /// on.
-    heard: Option<(u64, bool)>,
+    /// The policy that it has received since it obtained its lease: the number, and whether
+    /// admission is paused.
+    received: Option<(u64, bool)>,
     turn: u64,
     stored: BTreeSet<u64>,
 }
@@ -68,15 +69,15 @@
     log: Vec<Command>,
     leaders: Vec<Leader>,
     senders: [Sender; 3],
-    /// Words to senders: which, the line, and what.
-    words: Vec<(usize, (u64, u64), ReplicaToAgent)>,
-    lines: u64,
-    /// What still may go wrong: elections, losses (and returns to a deposed leader), doublings,
-    /// leases that end, restarts, refusals.
-    left: [u8; 6],
+    /// Messages in flight to senders: the receiver, its connection, and the message.
+    messages: Vec<(usize, (u64, u64), ReplicaToAgent)>,
+    connections: u64,
+    /// Number of times that each fault may still occur: elections, losses (and returns to a deposed
+    /// leader), duplicates, expired leases, restarts, rejections.
+    faults_left: [u8; 6],
     /// Policies that were in force somewhere.
-    were: BTreeSet<u64>,
-    wrong: Vec<&'static str>,
+    were_in_force: BTreeSet<u64>,
+    violations: Vec<&'static str>,
 }
 
 impl Hash for State {
@@ -93,29 +94,30 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Action {
-    Later,
+    Advance,
     Commit,
-    /// Another leader is elected, and has in its log what the last one proposed, or not.
+    /// Another leader is elected; whether its log contains what the previous one proposed.
     Elect(bool),
-    /// A word arrives: the answer arrives as well, or is lost; the word stays to arrive once more.
-    Arrives(usize, bool, bool),
-    Lost(usize),
-    /// A sender refuses what it is offered.
-    Refuses(usize),
+    /// A message arrives. The first flag loses its response; the second keeps the message so that
+    /// it arrives once more.
+    Deliver(usize, bool, bool),
+    Lose(usize),
+    /// A sender rejects the policy that it is offered.
+    Reject(usize),
     /// A sender opens a session with a leader.
-    Opens(usize, usize),
-    /// Its lease ends in its own count.
-    Expires(usize),
-    /// The record is to have it as lapsed.
-    Lapses(usize),
-    Restarts(usize),
+    OpenSession(usize, usize),
+    /// The lease of a sender expires by the sender's own clock.
+    ExpireLease(usize),
+    /// The leader proposes to record a sender as expired.
+    RecordExpired(usize),
+    Restart(usize),
 }
 
 struct Rollouts {
     fault: Fault,
-    left: [u8; 6],
-    /// Two stages, one after the other, back to what was before; else one that is proposed, until
-    /// it is in force.
+    faults_left: [u8; 6],
+    /// Whether two stages were changed one after the other and are rolled back. Otherwise one
+    /// policy is proposed and rolled out until it is in force.
     back: bool,
     until: u64,
 }
@@ -144,68 +146,68 @@
         }
     }
 
-    fn taking(&self, s: &State, n: usize) -> Option<u64> {
+    fn accepting(&self, s: &State, n: usize) -> Option<u64> {
         let sender = &s.senders[n];
         if !sender.lease {
             return None;
         }
-        match sender.heard {
+        match sender.received {
             Some((number, false)) => {
                 let has = number == 0
                     || sender.stored.contains(&number)
-                    || self.fault == Fault::TakesUnchecked;
+                    || self.fault == Fault::AcceptsUnchecked;
                 has.then_some(number)
             }
             Some((_, true)) => None,
-            None => (self.fault == Fault::TakesUnheard).then_some(0),
+            None => (self.fault == Fault::AcceptsUninformed).then_some(0),
         }
     }
 
-    /// What must hold at any time.
-    fn look(&self, s: &mut State) {
-        let taking: Vec<(usize, u64)> = (0..3)
-            .filter_map(|n| Some((n, self.taking(s, n)?)))
+    /// Checks the invariants of every state.
+    fn check_invariants(&self, s: &mut State) {
+        let accepting: Vec<(usize, u64)> = (0..3)
+            .filter_map(|n| Some((n, self.accepting(s, n)?)))
             .collect();
         let two = |(n, number): &(usize, u64)| {
-            taking
+            accepting
                 .iter()
                 .any(|(m, other)| ZONES[*n] == ZONES[*m] && number != other)
         };
-        if taking.iter().any(two) {
-            s.wrong.push("two policies in a zone");
+        if accepting.iter().any(two) {
+            s.violations.push("two policies in a zone");
         }
-        if taking
+        if accepting
             .iter()
             .any(|(n, number)| *number != 0 && !s.senders[*n].stored.contains(number))
         {
-            s.wrong.push("a policy that was not checked");
+            s.violations.push("a policy that was not checked");
         }
-        if taking
+        if accepting
             .iter()
-            .any(|(_, number)| *number != 0 && !s.were.contains(number))
+            .any(|(_, number)| *number != 0 && !s.were_in_force.contains(number))
         {
-            s.wrong.push("a policy that never was in force");
+            s.violations.push("a policy that never was in force");
         }
     }
 
-    /// What a leader has to say to a sender.
-    fn say(&self, s: &mut State, at: usize, n: usize) {
-        let (leader, line) = (&mut s.leaders[at], s.senders[n].line);
-        if line.0 != leader.term {
+    /// Sends a sender the messages that a leader has for it.
+    fn send_messages(&self, s: &mut State, at: usize, n: usize) {
+        let (leader, connection) = (&mut s.leaders[at], s.senders[n].connection);
+        if connection.0 != leader.term {
             return;
         }
         let (now, mut offers) = (s.now * MS, 10);
-        let words = &mut s.words;
+        let messages = &mut s.messages;
         leader.roll.say(
             now,
             &name(n),
             ZONES[n],
             &leader.record,
             &mut offers,
-            &mut |word| {
-                // What is said again while the first is under way says nothing new.
-                if !words.contains(&(n, line, word.clone())) {
-                    words.push((n, line, word));
+            &mut |message| {
+                // A message that is sent again while the first copy is in flight adds nothing.
+                if !messages.contains(&(n, connection, message.clone())) {
+                    messages.push((n, connection, message));
                 }
             },
         );
@@ -233,14 +235,14 @@
             .rollout
             .as_ref()
             .is_some_and(|r| r.step == Step::Paused);
-        if self.fault == Fault::Hasty && paused && leader.proposed.is_empty() {
+        if self.fault == Fault::CommitsUnconfirmed && paused && leader.proposed.is_empty() {
             change = Some(Change::Commit);
         }
         self.propose(s, at, change);
-        (0..3).for_each(|n| self.say(s, at, n));
+        (0..3).for_each(|n| self.send_messages(s, at, n));
     }
 
-    fn lead(&self, s: &mut State, term: u64) {
+    fn elect(&self, s: &mut State, term: u64) {
         let mut record = Record::default();
         for (index, command) in s.log.iter().enumerate() {
             self.apply(&mut record, index as u64 + 1, command);
@@ -265,7 +267,7 @@
         self.apply(&mut leader.record, index, &command);
         let record = leader.record.clone();
         if record.policies.turn < turn {
-            s.wrong.push("a turn that shrank");
+            s.violations.push("a turn that decreased");
         }
         for zone in ["a", "b"] {
             let (was, is) = (
@@ -275,7 +277,7 @@
             if was.number == is.number {
                 continue;
             }
-            s.were.insert(is.number);
+            s.were_in_force.insert(is.number);
             let ended = matches!(&command, Command::ChangePolicies { change, .. } if matches!(**change, Change::End { .. }));
             let live = |n: usize| {
                 record
@@ -287,15 +289,15 @@
             if ended
                 || here
                     .iter()
-                    .any(|n| self.taking(s, *n).is_some_and(|number| number != is.number))
+                    .any(|n| self.accepting(s, *n).is_some_and(|number| number != is.number))
             {
-                s.wrong.push("a change without the word of all");
+                s.violations.push("a change without all confirmations");
             }
             if here
                 .iter()
                 .any(|n| live(*n) && !s.senders[*n].stored.contains(&is.number))
             {
-                s.wrong.push("a change before all had it");
+                s.violations.push("a change before all senders had stored it");
             }
         }
         let leader = &mut s.leaders[at];
@@ -305,25 +307,26 @@
             }
             Command::AddSender { sender, boot, .. } => {
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
-                // It waits for its session on this line.
-                if s.senders[n].boot == *boot && s.senders[n].line.0 == s.leaders[at].term {
-                    self.meets(s, at, n);
+                // The sender waits for its session on this connection.
+                if s.senders[n].boot == *boot && s.senders[n].connection.0 == s.leaders[at].term {
+                    self.open_session(s, at, n);
                 }
             }
             Command::ExpireSender { sender, .. } => {
                 leader.roll.part(sender);
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
-                if s.senders[n].line.0 == leader.term {
-                    s.senders[n].line = (0, 0);
+                if s.senders[n].connection.0 == leader.term {
+                    s.senders[n].connection = (0, 0);
                 }
             }
             _ => {}
         }
-        (0..3).for_each(|n| self.say(s, at, n));
+        (0..3).for_each(|n| self.send_messages(s, at, n));
     }
 
-    /// A session begins: it hears what is in force by a word of its line before anything else.
-    fn meets(&self, s: &mut State, at: usize, n: usize) {
+    /// Opens a session: the sender receives what is in force on its connection before anything
+    /// else.
+    fn open_session(&self, s: &mut State, at: usize, n: usize) {
         let leader = &mut s.leaders[at];
         let policies = &leader.record.policies;
         let has = s.senders[n]
@@ -333,28 +336,28 @@
         let stored: Vec<_> = has.collect();
         leader.roll.meet(&name(n), s.senders[n].boot, Some(&stored));
         if !s.senders[n].lease {
-            (s.senders[n].lease, s.senders[n].heard) = (true, None);
+            (s.senders[n].lease, s.senders[n].received) = (true, None);
         }
-        self.say(s, at, n);
+        self.send_messages(s, at, n);
     }
 
-    /// A word arrives at its sender, which answers where the answer is not lost.
-    fn arrives(
+    /// Delivers a message to its sender, which responds unless the response is lost.
+    fn deliver(
         &self,
         s: &mut State,
         n: usize,
-        line: (u64, u64),
-        word: &ReplicaToAgent,
+        connection: (u64, u64),
+        message: &ReplicaToAgent,
         lost: bool,
         refuses: bool,
     ) {
         let sender = &mut s.senders[n];
-        if sender.line != line {
+        if sender.connection != connection {
             return;
         }
-        let at = s.leaders.iter().position(|l| l.term == line.0);
+        let at = s.leaders.iter().position(|l| l.term == connection.0);
         let mut rules = None;
-        match word {
+        match message {
             ReplicaToAgent::OfferPolicy { number, .. } => {
                 if !refuses {
                     sender.stored.insert(*number);
@@ -364,8 +367,8 @@
                     let why = refuses.then_some("no");
                     leader.roll.stored(&name(n), *number, why, &leader.record);
                 }
-                let (heard, turn) = (sender.heard, sender.turn);
-                rules = heard
+                let (received, turn) = (sender.received, sender.turn);
+                rules = received
                     .filter(|(now, paused)| !paused && now == number && !refuses)
                     .map(|_| turn);
             }
@@ -374,11 +377,11 @@
                 number,
                 paused,
             } => {
-                if *turn < sender.turn && self.fault != Fault::ObeysEarlier {
+                if *turn < sender.turn && self.fault != Fault::AppliesEarlierTurns {
                     return;
                 }
                 if sender.lease {
-                    (sender.turn, sender.heard) = (*turn, Some((*number, *paused)));
+                    (sender.turn, sender.received) = (*turn, Some((*number, *paused)));
                     let has = *paused || *number == 0 || sender.stored.contains(number);
                     rules = has.then_some(*turn);
                 }
@@ -431,9 +434,9 @@
         let number = u64::from(self.back);
         let sender = |term: u64, n: u64| Sender {
             boot: 1,
-            line: (term, n),
+            connection: (term, n),
             lease: true,
-            heard: Some((number, false)),
+            received: Some((number, false)),
             turn: if self.back { 7 } else { 0 },
             stored: (1..=number).collect(),
         };
@@ -442,22 +445,26 @@
             log,
             leaders: Vec::new(),
             senders: [sender(1, 0), sender(1, 1), sender(1, 2)],
-            words: Vec::new(),
-            lines: 3,
-            left: self.left,
-            were: (1..=number).collect(),
-            wrong: Vec::new(),
+            messages: Vec::new(),
+            connections: 3,
+            faults_left: self.faults_left,
+            were_in_force: (1..=number).collect(),
+            violations: Vec::new(),
         };
-        self.lead(&mut s, 1);
-        (0..3).for_each(|n| self.meets(&mut s, 0, n));
-        // What is said at the begin arrives: the policy is offered, and the register is known.
+        self.elect(&mut s, 1);
+        (0..3).for_each(|n| self.open_session(&mut s, 0, n));
+        // The first messages arrive: the policy is offered, and the register is known.
         for _ in 0..20 {
-            let Some((n, line, word)) = s.words.first().cloned().filter(|_| self.left[5] == 0)
+            let Some((n, connection, message)) = s
+                .messages
+                .first()
+                .cloned()
+                .filter(|_| self.faults_left[5] == 0)
             else {
                 break;
             };
-            s.words.remove(0);
-            self.arrives(&mut s, n, line, &word, false, false);
+            s.messages.remove(0);
+            self.deliver(&mut s, n, connection, &message, false, false);
         }
         vec![s]
     }
@@ -465,51 +472,53 @@
     fn actions(&self, s: &State, actions: &mut Vec<Action>) {
         let last = s.leaders.len() - 1;
         if s.now < 10_000 + self.until {
-            actions.push(Action::Later);
+            actions.push(Action::Advance);
         }
         if !s.leaders[last].proposed.is_empty() {
             actions.push(Action::Commit);
         }
-        if s.left[0] > 0 {
+        if s.faults_left[0] > 0 {
             actions.push(Action::Elect(true));
             if !s.leaders[last].proposed.is_empty() {
                 actions.push(Action::Elect(false));
             }
         }
-        for at in 0..s.words.len() {
-            // Words on one line keep their order.
-            if s.words[..at].iter().any(|w| w.1 == s.words[at].1) {
+        for at in 0..s.messages.len() {
+            // Messages on one connection keep their order.
+            if s.messages[..at].iter().any(|w| w.1 == s.messages[at].1) {
                 continue;
             }
-            actions.push(Action::Arrives(at, false, false));
-            if s.left[1] > 0 {
-                actions.extend([Action::Arrives(at, true, false), Action::Lost(at)]);
+            actions.push(Action::Deliver(at, false, false));
+            if s.faults_left[1] > 0 {
+                actions.extend([Action::Deliver(at, true, false), Action::Lose(at)]);
             }
-            if s.left[2] > 0 {
-                actions.push(Action::Arrives(at, false, true));
+            if s.faults_left[2] > 0 {
+                actions.push(Action::Deliver(at, false, true));
             }
-            if s.left[5] > 0 && matches!(s.words[at].2, ReplicaToAgent::OfferPolicy { .. }) {
-                actions.push(Action::Refuses(at));
+            if s.faults_left[5] > 0
+                && matches!(s.messages[at].2, ReplicaToAgent::OfferPolicy { .. })
+            {
+                actions.push(Action::Reject(at));
             }
         }
         for n in 0..3 {
             let sender = &s.senders[n];
             for (at, leader) in s.leaders.iter().enumerate() {
-                // A leader that is deposed renews no lease that has ended, and begins no session.
-                let back = sender.line.0 > leader.term && s.left[1] > 0;
-                if (sender.line.0 < leader.term || back) && (at == last || sender.lease) {
-                    actions.push(Action::Opens(n, at));
+                // A deposed leader renews no expired lease and opens no session.
+                let back = sender.connection.0 > leader.term && s.faults_left[1] > 0;
+                if (sender.connection.0 < leader.term || back) && (at == last || sender.lease) {
+                    actions.push(Action::OpenSession(n, at));
                 }
             }
-            if s.left[3] > 0 && sender.lease {
-                actions.push(Action::Expires(n));
+            if s.faults_left[3] > 0 && sender.lease {
+                actions.push(Action::ExpireLease(n));
             }
             let live = s.leaders[last]
                 .record
                 .roster
                 .get(&name(n))
                 .is_some_and(|m| m.live && m.boot <= sender.boot);
-            let early = self.fault == Fault::LapsesEarly && s.left[3] > 0;
+            let early = self.fault == Fault::ExpiresEarly && s.faults_left[3] > 0;
             let lapsed = !sender.lease || early;
             if live
                 && lapsed
@@ -518,10 +527,10 @@
                     .iter()
                     .any(|c| matches!(c, Command::ExpireSender { .. }))
             {
-                actions.push(Action::Lapses(n));
+                actions.push(Action::RecordExpired(n));
             }
-            if s.left[4] > 0 {
-                actions.push(Action::Restarts(n));
+            if s.faults_left[4] > 0 {
+                actions.push(Action::Restart(n));
             }
         }
     }
@@ -530,7 +539,7 @@
         let mut s = last.clone();
         let leads = s.leaders.len() - 1;
         match action {
-            Action::Later => {
+            Action::Advance => {
                 s.now += STEP;
                 (0..s.leaders.len()).for_each(|at| self.tick(&mut s, at));
             }
@@ -539,45 +548,45 @@
                 self.commit(&mut s, command);
             }
             Action::Elect(inherits) => {
-                s.left[0] -= 1;
+                s.faults_left[0] -= 1;
                 let left = std::mem::take(&mut s.leaders[leads].proposed);
                 if inherits {
-                    // A leader has applied all that it inherits before it says anything; the
-                    // deposed one hears nothing of it.
+                    // A leader applies all that it inherits before it sends anything; the deposed
+                    // one receives none of it.
                     let deposed = s.leaders[leads].clone();
-                    let words = s.words.clone();
+                    let messages = s.messages.clone();
                     left.into_iter()
                         .for_each(|command| self.commit(&mut s, command));
-                    (s.leaders[leads], s.words) = (deposed, words);
+                    (s.leaders[leads], s.messages) = (deposed, messages);
                     s.leaders[leads].proposed.clear();
                 }
                 let term = s.leaders[leads].term + 1;
-                self.lead(&mut s, term);
+                self.elect(&mut s, term);
             }
-            Action::Arrives(at, lost, doubled) => {
-                let (n, line, word) = s.words[at].clone();
+            Action::Deliver(at, lost, doubled) => {
+                let (n, connection, message) = s.messages[at].clone();
                 if doubled {
-                    s.left[2] -= 1;
+                    s.faults_left[2] -= 1;
                 } else {
-                    s.words.remove(at);
+                    s.messages.remove(at);
                 }
-                s.left[1] -= u8::from(lost);
-                self.arrives(&mut s, n, line, &word, lost, false);
+                s.faults_left[1] -= u8::from(lost);
+                self.deliver(&mut s, n, connection, &message, lost, false);
             }
-            Action::Lost(at) => {
-                s.left[1] -= 1;
-                s.words.remove(at);
+            Action::Lose(at) => {
+                s.faults_left[1] -= 1;
+                s.messages.remove(at);
             }
-            Action::Refuses(at) => {
-                s.left[5] -= 1;
-                let (n, line, word) = s.words.remove(at);
-                self.arrives(&mut s, n, line, &word, false, true);
+            Action::Reject(at) => {
+                s.faults_left[5] -= 1;
+                let (n, connection, message) = s.messages.remove(at);
+                self.deliver(&mut s, n, connection, &message, false, true);
             }
-            Action::Opens(n, at) => {
-                s.left[1] -= u8::from(s.senders[n].line.0 > s.leaders[at].term);
-                s.lines += 1;
+            Action::OpenSession(n, at) => {
+                s.faults_left[1] -= u8::from(s.senders[n].connection.0 > s.leaders[at].term);
+                s.connections += 1;
                 let term = s.leaders[at].term;
-                s.senders[n].line = (term, s.lines);
+                s.senders[n].connection = (term, s.connections);
                 let boot = s.senders[n].boot;
                 let live = s.leaders[at]
                     .record
@@ -586,7 +595,7 @@
                     .is_some_and(|m| m.live && m.boot == boot);
                 let ends = |c: &Command| matches!(c, Command::ExpireSender { sender, .. } if *sender == name(n));
                 if live && !s.leaders[at].proposed.iter().any(ends) {
-                    self.meets(&mut s, at, n);
+                    self.open_session(&mut s, at, n);
                 } else {
                     let (sender, zone) = (name(n), ZONES[n].to_string());
                     s.leaders[at]
@@ -594,21 +603,21 @@
                         .push(Command::AddSender { sender, boot, zone });
                 }
             }
-            Action::Expires(n) => {
-                s.left[3] -= 1;
+            Action::ExpireLease(n) => {
+                s.faults_left[3] -= 1;
                 let sender = &mut s.senders[n];
-                (sender.lease, sender.heard, sender.line) = (false, None, (0, 0));
+                (sender.lease, sender.received, sender.connection) = (false, None, (0, 0));
             }
-            Action::Lapses(n) => {
-                s.left[3] = s.left[3].saturating_sub(u8::from(s.senders[n].lease));
+            Action::RecordExpired(n) => {
+                s.faults_left[3] = s.faults_left[3].saturating_sub(u8::from(s.senders[n].lease));
                 let boot = s.leaders[leads].record.roster[&name(n)].boot;
                 s.leaders[leads].proposed.push(Command::ExpireSender {
                     sender: name(n),
                     boot,
                 });
             }
-            Action::Restarts(n) => {
-                s.left[4] -= 1;
+            Action::Restart(n) => {
+                s.faults_left[4] -= 1;
                 let (boot, stored) = (
                     s.senders[n].boot + 1,
                     std::mem::take(&mut s.senders[n].stored),
@@ -620,15 +629,17 @@
                 };
             }
         }
-        self.look(&mut s);
+        self.check_invariants(&mut s);
         Some(s)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
-            Property::<Self>::always("nothing goes wrong", |_, s: &State| s.wrong.is_empty()),
-            Property::<Self>::sometimes("a zone goes over", |m: &Rollouts, s: &State| {
-                s.were.len() > usize::from(m.back)
+            Property::<Self>::always("no invariant is violated", |_, s: &State| {
+                s.violations.is_empty()
+            }),
+            Property::<Self>::sometimes("a zone changes its policy", |m: &Rollouts, s: &State| {
+                s.were_in_force.len() > usize::from(m.back)
             }),
         ];
         fn taken(s: &State, what: fn(&Change) -> bool) -> bool {
@@ -637,17 +648,17 @@
                 .any(|c| matches!(c, Command::ChangePolicies { change, .. } if what(change)))
         }
         if self.back {
-            properties.push(Property::<Self>::sometimes("it is done", |_, s: &State| {
+            properties.push(Property::<Self>::sometimes("the rollback completes", |_, s: &State| {
                 s.leaders.iter().any(|l| l.record.policies.past.len() > 1)
             }));
-        } else if self.left[5] > 0 {
+        } else if self.faults_left[5] > 0 {
             properties.push(Property::<Self>::sometimes(
-                "a refusal ends it",
+                "a rejection ends the rollout",
                 |_, s: &State| taken(s, |c| matches!(c, Change::End { .. })),
             ));
         } else {
             properties.push(Property::<Self>::sometimes(
-                "a pause is taken back",
+                "a pause is revoked",
                 |_, s: &State| taken(s, |c| matches!(c, Change::TakeBack { .. })),
             ));
         }
@@ -655,16 +666,16 @@
     }
 
     fn within_boundary(&self, s: &State) -> bool {
-        s.words.len() <= 8 && s.leaders.iter().all(|l| l.proposed.len() <= 3)
+        s.messages.len() <= 8 && s.leaders.iter().all(|l| l.proposed.len() <= 3)
     }
 }
 
-/// A policy goes over in one zone: an election, a lost word or answer, a doubled one, and one of: a
-/// lease that ends, a restart.
+/// A policy is put in force in one zone, with an election, a lost message or response, a duplicate,
+/// and either an expired lease or a restart.
 fn change(fault: Fault, lapses: u8, restarts: u8) -> Rollouts {
     Rollouts {
         fault,
-        left: [1, 1, 1, lapses, restarts, 0],
+        faults_left: [1, 1, 1, lapses, restarts, 0],
         back: false,
         until: 8 * STEP,
     }
@@ -673,7 +684,7 @@
 fn refusal(fault: Fault) -> Rollouts {
     Rollouts {
         fault,
-        left: [1, 0, 1, 0, 0, 1],
+        faults_left: [1, 0, 1, 0, 0, 1],
         back: false,
         until: 2 * STEP,
     }
@@ -682,22 +693,22 @@
 fn back(fault: Fault, restarts: u8) -> Rollouts {
     Rollouts {
         fault,
-        left: [1 - restarts, 0, 1, 0, restarts, 0],
+        faults_left: [1 - restarts, 0, 1, 0, restarts, 0],
         back: true,
         until: 12 * STEP,
     }
 }
 
-fn check(what: &str, model: Rollouts, most: usize) -> Option<String> {
+fn check(what: &str, model: Rollouts, max_states: usize) -> Option<String> {
     let (fault, begun) = (model.fault, std::time::Instant::now());
-    // There are far more orders than can be looked at, and what matters lies deep: walks drawn from
-    // a seed, each to its end.
+    // There are far more sequences than can be explored, and faults appear late in them: so random
+    // walks are drawn from a seed, each to its end.
     let checker = model
         .checker()
-        .target_state_count(most)
+        .target_state_count(max_states)
         .spawn_simulation(7, UniformChooser)
         .join();
-    let found = checker.discovery("nothing goes wrong");
+    let found = checker.discovery("no invariant is violated");
     println!(
         "{what}, fault {fault:?}: {} states, depth {}, {:?}",
         checker.state_count(),
@@ -714,34 +725,34 @@
         }
     }
     let path = found?;
-    let last = path.last_state().wrong.clone();
+    let last = path.last_state().violations.clone();
     println!("  found: {last:?} by {:?}", path.into_actions());
     Some(format!("{last:?}"))
 }
 
-/// States that are looked at, at the most; in CI.
-const MOST: usize = 30_000;
+/// Most states that are explored in CI.
+const MAX_STATES: usize = 30_000;
 
-fn most() -> usize {
+fn max_states() -> usize {
     std::env::var("MODEL_STATES")
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(MOST)
+        .unwrap_or(MAX_STATES)
 }
 
 #[test]
-fn a_zone_goes_over_with_the_word_of_all_that_live() {
+fn a_zone_changes_only_when_all_live_senders_confirmed() {
     assert_eq!(
-        check("change, lapses", change(Fault::None, 1, 0), most()),
+        check("change, lapses", change(Fault::None, 1, 0), max_states()),
         None
     );
     for (fault, what) in [
-        (Fault::Hasty, "a change without"),
-        (Fault::LapsesEarly, "a change without"),
+        (Fault::CommitsUnconfirmed, "a change without"),
+        (Fault::ExpiresEarly, "a change without"),
         (Fault::SameTurn, "a change without"),
-        (Fault::ObeysEarlier, "two policies"),
+        (Fault::AppliesEarlierTurns, "two policies"),
     ] {
-        let found = check("change, lapses", change(fault, 1, 0), most());
+        let found = check("change, lapses", change(fault, 1, 0), max_states());
         assert!(
             found.as_ref().is_some_and(|f| f.contains(what)),
             "{fault:?}: {found:?}"
@@ -750,25 +761,25 @@
 }
 
 #[test]
-fn a_sender_that_starts_anew_takes_nothing_on_before_it_has_heard() {
+fn a_restarted_sender_accepts_nothing_before_it_received_its_policy() {
     assert_eq!(
-        check("change, restarts", change(Fault::None, 0, 1), most()),
+        check("change, restarts", change(Fault::None, 0, 1), max_states()),
         None
     );
-    let found = check("back, restarts", back(Fault::TakesUnheard, 1), most());
+    let found = check("back, restarts", back(Fault::AcceptsUninformed, 1), max_states());
     assert!(found.is_some(), "{found:?}");
 }
 
 #[test]
-fn a_refusal_changes_nothing_anywhere() {
-    assert_eq!(check("refusal", refusal(Fault::None), most()), None);
-    // One that lapsed before it had checked it joins where it is in force.
+fn a_rejected_policy_changes_nothing_in_any_zone() {
+    assert_eq!(check("refusal", refusal(Fault::None), max_states()), None);
+    // A sender that expired before it had checked the policy joins again where it is in force.
     let unchecked = Rollouts {
-        left: [0, 0, 0, 1, 0, 1],
+        faults_left: [0, 0, 0, 1, 0, 1],
         until: 6 * STEP,
-        ..refusal(Fault::TakesUnchecked)
+        ..refusal(Fault::AcceptsUnchecked)
     };
-    let found = check("refusal, lapses", unchecked, most());
+    let found = check("refusal, lapses", unchecked, max_states());
     assert!(
         found.as_ref().is_some_and(|f| f.contains("not checked")),
         "{found:?}"
@@ -776,6 +787,6 @@
 }
 
 #[test]
-fn stages_go_back_one_by_one() {
-    assert_eq!(check("back", back(Fault::None, 0), most()), None);
+fn stages_roll_back_one_by_one() {
+    assert_eq!(check("back", back(Fault::None, 0), max_states()), None);
 }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -1,5 +1,5 @@
-//! The real program under load, with a keeper that this test plays: from policy to policy without a
-//! restart.
+//! The real program under load, with a stand-in keeper that this test controls: it changes from
+//! policy to policy without a restart.
 #![cfg(feature = "fleet")]
 
 #[path = "common/keeper.rs"]
@@ -18,17 +18,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a client on one connection saw.
+/// Observations of a client on one connection.
 #[derive(Default)]
 struct Client {
-    taken_on: u32,
-    turned_away: u32,
+    accepted: u32,
+    rejected: u32,
     longest: Duration,
     connections: u32,
 }
 
-/// Hands messages in on one connection, each as soon as the one before is answered and a moment has
-/// passed.
+/// Sends messages on one connection, each 20 ms after the response to the previous one.
 fn client(at: SocketAddr, n: u32, stop: &AtomicBool, heard: &Record) -> Client {
     let mut seen = Client::default();
     let mut line: Option<BufReader<TcpStream>> = None;
@@ -62,9 +61,9 @@
         match answer {
             Ok(head) if head.starts_with("HTTP/1.1 202") => {
                 heard.taken_on(&id);
-                seen.taken_on += 1;
+                seen.accepted += 1;
             }
-            Ok(_) => seen.turned_away += 1,
+            Ok(_) => seen.rejected += 1,
             Err(_) => line = None,
         }
         thread::sleep(Duration::from_millis(20));
@@ -73,7 +72,7 @@
 }
 
 #[test]
-fn a_sender_goes_from_policy_to_policy_under_load_and_ends_each_message_under_its_own() {
+fn a_sender_changes_policies_under_load_and_finishes_each_message_under_its_own() {
     let (heard, called) = (Arc::<Record>::default(), Arc::<Record>::default());
     let (quick, slow) = (Duration::from_millis(10), Duration::from_millis(1_500));
     let mut targets = vec![
@@ -100,7 +99,7 @@
     sender.follows(&text).expect("written");
     sender.spawn().expect("started");
     sender.listens().expect("listens");
-    // Nothing is taken on before it is known under which policy.
+    // Nothing is accepted before the sender knows which policy applies.
     assert!(!sender.hand_in("early", 0, Duration::from_secs(16), &heard));
     keeper.told().rule = Some((1, 0, false));
     keeper.told().away = false;
@@ -113,7 +112,8 @@
             thread::spawn(move || client(at, n, &stop, &heard))
         })
         .collect();
-    // Slots shrink and grow, attempts and deadlines change; more policies come than are kept.
+    // Slots decrease and increase, attempts and deadlines change; there are more policies than the
+    // sender keeps.
     let policy = |number: u64| {
         let slots = [2, 12, 5][number as usize % 3];
         let attempts = 3 + number;
@@ -126,29 +126,29 @@
     let offer = |number: u64, text: String| {
         let digest = Document::parse(&text).expect("usable").digest();
         keeper.told().offer = Some((number, digest, text));
-        wait("stored or refused", || {
+        wait("stored or rejected", || {
             keeper.told().stored.contains_key(&number)
         });
         keeper.told().stored[&number].clone()
     };
     let (mut turn, last) = (1, 12);
     let mut paused = Duration::ZERO;
-    let mut go_by = |number: u64| {
+    let mut apply = |number: u64| {
         let begun = Instant::now();
         let old = keeper.told().rule.map_or(0, |r| r.1);
         for (number, pause) in [(old, true), (number, false)] {
             turn += 1;
             keeper.told().rule = Some((turn, number, pause));
-            wait("its word", || keeper.told().turn == turn);
+            wait("a confirmation", || keeper.told().turn == turn);
         }
         paused = paused.max(begun.elapsed());
     };
     for number in 1..=last {
         assert_eq!(offer(number, policy(number)), None);
-        go_by(number);
+        apply(number);
         thread::sleep(Duration::from_millis(200));
     }
-    // One that this sender cannot go by is refused with all its faults, and changes nothing.
+    // A policy that this sender cannot apply is rejected with all its faults, and changes nothing.
     let bad = "[limits]\nslots = 60000\n[class.other]\ndeadline_ms = 5\n";
     let refused = offer(last + 1, bad.into()).expect("refused");
     assert!(
@@ -164,23 +164,23 @@
         .map(|c| c.join().expect("a client"))
         .collect();
     let longest = clients.iter().map(|c| c.longest).max().expect("some");
-    let (taken, away): (u32, u32) = clients
+    let (accepted, rejected): (u32, u32) = clients
         .iter()
-        .fold((0, 0), |sum, c| (sum.0 + c.taken_on, sum.1 + c.turned_away));
-    println!("{last} changes, {taken} taken on, {away} turned away; longest gap of a client {longest:?}, longest change {paused:?}");
+        .fold((0, 0), |sum, c| (sum.0 + c.accepted, sum.1 + c.rejected));
+    println!("{last} changes, {accepted} accepted, {rejected} rejected; longest gap of a client {longest:?}, longest change {paused:?}");
     assert!(
         clients.iter().all(|c| c.connections == 1),
         "a connection was dropped"
     );
     assert!(
-        taken > 400 && longest < Duration::from_millis(400),
-        "{taken} {longest:?}"
+        accepted > 400 && longest < Duration::from_millis(400),
+        "{accepted} {longest:?}"
     );
     heard.settle(Duration::from_secs(20));
     let verdict = heard.verdict();
     assert_eq!((verdict.lost, verdict.doubled), (0, 0));
-    // Each is told once, under the policy that it was taken on under.
-    let told = |of: fn(&MessageOutcomeCounts) -> u32| -> u32 {
+    // Each message is reported once, under the policy that it was accepted under.
+    let reported = |of: fn(&MessageOutcomeCounts) -> u32| -> u32 {
         keeper
             .told()
             .health
@@ -190,10 +190,10 @@
             .map(of)
             .sum()
     };
-    wait("all told", || {
-        told(|h| h.delivered + h.delivered_late + h.deferred + h.failed) == taken
+    wait("all messages reported", || {
+        reported(|h| h.delivered + h.delivered_late + h.deferred + h.failed) == accepted
     });
-    assert_eq!(told(|h| h.accepted), taken);
+    assert_eq!(reported(|h| h.accepted), accepted);
     let policies: std::collections::BTreeSet<u64> = keeper
         .told()
         .health
@@ -203,8 +203,8 @@
         .collect();
     assert_eq!(policies, (0..=last).collect());
 
-    // Killed with a message that is held, and no keeper there: the next process ends it under its
-    // policy and takes nothing on.
+    // The sender is killed with a message pending while no keeper answers: the next process
+    // finishes the message under its policy and accepts nothing new.
     assert!(sender.hand_in("held", 2, Duration::from_secs(16), &heard));
     wait("a call", || called.seen().lives.contains_key("held"));
     sender.kill();
@@ -214,13 +214,13 @@
     let log = sender.log();
     assert!(!log.said("hook: ended under 12"));
     assert!(!sender.hand_in("new", 0, Duration::from_secs(16), &heard));
-    wait("its end", || log.said("hook: ended under 12"));
-    // And on with the record's policy once a keeper is back.
+    wait("the end of the pending message", || log.said("hook: ended under 12"));
+    // It continues with the record's policy once a keeper answers again.
     keeper.told().away = false;
-    wait("taken on", || {
+    wait("an accepted message", || {
         sender.hand_in("again", 0, Duration::from_secs(16), &heard)
     });
-    // A lease that lapses shuts the door, and nothing else.
+    // An expired lease stops admission, and nothing else.
     keeper.told().away = true;
     wait("fenced", || {
         !sender.hand_in("late", 0, Duration::from_secs(16), &heard)
