--- a/src/store/capacity.rs
+++ b/src/store/capacity.rs
@@ -1,65 +1,65 @@
-//! What the store decides about room: how large segments are, what is admitted, when a segment is
-//! added or given back, and how much is cleaned.
+//! Capacity decisions of the store: the size of segments, admission of new items, when a segment
+//! is added or released, and how much is cleaned.
 //!
-//! No I/O and no clock: sizes and times come in. [`super::log`] calls it, and so does the
+//! Uses no I/O and no clock: callers pass sizes and times. Called by [`super::log`] and the
 //! simulator.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Smallest file of a segment, where the limit allows it: it holds two of the longest messages.
+/// Smallest segment file, where the limit allows it: it holds two messages of maximum length.
 const MIN_SEGMENT_BYTES: u64 = 144 * 1024;
-/// Largest file of a segment: what a recovery reads at once.
+/// Largest segment file. Recovery reads a whole segment into memory.
 const MAX_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
-/// Files of segments are multiples of this many bytes, a file system's block.
+/// Segment files are a multiple of this size, the block size of a file system.
 const SEGMENT_GRANULARITY: u64 = 4096;
-/// Bytes of the folder's limit that are left for what is no segment.
+/// Bytes of the folder's limit reserved for files other than segments.
 const OTHER_FILES_BYTES: u64 = 4096;
-/// Segments that a limit is cut into.
+/// Number of segments that a folder's limit is divided into.
 const SEGMENTS_AIMED_AT: u64 = 16;
-/// The fewest of them; below that, segments are made smaller.
+/// Minimum number of segments. Segments are made smaller rather than having fewer of them.
 const MIN_SEGMENTS: u64 = 7;
-/// Segments that hold nothing for certain: the one being written, and the cleaner's reserve.
+/// Segments that do not count towards capacity: the one being written, and the cleaner's reserve.
 const RESERVED_SEGMENTS: u32 = 3;
-/// Free segments that only the cleaner may take: it copies into one while it empties another.
+/// Free segments that only the cleaner may use: it copies into one while it empties another.
 pub const CLEANER_RESERVE: u32 = 2;
-/// Part of what segments can hold that may be live: the more, the more is copied for each byte
-/// written.
+/// Maximum fraction of the segments' capacity that may be live. The higher it is, the more bytes
+/// cleaning copies per byte written.
 const MAX_LIVE_FRACTION: f64 = 0.6;
-/// Above this part of what may be live, a segment is added in idle moments.
+/// A segment is added during idle maintenance once this fraction of the live capacity is in use.
 const GROW_AHEAD_FRACTION: f64 = 0.75;
-/// Cleaning begins when no more than this part of the segments is free.
+/// Cleaning begins when at most this fraction of the segments is free.
 const LOW_FREE_FRACTION: f64 = 0.33;
-/// Cleaning runs ahead of what it must do by this factor.
+/// Factor by which cleaning runs faster than it must to keep up with writes.
 const CLEANING_LEAD: f64 = 1.25;
-/// Most bytes that are copied for one frame, which bounds its pause.
+/// Maximum number of bytes copied before one frame is written, which bounds the delay of the frame.
 const MAX_CLEANING_BYTES: u64 = 256 * 1024;
-/// Bytes that are copied in one idle moment.
+/// Number of bytes copied in one idle maintenance step.
 pub const IDLE_CLEANING_BYTES: u64 = 64 * 1024;
-/// A gate that closed for want of the folder's own room reopens at this part of it, so that it does
-/// not flutter.
+/// Fraction of the live capacity below which a closed gate reopens. The hysteresis keeps the gate
+/// from alternating between open and closed.
 const REOPEN_FRACTION: f64 = 0.875;
-/// A closed gate stays closed for so long at least.
+/// Minimum time that a gate stays closed.
 const MIN_CLOSED_TIME: Duration = Duration::from_millis(100);
-/// The file system is asked for room no more often than this.
+/// Minimum interval between attempts to allocate a segment after one has failed.
 const GROWTH_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// The first surplus segment is given back after there was one for so long.
+/// Time for which there has to be a surplus segment before the first one is released.
 const SURPLUS_GRACE: Duration = Duration::from_secs(60);
-/// Time between further ones.
+/// Interval between releases of further surplus segments.
 const SURPLUS_RELEASE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How a folder is cut into segments.
+/// Size and number of the segments of a folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentLayout {
-    /// Bytes of a segment's file.
+    /// Size of a segment file, in bytes.
     pub segment_bytes: u64,
-    /// Most segments.
+    /// Maximum number of segments.
     pub max_segments: u32,
 }
 
 impl SegmentLayout {
-    /// For a folder that may hold `limit_bytes`, of which the file system has `available_bytes`
-    /// (the folder's own files included).
+    /// Returns the layout of a folder that may hold `limit_bytes`, when the file system has
+    /// `available_bytes` for it (including the folder's existing files).
     pub fn for_folder(limit_bytes: u64, available_bytes: u64) -> Self {
         let limit = limit_bytes.saturating_sub(OTHER_FILES_BYTES);
         let usable = limit.min(available_bytes);
@@ -67,7 +67,7 @@
         let mut segment_bytes =
             round_down((usable / SEGMENTS_AIMED_AT).clamp(least, MAX_SEGMENT_BYTES));
         if segment_bytes == 0 {
-            // There is no room at all now, but some may come.
+            // There is no space at present, but some may become available later.
             segment_bytes = MIN_SEGMENT_BYTES.min(round_down(limit / MIN_SEGMENTS));
         }
         let segment_bytes = segment_bytes.max(SEGMENT_GRANULARITY);
@@ -82,35 +82,36 @@
     bytes / SEGMENT_GRANULARITY * SEGMENT_GRANULARITY
 }
 
-/// How full the store is.
+/// Space usage of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Occupancy {
-    /// Bytes that a segment holds.
+    /// Capacity of a segment, in bytes, without its header.
     pub segment_bytes: u64,
-    /// Segments there are.
+    /// Current number of segments.
     pub segments: u32,
-    /// Segments there may be.
+    /// Number of segments that the folder's limit allows.
     pub max_segments: u32,
-    /// Those that are free.
+    /// Number of free segments.
     pub free_segments: u32,
-    /// Bytes left in the one being written.
+    /// Bytes left in the segment being written.
     pub tail_bytes: u64,
-    /// Bytes of all items, with what each may grow by.
+    /// Bytes of all items, including the space reserved for their growth.
     pub live_bytes: u64,
-    /// Bytes of the largest item.
+    /// Bytes of the largest item, including the space reserved for its growth.
     pub largest_item_bytes: u64,
 }
 
 impl Occupancy {
-    /// Bytes of items that so many segments take for certain. Of two neighbours, the second begins
-    /// with what the first had no room for, so they are half full at least.
+    /// Returns the bytes of items that this number of segments is guaranteed to hold. Of two
+    /// adjacent segments, the second begins with an item that did not fit into the first, so
+    /// segments are at least half full on average.
     fn guaranteed_bytes(&self, segments: u32, largest_item_bytes: u64) -> u64 {
         let half = self.segment_bytes / 2;
         let each = self.segment_bytes.saturating_sub(largest_item_bytes);
         u64::from(segments.saturating_sub(RESERVED_SEGMENTS)) * each.max(half)
     }
 
-    /// Bytes that may be live, with an item of this size among them.
+    /// Returns the bytes that may be live, including an item of this size.
     pub fn live_capacity(&self, item_bytes: u64) -> u64 {
         let largest = self.largest_item_bytes.max(item_bytes);
         (self.guaranteed_bytes(self.segments, largest) as f64 * MAX_LIVE_FRACTION) as u64
@@ -126,7 +127,8 @@
         self.free_segments <= low.max(f64::from(CLEANER_RESERVE) + 1.0) as u32
     }
 
-    /// Bytes to copy for so many that are about to be written; none while enough is free.
+    /// Returns the bytes to copy before `written_bytes` are written, or `None` if enough segments
+    /// are free.
     pub fn cleaning_quota(&self, written_bytes: u64) -> Option<u64> {
         if !self.is_low_on_free_segments() {
             return None;
@@ -137,7 +139,7 @@
         Some(((written_bytes as f64 * pace) as u64).min(MAX_CLEANING_BYTES))
     }
 
-    /// Bytes to copy in an idle moment; none where it would gain little.
+    /// Returns the bytes to copy in an idle maintenance step, or `None` if little would be gained.
     pub fn idle_cleaning_quota(&self) -> Option<u64> {
         let used_segments = self.segments.saturating_sub(self.free_segments);
         let used = u64::from(used_segments) * self.segment_bytes;
@@ -146,13 +148,13 @@
         (self.is_low_on_free_segments() && is_worthwhile).then_some(IDLE_CLEANING_BYTES)
     }
 
-    /// Whether a segment is to be added ahead of need.
+    /// Returns whether a segment should be added before it is needed.
     pub fn wants_segment(&self) -> bool {
         let is_needed = self.segments <= RESERVED_SEGMENTS || !self.fits(0, GROW_AHEAD_FRACTION);
         self.segments < self.max_segments && is_needed
     }
 
-    /// Whether a free segment could be given back and the rest would still be ample.
+    /// Returns whether a free segment can be released with ample capacity remaining.
     fn has_surplus_segment(&self) -> bool {
         let three_quarters = Occupancy {
             segments: self.segments.saturating_sub(self.segments.div_ceil(4)),
@@ -164,37 +166,38 @@
     }
 }
 
-/// Why no new item is admitted.
+/// Reason for which new items are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectReason {
-    /// The folder's limit.
+    /// The folder's size limit is reached.
     #[error("what is held takes the room that limits.disk_mb leaves")]
     FolderLimit,
     /// The file system is full.
     #[error("the file system gives no more room")]
     FileSystemFull,
-    /// The device fails.
+    /// The device returns errors.
     #[error("the file system fails")]
     DeviceError,
 }
 
-/// What is to be done about a new item.
+/// Decision about a new item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityDecision {
-    /// It may be written.
+    /// The item may be written.
     Admit,
-    /// Add a segment, tell [`CapacityGate::on_growth`], and request again.
+    /// The caller has to add a segment, report the result to [`CapacityGate::on_growth`], and
+    /// request again.
     AddSegment,
-    /// It is rejected.
+    /// The item is rejected.
     Reject(RejectReason),
 }
 
-/// A change of the gate's state, worth one line of the log.
+/// A change of the gate's state, to be logged in one line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateChange {
-    /// Closed, and why.
+    /// The gate closed for this reason.
     Closed(RejectReason),
-    /// Open again, after so long.
+    /// The gate opened again after this time.
     Reopened(Duration),
 }
 
@@ -203,33 +206,33 @@
         match self {
             GateChange::Closed(reason) => write!(f, "takes nothing on: {reason}"),
             GateChange::Reopened(after) => {
-                write!(f, "takes messages on again after {} ms", after.as_millis())
+                write!(f, "accepts messages again after {} ms", after.as_millis())
             }
         }
     }
 }
 
-/// Why and since when a gate is closed.
+/// Reason and start time of a gate's closure.
 #[derive(Clone, Copy, Debug)]
 struct Closed {
     reason: RejectReason,
     since: Duration,
 }
 
-/// The gate for new items. What is held already passes without asking.
+/// Admission gate for new items. Frames of items that are already stored do not pass through it.
 ///
-/// Times are counted from any start, never back.
+/// Times are monotonic and count from an arbitrary origin.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CapacityGate {
     closed: Option<Closed>,
-    /// The file system is asked for room no sooner than this.
+    /// Earliest time of the next attempt to allocate a segment.
     next_growth_at: Duration,
-    /// When the next surplus segment is given back.
+    /// Time at which the next surplus segment is released.
     next_release_at: Option<Duration>,
 }
 
 impl CapacityGate {
-    /// Whether an item of this size may be written now.
+    /// Decides whether an item of this size may be written now.
     pub fn request(
         &mut self,
         now: Duration,
@@ -266,34 +269,34 @@
         (CapacityDecision::Reject(closed.reason), None)
     }
 
-    /// A segment was added, or could not be.
+    /// Records that a segment was added, or the reason why it could not be.
     pub fn on_growth(&mut self, now: Duration, failed: Option<RejectReason>) -> Option<GateChange> {
         let reason = failed?;
         self.defer_growth(now);
         self.close(reason, now)
     }
 
-    /// Whether the file system may be asked for room ahead of need.
+    /// Returns whether a segment may be allocated before it is needed.
     pub fn may_grow(&self, now: Duration) -> bool {
         self.closed.is_none() && now >= self.next_growth_at
     }
 
-    /// The file system gave no room: it is not asked again for a while.
+    /// Defers the next allocation after the file system failed to provide a segment.
     pub fn defer_growth(&mut self, now: Duration) {
         self.next_growth_at = now + GROWTH_RETRY_INTERVAL;
     }
 
-    /// An item that was admitted could not be written.
+    /// Closes the gate after an admitted item could not be written.
     pub fn on_write_error(&mut self, now: Duration) -> Option<GateChange> {
         self.close(RejectReason::DeviceError, now)
     }
 
-    /// When it makes sense to request again.
+    /// Returns the time after which it is worthwhile to request again.
     pub fn retry_after(&self) -> Duration {
         GROWTH_RETRY_INTERVAL
     }
 
-    /// Whether a free segment is to be given back now.
+    /// Returns whether a free segment should be released now.
     pub fn should_release_segment(&mut self, now: Duration, occupancy: &Occupancy) -> bool {
         if !occupancy.has_surplus_segment() {
             self.next_release_at = None;
@@ -306,7 +309,7 @@
         is_due
     }
 
-    /// Closes the gate. Why it stays closed may change; since when does not.
+    /// Closes the gate. If it is closed already, the reason is replaced and the start time is kept.
     fn close(&mut self, reason: RejectReason, now: Duration) -> Option<GateChange> {
         let was_open = self.closed.is_none();
         let since = self.closed.map_or(now, |closed| closed.since);
--- a/src/store/disk.rs
+++ b/src/store/disk.rs
@@ -1,7 +1,7 @@
-//! Where segments lie: a folder of files that are allocated in full when they are made.
+//! Storage for segments: a folder of files whose space is allocated in full on creation.
 //!
-//! [`Folder`] is the real one, [`super::faulty::FaultyDisk`] one in memory that fails as it is
-//! told.
+//! [`Folder`] is a folder of the file system; [`super::faulty::FaultyDisk`] is an in-memory
+//! implementation with fault injection.
 
 use rustix::fs::{fallocate, statvfs, FallocateFlags};
 use rustix::io::Errno;
@@ -11,68 +11,68 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Bytes written at once where a file system cannot allocate.
+/// Size of the blocks of zeros written where a file system does not support `fallocate`.
 const ZERO_BLOCK_BYTES: usize = 64 * 1024;
 
 /// A file of fixed size, read and written by position.
 pub trait DiskFile: Send + Sync {
-    /// Its size in bytes.
+    /// Returns the file's size in bytes.
     ///
     /// # Errors
-    /// It is not there any more, or the device fails.
+    /// The file no longer exists, or the device fails.
     fn size(&self) -> io::Result<u64>;
-    /// Reads some bytes; as many as come at once, none at the end.
+    /// Reads up to `into.len()` bytes and returns how many were read; 0 at the end of the file.
     ///
     /// # Errors
     /// The device fails.
     fn read_at(&self, into: &mut [u8], offset: u64) -> io::Result<usize>;
-    /// Writes some of these bytes and says how many.
+    /// Writes some of these bytes and returns how many were written.
     ///
     /// # Errors
     /// The device fails; any part may have been written.
     fn write_at(&self, bytes: &[u8], offset: u64) -> io::Result<usize>;
-    /// Returns once what was written outlasts the machine.
+    /// Returns once everything written is durable, that is, survives a failure of the machine.
     ///
     /// # Errors
-    /// What was written may be lost, whatever a later sync says.
+    /// Data written before may be lost, even if a later sync succeeds.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A folder of such files.
+/// A folder of files of fixed size.
 pub trait Disk: Send + Sync {
-    /// Names of all files with their sizes in bytes.
+    /// Returns the names of all files with their sizes in bytes.
     ///
     /// # Errors
     /// The folder cannot be read.
     fn list(&self) -> io::Result<Vec<(String, u64)>>;
-    /// Opens a file. A folder that may only be read gives one that fails to write.
+    /// Opens a file. In a read-only folder, writes to the file fail.
     ///
     /// # Errors
     /// There is no such file, or the process has no descriptor left.
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
-    /// Makes a file of zeros, with all its room allocated.
+    /// Creates a file of zeros with its space allocated in full.
     ///
     /// # Errors
-    /// There is no room for it, or a file of that name; it is not there then.
+    /// There is not enough space, or a file of that name exists. No file is created.
     fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn DiskFile>>;
     /// Removes a file.
     ///
     /// # Errors
     /// There is no such file, or the device fails.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Bytes that the file system could still give.
+    /// Returns the bytes available in the file system.
     ///
     /// # Errors
-    /// The file system does not say.
+    /// The file system does not report its free space.
     fn free_bytes(&self) -> io::Result<u64>;
-    /// Returns once names that were made or removed outlast the machine.
+    /// Returns once the creation and removal of files is durable.
     ///
     /// # Errors
-    /// They may be lost.
+    /// Creations and removals may be lost.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// Reads until the buffer is full or the file ends; says how many bytes came.
+/// Reads until the buffer is full or the file ends, and returns the number of bytes read.
 ///
 /// # Errors
 /// The device fails.
@@ -92,7 +92,7 @@
 /// Writes all bytes.
 ///
 /// # Errors
-/// The device fails; any part of them may have been written.
+/// The device fails; any part of the bytes may have been written.
 pub fn write_full(file: &dyn DiskFile, bytes: &[u8], offset: u64) -> io::Result<()> {
     let mut written = 0;
     while written < bytes.len() {
@@ -113,7 +113,7 @@
 }
 
 impl Folder {
-    /// A folder that is there.
+    /// Returns an existing folder.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Folder {
             path: path.into(),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The same, and nothing in it is changed.
+    /// Returns an existing folder in which every change fails.
     pub fn read_only(path: impl Into<PathBuf>) -> Self {
         Folder {
             path: path.into(),
@@ -160,7 +160,7 @@
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            // A file that goes while the folder is read is not there.
+            // A file that is removed while the folder is being read is skipped.
             if let (Ok(meta), Ok(name)) = (entry.metadata(), entry.file_name().into_string()) {
                 files.extend(meta.is_file().then_some((name, meta.len())));
             }
@@ -207,7 +207,8 @@
     }
 }
 
-/// Has the file system set the room aside; where it cannot, zeros are written.
+/// Allocates the file's space, by writing zeros where the file system does not support
+/// `fallocate`.
 fn allocate(file: &File, size: u64) -> io::Result<()> {
     loop {
         match fallocate(file, FallocateFlags::empty(), 0, size) {
--- a/src/store/faulty.rs
+++ b/src/store/faulty.rs
@@ -1,46 +1,45 @@
-//! A disk in memory that fails as it is told: at the nth operation, for want of room, or by the end
-//! of process or machine in the middle of a write.
+//! An in-memory disk with fault injection for tests: it fails at the nth operation, when space runs
+//! out, or with the end of the process or the machine in the middle of a write.
 //!
-//! For tests. Everything about it is decided by its script and a seed, so a run can be repeated.
-//! Operations are what changes something: writes, syncs, files made or removed. Reads are not
-//! counted.
+//! Its behavior is determined by the injected faults, so a run can be repeated. Operations are
+//! writes, syncs, and the creation and removal of files. Reads are not counted.
 
 use super::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Errno of a device that fails.
+/// Errno of a failing device.
 const EIO: i32 = 5;
 
-/// What happens at an operation.
+/// Fault injected at an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// No room.
+    /// No space is left.
     NoSpace,
-    /// The device fails.
+    /// The device returns an error.
     Io,
-    /// A write writes only its first half, and says so.
+    /// A write writes only its first half, and reports the shorter length.
     Short,
-    /// A write leaves so many bytes, and then the device fails.
+    /// A write writes this number of bytes, and then the device returns an error.
     Cut(usize),
-    /// The process ends before the operation; nothing works from then on.
+    /// The process ends before the operation; all later operations fail.
     Kill,
-    /// The process ends in the middle of the operation: a write leaves so many sixteenths of its
-    /// bytes.
+    /// The process ends in the middle of the operation: a write writes this number of sixteenths of
+    /// its bytes.
     Torn(u8),
 }
 
 #[derive(Default)]
 struct DiskState {
     files: BTreeMap<String, FileContent>,
-    /// Operations so far.
+    /// Number of operations so far.
     operations: u64,
-    /// Faults by the operation that they happen at.
+    /// Faults by the number of the operation that they are injected at.
     faults: BTreeMap<u64, Fault>,
     killed: bool,
     quota_bytes: Option<u64>,
-    /// Bytes that were written, for write amplification.
+    /// Number of bytes written, to compute write amplification.
     written_bytes: u64,
 }
 
@@ -48,7 +47,7 @@
 struct FileContent {
     current: Vec<u8>,
     durable: Vec<u8>,
-    /// Writes since the last sync, in order.
+    /// Writes since the last sync, oldest first.
     unsynced_writes: Vec<UnsyncedWrite>,
 }
 
@@ -58,20 +57,20 @@
     bytes: Vec<u8>,
 }
 
-/// The disk. Clones are the same disk.
+/// An in-memory disk with fault injection. Clones share the same state.
 #[derive(Clone, Default)]
 pub struct FaultyDisk(Arc<Mutex<DiskState>>);
 
-/// What a disk holds: names and bytes.
+/// Content of a disk: file names and bytes.
 pub type DiskImage = BTreeMap<String, Vec<u8>>;
 
 impl FaultyDisk {
-    /// An empty disk without faults.
+    /// Returns an empty disk without faults.
     pub fn new() -> Self {
         FaultyDisk::default()
     }
 
-    /// A disk that holds these files, synced.
+    /// Returns a disk that contains these files, synced.
     pub fn from_image(image: DiskImage) -> Self {
         let disk = FaultyDisk::new();
         let files = image.into_iter().map(|(name, bytes)| {
@@ -87,43 +86,44 @@
     }
 
     fn state(&self) -> MutexGuard<'_, DiskState> {
-        // A test that panicked elsewhere changes nothing here.
+        // A panic of a test while it held the lock leaves the state consistent.
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Has the nth operation from now fail, counted from 0.
+    /// Injects a fault at the nth operation from now, counted from 0.
     pub fn fail(&self, nth: u64, fault: Fault) {
         let mut state = self.state();
         let at = state.operations + nth;
         state.faults.insert(at, fault);
     }
 
-    /// The most bytes that all files may have together from now on; others may have taken the rest.
+    /// Limits the total size of all files from now on, as if other users of the file system had
+    /// filled the rest.
     pub fn set_quota(&self, bytes: Option<u64>) {
         self.state().quota_bytes = bytes;
     }
 
-    /// Operations so far.
+    /// Returns the number of operations so far.
     pub fn operations(&self) -> u64 {
         self.state().operations
     }
 
-    /// Bytes written so far.
+    /// Returns the number of bytes written so far.
     pub fn written_bytes(&self) -> u64 {
         self.state().written_bytes
     }
 
-    /// Whether the process has ended.
+    /// Returns whether a fault has ended the process.
     pub fn is_killed(&self) -> bool {
         self.state().killed
     }
 
-    /// Bytes that all files have together.
+    /// Returns the total size of all files, in bytes.
     pub fn total_bytes(&self) -> u64 {
         self.state().total_bytes()
     }
 
-    /// What the next process finds.
+    /// Returns the content that the next process finds.
     pub fn after_kill(&self) -> DiskImage {
         self.state()
             .files
@@ -132,8 +132,8 @@
             .collect()
     }
 
-    /// What is found after a power cut: all that was synced, and of other writes those that
-    /// `is_kept` says, in order.
+    /// Returns the content after a power cut: everything that was synced, and those other writes
+    /// for which `is_kept` returns true. It is called for each write, oldest first within a file.
     pub fn after_power_cut(&self, mut is_kept: impl FnMut() -> bool) -> DiskImage {
         self.state()
             .files
@@ -169,7 +169,8 @@
         Ok(self.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?)
     }
 
-    /// Reads count as no operation, and fail only once the process has ended.
+    /// Checks that the process has not ended. Reads make only this check; they are not counted as
+    /// operations.
     fn check_alive(&self) -> io::Result<()> {
         if self.killed {
             return Err(killed());
@@ -177,8 +178,8 @@
         Ok(())
     }
 
-    /// Counts an operation. Gives the fault that changes what it does; one that lets it do nothing
-    /// is an error.
+    /// Counts an operation. Returns an error for a fault that prevents the operation, and the fault
+    /// itself if it only alters the operation.
     fn begin_operation(&mut self) -> io::Result<Option<Fault>> {
         self.check_alive()?;
         let at = self.operations;
@@ -235,7 +236,8 @@
         state.written_bytes += len as u64;
         let file = state.file_mut(&self.name)?;
         let offset = offset as usize;
-        // Files have all their room from the start; one that grows would escape the reserve.
+        // Files have their full size from the start. A file that grew would exceed the space that
+        // was reserved for it.
         let place = file
             .current
             .get_mut(offset..offset + len)
@@ -291,7 +293,7 @@
         if state.quota_bytes.is_some_and(|quota| total_bytes > quota) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        // A process that ends while it allocates leaves a file that is too short.
+        // A process that ends during an allocation leaves a file that is too short.
         let allocated = match fault {
             Some(Fault::Torn(sixteenths)) => size * u64::from(sixteenths.min(16)) / 16,
             _ => size,
--- a/src/store/frame.rs
+++ b/src/store/frame.rs
@@ -1,51 +1,50 @@
-//! The bytes of a segment: a header that stands twice, then frames. Nothing here reads or writes a
-//! file; [`super`] shows the layout.
+//! Encoding of a segment: two copies of a header, then frames. Performs no I/O; [`super`] shows the
+//! layout.
 //!
-//! A frame's checksum begins with its segment's salt, so neither what an earlier use left in the
-//! file nor bytes inside an item can pass for a frame.
+//! A frame's checksum covers its segment's salt, so neither remains of an earlier use of the file
+//! nor bytes inside an item are mistaken for a frame.
 
-/// What a header begins with.
+/// First bytes of a header.
 const MAGIC: &[u8; 16] = b"raildeal store 2";
 /// Bytes of one copy of a header, checksum included.
 const HEADER_LEN: usize = 68;
 /// Bytes of a checksum.
 const CHECKSUM_LEN: usize = 4;
-/// Where the second copy stands: in another sector than the first.
+/// Offset of the header's second copy, which is in a different sector from the first.
 const SECOND_HEADER_OFFSET: usize = 512;
-/// Where frames begin.
+/// Offset of the first frame.
 pub const FRAMES_OFFSET: u64 = 1024;
-/// Bytes before a frame's payload: its length and its checksum.
+/// Bytes before a frame's payload: payload length and checksum.
 const FRAME_PREFIX_LEN: usize = 8;
-/// Kind and number, which every payload begins with.
+/// Bytes of the kind and number at the beginning of every payload.
 const PAYLOAD_PREFIX_LEN: usize = 9;
-/// Frames begin at multiples of this.
+/// Alignment of frames, in bytes.
 const FRAME_ALIGNMENT: u64 = 8;
-/// Behind the last frame stand so many zeros, so that an end can be told from what an earlier use
-/// left there.
+/// Number of zeros after the last frame. They distinguish the end from remains of an earlier use.
 const TERMINATOR_LEN: usize = 8;
-/// What stands behind the last frame.
+/// Bytes after the last frame.
 pub const TERMINATOR: [u8; TERMINATOR_LEN] = [0; TERMINATOR_LEN];
 
-/// What a segment says of itself.
+/// Header of a segment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SegmentHeader {
-    /// Its place in the sequence of segments.
+    /// Position in the sequence of segments.
     pub sequence: u64,
-    /// What the checksums of its frames begin with.
+    /// Salt that the checksums of the segment's frames begin with.
     pub salt: u64,
-    /// The oldest segment that counted when this one was begun.
+    /// Sequence number of the oldest segment of the log when this one was begun.
     pub oldest_sequence: u64,
-    /// Where frames ended in the segment before it.
+    /// Offset at which frames ended in the previous segment.
     pub previous_end: u64,
-    /// An item number higher than all that were used before.
+    /// An item number higher than all those used before.
     pub next_item: u64,
-    /// Frames say what was synced ([`FrameKind::DurableUpTo`]); a hole behind the last of them is
-    /// an end that was cut, not damage.
+    /// Whether frames record what was synced ([`FrameKind::DurableUpTo`]). If so, unreadable bytes
+    /// after the last synced position are a torn write, not damage.
     pub has_durable_marks: bool,
 }
 
 impl SegmentHeader {
-    /// The bytes up to [`FRAMES_OFFSET`] and the terminator behind them.
+    /// Returns the bytes up to [`FRAMES_OFFSET`] and the terminator after them.
     pub fn encode(&self) -> Vec<u8> {
         let numbers = [
             self.sequence,
@@ -68,8 +67,8 @@
         bytes
     }
 
-    /// Reads a header from a segment's first [`FRAMES_OFFSET`] bytes. Of copies that differ, the
-    /// later one counts.
+    /// Reads a header from a segment's first [`FRAMES_OFFSET`] bytes. If the copies differ, the one
+    /// with the higher sequence number is used.
     pub fn decode(bytes: &[u8]) -> SegmentStart {
         let copies = Self::decode_copies(bytes);
         match copies.into_iter().flatten().max_by_key(|h| h.sequence) {
@@ -79,8 +78,8 @@
         }
     }
 
-    /// Whether both copies of a header say the same. Where they do not, its writing was cut, or one
-    /// of them is damaged.
+    /// Returns whether both copies of a header are equal. If not, the write of the header was
+    /// interrupted, or one of the copies is damaged.
     pub fn copies_agree(bytes: &[u8]) -> bool {
         let [first, second] = Self::decode_copies(bytes);
         first == second
@@ -110,34 +109,34 @@
     }
 }
 
-/// What stands at a segment's beginning.
+/// Content of the beginning of a segment file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SegmentStart {
-    /// Nothing yet.
+    /// Zeros only: nothing was written yet.
     Empty,
-    /// A header.
+    /// A valid header.
     Header(SegmentHeader),
-    /// Something that cannot be read.
+    /// Bytes that are not a valid header.
     Unreadable,
 }
 
-/// What a frame means.
+/// Kind of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
-    /// An item as it stands; replaces all frames on it before.
+    /// The complete state of an item; replaces all its earlier frames.
     Put,
-    /// Something that happened to an item.
+    /// An update of an item.
     Update,
-    /// An item is over.
+    /// The removal of an item.
     Remove,
-    /// Segments before this one count no more.
+    /// The log begins at this segment; earlier ones are retired.
     LogStart,
-    /// Everything before an offset of this segment is synced; the data has the offset.
+    /// Everything before an offset in this segment is synced. The data contains the offset.
     DurableUpTo,
 }
 
 impl FrameKind {
-    /// Its byte on disk.
+    /// Returns the kind's byte on disk.
     fn tag(self) -> u8 {
         match self {
             FrameKind::Put => 1,
@@ -159,37 +158,37 @@
         }
     }
 
-    /// Whether it says something of an item, and not of the log.
+    /// Returns whether the frame concerns an item rather than the log.
     pub fn is_on_item(self) -> bool {
         matches!(self, FrameKind::Put | FrameKind::Update | FrameKind::Remove)
     }
 }
 
-/// A frame that was read.
+/// A decoded frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// What it means.
+    /// Kind of the frame.
     pub kind: FrameKind,
-    /// The item's number, or the segment's.
+    /// Number of the item, or sequence number of the segment.
     pub number: u64,
-    /// What is said of it.
+    /// Data of the frame.
     pub data: &'a [u8],
-    /// Bytes from its beginning to that of the next.
+    /// Bytes from the beginning of this frame to the beginning of the next.
     pub len: u64,
 }
 
-/// Bytes that a frame with so much data takes.
+/// Returns the encoded length of a frame with `data_len` bytes of data.
 pub fn encoded_len(data_len: usize) -> u64 {
     ((FRAME_PREFIX_LEN + PAYLOAD_PREFIX_LEN + data_len) as u64).next_multiple_of(FRAME_ALIGNMENT)
 }
 
-/// Most data that a frame in a segment of so many bytes can hold.
+/// Returns the maximum data length of a frame in a segment of `segment_bytes`.
 pub fn max_data_len(segment_bytes: u64) -> usize {
     let usable = segment_bytes.saturating_sub(FRAMES_OFFSET) / FRAME_ALIGNMENT * FRAME_ALIGNMENT;
     usable.saturating_sub((FRAME_PREFIX_LEN + PAYLOAD_PREFIX_LEN) as u64) as usize
 }
 
-/// The bytes of a frame, with the terminator behind it, which the next frame replaces.
+/// Encodes a frame and the terminator after it, which the next frame overwrites.
 pub fn encode(salt: u64, kind: FrameKind, number: u64, data: &[u8]) -> Vec<u8> {
     let len = encoded_len(data.len()) as usize;
     let mut bytes = Vec::with_capacity(len + TERMINATOR_LEN);
@@ -204,7 +203,7 @@
     bytes
 }
 
-/// The frame at the beginning of these bytes, if a whole one stands there.
+/// Decodes the frame at the beginning of these bytes; `None` if there is no complete frame.
 pub fn decode(salt: u64, bytes: &[u8]) -> Option<Frame<'_>> {
     let (prefix, rest) = bytes.split_first_chunk::<FRAME_PREFIX_LEN>()?;
     let (len, stored_checksum) = prefix.split_first_chunk::<4>()?;
@@ -220,13 +219,13 @@
     })
 }
 
-/// Whether frames end here on purpose: at the terminator, or where no other frame would fit.
+/// Returns whether this is a regular end of frames: a terminator, or too few bytes for a frame.
 pub fn is_end_of_frames(bytes: &[u8]) -> bool {
     bytes.len() < FRAME_PREFIX_LEN + PAYLOAD_PREFIX_LEN
         || bytes[..TERMINATOR_LEN].iter().all(|b| *b == 0)
 }
 
-/// The first whole frame in these bytes, at or after `from`.
+/// Returns the offset of the first complete frame at or after `from`.
 pub fn find_next(salt: u64, bytes: &[u8], from: usize) -> Option<usize> {
     let step = FRAME_ALIGNMENT as usize;
     (from.next_multiple_of(step)..bytes.len())
--- a/src/store/log/append.rs
+++ b/src/store/log/append.rs
@@ -1,4 +1,4 @@
-//! Writes frames at the log's end, and begins segments.
+//! Writes frames at the end of the log, and begins segments.
 
 use super::{Segment, SegmentLog, SnapshotSource, SpareFile};
 use crate::store::capacity::CLEANER_RESERVE;
@@ -8,11 +8,11 @@
 use std::io;
 use std::sync::Arc;
 
-/// Places that a frame is tried at: where one write failed, another segment may do.
+/// Maximum number of attempts to write a frame: after a failed write, another segment may work.
 const WRITE_ATTEMPTS: usize = 2;
 
 impl SegmentLog {
-    /// Appends a frame, and pays for it by cleaning.
+    /// Appends a frame, after cleaning in proportion to its length.
     pub(super) fn append(
         &mut self,
         kind: FrameKind,
@@ -28,20 +28,20 @@
         Ok(location)
     }
 
-    /// Cleans as much as so many further bytes cost.
+    /// Cleans as much as is due for `written_bytes` further bytes.
     fn clean_for(&mut self, written_bytes: u64, items: &dyn SnapshotSource) {
         let Some(quota) = self.occupancy().cleaning_quota(written_bytes) else {
             return;
         };
         self.cleaning_credit += quota as i64;
         let budget = self.cleaning_credit.max(0) as u64;
-        // What cannot be copied now can be later; whether the frame finds room is seen when it is
-        // written.
+        // An item that cannot be copied now is retried later. If there is no space for the frame,
+        // its write fails.
         let copied = self.clean(items, budget).unwrap_or(0);
         self.cleaning_credit -= copied as i64;
     }
 
-    /// Writes how far everything is synced, where no frame says so yet.
+    /// Writes the position up to which the log is synced, unless a frame records it already.
     fn write_durable_mark(&mut self, items: &dyn SnapshotSource) -> io::Result<()> {
         if let Some(mark) = self.unwritten_durable_mark {
             let offset = mark.offset.to_le_bytes();
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    /// Writes a frame to the newest segment, or to a new one. Without `items` it is the cleaner
-    /// that writes, which may take its reserve.
+    /// Writes a frame to the newest segment, or to a new one. Only the cleaner calls this without
+    /// `items`; it may use the reserved segments.
     pub(super) fn write(
         &mut self,
         kind: FrameKind,
@@ -62,7 +62,7 @@
     ) -> io::Result<FrameLocation> {
         let written = self.write_in_some_segment(kind, number, data, items);
         if written.is_err() {
-            // Where there is no other segment, the same place may do at another time.
+            // If there is no other segment, a later write to the same place may succeed.
             self.set_tail_sealed(false);
         }
         written
@@ -92,13 +92,13 @@
         Err(failed.unwrap_or_else(|| io::ErrorKind::StorageFull.into()))
     }
 
-    /// Begins another segment where the newest one has no room.
+    /// Begins another segment if the newest one has no space for `len` bytes.
     fn prepare_tail(&mut self, len: u64, items: Option<&dyn SnapshotSource>) -> io::Result<()> {
         if self.tail_fits(len) {
             return Ok(());
         }
         if let Some(items) = items {
-            // What keeps the cleaner from its work need not keep this from its place.
+            // The frame may fit into a free segment even if cleaning fails.
             let _ = self.free_a_segment(items);
         }
         // Cleaning may have begun another segment.
@@ -108,7 +108,8 @@
         self.begin_segment()
     }
 
-    /// Writes a frame to the newest segment, which has room for it. One that fails seals it.
+    /// Writes a frame to the newest segment, which has space for it. A failed write seals the
+    /// segment.
     fn write_to_tail(
         &mut self,
         kind: FrameKind,
@@ -121,14 +122,14 @@
             None => self.disk.open(&segment_file_name(segment.slot))?,
         };
         let mut bytes = frame::encode(segment.salt, kind, number, data);
-        // At the end of the file no terminator is needed.
+        // No terminator is needed at the end of the file.
         bytes.truncate(segment.bytes_left() as usize);
         if let Err(e) = write_full(&*file, &bytes, segment.end) {
             self.statistics.failed_writes += 1;
             segment.sealed = true;
             let slot = segment.slot;
             let offset = segment.end;
-            // A whole frame has more bytes than a terminator.
+            // Erasing the first bytes is enough: a complete frame is longer than a terminator.
             self.erase_failed_write(slot, file, offset, &TERMINATOR);
             return Err(e);
         }
@@ -146,8 +147,8 @@
         Ok(location)
     }
 
-    /// Erases what a write that failed may have left, so that no later process takes it for one
-    /// that succeeded.
+    /// Erases what a failed write may have left, so that no later process mistakes it for a
+    /// successful write.
     fn erase_failed_write(
         &mut self,
         slot: u32,
@@ -158,13 +159,13 @@
         if let Err(e) = write_full(&*file, zeros, offset) {
             self.statistics.failed_writes += 1;
             let name = segment_file_name(slot);
-            log::debug!("store: {name}: what failed at {offset} is not erased: {e}");
+            log::debug!("store: {name}: failed write at {offset} not erased: {e}");
         }
-        // What was written and what erased it are synced together.
+        // The failed write and its erasure are synced together.
         self.mark_dirty(slot, file);
     }
 
-    /// Whether the segment being written has room for so many bytes more.
+    /// Returns whether the segment being written has space for `len` more bytes.
     fn tail_fits(&self, len: u64) -> bool {
         self.segments
             .back()
@@ -183,8 +184,8 @@
         }
     }
 
-    /// Has a free segment beyond the cleaner's reserve, if one can be had. The cleaner keeps ahead
-    /// of this by its pace; where it could not, it works now.
+    /// Ensures a free segment beyond the cleaner's reserve, if possible. Usually the cleaner has
+    /// freed one already; if it could not, it cleans now.
     fn free_a_segment(&mut self, items: &dyn SnapshotSource) -> io::Result<()> {
         let mut attempts_left = self.segments.len();
         while self.spares.len() <= CLEANER_RESERVE as usize
@@ -216,7 +217,7 @@
         if let Err(e) = write_full(&*file, &header.encode(), 0) {
             self.statistics.failed_writes += 1;
             self.erase_failed_write(spare.slot, file, 0, &[0; FRAMES_OFFSET as usize]);
-            // Another file may do better.
+            // Another file may work.
             self.spares.insert(
                 0,
                 SpareFile {
@@ -229,7 +230,7 @@
         self.next_sequence += 1;
         self.mark_dirty(spare.slot, file.clone());
         if let Some(previous) = self.segments.back_mut() {
-            // It is only read from now on.
+            // From now on the previous segment is only read.
             previous.file = None;
         }
         self.limit_open_spares();
@@ -264,7 +265,7 @@
     }
 }
 
-/// Spreads a number over all bits (splitmix64, Steele, Lea and Flood 2014).
+/// Mixes the bits of a number (splitmix64; Steele, Lea and Flood, 2014).
 fn mix(n: u64) -> u64 {
     let n = n.wrapping_add(0x9E37_79B9_7F4A_7C15);
     let n = (n ^ (n >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/src/store/log/cleaner.rs
+++ b/src/store/log/cleaner.rs
@@ -1,4 +1,4 @@
-//! Cleans the oldest segments: copies what lives there to the log's end, and retires them.
+//! Cleans the oldest segments: copies their live items to the end of the log, and retires them.
 
 use super::{SegmentLog, SnapshotSource, SpareFile, UnsyncedSpare, LEGACY_SEQUENCE};
 use crate::store::capacity::IDLE_CLEANING_BYTES;
@@ -6,22 +6,23 @@
 use std::io;
 use std::time::Duration;
 
-/// Segments that one step of cleaning may retire: each costs a frame.
+/// Maximum number of segments retired in one cleaning step, since each one costs a frame.
 const MAX_RETIRED_PER_STEP: usize = 2;
 
 impl SegmentLog {
-    /// Cleans in an idle moment, adds room ahead of need and gives needless room back.
+    /// Performs idle maintenance: cleans, adds a segment before it is needed, and releases a
+    /// surplus one.
     ///
-    /// Says whether it cleaned, so that more of it may be worth while.
+    /// Returns whether it cleaned, in which case another call may be worthwhile.
     ///
     /// # Errors
-    /// A file cannot be given back, or cleaning fails; what stands in the log stays as it is.
+    /// A file cannot be released, or cleaning fails. The content of the log is unchanged.
     pub fn maintain(&mut self, now: Duration, items: &dyn SnapshotSource) -> io::Result<bool> {
         let occupancy = self.occupancy();
         if occupancy.wants_segment() && self.gate.may_grow(now) {
             if let Err(e) = self.add_segment() {
                 self.gate.defer_growth(now);
-                log::debug!("store: no further segment: {e}");
+                log::debug!("store: no segment added: {e}");
             }
         } else if self.gate.should_release_segment(now, &occupancy) {
             self.give_segment_back()?;
@@ -36,18 +37,18 @@
         }
     }
 
-    /// Whether a failed sync may have lost what was written to the oldest segment.
+    /// Returns whether a failed sync may have lost data written to the oldest segment.
     fn is_oldest_suspect(&self) -> bool {
         self.segments
             .front()
             .is_some_and(|s| s.sequence <= self.suspect_up_to)
     }
 
-    /// Copies up to about so many bytes of what lives in the oldest segments, and retires those in
-    /// which nothing does. Gives the bytes that were copied.
+    /// Copies about `budget_bytes` of live items from the oldest segments, and retires segments
+    /// without live items. Returns the number of bytes copied.
     ///
     /// # Errors
-    /// An item cannot be read or written; it is tried again at the next step.
+    /// An item cannot be read or written. The next step tries it again.
     pub fn clean(&mut self, items: &dyn SnapshotSource, budget_bytes: u64) -> io::Result<u64> {
         let mut copied_bytes = 0;
         let mut retired = 0;
@@ -58,7 +59,7 @@
             match self.index.first_in_segment(oldest) {
                 Some(_) if copied_bytes >= budget_bytes => break,
                 Some(item) => copied_bytes += self.copy_item(item, items)?,
-                // That it counts no more may be written once the copies cannot get lost.
+                // A segment is retired only once the copies of its items are durable.
                 None if self.has_unsynced_copies() => break,
                 None => {
                     self.retire_oldest()?;
@@ -69,7 +70,7 @@
         Ok(copied_bytes)
     }
 
-    /// The oldest segment, but never the one that is written.
+    /// Returns the oldest segment, unless it is the one being written.
     fn oldest_cleanable(&self) -> Option<u64> {
         if self.legacy.is_some() {
             return Some(LEGACY_SEQUENCE);
@@ -83,7 +84,7 @@
             .is_some_and(|synced| synced < self.copied_position)
     }
 
-    /// Writes an item once more, at the end. Gives the bytes that it took.
+    /// Copies an item to the end of the log. Returns the bytes written.
     fn copy_item(&mut self, item: u64, items: &dyn SnapshotSource) -> io::Result<u64> {
         let reader = self.reader(item);
         let mut read_stored = || match &reader {
@@ -100,7 +101,7 @@
         Ok(len)
     }
 
-    /// Retires the oldest segment, in which nothing lives.
+    /// Retires the oldest segment, which has no live items.
     fn retire_oldest(&mut self) -> io::Result<()> {
         let log_start = match (&self.legacy, self.segments.get(1)) {
             (Some(_), _) => LEGACY_SEQUENCE + 1,
@@ -122,7 +123,7 @@
         let Some(legacy) = self.legacy.take() else {
             return;
         };
-        // Should it stay, the next start knows that it counts no more.
+        // If the file remains, the next start sees from the `LogStart` that it is retired.
         if let Err(e) = self.disk.remove(&legacy.name) {
             log::warn!("store: {}: not removed: {e}", legacy.name);
         }
--- a/src/store/log/durability.rs
+++ b/src/store/log/durability.rs
@@ -1,4 +1,4 @@
-//! Syncs: what has to be synced, what is, and what a failed sync means.
+//! Syncs: tracks what has to be synced and what is synced, and handles failed syncs.
 
 use super::SegmentLog;
 use crate::store::capacity::GateChange;
@@ -9,22 +9,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Files that are to be synced; may be sent to another thread.
+/// Files to be synced. Can be sent to another thread.
 pub struct PendingSync {
     files: BTreeMap<u32, Arc<dyn DiskFile>>,
-    /// The folder, where files were made or removed.
+    /// The folder, if files were created or removed.
     folder: Option<Arc<dyn Disk>>,
-    /// How far everything is synced after that, in bytes appended.
+    /// Position up to which the log is synced afterwards, in bytes appended.
     pub position: u64,
-    /// The same as a place in the log.
+    /// The same position as a segment and an offset.
     end: Option<LogPosition>,
 }
 
 impl PendingSync {
-    /// Syncs them; blocks.
+    /// Syncs the files. Blocks.
     ///
     /// # Errors
-    /// What was written may be lost, whatever a later sync says.
+    /// Data written before may be lost, even if a later sync succeeds.
     pub fn sync(&self) -> io::Result<()> {
         for file in self.files.values() {
             file.sync()?;
@@ -37,13 +37,14 @@
 }
 
 impl SegmentLog {
-    /// How far it is written, in bytes appended.
+    /// Returns the end of the log, in bytes appended.
     pub fn position(&self) -> u64 {
         self.position
     }
 
-    /// What has to be synced so that everything up to [`SegmentLog::position`] is. Give it to
-    /// [`SegmentLog::mark_synced`] or [`SegmentLog::sync_failed`] afterwards.
+    /// Takes the files that have to be synced to make the log durable up to
+    /// [`SegmentLog::position`]. The caller has to pass the result to
+    /// [`SegmentLog::mark_synced`] or [`SegmentLog::sync_failed`] after the sync.
     pub fn take_unsynced(&mut self) -> PendingSync {
         let folder_is_dirty = std::mem::take(&mut self.folder_is_dirty);
         let end = self.segments.back().map(|s| LogPosition {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Everything up to a position is synced: files that waited for it are free.
+    /// Records a successful sync, and frees the files that waited for it.
     pub fn mark_synced(&mut self, synced: &PendingSync) {
         let position = synced.position;
         self.unwritten_durable_mark = synced.end;
@@ -73,8 +74,8 @@
         }
     }
 
-    /// A sync failed: what was written to these files may be lost, whatever a later sync says. All
-    /// that lives in them is written again elsewhere.
+    /// Records a failed sync. Data written to these files may be lost, even if a later sync
+    /// succeeds, so all segments so far are sealed and their live items copied to new ones.
     pub fn sync_failed(&mut self, now: Duration, failed: PendingSync) -> Option<GateChange> {
         self.dirty_files.extend(failed.files);
         self.folder_is_dirty |= failed.folder.is_some();
--- a/src/store/log/files.rs
+++ b/src/store/log/files.rs
@@ -1,4 +1,5 @@
-//! Free files: made ahead of need, used for one segment after another, given back when needless.
+//! Free files: created before they are needed, reused for one segment after another, and removed
+//! when they are no longer needed.
 
 use super::{SegmentLog, SpareFile, LIMIT_MARGIN_BYTES, OPEN_SPARE_FILES};
 use crate::store::recover::segment_file_name;
@@ -6,7 +7,7 @@
 use std::io;
 
 impl SegmentLog {
-    /// Bytes of all files.
+    /// Returns the size of all files, in bytes.
     pub(super) fn total_bytes(&self) -> u64 {
         let segments = self.segments.iter().map(|s| s.size_bytes);
         let spares = self.all_spares().map(|s| s.size_bytes);
@@ -19,8 +20,8 @@
         self.spares.iter().chain(unsynced)
     }
 
-    /// Takes a file that is free. One of another size than segments have now goes, if one of the
-    /// right size can be had for it.
+    /// Adds a file to the free ones. A file whose size differs from the current segment size is
+    /// removed if it is too small to be usable or a file of the current size can be added.
     pub(super) fn release_file(&mut self, spare: SpareFile) {
         let slot = spare.slot;
         let size_bytes = spare.size_bytes;
@@ -44,14 +45,14 @@
         }
     }
 
-    /// Has as many free files open as may be needed at once, the last ones, and no more.
+    /// Keeps the last [`OPEN_SPARE_FILES`] free files open, and closes the others.
     pub(super) fn limit_open_spares(&mut self) {
         let first_open = self.spares.len().saturating_sub(OPEN_SPARE_FILES);
         for (at, spare) in self.spares.iter_mut().enumerate() {
             if at < first_open {
                 spare.file = None;
             } else if spare.file.is_none() {
-                // Without a descriptor now, it is tried again when the file is needed.
+                // If no descriptor is available, the file is opened when it is needed.
                 spare.file = self.disk.open(&segment_file_name(spare.slot)).ok();
             }
         }
@@ -83,7 +84,7 @@
         (0..).find(|slot| !used.contains(slot)).unwrap_or_default()
     }
 
-    /// Gives a free file back to the file system.
+    /// Removes a free file from the file system.
     pub(super) fn give_segment_back(&mut self) -> io::Result<()> {
         if let Some(spare) = self.spares.first() {
             self.disk.remove(&segment_file_name(spare.slot))?;
--- a/src/store/log/index.rs
+++ b/src/store/log/index.rs
@@ -1,26 +1,27 @@
-//! Where items stand, and how many bytes they are counted for.
+//! Index of items: their locations, and the number of bytes that they are counted with.
 
 use crate::store::recover::FrameLocation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An item that is not over.
+/// An item that is not removed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IndexedItem {
-    /// Where its last `Put` stands.
+    /// Location of the item's last `Put`.
     pub location: FrameLocation,
-    /// Bytes that it is counted for, with what it may grow by.
+    /// Bytes that the item is counted with, including the space reserved for its growth.
     pub reserved_bytes: u64,
 }
 
-/// All items that are not over.
+/// All items that are not removed.
 ///
-/// Trees throughout: a hash table of this size would stop everything while it is laid out anew.
+/// Trees are used throughout, since a hash table of this size would block the process while it is
+/// resized.
 #[derive(Default)]
 pub(super) struct ItemIndex {
     items: BTreeMap<u64, IndexedItem>,
-    /// Items whose `Put` stands in a segment, by its sequence number.
+    /// Items whose last `Put` is in a segment, by the segment's sequence number.
     by_segment: BTreeMap<u64, BTreeSet<u64>>,
-    /// How many items are counted for so many bytes.
+    /// Number of items by the bytes that they are counted with.
     count_by_size: BTreeMap<u64, u32>,
     live_bytes: u64,
 }
@@ -66,17 +67,17 @@
         self.items.get(&item).map(|indexed| indexed.location)
     }
 
-    /// The first item whose `Put` stands in this segment.
+    /// Returns the first item whose last `Put` is in this segment.
     pub(super) fn first_in_segment(&self, sequence: u64) -> Option<u64> {
         self.by_segment.get(&sequence)?.first().copied()
     }
 
-    /// Bytes that all items are counted for.
+    /// Returns the bytes that all items together are counted with.
     pub(super) fn live_bytes(&self) -> u64 {
         self.live_bytes
     }
 
-    /// Bytes that the largest item is counted for.
+    /// Returns the bytes that the largest item is counted with.
     pub(super) fn largest_item_bytes(&self) -> u64 {
         self.count_by_size
             .last_key_value()
--- a/src/store/log/mod.rs
+++ b/src/store/log/mod.rs
@@ -1,20 +1,22 @@
-//! The log: segments in a ring, appended to at one end and cleaned at the other.
+//! The log: a ring of segments, appended to at one end and cleaned at the other.
 //!
-//! Sole owner of the segments' files. Its users ([`crate::delivery::journal`], a replica's log)
-//! call [`SegmentLog::put`], [`SegmentLog::append_update`] and [`SegmentLog::remove`] for items,
-//! [`SegmentLog::maintain`] in idle moments, and sync by [`SegmentLog::take_unsynced`]. What it
-//! decides stands in [`super::capacity`], what it finds after a restart in [`super::recover`].
+//! The log is the sole owner of the segment files. Its users ([`crate::delivery::journal`], a
+//! replica's log) call [`SegmentLog::put`], [`SegmentLog::append_update`] and
+//! [`SegmentLog::remove`] for items, [`SegmentLog::maintain`] when idle, and sync by
+//! [`SegmentLog::take_unsynced`]. Capacity decisions are made in [`super::capacity`], recovery
+//! after a restart in [`super::recover`].
 //!
 //! Invariants:
 //!
-//! 1. Cleaning copies all that lives in the oldest segment before a `LogStart` says that it counts
-//!    no more; where syncs are required, only once the copies are synced.
-//! 2. A file is used again only after that, and then only once it is synced.
-//! 3. A write that fails changes nothing that was believed before. What it left on disk is erased,
-//!    and counts for nothing if it cannot be: recovery reads all frames, whatever a header says.
+//! 1. Cleaning copies all live items of the oldest segment before it writes the `LogStart` that
+//!    retires the segment. Where syncs are required, the copies have to be synced before that.
+//! 2. A file is reused only after its `LogStart` was written and, where syncs are required, synced.
+//! 3. A failed write does not change the state of the log. What it left on disk is erased. If that
+//!    fails as well, the remains have no effect: recovery reads all frames, whatever a header says.
 //!
-//! The parts: `append` writes frames and begins segments, `cleaner` copies and retires, `files`
-//! holds free files, `durability` syncs, `index` knows where items stand, `open` recovers.
+//! Submodules: `append` writes frames and begins segments, `cleaner` copies items and retires
+//! segments, `files` manages free files, `durability` syncs, `index` maps items to their locations,
+//! `open` recovers.
 
 mod append;
 mod cleaner;
@@ -38,39 +40,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Free files that are kept open, so that a process without descriptors can go on writing: the
-/// cleaner's reserve, and the next segment.
+/// Number of free files that are kept open, so that a process that has run out of descriptors can
+/// continue to write: the cleaner's reserve, and the next segment.
 const OPEN_SPARE_FILES: usize = CLEANER_RESERVE as usize + 1;
-/// Descriptors that the log holds at once: of those, the file that is written, one that is read,
-/// and its folder.
+/// Maximum number of descriptors that the log holds at once: the open free files, the file being
+/// written, one being read, and the folder.
 pub const MAX_OPEN_FILES: usize = OPEN_SPARE_FILES + 3;
-/// Bytes of the limit that no segment takes, beside what the layout leaves.
+/// Bytes of the folder's limit that segments never use, in addition to those left by the layout.
 const LIMIT_MARGIN_BYTES: u64 = 2048;
-/// A file of an earlier form counts as the segment before the first.
+/// Sequence number of a file in a legacy format, which is treated as the segment before the first.
 const LEGACY_SEQUENCE: u64 = 0;
 
 /// Reads the data of an item's last `Put` from the log.
 pub type ReadStored<'a> = &'a mut dyn FnMut() -> io::Result<Vec<u8>>;
 
-/// Gives items as they stand, so that the cleaner can write them once more.
+/// Provides the current state of items, which the cleaner copies.
 pub trait SnapshotSource {
-    /// The data of an item's next `Put`; `read_stored` reads that of the last one.
+    /// Returns the data of an item's next `Put`. `read_stored` reads the data of its last one.
     ///
     /// # Errors
-    /// It cannot be had now; cleaning stops there.
+    /// The data is not available now. Cleaning stops at this item.
     fn snapshot(&self, item: u64, read_stored: ReadStored<'_>) -> io::Result<Vec<u8>>;
 }
 
 struct Segment {
     sequence: u64,
     slot: u32,
-    /// Open while it is written; others are opened when they are read.
+    /// Open file of the segment being written. Other segments are opened for each read.
     file: Option<Arc<dyn DiskFile>>,
     size_bytes: u64,
     salt: u64,
     /// Offset at which frames end.
     end: u64,
-    /// Nothing more is written to it.
+    /// Whether no more frames are written to the segment.
     sealed: bool,
 }
 
@@ -80,36 +82,36 @@
     }
 }
 
-/// A file that no segment uses.
+/// A file that is not used by a segment.
 struct SpareFile {
     slot: u32,
-    /// Open for as many as may be needed at once.
+    /// Open file, for the last [`OPEN_SPARE_FILES`] free files.
     file: Option<Arc<dyn DiskFile>>,
     size_bytes: u64,
 }
 
-/// A file that is free once the log is synced up to a position.
+/// A file that becomes free once the log is synced up to a position.
 struct UnsyncedSpare {
     free_at_position: u64,
     spare: SpareFile,
 }
 
-/// A file of an earlier form, until what is open in it was copied.
+/// A file in a legacy format, kept until its items are copied.
 struct LegacySegment {
     name: String,
     size_bytes: u64,
 }
 
-/// What a log has done.
+/// Counters of a log's operations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogStatistics {
-    /// Bytes of frames that its user asked for.
+    /// Bytes of frames written for the user.
     pub requested_bytes: u64,
-    /// Bytes of frames that cleaning wrote.
+    /// Bytes of frames written by cleaning.
     pub cleaned_bytes: u64,
-    /// Segments that were cleaned.
+    /// Number of segments that were cleaned and retired.
     pub retired_segments: u64,
-    /// Writes that failed.
+    /// Number of failed writes.
     pub failed_writes: u64,
 }
 
@@ -119,40 +121,41 @@
     limit_bytes: u64,
     layout: SegmentLayout,
     seed: u64,
-    /// Oldest first; the last one is written.
+    /// Segments, oldest first; the last one is being written.
     segments: VecDeque<Segment>,
     legacy: Option<LegacySegment>,
     /// Free files; the last one is used next.
     spares: Vec<SpareFile>,
-    /// Free once what was written is synced, oldest first.
+    /// Files that become free after a sync, oldest first.
     unsynced_spares: VecDeque<UnsyncedSpare>,
     index: ItemIndex,
     next_item: u64,
     next_sequence: u64,
-    /// The oldest segment that counts.
+    /// Sequence number of the log's first segment.
     oldest_sequence: u64,
     gate: CapacityGate,
-    /// Bytes appended in all; what is synced is counted in the same way.
+    /// Total number of bytes appended. The other positions count in the same way.
     position: u64,
-    /// None, where syncs are not required.
+    /// Position up to which the log is synced; `None` where syncs are not required.
     synced_position: Option<u64>,
-    /// Where the last copy ended that cleaning made.
+    /// Position of the end of the last copy made by cleaning.
     copied_position: u64,
-    /// How far everything is synced, while no frame says so.
+    /// Position up to which the log is synced, until a frame records it.
     unwritten_durable_mark: Option<LogPosition>,
     /// Files written since the last sync, by slot.
     dirty_files: BTreeMap<u32, Arc<dyn DiskFile>>,
-    /// Files were made or removed since the last sync.
+    /// Whether files were created or removed since the last sync.
     folder_is_dirty: bool,
-    /// Bytes of cleaning that were paid for and not done; negative where the last item was larger.
+    /// Bytes of cleaning that are due and not yet done; negative if the last item copied exceeded
+    /// what was due.
     cleaning_credit: i64,
-    /// Segments up to this one may have lost what was written: a sync failed.
+    /// Sequence number up to which segments may have lost data because a sync failed.
     suspect_up_to: u64,
     statistics: LogStatistics,
 }
 
 impl SegmentLog {
-    /// How full it is.
+    /// Returns the space usage.
     pub fn occupancy(&self) -> Occupancy {
         let segment_bytes = self.layout.segment_bytes;
         let in_segments = |bytes: u64| (bytes / segment_bytes) as u32;
@@ -174,18 +177,18 @@
         }
     }
 
-    /// What was done so far.
+    /// Returns the counters.
     pub fn statistics(&self) -> LogStatistics {
         self.statistics
     }
 
-    /// The gate for new items.
+    /// Returns the admission gate for new items.
     pub fn capacity_gate(&self) -> &CapacityGate {
         &self.gate
     }
 
-    /// Writes a new item, which may grow up to `reserved_bytes`, if there is room for it and all
-    /// that is held.
+    /// Writes a new item, which may grow up to `reserved_bytes`, if it fits in addition to the items
+    /// already stored.
     pub fn put(
         &mut self,
         now: Duration,
@@ -229,7 +232,7 @@
         }
     }
 
-    /// Asks the gate, and adds segments as it says.
+    /// Requests admission from the gate, and adds segments as it decides.
     fn admit(
         &mut self,
         now: Duration,
@@ -252,10 +255,10 @@
         }
     }
 
-    /// Writes what happened to an item.
+    /// Writes an update of an item.
     ///
     /// # Errors
-    /// It is not written.
+    /// The update could not be written.
     pub fn append_update(
         &mut self,
         item: u64,
@@ -265,10 +268,10 @@
         self.append(FrameKind::Update, item, data, items).map(drop)
     }
 
-    /// Writes that an item is over.
+    /// Removes an item.
     ///
     /// # Errors
-    /// It is not written, and the item not over.
+    /// The removal could not be written; the item remains.
     pub fn remove(&mut self, item: u64, items: &dyn SnapshotSource) -> io::Result<()> {
         if self.index.contains(item) {
             self.append(FrameKind::Remove, item, &[], items)?;
@@ -277,20 +280,20 @@
         Ok(())
     }
 
-    /// An item counts for so many bytes from now on.
+    /// Sets the number of bytes that an item is counted with.
     pub fn set_reserved_size(&mut self, item: u64, reserved_bytes: u64) {
         if let Some(indexed) = self.index.remove(item) {
             self.index.insert(item, indexed.location, reserved_bytes);
         }
     }
 
-    /// Reads an item's data; none where it stands in no segment.
+    /// Returns a reader for an item's data; `None` if the item is not in a segment.
     pub fn reader(&self, item: u64) -> Option<ItemReader> {
         let location = self.index.location(item)?;
         let first = self
             .segments
             .partition_point(|s| s.sequence < location.sequence);
-        // An earlier version may have given a number to two files.
+        // An earlier version may have assigned the same sequence number to two files.
         let segment = self
             .segments
             .range(first..)
@@ -307,7 +310,7 @@
     }
 }
 
-/// Reads an item's data where it stands; may be sent to another thread.
+/// Reads an item's data from its segment. Can be sent to another thread.
 #[derive(Clone)]
 pub struct ItemReader {
     disk: Arc<dyn Disk>,
@@ -319,10 +322,10 @@
 }
 
 impl ItemReader {
-    /// Reads the data; blocks.
+    /// Reads the data. Blocks.
     ///
     /// # Errors
-    /// It stands there no more, or the device fails.
+    /// The data is no longer at this location, or the device fails.
     pub fn read(&self) -> io::Result<Vec<u8>> {
         let file = match &self.file {
             Some(file) => file.clone(),
@@ -336,38 +339,38 @@
             }
             _ => Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                "the message's own place cannot be read",
+                "the frame of the item cannot be read",
             )),
         }
     }
 }
 
-/// What came of a put.
+/// Outcome of a put.
 #[derive(Debug)]
 pub struct PutOutcome {
-    /// The new item's number.
+    /// Number of the new item.
     pub result: Result<u64, PutError>,
-    /// The gate closed or reopened, which is worth a line of the log.
+    /// Change of the gate's state, which the caller logs.
     pub gate_change: Option<GateChange>,
 }
 
-/// Why an item was not written.
+/// Reason for which an item was not written.
 #[derive(Debug, thiserror::Error)]
 pub enum PutError {
-    /// There is no room for it.
+    /// There is no space for the item.
     #[error("{0}")]
     Full(RejectReason),
-    /// No segment could hold it.
-    #[error("it is longer than a segment of the store")]
+    /// The item is longer than a segment.
+    #[error("the item is longer than a segment of the store")]
     TooLong,
-    /// It could not be written.
+    /// The write failed.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
 fn reject_reason(e: &io::Error) -> RejectReason {
     match e.kind() {
-        // The last is what a bound on the size of files gives.
+        // `FileTooLarge` is returned when a limit on the size of files is exceeded.
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded | io::ErrorKind::FileTooLarge => {
             RejectReason::FileSystemFull
         }
--- a/src/store/log/open.rs
+++ b/src/store/log/open.rs
@@ -1,4 +1,4 @@
-//! Opens a log on what an earlier process left.
+//! Opens a log from the files of an earlier process.
 
 use super::index::ItemIndex;
 use super::{LegacySegment, LogStatistics, Segment, SegmentLog, SpareFile, LEGACY_SEQUENCE};
@@ -14,43 +14,42 @@
 /// The sequence number of a log's first segment.
 const FIRST_SEQUENCE: u64 = 1;
 
-/// How a log is to be.
+/// Options of a log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogOptions {
-    /// Bytes that the folder may hold.
+    /// Size limit of the folder, in bytes.
     pub limit_bytes: u64,
-    /// For the salts of segments; a client must not be able to know it.
+    /// Seed of the segments' salts. Clients must not be able to learn it.
     pub seed: u64,
-    /// Files are used again only after a sync.
+    /// Whether files are reused only after a sync.
     pub sync_required: bool,
 }
 
-/// A file that an earlier form left: it counts as the oldest segment until what is open in it was
-/// copied.
+/// A file in a legacy format. It is treated as the oldest segment until its items are copied.
 pub struct LegacyFile {
-    /// Its name.
+    /// Name of the file.
     pub name: String,
-    /// Its size.
+    /// Size of the file, in bytes.
     pub size_bytes: u64,
-    /// What is open in it.
+    /// Items in the file that are not removed.
     pub items: Vec<u64>,
 }
 
-/// What was found at the start.
+/// An opened log, with the findings of its recovery.
 pub struct OpenedLog {
     /// The log.
     pub log: SegmentLog,
-    /// What could not be read.
+    /// Damage found during recovery.
     pub damage: Vec<Damage>,
-    /// Bytes at the end that hold part of a frame.
+    /// Bytes of an incomplete frame at the end of the log.
     pub torn_bytes: u64,
-    /// Bytes read.
+    /// Number of bytes read.
     pub read_bytes: u64,
 }
 
 impl SegmentLog {
-    /// Opens the log of a folder and replays it. `reserved_bytes` says what an item that was
-    /// replayed is counted for.
+    /// Opens the log of a folder and replays it. `reserved_bytes` returns the number of bytes that
+    /// a replayed item is counted with.
     ///
     /// # Errors
     /// The folder or a file in it cannot be read.
@@ -67,7 +66,7 @@
         };
         let recovered = recover::scan(&*disk, first_sequence, replay)?;
         for anomaly in &recovered.anomalies {
-            log::warn!("store: left by a write that failed in part: {anomaly}");
+            log::warn!("store: left by a partially failed write: {anomaly}");
         }
         let mut log = SegmentLog::without_files(disk, options, &recovered);
         log.adopt_segments(&recovered.segments)?;
@@ -93,7 +92,7 @@
         })
     }
 
-    /// A log that goes on where the recovered one ended, without any of its files yet.
+    /// Creates a log that continues at the end of the recovered one, without its files.
     fn without_files(disk: Arc<dyn Disk>, options: LogOptions, recovered: &RecoveredLog) -> Self {
         let segment_bytes = recovered.segments.iter().map(|s| s.size_bytes);
         let free_bytes = recovered.free_files.iter().map(|f| f.size_bytes);
@@ -144,7 +143,7 @@
         Ok(())
     }
 
-    /// Adds what is open in a file of an earlier form and was not copied yet.
+    /// Adds the items of a legacy file that are not removed and not copied yet.
     fn adopt_legacy<R: Replay>(
         &mut self,
         legacy: LegacyFile,
@@ -156,7 +155,7 @@
         let counts = self.oldest_sequence == LEGACY_SEQUENCE;
         for item in legacy.items {
             if self.index.contains(item) {
-                continue; // It was copied.
+                continue; // The item was copied already.
             }
             if !counts {
                 replay.on_remove(item);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,14 +1,15 @@
-//! A log of items in segment files, in a folder of bounded size, cleaned in slices while it serves.
+//! A segmented log of items in a folder of bounded size, cleaned incrementally while in use.
 //!
-//! Owns the segment files of one folder. Knows nothing of what items mean: the journal keeps one
-//! item a message in it ([`crate::delivery::journal`]), a replica one a batch of its log. It never
-//! needs room from the file system for what it holds already. `docs/notes/store.md` has the layouts
-//! weighed and the invariants, `docs/store.md` what operators see.
+//! This module owns the segment files of one folder and does not interpret items: the journal
+//! stores one item per message ([`crate::delivery::journal`]), a replica one item per batch of its
+//! Raft log. Items that are already stored never need further space from the file system.
+//! `docs/notes/store.md` compares the layouts that were considered and lists the invariants;
+//! `docs/store.md` describes what operators see.
 //!
 //! On disk, all numbers little endian ([`frame`]):
 //!
 //! ```text
-//! NNNN.seg:  header | header again | frames ... | 8 zero bytes | unused, or an earlier use's bytes
+//! NNNN.seg:  header | second copy  | frames ... | 8 zero bytes | unused, or an earlier use's bytes
 //!            at 0     at 512         from 1024, each at a multiple of 8
 //! header:    magic 16 | sequence 8 | salt 8 | oldest sequence 8 | previous end 8 | next item 8
 //!            | has durable marks 8 | CRC-32 of these 4
@@ -16,11 +17,13 @@
 //! payload:   kind 1 | item, or segment 8 | data
 //! ```
 //!
-//! A segment's sequence number says its place in the log; its file is used again for a later one.
+//! A segment's sequence number gives its position in the log. Its file is reused for a later
+//! segment.
 //!
-//! The parts: [`log`] appends, cleans and syncs; [`recover`] reads what an earlier process left;
-//! [`capacity`] decides without I/O; [`frame`] has the bytes; [`disk`] is the folder, and
-//! [`faulty`] one in memory for tests; [`worker`] is a thread for what blocks.
+//! Submodules: [`log`] appends, cleans and syncs; [`recover`] reads the files of an earlier
+//! process; [`capacity`] makes capacity decisions without I/O; [`frame`] encodes and decodes
+//! headers and frames; [`disk`] is the folder, and [`faulty`] an in-memory one for tests;
+//! [`worker`] is a thread for blocking work.
 
 pub mod capacity;
 pub mod disk;
--- a/src/store/recover/anomaly.rs
+++ b/src/store/recover/anomaly.rs
@@ -1,31 +1,31 @@
-//! What writes that failed in part leave, for the log and for operators. Nothing of it is lost.
+//! Remains of partially failed writes, reported to the log and to operators. No data is lost.
 
 use std::fmt;
 
-/// Something that no complete write leaves, and that was read all the same.
+/// Remains of an incomplete write that recovery handled without loss.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Anomaly {
-    /// The copies of a header differ: its writing was cut, or one of them is damaged.
+    /// The copies of a header differ: its write was interrupted, or one of them is damaged.
     HeaderCopiesDiffer {
         /// The segment's file.
         file: String,
         /// The segment.
         sequence: u64,
     },
-    /// Another file has the same segment's number. This one holds no frame and is free.
+    /// Another file has the same sequence number. This file has no frames and is free.
     RepeatedSequence {
         /// The file that is free.
         file: String,
         /// The segment.
         sequence: u64,
     },
-    /// Frames stand behind the end that the next segment's header tells.
+    /// There are frames past the end recorded in the next segment's header.
     FramesBehindEnd {
         /// The segment's file.
         file: String,
         /// The segment.
         sequence: u64,
-        /// The end that the header tells, as an offset.
+        /// Offset of the end recorded in the header.
         from: u64,
         /// Offset at which frames end.
         to: u64,
@@ -36,11 +36,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Anomaly::HeaderCopiesDiffer { file, sequence } => {
-                write!(f, "{file} (segment {sequence}): its header's copies differ")
+                write!(f, "{file} (segment {sequence}): the header's copies differ")
             }
             Anomaly::RepeatedSequence { file, sequence } => write!(
                 f,
-                "{file} (segment {sequence}): another file has its number, and this one holds nothing"
+                "{file} (segment {sequence}): another file has the same number; this one has no frames"
             ),
             Anomaly::FramesBehindEnd {
                 file,
@@ -49,8 +49,8 @@
                 to,
             } => write!(
                 f,
-                "{file} (segment {sequence}): frames from {from} to {to}, behind the end that the \
-                 next header tells"
+                "{file} (segment {sequence}): frames from {from} to {to}, past the end recorded in \
+                 the next header"
             ),
         }
     }
--- a/src/store/recover/damage.rs
+++ b/src/store/recover/damage.rs
@@ -1,35 +1,35 @@
-//! What cannot be read, for the log and for operators.
+//! Damage found during recovery, reported to the log and to operators.
 
 use super::ReplayError;
 use std::fmt;
 
-/// Something that cannot be read though it was written and counts.
+/// Part of the log that was written and cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Damage {
-    /// Bytes of a segment.
+    /// Unreadable bytes of a segment.
     Bytes {
         /// The segment's file.
         file: String,
         /// The segment.
         sequence: u64,
-        /// Offset at which it begins.
+        /// Offset of the first unreadable byte.
         from: u64,
-        /// Offset of the next frame that can be read, or where frames should have ended.
+        /// Offset of the next readable frame, or of the end of frames.
         to: u64,
     },
-    /// Segments that are not there, or have lost their headers: from this one on, before that one.
+    /// A range of segments whose files or headers are missing.
     MissingSegments {
-        /// The first.
+        /// The first missing segment.
         from: u64,
-        /// The next that is there.
+        /// The next segment that is present.
         to: u64,
     },
-    /// A file that is no segment any more, and may have been one.
+    /// A file without a readable header, which may have been a segment.
     UnreadableHeader {
         /// The file.
         file: String,
     },
-    /// A whole frame that makes no sense.
+    /// A complete frame with malformed data.
     MalformedItem {
         /// The segment's file.
         file: String,
@@ -37,7 +37,7 @@
         offset: u64,
         /// The item.
         item: u64,
-        /// What is wrong.
+        /// Cause of the failed replay.
         problem: ReplayError,
     },
 }
@@ -63,7 +63,7 @@
             Damage::MissingSegments { from, to } => {
                 write!(f, "segments {from} to {} are missing", to - 1)
             }
-            Damage::UnreadableHeader { file } => write!(f, "{file}: its header cannot be read"),
+            Damage::UnreadableHeader { file } => write!(f, "{file}: the header cannot be read"),
             Damage::MalformedItem {
                 file,
                 offset,
@@ -71,7 +71,7 @@
                 problem,
             } => write!(
                 f,
-                "{file}: the frame at {offset}, on message {item}, makes no sense: {problem}"
+                "{file}: the frame at {offset}, of message {item}, is malformed: {problem}"
             ),
         }
     }
--- a/src/store/recover/headers.rs
+++ b/src/store/recover/headers.rs
@@ -1,9 +1,10 @@
 //! Reads the headers of all files, and decides which files are segments.
 //!
-//! A header that could not be written in full may stand on disk all the same, though its segment
-//! was not begun: the log went on in the segment before it, and may have given its number to
-//! another file. Such a file holds no frame. So of files with the same number those without frames
-//! are free, and what the header says of the segment before it is a least end, not the end.
+//! After a partially failed write, a valid header may be on disk although its segment was not
+//! begun: the log continued in the previous segment, and may have assigned the same sequence number
+//! to another file. A file with such a header has no frames. Therefore, among files with the same
+//! number, those without frames are free, and the end of the previous segment recorded in a header
+//! is a lower bound.
 
 use super::{segment_file_name, slot_of, Anomaly, FreeFile, RecoveredSegment, Scanner};
 use crate::store::disk::read_full;
@@ -11,8 +12,8 @@
 use std::io;
 
 impl Scanner<'_> {
-    /// Sorts files into segments and free ones, and takes from the newest header where the log
-    /// begins. Gives the files that cannot be read.
+    /// Sorts files into segments and free files, and reads the beginning of the log from the newest
+    /// header. Returns the files without a readable header.
     pub(super) fn read_headers(&mut self) -> io::Result<Vec<FreeFile>> {
         let mut files: Vec<_> = self
             .disk
@@ -37,7 +38,8 @@
                 SegmentStart::Unreadable => unreadable.push(FreeFile { slot, size_bytes }),
             }
         }
-        // Files with the same number stay in the order of their slots, in which they were written.
+        // The sort is stable: files with the same number stay in the order of their slots, in which
+        // they were written.
         self.log.segments.sort_by_key(|s| s.header.sequence);
         if let Some(newest) = self.log.segments.last() {
             self.log.oldest_sequence = self.log.oldest_sequence.max(newest.header.oldest_sequence);
@@ -53,7 +55,7 @@
         Ok(bytes)
     }
 
-    /// Tells of headers whose copies differ, among the segments that count.
+    /// Reports headers whose copies differ, among the segments that are not retired.
     pub(super) fn report_differing_copies(&mut self) {
         let differing = self.log.segments.iter().filter(|s| !s.copies_agree);
         let anomalies = differing.map(|segment| Anomaly::HeaderCopiesDiffer {
@@ -63,8 +65,8 @@
         self.log.anomalies.extend(anomalies);
     }
 
-    /// Frees the files without frames among those that have the same number, all but one of each
-    /// number.
+    /// Frees the files without frames among those with the same number, keeping at least one file
+    /// of each number.
     pub(super) fn free_repeated_segments(&mut self) -> io::Result<()> {
         let mut segments = std::mem::take(&mut self.log.segments)
             .into_iter()
--- a/src/store/recover/mod.rs
+++ b/src/store/recover/mod.rs
@@ -1,12 +1,12 @@
-//! Reads what an earlier process left: which segments count, what stands in them, and what cannot
-//! be read.
+//! Recovery: reads the files of an earlier process and finds the segments of the log, their
+//! content, and damage.
 //!
-//! Changes nothing. [`super::log`] opens a log with it, and `raildeal journal inspect` looks into
-//! one. Whoever calls it gives a [`Replay`] that takes the items.
+//! Recovery changes no file. [`super::log`] uses it to open a log, and `raildeal journal inspect`
+//! to show one. The caller passes a [`Replay`] that receives the items.
 //!
-//! A cut at the end of the newest segment is told apart from damage. A cut costs what nobody was
-//! told of; damage is stepped over, so that it hides nothing behind it, and the replay learns that
-//! frames may be missing there.
+//! A torn write at the end of the newest segment is distinguished from damage. A torn write loses
+//! only what was never acknowledged. Damage is skipped, so that the frames after it are still read,
+//! and the replay is notified that frames may be missing there.
 
 mod anomaly;
 mod damage;
@@ -20,42 +20,43 @@
 use std::collections::HashMap;
 use std::io;
 
-/// Takes what is read, in the order in which it was written.
+/// Receives the content of the log in the order in which it was written.
 pub trait Replay {
-    /// An item as it stood.
+    /// Receives the complete state of an item.
     ///
     /// # Errors
-    /// The data makes no sense; it is reported as damage.
+    /// The data is malformed, which is reported as damage.
     fn on_put(&mut self, item: u64, data: &[u8]) -> Result<(), ReplayError>;
-    /// Something that happened to an item, which may be long over.
+    /// Receives an update of an item, which may be removed already.
     ///
     /// # Errors
     /// As [`Replay::on_put`].
     fn on_update(&mut self, item: u64, data: &[u8]) -> Result<(), ReplayError>;
-    /// An item is over.
+    /// Receives the removal of an item.
     fn on_remove(&mut self, item: u64);
-    /// Frames may be missing here: of all items that are open now, more may have happened than was
-    /// told. Whether that is so is known at the end.
+    /// Receives a place where frames may be missing: any current item may have had updates that
+    /// were not replayed. [`Replay::on_losses_known`] reports whether that is the case.
     fn on_possible_loss(&mut self);
-    /// For each possible loss, in order, whether frames are missing that were believed to be kept.
+    /// Receives, for each possible loss in order, whether frames are missing that should have been
+    /// preserved. Called at the end of recovery.
     fn on_losses_known(&mut self, lost: &[bool]);
 }
 
-/// Why a whole frame makes no sense to who replays it.
+/// Reason for which the data of a complete frame is malformed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReplayError {
-    /// Its data is of another form.
+    /// The data cannot be decoded.
     #[error("{0}")]
     Undecodable(#[from] postcard::Error),
-    /// Items here have no updates.
-    #[error("an update of item {item}, where none are written")]
+    /// This log does not contain updates.
+    #[error("an update of item {item}, in a log without updates")]
     UnexpectedUpdate {
         /// The item.
         item: u64,
     },
 }
 
-/// A place in the log. Later places are greater.
+/// A position in the log. Later positions compare as greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
     /// The segment.
@@ -64,69 +65,69 @@
     pub offset: u64,
 }
 
-/// A segment that counts.
+/// A segment of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredSegment {
-    /// Number in its file's name.
+    /// Number in the file's name.
     pub slot: u32,
-    /// Bytes of the file.
+    /// Size of the file, in bytes.
     pub size_bytes: u64,
-    /// Its header.
+    /// Header of the segment.
     pub header: SegmentHeader,
-    /// Both copies of the header say the same.
+    /// Whether both copies of the header are equal.
     pub copies_agree: bool,
     /// Offset at which frames end.
     pub end: u64,
-    /// Frames that are whole.
+    /// Number of complete frames.
     pub frames: u64,
 }
 
-/// A file that holds nothing that counts.
+/// A file that is not a segment of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreeFile {
-    /// Number in its name.
+    /// Number in the file's name.
     pub slot: u32,
-    /// Its bytes.
+    /// Size of the file, in bytes.
     pub size_bytes: u64,
 }
 
-/// Where an item's last `Put` stands.
+/// Location of an item's last `Put`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameLocation {
     /// The segment.
     pub sequence: u64,
     /// Number in the name of the segment's file.
     pub slot: u32,
-    /// Where its frame begins.
+    /// Offset of the frame.
     pub offset: u64,
-    /// Bytes of data.
+    /// Length of the data, in bytes.
     pub data_len: usize,
 }
 
-/// What was found.
+/// Result of a recovery.
 #[derive(Debug, Default)]
 pub struct RecoveredLog {
-    /// Segments that count, oldest first.
+    /// Segments of the log, oldest first.
     pub segments: Vec<RecoveredSegment>,
-    /// Files that are free.
+    /// Free files.
     pub free_files: Vec<FreeFile>,
-    /// Where items stand that are not over.
+    /// Locations of the items that are not removed.
     pub locations: HashMap<u64, FrameLocation>,
-    /// The oldest segment that counts.
+    /// Sequence number of the log's first segment.
     pub oldest_sequence: u64,
     /// An item number that was never used.
     pub next_item: u64,
-    /// What cannot be read.
+    /// Damage.
     pub damage: Vec<Damage>,
-    /// What writes that failed in part have left, and was read all the same.
+    /// Remains of partially failed writes, handled without loss.
     pub anomalies: Vec<Anomaly>,
-    /// Bytes at the end of the newest segment that hold part of a frame.
+    /// Bytes of an incomplete frame at the end of the newest segment.
     pub torn_bytes: u64,
-    /// Bytes read.
+    /// Number of bytes read.
     pub read_bytes: u64,
 }
 
-/// The name of a segment's file.
+/// Returns the name of a segment's file.
 pub fn segment_file_name(slot: u32) -> String {
     format!("{slot:04}.seg")
 }
@@ -138,12 +139,12 @@
     digits.parse().ok()
 }
 
-/// Reads all segments of a folder. `first_sequence` is the oldest that counts where no header says
-/// otherwise.
+/// Reads all segments of a folder. `first_sequence` is the log's first segment unless a header or
+/// frame records a later one.
 ///
 /// # Errors
-/// The folder or a file in it cannot be read. What is wrong inside files is no error but
-/// [`RecoveredLog::damage`].
+/// The folder or a file in it cannot be read. Damage inside files is not an error; it is reported
+/// in [`RecoveredLog::damage`].
 pub fn scan(
     disk: &dyn Disk,
     first_sequence: u64,
@@ -171,13 +172,13 @@
     Ok(scanner.log)
 }
 
-/// A place where frames may be missing.
+/// A position at which frames may be missing.
 struct PossibleLoss {
     at: LogPosition,
-    /// Its place in [`RecoveredLog::damage`].
+    /// Index in [`RecoveredLog::damage`].
     damage_index: usize,
-    /// Frames are missing only if this was synced: otherwise a machine that failed may have left a
-    /// hole of writes that nobody relied upon.
+    /// Whether frames are missing only if this position was synced. If it was not, a failure of the
+    /// machine may have left a gap of writes that were never acknowledged.
     only_if_durable: bool,
 }
 
@@ -185,13 +186,14 @@
     disk: &'a dyn Disk,
     replay: &'a mut dyn Replay,
     log: RecoveredLog,
-    /// Everything before this was synced, as far as frames say so.
+    /// Position up to which the log was synced, according to its frames.
     durable_up_to: LogPosition,
     possible_losses: Vec<PossibleLoss>,
 }
 
 impl Scanner<'_> {
-    /// A file that lost its header is free; what is missing is seen by the gap in the sequence.
+    /// Reports files without a readable header and frees them. If one was a segment, the gap in the
+    /// sequence numbers shows it.
     fn report_unreadable(&mut self, unreadable: Vec<FreeFile>) {
         for file in unreadable {
             let name = segment_file_name(file.slot);
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Files of segments before the log's beginning count no more.
+    /// Frees the files of segments before the beginning of the log.
     fn free_retired_segments(&mut self) {
         let oldest = self.log.oldest_sequence;
         let segments = std::mem::take(&mut self.log.segments);
@@ -223,7 +225,7 @@
         let mut buffer = Vec::new();
         for index in 0..self.log.segments.len() {
             let header = self.log.segments[index].header;
-            // Behind a file of an earlier form the log may begin with any segment.
+            // After a legacy file the log may begin with any segment.
             let may_begin_here = index == 0 && oldest == 0;
             if header.sequence > expected && !may_begin_here {
                 self.report_possible_loss(
@@ -245,8 +247,8 @@
         Ok(())
     }
 
-    /// Where frames stand in a segment for certain, as the next segment's header says. Where that
-    /// header failed, others may follow.
+    /// Returns the offset up to which a segment has frames at least, from the next segment's
+    /// header. If the write of that header failed at first, further frames may follow.
     fn known_end(&self, index: usize) -> Option<u64> {
         let sequence = self.log.segments[index].header.sequence;
         let next = self.log.segments.get(index + 1)?.header;
@@ -263,13 +265,13 @@
         self.log.damage.push(damage);
     }
 
-    /// Decides which possible losses are real. The others are no damage but a torn end.
+    /// Decides which possible losses are real. The others are torn writes, not damage.
     fn settle_possible_losses(&mut self) {
         let possible = std::mem::take(&mut self.possible_losses);
         let lost: Vec<bool> = possible.iter().map(|loss| self.is_real(loss)).collect();
         self.replay.on_losses_known(&lost);
         let oldest = self.log.oldest_sequence;
-        // Backwards, so that the places of those before stay right.
+        // In reverse order, so that the remaining indices stay valid.
         for (loss, _) in possible.iter().zip(&lost).rev().filter(|(_, lost)| !**lost) {
             let damage = self.log.damage.remove(loss.damage_index);
             self.log.torn_bytes += match damage {
@@ -282,12 +284,13 @@
     }
 
     fn is_real(&self, loss: &PossibleLoss) -> bool {
-        // A segment that counts no more may be half used again.
+        // The file of a retired segment may be partly overwritten.
         let counts = loss.at.sequence >= self.log.oldest_sequence;
         counts && (!loss.only_if_durable || loss.at < self.durable_up_to)
     }
 
-    /// What still stands before the log's beginning was over before that was moved.
+    /// Removes items located before the beginning of the log. They were removed before the
+    /// beginning was moved past them.
     fn drop_items_before_the_log(&mut self) {
         let oldest = self.log.oldest_sequence;
         let replay = &mut *self.replay;
--- a/src/store/recover/segment.rs
+++ b/src/store/recover/segment.rs
@@ -5,24 +5,24 @@
 use crate::store::frame::{self, Frame, FrameKind, FRAMES_OFFSET};
 use std::io;
 
-/// The segment that is being read.
+/// The segment being read.
 struct CurrentSegment {
     file: String,
     slot: u32,
     sequence: u64,
     salt: u64,
-    /// Its header says that frames tell what was synced.
+    /// Whether frames record what was synced, according to the header.
     has_durable_marks: bool,
-    /// Nothing was written behind it.
+    /// Whether this is the last segment of the log.
     is_newest: bool,
-    /// Frames stand up to here at least, where the next segment's header says so.
+    /// Offset up to which there are frames at least, if the next segment's header records it.
     known_end: Option<u64>,
     size_bytes: u64,
 }
 
 impl CurrentSegment {
-    /// Where reading goes on behind bytes that cannot be read: at the next frame, or at the least
-    /// end, behind which others may follow.
+    /// Returns the offset at which reading continues after unreadable bytes: that of the next
+    /// frame, or the known end, after which further frames may follow.
     fn next_offset(&self, bytes: &[u8], unreadable_from: usize) -> Option<usize> {
         let known_end = self.known_end.map(|end| end as usize);
         let searched_end = known_end.unwrap_or(bytes.len()).min(bytes.len());
@@ -32,7 +32,7 @@
 }
 
 impl Scanner<'_> {
-    /// Replays one segment; `buffer` is used for one after another.
+    /// Replays one segment. `buffer` is reused between segments.
     pub(super) fn read_segment(
         &mut self,
         index: usize,
@@ -62,16 +62,16 @@
     /// Reads the whole file.
     fn read_file(&mut self, current: &CurrentSegment, buffer: &mut Vec<u8>) -> io::Result<()> {
         buffer.resize(current.size_bytes as usize, 0);
-        // One file at a time: there may be more of them than descriptors.
+        // One file at a time, since there may be more files than descriptors.
         let read = read_full(&*self.disk.open(&current.file)?, buffer, 0)?;
         self.log.read_bytes += read as u64;
-        // A file may have been cut short.
+        // The file may have been truncated.
         buffer.truncate(read);
         Ok(())
     }
 
-    /// Replays all frames, stepping over what cannot be read. Gives the offset at which they end,
-    /// and how many were whole.
+    /// Replays all frames, skipping unreadable bytes. Returns the offset at which frames end, and
+    /// the number of complete frames.
     fn replay_frames(&mut self, current: &CurrentSegment, bytes: &[u8]) -> (u64, u64) {
         let mut offset = FRAMES_OFFSET as usize;
         let mut frames = 0;
@@ -100,7 +100,8 @@
         (offset as u64, frames)
     }
 
-    /// Nothing can be read from here on: a write that was cut, at the end of the log, or damage.
+    /// Handles a segment without readable frames from `offset` on: a torn write if the segment is
+    /// the last one, damage otherwise.
     fn end_in_unreadable_bytes(&mut self, current: &CurrentSegment, offset: u64, rest: &[u8]) {
         if current.is_newest {
             self.log.torn_bytes = torn_bytes(rest);
@@ -189,8 +190,8 @@
     }
 }
 
-/// How many bytes of a frame that was cut off are there: up to the last that is not zero, and no
-/// more than it would have had.
+/// Returns the number of bytes present of an incomplete frame: up to the last byte that is not
+/// zero, and at most the length of the complete frame.
 fn torn_bytes(rest: &[u8]) -> u64 {
     let payload_len = rest
         .first_chunk()
--- a/src/store/sync.rs
+++ b/src/store/sync.rs
@@ -1,7 +1,7 @@
-//! The primitives that threads of the store share by hand, and nothing else of that kind.
+//! The synchronization primitives of the store.
 //!
-//! [`super::worker`] takes its own from here alone, so that `tests/orders.rs` can put those of a
-//! model checker in their place.
+//! [`super::worker`] imports its primitives only from here, so that `tests/orders.rs` can replace
+//! them with those of a model checker.
 
 pub use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 pub use std::thread;
--- a/src/store/worker.rs
+++ b/src/store/worker.rs
@@ -1,7 +1,8 @@
-//! A thread of its own for what blocks: syncs, and reads of bodies that are not in memory.
+//! A dedicated thread for blocking work: syncs, and reads of bodies that are not in memory.
 //!
-//! All that threads share by hand is in this file, on the primitives of [`super::sync`]. The tests
-//! run it as it stands on those of a model checker that plays all orders (`tests/orders.rs`).
+//! All synchronization between threads is in this file, on the primitives of [`super::sync`]. The
+//! tests compile this file unchanged against a model checker's primitives, which explores the
+//! interleavings (`tests/orders.rs`).
 
 use super::sync::{thread, Arc, Condvar, Mutex, MutexGuard};
 use std::collections::VecDeque;
@@ -17,9 +18,9 @@
 #[derive(Default)]
 struct JobQueue {
     jobs: VecDeque<Job>,
-    /// Nobody brings more.
+    /// Whether the [`Worker`] was dropped, so that no more jobs are added.
     closed: bool,
-    /// The thread takes no more.
+    /// Whether the thread has stopped accepting jobs.
     ended: bool,
 }
 
@@ -33,7 +34,7 @@
 }
 
 impl Shared {
-    /// The next job; none, when all are done and nobody brings more.
+    /// Waits for the next job. Returns `None` once all jobs are done and the queue is closed.
     fn next(&self) -> Option<Job> {
         let mut queue = lock(&self.queue);
         loop {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Does jobs until there are no more, or one panics.
+    /// Runs jobs until there are no more, or one panics.
     fn work(&self) {
         while let Some(job) = self.next() {
             if catch_unwind(AssertUnwindSafe(job)).is_err() {
@@ -62,21 +63,22 @@
             queue.ended = true;
             std::mem::take(&mut queue.jobs)
         };
-        // Dropping a job wakes who waits for it.
+        // Dropping a job wakes the task that waits for it.
         drop(left);
     }
 }
 
-/// The thread. It ends when this is dropped and its jobs are done, or when one of them panics.
+/// Handle to the thread, which ends when the handle is dropped and all jobs are done, or when a
+/// job panics.
 pub struct Worker {
     shared: Arc<Shared>,
 }
 
 impl Worker {
-    /// Starts it.
+    /// Starts the thread.
     ///
     /// # Errors
-    /// The system gives no thread.
+    /// The operating system cannot create a thread.
     pub fn start() -> io::Result<Self> {
         let shared = Arc::new(Shared {
             queue: Mutex::new(JobQueue::default()),
@@ -89,8 +91,8 @@
         Ok(Worker { shared })
     }
 
-    /// Has some work done there, after all that was brought before. Dropping the handle does not
-    /// stop the work.
+    /// Runs a job on the thread, after all jobs submitted before it. Dropping the handle does not
+    /// cancel the job.
     pub fn run<T: Send + 'static>(
         &self,
         work: impl FnOnce() -> T + Send + 'static,
@@ -108,7 +110,7 @@
                 }
             }
         };
-        // Outside the lock: dropping a job wakes who waits for it.
+        // Outside the lock, since dropping a job wakes the task that waits for it.
         drop(rejected);
         self.shared.changed.notify_one();
         JobHandle(state)
@@ -123,14 +125,14 @@
 }
 
 enum JobState<T> {
-    /// Not done yet; who is to be woken.
+    /// Not done yet, with the waker of the waiting task.
     Pending(Option<Waker>),
     Done(T),
-    /// It never comes, or has been taken.
+    /// The result will never arrive, or was taken already.
     Gone,
 }
 
-/// The thread's side of a job: when it is dropped unset, the job will never be done.
+/// The thread's side of a job. If it is dropped before it is set, the job will never be done.
 struct JobCompletion<T>(Arc<Mutex<JobState<T>>>);
 
 impl<T> JobCompletion<T> {
@@ -152,7 +154,7 @@
     }
 }
 
-/// Waits for what a job gives. It fails when the thread has ended without doing it.
+/// Future of a job's result. It fails if the thread ended without finishing the job.
 #[must_use]
 pub struct JobHandle<T>(Arc<Mutex<JobState<T>>>);
 
@@ -172,17 +174,17 @@
     }
 }
 
-/// A resource that the thread uses for one job after another; between jobs it is here.
+/// A resource that is moved to the thread for each job and back afterwards.
 pub struct Offloaded<K, J, R> {
     worker: Worker,
     work: fn(&mut K, &J) -> R,
-    /// The resource, while no job runs.
+    /// The resource, if no job is running.
     idle: Option<K>,
     running: Option<JobHandle<(K, J, R)>>,
 }
 
 impl<K: Send + 'static, J: Send + 'static, R: Send + 'static> Offloaded<K, J, R> {
-    /// No job runs; `work` is what the thread does with the resource for one.
+    /// Creates an idle resource. The thread calls `work` with it for each job.
     pub fn new(worker: Worker, resource: K, work: fn(&mut K, &J) -> R) -> Self {
         Offloaded {
             worker,
@@ -192,7 +194,7 @@
         }
     }
 
-    /// The resource, where no job runs.
+    /// Returns the resource, if no job is running.
     pub fn idle(&self) -> Option<&K> {
         self.idle.as_ref()
     }
@@ -200,7 +202,7 @@
     /// Starts a job.
     ///
     /// # Errors
-    /// Another one runs: the job is given back.
+    /// Another job is running; the new job is returned.
     pub fn start_job(&mut self, job: J) -> Result<(), J> {
         let Some(mut resource) = self.idle.take() else {
             return Err(job);
@@ -213,11 +215,12 @@
         Ok(())
     }
 
-    /// Waits until the job is done, for ever where none runs; gives the job and what came of it.
-    /// Dropped while it waits, it loses nothing: the next call waits for the same.
+    /// Waits until the running job is done and returns the job with its result. Without a running
+    /// job it never returns. This method is cancel safe: if the future is dropped, the next call
+    /// waits for the same job.
     ///
     /// # Errors
-    /// The thread has ended; then also each time after.
+    /// The thread has ended. All later calls fail as well.
     pub async fn finished(&mut self) -> io::Result<(J, R)> {
         let Some(running) = &mut self.running else {
             return pending().await;
