--- a/benches/store.rs
+++ b/benches/store.rs
@@ -1,9 +1,9 @@
-//! The store at size: `cargo bench --bench store`. Everything is measured in one run, side by side:
-//! with cleaning and without copying, and against the form before it, which wrote all that is open
-//! anew in one step.
+//! Benchmark of the store under load: `cargo bench --bench store`. One run measures the store with
+//! cleaning, without copying, and the legacy format, whose compaction rewrote all open messages in
+//! one step.
 //!
-//! Messages end in random order, so that cleaning has to copy what lives on. `OPEN=50000 BODY=1200
-//! STEPS=200000 RECOVER_MB=16,64,256,1024` are its defaults.
+//! Messages end in random order, so that cleaning has to copy the remaining ones. The defaults are
+//! `OPEN=50000 BODY=1200 STEPS=200000 RECOVER_MB=16,64,256,1024`.
 
 use hdrhistogram::Histogram;
 use raildeal::delivery::journal::legacy_v1 as v1;
@@ -18,7 +18,7 @@
 
 const LEFT: Duration = Duration::from_secs(16);
 
-fn told(name: &str, absent: usize) -> usize {
+fn env_or(name: &str, absent: usize) -> usize {
     std::env::var(name)
         .ok()
         .and_then(|n| n.parse().ok())
@@ -43,18 +43,18 @@
     .expect("a folder")
 }
 
-struct Seen {
-    take_on: Histogram<u64>,
-    tend: Histogram<u64>,
+struct Latencies {
+    accept: Histogram<u64>,
+    maintain: Histogram<u64>,
     all: Histogram<u64>,
 }
 
-impl Seen {
+impl Latencies {
     fn new() -> Self {
         let empty = || Histogram::new(3).expect("a histogram");
-        Seen {
-            take_on: empty(),
-            tend: empty(),
+        Latencies {
+            accept: empty(),
+            maintain: empty(),
             all: empty(),
         }
     }
@@ -81,17 +81,18 @@
     );
 }
 
-/// A steady load with so many messages open: each step takes one on, calls for one, and ends the
-/// oldest, which leaves nothing to copy, or any of them, so that some live on for long.
+/// Runs a steady load with `open` messages: each step accepts one, records an attempt of one, and
+/// ends one. It ends the oldest, which leaves nothing to copy, or if `mixed` a random one, so that
+/// some stay open for long.
 fn steady(
     name: &str,
-    setup: JournalOptions,
+    options: JournalOptions,
     (open, body, steps): (usize, usize, usize),
     mixed: bool,
-) -> (Seen, f64) {
+) -> (Latencies, f64) {
     let folder = folder();
-    let (journal, _) = Journal::open(folder.path(), setup).expect("opened");
-    let mut seen = Seen::new();
+    let (journal, _) = Journal::open(folder.path(), options).expect("opened");
+    let mut latencies = Latencies::new();
     let mut held: VecDeque<OpenRecord> = VecDeque::new();
     let (mut n, mut rng) = (0, fastrand::Rng::with_seed(1));
     while held.len() < open {
@@ -104,8 +105,12 @@
     }
     let (before, begun) = (journal.statistics(), Instant::now());
     for step in 0..steps {
-        let Seen { take_on, tend, all } = &mut seen;
-        let record = time(&mut [take_on, all], || {
+        let Latencies {
+            accept,
+            maintain,
+            all,
+        } = &mut latencies;
+        let record = time(&mut [accept, all], || {
             journal.append_accepted(envelope(n, body), LEFT, 0, 0)
         })
         .expect("room");
@@ -121,7 +126,7 @@
         time(&mut [all], || first.decided(Verdict::Delivered)).expect("written");
         time(&mut [all], || first.close()).expect("written");
         if step % 50 == 0 {
-            time(&mut [tend, all], || journal.maintain_once());
+            time(&mut [maintain, all], || journal.maintain_once());
         }
     }
     let rate = steps as f64 / begun.elapsed().as_secs_f64();
@@ -132,15 +137,15 @@
     );
     let amplified = 1.0 + cleaned as f64 / asked as f64;
     println!(
-        "{name}: {rate:.0} messages a second, {} MB live, {} segments ended, written {amplified:.2} times",
+        "{name}: {rate:.0} messages a second, {} MB live, {} segments retired, written {amplified:.2} times",
         journal.occupancy().live_bytes / 1_000_000,
         done.retired_segments - before.retired_segments
     );
-    (seen, amplified)
+    (latencies, amplified)
 }
 
-/// What the form before did at a compaction: all that is open, encoded and written to a file that
-/// takes the old one's place.
+/// Measures a compaction of the legacy format: all open messages are encoded and written to a file
+/// that replaces the old one.
 fn old_compaction(open: usize, body: usize) -> Duration {
     let folder = folder();
     let (journal, _) =
@@ -167,18 +172,18 @@
     begun.elapsed()
 }
 
-/// Time to open a store that takes about so many bytes, half of it live.
-fn recovery(mb: usize, setup: JournalOptions) {
+/// Measures the time to open a store of about `mb` megabytes, half of it live.
+fn recovery(mb: usize, options: JournalOptions) {
     let folder = folder();
     let body = 1200;
     let all = mb * 1_000_000 / (body + 500);
-    let (journal, _) = Journal::open(folder.path(), setup).expect("opened");
+    let (journal, _) = Journal::open(folder.path(), options).expect("opened");
     fill(&journal, all, body);
     while journal.maintain_once() {}
     drop(journal);
     let size = size(folder.path());
     let begun = Instant::now();
-    let (_journal, records) = Journal::open(folder.path(), setup).expect("opened");
+    let (_journal, records) = Journal::open(folder.path(), options).expect("opened");
     let took = begun.elapsed();
     println!(
         "recovery: {:>5} MB in files, {:>6} open of {all} messages: {:>7.1} ms ({:.0} MB/s)",
@@ -214,36 +219,36 @@
 
 fn main() {
     let (open, body, steps) = (
-        told("OPEN", 50_000),
-        told("BODY", 1200),
-        told("STEPS", 200_000),
+        env_or("OPEN", 50_000),
+        env_or("BODY", 1200),
+        env_or("STEPS", 200_000),
     );
     let live = (open * (body + 300)) as u64;
     println!("{open} messages open with bodies of {body} bytes, {steps} steps");
-    let (setup, size) = (
+    let (options, size) = (
         JournalOptions::new(live * 2 + 30_000_000),
         (open, body, steps),
     );
-    let (without, _) = steady("nothing to copy", setup, size, false);
-    let (with, _) = steady("cleaning", setup, size, true);
+    let (without, _) = steady("nothing to copy", options, size, false);
+    let (with, _) = steady("cleaning", options, size, true);
     let (away, _) = steady(
         "cleaning, bodies on disk",
         JournalOptions {
             cached_body_bytes: live / 20,
-            ..setup
+            ..options
         },
         size,
         true,
     );
-    line("hand-in, nothing to copy", &without.take_on);
-    line("hand-in, cleaning", &with.take_on);
-    line("hand-in, cleaning, bodies on disk", &away.take_on);
+    line("accept, nothing to copy", &without.accept);
+    line("accept, cleaning", &with.accept);
+    line("accept, cleaning, bodies on disk", &away.accept);
     line("any write, nothing to copy", &without.all);
     line("any write, cleaning", &with.all);
     line("any write, bodies on disk", &away.all);
-    line("idle step, cleaning", &with.tend);
+    line("idle step, cleaning", &with.maintain);
     println!(
-        "the form before: one compaction of the same takes {:.1} ms",
+        "legacy format: one compaction of the same messages takes {:.1} ms",
         old_compaction(open, body).as_secs_f64() * 1e3
     );
     for mb in std::env::var("RECOVER_MB")
--- a/src/store/capacity/tests.rs
+++ b/src/store/capacity/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn limits_from_none_to_gigabytes_are_cut_into_segments_that_stay_under_them() {
+fn layout_stays_within_the_limit_for_limits_from_kilobytes_to_gigabytes() {
     for (limit, available) in [
         (3_000_000, u64::MAX),
         (3_000_000, 1_000_000),
@@ -44,18 +44,18 @@
     }
     assert!(
         SegmentLayout::for_folder(3_000_000, u64::MAX).segment_bytes >= 2 * 66 * KB,
-        "two of the longest bodies"
+        "a segment holds two bodies of maximum length"
     );
     assert!(
         SegmentLayout::for_folder(3_000_000, 1_100_000).segment_bytes * 7 <= 1_100_000,
-        "what is there, not what is allowed"
+        "the available bytes bound the layout, not the limit"
     );
 }
 
 #[test]
-fn nothing_is_cleaned_while_much_is_free_and_all_of_it_before_the_free_is_gone() {
+fn cleaning_starts_when_free_segments_are_low_and_copies_all_live_bytes_in_time() {
     assert_eq!(occupancy(15, 9, 500 * KB).cleaning_quota(1000), None);
-    // Written on and on, what is live is copied before the last free segment is touched.
+    // Under continuous writes, all live bytes are copied before the cleaner's reserve is used.
     let mut store = occupancy(15, 4, 1300 * KB);
     let mut copied = 0;
     let mut left = 2 * store.segment_bytes;
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_gate_closes_once_asks_seldom_and_reopens_with_room_to_spare() {
+fn gate_reports_closing_once_and_reopens_after_a_delay_with_spare_capacity() {
     let mut gate = CapacityGate::default();
     let size = 1000;
     let capacity = occupancy(15, 9, 0).live_capacity(size);
@@ -81,7 +81,7 @@
     let closed = Some(GateChange::Closed(RejectReason::FolderLimit));
     assert_eq!(gate.request(MS, &full, size), (limit, closed));
     assert_eq!(gate.request(2 * MS, &full, size), (limit, None));
-    // A little room, or much of it too soon, is not enough.
+    // A little free capacity, or a lot of it before the minimum time, does not reopen the gate.
     assert_eq!(
         gate.request(700 * MS, &occupancy(15, 9, capacity - size), size)
             .0,
@@ -99,24 +99,24 @@
 }
 
 #[test]
-fn a_full_file_system_is_asked_twice_a_second_and_no_more() {
+fn full_file_system_is_retried_twice_a_second_and_logged_once() {
     let mut gate = CapacityGate::default();
     let full = occupancy(4, 2, 150 * KB);
     let file_system = RejectReason::FileSystemFull;
-    let (mut asked, mut lines) = (0, 0);
+    let (mut attempts, mut changes) = (0, 0);
     for ms in 0..3000 {
         let (decision, change) = gate.request(ms * MS, &full, 1000);
-        lines += u32::from(change.is_some());
+        changes += u32::from(change.is_some());
         if decision == CapacityDecision::AddSegment {
-            asked += 1;
-            lines += u32::from(gate.on_growth(ms * MS, Some(file_system)).is_some());
+            attempts += 1;
+            changes += u32::from(gate.on_growth(ms * MS, Some(file_system)).is_some());
             assert_eq!(
                 gate.request(ms * MS, &full, 1000).0,
                 CapacityDecision::Reject(file_system)
             );
         }
     }
-    assert_eq!((asked, lines), (6, 1));
+    assert_eq!((attempts, changes), (6, 1));
     assert_eq!(
         gate.request(3000 * MS, &full, 1000).0,
         CapacityDecision::AddSegment
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn surplus_segments_go_one_by_one_after_a_minute() {
+fn surplus_segments_are_released_one_per_second_after_a_minute() {
     let mut gate = CapacityGate::default();
     let ample = occupancy(15, 13, 10 * KB);
     let mut releases =
@@ -139,7 +139,7 @@
     assert!(releases(61_000, &ample));
     assert!(
         !releases(70_000, &occupancy(15, 4, 900 * KB)),
-        "not while they are used"
+        "segments in use are not released"
     );
-    assert!(!releases(71_000, &ample), "the minute begins again");
+    assert!(!releases(71_000, &ample), "the grace period starts again");
 }
--- a/src/store/frame/tests.rs
+++ b/src/store/frame/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_header_outlives_the_loss_of_one_of_its_copies_and_no_more() {
+fn header_is_readable_with_one_damaged_copy_and_unreadable_with_two() {
     let header = SegmentHeader {
         sequence: 3,
         salt: 4,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn no_changed_byte_passes_for_a_frame_nor_one_of_another_use() {
+fn decode_rejects_frames_with_a_changed_byte_or_another_salt() {
     let whole = encode(77, FrameKind::Put, 5, b"what it says");
     let frame = decode(77, &whole).expect("a frame");
     assert_eq!(
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn a_frame_inside_a_message_is_found_by_no_search() {
+fn find_next_skips_a_frame_inside_another_frames_data() {
     let inner = encode(1, FrameKind::Remove, 5, b"");
     let outer = encode(2, FrameKind::Put, 6, &[&[0; 7], inner.as_slice()].concat());
-    let mut spoilt = [outer, encode(2, FrameKind::Update, 6, b"x")].concat();
-    spoilt[10] ^= 1;
-    let found = find_next(2, &spoilt, 8).expect("the second");
-    let frame = decode(2, &spoilt[found..]).expect("a frame");
+    let mut damaged = [outer, encode(2, FrameKind::Update, 6, b"x")].concat();
+    damaged[10] ^= 1;
+    let found = find_next(2, &damaged, 8).expect("the second");
+    let frame = decode(2, &damaged[found..]).expect("a frame");
     assert_eq!(frame.kind, FrameKind::Update);
 }
--- a/src/store/log/mod.rs
+++ b/src/store/log/mod.rs
@@ -187,8 +187,8 @@
         &self.gate
     }
 
-    /// Writes a new item, which may grow up to `reserved_bytes`, if it fits in addition to the items
-    /// already stored.
+    /// Writes a new item, which may grow up to `reserved_bytes`, if it fits in addition to the
+    /// items already stored.
     pub fn put(
         &mut self,
         now: Duration,
--- a/src/store/recover/anomaly.rs
+++ b/src/store/recover/anomaly.rs
@@ -40,7 +40,8 @@
             }
             Anomaly::RepeatedSequence { file, sequence } => write!(
                 f,
-                "{file} (segment {sequence}): another file has the same number; this one has no frames"
+                "{file} (segment {sequence}): another file has the same number; this one \
+                 has no frames"
             ),
             Anomaly::FramesBehindEnd {
                 file,
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,9 +1,9 @@
-//! What the store's thread and those that it works for share, played in all orders:
-//! src/store/worker.rs as it stands, on the primitives of a checker. Each model is shown to find a
-//! fault that is planted in it.
+//! Model checking of the synchronization between the store's thread and its users: compiles
+//! src/store/worker.rs unchanged against loom's primitives and explores the interleavings. Each
+//! model also has to find a fault that is injected into it.
 //!
-//! An order is one way in which the threads can take turns at locks, waits and starts.
-// The file is there twice, each time on other primitives.
+//! An order is one interleaving of the threads at locks, waits and thread starts.
+// The file is compiled twice, each time with other primitives.
 #![allow(clippy::duplicate_mod)]
 
 use futures_lite::FutureExt;
@@ -22,19 +22,19 @@
     pub mod sync {
         pub use loom::sync::{Condvar, Mutex, MutexGuard};
         pub use loom::thread;
-        // Who counts it last changes nothing that a thread sees.
+        // The order of reference count updates is not observable by the threads.
         pub use std::sync::Arc;
     }
     pub mod worker;
 }
 
-/// The same on a condition that wakes nobody.
+/// The same worker with a condition variable whose notification does nothing.
 #[path = "../src/store"]
-mod deaf {
+mod no_notify {
     pub mod sync {
         pub use loom::sync::{Mutex, MutexGuard};
         pub use loom::thread;
-        // Who counts it last changes nothing that a thread sees.
+        // The order of reference count updates is not observable by the threads.
         pub use std::sync::Arc;
 
         pub struct Condvar(loom::sync::Condvar);
@@ -58,22 +58,22 @@
     pub mod worker;
 }
 
-/// Faults that are planted here need two at most; each more takes about five times as long.
-const STOPS: usize = 3;
-/// Set in a process that plays a model with its fault.
-const PLANTED: &str = "ORDERS_PLANTED";
+/// Maximum number of preemptions per order. The injected faults need two at most; each further
+/// preemption multiplies the run time by about five.
+const MAX_PREEMPTIONS: usize = 3;
+/// Environment variable set in a process that runs a model with its injected fault.
+const INJECTED_FAULT: &str = "ORDERS_PLANTED";
 
 use checked::worker::{JobHandle, Offloaded, Worker};
 use loom::future::block_on;
 
-/// Plays a model in all orders in which a thread is stopped for another one at most so often where
-/// it could have gone on, and says how many there were; the checker panics where one fails or
-/// stands still for ever. `ORDERS_STOPS=n` sets another bound.
-fn orders(model: impl Fn() + Send + Sync + 'static) -> usize {
+/// Runs a model in all orders with a bounded number of preemptions, and returns the number of
+/// orders. The checker panics if an order fails or deadlocks. `ORDERS_STOPS=n` sets another bound.
+fn count_orders(model: impl Fn() + Send + Sync + 'static) -> usize {
     let stops = std::env::var("ORDERS_STOPS")
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(STOPS);
+        .unwrap_or(MAX_PREEMPTIONS);
     let count = Arc::new(AtomicUsize::new(0));
     let counted = count.clone();
     let mut checker = loom::model::Builder::new();
@@ -85,53 +85,53 @@
     count.load(Ordering::Relaxed)
 }
 
-/// The model holds in all orders. With its fault, in a process of its own since the checker does
-/// not always unwind, it ends with these words.
-fn finds(name: &str, words: &str, model: impl Fn(bool) + Send + Sync + 'static) {
-    if std::env::var_os(PLANTED).is_some() {
-        orders(move || model(true));
+/// Checks that the model holds in all orders, and that it fails with `words` when its fault is
+/// injected. The latter runs in a separate process, since the checker does not always unwind.
+fn check_model(name: &str, words: &str, model: impl Fn(bool) + Send + Sync + 'static) {
+    if std::env::var_os(INJECTED_FAULT).is_some() {
+        count_orders(move || model(true));
         return;
     }
     let test = std::thread::current().name().expect("a test").to_string();
     let me = std::env::current_exe().expect("a program");
     let planted = Process::new(me)
         .args(["--exact", &test, "--nocapture"])
-        .env(PLANTED, "1")
+        .env(INJECTED_FAULT, "1")
         .output()
         .expect("run");
     let told = String::from_utf8_lossy(&planted.stderr);
     assert!(
         !planted.status.success() && told.contains(words),
-        "{name}: the planted fault was not found: {told}"
+        "{name}: the injected fault was not found: {told}"
     );
-    eprintln!("{name}: {} orders", orders(move || model(false)));
+    eprintln!("{name}: {} orders", count_orders(move || model(false)));
 }
 
 fn start() -> Worker {
     Worker::start().expect("a thread")
 }
 
-/// What a log writes to, and what was told of it.
+/// State that a log writes to, and what was acknowledged.
 #[derive(Default)]
 struct World {
-    /// A write that a cut of power now would leave half done.
+    /// A write in progress, which a power cut would leave incomplete.
     begun: Option<u64>,
     written: Vec<u64>,
     told: Vec<u64>,
-    /// Writes that find no room before one does.
+    /// Number of writes that fail for lack of space before one succeeds.
     full: u32,
 }
 
 type Shared = Arc<loom::sync::Mutex<World>>;
 
-fn world(full: u32) -> Shared {
+fn new_world(full: u32) -> Shared {
     Arc::new(loom::sync::Mutex::new(World {
         full,
         ..World::default()
     }))
 }
 
-/// As a log does it: not at once, and it may find no room.
+/// Writes a piece as a log does: in two steps, and possibly failing for lack of space.
 fn save(log: &mut Shared, piece: &u64) -> bool {
     {
         let mut world = log.lock().expect("whole");
@@ -151,19 +151,19 @@
     true
 }
 
-fn lent(log: &Shared) -> Offloaded<Shared, u64, bool> {
+fn offload(log: &Shared) -> Offloaded<Shared, u64, bool> {
     Offloaded::new(start(), log.clone(), save)
 }
 
 #[test]
-fn what_is_brought_is_done_in_order_and_told_also_when_the_worker_is_let_go_of() {
-    finds("worker", "deadlock", |deaf| {
-        let log = world(0);
+fn jobs_run_in_order_and_are_reported_even_when_the_worker_is_dropped() {
+    check_model("worker", "deadlock", |without_notify| {
+        let log = new_world(0);
         let mut same = [log.clone(), log.clone()];
         let [one, two] = &mut same;
         let (mut one, mut two) = (one.clone(), two.clone());
-        if deaf {
-            let worker = deaf::worker::Worker::start().expect("a thread");
+        if without_notify {
+            let worker = no_notify::worker::Worker::start().expect("a thread");
             assert!(block_on(worker.run(move || save(&mut one, &1))).expect("done"));
             return;
         }
@@ -177,9 +177,9 @@
 }
 
 #[test]
-fn nothing_is_told_before_it_is_written() {
-    finds("told", "a cut of power now would lose it", |early| {
-        let log = world(0);
+fn nothing_is_acknowledged_before_it_is_written() {
+    check_model("acknowledged", "a power cut now would lose it", |early| {
+        let log = new_world(0);
         let seen = log.clone();
         let cut = loom::thread::spawn(move || {
             let world = seen.lock().expect("whole");
@@ -187,9 +187,9 @@
                 .told
                 .iter()
                 .find(|piece| !world.written.contains(piece));
-            assert_eq!(lost, None, "told, and a cut of power now would lose it");
+            assert_eq!(lost, None, "acknowledged; a power cut now would lose it");
         });
-        let mut keep = lent(&log);
+        let mut keep = offload(&log);
         keep.start_job(1).expect("here");
         if early {
             log.lock().expect("whole").told.push(1);
@@ -201,14 +201,14 @@
 }
 
 #[test]
-fn one_that_is_told_to_end_meanwhile_has_the_log_and_the_piece_back() {
-    finds("ending", "the log is lost", |lets_go| {
-        let log = world(0);
+fn task_that_is_ended_during_a_job_gets_the_log_and_the_piece_back() {
+    check_model("ending", "the log is lost", |lets_go| {
+        let log = new_world(0);
         let tells = start();
         let told: JobHandle<()> = tells.run(|| ());
         let ended = async { told.await.map(|()| None) };
         if lets_go {
-            // A log that is held by nothing but what waits for it.
+            // The only reference to the log is in the future that waits for it.
             let (worker, mut held) = (start(), Some(log.clone()));
             let mut out = held.take().expect("here");
             let saved = async {
@@ -220,7 +220,7 @@
             assert!(held.is_some(), "the log is lost");
             return;
         }
-        let mut keep = lent(&log);
+        let mut keep = offload(&log);
         keep.start_job(1).expect("here");
         let saved = async { keep.finished().await.map(|(piece, _)| Some(piece)) };
         let came = block_on(saved.or(ended)).expect("the thread lives");
@@ -231,13 +231,13 @@
 }
 
 #[test]
-fn no_piece_is_written_while_one_before_it_is_not() {
-    finds(
+fn no_piece_is_written_while_an_earlier_one_is_not() {
+    check_model(
         "one at a time",
-        "written while one before it is not",
+        "written while an earlier one is not",
         |two_out| {
-            let log = world(1);
-            let mut keep = lent(&log);
+            let log = new_world(1);
+            let mut keep = offload(&log);
             if two_out {
                 let worker = start();
                 let (mut one, mut two) = (log.clone(), log.clone());
@@ -250,7 +250,7 @@
                 let mut left = vec![2, 1];
                 while let Some(piece) = left.pop() {
                     keep.start_job(piece).expect("here");
-                    // Another one is given back.
+                    // A second job is returned.
                     assert_eq!(keep.start_job(9), Err(9));
                     let (piece, saved) = block_on(keep.finished()).expect("back");
                     left.extend((!saved).then_some(piece));
@@ -259,27 +259,27 @@
             assert_eq!(
                 log.lock().expect("whole").written,
                 [1, 2],
-                "one is written while one before it is not"
+                "one is written while an earlier one is not"
             );
         },
     );
 }
 
 #[test]
-fn who_waits_for_a_thread_that_dies_is_told_and_so_is_who_comes_later() {
-    // It is meant to, in each order.
+fn waiting_and_later_tasks_get_an_error_when_the_thread_panics() {
+    // The panic is expected in each order, so it is not printed.
     std::panic::set_hook(Box::new(|told| {
         let told = told.to_string();
-        if !told.contains("as planted") {
+        if !told.contains("injected panic") {
             eprintln!("{told}");
         }
     }));
-    let dies = |_: &mut (), _: &u64| -> bool { panic!("as planted") };
-    finds("dies", "deadlock", move |waits| {
+    let dies = |_: &mut (), _: &u64| -> bool { panic!("injected panic") };
+    check_model("dies", "deadlock", move |waits| {
         let worker = start();
         let mut keep = Offloaded::new(start(), (), dies);
         keep.start_job(1).expect("here");
-        let behind = worker.run(|| panic!("as planted"));
+        let behind = worker.run(|| panic!("injected panic"));
         let behind: [JobHandle<()>; 2] = [behind, worker.run(|| ())];
         for out in behind {
             assert!(block_on(out).is_err());
@@ -290,12 +290,12 @@
         }
         assert!(keep.idle().is_none());
         if waits {
-            // As the keepers' driver did: it had the sending end itself, so the channel never
-            // ended.
+            // Reproduces a fault of the replicas' driver: it held a sender of the channel
+            // itself, so the channel was never closed.
             let (written, done) = async_channel::bounded(1);
             let (sends, out) = (
                 written.clone(),
-                start().run(|| -> u64 { panic!("as planted") }),
+                start().run(|| -> u64 { panic!("injected panic") }),
             );
             block_on(async move {
                 if let Ok(wrote) = out.await {
@@ -308,16 +308,16 @@
     });
 }
 
-// ---- The journal's part: the store's own log, which goes on writing while the thread syncs.
+// ---- The log of the store, which the journal continues to write while the thread syncs.
 
-const DISK: u64 = 256 * 1024;
+const LIMIT_BYTES: u64 = 256 * 1024;
 
-/// A disk at which others may come in between any two operations.
-struct Turns(FaultyDisk, Arc<loom::sync::Mutex<()>>);
+/// A disk at which other threads may run between any two operations.
+struct InterleavedDisk(FaultyDisk, Arc<loom::sync::Mutex<()>>);
 
-struct Turn(Arc<dyn DiskFile>, Arc<loom::sync::Mutex<()>>);
+struct InterleavedFile(Arc<dyn DiskFile>, Arc<loom::sync::Mutex<()>>);
 
-impl DiskFile for Turn {
+impl DiskFile for InterleavedFile {
     fn size(&self) -> io::Result<u64> {
         self.0.size()
     }
@@ -337,17 +337,23 @@
     }
 }
 
-impl Disk for Turns {
+impl Disk for InterleavedDisk {
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
         self.0.list()
     }
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
-        Ok(Arc::new(Turn(self.0.open(name)?, self.1.clone())))
+        Ok(Arc::new(InterleavedFile(
+            self.0.open(name)?,
+            self.1.clone(),
+        )))
     }
 
     fn create(&self, name: &str, size: u64) -> io::Result<Arc<dyn DiskFile>> {
-        Ok(Arc::new(Turn(self.0.create(name, size)?, self.1.clone())))
+        Ok(Arc::new(InterleavedFile(
+            self.0.create(name, size)?,
+            self.1.clone(),
+        )))
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
@@ -365,9 +371,9 @@
 }
 
 #[derive(Default)]
-struct Found(BTreeMap<u64, Vec<u8>>);
+struct FoundItems(BTreeMap<u64, Vec<u8>>);
 
-impl Replay for Found {
+impl Replay for FoundItems {
     fn on_put(&mut self, no: u64, data: &[u8]) -> Result<(), ReplayError> {
         self.0.insert(no, data.into());
         Ok(())
@@ -386,18 +392,18 @@
     fn on_losses_known(&mut self, _: &[bool]) {}
 }
 
-struct Asis;
+struct StoredData;
 
-impl SnapshotSource for Asis {
+impl SnapshotSource for StoredData {
     fn snapshot(&self, _: u64, read_stored: ReadStored<'_>) -> io::Result<Vec<u8>> {
         read_stored()
     }
 }
 
-fn open(disk: Arc<dyn Disk>) -> (SegmentLog, Found) {
-    let mut found = Found::default();
+fn open(disk: Arc<dyn Disk>) -> (SegmentLog, FoundItems) {
+    let mut found = FoundItems::default();
     let options = LogOptions {
-        limit_bytes: DISK,
+        limit_bytes: LIMIT_BYTES,
         seed: 5,
         sync_required: true,
     };
@@ -407,19 +413,19 @@
 }
 
 #[test]
-fn what_is_written_while_the_thread_syncs_counts_with_the_next_sync() {
-    finds("sync", "a cut of power now would lose it", |all_at_once| {
+fn data_written_during_a_sync_is_durable_only_after_the_next_sync() {
+    check_model("sync", "a power cut now would lose it", |all_at_once| {
         let (disk, worker) = (FaultyDisk::new(), start());
-        let turns = Turns(disk.clone(), Arc::new(loom::sync::Mutex::new(())));
+        let turns = InterleavedDisk(disk.clone(), Arc::new(loom::sync::Mutex::new(())));
         let (mut log, _) = open(Arc::new(turns));
         let put = |log: &mut SegmentLog, n: u8| {
-            log.put(Default::default(), &[n; 8], 64, &Asis)
+            log.put(Default::default(), &[n; 8], 64, &StoredData)
                 .result
                 .expect("room")
         };
         let mut waits = vec![put(&mut log, 1)];
         for n in [2, 3] {
-            // As the journal does: what is written by now, and no more.
+            // As the journal does: covers only what is written by now.
             let unsynced = log.take_unsynced();
             let syncing = worker.run(move || (unsynced.sync(), unsynced));
             let later = put(&mut log, n);
@@ -433,7 +439,7 @@
                 disk.after_power_cut(|| false),
             )));
             let lost = waits.iter().find(|no| !found.0.contains_key(no));
-            assert_eq!(lost, None, "told, and a cut of power now would lose it");
+            assert_eq!(lost, None, "acknowledged; a power cut now would lose it");
             waits = vec![later];
         }
     });
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,6 +1,6 @@
-//! The store stopped at every operation of random histories, with each kind of fault, and checked
-//! afterwards against what was told and sent meanwhile. A failure names its seed, its fault and the
-//! operation; `STORE_SEEDS=n` runs n seeds instead of the few that a usual run has.
+//! Runs random histories on the store, injects each kind of fault at every operation, and checks
+//! the state after a restart against what was acknowledged and sent before. A failure names its
+//! seed, fault and operation. `STORE_SEEDS=n` runs n seeds instead of the small default.
 
 use raildeal::delivery::journal::persistent_clock::PersistentClock;
 use raildeal::delivery::journal::{Durability, Journal, JournalOptions, OpenRecord};
@@ -15,26 +15,26 @@
 const LEFT: Duration = Duration::from_secs(16);
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// What the world knows of a message, whatever the store says.
+/// State of a message as its client and its endpoint know it, independent of the store.
 #[derive(Clone, Debug, Default)]
-struct Truth {
+struct ExpectedMessage {
     size: usize,
-    /// Its client heard that it is taken on, or that it is not.
-    promised: bool,
-    refused: bool,
-    /// Zone of each call that went, and whether it may have run.
+    /// Whether the message was acknowledged to its client, or rejected.
+    acknowledged: bool,
+    rejected: bool,
+    /// Zone of each call that was sent, and whether it may have run.
     calls: Vec<(&'static str, bool)>,
-    out: bool,
-    /// Where a call was about to go when the process ended.
-    tried: Option<&'static str>,
-    /// What was told, and what was about to be.
+    in_flight: bool,
+    /// Zone of a call that was about to be sent when the process ended.
+    starting_zone: Option<&'static str>,
+    /// Verdict that was reported, and the one that was about to be.
     verdict: Option<Verdict>,
-    deciding: Option<Verdict>,
+    pending_verdict: Option<Verdict>,
     closed: bool,
     closing: bool,
 }
 
-impl Truth {
+impl ExpectedMessage {
     fn may_have_run(&self) -> Option<&'static str> {
         self.calls
             .iter()
@@ -47,14 +47,15 @@
     rng: fastrand::Rng,
     disk: FaultyDisk,
     setup: JournalOptions,
-    /// Moves on by some milliseconds with each step.
+    /// Current time, which advances by some milliseconds at each step.
     time: Rc<Cell<Duration>>,
     journal: Rc<Journal>,
     records: BTreeMap<String, OpenRecord>,
-    truth: BTreeMap<String, Truth>,
-    /// Lines on what is held may fail: a fault other than want of room was planted.
-    faults: bool,
-    /// Most bytes of a body: of one in twelve, and of the others.
+    expected: BTreeMap<String, ExpectedMessage>,
+    /// Whether writes for stored messages may fail, since a fault other than lack of space was
+    /// injected.
+    may_fail: bool,
+    /// Maximum length of a body in bytes: of one message in twelve, and of the others.
     sizes: (usize, usize),
 }
 
@@ -76,7 +77,7 @@
         let time = Rc::new(Cell::new(Duration::ZERO));
         let (journal, none) = open(&disk, setup, &time);
         assert!(none.is_empty());
-        let (records, truth) = (BTreeMap::new(), BTreeMap::new());
+        let (records, expected) = (BTreeMap::new(), BTreeMap::new());
         World {
             rng: fastrand::Rng::with_seed(seed),
             disk,
@@ -84,13 +85,13 @@
             time,
             journal,
             records,
-            truth,
-            faults: false,
+            expected,
+            may_fail: false,
             sizes: (5_000, 1_500),
         }
     }
 
-    /// What has to be durable before it is acted upon.
+    /// Makes everything written durable before it is acted upon.
     fn settle(&self) -> bool {
         self.journal.sync_now().is_ok()
     }
@@ -101,9 +102,9 @@
         let which = self.rng.usize(..1.max(self.records.len()));
         let id = self.records.keys().nth(which).cloned();
         match (kind, id) {
-            (0..=24, _) | (_, None) => self.take_on(),
+            (0..=24, _) | (_, None) => self.accept_message(),
             (25..=31, _) => drop(self.journal.maintain_once()),
-            (_, Some(id)) => self.go_on(&id),
+            (_, Some(id)) => self.advance(&id),
         }
         assert!(
             self.disk.total_bytes() <= self.setup.limit_bytes,
@@ -111,8 +112,8 @@
         );
     }
 
-    fn take_on(&mut self) {
-        let id = format!("m{}", self.truth.len());
+    fn accept_message(&mut self) {
+        let id = format!("m{}", self.expected.len());
         let most = if self.rng.u32(..12) == 0 {
             self.sizes.0
         } else {
@@ -124,85 +125,87 @@
             body: vec![7; size],
             ..Envelope::default()
         };
-        let mut truth = Truth {
+        let mut expected = ExpectedMessage {
             size,
-            ..Truth::default()
+            ..ExpectedMessage::default()
         };
         match self.journal.append_accepted(envelope, LEFT, 0, 0) {
             Ok(record) => {
-                truth.promised = self.settle();
+                expected.acknowledged = self.settle();
                 self.records.insert(id.clone(), record);
-                // A client that was not told hands it in again; what is done under this id does not
-                // count.
-                truth.closing = !truth.promised;
+                // A client that got no answer sends the message again, so the result under this id
+                // does not count.
+                expected.closing = !expected.acknowledged;
             }
-            Err(_) => truth.refused = !self.disk.is_killed(),
+            Err(_) => expected.rejected = !self.disk.is_killed(),
         }
-        self.truth.insert(id, truth);
+        self.expected.insert(id, expected);
     }
 
-    fn go_on(&mut self, id: &str) {
+    fn advance(&mut self, id: &str) {
         let record = &self.records[id];
-        let truth = self.truth.get_mut(id).expect("known");
-        if truth.closing && !truth.closed {
+        let expected = self.expected.get_mut(id).expect("known");
+        if expected.closing && !expected.closed {
             let _ = record;
             return self.close(id);
         }
-        if truth.verdict.is_some() {
+        if expected.verdict.is_some() {
             return self.close(id);
         }
-        if truth.out {
+        if expected.in_flight {
             let may = self.rng.bool();
             record.attempt_ended(may);
-            truth.calls.last_mut().expect("a call").1 = may;
-            truth.out = false;
+            expected.calls.last_mut().expect("a call").1 = may;
+            expected.in_flight = false;
             return;
         }
         if self.rng.u32(..3) == 0 {
-            let verdict = match truth.may_have_run() {
+            let verdict = match expected.may_have_run() {
                 Some(_) if self.rng.bool() => Verdict::Delivered,
                 Some(_) => Verdict::Undeliverable,
                 None => Verdict::Deferred {
                     retry_after_ms: self.rng.u64(..5000),
                 },
             };
-            let verdict = truth.deciding.unwrap_or(verdict);
-            truth.deciding = Some(verdict);
+            let verdict = expected.pending_verdict.unwrap_or(verdict);
+            expected.pending_verdict = Some(verdict);
             match record.decided(verdict) {
-                Ok(()) if self.journal.sync_now().is_ok() => truth.verdict = Some(verdict),
+                Ok(()) if self.journal.sync_now().is_ok() => expected.verdict = Some(verdict),
                 Ok(()) => {}
-                Err(e) => assert!(self.faults, "{id}: no room for its end: {e}"),
+                Err(e) => assert!(self.may_fail, "{id}: no space for its verdict: {e}"),
             }
             return;
         }
-        let zone = truth.may_have_run().unwrap_or(ZONES[self.rng.usize(..3)]);
-        if truth.deciding.is_some() {
+        let zone = expected
+            .may_have_run()
+            .unwrap_or(ZONES[self.rng.usize(..3)]);
+        if expected.pending_verdict.is_some() {
             return;
         }
-        truth.tried = Some(zone);
+        expected.starting_zone = Some(zone);
         match record.attempt_started(zone) {
             Ok(()) if self.journal.sync_now().is_ok() => {
-                truth.calls.push((zone, true));
-                (truth.out, truth.tried) = (true, None);
+                expected.calls.push((zone, true));
+                (expected.in_flight, expected.starting_zone) = (true, None);
             }
-            // Written and perhaps not durable: it does not go.
+            // Written but possibly not durable: the call is not sent.
             Ok(()) => record.attempt_ended(false),
-            Err(e) => assert!(self.faults, "{id}: no room for its call: {e}"),
+            Err(e) => assert!(self.may_fail, "{id}: no space for its call: {e}"),
         }
     }
 
     fn close(&mut self, id: &str) {
-        let truth = self.truth.get_mut(id).expect("known");
-        truth.closing = true;
+        let expected = self.expected.get_mut(id).expect("known");
+        expected.closing = true;
         let record = self.records.remove(id).expect("held");
         match record.close() {
-            // Without a sync it may come back after a power cut, and no more than that.
-            Ok(()) => truth.closed = self.setup.durability == Durability::Process,
-            Err(e) => assert!(self.faults, "{id}: no room for its last line: {e}"),
+            // Without a sync, the message may reappear after a power cut.
+            Ok(()) => expected.closed = self.setup.durability == Durability::Process,
+            Err(e) => assert!(self.may_fail, "{id}: no space for its removal: {e}"),
         }
     }
 
-    /// The next process, on what it finds.
+    /// Starts the next process on `image` and checks the messages that it recovers.
     fn restart(&mut self, image: DiskImage) {
         self.records.clear();
         self.disk = FaultyDisk::from_image(image);
@@ -212,51 +215,53 @@
             let id = record.envelope().id.clone();
             assert!(
                 self.records.insert(id.clone(), record).is_none(),
-                "{id} came back twice"
+                "{id} was recovered twice"
             );
         }
-        for (id, truth) in &mut self.truth {
+        for (id, expected) in &mut self.expected {
             let Some(record) = self.records.get(id) else {
                 assert!(
-                    !truth.promised || truth.closed || truth.closing,
-                    "{id} is lost: {truth:?}"
+                    !expected.acknowledged || expected.closed || expected.closing,
+                    "{id} is lost: {expected:?}"
                 );
                 continue;
             };
-            assert!(!truth.closed, "{id} was over: {truth:?}");
-            assert!(!truth.refused, "{id} was refused: {truth:?}");
+            assert!(!expected.closed, "{id} was closed: {expected:?}");
+            assert!(!expected.rejected, "{id} was rejected: {expected:?}");
             let account = record.snapshot();
-            if let Some(told) = truth.verdict {
+            if let Some(reported) = expected.verdict {
                 assert_eq!(
                     account.verdict,
-                    Some(told),
-                    "{id} has another end: {truth:?}"
+                    Some(reported),
+                    "{id} has another verdict: {expected:?}"
                 );
                 continue;
             }
             assert!(
-                account.verdict.is_none() || account.verdict == truth.deciding,
+                account.verdict.is_none() || account.verdict == expected.pending_verdict,
                 "{id}: {account:?}"
             );
-            truth.verdict = account.verdict;
-            if truth.verdict.is_some() {
+            expected.verdict = account.verdict;
+            if expected.verdict.is_some() {
                 continue;
             }
             assert!(
-                usize::from(account.attempts) >= truth.calls.len(),
-                "{id}: {account:?} {truth:?}"
+                usize::from(account.attempts) >= expected.calls.len(),
+                "{id}: {account:?} {expected:?}"
             );
-            let told = account.may_have_run().map(|s| s.zone.as_str());
-            match truth.may_have_run() {
-                Some(zone) => assert_eq!(told, Some(zone), "{id} may have run there: {truth:?}"),
-                // A call that is known not to have run may be taken for one that has.
+            let recovered = account.may_have_run().map(|s| s.zone.as_str());
+            match expected.may_have_run() {
+                Some(zone) => assert_eq!(recovered, Some(zone), "{id} may have run: {expected:?}"),
+                // A call that did not run may be recovered as one that may have run.
                 None => {
-                    let last = truth.calls.last().map(|c| c.0);
+                    let last = expected.calls.last().map(|c| c.0);
                     assert!(
-                        told.is_none() || told == last || told == truth.tried,
-                        "{id}: {told:?} {truth:?}"
+                        recovered.is_none()
+                            || recovered == last
+                            || recovered == expected.starting_zone,
+                        "{id}: {recovered:?} {expected:?}"
                     );
-                    truth.calls.extend(told.map(|zone| {
+                    expected.calls.extend(recovered.map(|zone| {
                         (
                             ZONES[ZONES.iter().position(|z| *z == zone).expect("one")],
                             true,
@@ -265,22 +270,22 @@
                 }
             }
             let whole = async_io::block_on(record.load_envelope()).expect("its body");
-            assert_eq!(whole.body.len(), truth.size, "{id}");
+            assert_eq!(whole.body.len(), expected.size, "{id}");
             record.attempt_ended(true);
-            (truth.out, truth.tried) = (false, None);
+            (expected.in_flight, expected.starting_zone) = (false, None);
         }
         for id in self.records.keys() {
-            assert!(self.truth.contains_key(id), "{id} was never handed in");
+            assert!(self.expected.contains_key(id), "{id} was never submitted");
         }
     }
 
-    /// Everything that is held comes to its end.
+    /// Continues until all stored messages are closed.
     fn finish(&mut self) {
         for _ in 0..2_000 {
             let Some(id) = self.records.keys().next().cloned() else {
                 return;
             };
-            self.go_on(&id);
+            self.advance(&id);
         }
         panic!("{} messages do not end", self.records.len());
     }
@@ -304,12 +309,12 @@
 
 const STEPS: usize = 800;
 
-/// Runs a history, with a fault at one of its operations; gives how many operations it had.
+/// Runs a history with a fault at one of its operations. Returns its number of operations.
 fn run(seed: u64, setup: JournalOptions, fault: Option<(u64, Fault)>) -> u64 {
     let mut world = World::new(seed, setup);
     if let Some((at, fault)) = fault {
         world.disk.fail(at, fault);
-        world.faults = true;
+        world.may_fail = true;
     }
     for _ in 0..STEPS {
         world.step();
@@ -322,7 +327,7 @@
         assert!(
             world.journal.statistics().retired_segments >= 4
                 && world.journal.statistics().cleaned_bytes > 0,
-            "seed {seed}: too little to clean: {:?}",
+            "seed {seed}: too little was cleaned: {:?}",
             world.journal.statistics()
         );
     }
@@ -334,7 +339,7 @@
         }
     };
     world.restart(image);
-    world.faults = false;
+    world.may_fail = false;
     for _ in 0..40 {
         world.step();
     }
@@ -344,7 +349,7 @@
     operations
 }
 
-/// Operations of a history, each in a run of its own: one in so many in a usual run, all where
+/// Runs a history once per fault and operation: for one in `every` of them, or for all if
 /// `STORE_SEEDS` is set.
 fn campaign(setup: JournalOptions, few: u64, every: usize, faults: &[Fault]) {
     let every = if std::env::var_os("STORE_SEEDS").is_some() {
@@ -371,7 +376,7 @@
 }
 
 #[test]
-fn a_kill_at_any_operation_loses_nothing_and_repeats_nothing() {
+fn kill_at_any_operation_neither_loses_nor_repeats_messages() {
     campaign(
         setup(Durability::Process, u64::MAX),
         2,
@@ -386,7 +391,7 @@
 }
 
 #[test]
-fn a_kill_while_bodies_are_away_loses_none() {
+fn kill_while_bodies_are_on_disk_only_loses_no_body() {
     campaign(
         setup(Durability::Process, 3_000),
         1,
@@ -396,7 +401,7 @@
 }
 
 #[test]
-fn a_failing_operation_is_not_ignored() {
+fn failed_operation_is_not_ignored() {
     campaign(
         setup(Durability::Process, u64::MAX),
         2,
@@ -406,7 +411,7 @@
 }
 
 #[test]
-fn a_power_cut_at_any_operation_keeps_what_was_synced() {
+fn power_cut_at_any_operation_keeps_synced_data() {
     campaign(
         setup(Durability::Machine, u64::MAX),
         2,
@@ -416,16 +421,16 @@
 }
 
 #[test]
-fn a_sync_or_write_that_fails_is_made_good_before_anything_is_told() {
+fn failed_sync_or_write_is_repaired_before_anything_is_acknowledged() {
     campaign(setup(Durability::Machine, u64::MAX), 1, 5, &[Fault::Io]);
 }
 
 #[test]
-fn what_is_held_needs_no_room_from_a_file_system_that_others_have_filled() {
+fn stored_messages_need_no_space_from_a_full_file_system() {
     for seed in seeds(20) {
         let mut world = World::new(seed, setup(Durability::Process, u64::MAX));
         if seed % 4 == 0 {
-            // The longest bodies there are, in a folder of the size that they come with.
+            // Bodies of maximum length, in a folder of the size used with them.
             world = World::new(
                 seed,
                 JournalOptions {
@@ -439,8 +444,8 @@
             for _ in 0..60 {
                 world.step();
             }
-            // Filled to the last byte, and free again: neither stops what is held, and a start
-            // succeeds in between.
+            // Alternates between a full file system and one with space. Stored messages can be
+            // finished in both cases, and a restart in between succeeds.
             world
                 .disk
                 .set_quota((round % 3 != 2).then_some(world.disk.total_bytes()));
--- a/tests/unfinished_writes.rs
+++ b/tests/unfinished_writes.rs
@@ -1,5 +1,5 @@
-//! Writes of the store that fail in part, cut at each byte: what the log goes on with, and what the
-//! next process reads of it.
+//! Partially failed writes of the store, cut at each byte: the log has to continue correctly, and
+//! the next process has to read exactly the state that the previous one recorded.
 
 use raildeal::store::disk::{Disk, DiskFile};
 use raildeal::store::faulty::{DiskImage, Fault, FaultyDisk};
@@ -13,10 +13,10 @@
 
 const ITEM_BYTES: usize = 900;
 const UPDATE_BYTES: usize = 20;
-/// Bytes of the longest write that is cut: a header, and a frame.
+/// Length of the longest write that is cut, in bytes: that of a header or a frame.
 const LONGEST_WRITE: usize = 1_040;
 
-/// Items as they were written, with their updates behind them.
+/// Data of each item, followed by its updates.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Items(BTreeMap<u64, Vec<u8>>);
 
@@ -27,8 +27,8 @@
     }
 
     fn on_update(&mut self, item: u64, data: &[u8]) -> Result<(), ReplayError> {
-        if let Some(held) = self.0.get_mut(&item) {
-            held.extend(data);
+        if let Some(stored) = self.0.get_mut(&item) {
+            stored.extend(data);
         }
         Ok(())
     }
@@ -48,13 +48,13 @@
     }
 }
 
-/// A process with its log, and what it believes to be written.
+/// A process with its log, and the items that were written successfully.
 struct Process {
     disk: FaultyDisk,
     log: SegmentLog,
-    held: Items,
+    items: Items,
     damage: Vec<Damage>,
-    /// Tells the data of one item from that of another.
+    /// Byte that fills the last item, which differs between consecutive items.
     written: u8,
 }
 
@@ -66,26 +66,26 @@
             seed: 5,
             sync_required: false,
         };
-        let mut held = Items::default();
-        let size = |held: &Items, item: u64| held.0[&item].len() as u64;
-        let opened = SegmentLog::open(Arc::new(disk.clone()), options, None, &mut held, size);
+        let mut items = Items::default();
+        let size = |items: &Items, item: u64| items.0[&item].len() as u64;
+        let opened = SegmentLog::open(Arc::new(disk.clone()), options, None, &mut items, size);
         let opened = opened.expect("a start succeeds");
         Process {
             disk,
             log: opened.log,
-            held,
+            items,
             damage: opened.damage,
             written: 0,
         }
     }
 
-    /// One that goes on until the next item needs another segment.
-    fn before_a_segment() -> Process {
+    /// Starts a process and writes items until the next one needs another segment.
+    fn before_new_segment() -> Process {
         let mut process = Process::start(DiskImage::new());
         loop {
             assert!(process.put());
             let tail_bytes = process.log.occupancy().tail_bytes;
-            if process.held.0.len() > 8 && tail_bytes < frame::encoded_len(ITEM_BYTES) {
+            if process.items.0.len() > 8 && tail_bytes < frame::encoded_len(ITEM_BYTES) {
                 return process;
             }
         }
@@ -96,9 +96,9 @@
         let data = vec![self.written; ITEM_BYTES];
         let put = self
             .log
-            .put(Duration::ZERO, &data, ITEM_BYTES as u64, &self.held);
+            .put(Duration::ZERO, &data, ITEM_BYTES as u64, &self.items);
         if let Ok(item) = put.result {
-            self.held.0.insert(item, data);
+            self.items.0.insert(item, data);
             return true;
         }
         false
@@ -106,44 +106,44 @@
 
     fn update(&mut self, item: u64) {
         let data = vec![b'u'; UPDATE_BYTES];
-        if self.log.append_update(item, &data, &self.held).is_ok() {
-            self.held.0.entry(item).or_default().extend(data);
+        if self.log.append_update(item, &data, &self.items).is_ok() {
+            self.items.0.entry(item).or_default().extend(data);
         }
     }
 
     fn remove(&mut self, item: u64) {
-        if self.log.remove(item, &self.held).is_ok() {
-            self.held.0.remove(&item);
+        if self.log.remove(item, &self.items).is_ok() {
+            self.items.0.remove(&item);
         }
     }
 
-    /// Writes what still fits into the newest segment.
+    /// Writes an update that still fits into the newest segment.
     fn update_one(&mut self) {
-        let newest = self.held.0.keys().next_back().copied();
+        let newest = self.items.0.keys().next_back().copied();
         newest.into_iter().for_each(|item| self.update(item));
     }
 
     /// Updates every item.
     fn update_all(&mut self) {
-        let items: Vec<u64> = self.held.0.keys().copied().collect();
+        let items: Vec<u64> = self.items.0.keys().copied().collect();
         items.into_iter().for_each(|item| self.update(item));
     }
 
-    /// Begins some segments, and cleans others.
-    fn go_on(&mut self) {
+    /// Continues until further segments are begun and others cleaned.
+    fn continue_writing(&mut self) {
         for _ in 0..12 {
             self.put();
             self.update_all();
-            let oldest = self.held.0.keys().next().copied();
+            let oldest = self.items.0.keys().next().copied();
             oldest.into_iter().for_each(|item| self.remove(item));
         }
     }
 
-    /// The next process reads exactly what this one believes; gives it.
+    /// Starts the next process and checks that it reads exactly the items of this one.
     fn restart(self, case: &str) -> Process {
         let next = Process::start(self.disk.after_kill());
         assert!(
-            next.held == self.held,
+            next.items == self.items,
             "{case}: {}",
             difference(&self, &next)
         );
@@ -162,73 +162,74 @@
     let damage: Vec<String> = after.damage.iter().map(ToString::to_string).collect();
     format!(
         "{:?} became {:?}, {damage:?}",
-        lens(&before.held),
-        lens(&after.held)
+        lens(&before.items),
+        lens(&after.items)
     )
 }
 
-/// What comes after the write that is cut.
+/// Event after the write that is cut.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Then {
+enum NextEvent {
     /// The process ends.
-    Ends,
-    /// The log goes on in the segment before.
-    GoesOnInSegment,
-    /// The next write is cut, too, and the log goes on in the segment before.
+    ProcessEnds,
+    /// The log continues in the previous segment.
+    ContinuesInSegment,
+    /// The next write is cut as well, and the log continues in the previous segment.
     FailsAgain,
-    /// The log goes on through further segments.
-    GoesOn,
+    /// The log continues through further segments.
+    Continues,
 }
 
-const ALL_THEN: [Then; 4] = [
-    Then::Ends,
-    Then::GoesOnInSegment,
-    Then::FailsAgain,
-    Then::GoesOn,
+const NEXT_EVENTS: [NextEvent; 4] = [
+    NextEvent::ProcessEnds,
+    NextEvent::ContinuesInSegment,
+    NextEvent::FailsAgain,
+    NextEvent::Continues,
 ];
 
-/// Cuts the nth write of an item that begins a segment, plays what follows, restarts, and goes on
-/// to a second restart. Gives the damage that the first restart told.
-fn play(nth: u64, cut: usize, undoing: Option<Fault>, then: Then) -> Vec<Damage> {
-    let case = format!("write {nth} cut at {cut}, undoing {undoing:?}, {then:?}");
-    let mut process = Process::before_a_segment();
+/// Cuts the nth write of an item that begins a segment, runs the following event, restarts, and
+/// continues until a second restart. Returns the damage reported by the first restart.
+fn run_case(nth: u64, cut: usize, erasure: Option<Fault>, then: NextEvent) -> Vec<Damage> {
+    let case = format!("write {nth} cut at {cut}, erasure {erasure:?}, {then:?}");
+    let mut process = Process::before_new_segment();
     process.disk.fail(nth, Fault::Cut(cut));
-    if let Some(fault) = undoing {
+    if let Some(fault) = erasure {
         process.disk.fail(nth + 1, fault);
     }
     process.put();
     match then {
-        Then::Ends => {}
-        Then::GoesOnInSegment => process.update_one(),
-        Then::FailsAgain => {
+        NextEvent::ProcessEnds => {}
+        NextEvent::ContinuesInSegment => process.update_one(),
+        NextEvent::FailsAgain => {
             process.disk.fail(0, Fault::Cut(cut));
             process.put();
             process.update_one();
         }
-        Then::GoesOn => process.go_on(),
+        NextEvent::Continues => process.continue_writing(),
     }
     let mut next = process.restart(&case);
     let damage = std::mem::take(&mut next.damage);
-    next.go_on();
+    next.continue_writing();
     next.restart(&case);
     damage
 }
 
-/// Writes that an item takes which begins a segment: those of its frame and of the header.
+/// Returns the number of writes for an item that begins a segment: those of the header and the
+/// frame.
 fn writes_of_an_item() -> u64 {
-    let mut process = Process::before_a_segment();
+    let mut process = Process::before_new_segment();
     let before = process.disk.operations();
     assert!(process.put());
     process.disk.operations() - before
 }
 
-/// Guards against items that are lost, or come back, after a write that failed in part.
+/// Guards against items that are lost or reappear after a partially failed write.
 #[test]
-fn a_write_cut_at_any_byte_loses_nothing_and_brings_nothing_back() {
+fn write_cut_at_any_byte_neither_loses_nor_restores_items() {
     for nth in 0..writes_of_an_item() {
         for cut in 0..=LONGEST_WRITE {
-            for then in ALL_THEN {
-                let damage = play(nth, cut, None, then);
+            for then in NEXT_EVENTS {
+                let damage = run_case(nth, cut, None, then);
                 assert!(
                     damage.is_empty(),
                     "write {nth} at {cut}, {then:?}: {damage:?}"
@@ -238,9 +239,10 @@
     }
 }
 
-/// Guards against an item that was refused and comes back, since its frame was cut behind its data.
+/// Guards against a rejected item that reappears because its frame was cut after its data, so that
+/// the frame is complete on disk although its write failed.
 #[test]
-fn a_refused_item_stays_refused_wherever_its_frame_was_cut() {
+fn rejected_item_stays_rejected_wherever_its_frame_was_cut() {
     let first_frame = 0;
     let write_in_another_segment = 2;
     for cut in 0..=LONGEST_WRITE {
@@ -248,19 +250,19 @@
         assert!(process.put());
         process.disk.fail(first_frame, Fault::Cut(cut));
         process.disk.fail(write_in_another_segment, Fault::Cut(cut));
-        assert!(!process.put(), "taken on, cut at {cut}");
-        process.restart(&format!("refused, cut at {cut}"));
+        assert!(!process.put(), "accepted, cut at {cut}");
+        process.restart(&format!("rejected, cut at {cut}"));
     }
 }
 
-/// Guards against items that are lost because a header that failed could not be erased either.
+/// Guards against items that are lost because both the write of a header and its erasure failed.
 #[test]
-fn a_header_that_cannot_be_erased_hides_no_item() {
+fn header_that_cannot_be_erased_hides_no_item() {
     let header_write = 0;
     for cut in 0..=LONGEST_WRITE {
-        for undoing in [Fault::Io, Fault::Cut(cut / 2)] {
-            for then in ALL_THEN {
-                let damage = play(header_write, cut, Some(undoing), then);
+        for erasure in [Fault::Io, Fault::Cut(cut / 2)] {
+            for then in NEXT_EVENTS {
+                let damage = run_case(header_write, cut, Some(erasure), then);
                 let is_header = |d: &Damage| matches!(d, Damage::UnreadableHeader { .. });
                 assert!(damage.iter().all(is_header), "{cut}, {then:?}: {damage:?}");
             }
@@ -268,18 +270,18 @@
     }
 }
 
-/// Guards against items that are lost because the process ended between a header's write that
-/// failed and its undoing.
+/// Guards against items that are lost because the process ended between the failed write of a
+/// header and its erasure.
 #[test]
-fn a_kill_before_a_header_is_erased_hides_no_item() {
+fn kill_before_a_header_is_erased_hides_no_item() {
     let header_write = 0;
     for cut in 0..=LONGEST_WRITE {
-        play(header_write, cut, Some(Fault::Kill), Then::Ends);
+        run_case(header_write, cut, Some(Fault::Kill), NextEvent::ProcessEnds);
     }
 }
 
-/// A folder of a version that did not erase headers: the number of the newest segment stands in a
-/// free file, too. Gives the name of that file, and the header in it.
+/// Returns the folder of a version that did not erase headers: the header of the newest segment is
+/// also in a free file. Returns the name of that file and the header as well.
 fn with_repeated_header(process: &Process) -> (DiskImage, String, SegmentHeader) {
     let mut image = process.disk.after_kill();
     let header_of = |bytes: &[u8]| match SegmentHeader::decode(&bytes[..FRAMES_OFFSET as usize]) {
@@ -295,10 +297,10 @@
     (image, name, newest)
 }
 
-/// Guards against a number that stands twice being taken for a missing or a damaged segment.
+/// Guards against a repeated sequence number that is reported as a missing or damaged segment.
 #[test]
-fn of_two_files_with_one_number_the_one_without_frames_is_free() {
-    let mut process = Process::before_a_segment();
+fn of_two_files_with_one_number_the_one_without_frames_is_freed() {
+    let mut process = Process::before_new_segment();
     assert!(process.put());
     let (image, name, header) = with_repeated_header(&process);
     let disk = FaultyDisk::from_image(image.clone());
@@ -309,44 +311,45 @@
     };
     assert_eq!((found.damage, found.anomalies), (vec![], vec![repeated]));
     process.disk = disk;
-    let mut next = process.restart("a number stands twice");
-    next.go_on();
-    next.restart("and the log goes on");
+    let mut next = process.restart("a repeated sequence number");
+    next.continue_writing();
+    next.restart("after the log continued");
 }
 
 /// Guards against the loss of frames that an earlier version wrote to the second of two files with
-/// one number.
+/// the same sequence number.
 #[test]
 fn two_files_with_one_number_and_frames_are_both_read_and_cleaned() {
-    let mut process = Process::before_a_segment();
+    let mut process = Process::before_new_segment();
     assert!(process.put());
     let (image, name, header) = with_repeated_header(&process);
     let disk = FaultyDisk::from_image(image);
-    let item = process.held.0.keys().max().expect("an item") + 1;
+    let item = process.items.0.keys().max().expect("an item") + 1;
     let data = vec![77; ITEM_BYTES];
     let bytes = frame::encode(header.salt, FrameKind::Put, item, &data);
     let file: Arc<dyn DiskFile> = disk.open(&name).expect("there");
     file.write_at(&bytes, FRAMES_OFFSET).expect("written");
-    process.held.0.insert(item, data);
+    process.items.0.insert(item, data);
     process.disk = disk;
     let mut next = process.restart("both have frames");
     let stored = next.log.reader(item).expect("a place").read();
     assert_eq!(stored.expect("read").len(), ITEM_BYTES);
-    next.go_on();
-    next.restart("and the log goes on");
+    next.continue_writing();
+    next.restart("after the log continued");
 }
 
-/// Guards against frames behind the end that a header tells being dropped without a word.
+/// Guards against frames that are silently dropped because they are past the end recorded in the
+/// next segment's header.
 #[test]
-fn frames_behind_the_end_that_a_header_tells_are_read_and_told_of() {
-    let mut process = Process::before_a_segment();
+fn frames_past_the_end_recorded_in_a_header_are_read_and_reported() {
+    let mut process = Process::before_new_segment();
     process.disk.fail(0, Fault::Cut(516));
     process.disk.fail(1, Fault::Io);
     assert!(!process.put());
     process.update_one();
     let disk = FaultyDisk::from_image(process.disk.after_kill());
     let found = recover::scan(&disk, 1, &mut Items::default()).expect("read");
-    let told: Vec<String> = found.anomalies.iter().map(ToString::to_string).collect();
+    let reported: Vec<String> = found.anomalies.iter().map(ToString::to_string).collect();
     assert!(
         matches!(
             found.anomalies[..],
@@ -355,7 +358,7 @@
                 Anomaly::FramesBehindEnd { .. }
             ]
         ),
-        "{told:?}"
+        "{reported:?}"
     );
-    process.restart("frames behind the end");
+    process.restart("frames past the recorded end");
 }
