--- a/src/store/log/durability.rs
+++ b/src/store/log/durability.rs
@@ -75,7 +75,8 @@
     }
 
     /// Records a failed sync. Data written to these files may be lost, even if a later sync
-    /// succeeds, so all segments so far are sealed and their live items copied to new ones.
+    /// succeeds. Therefore the newest segment is sealed, and cleaning copies the live items of all
+    /// segments so far to new ones.
     pub fn sync_failed(&mut self, now: Duration, failed: PendingSync) -> Option<GateChange> {
         self.dirty_files.extend(failed.files);
         self.folder_is_dirty |= failed.folder.is_some();
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -99,10 +99,10 @@
         .env(INJECTED_FAULT, "1")
         .output()
         .expect("run");
-    let told = String::from_utf8_lossy(&planted.stderr);
+    let stderr = String::from_utf8_lossy(&planted.stderr);
     assert!(
-        !planted.status.success() && told.contains(words),
-        "{name}: the injected fault was not found: {told}"
+        !planted.status.success() && stderr.contains(words),
+        "{name}: the injected fault was not found: {stderr}"
     );
     eprintln!("{name}: {} orders", count_orders(move || model(false)));
 }
@@ -117,7 +117,7 @@
     /// A write in progress, which a power cut would leave incomplete.
     begun: Option<u64>,
     written: Vec<u64>,
-    told: Vec<u64>,
+    acknowledged: Vec<u64>,
     /// Number of writes that fail for lack of space before one succeeds.
     full: u32,
 }
@@ -184,7 +184,7 @@
         let cut = loom::thread::spawn(move || {
             let world = seen.lock().expect("whole");
             let lost = world
-                .told
+                .acknowledged
                 .iter()
                 .find(|piece| !world.written.contains(piece));
             assert_eq!(lost, None, "acknowledged; a power cut now would lose it");
@@ -192,10 +192,10 @@
         let mut keep = offload(&log);
         keep.start_job(1).expect("here");
         if early {
-            log.lock().expect("whole").told.push(1);
+            log.lock().expect("whole").acknowledged.push(1);
         }
         assert_eq!(block_on(keep.finished()).expect("back"), (1, true));
-        log.lock().expect("whole").told.push(1);
+        log.lock().expect("whole").acknowledged.push(1);
         cut.join().expect("seen");
     });
 }
@@ -204,9 +204,9 @@
 fn task_that_is_ended_during_a_job_gets_the_log_and_the_piece_back() {
     check_model("ending", "the log is lost", |lets_go| {
         let log = new_world(0);
-        let tells = start();
-        let told: JobHandle<()> = tells.run(|| ());
-        let ended = async { told.await.map(|()| None) };
+        let stopper = start();
+        let stopped: JobHandle<()> = stopper.run(|| ());
+        let ended = async { stopped.await.map(|()| None) };
         if lets_go {
             // The only reference to the log is in the future that waits for it.
             let (worker, mut held) = (start(), Some(log.clone()));
@@ -223,9 +223,9 @@
         let mut keep = offload(&log);
         keep.start_job(1).expect("here");
         let saved = async { keep.finished().await.map(|(piece, _)| Some(piece)) };
-        let came = block_on(saved.or(ended)).expect("the thread lives");
-        let came = came.unwrap_or_else(|| block_on(keep.finished()).expect("back").0);
-        assert!(came == 1 && keep.idle().is_some());
+        let done = block_on(saved.or(ended)).expect("the thread lives");
+        let done = done.unwrap_or_else(|| block_on(keep.finished()).expect("back").0);
+        assert!(done == 1 && keep.idle().is_some());
         assert_eq!(log.lock().expect("whole").written, [1]);
     });
 }
@@ -268,10 +268,10 @@
 #[test]
 fn waiting_and_later_tasks_get_an_error_when_the_thread_panics() {
     // The panic is expected in each order, so it is not printed.
-    std::panic::set_hook(Box::new(|told| {
-        let told = told.to_string();
-        if !told.contains("injected panic") {
-            eprintln!("{told}");
+    std::panic::set_hook(Box::new(|message| {
+        let message = message.to_string();
+        if !message.contains("injected panic") {
+            eprintln!("{message}");
         }
     }));
     let dies = |_: &mut (), _: &u64| -> bool { panic!("injected panic") };
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -301,10 +301,10 @@
 }
 
 fn seeds(few: u64) -> std::ops::Range<u64> {
-    let told = std::env::var("STORE_SEEDS")
+    let count = std::env::var("STORE_SEEDS")
         .ok()
         .and_then(|n| n.parse().ok());
-    0..told.unwrap_or(few)
+    0..count.unwrap_or(few)
 }
 
 const STEPS: usize = 800;
@@ -366,8 +366,8 @@
             .enumerate()
         {
             if (nth + seed as usize) % every == 0 {
-                let told = std::panic::catch_unwind(|| run(seed, setup, Some(fault)));
-                assert!(told.is_ok(), "seed {seed}, {fault:?}, of {all}");
+                let result = std::panic::catch_unwind(|| run(seed, setup, Some(fault)));
+                assert!(result.is_ok(), "seed {seed}, {fault:?}, of {all}");
                 runs += 1;
             }
         }
