--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -42,67 +42,67 @@
 pub use start::run;
 
 /// Messages that wait for another keeper; more are lost, as on any net.
-const PEER_QUEUE: usize = 256;
+const PEER_QUEUE_LENGTH: usize = 256;
 /// Between two attempts to write what found no room, and to accept where there is no descriptor.
 const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// What is wrong between two keepers counts as over when it was not seen for so long; connections
 /// are tried more often than that.
-const CONFLICT_LASTS: Duration = Duration::from_secs(10);
+const CONFLICT_RETENTION: Duration = Duration::from_secs(10);
 
 /// What comes in.
-enum Incoming {
+enum Event {
     /// A keeper connected.
-    Came {
-        keeper: u64,
+    PeerConnected {
+        replica: u64,
         incarnation: u64,
         answer: Sender<PeerMessage>,
-        alive: Sender<()>,
+        connection_guard: Sender<()>,
     },
     /// A keeper answered.
-    Answered { keeper: u64, word: PeerMessage },
+    PeerResponded { replica: u64, message: PeerMessage },
     /// A keeper was asked for its folder, in order to add it.
-    Asked {
+    IncarnationReceived {
         connection: ConnectionId,
-        keeper: u64,
+        replica: u64,
         at: String,
-        folder: Result<u64, String>,
+        incarnation: Result<u64, String>,
     },
     /// A message of the group.
-    Raft { keeper: u64, bytes: Vec<u8> },
+    RaftMessage { replica: u64, bytes: Vec<u8> },
     /// A connection of an agent or a person.
-    Opened {
+    ConnectionOpened {
         connection: ConnectionId,
         queue: Sender<Vec<u8>>,
     },
     /// An agent says something.
-    Agent(ConnectionId, AgentToReplica),
+    AgentMessage(ConnectionId, AgentToReplica),
     /// A person orders something.
-    Person(ConnectionId, OperatorRequest),
+    OperatorRequest(ConnectionId, OperatorRequest),
     /// A connection is gone.
-    Gone(ConnectionId),
+    ConnectionClosed(ConnectionId),
     /// Something of another site.
-    Site(site_links::Site),
+    Site(site_links::SiteEvent),
 }
 
 /// What a task needs to bring something in.
 #[derive(Clone)]
 struct Context {
-    inbox: Sender<Incoming>,
+    inbox: Sender<Event>,
     wheel: Rc<TimerWheel>,
     site: Rc<str>,
-    keeper: u64,
+    replica: u64,
     incarnation: u64,
     /// The federation, and the site's number there.
     federation: Option<(Rc<str>, u64)>,
     /// Connections that are open, and how many may be.
-    open: Rc<Cell<u64>>,
-    most: u64,
-    next: Rc<Cell<ConnectionId>>,
+    open_connections: Rc<Cell<u64>>,
+    max_connections: u64,
+    last_connection: Rc<Cell<ConnectionId>>,
 }
 
 enum Stage {
-    Begins(Box<Bootstrap>),
-    Takes(Box<RaftGroup>),
+    Bootstrapping(Box<Bootstrap>),
+    InGroup(Box<RaftGroup>),
 }
 
 struct Replica {
@@ -112,35 +112,35 @@
     stage: Stage,
     duties: Option<LeaderDuties>,
     /// When a leader's beat was seen in the record last, while there was a leader.
-    led: Option<Nanos>,
+    last_leader_seen: Option<Nanos>,
     /// Lent to its thread while that writes.
-    keep: Offloaded<RaftLogStore, LogItem, Result<(), SaveError>>,
+    log_store: Offloaded<RaftLogStore, LogItem, Result<(), SaveError>>,
     /// Nothing is acknowledged since then: what is to be written finds no room.
-    full: Option<Instant>,
+    disk_full_since: Option<Instant>,
     /// What found no room, and when it is tried again.
-    again: Option<(LogItem, Instant)>,
+    pending_retry: Option<(LogItem, Instant)>,
     start: Instant,
-    ticked: Instant,
+    last_tick: Instant,
     connections: BTreeMap<ConnectionId, Sender<Vec<u8>>>,
     /// Persons that wait for an answer.
-    asked: BTreeSet<ConnectionId>,
+    pending_requests: BTreeSet<ConnectionId>,
     /// Who ordered that this keeper comes or goes, and the entry that adds it: that is done when it
     /// has it.
-    changing: Option<(ConnectionId, u64, Option<u64>)>,
+    membership_change: Option<(ConnectionId, u64, Option<u64>)>,
     outgoing: BTreeMap<u64, OutgoingLink>,
     incoming: BTreeMap<u64, Sender<()>>,
     /// Addresses that keepers may speak from.
-    allowed: Rc<RefCell<BTreeSet<IpAddr>>>,
+    allowed_peers: Rc<RefCell<BTreeSet<IpAddr>>>,
     /// When it was last seen, and why.
-    wrong: BTreeMap<(u64, Conflict), (Instant, String)>,
+    conflicts: BTreeMap<(u64, Conflict), (Instant, String)>,
     removed: bool,
     /// The site's part in its federation, as long as this keeper leads it.
-    voice: Option<FederationMember>,
-    sites: sites::Sites,
+    federation_member: Option<FederationMember>,
+    sites: sites::SiteConnections,
 }
 
 /// What no other can know.
-fn draw() -> u64 {
+fn random_u64() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
@@ -149,7 +149,7 @@
         self.start.elapsed().as_nanos() as Nanos
     }
 
-    fn who(&self) -> String {
+    fn log_prefix(&self) -> String {
         format!("keeper {} of {}", self.config.replica, self.config.site)
     }
 }
--- a/src/coordination/replica/accept.rs
+++ b/src/coordination/replica/accept.rs
@@ -7,7 +7,7 @@
 use crate::coordination::messages::{Handshake, PeerRole, MAX_FRAME_BYTES};
 use crate::coordination::replica::peers::{refuse, serve_peer};
 use crate::coordination::replica::transport::{with_timeout, HANDSHAKE_TIMEOUT, WRITE_TIMEOUT};
-use crate::coordination::replica::{site_links, Context, Incoming, RESOURCE_RETRY_DELAY};
+use crate::coordination::replica::{site_links, Context, Event, RESOURCE_RETRY_DELAY};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::io::split;
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Words that wait for a connection: an agent that reads so slowly is dropped.
-const CONNECTION_QUEUE: usize = 32;
+const CONNECTION_QUEUE_LENGTH: usize = 32;
 /// A connection on which nobody says anything for so long is ended; sessions hold for less.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
@@ -29,10 +29,10 @@
 
 impl ConnectionSlot {
     fn take(context: &Context) -> Option<ConnectionSlot> {
-        let open = context.open.get();
-        (open < context.most).then(|| {
-            context.open.set(open + 1);
-            ConnectionSlot(context.open.clone())
+        let open_connections = context.open_connections.get();
+        (open_connections < context.max_connections).then(|| {
+            context.open_connections.set(open_connections + 1);
+            ConnectionSlot(context.open_connections.clone())
         })
     }
 }
@@ -47,15 +47,15 @@
 pub(super) struct Acceptor {
     pub(super) context: Context,
     pub(super) config: Config,
-    pub(super) allowed: Rc<RefCell<BTreeSet<IpAddr>>>,
-    pub(super) sites: Rc<RefCell<BTreeSet<IpAddr>>>,
+    pub(super) allowed_peers: Rc<RefCell<BTreeSet<IpAddr>>>,
+    pub(super) allowed_sites: Rc<RefCell<BTreeSet<IpAddr>>>,
 }
 
 /// Who may speak from an address.
 #[derive(Clone, Copy)]
 struct Permissions {
     agent: bool,
-    keeper: bool,
+    replica: bool,
     site: bool,
 }
 
@@ -67,7 +67,7 @@
     ) {
         loop {
             let (stream, from) = match listener.accept().await {
-                Ok(come) => come,
+                Ok(accepted) => accepted,
                 Err(e) => {
                     log::warn!("keeper: accept: {e}");
                     self.context.wheel.sleep(RESOURCE_RETRY_DELAY).await;
@@ -75,23 +75,23 @@
                 }
             };
             let from = from.ip().to_canonical();
-            let (agent, keeper) = (
+            let (agent, replica) = (
                 self.config.may_connect(from),
-                self.allowed.borrow().contains(&from),
+                self.allowed_peers.borrow().contains(&from),
             );
             let permissions = Permissions {
                 agent,
-                keeper,
-                site: self.sites.borrow().contains(&from),
+                replica,
+                site: self.allowed_sites.borrow().contains(&from),
             };
-            if !permissions.agent && !permissions.keeper && !permissions.site {
+            if !permissions.agent && !permissions.replica && !permissions.site {
                 log::warn!("keeper: {from} may not speak here");
                 continue;
             }
             let Some(slot) = ConnectionSlot::take(&self.context) else {
                 log::warn!(
                     "keeper: {} lines are open, more may not be",
-                    self.context.most
+                    self.context.max_connections
                 );
                 continue;
             };
@@ -116,7 +116,7 @@
 ) -> Result<(), FrameError> {
     let Permissions {
         agent,
-        keeper,
+        replica,
         site,
     } = permissions;
     let hello: Handshake = with_timeout(
@@ -126,11 +126,11 @@
     )
     .await?;
     if let PeerRole::Site(number) = hello.role {
-        let here = context
+        let same_federation = context
             .federation
             .as_ref()
-            .filter(|(name, me)| hello.admit(name).is_ok() && number != *me);
-        return match here {
+            .filter(|(name, own_number)| hello.admit(name).is_ok() && number != *own_number);
+        return match same_federation {
             Some(_) if site => site_links::serve_site(context, stream, number).await,
             _ => site_links::refuse(&context, stream).await,
         };
@@ -142,7 +142,7 @@
             refuse(&context, stream, e, format!("of site {:?}", context.site)).await
         }
         (_, Err(e)) => Err(e),
-        (PeerRole::Replica(n), _) if keeper => serve_peer(context, stream, n).await,
+        (PeerRole::Replica(n), _) if replica => serve_peer(context, stream, n).await,
         (PeerRole::Replica(_), _) => {
             refuse(
                 &context,
@@ -152,8 +152,8 @@
             )
             .await
         }
-        (PeerRole::Agent, _) if agent => serve_client(context, stream, Incoming::Agent).await,
-        (PeerRole::Operator, _) if agent => serve_client(context, stream, Incoming::Person).await,
+        (PeerRole::Agent, _) if agent => serve_client(context, stream, Event::AgentMessage).await,
+        (PeerRole::Operator, _) if agent => serve_client(context, stream, Event::OperatorRequest).await,
         _ => Err(denied()),
     }
 }
@@ -162,30 +162,30 @@
 async fn serve_client<T: DeserializeOwned>(
     context: Context,
     stream: Async<TcpStream>,
-    bring: fn(ConnectionId, T) -> Incoming,
+    to_event: fn(ConnectionId, T) -> Event,
 ) -> Result<(), FrameError> {
-    let connection = context.next.get() + 1;
-    context.next.set(connection);
-    let (queue, going) = async_channel::bounded::<Vec<u8>>(CONNECTION_QUEUE);
+    let connection = context.last_connection.get() + 1;
+    context.last_connection.set(connection);
+    let (queue, outbox) = async_channel::bounded::<Vec<u8>>(CONNECTION_QUEUE_LENGTH);
     let _ = context
         .inbox
-        .send(Incoming::Opened { connection, queue })
+        .send(Event::ConnectionOpened { connection, queue })
         .await;
     let (mut from, mut to) = split(stream);
     let (inbox, wheel) = (context.inbox.clone(), context.wheel.clone());
     let reading = async {
         loop {
-            let word = with_timeout(
+            let message = with_timeout(
                 &wheel,
                 IDLE_TIMEOUT,
                 framing::read(&mut from, MAX_FRAME_BYTES),
             )
             .await?;
-            let _ = inbox.send(bring(connection, word)).await;
+            let _ = inbox.send(to_event(connection, message)).await;
         }
     };
     let writing = async {
-        while let Ok(bytes) = going.recv().await {
+        while let Ok(bytes) = outbox.recv().await {
             with_timeout(
                 &wheel,
                 WRITE_TIMEOUT,
@@ -196,6 +196,6 @@
         Ok(())
     };
     let ended = writing.or(reading).await;
-    let _ = context.inbox.send(Incoming::Gone(connection)).await;
+    let _ = context.inbox.send(Event::ConnectionClosed(connection)).await;
     ended
 }
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -7,7 +7,7 @@
 use crate::coordination::raft_log::{LogItem, RaftLogStore, SaveError};
 use crate::coordination::record::Command;
 use crate::coordination::replica::peers::send;
-use crate::coordination::replica::{Incoming, Replica, Stage, RESOURCE_RETRY_DELAY};
+use crate::coordination::replica::{Event, Replica, Stage, RESOURCE_RETRY_DELAY};
 use crate::coordination::routing_table::member::{self, FederationMember};
 use crate::Nanos;
 use async_channel::Receiver;
@@ -15,60 +15,64 @@
 use std::time::{Duration, Instant};
 
 /// At its end a leader waits so long for another one.
-const FAREWELL: Duration = Duration::from_millis(400);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What was to be written, and what came of it.
-type Wrote = (LogItem, Result<(), SaveError>);
+type SaveOutcome = (LogItem, Result<(), SaveError>);
 
 /// What follows from one step of the group.
 #[derive(Default)]
 struct Effects {
     /// What the leader duties want.
-    out: Vec<Effect>,
+    leader_effects: Vec<Effect>,
     /// What the voice wants.
-    said: Vec<member::MemberEffect>,
+    member_effects: Vec<member::MemberEffect>,
     /// Keepers came or went.
-    members: bool,
+    members_changed: bool,
     /// The leader duties begin.
-    begins: bool,
+    leadership_begins: bool,
     /// They end.
-    ends: bool,
+    leadership_ends: bool,
 }
 
 impl Replica {
     /// Serves until something is fatal, it was removed, or the time is up.
     pub(super) async fn run(
         &mut self,
-        coming: &Receiver<Incoming>,
+        events: &Receiver<Event>,
         until: Option<Instant>,
     ) -> Result<(), String> {
         enum Next {
-            Wrote(Wrote),
-            Came(Incoming),
+            Saved(SaveOutcome),
+            Event(Event),
             Tick,
         }
         let tick = Duration::from_millis(self.config.tick_ms);
         let wheel = self.context.wheel.clone();
         while !self.removed && until.is_none_or(|at| Instant::now() < at) {
-            let (keep, at) = (&mut self.keep, self.ticked + tick);
-            let wrote = async {
-                let wrote = keep.finished().await.map_err(|e| format!("state: {e}"))?;
-                Ok::<_, String>(Next::Wrote(wrote))
+            let (log_store, at) = (&mut self.log_store, self.last_tick + tick);
+            let saved = async {
+                let saved = log_store
+                    .finished()
+                    .await
+                    .map_err(|e| format!("state: {e}"))?;
+                Ok::<_, String>(Next::Saved(saved))
             };
-            let came = async { Ok(Next::Came(coming.recv().await.map_err(|e| e.to_string())?)) };
+            let received =
+                async { Ok(Next::Event(events.recv().await.map_err(|e| e.to_string())?)) };
             let due = async {
                 wheel.sleep_until(at).await;
                 Ok(Next::Tick)
             };
-            let next = wrote.or(came).or(due).await?;
+            let next = saved.or(received).or(due).await?;
             // Time goes before words: one that stood still must not act on what it believed before.
             self.advance_clock(tick);
             match next {
-                Next::Wrote(wrote) => self.handle_saved(wrote)?,
-                Next::Came(word) => self.handle(word).await?,
+                Next::Saved(saved) => self.handle_saved(saved)?,
+                Next::Event(event) => self.handle_event(event).await?,
                 Next::Tick => {}
             }
-            self.work()?;
+            self.process_pending()?;
         }
         Ok(())
     }
@@ -76,56 +80,59 @@
     /// Ticks that are due. After twice the time of an election, a leader that heard nobody leads no
     /// more.
     fn advance_clock(&mut self, tick: Duration) {
-        let due = (self.ticked.elapsed().as_nanos() / tick.as_nanos()) as u32;
+        let due = (self.last_tick.elapsed().as_nanos() / tick.as_nanos()) as u32;
         if due == 0 {
             return;
         }
-        self.ticked += tick * due;
+        self.last_tick += tick * due;
         let now = self.now();
-        let Stage::Takes(group) = &mut self.stage else {
+        let Stage::InGroup(group) = &mut self.stage else {
             return;
         };
         for _ in 0..due.min(2 * ELECTION_TICKS as u32) {
             group.tick();
         }
-        let mut out = Vec::new();
+        let mut leader_effects = Vec::new();
         if let Some(duties) = self.duties.as_mut().filter(|_| group.holds_leader_lease()) {
-            duties.on_tick(now, group.record(), &mut out);
+            duties.on_tick(now, group.record(), &mut leader_effects);
         }
-        self.carry_out(out);
-        self.tick_voice();
+        self.apply_effects(leader_effects);
+        self.tick_federation_member();
     }
 
     /// What came of writing.
-    fn handle_saved(&mut self, (piece, result): Wrote) -> Result<(), String> {
-        let wants_base = self.keep.idle().is_some_and(RaftLogStore::wants_checkpoint);
-        let who = self.who();
-        let Stage::Takes(group) = &mut self.stage else {
+    fn handle_saved(&mut self, (item, result): SaveOutcome) -> Result<(), String> {
+        let wants_checkpoint = self
+            .log_store
+            .idle()
+            .is_some_and(RaftLogStore::wants_checkpoint);
+        let log_prefix = self.log_prefix();
+        let Stage::InGroup(group) = &mut self.stage else {
             return Ok(());
         };
         match result {
             Ok(()) => {
                 group.item_saved();
-                if self.full.take().is_some() {
-                    log::info!("{who}: writes again");
+                if self.disk_full_since.take().is_some() {
+                    log::info!("{log_prefix}: writes again");
                 }
-                if wants_base {
+                if wants_checkpoint {
                     group.compact();
                 }
                 Ok(())
             }
             Err(SaveError::Retryable(e)) => {
-                if self.full.is_none() {
-                    log::error!("{who}: acknowledges nothing: {e}");
+                if self.disk_full_since.is_none() {
+                    log::error!("{log_prefix}: acknowledges nothing: {e}");
                 }
-                let since = *self.full.get_or_insert_with(Instant::now);
+                let since = *self.disk_full_since.get_or_insert_with(Instant::now);
                 // Others may have room.
                 if since.elapsed()
                     > Duration::from_millis(self.config.tick_ms) * ELECTION_TICKS as u32
                 {
                     let _ = group.transfer_leadership();
                 }
-                self.again = Some((piece, Instant::now() + RESOURCE_RETRY_DELAY));
+                self.pending_retry = Some((item, Instant::now() + RESOURCE_RETRY_DELAY));
                 Ok(())
             }
             Err(e) => Err(format!("state: {e}")),
@@ -133,15 +140,15 @@
     }
 
     /// Goes on until nothing more is to be done.
-    pub(super) fn work(&mut self) -> Result<(), String> {
-        while self.work_once()? {}
+    pub(super) fn process_pending(&mut self) -> Result<(), String> {
+        while self.process_once()? {}
         Ok(())
     }
 
     /// Does what the group has ready, and what follows from it; whether there may be more.
-    fn work_once(&mut self) -> Result<bool, String> {
+    fn process_once(&mut self) -> Result<bool, String> {
         let now = self.now();
-        let Stage::Takes(group) = &mut self.stage else {
+        let Stage::InGroup(group) = &mut self.stage else {
             return Ok(false);
         };
         let mut events = Vec::new();
@@ -152,132 +159,137 @@
         send(group, &self.outgoing, messages);
         let mut effects = Effects::default();
         for event in events {
-            self.event(now, event, &mut effects);
+            self.on_group_event(now, event, &mut effects);
         }
-        self.finish_change(&mut effects);
-        self.begin_or_end_duties(now, &mut effects);
-        let piece = self.next_piece();
-        let quiet = effects.out.is_empty() && effects.said.is_empty() && piece.is_none();
-        self.carry_out(effects.out);
-        if let Some(piece) = piece {
-            self.keep.start_job(piece).map_err(|_| "the log is lent")?;
+        self.finish_membership_change(&mut effects);
+        self.update_leader_duties(now, &mut effects);
+        let item = self.next_item_to_save();
+        let quiet = effects.leader_effects.is_empty()
+            && effects.member_effects.is_empty()
+            && item.is_none();
+        self.apply_effects(effects.leader_effects);
+        if let Some(item) = item {
+            self.log_store
+                .start_job(item)
+                .map_err(|_| "the log is lent")?;
         }
-        if effects.ends {
-            self.end_voice();
+        if effects.leadership_ends {
+            self.stop_federation_member();
         }
-        if effects.begins {
-            self.begin_voice();
+        if effects.leadership_begins {
+            self.start_federation_member();
         }
-        if !effects.said.is_empty() {
-            self.carry_voice(effects.said);
+        if !effects.member_effects.is_empty() {
+            self.apply_member_effects(effects.member_effects);
             self.connect_sites();
         }
-        self.tell_leader(false);
-        if effects.members {
+        self.report_federation_state(false);
+        if effects.members_changed {
             self.connect_replicas();
         }
         Ok(!(idle && quiet))
     }
 
     /// Something happened in the group.
-    fn event(&mut self, now: Nanos, event: GroupEvent, effects: &mut Effects) {
-        let Stage::Takes(group) = &self.stage else {
+    fn on_group_event(&mut self, now: Nanos, event: GroupEvent, effects: &mut Effects) {
+        let Stage::InGroup(group) = &self.stage else {
             return;
         };
         match event {
-            GroupEvent::Applied(index, command) => self.applied(now, index, &command, effects),
-            GroupEvent::MembersChanged(index, keeper) => {
+            GroupEvent::Applied(index, command) => self.on_applied(now, index, &command, effects),
+            GroupEvent::MembersChanged(index, replica) => {
                 log::info!(
                     "{}: keepers {:?} by entry {index}",
-                    self.who(),
+                    self.log_prefix(),
                     group.voters()
                 );
-                effects.members = true;
+                effects.members_changed = true;
                 self.removed = group.state().removed.contains(&group.id());
-                let came = group.state().members.contains_key(&keeper);
-                if let Some(changing) = self.changing.as_mut().filter(|c| c.1 == keeper) {
-                    changing.2 = Some(index).filter(|_| came);
-                    if !came {
+                let is_member = group.state().members.contains_key(&replica);
+                if let Some(change) = self.membership_change.as_mut().filter(|c| c.1 == replica)
+                {
+                    change.2 = Some(index).filter(|_| is_member);
+                    if !is_member {
                         effects
-                            .out
-                            .push(Effect::Reply(changing.0, OperatorResponse::Done(index)));
-                        self.changing = None;
+                            .leader_effects
+                            .push(Effect::Reply(change.0, OperatorResponse::Done(index)));
+                        self.membership_change = None;
                     }
                 }
             }
             GroupEvent::SnapshotRestored(index) => {
                 log::info!(
                     "{}: has the record up to {index} from another keeper",
-                    self.who()
+                    self.log_prefix()
                 );
-                effects.members = true;
+                effects.members_changed = true;
             }
             GroupEvent::LeaderChanged(leader, term) if leader != 0 && leader != group.id() => {
-                log::info!("{}: follows {leader} in term {term}", self.who());
+                log::info!("{}: follows {leader} in term {term}", self.log_prefix());
             }
             GroupEvent::LeaderChanged(..) => {}
         }
     }
 
     /// A command was applied to the record.
-    fn applied(&mut self, now: Nanos, index: u64, command: &Command, effects: &mut Effects) {
-        let Stage::Takes(group) = &self.stage else {
+    fn on_applied(&mut self, now: Nanos, index: u64, command: &Command, effects: &mut Effects) {
+        let Stage::InGroup(group) = &self.stage else {
             return;
         };
         if let Command::AdvanceClock { term, .. } = command {
             // An older one that is only now read says nothing of when its leader lived.
             if *term == group.term() && group.leader() != 0 {
-                self.led = Some(now);
+                self.last_leader_seen = Some(now);
             }
         }
-        let told = format!("{command:?}");
-        let kind = told.split([' ', '(', '{']).next().unwrap_or_default();
-        let print = crc32fast::hash(told.as_bytes());
-        log::debug!("{}: applied {index} {kind} {print:08x}", self.who());
-        if let Some(voice) = &mut self.voice {
-            voice.on_applied(now, command, group.record(), &mut effects.said);
+        let command_text = format!("{command:?}");
+        let kind = command_text.split([' ', '(', '{']).next().unwrap_or_default();
+        let checksum = crc32fast::hash(command_text.as_bytes());
+        log::debug!("{}: applied {index} {kind} {checksum:08x}", self.log_prefix());
+        if let Some(member) = &mut self.federation_member {
+            member.on_applied(now, command, group.record(), &mut effects.member_effects);
         }
         if let Some(duties) = &mut self.duties {
-            duties.on_applied(now, index, command, group.record(), &mut effects.out);
+            duties.on_applied(now, index, command, group.record(), &mut effects.leader_effects);
         }
     }
 
     /// Answers whoever ordered that a keeper comes, when that has the record.
-    fn finish_change(&mut self, effects: &mut Effects) {
-        let Stage::Takes(group) = &self.stage else {
+    fn finish_membership_change(&mut self, effects: &mut Effects) {
+        let Stage::InGroup(group) = &self.stage else {
             return;
         };
-        let has = |(_, keeper, index): &mut (_, u64, Option<u64>)| {
-            index.is_some_and(|index| group.has_replicated(*keeper, index))
+        let has_record = |(_, replica, index): &mut (_, u64, Option<u64>)| {
+            index.is_some_and(|index| group.has_replicated(*replica, index))
         };
-        if let Some((connection, _, Some(index))) = self.changing.take_if(has) {
+        if let Some((connection, _, Some(index))) = self.membership_change.take_if(has_record) {
             effects
-                .out
+                .leader_effects
                 .push(Effect::Reply(connection, OperatorResponse::Done(index)));
         }
     }
 
     /// Begins the leader duties where this keeper leads by now, and ends them where it leads no
     /// more.
-    fn begin_or_end_duties(&mut self, now: Nanos, effects: &mut Effects) {
-        let Stage::Takes(group) = &self.stage else {
+    fn update_leader_duties(&mut self, now: Nanos, effects: &mut Effects) {
+        let Stage::InGroup(group) = &self.stage else {
             return;
         };
         let term = group.term();
         if group.is_ready_to_lead() && self.duties.is_none() {
-            effects.begins = true;
-            log::info!("{}: leads in term {term}", self.who());
+            effects.leadership_begins = true;
+            log::info!("{}: leads in term {term}", self.log_prefix());
             let duties = LeaderDuties::new(self.config.rules.clone(), term, now, group.record());
-            self.duties = Some(duties.with_last_leader_seen(now, self.led));
+            self.duties = Some(duties.with_last_leader_seen(now, self.last_leader_seen));
         }
         if group.leader() != group.id() && self.duties.take().is_some() {
-            log::info!("{}: leads no more", self.who());
-            effects.ends = true;
-            self.changing = None;
+            log::info!("{}: leads no more", self.log_prefix());
+            effects.leadership_ends = true;
+            self.membership_change = None;
             let elsewhere = OperatorResponse::NotLeader(Some(group.leader()).filter(|id| *id != 0));
-            let asked = std::mem::take(&mut self.asked);
-            effects.out.extend(
-                asked
+            let pending_requests = std::mem::take(&mut self.pending_requests);
+            effects.leader_effects.extend(
+                pending_requests
                     .into_iter()
                     .map(|connection| Effect::Reply(connection, elsewhere.clone())),
             );
@@ -285,39 +297,44 @@
     }
 
     /// What is to be written next, where nothing is being written.
-    fn next_piece(&mut self) -> Option<LogItem> {
-        self.keep.idle()?;
-        let due = |again: &mut (LogItem, Instant)| again.1 <= Instant::now();
-        if let Some((piece, _)) = self.again.take_if(due) {
-            return Some(piece);
+    fn next_item_to_save(&mut self) -> Option<LogItem> {
+        self.log_store.idle()?;
+        let due = |retry: &mut (LogItem, Instant)| retry.1 <= Instant::now();
+        if let Some((item, _)) = self.pending_retry.take_if(due) {
+            return Some(item);
         }
         // Nothing, while something is to be written again.
         match &mut self.stage {
-            Stage::Takes(group) => group.next_item(),
-            Stage::Begins(_) => None,
+            Stage::InGroup(group) => group.next_item(),
+            Stage::Bootstrapping(_) => None,
         }
     }
 
     /// A leader asks another one to lead before it ends.
-    pub(super) async fn hand_over(&mut self, coming: &Receiver<Incoming>) -> Result<(), String> {
+    pub(super) async fn hand_over_leadership(
+        &mut self,
+        events: &Receiver<Event>,
+    ) -> Result<(), String> {
         // The federation has another leader before the site has.
         if self
-            .voice
+            .federation_member
             .as_mut()
             .is_some_and(FederationMember::transfer_leadership)
         {
-            self.tick_voice();
-            self.run(coming, Some(Instant::now() + FAREWELL)).await?;
+            self.tick_federation_member();
+            self.run(events, Some(Instant::now() + HANDOVER_TIMEOUT))
+                .await?;
         }
-        let handed = match &mut self.stage {
-            Stage::Takes(group) if group.leader() == group.id() => {
+        let transferred = match &mut self.stage {
+            Stage::InGroup(group) if group.leader() == group.id() => {
                 group.transfer_leadership().is_ok()
             }
             _ => false,
         };
-        if handed {
-            self.work()?;
-            self.run(coming, Some(Instant::now() + FAREWELL)).await?;
+        if transferred {
+            self.process_pending()?;
+            self.run(events, Some(Instant::now() + HANDOVER_TIMEOUT))
+                .await?;
         }
         Ok(())
     }
--- a/src/coordination/replica/peers.rs
+++ b/src/coordination/replica/peers.rs
@@ -8,7 +8,7 @@
     receive_messages, retry_delay, send_messages, with_timeout, LinkState, HANDSHAKE_TIMEOUT,
     WRITE_TIMEOUT,
 };
-use crate::coordination::replica::{Context, Incoming, Replica, Stage, PEER_QUEUE};
+use crate::coordination::replica::{Context, Event, Replica, Stage, PEER_QUEUE_LENGTH};
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use async_io::Async;
@@ -21,19 +21,19 @@
 use std::rc::Rc;
 
 /// Longest frame between keepers: a snapshot, and what is said with it.
-pub(super) const PEER_MOST: usize = MAX_CHECKPOINT_BYTES + 64 * 1024;
+pub(super) const MAX_PEER_FRAME_BYTES: usize = MAX_CHECKPOINT_BYTES + 64 * 1024;
 
 /// What keepers say to each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum PeerMessage {
     /// The folder of the one that connected.
-    Me { incarnation: u64 },
+    Hello { incarnation: u64 },
     /// It is known, and written down. And the folder of the one that answers.
-    Known { incarnation: u64 },
+    Admitted { incarnation: u64 },
     /// It is not heard, and why.
-    Refused(String),
+    Rejected(String),
     /// A sign of life.
-    Pulse,
+    Heartbeat,
     /// A message of the group.
     Raft(ByteBuf),
 }
@@ -41,8 +41,8 @@
 /// Another keeper that this one sends to.
 pub(super) struct OutgoingLink {
     pub(super) queue: Sender<Vec<u8>>,
-    pub(super) at: SocketAddr,
-    pub(super) reach: Rc<LinkState>,
+    pub(super) address: SocketAddr,
+    pub(super) state: Rc<LinkState>,
     /// Ends the connection when it is dropped.
     pub(super) _task: Task<()>,
 }
@@ -51,60 +51,60 @@
 pub(super) async fn refuse(
     context: &Context,
     mut stream: Async<TcpStream>,
-    why: FrameError,
+    reason: FrameError,
     what: String,
 ) -> Result<(), FrameError> {
-    let word = PeerMessage::Refused(format!(
+    let message = PeerMessage::Rejected(format!(
         "it came to a keeper {what}, form {PROTOCOL_VERSION}"
     ));
     with_timeout(
         &context.wheel,
         WRITE_TIMEOUT,
-        framing::write(&mut stream, &word, PEER_MOST),
+        framing::write(&mut stream, &message, MAX_PEER_FRAME_BYTES),
     )
     .await?;
-    Err(why)
+    Err(reason)
 }
 
 /// Another keeper's connection: it sends, and this one says that it lives.
 pub(super) async fn serve_peer(
     context: Context,
     mut stream: Async<TcpStream>,
-    keeper: u64,
+    replica: u64,
 ) -> Result<(), FrameError> {
-    let me = with_timeout(
+    let hello = with_timeout(
         &context.wheel,
         HANDSHAKE_TIMEOUT,
-        framing::read(&mut stream, PEER_MOST),
+        framing::read(&mut stream, MAX_PEER_FRAME_BYTES),
     )
     .await?;
-    let PeerMessage::Me { incarnation } = me else {
+    let PeerMessage::Hello { incarnation } = hello else {
         return Ok(());
     };
     let (answer, answered) = async_channel::bounded(1);
-    let (alive, ended) = async_channel::bounded::<()>(1);
-    let came = Incoming::Came {
-        keeper,
+    let (connection_guard, ended) = async_channel::bounded::<()>(1);
+    let connected = Event::PeerConnected {
+        replica,
         incarnation,
         answer,
-        alive,
+        connection_guard,
     };
-    let _ = context.inbox.send(came).await;
-    let Ok(word) = answered.recv().await else {
+    let _ = context.inbox.send(connected).await;
+    let Ok(message) = answered.recv().await else {
         return Ok(());
     };
     with_timeout(
         &context.wheel,
         WRITE_TIMEOUT,
-        framing::write(&mut stream, &word, PEER_MOST),
+        framing::write(&mut stream, &message, MAX_PEER_FRAME_BYTES),
     )
     .await?;
-    if !matches!(word, PeerMessage::Known { .. }) {
+    if !matches!(message, PeerMessage::Admitted { .. }) {
         return Ok(());
     }
-    let raft = |word| match word {
-        PeerMessage::Raft(bytes) => Ok(Incoming::Raft {
-            keeper,
+    let to_event = |message| match message {
+        PeerMessage::Raft(bytes) => Ok(Event::RaftMessage {
+            replica,
             bytes: bytes.into_vec(),
         }),
         other => Err(FrameError::Io(std::io::Error::other(format!(
@@ -114,9 +114,9 @@
     receive_messages(
         &context,
         stream,
-        (&PeerMessage::Pulse, PEER_MOST),
+        (&PeerMessage::Heartbeat, MAX_PEER_FRAME_BYTES),
         &ended,
-        raft,
+        to_event,
     )
     .await
 }
@@ -124,65 +124,72 @@
 /// Introduces itself to another keeper.
 pub(super) async fn handshake(
     context: &Context,
-    at: SocketAddr,
+    address: SocketAddr,
 ) -> Result<(Async<TcpStream>, PeerMessage), FrameError> {
-    let meeting = async {
-        let mut stream = Async::<TcpStream>::connect(at).await?;
+    let exchange = async {
+        let mut stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         let hello = Handshake {
             version: PROTOCOL_VERSION,
             site: context.site.to_string(),
-            role: PeerRole::Replica(context.keeper),
+            role: PeerRole::Replica(context.replica),
         };
         framing::write(&mut stream, &hello, MAX_FRAME_BYTES).await?;
         framing::write(
             &mut stream,
-            &PeerMessage::Me {
+            &PeerMessage::Hello {
                 incarnation: context.incarnation,
             },
-            PEER_MOST,
+            MAX_PEER_FRAME_BYTES,
         )
         .await?;
-        let word = framing::read(&mut stream, PEER_MOST).await?;
-        Ok((stream, word))
+        let message = framing::read(&mut stream, MAX_PEER_FRAME_BYTES).await?;
+        Ok((stream, message))
     };
-    with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, meeting).await
+    with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, exchange).await
 }
 
 /// Sends to another keeper for as long as that is one.
 async fn send_to_peer(
     context: Context,
-    keeper: u64,
-    at: SocketAddr,
-    going: Receiver<Vec<u8>>,
-    reach: Rc<LinkState>,
+    replica: u64,
+    address: SocketAddr,
+    outbox: Receiver<Vec<u8>>,
+    state: Rc<LinkState>,
 ) {
-    let who = format!(
-        "keeper {} of {}: keeper {keeper} at {at}",
-        context.keeper, context.site
+    let log_prefix = format!(
+        "keeper {} of {}: keeper {replica} at {address}",
+        context.replica, context.site
     );
     loop {
         let ended = async {
-            let (stream, word) = handshake(&context, at).await?;
-            let known = matches!(word, PeerMessage::Known { .. });
+            let (stream, message) = handshake(&context, address).await?;
+            let known = matches!(message, PeerMessage::Admitted { .. });
             // What waited for the last connection is late by now.
-            while going.try_recv().is_ok() {}
-            reach.up.set(known);
+            while outbox.try_recv().is_ok() {}
+            state.up.set(known);
             let _ = context
                 .inbox
-                .send(Incoming::Answered { keeper, word })
+                .send(Event::PeerResponded { replica, message })
                 .await;
             if !known {
                 return Ok(());
             }
             // One that is not the keeper that it should be is left; another one may answer there by
             // now.
-            send_messages::<PeerMessage>(&context, stream, PEER_MOST, &going, &reach.up, || ())
-                .await
+            send_messages::<PeerMessage>(
+                &context,
+                stream,
+                MAX_PEER_FRAME_BYTES,
+                &outbox,
+                &state.up,
+                || (),
+            )
+            .await
         };
         let ended: Result<(), FrameError> = ended.await;
-        let was_up = reach.up.replace(false);
-        reach.ended(&who, ended, was_up);
+        let was_up = state.up.replace(false);
+        state.on_disconnected(&log_prefix, ended, was_up);
         context.wheel.sleep(retry_delay()).await;
     }
 }
@@ -198,10 +205,10 @@
             message.to,
             message.get_msg_type() == MessageType::MsgSnapshot,
         );
-        let connection = outgoing.get(&to).filter(|o| o.reach.up.get());
+        let connection = outgoing.get(&to).filter(|link| link.state.up.get());
         let bytes = message.write_to_bytes().map_err(|e| e.to_string());
         let framed = bytes.and_then(|b| {
-            framing::encode(&PeerMessage::Raft(ByteBuf::from(b)), PEER_MOST)
+            framing::encode(&PeerMessage::Raft(ByteBuf::from(b)), MAX_PEER_FRAME_BYTES)
                 .map_err(|e| e.to_string())
         });
         let sent = match (framed, connection) {
@@ -222,53 +229,60 @@
 
 impl Replica {
     /// Where a keeper is reached: the file goes before what the group knows.
-    pub(super) fn address_of(&self, keeper: u64) -> Option<SocketAddr> {
+    pub(super) fn address_of(&self, replica: u64) -> Option<SocketAddr> {
         let known = match &self.stage {
-            Stage::Takes(group) => group
+            Stage::InGroup(group) => group
                 .state()
                 .members
-                .get(&keeper)
+                .get(&replica)
                 .and_then(|m| m.at.parse().ok()),
-            Stage::Begins(_) => None,
+            Stage::Bootstrapping(_) => None,
         };
-        self.config.peers.get(&keeper).copied().or(known)
+        self.config.peers.get(&replica).copied().or(known)
     }
 
     /// Has a connection to each other keeper, and to nobody else.
     pub(super) fn connect_replicas(&mut self) {
         let mut wanted: BTreeSet<u64> = self.config.peers.keys().copied().collect();
-        if let Stage::Takes(group) = &self.stage {
-            let held = group.state();
-            if !held.members.is_empty() {
-                wanted = held.members.keys().copied().collect();
+        if let Stage::InGroup(group) = &self.stage {
+            let group_state = group.state();
+            if !group_state.members.is_empty() {
+                wanted = group_state.members.keys().copied().collect();
             }
         }
         wanted.remove(&self.config.replica);
-        let at: BTreeMap<u64, SocketAddr> = wanted
+        let addresses: BTreeMap<u64, SocketAddr> = wanted
             .iter()
             .filter_map(|id| Some((*id, self.address_of(*id)?)))
             .collect();
         // One that joins is spoken to from addresses that its file names.
-        let named = self.config.peers.values();
-        *self.allowed.borrow_mut() = at
+        let configured = self.config.peers.values();
+        *self.allowed_peers.borrow_mut() = addresses
             .values()
-            .chain(named)
-            .map(|at| at.ip().to_canonical())
+            .chain(configured)
+            .map(|address| address.ip().to_canonical())
             .collect();
-        self.outgoing.retain(|id, o| at.get(id) == Some(&o.at));
+        self.outgoing
+            .retain(|id, link| addresses.get(id) == Some(&link.address));
         self.incoming.retain(|id, _| wanted.contains(id));
-        for (keeper, at) in at {
-            if !self.outgoing.contains_key(&keeper) {
-                let (queue, going) = async_channel::bounded(PEER_QUEUE);
-                let reach: Rc<LinkState> = Rc::default();
-                let task = send_to_peer(self.context.clone(), keeper, at, going, reach.clone());
+        for (replica, address) in addresses {
+            if !self.outgoing.contains_key(&replica) {
+                let (queue, outbox) = async_channel::bounded(PEER_QUEUE_LENGTH);
+                let state: Rc<LinkState> = Rc::default();
+                let task = send_to_peer(
+                    self.context.clone(),
+                    replica,
+                    address,
+                    outbox,
+                    state.clone(),
+                );
                 let task = self.executor.spawn(task);
                 self.outgoing.insert(
-                    keeper,
+                    replica,
                     OutgoingLink {
                         queue,
-                        at,
-                        reach,
+                        address,
+                        state,
                         _task: task,
                     },
                 );
--- a/src/coordination/replica/receive.rs
+++ b/src/coordination/replica/receive.rs
@@ -3,51 +3,51 @@
 use crate::coordination::bootstrap::{admit, PeerAdmission};
 use crate::coordination::replica::conflicts::Conflict;
 use crate::coordination::replica::peers::PeerMessage;
-use crate::coordination::replica::{Incoming, Replica, Stage};
+use crate::coordination::replica::{Event, Replica, Stage};
 use async_channel::Sender;
 
 impl Replica {
     /// Something came in.
-    pub(super) async fn handle(&mut self, word: Incoming) -> Result<(), String> {
-        match word {
-            Incoming::Came {
-                keeper,
+    pub(super) async fn handle_event(&mut self, event: Event) -> Result<(), String> {
+        match event {
+            Event::PeerConnected {
+                replica,
                 incarnation,
                 answer,
-                alive,
+                connection_guard,
             } => {
-                return self.keeper_came(keeper, incarnation, answer, alive).await;
+                return self.on_peer_connected(replica, incarnation, answer, connection_guard).await;
             }
-            Incoming::Answered {
-                keeper,
-                word: PeerMessage::Known { incarnation },
+            Event::PeerResponded {
+                replica,
+                message: PeerMessage::Admitted { incarnation },
             } => {
-                return self.keeper_answered(keeper, incarnation).await;
+                return self.on_peer_response(replica, incarnation).await;
             }
-            Incoming::Answered { keeper, word } => {
-                if let PeerMessage::Refused(why) = word {
-                    self.note_conflict(keeper, Conflict::Shut, &why);
+            Event::PeerResponded { replica, message } => {
+                if let PeerMessage::Rejected(reason) = message {
+                    self.note_conflict(replica, Conflict::RejectedByPeer, &reason);
                 }
             }
-            Incoming::Asked {
+            Event::IncarnationReceived {
                 connection,
-                keeper,
+                replica,
                 at,
-                folder,
-            } => self.add_replica(connection, keeper, at, folder),
-            Incoming::Raft { keeper, bytes } => self.raft_came(keeper, &bytes),
-            Incoming::Opened { connection, queue } => {
+                incarnation,
+            } => self.add_replica(connection, replica, at, incarnation),
+            Event::RaftMessage { replica, bytes } => self.on_raft_message(replica, &bytes),
+            Event::ConnectionOpened { connection, queue } => {
                 self.connections.insert(connection, queue);
             }
-            Incoming::Agent(connection, word) => self.handle_agent(connection, &word),
-            Incoming::Person(connection, word) => self.handle_operator(connection, word),
-            Incoming::Site(word) => self.came_site(word),
-            Incoming::Gone(connection) => {
-                self.voice
+            Event::AgentMessage(connection, message) => self.handle_agent(connection, &message),
+            Event::OperatorRequest(connection, message) => self.handle_operator(connection, message),
+            Event::Site(event) => self.on_site_event(event),
+            Event::ConnectionClosed(connection) => {
+                self.federation_member
                     .iter_mut()
-                    .for_each(|voice| voice.on_connection_closed(connection));
+                    .for_each(|member| member.on_connection_closed(connection));
                 self.connections.remove(&connection);
-                self.asked.remove(&connection);
+                self.pending_requests.remove(&connection);
                 self.duties
                     .iter_mut()
                     .for_each(|duties| duties.on_disconnect(connection));
@@ -57,78 +57,78 @@
     }
 
     /// Whether a keeper with this folder is one of the group.
-    fn heard(&mut self, keeper: u64, incarnation: u64) -> PeerAdmission {
+    fn check_incarnation(&mut self, replica: u64, incarnation: u64) -> PeerAdmission {
         match &mut self.stage {
-            Stage::Begins(begin) => begin.learn_incarnation(keeper, incarnation),
-            Stage::Takes(group) => admit(group.state(), keeper, incarnation),
+            Stage::Bootstrapping(bootstrap) => bootstrap.learn_incarnation(replica, incarnation),
+            Stage::InGroup(group) => admit(group.state(), replica, incarnation),
         }
     }
 
     /// A keeper connected.
-    async fn keeper_came(
+    async fn on_peer_connected(
         &mut self,
-        keeper: u64,
+        replica: u64,
         incarnation: u64,
         answer: Sender<PeerMessage>,
-        alive: Sender<()>,
+        connection_guard: Sender<()>,
     ) -> Result<(), String> {
-        let heard = self.heard(keeper, incarnation);
-        if heard == PeerAdmission::New {
+        let admission = self.check_incarnation(replica, incarnation);
+        if admission == PeerAdmission::New {
             self.save_known_replicas().await?;
         }
-        let word = match heard {
-            PeerAdmission::Rejected(why) => {
-                self.note_conflict(keeper, Conflict::Came, &why);
-                PeerMessage::Refused(why)
+        let message = match admission {
+            PeerAdmission::Rejected(reason) => {
+                self.note_conflict(replica, Conflict::IncomingRejected, &reason);
+                PeerMessage::Rejected(reason)
             }
             _ => {
-                self.wrong.remove(&(keeper, Conflict::Came));
-                self.incoming.insert(keeper, alive);
-                PeerMessage::Known {
+                self.conflicts.remove(&(replica, Conflict::IncomingRejected));
+                self.incoming.insert(replica, connection_guard);
+                PeerMessage::Admitted {
                     incarnation: self.context.incarnation,
                 }
             }
         };
-        let _ = answer.try_send(word);
+        let _ = answer.try_send(message);
         self.form_group().await
     }
 
     /// A keeper that knows this one answered.
-    async fn keeper_answered(&mut self, keeper: u64, incarnation: u64) -> Result<(), String> {
-        let heard = self.heard(keeper, incarnation);
-        if let PeerAdmission::Rejected(why) = &heard {
-            self.note_conflict(keeper, Conflict::Answers, why);
+    async fn on_peer_response(&mut self, replica: u64, incarnation: u64) -> Result<(), String> {
+        let admission = self.check_incarnation(replica, incarnation);
+        if let PeerAdmission::Rejected(reason) = &admission {
+            self.note_conflict(replica, Conflict::ResponderRejected, reason);
             // Nothing is said to it.
             self.outgoing
-                .get(&keeper)
+                .get(&replica)
                 .into_iter()
-                .for_each(|o| o.reach.up.set(false));
+                .for_each(|link| link.state.up.set(false));
             return Ok(());
         }
-        let was = [Conflict::Answers, Conflict::Shut]
-            .map(|how| self.wrong.remove(&(keeper, how)).is_some());
-        if let Some(o) = self.outgoing.get(&keeper) {
-            if o.reach.told.take().is_some() || was.contains(&true) {
-                log::info!("{}: keeper {keeper} at {}: is reached", self.who(), o.at);
+        let resolved = [Conflict::ResponderRejected, Conflict::RejectedByPeer]
+            .map(|how| self.conflicts.remove(&(replica, how)).is_some());
+        if let Some(link) = self.outgoing.get(&replica) {
+            if link.state.last_logged.take().is_some() || resolved.contains(&true) {
+                log::info!("{}: keeper {replica} at {}: is reached", self.log_prefix(), link.address);
             }
         }
-        if let Stage::Begins(begin) = &mut self.stage {
-            begin.note_known_to(keeper);
+        if let Stage::Bootstrapping(bootstrap) = &mut self.stage {
+            bootstrap.note_known_to(replica);
         }
-        if heard == PeerAdmission::New {
+        if admission == PeerAdmission::New {
             self.save_known_replicas().await?;
         }
         self.form_group().await
     }
 
     /// A message of the group came; the connection of one that sends what makes no sense is ended.
-    fn raft_came(&mut self, keeper: u64, bytes: &[u8]) {
-        let Stage::Takes(group) = &mut self.stage else {
+    fn on_raft_message(&mut self, replica: u64, bytes: &[u8]) {
+        let Stage::InGroup(group) = &mut self.stage else {
             return;
         };
-        if let Err(e) = group.step(keeper, bytes) {
-            log::warn!("{}: keeper {keeper} sent {e}", self.who());
-            self.incoming.remove(&keeper);
+        if let Err(e) = group.step(replica, bytes) {
+            log::warn!("{}: keeper {replica} sent {e}", self.log_prefix());
+            self.incoming.remove(&replica);
         }
     }
 }
--- a/src/coordination/replica/requests.rs
+++ b/src/coordination/replica/requests.rs
@@ -8,60 +8,60 @@
 };
 use crate::coordination::raft_group::GroupMember;
 use crate::coordination::replica::peers::{handshake, PeerMessage};
-use crate::coordination::replica::{Incoming, Replica, Stage};
+use crate::coordination::replica::{Event, Replica, Stage};
 use serde::Serialize;
 use std::net::SocketAddr;
 
 impl Replica {
     /// Does what the leader wants.
-    pub(super) fn carry_out(&mut self, out: Vec<Effect>) {
+    pub(super) fn apply_effects(&mut self, out: Vec<Effect>) {
         for what in out {
             match what {
                 Effect::Propose(command) => {
-                    if let Stage::Takes(group) = &mut self.stage {
-                        if let Err(no) = group.propose(&command) {
-                            log::debug!("{}: not proposed: {no}", self.who());
+                    if let Stage::InGroup(group) = &mut self.stage {
+                        if let Err(e) = group.propose(&command) {
+                            log::debug!("{}: not proposed: {e}", self.log_prefix());
                         }
                     }
                 }
-                Effect::Send(connection, word) => self.send(connection, &word),
-                Effect::Reply(connection, word) => self.answer(connection, word),
+                Effect::Send(connection, message) => self.send(connection, &message),
+                Effect::Reply(connection, message) => self.respond(connection, message),
                 Effect::ProposeToFederation(command) => {
-                    let (now, mut said) = (self.now(), Vec::new());
-                    self.voice
+                    let (now, mut member_effects) = (self.now(), Vec::new());
+                    self.federation_member
                         .iter_mut()
-                        .for_each(|voice| voice.submit(now, command.clone(), &mut said));
-                    self.carry_voice(said);
+                        .for_each(|member| member.submit(now, command.clone(), &mut member_effects));
+                    self.apply_member_effects(member_effects);
                 }
             }
         }
     }
 
-    pub(super) fn send<T: Serialize>(&mut self, connection: ConnectionId, word: &T) {
+    pub(super) fn send<T: Serialize>(&mut self, connection: ConnectionId, message: &T) {
         let Some(queue) = self.connections.get(&connection) else {
             return;
         };
-        let sent = framing::encode(word, MAX_FRAME_BYTES).map_err(|e| e.to_string());
+        let sent = framing::encode(message, MAX_FRAME_BYTES).map_err(|e| e.to_string());
         let sent = sent.and_then(|bytes| queue.try_send(bytes).map_err(|e| e.to_string()));
         if let Err(e) = sent {
             // Its task sees that nobody writes to it any more.
-            log::debug!("{}: line {connection} is dropped: {e}", self.who());
+            log::debug!("{}: line {connection} is dropped: {e}", self.log_prefix());
             self.connections.remove(&connection);
         }
     }
 
-    pub(super) fn answer(&mut self, connection: ConnectionId, mut word: OperatorResponse) {
-        self.asked.remove(&connection);
-        if let OperatorResponse::Status(status) = &mut word {
+    pub(super) fn respond(&mut self, connection: ConnectionId, mut message: OperatorResponse) {
+        self.pending_requests.remove(&connection);
+        if let OperatorResponse::Status(status) = &mut message {
             self.fill_status(status);
         }
-        self.send(connection, &word);
+        self.send(connection, &message);
     }
 
     /// What the replica knows of how things stand.
     fn fill_status(&self, status: &mut CoordinationStatus) {
         (status.site, status.replica) = (self.config.site.clone(), self.config.replica);
-        if let Stage::Takes(group) = &self.stage {
+        if let Stage::InGroup(group) = &self.stage {
             // One that was elected leads when it knows all that was agreed before.
             let leads = group.leader() != group.id() || self.duties.is_some();
             (status.leader, status.term) = (if leads { group.leader() } else { 0 }, group.term());
@@ -69,78 +69,81 @@
             status.voters = group.voters().to_vec();
             status.voters.sort_unstable();
         }
-        status.faults = self.trouble();
+        status.faults = self.faults();
     }
 
     pub(super) fn leader(&self) -> Option<u64> {
         match &self.stage {
-            Stage::Takes(group) => {
+            Stage::InGroup(group) => {
                 // One that leads and may not speak yet, or no more, knows of nobody.
                 Some(group.leader()).filter(|id| *id != 0 && *id != group.id())
             }
-            Stage::Begins(_) => None,
+            Stage::Bootstrapping(_) => None,
         }
     }
 
-    pub(super) fn handle_agent(&mut self, connection: ConnectionId, word: &AgentToReplica) {
+    pub(super) fn handle_agent(&mut self, connection: ConnectionId, message: &AgentToReplica) {
         let now = self.now();
         let mut out = Vec::new();
         match (&mut self.stage, &mut self.duties) {
-            (Stage::Takes(group), Some(duties)) if group.holds_leader_lease() => {
-                duties.on_agent_message(now, connection, word, group.record(), &mut out);
+            (Stage::InGroup(group), Some(duties)) if group.holds_leader_lease() => {
+                duties.on_agent_message(now, connection, message, group.record(), &mut out);
             }
             _ => out.push(Effect::Send(
                 connection,
                 ReplicaToAgent::NotLeader(self.leader()),
             )),
         }
-        self.carry_out(out);
+        self.apply_effects(out);
     }
 
-    pub(super) fn handle_operator(&mut self, connection: ConnectionId, word: OperatorRequest) {
+    pub(super) fn handle_operator(&mut self, connection: ConnectionId, message: OperatorRequest) {
         let now = self.now();
         let elsewhere = OperatorResponse::NotLeader(self.leader());
         let mut out = Vec::new();
         match (&mut self.stage, &mut self.duties) {
-            (Stage::Takes(group), Some(duties)) if group.holds_leader_lease() => {
-                self.asked.insert(connection);
-                match word {
+            (Stage::InGroup(group), Some(duties)) if group.holds_leader_lease() => {
+                self.pending_requests.insert(connection);
+                match message {
                     OperatorRequest::Federation(
                         order @ (FederationRequest::RemoveSite { .. }
                         | FederationRequest::AddSite { .. }),
-                    ) if self.voice.is_some() => {
-                        return self.order_site(connection, &order);
+                    ) if self.federation_member.is_some() => {
+                        return self.submit_roster_order_of(connection, &order);
                     }
-                    OperatorRequest::AddReplica { keeper, at } => {
-                        return self.ask_incarnation(connection, keeper, at)
+                    OperatorRequest::AddReplica {
+                        keeper: replica,
+                        at,
+                    } => {
+                        return self.request_replica_incarnation(connection, replica, at)
                     }
-                    OperatorRequest::RemoveReplica { keeper } => {
-                        match group.remove_member(keeper) {
-                            Ok(()) => self.changing = Some((connection, keeper, None)),
+                    OperatorRequest::RemoveReplica { keeper: replica } => {
+                        match group.remove_member(replica) {
+                            Ok(()) => self.membership_change = Some((connection, replica, None)),
                             // It was removed before: as ordered.
-                            Err(_) if group.state().removed.contains(&keeper) => {
+                            Err(_) if group.state().removed.contains(&replica) => {
                                 out.push(Effect::Reply(
                                     connection,
                                     OperatorResponse::Done(group.record().version),
                                 ));
                             }
-                            Err(no) => out.push(Effect::Reply(
+                            Err(e) => out.push(Effect::Reply(
                                 connection,
-                                OperatorResponse::Rejected(no.to_string()),
+                                OperatorResponse::Rejected(e.to_string()),
                             )),
                         }
                     }
-                    word => {
+                    message => {
                         duties.on_operator_request(
                             now,
                             connection,
-                            &word,
+                            &message,
                             group.record(),
                             &mut out,
                         );
                         // What the replica knows can be told in any case.
                         let none = |o: &Effect| matches!(o, Effect::Reply(l, OperatorResponse::Rejected(_)) if *l == connection);
-                        if word == OperatorRequest::Status && out.iter().any(none) {
+                        if message == OperatorRequest::Status && out.iter().any(none) {
                             out.retain(|o| !none(o));
                             out.push(Effect::Reply(
                                 connection,
@@ -151,7 +154,7 @@
                 }
             }
             // How things stand here may be asked of any keeper.
-            _ if word == OperatorRequest::Status => {
+            _ if message == OperatorRequest::Status => {
                 out.push(Effect::Reply(
                     connection,
                     OperatorResponse::Status(Box::default()),
@@ -159,78 +162,78 @@
             }
             _ => out.push(Effect::Reply(connection, elsewhere)),
         }
-        self.carry_out(out);
+        self.apply_effects(out);
     }
 
     /// Asks a keeper that is to be added for its folder.
-    fn ask_incarnation(&mut self, connection: ConnectionId, keeper: u64, at: String) {
-        let Stage::Takes(group) = &self.stage else {
+    fn request_replica_incarnation(&mut self, connection: ConnectionId, replica: u64, at: String) {
+        let Stage::InGroup(group) = &self.stage else {
             return;
         };
-        let known = group.state().members.get(&keeper);
+        let known = group.state().members.get(&replica);
         if known.is_some_and(|m| m.at == at) {
             // As ordered, already.
-            let word = match group.has_replicated(keeper, 1) {
+            let message = match group.has_replicated(replica, 1) {
                 true => OperatorResponse::Done(group.record().version),
                 false => OperatorResponse::Rejected(format!(
-                    "keeper {keeper} was added and has not got the record yet"
+                    "keeper {replica} was added and has not got the record yet"
                 )),
             };
-            return self.answer(connection, word);
+            return self.respond(connection, message);
         }
-        if let Err(no) = group.may_add(keeper) {
-            return self.answer(connection, OperatorResponse::Rejected(no.to_string()));
+        if let Err(e) = group.may_add(replica) {
+            return self.respond(connection, OperatorResponse::Rejected(e.to_string()));
         }
         let address = match at.parse::<SocketAddr>() {
             Ok(address) if !address.ip().is_unspecified() && address.port() != 0 => address,
             _ => {
-                return self.answer(
+                return self.respond(
                     connection,
                     OperatorResponse::Rejected(format!("{at:?}: no address with a port")),
                 )
             }
         };
         let context = self.context.clone();
-        let asking = async move {
-            let folder = match handshake(&context, address).await {
-                Ok((_, PeerMessage::Known { incarnation })) => Ok(incarnation),
-                Ok((_, PeerMessage::Refused(why))) => Err(why),
+        let request = async move {
+            let incarnation = match handshake(&context, address).await {
+                Ok((_, PeerMessage::Admitted { incarnation })) => Ok(incarnation),
+                Ok((_, PeerMessage::Rejected(reason))) => Err(reason),
                 Ok((_, other)) => Err(format!("it answers {other:?}")),
                 Err(e) => Err(e.to_string()),
             };
             let _ = context
                 .inbox
-                .send(Incoming::Asked {
+                .send(Event::IncarnationReceived {
                     connection,
-                    keeper,
+                    replica,
                     at,
-                    folder,
+                    incarnation,
                 })
                 .await;
         };
-        self.executor.spawn(asking).detach();
+        self.executor.spawn(request).detach();
     }
 
     pub(super) fn add_replica(
         &mut self,
         connection: ConnectionId,
-        keeper: u64,
+        replica: u64,
         at: String,
-        folder: Result<u64, String>,
+        incarnation: Result<u64, String>,
     ) {
-        let Stage::Takes(group) = &mut self.stage else {
+        let Stage::InGroup(group) = &mut self.stage else {
             return;
         };
-        let added = match folder {
+        let added = match incarnation {
             Ok(incarnation) => {
-                let added = group.add_member(keeper, &GroupMember { at, incarnation });
-                added.map_err(|no| no.to_string())
+                let added = group.add_member(replica, &GroupMember { at, incarnation });
+                added.map_err(|e| e.to_string())
             }
-            Err(e) => Err(format!("keeper {keeper} at {at}: {e}")),
+            Err(e) => Err(format!("keeper {replica} at {at}: {e}")),
         };
         match added {
-            Ok(()) => self.changing = Some((connection, keeper, None)),
-            Err(e) => self.answer(connection, OperatorResponse::Rejected(e)),
+            Ok(()) => self.membership_change = Some((connection, replica, None)),
+            Err(e) => self.respond(connection, OperatorResponse::Rejected(e)),
         }
     }
 }
--- a/src/coordination/replica/site_links.rs
+++ b/src/coordination/replica/site_links.rs
@@ -10,7 +10,7 @@
     self, receive_messages, retry_delay, send_messages, with_timeout, HANDSHAKE_TIMEOUT,
     WRITE_TIMEOUT,
 };
-use crate::coordination::replica::{Context, Incoming};
+use crate::coordination::replica::{Context, Event};
 use crate::coordination::routing_table::member::MemberMessage;
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
@@ -22,57 +22,57 @@
 use std::time::Instant;
 
 /// Longest frame between voices: a snapshot of the federation's record, and what is said with it.
-pub(super) const SITE_MOST: usize = 256 * 1024;
+pub(super) const MAX_SITE_FRAME_BYTES: usize = 256 * 1024;
 
 /// What is said on a connection between voices.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) enum Said {
+pub(super) enum SiteMessage {
     /// The record of the site that connected, and the term of its voice there.
-    Me { incarnation: u64, term: u64 },
+    Hello { incarnation: u64, term: u64 },
     /// It is known, and written down. And the same of the one that answers.
-    Known {
+    Admitted {
         number: u64,
         incarnation: u64,
         term: u64,
     },
     /// This keeper is not its site's voice, or not ready to be; where that is, if it is known.
-    Elsewhere(Option<String>),
+    NotLeader(Option<String>),
     /// It is not heard, and why.
-    Refused(String),
+    Rejected(String),
     /// A sign of life.
-    Pulse,
+    Heartbeat,
     /// What a voice says.
-    Word(MemberMessage),
+    Member(MemberMessage),
 }
 
 /// What comes in of other sites.
-pub(super) enum Site {
+pub(super) enum SiteEvent {
     /// A voice connected.
-    Came {
+    Connected {
         site: u64,
         incarnation: u64,
         term: u64,
-        answer: Sender<Said>,
-        alive: Sender<()>,
+        answer: Sender<SiteMessage>,
+        connection_guard: Sender<()>,
     },
     /// One answered, at this address.
-    Answered {
+    Responded {
         site: u64,
         at: SocketAddr,
-        said: Said,
+        response: SiteMessage,
     },
     /// One says something.
-    Word { site: u64, word: MemberMessage },
+    Message { site: u64, message: MemberMessage },
     /// One was asked for its incarnation, in order to add it.
-    Met {
+    IncarnationReceived {
         site: u64,
-        folder: Result<u64, String>,
+        incarnation: Result<u64, String>,
     },
 }
 
 /// Who this site is to others.
 #[derive(Clone)]
-pub(super) struct Me {
+pub(super) struct OwnSite {
     pub(super) federation: Rc<str>,
     pub(super) number: u64,
     pub(super) incarnation: u64,
@@ -85,15 +85,15 @@
     pub(super) connection: transport::LinkState,
     /// The term of the voice that answers.
     pub(super) term: Cell<u64>,
-    pub(super) at: Cell<Option<SocketAddr>>,
+    pub(super) address: Cell<Option<SocketAddr>>,
     /// When it last gave a sign of life.
-    pub(super) lives: Cell<Option<Instant>>,
+    pub(super) last_heartbeat: Cell<Option<Instant>>,
 }
 
 pub(super) struct OutgoingLink {
     pub(super) queue: Sender<Vec<u8>>,
-    pub(super) at: Vec<SocketAddr>,
-    pub(super) reach: Rc<LinkState>,
+    pub(super) addresses: Vec<SocketAddr>,
+    pub(super) state: Rc<LinkState>,
     /// Ends the connection when it is dropped.
     pub(super) _task: Task<()>,
 }
@@ -104,46 +104,53 @@
     mut stream: Async<TcpStream>,
     site: u64,
 ) -> Result<(), FrameError> {
-    let me = with_timeout(
+    let hello = with_timeout(
         &context.wheel,
         HANDSHAKE_TIMEOUT,
-        framing::read(&mut stream, SITE_MOST),
+        framing::read(&mut stream, MAX_SITE_FRAME_BYTES),
     )
     .await?;
-    let Said::Me { incarnation, term } = me else {
+    let SiteMessage::Hello { incarnation, term } = hello else {
         return Ok(());
     };
     let (answer, answered) = async_channel::bounded(1);
-    let (alive, ended) = async_channel::bounded::<()>(1);
+    let (connection_guard, ended) = async_channel::bounded::<()>(1);
     let _ = context
         .inbox
-        .send(Incoming::Site(Site::Came {
+        .send(Event::Site(SiteEvent::Connected {
             site,
             incarnation,
             term,
             answer,
-            alive,
+            connection_guard,
         }))
         .await;
-    let Ok(said) = answered.recv().await else {
+    let Ok(response) = answered.recv().await else {
         return Ok(());
     };
     with_timeout(
         &context.wheel,
         WRITE_TIMEOUT,
-        framing::write(&mut stream, &said, SITE_MOST),
+        framing::write(&mut stream, &response, MAX_SITE_FRAME_BYTES),
     )
     .await?;
-    if !matches!(said, Said::Known { .. }) {
+    if !matches!(response, SiteMessage::Admitted { .. }) {
         return Ok(());
     }
-    let word = |said| match said {
-        Said::Word(word) => Ok(Incoming::Site(Site::Word { site, word })),
+    let to_event = |message| match message {
+        SiteMessage::Member(message) => Ok(Event::Site(SiteEvent::Message { site, message })),
         other => Err(FrameError::Io(std::io::Error::other(format!(
             "{other:?} from a site"
         )))),
     };
-    receive_messages(&context, stream, (&Said::Pulse, SITE_MOST), &ended, word).await
+    receive_messages(
+        &context,
+        stream,
+        (&SiteMessage::Heartbeat, MAX_SITE_FRAME_BYTES),
+        &ended,
+        to_event,
+    )
+    .await
 }
 
 /// Tells one that came to the wrong federation what it came to.
@@ -160,7 +167,7 @@
     with_timeout(
         &context.wheel,
         WRITE_TIMEOUT,
-        framing::write(&mut stream, &Said::Refused(what), SITE_MOST),
+        framing::write(&mut stream, &SiteMessage::Rejected(what), MAX_SITE_FRAME_BYTES),
     )
     .await?;
     Err(FrameError::Io(std::io::ErrorKind::PermissionDenied.into()))
@@ -169,96 +176,97 @@
 /// Introduces this site to another one's keeper.
 pub(super) async fn handshake(
     context: &Context,
-    me: &Me,
+    own_site: &OwnSite,
     at: SocketAddr,
-) -> Result<(Async<TcpStream>, Said), FrameError> {
-    let meeting = async {
+) -> Result<(Async<TcpStream>, SiteMessage), FrameError> {
+    let exchange = async {
         let mut stream = Async::<TcpStream>::connect(at).await?;
         stream.get_ref().set_nodelay(true)?;
         let hello = Handshake {
             version: PROTOCOL_VERSION,
-            site: me.federation.to_string(),
-            role: PeerRole::Site(me.number),
+            site: own_site.federation.to_string(),
+            role: PeerRole::Site(own_site.number),
         };
         framing::write(&mut stream, &hello, MAX_FRAME_BYTES).await?;
-        let word = Said::Me {
-            incarnation: me.incarnation,
-            term: me.term,
+        let message = SiteMessage::Hello {
+            incarnation: own_site.incarnation,
+            term: own_site.term,
         };
-        framing::write(&mut stream, &word, SITE_MOST).await?;
-        let said = framing::read(&mut stream, SITE_MOST).await?;
-        Ok((stream, said))
+        framing::write(&mut stream, &message, MAX_SITE_FRAME_BYTES).await?;
+        let response = framing::read(&mut stream, MAX_SITE_FRAME_BYTES).await?;
+        Ok((stream, response))
     };
-    with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, meeting).await
+    with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, exchange).await
 }
 
 /// Speaks to another site's voice, wherever that is.
 pub(super) async fn send_to_site(
     context: Context,
-    me: Me,
+    own_site: OwnSite,
     site: u64,
-    places: Vec<SocketAddr>,
-    going: Receiver<Vec<u8>>,
-    reach: Rc<LinkState>,
+    addresses: Vec<SocketAddr>,
+    outbox: Receiver<Vec<u8>>,
+    state: Rc<LinkState>,
 ) {
-    let who = format!("federation {}: site {site}", me.federation);
-    let (mut next, mut tried) = (fastrand::usize(..places.len().max(1)), 0);
+    let log_prefix = format!("federation {}: site {site}", own_site.federation);
+    let (mut next, mut failed_attempts) = (fastrand::usize(..addresses.len().max(1)), 0);
     loop {
-        let Some(at) = places.get(next).copied() else {
+        let Some(at) = addresses.get(next).copied() else {
             return;
         };
-        let mut elsewhere = None;
+        let mut leader_hint = None;
         let ended = async {
-            let (stream, said) = handshake(&context, &me, at).await?;
-            if let Said::Elsewhere(hint) = said {
-                elsewhere = hint;
+            let (stream, response) = handshake(&context, &own_site, at).await?;
+            if let SiteMessage::NotLeader(hint) = response {
+                leader_hint = hint;
                 return Err(FrameError::Io(std::io::Error::other(
                     "no keeper there leads its site",
                 )));
             }
-            let known = matches!(said, Said::Known { .. });
+            let known = matches!(response, SiteMessage::Admitted { .. });
             // What waited for the last connection is late by now.
-            while going.try_recv().is_ok() {}
-            if let Said::Known { term, .. } = &said {
-                reach.term.set(*term);
-                reach.at.set(Some(at));
-                reach.lives.set(Some(Instant::now()));
+            while outbox.try_recv().is_ok() {}
+            if let SiteMessage::Admitted { term, .. } = &response {
+                state.term.set(*term);
+                state.address.set(Some(at));
+                state.last_heartbeat.set(Some(Instant::now()));
             }
-            reach.connection.up.set(known);
-            let refused = match &said {
-                Said::Refused(why) => Some(why.clone()),
+            state.connection.up.set(known);
+            let refused = match &response {
+                SiteMessage::Rejected(reason) => Some(reason.clone()),
                 _ => None,
             };
             let _ = context
                 .inbox
-                .send(Incoming::Site(Site::Answered { site, at, said }))
+                .send(Event::Site(SiteEvent::Responded { site, at, response }))
                 .await;
-            if let Some(why) = refused {
-                return Err(FrameError::Io(std::io::Error::other(why)));
+            if let Some(reason) = refused {
+                return Err(FrameError::Io(std::io::Error::other(reason)));
             }
             // One that is not the site that it should be is left; another one may answer there by
             // now.
-            let lives = || reach.lives.set(Some(Instant::now()));
-            send_messages::<Said>(
+            let on_heartbeat = || state.last_heartbeat.set(Some(Instant::now()));
+            send_messages::<SiteMessage>(
                 &context,
                 stream,
-                SITE_MOST,
-                &going,
-                &reach.connection.up,
-                lives,
+                MAX_SITE_FRAME_BYTES,
+                &outbox,
+                &state.connection.up,
+                on_heartbeat,
             )
             .await
         };
         let ended: Result<(), FrameError> = ended.await;
-        let was_up = reach.connection.up.replace(false);
-        tried = if was_up { 0 } else { tried + 1 };
-        let hint = elsewhere.and_then(|hint| places.iter().position(|at| at.to_string() == hint));
-        next = hint.unwrap_or(next + 1) % places.len();
-        if tried < places.len() && !was_up {
+        let was_up = state.connection.up.replace(false);
+        failed_attempts = if was_up { 0 } else { failed_attempts + 1 };
+        let hint =
+            leader_hint.and_then(|hint| addresses.iter().position(|at| at.to_string() == hint));
+        next = hint.unwrap_or(next + 1) % addresses.len();
+        if failed_attempts < addresses.len() && !was_up {
             continue;
         }
-        tried = 0;
-        reach.connection.ended(&who, ended, false);
+        failed_attempts = 0;
+        state.connection.on_disconnected(&log_prefix, ended, false);
         context.wheel.sleep(retry_delay()).await;
     }
 }
--- a/src/coordination/replica/sites.rs
+++ b/src/coordination/replica/sites.rs
@@ -8,10 +8,10 @@
 use crate::coordination::messages::FederationRequest;
 use crate::coordination::replica::conflicts::Conflict;
 use crate::coordination::replica::site_links::{
-    handshake, send_to_site, LinkState, Me, OutgoingLink, Said, Site, SITE_MOST,
+    handshake, send_to_site, LinkState, OwnSite, OutgoingLink, SiteMessage, SiteEvent, MAX_SITE_FRAME_BYTES,
 };
 use crate::coordination::replica::transport::HEARTBEAT_TIMEOUT;
-use crate::coordination::replica::{draw, Incoming, Replica, Stage, PEER_QUEUE};
+use crate::coordination::replica::{random_u64, Event, Replica, Stage, PEER_QUEUE_LENGTH};
 use crate::coordination::routing_table::member::{
     FederationMember, IncarnationUnknown, MemberAdmission, MemberEffect, MemberMessage,
 };
@@ -23,7 +23,7 @@
 
 /// The connections.
 #[derive(Default)]
-pub(super) struct Sites {
+pub(super) struct SiteConnections {
     outgoing: BTreeMap<u64, OutgoingLink>,
     /// With the term of the voice that speaks.
     incoming: BTreeMap<u64, (u64, Sender<()>)>,
@@ -32,36 +32,36 @@
     /// Addresses that sites may speak from.
     pub(super) allowed: Rc<RefCell<BTreeSet<IpAddr>>>,
     /// What the leader was told last: the version, the leader, the lease.
-    told: Option<(u64, u64, Option<u64>)>,
+    last_view: Option<(u64, u64, Option<u64>)>,
 }
 
 impl Replica {
     /// Speaks for the site from now on, if it is in a federation.
-    pub(super) fn begin_voice(&mut self) {
-        let (Some(settings), Stage::Takes(group)) = (&self.config.federation, &self.stage) else {
+    pub(super) fn start_federation_member(&mut self) {
+        let (Some(settings), Stage::InGroup(group)) = (&self.config.federation, &self.stage) else {
             return;
         };
-        let voice = FederationMember::new(
+        let member = FederationMember::new(
             settings.clone(),
             group.term(),
             self.now(),
             group.record(),
-            draw(),
+            random_u64(),
         );
-        self.voice = Some(voice);
-        self.sites.told = None;
+        self.federation_member = Some(member);
+        self.sites.last_view = None;
     }
 
     /// Speaks for it no more.
-    pub(super) fn end_voice(&mut self) {
-        if let Some(mut voice) = self.voice.take() {
+    pub(super) fn stop_federation_member(&mut self) {
+        if let Some(mut member) = self.federation_member.take() {
             let mut out = Vec::new();
-            voice.shut_down(&mut out);
-            self.carry_voice(out);
+            member.shut_down(&mut out);
+            self.apply_member_effects(out);
             let allowed = self.sites.allowed.clone();
-            self.sites = Sites {
+            self.sites = SiteConnections {
                 allowed,
-                ..Sites::default()
+                ..SiteConnections::default()
             };
         }
     }
@@ -71,55 +71,61 @@
         let Some(settings) = &self.config.federation else {
             return;
         };
-        let mut places: BTreeMap<u64, Vec<SocketAddr>> = settings
+        let mut peer_addresses: BTreeMap<u64, Vec<SocketAddr>> = settings
             .other_sites
             .iter()
             .map(|(site, place)| (*site, place.addresses.clone()))
             .collect();
-        let (mut me, mut named) = (None, BTreeSet::new());
-        if let (Some(voice), Stage::Takes(group)) = (&self.voice, &self.stage) {
-            if let Some(incarnation) = voice.incarnation(group.record()) {
-                let (number, term) = (settings.site_number, voice.term());
-                me = Some(Me {
+        let (mut own_site, mut configured) = (None, BTreeSet::new());
+        if let (Some(member), Stage::InGroup(group)) = (&self.federation_member, &self.stage) {
+            if let Some(incarnation) = member.incarnation(group.record()) {
+                let (number, term) = (settings.site_number, member.term());
+                own_site = Some(OwnSite {
                     federation: (&*settings.federation).into(),
                     number,
                     incarnation,
                     term,
                 });
             }
-            let file = std::mem::replace(&mut places, voice.peer_addresses());
+            let configured_addresses =
+                std::mem::replace(&mut peer_addresses, member.peer_addresses());
             // One that joins is spoken to from addresses that its file names.
-            named.extend(file.values().flatten().copied());
+            configured.extend(configured_addresses.values().flatten().copied());
         }
-        named.extend(places.values().flatten().copied());
-        *self.sites.allowed.borrow_mut() = named.iter().map(|at| at.ip().to_canonical()).collect();
-        let Some(me) = me else { return };
+        configured.extend(peer_addresses.values().flatten().copied());
+        *self.sites.allowed.borrow_mut() = configured
+            .iter()
+            .map(|at| at.ip().to_canonical())
+            .collect();
+        let Some(own_site) = own_site else { return };
         self.sites
             .outgoing
-            .retain(|site, o| places.get(site) == Some(&o.at));
+            .retain(|site, link| peer_addresses.get(site) == Some(&link.addresses));
         self.sites
             .incoming
-            .retain(|site, _| places.contains_key(site));
-        self.sites.terms.retain(|site, _| places.contains_key(site));
-        for (site, at) in places {
+            .retain(|site, _| peer_addresses.contains_key(site));
+        self.sites
+            .terms
+            .retain(|site, _| peer_addresses.contains_key(site));
+        for (site, addresses) in peer_addresses {
             if !self.sites.outgoing.contains_key(&site) {
-                let (queue, going) = async_channel::bounded(PEER_QUEUE);
-                let reach: Rc<LinkState> = Rc::default();
+                let (queue, outbox) = async_channel::bounded(PEER_QUEUE_LENGTH);
+                let state: Rc<LinkState> = Rc::default();
                 let task = send_to_site(
                     self.context.clone(),
-                    me.clone(),
+                    own_site.clone(),
                     site,
-                    at.clone(),
-                    going,
-                    reach.clone(),
+                    addresses.clone(),
+                    outbox,
+                    state.clone(),
                 );
                 let task = self.executor.spawn(task);
                 self.sites.outgoing.insert(
                     site,
                     OutgoingLink {
                         queue,
-                        at,
-                        reach,
+                        addresses,
+                        state,
                         _task: task,
                     },
                 );
@@ -128,95 +134,97 @@
     }
 
     /// Time has passed for the voice.
-    pub(super) fn tick_voice(&mut self) {
+    pub(super) fn tick_federation_member(&mut self) {
         let now = self.now();
-        let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else {
+        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage) else {
             return;
         };
-        for (site, o) in &self.sites.outgoing {
-            if o.reach.connection.up.get()
-                && o.reach
-                    .lives
+        for (site, link) in &self.sites.outgoing {
+            if link.state.connection.up.get()
+                && link.state
+                    .last_heartbeat
                     .get()
                     .is_some_and(|at| at.elapsed() < HEARTBEAT_TIMEOUT)
             {
-                voice.on_heartbeat(now, *site);
+                member.on_heartbeat(now, *site);
             }
         }
         let mut out = Vec::new();
-        voice.on_tick(now, group.record(), &mut out);
-        self.carry_voice(out);
+        member.on_tick(now, group.record(), &mut out);
+        self.apply_member_effects(out);
         self.connect_sites();
-        self.tell_leader(true);
+        self.report_federation_state(true);
     }
 
     /// Tells the leader how the federation stands: at each change, and as time passes.
-    pub(super) fn tell_leader(&mut self, tick: bool) {
+    pub(super) fn report_federation_state(&mut self, tick: bool) {
         let now = self.now();
-        let (Some(voice), Some(duties), Stage::Takes(group)) =
-            (&self.voice, &mut self.duties, &self.stage)
+        let (Some(member), Some(duties), Stage::InGroup(group)) =
+            (&self.federation_member, &mut self.duties, &self.stage)
         else {
             return;
         };
-        let known = voice.view();
-        let stands = Some((known.record.version, known.leader, known.lease_until));
-        if !group.holds_leader_lease() || !tick && self.sites.told == stands {
+        let view = member.view();
+        let summary = Some((view.record.version, view.leader, view.lease_until));
+        if !group.holds_leader_lease() || !tick && self.sites.last_view == summary {
             return;
         }
-        self.sites.told = stands;
+        self.sites.last_view = summary;
         let mut out = Vec::new();
-        duties.on_federation_state(now, Some(known.clone()), group.record(), &mut out);
-        self.carry_out(out);
+        duties.on_federation_state(now, Some(view.clone()), group.record(), &mut out);
+        self.apply_effects(out);
     }
 
     /// Does what the voice wants.
-    pub(super) fn carry_voice(&mut self, out: Vec<MemberEffect>) {
+    pub(super) fn apply_member_effects(&mut self, out: Vec<MemberEffect>) {
         let now = self.now();
         for what in out {
             match what {
                 MemberEffect::ProposeToSite(command) => {
-                    let Stage::Takes(group) = &mut self.stage else {
+                    let Stage::InGroup(group) = &mut self.stage else {
                         continue;
                     };
-                    if let Err(no) = group.propose(&command) {
+                    if let Err(e) = group.propose(&command) {
                         log::debug!(
-                            "keeper {}: a voice's piece is not proposed: {no}",
+                            "keeper {}: a voice's piece is not proposed: {e}",
                             group.id()
                         );
-                        self.voice
+                        self.federation_member
                             .iter_mut()
-                            .for_each(|voice| voice.on_proposal_refused(now));
+                            .for_each(|member| member.on_proposal_refused(now));
                     }
                 }
                 MemberEffect::Send { to, message } => {
-                    self.say_site(to, message);
+                    self.send_site_message(to, message);
                 }
                 MemberEffect::SendRaft {
                     to,
                     message,
                     has_snapshot,
                 } => {
-                    let went = self.say_site(to, message);
-                    self.voice
+                    let sent = self.send_site_message(to, message);
+                    self.federation_member
                         .iter_mut()
-                        .for_each(|voice| voice.on_sent(to, has_snapshot, went));
+                        .for_each(|member| member.on_sent(to, has_snapshot, sent));
+                }
+                MemberEffect::Answer { connection, answer } => self.respond(connection, answer),
+                MemberEffect::RequestIncarnation { site, addresses } => {
+                    self.request_site_incarnation(site, addresses)
                 }
-                MemberEffect::Answer { connection, answer } => self.answer(connection, answer),
-                MemberEffect::RequestIncarnation { site, addresses } => self.meet(site, addresses),
             }
         }
     }
 
-    fn say_site(&mut self, site: u64, word: MemberMessage) -> bool {
+    fn send_site_message(&mut self, site: u64, message: MemberMessage) -> bool {
         let Some(connection) = self
             .sites
             .outgoing
             .get(&site)
-            .filter(|o| o.reach.connection.up.get())
+            .filter(|link| link.state.connection.up.get())
         else {
             return false;
         };
-        match framing::encode(&Said::Word(word), SITE_MOST) {
+        match framing::encode(&SiteMessage::Member(message), MAX_SITE_FRAME_BYTES) {
             Ok(bytes) => connection.queue.try_send(bytes).is_ok(),
             Err(e) => {
                 log::error!("keeper {}: a word to site {site}: {e}", self.config.replica);
@@ -227,137 +235,144 @@
 
     /// Asks a site that is to join for its incarnation, at each of its keepers until one speaks for
     /// it.
-    fn meet(&mut self, site: u64, places: Vec<SocketAddr>) {
-        let (Some(settings), Some(voice), Stage::Takes(group)) =
-            (&self.config.federation, &self.voice, &self.stage)
+    fn request_site_incarnation(&mut self, site: u64, addresses: Vec<SocketAddr>) {
+        let (Some(settings), Some(member), Stage::InGroup(group)) =
+            (&self.config.federation, &self.federation_member, &self.stage)
         else {
             return;
         };
-        let Some(incarnation) = voice.incarnation(group.record()) else {
+        let Some(incarnation) = member.incarnation(group.record()) else {
             return;
         };
-        let (number, term) = (settings.site_number, voice.term());
-        let me = Me {
+        let (number, term) = (settings.site_number, member.term());
+        let own_site = OwnSite {
             federation: (&*settings.federation).into(),
             number,
             incarnation,
             term,
         };
         let context = self.context.clone();
-        let asking = async move {
-            let mut folder = Err("no address".to_string());
-            for at in places {
-                folder = match handshake(&context, &me, at).await {
+        let request = async move {
+            let mut incarnation = Err("no address".to_string());
+            for at in addresses {
+                incarnation = match handshake(&context, &own_site, at).await {
                     Ok((
                         _,
-                        Said::Known {
+                        SiteMessage::Admitted {
                             number,
                             incarnation,
                             ..
                         },
                     )) if number == site => Ok(incarnation),
-                    Ok((_, Said::Known { number, .. })) => {
+                    Ok((_, SiteMessage::Admitted { number, .. })) => {
                         Err(format!("{at}: it is site {number}"))
                     }
-                    Ok((_, Said::Refused(why))) => Err(format!("{at}: {why}")),
-                    Ok((_, Said::Elsewhere(_))) => {
+                    Ok((_, SiteMessage::Rejected(reason))) => Err(format!("{at}: {reason}")),
+                    Ok((_, SiteMessage::NotLeader(_))) => {
                         Err(format!("{at}: no keeper there leads its site"))
                     }
                     Ok((_, other)) => Err(format!("{at}: it answers {other:?}")),
                     Err(e) => Err(format!("{at}: {e}")),
                 };
-                if folder.is_ok() {
+                if incarnation.is_ok() {
                     break;
                 }
             }
             let _ = context
                 .inbox
-                .send(Incoming::Site(Site::Met { site, folder }))
+                .send(Event::Site(SiteEvent::IncarnationReceived { site, incarnation }))
                 .await;
         };
-        self.executor.spawn(asking).detach();
+        self.executor.spawn(request).detach();
     }
 
     /// A person's order on the roster.
-    pub(super) fn order_site(&mut self, connection: ConnectionId, order: &FederationRequest) {
+    pub(super) fn submit_roster_order(
+        &mut self,
+        connection: ConnectionId,
+        order: &FederationRequest,
+    ) {
         let now = self.now();
-        let Some(voice) = &mut self.voice else { return };
+        let Some(member) = &mut self.federation_member else { return };
         let mut out = Vec::new();
-        voice.submit_roster_order(now, connection, order, &mut out);
-        self.carry_voice(out);
+        member.submit_roster_order(now, connection, order, &mut out);
+        self.apply_member_effects(out);
     }
 
     /// Something came in of another site.
-    pub(super) fn came_site(&mut self, word: Site) {
+    pub(super) fn on_site_event(&mut self, event: SiteEvent) {
         let now = self.now();
         let mut out = Vec::new();
-        match word {
-            Site::Came {
+        match event {
+            SiteEvent::Connected {
                 site,
                 incarnation,
                 term,
                 answer,
-                alive,
+                connection_guard,
             } => {
-                let said = self.site_came(site, incarnation, term, &mut out);
-                if matches!(said, Said::Known { .. }) {
-                    self.wrong.remove(&(site, Conflict::SiteCame));
-                    self.sites.incoming.insert(site, (term, alive));
+                let response = self.on_site_connected(site, incarnation, term, &mut out);
+                if matches!(response, SiteMessage::Admitted { .. }) {
+                    self.conflicts.remove(&(site, Conflict::SiteIncomingRejected));
+                    self.sites.incoming.insert(site, (term, connection_guard));
                     self.sites.terms.insert(site, (incarnation, term));
                     // What it was spoken to by is one that speaks for it no more.
-                    let older =
-                        |o: &OutgoingLink| o.reach.connection.up.get() && o.reach.term.get() < term;
+                    let older = |link: &OutgoingLink| {
+                        link.state.connection.up.get() && link.state.term.get() < term
+                    };
                     if self.sites.outgoing.get(&site).is_some_and(older) {
                         self.sites.outgoing.remove(&site);
                     }
                 }
-                let _ = answer.try_send(said);
+                let _ = answer.try_send(response);
             }
-            Site::Answered {
+            SiteEvent::Responded {
                 site,
                 at,
-                said:
-                    Said::Known {
+                response:
+                    SiteMessage::Admitted {
                         number,
                         incarnation,
                         term,
                     },
             } => {
-                if self.voice.is_none() {
+                if self.federation_member.is_none() {
                     return;
                 }
-                self.site_answered(site, at, number, (incarnation, term), &mut out);
+                self.on_site_response(site, at, number, (incarnation, term), &mut out);
             }
-            Site::Answered { site, said, .. } => {
-                if let Said::Refused(why) = said {
-                    self.site_is_wrong(site, Conflict::SiteShut, &why);
+            SiteEvent::Responded { site, response, .. } => {
+                if let SiteMessage::Rejected(reason) = response {
+                    self.note_site_conflict(site, Conflict::RejectedBySite, &reason);
                 }
             }
-            Site::Word { site, word } => {
-                let Some(voice) = self
-                    .voice
+            SiteEvent::Message { site, message } => {
+                let Some(member) = self
+                    .federation_member
                     .as_mut()
                     .filter(|_| self.sites.incoming.contains_key(&site))
                 else {
                     return;
                 };
-                if let Err(e) = voice.on_message(now, site, word, &mut out) {
-                    log::warn!("federation {}: site {site} sent {e}", voice.view().name);
+                if let Err(e) = member.on_message(now, site, message, &mut out) {
+                    log::warn!("federation {}: site {site} sent {e}", member.view().name);
                     self.sites.incoming.remove(&site);
                 }
             }
-            Site::Met { site, folder } => {
-                let Some(voice) = &mut self.voice else { return };
-                voice.on_incarnation(now, site, folder.map_err(IncarnationUnknown), &mut out);
+            SiteEvent::IncarnationReceived { site, incarnation } => {
+                let Some(member) = &mut self.federation_member else {
+                    return;
+                };
+                member.on_incarnation(now, site, incarnation.map_err(IncarnationUnknown), &mut out);
             }
         }
-        self.carry_voice(out);
+        self.apply_member_effects(out);
         self.connect_sites();
-        self.tell_leader(false);
+        self.report_federation_state(false);
     }
 
     /// A site that knows this one answered, as the site of this number.
-    fn site_answered(
+    fn on_site_response(
         &mut self,
         site: u64,
         at: SocketAddr,
@@ -366,58 +381,63 @@
         out: &mut Vec<MemberEffect>,
     ) {
         let now = self.now();
-        let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else {
+        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage) else {
             return;
         };
         let seen = self.sites.terms.get(&site).copied();
-        let seen = seen
+        let highest_term = seen
             .filter(|seen| seen.0 == incarnation)
             .map_or(0, |seen| seen.1);
-        let came = match number == site {
-            true if term < seen => MemberAdmission::NotYet,
-            true => voice.on_peer_answer(now, site, incarnation, group.record(), out),
+        let admission = match number == site {
+            true if term < highest_term => MemberAdmission::NotYet,
+            true => member.on_peer_answer(now, site, incarnation, group.record(), out),
             false => MemberAdmission::Rejected(format!("it is site {number}")),
         };
-        if let Some(o) = self.sites.outgoing.get(&site) {
-            if came != MemberAdmission::Admitted {
+        if let Some(link) = self.sites.outgoing.get(&site) {
+            if admission != MemberAdmission::Admitted {
                 // Nothing is said to it.
-                o.reach.connection.up.set(false);
-            } else if o.reach.connection.told.take().is_some() {
+                link.state.connection.up.set(false);
+            } else if link.state.connection.last_logged.take().is_some() {
                 log::info!(
                     "federation {}: site {site} at {at}: is reached",
-                    voice.view().name
+                    member.view().name
                 );
             }
         }
-        match came {
-            MemberAdmission::Rejected(why) => self.site_is_wrong(site, Conflict::SiteAnswers, &why),
+        match admission {
+            MemberAdmission::Rejected(reason) => {
+                self.note_site_conflict(site, Conflict::SiteResponderRejected, &reason)
+            }
             MemberAdmission::NotYet => {}
             MemberAdmission::Admitted => {
                 self.sites.terms.insert(site, (incarnation, term));
-                self.wrong.remove(&(site, Conflict::SiteAnswers));
-                self.wrong.remove(&(site, Conflict::SiteShut));
+                self.conflicts.remove(&(site, Conflict::SiteResponderRejected));
+                self.conflicts.remove(&(site, Conflict::RejectedBySite));
             }
         }
     }
 
-    fn site_came(
+    fn on_site_connected(
         &mut self,
         site: u64,
         incarnation: u64,
         term: u64,
         out: &mut Vec<MemberEffect>,
-    ) -> Said {
+    ) -> SiteMessage {
         let now = self.now();
         let leader = self
             .leader()
-            .and_then(|keeper| self.address_of(keeper))
+            .and_then(|replica| self.address_of(replica))
             .map(|at| at.to_string());
-        let (Some(voice), Stage::Takes(group)) = (&mut self.voice, &self.stage) else {
-            return Said::Elsewhere(leader);
+        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage) else {
+            return SiteMessage::NotLeader(leader);
         };
-        let (number, own) = (voice.view().own_site, voice.incarnation(group.record()));
+        let (number, own) = (
+            member.view().own_site,
+            member.incarnation(group.record()),
+        );
         let Some(own) = own.filter(|_| group.holds_leader_lease()) else {
-            return Said::Elsewhere(leader);
+            return SiteMessage::NotLeader(leader);
         };
         if self
             .sites
@@ -425,57 +445,59 @@
             .get(&site)
             .is_some_and(|seen| seen.0 == incarnation && term < seen.1)
         {
-            return Said::Elsewhere(None);
+            return SiteMessage::NotLeader(None);
         }
-        match voice.admit_peer(now, site, incarnation, group.record(), out) {
-            MemberAdmission::Admitted => Said::Known {
+        match member.admit_peer(now, site, incarnation, group.record(), out) {
+            MemberAdmission::Admitted => SiteMessage::Admitted {
                 number,
                 incarnation: own,
-                term: voice.term(),
+                term: member.term(),
             },
-            MemberAdmission::NotYet => Said::Elsewhere(None),
-            MemberAdmission::Rejected(why) => {
-                self.site_is_wrong(site, Conflict::SiteCame, &why);
-                Said::Refused(why)
+            MemberAdmission::NotYet => SiteMessage::NotLeader(None),
+            MemberAdmission::Rejected(reason) => {
+                self.note_site_conflict(site, Conflict::SiteIncomingRejected, &reason);
+                SiteMessage::Rejected(reason)
             }
         }
     }
 
-    fn site_is_wrong(&mut self, site: u64, how: Conflict, why: &str) {
-        if self.is_new_conflict(site, how, why) {
+    fn note_site_conflict(&mut self, site: u64, how: Conflict, reason: &str) {
+        if self.is_new_conflict(site, how, reason) {
             let name = self
-                .voice
+                .federation_member
                 .as_ref()
                 .map_or_else(|| site.to_string(), |v| v.site_name(site));
-            let who = self
+            let log_prefix = self
                 .config
                 .federation
                 .as_ref()
                 .map(|f| format!("federation {}", f.federation))
                 .unwrap_or_default();
             match how {
-                Conflict::SiteCame => log::error!("{who}: refuses site {name}: {why}"),
-                Conflict::SiteAnswers => {
-                    log::error!("{who}: refuses what answers as site {name}: {why}")
+                Conflict::SiteIncomingRejected => {
+                    log::error!("{log_prefix}: refuses site {name}: {reason}")
+                }
+                Conflict::SiteResponderRejected => {
+                    log::error!("{log_prefix}: refuses what answers as site {name}: {reason}")
                 }
-                _ => log::warn!("{who}: site {name} does not hear this one: {why}"),
+                _ => log::warn!("{log_prefix}: site {name} does not hear this one: {reason}"),
             }
         }
     }
 
     /// What keeps sites from taking part, as this keeper knows it.
-    pub(super) fn site_trouble(&self) -> Vec<(u64, String)> {
-        let Some(voice) = &self.voice else {
+    pub(super) fn site_faults(&self) -> Vec<(u64, String)> {
+        let Some(member) = &self.federation_member else {
             return Vec::new();
         };
-        let mut told = voice.problems();
-        for (site, o) in &self.sites.outgoing {
-            let why = o.reach.connection.why.borrow();
-            if !o.reach.connection.up.get() && !why.is_empty() {
-                let (name, at) = (voice.site_name(*site), &o.at);
-                told.push((*site, format!("site {name}: not reached at {at:?}: {why}")));
+        let mut faults = member.problems();
+        for (site, link) in &self.sites.outgoing {
+            let reason = link.state.connection.reason.borrow();
+            if !link.state.connection.up.get() && !reason.is_empty() {
+                let (name, at) = (member.site_name(*site), &link.addresses);
+                faults.push((*site, format!("site {name}: not reached at {at:?}: {reason}")));
             }
         }
-        told
+        faults
     }
 }
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -5,7 +5,7 @@
 use crate::coordination::raft_group::RaftGroup;
 use crate::coordination::raft_log::{Checkpoint, OpenError, RaftLogStore, ReplicaIdentity};
 use crate::coordination::replica::accept::Acceptor;
-use crate::coordination::replica::{draw, sites, Context, Incoming, Replica, Stage};
+use crate::coordination::replica::{random_u64, sites, Context, Event, Replica, Stage};
 use crate::delivery::timer_wheel::TimerWheel;
 use crate::process_signals::{BlockedSignals, SignalReceiver, ENDING_SIGNALS};
 use crate::store::disk::Folder;
@@ -25,41 +25,43 @@
 use std::time::Instant;
 
 /// Most connections at once, where the system allows so many descriptors.
-const MOST_CONNECTIONS: u64 = 4096;
+const MAX_CONNECTIONS: u64 = 4096;
 /// Descriptors that are none of connections: files, peers, signals.
-const OTHER_DESCRIPTORS: u64 = 64;
+const RESERVED_DESCRIPTORS: u64 = 64;
 /// Words that wait to be decided upon; whoever brings more waits.
-const INBOX: usize = 1024;
+const EVENT_QUEUE_LENGTH: usize = 1024;
 /// Connections that wait to be accepted: as many agents may come at once.
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// Runs a keeper until it is told to end. All that keeps it from starting, or from going on, is
 /// told.
 pub fn run(config: Config) -> Result<(), String> {
-    let ending = ending_signals().map_err(|e| format!("signals: {e}"))?;
+    let shutdown_signals = block_shutdown_signals().map_err(|e| format!("signals: {e}"))?;
     let folder = config.folder.display().to_string();
-    let said = |e: &dyn std::fmt::Display| format!("state: {folder}: {e}");
-    fs::create_dir_all(&config.folder).map_err(|e| said(&e))?;
-    let lock = File::open(&config.folder).map_err(|e| said(&e))?;
+    let state_error = |e: &dyn std::fmt::Display| format!("state: {folder}: {e}");
+    fs::create_dir_all(&config.folder).map_err(|e| state_error(&e))?;
+    let lock = File::open(&config.folder).map_err(|e| state_error(&e))?;
     flock(&lock, FlockOperation::NonBlockingLockExclusive)
-        .map_err(|_| said(&"in use by another process"))?;
+        .map_err(|_| state_error(&"in use by another process"))?;
     let disk = Arc::new(Folder::new(&config.folder));
-    let (keep, found) =
-        RaftLogStore::open(disk, config.disk_bytes, draw()).map_err(|e| said(&e))?;
-    let base = match found {
-        Some(base)
-            if base.identity.site != config.site || base.identity.replica != config.replica =>
+    let (log_store, stored) =
+        RaftLogStore::open(disk, config.disk_bytes, random_u64()).map_err(|e| state_error(&e))?;
+    let checkpoint = match stored {
+        Some(checkpoint)
+            if checkpoint.identity.site != config.site
+                || checkpoint.identity.replica != config.replica =>
         {
-            let other = OpenError::ForeignFolder(base.identity.replica, base.identity.site);
-            return Err(said(&other));
+            let other =
+                OpenError::ForeignFolder(checkpoint.identity.replica, checkpoint.identity.site);
+            return Err(state_error(&other));
         }
-        Some(base) => base,
+        Some(checkpoint) => checkpoint,
         None => {
-            let (site, keeper) = (config.site.clone(), config.replica);
+            let (site, replica) = (config.site.clone(), config.replica);
             let identity = ReplicaIdentity {
                 site,
-                replica: keeper,
-                incarnation: draw(),
+                replica,
+                incarnation: random_u64(),
             };
             match config.begin {
                 true => Bootstrap::first_checkpoint(identity, config.peers.keys().copied()),
@@ -68,23 +70,29 @@
         }
     };
     let executor = Rc::new(LocalExecutor::new());
-    let served = serve(config, keep, base, executor.clone(), ending);
+    let served = serve(
+        config,
+        log_store,
+        checkpoint,
+        executor.clone(),
+        shutdown_signals,
+    );
     async_io::block_on(executor.run(served))
 }
 
 /// Blocks the signals that end a replica, before any other thread starts.
-fn ending_signals() -> io::Result<SignalReceiver> {
+fn block_shutdown_signals() -> io::Result<SignalReceiver> {
     BlockedSignals::new(&ENDING_SIGNALS)?.receiver(&ENDING_SIGNALS)
 }
 
 /// How many connections may be open: as many descriptors as the system gives when it is asked for
 /// more.
-fn most_connections() -> u64 {
+fn connection_limit() -> u64 {
     let limit = getrlimit(Resource::Nofile);
     let wanted = limit
         .maximum
-        .unwrap_or(MOST_CONNECTIONS + OTHER_DESCRIPTORS)
-        .min(MOST_CONNECTIONS + OTHER_DESCRIPTORS);
+        .unwrap_or(MAX_CONNECTIONS + RESERVED_DESCRIPTORS)
+        .min(MAX_CONNECTIONS + RESERVED_DESCRIPTORS);
     if limit.current.is_some_and(|now| now < wanted) {
         let _ = setrlimit(
             Resource::Nofile,
@@ -97,15 +105,15 @@
     getrlimit(Resource::Nofile)
         .current
         .unwrap_or(wanted)
-        .saturating_sub(OTHER_DESCRIPTORS)
-        .min(MOST_CONNECTIONS)
+        .saturating_sub(RESERVED_DESCRIPTORS)
+        .min(MAX_CONNECTIONS)
 }
 
 /// Listens where the file says.
 fn listen(config: &Config) -> Result<Async<TcpListener>, String> {
     let listener = Async::<TcpListener>::bind(config.listen)
         .map_err(|e| format!("listen: {}: {e}", config.listen))?;
-    rustix::net::listen(&listener, BACKLOG).map_err(|e| format!("listen: {e}"))?;
+    rustix::net::listen(&listener, LISTEN_BACKLOG).map_err(|e| format!("listen: {e}"))?;
     let at = listener
         .get_ref()
         .local_addr()
@@ -120,24 +128,33 @@
 
 async fn serve(
     config: Config,
-    keep: RaftLogStore,
-    base: Checkpoint,
+    log_store: RaftLogStore,
+    checkpoint: Checkpoint,
     executor: Rc<LocalExecutor<'static>>,
-    ending: SignalReceiver,
+    shutdown_signals: SignalReceiver,
 ) -> Result<(), String> {
     let listener = listen(&config)?;
     let wheel = TimerWheel::new();
-    let (inbox, coming) = async_channel::bounded(INBOX);
-    let mut replica = Replica::new(config, keep, base, (inbox, wheel.clone()), executor.clone())?;
+    let (inbox, events) = async_channel::bounded(EVENT_QUEUE_LENGTH);
+    let mut replica = Replica::new(
+        config,
+        log_store,
+        checkpoint,
+        (inbox, wheel.clone()),
+        executor.clone(),
+    )?;
     executor.spawn(async move { wheel.run().await }).detach();
     replica.connect_replicas();
     replica.connect_sites();
-    let (allowed, sites) = (replica.allowed.clone(), replica.sites.allowed.clone());
+    let (allowed_peers, allowed_sites) = (
+        replica.allowed_peers.clone(),
+        replica.sites.allowed.clone(),
+    );
     let acceptor = Acceptor {
         context: replica.context.clone(),
         config: replica.config.clone(),
-        allowed,
-        sites,
+        allowed_peers,
+        allowed_sites,
     };
     executor
         .spawn(acceptor.accept(listener, executor.clone()))
@@ -145,15 +162,15 @@
     replica.begin().await?;
     replica.check_federation()?;
     let ended = async {
-        ending.received().await;
+        shutdown_signals.received().await;
         Ok(())
     };
-    let ended = replica.run(&coming, None).or(ended).await;
+    let ended = replica.run(&events, None).or(ended).await;
     ended?;
-    let who = replica.who();
-    log::info!("{who}: told to end");
-    replica.hand_over(&coming).await?;
-    log::info!("{who}: ends");
+    let log_prefix = replica.log_prefix();
+    log::info!("{log_prefix}: told to end");
+    replica.hand_over_leadership(&events).await?;
+    log::info!("{log_prefix}: ends");
     Ok(())
 }
 
@@ -161,64 +178,64 @@
     /// Begins from what the folder has; nothing is connected yet.
     fn new(
         config: Config,
-        keep: RaftLogStore,
-        base: Checkpoint,
-        (inbox, wheel): (Sender<Incoming>, Rc<TimerWheel>),
+        log_store: RaftLogStore,
+        checkpoint: Checkpoint,
+        (inbox, wheel): (Sender<Event>, Rc<TimerWheel>),
         executor: Rc<LocalExecutor<'static>>,
     ) -> Result<Replica, String> {
         let context = Context {
             inbox,
             wheel,
             site: config.site.as_str().into(),
-            keeper: config.replica,
-            incarnation: base.identity.incarnation,
+            replica: config.replica,
+            incarnation: checkpoint.identity.incarnation,
             federation: config
                 .federation
                 .as_ref()
                 .map(|f| ((&*f.federation).into(), f.site_number)),
-            open: Rc::default(),
-            most: most_connections(),
-            next: Rc::default(),
+            open_connections: Rc::default(),
+            max_connections: connection_limit(),
+            last_connection: Rc::default(),
         };
         let now = Instant::now();
-        let stage = match base.takes_part {
-            true => Stage::Takes(Box::new(
-                RaftGroup::new(base, draw()).map_err(|e| e.to_string())?,
+        let stage = match checkpoint.takes_part {
+            true => Stage::InGroup(Box::new(
+                RaftGroup::new(checkpoint, random_u64()).map_err(|e| e.to_string())?,
             )),
-            false => Stage::Begins(Box::new(Bootstrap::new(base))),
+            false => Stage::Bootstrapping(Box::new(Bootstrap::new(checkpoint))),
         };
         Ok(Replica {
             context,
             executor,
             stage,
             duties: None,
-            led: None,
-            keep: Offloaded::new(
+            last_leader_seen: None,
+            log_store: Offloaded::new(
                 Worker::start().map_err(|e| e.to_string())?,
-                keep,
+                log_store,
                 RaftLogStore::save,
             ),
-            full: None,
-            again: None,
+            disk_full_since: None,
+            pending_retry: None,
             start: now,
-            ticked: now,
+            last_tick: now,
             connections: BTreeMap::new(),
-            asked: BTreeSet::new(),
-            changing: None,
+            pending_requests: BTreeSet::new(),
+            membership_change: None,
             outgoing: BTreeMap::new(),
             incoming: BTreeMap::new(),
-            allowed: Rc::default(),
-            wrong: BTreeMap::new(),
+            allowed_peers: Rc::default(),
+            conflicts: BTreeMap::new(),
             removed: false,
-            voice: None,
-            sites: sites::Sites::default(),
+            federation_member: None,
+            sites: sites::SiteConnections::default(),
             config,
         })
     }
 
     /// Whether the folder is of the site that the file names in its federation.
     fn check_federation(&self) -> Result<(), String> {
-        let Stage::Takes(group) = &self.stage else {
+        let Stage::InGroup(group) = &self.stage else {
             return Ok(());
         };
         let Some(base) = &group.record().durable_vote.base else {
@@ -226,13 +243,13 @@
         };
         match &self.config.federation {
             Some(settings) => {
-                let told = settings.check_identity(&base.identity);
-                told.map_err(|e| format!("state: {}: {e}", self.config.folder.display()))
+                let check = settings.check_identity(&base.identity);
+                check.map_err(|e| format!("state: {}: {e}", self.config.folder.display()))
             }
             None => {
                 log::warn!(
                     "{}: the record is of a federation, {:?}, and the file names none",
-                    self.who(),
+                    self.log_prefix(),
                     base.identity.site
                 );
                 Ok(())
--- a/src/coordination/replica/transport.rs
+++ b/src/coordination/replica/transport.rs
@@ -2,7 +2,7 @@
 //! life, attempts to connect.
 
 use crate::coordination::framing::{self, FrameError};
-use crate::coordination::replica::{Context, Incoming, CONFLICT_LASTS};
+use crate::coordination::replica::{Context, Event, CONFLICT_RETENTION};
 use crate::delivery::timer_wheel::TimerWheel;
 use async_channel::Receiver;
 use async_io::Async;
@@ -31,23 +31,23 @@
 pub(super) struct LinkState {
     pub(super) up: Cell<bool>,
     /// Why there is none.
-    pub(super) why: RefCell<String>,
+    pub(super) reason: RefCell<String>,
     /// When that was last told, and what.
-    pub(super) told: RefCell<Option<(Instant, String)>>,
+    pub(super) last_logged: RefCell<Option<(Instant, String)>>,
 }
 
 impl LinkState {
     /// The connection has ended, and why if it broke: told once, and again where that is `new`.
-    pub(super) fn ended(&self, who: &str, ended: Result<(), FrameError>, new: bool) {
-        let why = ended.err().map(|e| e.to_string());
-        *self.why.borrow_mut() = why.clone().unwrap_or_default();
-        let Some(why) = why else { return };
+    pub(super) fn on_disconnected(&self, log_prefix: &str, ended: Result<(), FrameError>, new: bool) {
+        let reason = ended.err().map(|e| e.to_string());
+        *self.reason.borrow_mut() = reason.clone().unwrap_or_default();
+        let Some(reason) = reason else { return };
         let known =
-            |(at, before): &(Instant, String)| *before == why || at.elapsed() < CONFLICT_LASTS;
-        let mut told = self.told.borrow_mut();
-        if new || !told.as_ref().is_some_and(known) {
-            log::info!("{who}: is not reached: {why}");
-            *told = Some((Instant::now(), why));
+            |(at, before): &(Instant, String)| *before == reason || at.elapsed() < CONFLICT_RETENTION;
+        let mut last_logged = self.last_logged.borrow_mut();
+        if new || !last_logged.as_ref().is_some_and(known) {
+            log::info!("{log_prefix}: is not reached: {reason}");
+            *last_logged = Some((Instant::now(), reason));
         }
     }
 }
@@ -55,14 +55,14 @@
 /// Work that has to be done in time.
 pub(super) async fn with_timeout<T>(
     wheel: &Rc<TimerWheel>,
-    time: Duration,
+    limit: Duration,
     work: impl std::future::Future<Output = Result<T, FrameError>>,
 ) -> Result<T, FrameError> {
-    let late = || FrameError::Io(std::io::ErrorKind::TimedOut.into());
+    let timed_out = || FrameError::Io(std::io::ErrorKind::TimedOut.into());
     wheel
-        .timeout(time, work)
+        .timeout(limit, work)
         .await
-        .unwrap_or_else(|| Err(late()))
+        .unwrap_or_else(|| Err(timed_out()))
 }
 
 /// Brings in what another one says, and tells it that this one lives, until the connection breaks
@@ -70,33 +70,33 @@
 pub(super) async fn receive_messages<T: Serialize + DeserializeOwned>(
     context: &Context,
     stream: Async<TcpStream>,
-    (pulse, most): (&T, usize),
+    (heartbeat, max_bytes): (&T, usize),
     ended: &Receiver<()>,
-    bring: impl Fn(T) -> Result<Incoming, FrameError>,
+    to_event: impl Fn(T) -> Result<Event, FrameError>,
 ) -> Result<(), FrameError> {
     let (mut from, mut to) = split(stream);
     let reading = async {
         loop {
-            let word = bring(framing::read(&mut from, most).await?)?;
-            let _ = context.inbox.send(word).await;
+            let message = to_event(framing::read(&mut from, max_bytes).await?)?;
+            let _ = context.inbox.send(message).await;
         }
     };
-    let living = async {
+    let heartbeats = async {
         loop {
             with_timeout(
                 &context.wheel,
                 WRITE_TIMEOUT,
-                framing::write(&mut to, pulse, most),
+                framing::write(&mut to, heartbeat, max_bytes),
             )
             .await?;
             context.wheel.sleep(HEARTBEAT_INTERVAL).await;
         }
     };
-    let replaced = async {
+    let superseded = async {
         let _ = ended.recv().await;
         Ok(())
     };
-    reading.or(living).or(replaced).await
+    reading.or(heartbeats).or(superseded).await
 }
 
 /// Sends what is to be said, for as long as there are signs of life and the other one is who it
@@ -104,14 +104,14 @@
 pub(super) async fn send_messages<T: DeserializeOwned>(
     context: &Context,
     stream: Async<TcpStream>,
-    most: usize,
-    going: &Receiver<Vec<u8>>,
+    max_bytes: usize,
+    outbox: &Receiver<Vec<u8>>,
     up: &Cell<bool>,
-    lives: impl Fn(),
+    on_heartbeat: impl Fn(),
 ) -> Result<(), FrameError> {
     let (mut from, mut to) = split(stream);
     let writing = async {
-        while let Ok(bytes) = going.recv().await {
+        while let Ok(bytes) = outbox.recv().await {
             with_timeout(
                 &context.wheel,
                 WRITE_TIMEOUT,
@@ -126,10 +126,10 @@
             with_timeout(
                 &context.wheel,
                 HEARTBEAT_TIMEOUT,
-                framing::read::<T>(&mut from, most),
+                framing::read::<T>(&mut from, max_bytes),
             )
             .await?;
-            lives();
+            on_heartbeat();
         }
         Ok(())
     };
