--- a/src/coordination/replica.rs
+++ b/src/coordination/replica.rs
@@ -1,9 +1,10 @@
-//! Carries the machines: sockets, the log's thread, time. One task owns all that decides; the
-//! others bring it what came in and take away what goes out.
+//! The replica process: sockets, the thread that writes the log, and time for the state machines.
 //!
-//! `start` opens what is needed and runs the task's `event_loop`, which hands what came in to
-//! `receive` and `requests`. Connections are accepted by `accept`, and opened to other replicas by
-//! `peers` and to other sites by `sites` and `site_links`, both over `transport`.
+//! One task owns all state and makes all decisions. The other tasks send it events and write out
+//! the messages that it queues. `start` opens the state folder and the listener and runs the
+//! task's `event_loop`, which passes events to `receive` and `requests`. `accept` accepts
+//! connections; `peers` opens them to other replicas, and `sites` and `site_links` to other sites,
+//! both over `transport`.
 
 use crate::coordination::bootstrap::Bootstrap;
 use crate::coordination::config::Config;
@@ -41,50 +42,52 @@
 
 pub use start::run;
 
-/// Messages that wait for another keeper; more are lost, as on any net.
+/// Number of messages queued for another replica or site. Further ones are dropped, like messages
+/// that a network loses.
 const PEER_QUEUE_LENGTH: usize = 256;
-/// Between two attempts to write what found no room, and to accept where there is no descriptor.
+/// Delay before a write that found the disk full, or an accept that found no free descriptor, is
+/// retried.
 const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// What is wrong between two keepers counts as over when it was not seen for so long; connections
-/// are tried more often than that.
+/// Time after which a conflict that was not seen again counts as resolved. Connections are
+/// attempted more often than that, so a conflict that persists is seen again in time.
 const CONFLICT_RETENTION: Duration = Duration::from_secs(10);
 
-/// What comes in.
+/// Event that another task sends to the task that owns the state.
 enum Event {
-    /// A keeper connected.
+    /// Another replica connected.
     PeerConnected {
         replica: u64,
         incarnation: u64,
         answer: Sender<PeerMessage>,
         connection_guard: Sender<()>,
     },
-    /// A keeper answered.
+    /// Another replica answered the handshake of this one.
     PeerResponded { replica: u64, message: PeerMessage },
-    /// A keeper was asked for its folder, in order to add it.
+    /// Incarnation of a replica that an operator adds, or the reason why it is not known.
     IncarnationReceived {
         connection: ConnectionId,
         replica: u64,
         at: String,
         incarnation: Result<u64, String>,
     },
-    /// A message of the group.
+    /// A Raft message of the group.
     RaftMessage { replica: u64, bytes: Vec<u8> },
-    /// A connection of an agent or a person.
+    /// An agent or an operator opened a connection.
     ConnectionOpened {
         connection: ConnectionId,
         queue: Sender<Vec<u8>>,
     },
-    /// An agent says something.
+    /// A message from an agent.
     AgentMessage(ConnectionId, AgentToReplica),
-    /// A person orders something.
+    /// A request from an operator.
     OperatorRequest(ConnectionId, OperatorRequest),
-    /// A connection is gone.
+    /// The connection of an agent or an operator was closed.
     ConnectionClosed(ConnectionId),
-    /// Something of another site.
+    /// An event that concerns another site of the federation.
     Site(site_links::SiteEvent),
 }
 
-/// What a task needs to bring something in.
+/// Data and handles that the connection tasks share.
 #[derive(Clone)]
 struct Context {
     inbox: Sender<Event>,
@@ -92,14 +95,17 @@
     site: Rc<str>,
     replica: u64,
     incarnation: u64,
-    /// The federation, and the site's number there.
+    /// Name of the federation, and the number of this site in it.
     federation: Option<(Rc<str>, u64)>,
-    /// Connections that are open, and how many may be.
+    /// Number of open connections.
     open_connections: Rc<Cell<u64>>,
+    /// Largest number of open connections.
     max_connections: u64,
+    /// Identifier that was assigned last.
     last_connection: Rc<Cell<ConnectionId>>,
 }
 
+/// Whether this replica still waits for its peers or takes part in the group.
 enum Stage {
     Bootstrapping(Box<Bootstrap>),
     InGroup(Box<RaftGroup>),
@@ -111,35 +117,35 @@
     executor: Rc<LocalExecutor<'static>>,
     stage: Stage,
     duties: Option<LeaderDuties>,
-    /// When a leader's beat was seen in the record last, while there was a leader.
+    /// Time of the last heartbeat of the current leader that was applied to the record.
     last_leader_seen: Option<Nanos>,
-    /// Lent to its thread while that writes.
+    /// The log store; its worker thread holds it while it writes.
     log_store: Offloaded<RaftLogStore, LogItem, Result<(), SaveError>>,
-    /// Nothing is acknowledged since then: what is to be written finds no room.
+    /// Time since which writes have failed because the disk is full, and nothing is acknowledged.
     disk_full_since: Option<Instant>,
-    /// What found no room, and when it is tried again.
+    /// Item whose write found the disk full, and the time of its next attempt.
     pending_retry: Option<(LogItem, Instant)>,
     start: Instant,
     last_tick: Instant,
     connections: BTreeMap<ConnectionId, Sender<Vec<u8>>>,
-    /// Persons that wait for an answer.
+    /// Connections of operators that wait for a response.
     pending_requests: BTreeSet<ConnectionId>,
-    /// Who ordered that this keeper comes or goes, and the entry that adds it: that is done when it
-    /// has it.
+    /// Membership change that an operator requested: the connection, the replica, and the index of
+    /// the entry that adds it. An addition is done when the replica has that entry.
     membership_change: Option<(ConnectionId, u64, Option<u64>)>,
     outgoing: BTreeMap<u64, OutgoingLink>,
     incoming: BTreeMap<u64, Sender<()>>,
-    /// Addresses that keepers may speak from.
+    /// Addresses from which other replicas may connect.
     allowed_peers: Rc<RefCell<BTreeSet<IpAddr>>>,
-    /// When it was last seen, and why.
+    /// Conflicts by the number of the replica or site: the time each was last seen, and its reason.
     conflicts: BTreeMap<(u64, Conflict), (Instant, String)>,
     removed: bool,
-    /// The site's part in its federation, as long as this keeper leads it.
+    /// The site's member of its federation, present while this replica leads the site.
     federation_member: Option<FederationMember>,
     sites: sites::SiteConnections,
 }
 
-/// What no other can know.
+/// Returns a random number that no other process can predict.
 fn random_u64() -> u64 {
     RandomState::new().build_hasher().finish()
 }
--- a/src/coordination/replica/accept.rs
+++ b/src/coordination/replica/accept.rs
@@ -1,5 +1,5 @@
-//! Accepts connections, bounded in number, and serves each by who opened it: an agent, a person,
-//! another replica or another site.
+//! Accepts a bounded number of connections and serves each according to the role of the process
+//! that opened it: an agent, an operator, another replica or another site.
 
 use crate::coordination::config::Config;
 use crate::coordination::framing::{self, FrameError};
@@ -19,12 +19,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Words that wait for a connection: an agent that reads so slowly is dropped.
+/// Number of messages queued for one connection; a client that reads too slowly to stay below it is
+/// disconnected.
 const CONNECTION_QUEUE_LENGTH: usize = 32;
-/// A connection on which nobody says anything for so long is ended; sessions hold for less.
+/// Time without a message from the client after which its connection is closed. Sessions expire
+/// sooner.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Counts a connection for as long as it lives.
+/// Share of the connection limit that one open connection holds until it is dropped.
 struct ConnectionSlot(Rc<Cell<u64>>);
 
 impl ConnectionSlot {
@@ -43,7 +45,7 @@
     }
 }
 
-/// Takes connections.
+/// Accepts connections and starts a task for each.
 pub(super) struct Acceptor {
     pub(super) context: Context,
     pub(super) config: Config,
@@ -51,7 +53,7 @@
     pub(super) allowed_sites: Rc<RefCell<BTreeSet<IpAddr>>>,
 }
 
-/// Who may speak from an address.
+/// Roles that a process at an address may have.
 #[derive(Clone, Copy)]
 struct Permissions {
     agent: bool,
@@ -85,12 +87,12 @@
                 site: self.allowed_sites.borrow().contains(&from),
             };
             if !permissions.agent && !permissions.replica && !permissions.site {
-                log::warn!("keeper: {from} may not speak here");
+                log::warn!("keeper: connection from {from} rejected: address is not allowed");
                 continue;
             }
             let Some(slot) = ConnectionSlot::take(&self.context) else {
                 log::warn!(
-                    "keeper: {} lines are open, more may not be",
+                    "keeper: connection rejected: {} connections are open, which is the limit",
                     self.context.max_connections
                 );
                 continue;
@@ -100,7 +102,7 @@
             let connection = async move {
                 let _slot = slot;
                 if let Err(e) = serve_connection(context, stream, permissions).await {
-                    log::debug!("keeper: a line of {from}: {e}");
+                    log::debug!("keeper: connection from {from} ended: {e}");
                 }
             };
             executor.spawn(connection).detach();
@@ -108,7 +110,7 @@
     }
 }
 
-/// A connection that somebody opened.
+/// Reads the handshake of an accepted connection and serves it according to its role.
 async fn serve_connection(
     context: Context,
     mut stream: Async<TcpStream>,
@@ -153,12 +155,14 @@
             .await
         }
         (PeerRole::Agent, _) if agent => serve_client(context, stream, Event::AgentMessage).await,
-        (PeerRole::Operator, _) if agent => serve_client(context, stream, Event::OperatorRequest).await,
+        (PeerRole::Operator, _) if agent => {
+            serve_client(context, stream, Event::OperatorRequest).await
+        }
         _ => Err(denied()),
     }
 }
 
-/// The connection of an agent or a person.
+/// Serves the connection of an agent or an operator.
 async fn serve_client<T: DeserializeOwned>(
     context: Context,
     stream: Async<TcpStream>,
--- a/src/coordination/replica/conflicts.rs
+++ b/src/coordination/replica/conflicts.rs
@@ -1,32 +1,33 @@
-//! What keeps other replicas and sites from taking part: logged when it begins, and shown in the
-//! status for as long as it lasts.
+//! Conflicts that keep other replicas and sites from taking part. Each is logged when it begins and
+//! shown in the status while it lasts.
 
 use crate::coordination::replica::{Replica, Stage, CONFLICT_RETENTION};
 use std::time::Instant;
 
-/// Most of that which is held at once: numbers of keepers that others only claim count, too.
+/// Largest number of conflicts held at once. The bound is needed because replica numbers that a
+/// connecting process merely claims count as well.
 const MAX_CONFLICTS: usize = 64;
 
-/// Why two keepers with a connection between them do not take part in one group.
+/// Reason why two connected replicas or sites cannot work in one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Conflict {
-    /// One that came in this one's name is refused.
+    /// This replica rejected one that connected to it under the number of the other.
     IncomingRejected,
-    /// What answers at its address is another one.
+    /// This replica rejected the process that answers at the address of the other.
     ResponderRejected,
-    /// It refuses this one.
+    /// The other replica rejects this one.
     RejectedByPeer,
-    /// The same between two sites.
+    /// As `IncomingRejected`, between two sites.
     SiteIncomingRejected,
-    /// See above.
+    /// As `ResponderRejected`, between two sites.
     SiteResponderRejected,
-    /// See above.
+    /// As `RejectedByPeer`, between two sites.
     RejectedBySite,
 }
 
 impl Replica {
-    /// Two keepers cannot go together: told when it begins, and in the status for as long as it
-    /// lasts.
+    /// Records a conflict and returns whether it is new or its reason has changed, so that it is
+    /// logged.
     pub(super) fn is_new_conflict(&mut self, number: u64, how: Conflict, reason: &str) -> bool {
         let now = Instant::now();
         self.conflicts
@@ -38,6 +39,7 @@
         previous.is_none_or(|(_, before)| before != reason)
     }
 
+    /// Records a conflict with another replica, and logs it if it is new.
     pub(super) fn note_conflict(&mut self, replica: u64, how: Conflict, reason: &str) {
         if !self.is_new_conflict(replica, how, reason) {
             return;
@@ -51,16 +53,18 @@
         );
         match how {
             Conflict::IncomingRejected => {
-                log::error!("{log_prefix}: refuses keeper {replica}: {reason}")
+                log::error!("{log_prefix}: rejects keeper {replica}: {reason}")
             }
             Conflict::ResponderRejected => {
-                log::error!("{log_prefix}: refuses what answers as keeper {replica} at {at}: {reason}")
+                log::error!(
+                    "{log_prefix}: rejects the process that answers as keeper {replica} at {at}: {reason}"
+                )
             }
-            _ => log::warn!("{log_prefix}: keeper {replica} at {at} does not hear it: {reason}"),
+            _ => log::warn!("{log_prefix}: keeper {replica} at {at} rejects this keeper: {reason}"),
         }
     }
 
-    /// What keeps other keepers from taking part, as far as this one knows.
+    /// Returns what keeps other replicas from taking part, as far as this one knows.
     pub(super) fn faults(&self) -> Vec<(u64, String)> {
         let mut faults: Vec<(u64, String)> = Vec::new();
         for ((replica, how), (at, reason)) in &self.conflicts {
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -1,5 +1,5 @@
-//! The loop of the one task that owns all decisions: takes what came in, advances time, and works
-//! until nothing is left to be done.
+//! The event loop of the task that owns the replica's state: advances time, handles one event, and
+//! then works until nothing is pending.
 
 use crate::coordination::leader::{Effect, LeaderDuties};
 use crate::coordination::messages::OperatorResponse;
@@ -14,29 +14,29 @@
 use futures_lite::FutureExt;
 use std::time::{Duration, Instant};
 
-/// At its end a leader waits so long for another one.
+/// Longest time a leader that shuts down waits for another replica to take over.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What was to be written, and what came of it.
+/// Item that the log store was given, and the result of its write.
 type SaveOutcome = (LogItem, Result<(), SaveError>);
 
-/// What follows from one step of the group.
+/// Work that follows from one round of the group.
 #[derive(Default)]
 struct Effects {
-    /// What the leader duties want.
+    /// Effects of the leader duties.
     leader_effects: Vec<Effect>,
-    /// What the voice wants.
+    /// Effects of the federation member.
     member_effects: Vec<member::MemberEffect>,
-    /// Keepers came or went.
+    /// Whether replicas were added or removed.
     members_changed: bool,
-    /// The leader duties begin.
+    /// Whether the leader duties begin.
     leadership_begins: bool,
-    /// They end.
+    /// Whether the leader duties end.
     leadership_ends: bool,
 }
 
 impl Replica {
-    /// Serves until something is fatal, it was removed, or the time is up.
+    /// Runs until a fatal error, the removal of this replica, or the time `until`.
     pub(super) async fn run(
         &mut self,
         events: &Receiver<Event>,
@@ -65,7 +65,8 @@
                 Ok(Next::Tick)
             };
             let next = saved.or(received).or(due).await?;
-            // Time goes before words: one that stood still must not act on what it believed before.
+            // Time advances before the event is handled: a replica whose process was suspended must
+            // not act on a leadership that has lapsed meanwhile.
             self.advance_clock(tick);
             match next {
                 Next::Saved(saved) => self.handle_saved(saved)?,
@@ -77,8 +78,8 @@
         Ok(())
     }
 
-    /// Ticks that are due. After twice the time of an election, a leader that heard nobody leads no
-    /// more.
+    /// Runs the ticks that are due, at most those of two election timeouts: by then a leader that
+    /// received nothing has stepped down.
     fn advance_clock(&mut self, tick: Duration) {
         let due = (self.last_tick.elapsed().as_nanos() / tick.as_nanos()) as u32;
         if due == 0 {
@@ -100,7 +101,7 @@
         self.tick_federation_member();
     }
 
-    /// What came of writing.
+    /// Handles the result of a write.
     fn handle_saved(&mut self, (item, result): SaveOutcome) -> Result<(), String> {
         let wants_checkpoint = self
             .log_store
@@ -126,7 +127,7 @@
                     log::error!("{log_prefix}: acknowledges nothing: {e}");
                 }
                 let since = *self.disk_full_since.get_or_insert_with(Instant::now);
-                // Others may have room.
+                // The disks of other replicas may have room.
                 if since.elapsed()
                     > Duration::from_millis(self.config.tick_ms) * ELECTION_TICKS as u32
                 {
@@ -139,13 +140,13 @@
         }
     }
 
-    /// Goes on until nothing more is to be done.
+    /// Works until nothing is pending.
     pub(super) fn process_pending(&mut self) -> Result<(), String> {
         while self.process_once()? {}
         Ok(())
     }
 
-    /// Does what the group has ready, and what follows from it; whether there may be more.
+    /// Processes what the group has ready and its effects. Returns whether more may be pending.
     fn process_once(&mut self) -> Result<bool, String> {
         let now = self.now();
         let Stage::InGroup(group) = &mut self.stage else {
@@ -171,7 +172,7 @@
         if let Some(item) = item {
             self.log_store
                 .start_job(item)
-                .map_err(|_| "the log is lent")?;
+                .map_err(|_| "the log store is already in use")?;
         }
         if effects.leadership_ends {
             self.stop_federation_member();
@@ -190,7 +191,7 @@
         Ok(!(idle && quiet))
     }
 
-    /// Something happened in the group.
+    /// Handles an event of the group.
     fn on_group_event(&mut self, now: Nanos, event: GroupEvent, effects: &mut Effects) {
         let Stage::InGroup(group) = &self.stage else {
             return;
@@ -231,13 +232,14 @@
         }
     }
 
-    /// A command was applied to the record.
+    /// Handles a command that was applied to the record.
     fn on_applied(&mut self, now: Nanos, index: u64, command: &Command, effects: &mut Effects) {
         let Stage::InGroup(group) = &self.stage else {
             return;
         };
         if let Command::AdvanceClock { term, .. } = command {
-            // An older one that is only now read says nothing of when its leader lived.
+            // The heartbeat of an earlier term that is only now applied does not show when its
+            // leader was alive.
             if *term == group.term() && group.leader() != 0 {
                 self.last_leader_seen = Some(now);
             }
@@ -254,7 +256,7 @@
         }
     }
 
-    /// Answers whoever ordered that a keeper comes, when that has the record.
+    /// Answers the operator who added a replica, once that replica has the record.
     fn finish_membership_change(&mut self, effects: &mut Effects) {
         let Stage::InGroup(group) = &self.stage else {
             return;
@@ -269,8 +271,8 @@
         }
     }
 
-    /// Begins the leader duties where this keeper leads by now, and ends them where it leads no
-    /// more.
+    /// Begins the leader duties if this replica has become the leader, and ends them if it no
+    /// longer leads.
     fn update_leader_duties(&mut self, now: Nanos, effects: &mut Effects) {
         let Stage::InGroup(group) = &self.stage else {
             return;
@@ -296,26 +298,26 @@
         }
     }
 
-    /// What is to be written next, where nothing is being written.
+    /// Returns the item to write next, unless a write is in progress.
     fn next_item_to_save(&mut self) -> Option<LogItem> {
         self.log_store.idle()?;
         let due = |retry: &mut (LogItem, Instant)| retry.1 <= Instant::now();
         if let Some((item, _)) = self.pending_retry.take_if(due) {
             return Some(item);
         }
-        // Nothing, while something is to be written again.
+        // The group has no further item while one waits to be retried.
         match &mut self.stage {
             Stage::InGroup(group) => group.next_item(),
             Stage::Bootstrapping(_) => None,
         }
     }
 
-    /// A leader asks another one to lead before it ends.
+    /// Transfers the leadership to another replica before this one shuts down.
     pub(super) async fn hand_over_leadership(
         &mut self,
         events: &Receiver<Event>,
     ) -> Result<(), String> {
-        // The federation has another leader before the site has.
+        // The leadership of the federation is transferred before that of the site.
         if self
             .federation_member
             .as_mut()
--- a/src/coordination/replica/formation.rs
+++ b/src/coordination/replica/formation.rs
@@ -1,23 +1,23 @@
-//! What a replica does before it takes part in the group: it meets the others and writes down whom
-//! it knows.
+//! Formation of the group: before a replica takes part, it meets the other replicas and saves their
+//! incarnations.
 
 use crate::coordination::raft_group::RaftGroup;
 use crate::coordination::raft_log::{LogItem, SaveError};
 use crate::coordination::replica::{random_u64, Replica, Stage, RESOURCE_RETRY_DELAY};
 
 impl Replica {
-    /// Writes down what an empty folder begins with.
+    /// Saves the first checkpoint of an empty folder, and starts work.
     pub(super) async fn begin(&mut self) -> Result<(), String> {
         let Stage::Bootstrapping(bootstrap) = &self.stage else {
             return self.process_pending();
         };
         let item = LogItem::Checkpoint(Box::new(bootstrap.checkpoint().clone()));
         self.save_now(item).await?;
-        // One that is alone waits for nobody.
+        // A replica without peers has nobody to wait for.
         self.form_group().await?;
         if let Stage::Bootstrapping(bootstrap) = &self.stage {
             log::info!(
-                "{}: begins when it and keepers {:?} know each other",
+                "{}: waits to begin until it and keepers {:?} know each other",
                 self.log_prefix(),
                 bootstrap.missing()
             );
@@ -25,12 +25,13 @@
         self.process_pending()
     }
 
-    /// Writes something down while nothing else goes on: before this keeper takes part.
+    /// Saves an item and waits for the result, with retries. Used only before this replica takes
+    /// part, when no other work is pending.
     async fn save_now(&mut self, mut item: LogItem) -> Result<(), String> {
         loop {
             self.log_store
                 .start_job(item)
-                .map_err(|_| "the log is lent")?;
+                .map_err(|_| "the log store is already in use")?;
             let (back, result) = self
                 .log_store
                 .finished()
@@ -39,7 +40,7 @@
             match result {
                 Ok(()) => return Ok(()),
                 Err(SaveError::Retryable(e)) => {
-                    log::warn!("{}: not written yet: {e}", self.log_prefix())
+                    log::warn!("{}: write failed, will be retried: {e}", self.log_prefix())
                 }
                 Err(e) => return Err(format!("state: {e}")),
             }
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Writes down whom it knows.
+    /// Saves the incarnations of the replicas that this one has met.
     pub(super) async fn save_known_replicas(&mut self) -> Result<(), String> {
         let Stage::Bootstrapping(bootstrap) = &self.stage else {
             return Ok(());
@@ -57,7 +58,7 @@
             .await
     }
 
-    /// Takes part, when all know each other.
+    /// Joins the group once all replicas know each other.
     pub(super) async fn form_group(&mut self) -> Result<(), String> {
         let Stage::Bootstrapping(bootstrap) = &self.stage else {
             return Ok(());
--- a/src/coordination/replica/peers.rs
+++ b/src/coordination/replica/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to the other replicas of the site, one in each direction.
+//! Connections to the other replicas of the site, one for each direction.
 
 use crate::coordination::framing::{self, FrameError};
 use crate::coordination::messages::{Handshake, PeerRole, MAX_FRAME_BYTES, PROTOCOL_VERSION};
@@ -20,25 +20,26 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Longest frame between keepers: a snapshot, and what is said with it.
+/// Largest frame between replicas: a snapshot with the message around it.
 pub(super) const MAX_PEER_FRAME_BYTES: usize = MAX_CHECKPOINT_BYTES + 64 * 1024;
 
-/// What keepers say to each other.
+/// Message between two replicas of a site.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum PeerMessage {
-    /// The folder of the one that connected.
+    /// First message of the replica that connected, with the incarnation of its folder.
     Hello { incarnation: u64 },
-    /// It is known, and written down. And the folder of the one that answers.
+    /// The replica that connected is admitted and saved. Has the incarnation of the one that
+    /// answers.
     Admitted { incarnation: u64 },
-    /// It is not heard, and why.
+    /// The replica that connected is rejected, with the reason.
     Rejected(String),
-    /// A sign of life.
+    /// A heartbeat.
     Heartbeat,
-    /// A message of the group.
+    /// A Raft message of the group.
     Raft(ByteBuf),
 }
 
-/// Another keeper that this one sends to.
+/// Connection over which this replica sends to another one.
 pub(super) struct OutgoingLink {
     pub(super) queue: Sender<Vec<u8>>,
     pub(super) address: SocketAddr,
@@ -47,7 +48,8 @@
     pub(super) _task: Task<()>,
 }
 
-/// Tells a keeper that came to the wrong one what it came to: it would try again without a word.
+/// Rejects a replica that connected to the wrong one, and names this one in the answer. Without an
+/// answer, the other would retry and never learn the reason.
 pub(super) async fn refuse(
     context: &Context,
     mut stream: Async<TcpStream>,
@@ -66,7 +68,7 @@
     Err(reason)
 }
 
-/// Another keeper's connection: it sends, and this one says that it lives.
+/// Serves the connection of another replica: receives its messages and sends it heartbeats.
 pub(super) async fn serve_peer(
     context: Context,
     mut stream: Async<TcpStream>,
@@ -108,7 +110,7 @@
             bytes: bytes.into_vec(),
         }),
         other => Err(FrameError::Io(std::io::Error::other(format!(
-            "{other:?} from a keeper"
+            "unexpected message {other:?} from a keeper"
         )))),
     };
     receive_messages(
@@ -121,7 +123,7 @@
     .await
 }
 
-/// Introduces itself to another keeper.
+/// Connects to another replica and exchanges the first messages.
 pub(super) async fn handshake(
     context: &Context,
     address: SocketAddr,
@@ -149,7 +151,8 @@
     with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, exchange).await
 }
 
-/// Sends to another keeper for as long as that is one.
+/// Keeps a connection to another replica and sends it the queued messages. Runs until its task is
+/// dropped.
 async fn send_to_peer(
     context: Context,
     replica: u64,
@@ -165,7 +168,7 @@
         let ended = async {
             let (stream, message) = handshake(&context, address).await?;
             let known = matches!(message, PeerMessage::Admitted { .. });
-            // What waited for the last connection is late by now.
+            // Messages that were queued for the previous connection are out of date.
             while outbox.try_recv().is_ok() {}
             state.up.set(known);
             let _ = context
@@ -175,8 +178,8 @@
             if !known {
                 return Ok(());
             }
-            // One that is not the keeper that it should be is left; another one may answer there by
-            // now.
+            // The connection ends when `up` is cleared because another process than the expected
+            // replica answered. The next attempt may reach the right one.
             send_messages::<PeerMessage>(
                 &context,
                 stream,
@@ -194,7 +197,8 @@
     }
 }
 
-/// Sends messages of the group, each as far as there is a connection for it.
+/// Queues Raft messages for the replicas that are connected, and reports to the group which were
+/// not sent.
 pub(super) fn send(
     group: &mut RaftGroup,
     outgoing: &BTreeMap<u64, OutgoingLink>,
@@ -215,7 +219,7 @@
             (Ok(bytes), Some(connection)) => connection.queue.try_send(bytes).is_ok(),
             (Ok(_), None) => false,
             (Err(e), _) => {
-                log::error!("keeper {}: a message to keeper {to}: {e}", group.id());
+                log::error!("keeper {}: cannot encode a message to keeper {to}: {e}", group.id());
                 false
             }
         };
@@ -228,7 +232,8 @@
 }
 
 impl Replica {
-    /// Where a keeper is reached: the file goes before what the group knows.
+    /// Returns the address of a replica. The configuration file takes precedence over the address
+    /// that the group has.
     pub(super) fn address_of(&self, replica: u64) -> Option<SocketAddr> {
         let known = match &self.stage {
             Stage::InGroup(group) => group
@@ -241,7 +246,7 @@
         self.config.peers.get(&replica).copied().or(known)
     }
 
-    /// Has a connection to each other keeper, and to nobody else.
+    /// Opens a connection to each other replica of the group, and closes all others.
     pub(super) fn connect_replicas(&mut self) {
         let mut wanted: BTreeSet<u64> = self.config.peers.keys().copied().collect();
         if let Stage::InGroup(group) = &self.stage {
@@ -255,7 +260,8 @@
             .iter()
             .filter_map(|id| Some((*id, self.address_of(*id)?)))
             .collect();
-        // One that joins is spoken to from addresses that its file names.
+        // A replica that joins is not a member yet: it accepts connections from the addresses in
+        // its configuration file.
         let configured = self.config.peers.values();
         *self.allowed_peers.borrow_mut() = addresses
             .values()
--- a/src/coordination/replica/receive.rs
+++ b/src/coordination/replica/receive.rs
@@ -1,4 +1,4 @@
-//! What is done with each event that the other tasks bring in.
+//! Handles the events that the connection tasks send to the task that owns the state.
 
 use crate::coordination::bootstrap::{admit, PeerAdmission};
 use crate::coordination::replica::conflicts::Conflict;
@@ -7,7 +7,7 @@
 use async_channel::Sender;
 
 impl Replica {
-    /// Something came in.
+    /// Handles one event.
     pub(super) async fn handle_event(&mut self, event: Event) -> Result<(), String> {
         match event {
             Event::PeerConnected {
@@ -40,7 +40,9 @@
                 self.connections.insert(connection, queue);
             }
             Event::AgentMessage(connection, message) => self.handle_agent(connection, &message),
-            Event::OperatorRequest(connection, message) => self.handle_operator(connection, message),
+            Event::OperatorRequest(connection, message) => {
+                self.handle_operator(connection, message)
+            }
             Event::Site(event) => self.on_site_event(event),
             Event::ConnectionClosed(connection) => {
                 self.federation_member
@@ -56,7 +58,7 @@
         Ok(())
     }
 
-    /// Whether a keeper with this folder is one of the group.
+    /// Checks whether a replica with this incarnation is one of the group.
     fn check_incarnation(&mut self, replica: u64, incarnation: u64) -> PeerAdmission {
         match &mut self.stage {
             Stage::Bootstrapping(bootstrap) => bootstrap.learn_incarnation(replica, incarnation),
@@ -64,7 +66,7 @@
         }
     }
 
-    /// A keeper connected.
+    /// Admits or rejects a replica that connected.
     async fn on_peer_connected(
         &mut self,
         replica: u64,
@@ -93,12 +95,12 @@
         self.form_group().await
     }
 
-    /// A keeper that knows this one answered.
+    /// Handles the answer of a replica that admitted this one.
     async fn on_peer_response(&mut self, replica: u64, incarnation: u64) -> Result<(), String> {
         let admission = self.check_incarnation(replica, incarnation);
         if let PeerAdmission::Rejected(reason) = &admission {
             self.note_conflict(replica, Conflict::ResponderRejected, reason);
-            // Nothing is said to it.
+            // No message may be sent to it.
             self.outgoing
                 .get(&replica)
                 .into_iter()
@@ -109,7 +111,11 @@
             .map(|how| self.conflicts.remove(&(replica, how)).is_some());
         if let Some(link) = self.outgoing.get(&replica) {
             if link.state.last_logged.take().is_some() || resolved.contains(&true) {
-                log::info!("{}: keeper {replica} at {}: is reached", self.log_prefix(), link.address);
+                log::info!(
+                    "{}: keeper {replica} at {}: is reached",
+                    self.log_prefix(),
+                    link.address
+                );
             }
         }
         if let Stage::Bootstrapping(bootstrap) = &mut self.stage {
@@ -121,7 +127,8 @@
         self.form_group().await
     }
 
-    /// A message of the group came; the connection of one that sends what makes no sense is ended.
+    /// Passes a Raft message to the group. Closes the connection of a replica that sent an invalid
+    /// one.
     fn on_raft_message(&mut self, replica: u64, bytes: &[u8]) {
         let Stage::InGroup(group) = &mut self.stage else {
             return;
--- a/src/coordination/replica/requests.rs
+++ b/src/coordination/replica/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of agents and operators, and what the leader answers them.
+//! Requests of agents and operators, and the responses of the leader.
 
 use crate::coordination::framing;
 use crate::coordination::leader::{ConnectionId, Effect};
@@ -13,14 +13,14 @@
 use std::net::SocketAddr;
 
 impl Replica {
-    /// Does what the leader wants.
+    /// Carries out the effects of the leader duties.
     pub(super) fn apply_effects(&mut self, out: Vec<Effect>) {
         for what in out {
             match what {
                 Effect::Propose(command) => {
                     if let Stage::InGroup(group) = &mut self.stage {
                         if let Err(e) = group.propose(&command) {
-                            log::debug!("{}: not proposed: {e}", self.log_prefix());
+                            log::debug!("{}: proposal rejected: {e}", self.log_prefix());
                         }
                     }
                 }
@@ -30,13 +30,16 @@
                     let (now, mut member_effects) = (self.now(), Vec::new());
                     self.federation_member
                         .iter_mut()
-                        .for_each(|member| member.submit(now, command.clone(), &mut member_effects));
+                        .for_each(|member| {
+                            member.submit(now, command.clone(), &mut member_effects)
+                        });
                     self.apply_member_effects(member_effects);
                 }
             }
         }
     }
 
+    /// Queues a message for a connection, which is closed if the message cannot be queued.
     pub(super) fn send<T: Serialize>(&mut self, connection: ConnectionId, message: &T) {
         let Some(queue) = self.connections.get(&connection) else {
             return;
@@ -44,12 +47,13 @@
         let sent = framing::encode(message, MAX_FRAME_BYTES).map_err(|e| e.to_string());
         let sent = sent.and_then(|bytes| queue.try_send(bytes).map_err(|e| e.to_string()));
         if let Err(e) = sent {
-            // Its task sees that nobody writes to it any more.
-            log::debug!("{}: line {connection} is dropped: {e}", self.log_prefix());
+            // The connection task ends once the sender of its queue is dropped.
+            log::debug!("{}: connection {connection} is dropped: {e}", self.log_prefix());
             self.connections.remove(&connection);
         }
     }
 
+    /// Sends the response to the request of an operator.
     pub(super) fn respond(&mut self, connection: ConnectionId, mut message: OperatorResponse) {
         self.pending_requests.remove(&connection);
         if let OperatorResponse::Status(status) = &mut message {
@@ -58,11 +62,11 @@
         self.send(connection, &message);
     }
 
-    /// What the replica knows of how things stand.
+    /// Adds what this replica knows itself to a status response.
     fn fill_status(&self, status: &mut CoordinationStatus) {
         (status.site, status.replica) = (self.config.site.clone(), self.config.replica);
         if let Stage::InGroup(group) = &self.stage {
-            // One that was elected leads when it knows all that was agreed before.
+            // An elected replica leads only once it has applied all entries of earlier terms.
             let leads = group.leader() != group.id() || self.duties.is_some();
             (status.leader, status.term) = (if leads { group.leader() } else { 0 }, group.term());
             status.version = group.record().version;
@@ -72,10 +76,11 @@
         status.faults = self.faults();
     }
 
+    /// Returns the leader, if it is known and another replica.
     pub(super) fn leader(&self) -> Option<u64> {
         match &self.stage {
             Stage::InGroup(group) => {
-                // One that leads and may not speak yet, or no more, knows of nobody.
+                // A leader that may not serve requests yet, or no longer, knows of no other one.
                 Some(group.leader()).filter(|id| *id != 0 && *id != group.id())
             }
             Stage::Bootstrapping(_) => None,
@@ -109,7 +114,7 @@
                         order @ (FederationRequest::RemoveSite { .. }
                         | FederationRequest::AddSite { .. }),
                     ) if self.federation_member.is_some() => {
-                        return self.submit_roster_order_of(connection, &order);
+                        return self.submit_roster_order(connection, &order);
                     }
                     OperatorRequest::AddReplica {
                         keeper: replica,
@@ -120,7 +125,7 @@
                     OperatorRequest::RemoveReplica { keeper: replica } => {
                         match group.remove_member(replica) {
                             Ok(()) => self.membership_change = Some((connection, replica, None)),
-                            // It was removed before: as ordered.
+                            // The replica was removed before: the request is already fulfilled.
                             Err(_) if group.state().removed.contains(&replica) => {
                                 out.push(Effect::Reply(
                                     connection,
@@ -141,7 +146,7 @@
                             group.record(),
                             &mut out,
                         );
-                        // What the replica knows can be told in any case.
+                        // A status request is answered in any case, with what this replica knows.
                         let none = |o: &Effect| matches!(o, Effect::Reply(l, OperatorResponse::Rejected(_)) if *l == connection);
                         if message == OperatorRequest::Status && out.iter().any(none) {
                             out.retain(|o| !none(o));
@@ -153,7 +158,7 @@
                     }
                 }
             }
-            // How things stand here may be asked of any keeper.
+            // Any replica answers a status request.
             _ if message == OperatorRequest::Status => {
                 out.push(Effect::Reply(
                     connection,
@@ -165,14 +170,14 @@
         self.apply_effects(out);
     }
 
-    /// Asks a keeper that is to be added for its folder.
+    /// Requests the incarnation of a replica that is to be added.
     fn request_replica_incarnation(&mut self, connection: ConnectionId, replica: u64, at: String) {
         let Stage::InGroup(group) = &self.stage else {
             return;
         };
         let known = group.state().members.get(&replica);
         if known.is_some_and(|m| m.at == at) {
-            // As ordered, already.
+            // The replica was already added at this address.
             let message = match group.has_replicated(replica, 1) {
                 true => OperatorResponse::Done(group.record().version),
                 false => OperatorResponse::Rejected(format!(
@@ -214,6 +219,7 @@
         self.executor.spawn(request).detach();
     }
 
+    /// Proposes the addition of a replica whose incarnation was requested.
     pub(super) fn add_replica(
         &mut self,
         connection: ConnectionId,
--- a/src/coordination/replica/site_links.rs
+++ b/src/coordination/replica/site_links.rs
@@ -1,8 +1,8 @@
-//! Single connections to other sites: the handshake, what is said, and attempts to reach whichever
-//! replica of a site leads it.
+//! Single connections to other sites: the handshake, the messages, and the attempts to connect.
 //!
-//! A site is reached at whichever of its keepers leads it. The addresses are tried in turn; one
-//! that does not lead says who does, where it knows.
+//! Messages for a site go to the replica that leads it, which runs the site's federation member.
+//! The addresses of the site's replicas are tried in turn; a replica that does not lead answers
+//! with the address of the leader, if it knows it.
 
 use crate::coordination::framing::{self, FrameError};
 use crate::coordination::messages::{Handshake, PeerRole, MAX_FRAME_BYTES, PROTOCOL_VERSION};
@@ -21,33 +21,35 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Longest frame between voices: a snapshot of the federation's record, and what is said with it.
+/// Largest frame between federation members: a snapshot of the federation's record with the message
+/// around it.
 pub(super) const MAX_SITE_FRAME_BYTES: usize = 256 * 1024;
 
-/// What is said on a connection between voices.
+/// Message between the federation members of two sites.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum SiteMessage {
-    /// The record of the site that connected, and the term of its voice there.
+    /// First message of the site that connected: the incarnation of its record, and the term in
+    /// which the sender leads its site.
     Hello { incarnation: u64, term: u64 },
-    /// It is known, and written down. And the same of the one that answers.
+    /// The site that connected is admitted and saved. Has the same data of the site that answers.
     Admitted {
         number: u64,
         incarnation: u64,
         term: u64,
     },
-    /// This keeper is not its site's voice, or not ready to be; where that is, if it is known.
+    /// This replica does not lead its site, or is not ready to. Has the leader's address, if known.
     NotLeader(Option<String>),
-    /// It is not heard, and why.
+    /// The site that connected is rejected, with the reason.
     Rejected(String),
-    /// A sign of life.
+    /// A heartbeat.
     Heartbeat,
-    /// What a voice says.
+    /// A message of the federation member.
     Member(MemberMessage),
 }
 
-/// What comes in of other sites.
+/// Event that concerns another site.
 pub(super) enum SiteEvent {
-    /// A voice connected.
+    /// The federation member of another site connected.
     Connected {
         site: u64,
         incarnation: u64,
@@ -55,22 +57,22 @@
         answer: Sender<SiteMessage>,
         connection_guard: Sender<()>,
     },
-    /// One answered, at this address.
+    /// A replica of another site answered at this address.
     Responded {
         site: u64,
         at: SocketAddr,
         response: SiteMessage,
     },
-    /// One says something.
+    /// A message from the federation member of another site.
     Message { site: u64, message: MemberMessage },
-    /// One was asked for its incarnation, in order to add it.
+    /// Incarnation of a site that is to be added, or the reason why it is not known.
     IncarnationReceived {
         site: u64,
         incarnation: Result<u64, String>,
     },
 }
 
-/// Who this site is to others.
+/// Identity that this site presents to others.
 #[derive(Clone)]
 pub(super) struct OwnSite {
     pub(super) federation: Rc<str>,
@@ -79,17 +81,19 @@
     pub(super) term: u64,
 }
 
-/// What is known of the connection to another site.
+/// State of the connection to another site.
 #[derive(Default)]
 pub(super) struct LinkState {
     pub(super) connection: transport::LinkState,
-    /// The term of the voice that answers.
+    /// Term of the federation member that answered.
     pub(super) term: Cell<u64>,
+    /// Address of the replica that answered.
     pub(super) address: Cell<Option<SocketAddr>>,
-    /// When it last gave a sign of life.
+    /// Time of the last heartbeat.
     pub(super) last_heartbeat: Cell<Option<Instant>>,
 }
 
+/// Connection over which this site sends to another one.
 pub(super) struct OutgoingLink {
     pub(super) queue: Sender<Vec<u8>>,
     pub(super) addresses: Vec<SocketAddr>,
@@ -98,7 +102,7 @@
     pub(super) _task: Task<()>,
 }
 
-/// A connection that another site's voice opened.
+/// Serves a connection that the federation member of another site opened.
 pub(super) async fn serve_site(
     context: Context,
     mut stream: Async<TcpStream>,
@@ -140,7 +144,7 @@
     let to_event = |message| match message {
         SiteMessage::Member(message) => Ok(Event::Site(SiteEvent::Message { site, message })),
         other => Err(FrameError::Io(std::io::Error::other(format!(
-            "{other:?} from a site"
+            "unexpected message {other:?} from a site"
         )))),
     };
     receive_messages(
@@ -153,7 +157,7 @@
     .await
 }
 
-/// Tells one that came to the wrong federation what it came to.
+/// Rejects a site that connected to the wrong federation, and names this one in the answer.
 pub(super) async fn refuse(
     context: &Context,
     mut stream: Async<TcpStream>,
@@ -173,7 +177,7 @@
     Err(FrameError::Io(std::io::ErrorKind::PermissionDenied.into()))
 }
 
-/// Introduces this site to another one's keeper.
+/// Connects to a replica of another site and exchanges the first messages.
 pub(super) async fn handshake(
     context: &Context,
     own_site: &OwnSite,
@@ -199,7 +203,7 @@
     with_timeout(&context.wheel, HANDSHAKE_TIMEOUT, exchange).await
 }
 
-/// Speaks to another site's voice, wherever that is.
+/// Keeps a connection to the replica that leads another site, and sends it the queued messages.
 pub(super) async fn send_to_site(
     context: Context,
     own_site: OwnSite,
@@ -224,7 +228,7 @@
                 )));
             }
             let known = matches!(response, SiteMessage::Admitted { .. });
-            // What waited for the last connection is late by now.
+            // Messages that were queued for the previous connection are out of date.
             while outbox.try_recv().is_ok() {}
             if let SiteMessage::Admitted { term, .. } = &response {
                 state.term.set(*term);
@@ -243,8 +247,8 @@
             if let Some(reason) = refused {
                 return Err(FrameError::Io(std::io::Error::other(reason)));
             }
-            // One that is not the site that it should be is left; another one may answer there by
-            // now.
+            // The connection ends when `up` is cleared because another site than the expected one
+            // answered. The next attempt may reach the right one.
             let on_heartbeat = || state.last_heartbeat.set(Some(Instant::now()));
             send_messages::<SiteMessage>(
                 &context,
--- a/src/coordination/replica/sites.rs
+++ b/src/coordination/replica/sites.rs
@@ -1,14 +1,15 @@
-//! The other sites of a federation: this site's voice has a connection to each other's, and those
-//! have one to it.
+//! Connections to the other sites of a federation, one for each direction between two sites.
 //!
-//! A voice of a later term at its site goes before an earlier one, on either side of a connection.
+//! The replica that leads a site runs the site's federation member. On both sides of a connection,
+//! a member of a later term of its site replaces one of an earlier term.
 
 use crate::coordination::framing;
 use crate::coordination::leader::ConnectionId;
 use crate::coordination::messages::FederationRequest;
 use crate::coordination::replica::conflicts::Conflict;
 use crate::coordination::replica::site_links::{
-    handshake, send_to_site, LinkState, OwnSite, OutgoingLink, SiteMessage, SiteEvent, MAX_SITE_FRAME_BYTES,
+    handshake, send_to_site, LinkState, OutgoingLink, OwnSite, SiteEvent, SiteMessage,
+    MAX_SITE_FRAME_BYTES,
 };
 use crate::coordination::replica::transport::HEARTBEAT_TIMEOUT;
 use crate::coordination::replica::{random_u64, Event, Replica, Stage, PEER_QUEUE_LENGTH};
@@ -21,22 +22,23 @@
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 
-/// The connections.
+/// Connections to other sites.
 #[derive(Default)]
 pub(super) struct SiteConnections {
     outgoing: BTreeMap<u64, OutgoingLink>,
-    /// With the term of the voice that speaks.
+    /// Connections that other sites opened, with the term of the member that opened each.
     incoming: BTreeMap<u64, (u64, Sender<()>)>,
-    /// The highest term that was seen of a site's voice, with the site's incarnation.
+    /// Incarnation of each site, and the highest term seen of its member.
     terms: BTreeMap<u64, (u64, u64)>,
-    /// Addresses that sites may speak from.
+    /// Addresses from which other sites may connect.
     pub(super) allowed: Rc<RefCell<BTreeSet<IpAddr>>>,
-    /// What the leader was told last: the version, the leader, the lease.
+    /// State that the leader duties were last given: the record's version, the federation's leader,
+    /// and the end of the lease.
     last_view: Option<(u64, u64, Option<u64>)>,
 }
 
 impl Replica {
-    /// Speaks for the site from now on, if it is in a federation.
+    /// Starts the site's federation member, if the site is in a federation.
     pub(super) fn start_federation_member(&mut self) {
         let (Some(settings), Stage::InGroup(group)) = (&self.config.federation, &self.stage) else {
             return;
@@ -52,7 +54,7 @@
         self.sites.last_view = None;
     }
 
-    /// Speaks for it no more.
+    /// Stops the federation member and closes its connections.
     pub(super) fn stop_federation_member(&mut self) {
         if let Some(mut member) = self.federation_member.take() {
             let mut out = Vec::new();
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Has a connection to each other site, and to nobody else.
+    /// Opens a connection to each other site, and closes all others.
     pub(super) fn connect_sites(&mut self) {
         let Some(settings) = &self.config.federation else {
             return;
@@ -89,7 +91,8 @@
             }
             let configured_addresses =
                 std::mem::replace(&mut peer_addresses, member.peer_addresses());
-            // One that joins is spoken to from addresses that its file names.
+            // A site that joins is not a member yet: it accepts connections from the addresses in
+            // its configuration file.
             configured.extend(configured_addresses.values().flatten().copied());
         }
         configured.extend(peer_addresses.values().flatten().copied());
@@ -133,10 +136,11 @@
         }
     }
 
-    /// Time has passed for the voice.
+    /// Advances the time of the federation member.
     pub(super) fn tick_federation_member(&mut self) {
         let now = self.now();
-        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage) else {
+        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage)
+        else {
             return;
         };
         for (site, link) in &self.sites.outgoing {
@@ -156,7 +160,7 @@
         self.report_federation_state(true);
     }
 
-    /// Tells the leader how the federation stands: at each change, and as time passes.
+    /// Gives the leader duties the state of the federation, at each change and at each tick.
     pub(super) fn report_federation_state(&mut self, tick: bool) {
         let now = self.now();
         let (Some(member), Some(duties), Stage::InGroup(group)) =
@@ -175,7 +179,7 @@
         self.apply_effects(out);
     }
 
-    /// Does what the voice wants.
+    /// Carries out the effects of the federation member.
     pub(super) fn apply_member_effects(&mut self, out: Vec<MemberEffect>) {
         let now = self.now();
         for what in out {
@@ -186,7 +190,7 @@
                     };
                     if let Err(e) = group.propose(&command) {
                         log::debug!(
-                            "keeper {}: a voice's piece is not proposed: {e}",
+                            "keeper {}: proposal of the federation member rejected: {e}",
                             group.id()
                         );
                         self.federation_member
@@ -215,6 +219,7 @@
         }
     }
 
+    /// Queues a message for another site. Returns whether it was queued.
     fn send_site_message(&mut self, site: u64, message: MemberMessage) -> bool {
         let Some(connection) = self
             .sites
@@ -227,14 +232,17 @@
         match framing::encode(&SiteMessage::Member(message), MAX_SITE_FRAME_BYTES) {
             Ok(bytes) => connection.queue.try_send(bytes).is_ok(),
             Err(e) => {
-                log::error!("keeper {}: a word to site {site}: {e}", self.config.replica);
+                log::error!(
+                    "keeper {}: cannot encode a message to site {site}: {e}",
+                    self.config.replica
+                );
                 false
             }
         }
     }
 
-    /// Asks a site that is to join for its incarnation, at each of its keepers until one speaks for
-    /// it.
+    /// Requests the incarnation of a site that is to be added, from each of its replicas in turn
+    /// until one answers that leads it.
     fn request_site_incarnation(&mut self, site: u64, addresses: Vec<SocketAddr>) {
         let (Some(settings), Some(member), Stage::InGroup(group)) =
             (&self.config.federation, &self.federation_member, &self.stage)
@@ -286,7 +294,7 @@
         self.executor.spawn(request).detach();
     }
 
-    /// A person's order on the roster.
+    /// Submits an operator's request to add or remove a site.
     pub(super) fn submit_roster_order(
         &mut self,
         connection: ConnectionId,
@@ -299,7 +307,7 @@
         self.apply_member_effects(out);
     }
 
-    /// Something came in of another site.
+    /// Handles an event that concerns another site.
     pub(super) fn on_site_event(&mut self, event: SiteEvent) {
         let now = self.now();
         let mut out = Vec::new();
@@ -316,7 +324,7 @@
                     self.conflicts.remove(&(site, Conflict::SiteIncomingRejected));
                     self.sites.incoming.insert(site, (term, connection_guard));
                     self.sites.terms.insert(site, (incarnation, term));
-                    // What it was spoken to by is one that speaks for it no more.
+                    // An outgoing connection to the site's member of an earlier term is closed.
                     let older = |link: &OutgoingLink| {
                         link.state.connection.up.get() && link.state.term.get() < term
                     };
@@ -371,7 +379,7 @@
         self.report_federation_state(false);
     }
 
-    /// A site that knows this one answered, as the site of this number.
+    /// Handles the answer of a site that admitted this one, and that has this number.
     fn on_site_response(
         &mut self,
         site: u64,
@@ -381,7 +389,8 @@
         out: &mut Vec<MemberEffect>,
     ) {
         let now = self.now();
-        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage) else {
+        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage)
+        else {
             return;
         };
         let seen = self.sites.terms.get(&site).copied();
@@ -395,7 +404,7 @@
         };
         if let Some(link) = self.sites.outgoing.get(&site) {
             if admission != MemberAdmission::Admitted {
-                // Nothing is said to it.
+                // No message may be sent to it.
                 link.state.connection.up.set(false);
             } else if link.state.connection.last_logged.take().is_some() {
                 log::info!(
@@ -417,6 +426,7 @@
         }
     }
 
+    /// Admits or rejects a site that connected, and returns the answer to it.
     fn on_site_connected(
         &mut self,
         site: u64,
@@ -429,7 +439,8 @@
             .leader()
             .and_then(|replica| self.address_of(replica))
             .map(|at| at.to_string());
-        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage) else {
+        let (Some(member), Stage::InGroup(group)) = (&mut self.federation_member, &self.stage)
+        else {
             return SiteMessage::NotLeader(leader);
         };
         let (number, own) = (
@@ -461,6 +472,7 @@
         }
     }
 
+    /// Records a conflict with another site, and logs it if it is new.
     fn note_site_conflict(&mut self, site: u64, how: Conflict, reason: &str) {
         if self.is_new_conflict(site, how, reason) {
             let name = self
@@ -475,17 +487,19 @@
                 .unwrap_or_default();
             match how {
                 Conflict::SiteIncomingRejected => {
-                    log::error!("{log_prefix}: refuses site {name}: {reason}")
+                    log::error!("{log_prefix}: rejects site {name}: {reason}")
                 }
                 Conflict::SiteResponderRejected => {
-                    log::error!("{log_prefix}: refuses what answers as site {name}: {reason}")
+                    log::error!(
+                        "{log_prefix}: rejects the process that answers as site {name}: {reason}"
+                    )
                 }
-                _ => log::warn!("{log_prefix}: site {name} does not hear this one: {reason}"),
+                _ => log::warn!("{log_prefix}: site {name} rejects this one: {reason}"),
             }
         }
     }
 
-    /// What keeps sites from taking part, as this keeper knows it.
+    /// Returns what keeps other sites from taking part, as far as this replica knows.
     pub(super) fn site_faults(&self) -> Vec<(u64, String)> {
         let Some(member) = &self.federation_member else {
             return Vec::new();
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -1,4 +1,4 @@
-//! Starts a replica: its state folder, its listener, its tasks; and ends it when it is told to.
+//! Starts a replica with its state folder, listener and tasks, and shuts it down on a signal.
 
 use crate::coordination::bootstrap::Bootstrap;
 use crate::coordination::config::Config;
@@ -24,17 +24,16 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Most connections at once, where the system allows so many descriptors.
+/// Largest number of open connections, if the system allows that many descriptors.
 const MAX_CONNECTIONS: u64 = 4096;
-/// Descriptors that are none of connections: files, peers, signals.
+/// Descriptors reserved for other uses than accepted connections: files, peers, signals.
 const RESERVED_DESCRIPTORS: u64 = 64;
-/// Words that wait to be decided upon; whoever brings more waits.
+/// Number of events queued for the task that owns the state; a task that sends more has to wait.
 const EVENT_QUEUE_LENGTH: usize = 1024;
-/// Connections that wait to be accepted: as many agents may come at once.
+/// Number of connections that may wait to be accepted, as many agents may connect at once.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// Runs a keeper until it is told to end. All that keeps it from starting, or from going on, is
-/// told.
+/// Runs a replica until a signal ends it. Returns an error if it cannot start or continue.
 pub fn run(config: Config) -> Result<(), String> {
     let shutdown_signals = block_shutdown_signals().map_err(|e| format!("signals: {e}"))?;
     let folder = config.folder.display().to_string();
@@ -85,8 +84,8 @@
     BlockedSignals::new(&ENDING_SIGNALS)?.receiver(&ENDING_SIGNALS)
 }
 
-/// How many connections may be open: as many descriptors as the system gives when it is asked for
-/// more.
+/// Raises the descriptor limit of the process as far as needed and allowed, and returns the number
+/// of connections that may be open.
 fn connection_limit() -> u64 {
     let limit = getrlimit(Resource::Nofile);
     let wanted = limit
@@ -109,7 +108,7 @@
         .min(MAX_CONNECTIONS)
 }
 
-/// Listens where the file says.
+/// Listens at the address in the configuration file.
 fn listen(config: &Config) -> Result<Async<TcpListener>, String> {
     let listener = Async::<TcpListener>::bind(config.listen)
         .map_err(|e| format!("listen: {}: {e}", config.listen))?;
@@ -126,6 +125,7 @@
     Ok(listener)
 }
 
+/// Runs the tasks of a replica until a signal or a fatal error ends it.
 async fn serve(
     config: Config,
     log_store: RaftLogStore,
@@ -175,7 +175,7 @@
 }
 
 impl Replica {
-    /// Begins from what the folder has; nothing is connected yet.
+    /// Creates a replica from the checkpoint in its folder, without connections.
     fn new(
         config: Config,
         log_store: RaftLogStore,
@@ -233,7 +233,8 @@
         })
     }
 
-    /// Whether the folder is of the site that the file names in its federation.
+    /// Checks that the folder belongs to the site that the configuration file names in its
+    /// federation.
     fn check_federation(&self) -> Result<(), String> {
         let Stage::InGroup(group) = &self.stage else {
             return Ok(());
@@ -248,7 +249,7 @@
             }
             None => {
                 log::warn!(
-                    "{}: the record is of a federation, {:?}, and the file names none",
+                    "{}: the record belongs to federation {:?}, but the file names none",
                     self.log_prefix(),
                     base.identity.site
                 );
--- a/src/coordination/replica/tests.rs
+++ b/src/coordination/replica/tests.rs
@@ -8,7 +8,7 @@
 use serde_bytes::ByteBuf;
 use std::fmt::Debug;
 
-/// A frame has these bytes, written out here and not computed, and they are read as the same.
+/// Asserts that a message is encoded as these literal bytes, and that they decode to it.
 fn assert_frame<T>(message: T, max_bytes: usize, hex: &str)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
--- a/src/coordination/replica/transport.rs
+++ b/src/coordination/replica/transport.rs
@@ -1,5 +1,5 @@
-//! What connections to other replicas and to other sites have in common: limits of time, signs of
-//! life, attempts to connect.
+//! Parts that connections to other replicas and to other sites share: timeouts, heartbeats and the
+//! delay between attempts to connect.
 
 use crate::coordination::framing::{self, FrameError};
 use crate::coordination::replica::{Context, Event, CONFLICT_RETENTION};
@@ -15,35 +15,44 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// To say who one is, and to connect.
+/// Time limit to connect and to exchange the first messages.
 pub(super) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// One that does not take a word for so long is ended.
+/// Time limit to write one message; a connection that exceeds it is closed.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Between two signs of life to a keeper that sends.
+/// Interval of heartbeats on a connection, from the receiver of its messages to the sender.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// One that gives no sign of life for so long, five intervals, is left.
+/// Time without a heartbeat after which the sender closes the connection: five intervals.
 pub(super) const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Between two attempts to reach a keeper; the real time is drawn from there to twice as long.
+/// Shortest delay between two attempts to connect; the actual delay is random, up to twice as long.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What is known of the connection to another keeper.
+/// State of the connection to another replica.
 #[derive(Default)]
 pub(super) struct LinkState {
+    /// Whether messages may be sent over the connection.
     pub(super) up: Cell<bool>,
-    /// Why there is none.
+    /// Reason why there is no connection, empty if unknown.
     pub(super) reason: RefCell<String>,
-    /// When that was last told, and what.
+    /// Time and text of the last log line about it.
     pub(super) last_logged: RefCell<Option<(Instant, String)>>,
 }
 
 impl LinkState {
-    /// The connection has ended, and why if it broke: told once, and again where that is `new`.
-    pub(super) fn on_disconnected(&self, log_prefix: &str, ended: Result<(), FrameError>, new: bool) {
+    /// Records that the connection has ended, and the reason if it failed. The reason is logged
+    /// once, again if it differs from one logged more than `CONFLICT_RETENTION` ago, and always if
+    /// `new` is set.
+    pub(super) fn on_disconnected(
+        &self,
+        log_prefix: &str,
+        ended: Result<(), FrameError>,
+        new: bool,
+    ) {
         let reason = ended.err().map(|e| e.to_string());
         *self.reason.borrow_mut() = reason.clone().unwrap_or_default();
         let Some(reason) = reason else { return };
-        let known =
-            |(at, before): &(Instant, String)| *before == reason || at.elapsed() < CONFLICT_RETENTION;
+        let known = |(at, before): &(Instant, String)| {
+            *before == reason || at.elapsed() < CONFLICT_RETENTION
+        };
         let mut last_logged = self.last_logged.borrow_mut();
         if new || !last_logged.as_ref().is_some_and(known) {
             log::info!("{log_prefix}: is not reached: {reason}");
@@ -52,7 +61,7 @@
     }
 }
 
-/// Work that has to be done in time.
+/// Runs work with a time limit; exceeding it is an I/O error of kind `TimedOut`.
 pub(super) async fn with_timeout<T>(
     wheel: &Rc<TimerWheel>,
     limit: Duration,
@@ -65,8 +74,8 @@
         .unwrap_or_else(|| Err(timed_out()))
 }
 
-/// Brings in what another one says, and tells it that this one lives, until the connection breaks
-/// or another one takes its place.
+/// Receives messages as events and sends heartbeats, until the connection fails or is replaced by
+/// a newer one.
 pub(super) async fn receive_messages<T: Serialize + DeserializeOwned>(
     context: &Context,
     stream: Async<TcpStream>,
@@ -99,8 +108,8 @@
     reading.or(heartbeats).or(superseded).await
 }
 
-/// Sends what is to be said, for as long as there are signs of life and the other one is who it
-/// should be; tells of each of those signs.
+/// Sends queued messages while heartbeats arrive and `up` stays set. Calls `on_heartbeat` for each
+/// heartbeat.
 pub(super) async fn send_messages<T: DeserializeOwned>(
     context: &Context,
     stream: Async<TcpStream>,
@@ -136,7 +145,7 @@
     writing.or(listening).await
 }
 
-/// When another attempt is made to reach somebody.
+/// Returns the random delay before the next attempt to connect.
 pub(super) fn retry_delay() -> Duration {
     RETRY_DELAY + Duration::from_millis(fastrand::u64(0..=RETRY_DELAY.as_millis() as u64))
 }
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -1127,7 +1127,7 @@
     way.aim(foreign.at.parse().expect("an address"));
     way.set(Cut::default());
     trouble(led, third, "of another group");
-    led.says(&format!("refuses what answers as keeper {third}"));
+    led.says(&format!("rejects the process that answers as keeper {third}"));
     // Then one of another site; then the third again.
     drop(foreign);
     std::fs::remove_dir_all(other.state(third)).expect("removed");
