--- a/src/coordination/replica/accept.rs
+++ b/src/coordination/replica/accept.rs
@@ -200,6 +200,9 @@
         Ok(())
     };
     let ended = writing.or(reading).await;
-    let _ = context.inbox.send(Event::ConnectionClosed(connection)).await;
+    let _ = context
+        .inbox
+        .send(Event::ConnectionClosed(connection))
+        .await;
     ended
 }
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -207,8 +207,7 @@
                 effects.members_changed = true;
                 self.removed = group.state().removed.contains(&group.id());
                 let is_member = group.state().members.contains_key(&replica);
-                if let Some(change) = self.membership_change.as_mut().filter(|c| c.1 == replica)
-                {
+                if let Some(change) = self.membership_change.as_mut().filter(|c| c.1 == replica) {
                     change.2 = Some(index).filter(|_| is_member);
                     if !is_member {
                         effects
@@ -247,12 +246,21 @@
         let command_text = format!("{command:?}");
         let kind = command_text.split([' ', '(', '{']).next().unwrap_or_default();
         let checksum = crc32fast::hash(command_text.as_bytes());
-        log::debug!("{}: applied {index} {kind} {checksum:08x}", self.log_prefix());
+        log::debug!(
+            "{}: applied {index} {kind} {checksum:08x}",
+            self.log_prefix()
+        );
         if let Some(member) = &mut self.federation_member {
             member.on_applied(now, command, group.record(), &mut effects.member_effects);
         }
         if let Some(duties) = &mut self.duties {
-            duties.on_applied(now, index, command, group.record(), &mut effects.leader_effects);
+            duties.on_applied(
+                now,
+                index,
+                command,
+                group.record(),
+                &mut effects.leader_effects,
+            );
         }
     }
 
--- a/src/coordination/replica/peers.rs
+++ b/src/coordination/replica/peers.rs
@@ -219,7 +219,10 @@
             (Ok(bytes), Some(connection)) => connection.queue.try_send(bytes).is_ok(),
             (Ok(_), None) => false,
             (Err(e), _) => {
-                log::error!("keeper {}: cannot encode a message to keeper {to}: {e}", group.id());
+                log::error!(
+                    "keeper {}: cannot encode a message to keeper {to}: {e}",
+                    group.id()
+                );
                 false
             }
         };
--- a/src/coordination/replica/receive.rs
+++ b/src/coordination/replica/receive.rs
@@ -16,7 +16,9 @@
                 answer,
                 connection_guard,
             } => {
-                return self.on_peer_connected(replica, incarnation, answer, connection_guard).await;
+                return self
+                    .on_peer_connected(replica, incarnation, answer, connection_guard)
+                    .await;
             }
             Event::PeerResponded {
                 replica,
@@ -84,7 +86,8 @@
                 PeerMessage::Rejected(reason)
             }
             _ => {
-                self.conflicts.remove(&(replica, Conflict::IncomingRejected));
+                self.conflicts
+                    .remove(&(replica, Conflict::IncomingRejected));
                 self.incoming.insert(replica, connection_guard);
                 PeerMessage::Admitted {
                     incarnation: self.context.incarnation,
--- a/src/coordination/replica/requests.rs
+++ b/src/coordination/replica/requests.rs
@@ -28,11 +28,9 @@
                 Effect::Reply(connection, message) => self.respond(connection, message),
                 Effect::ProposeToFederation(command) => {
                     let (now, mut member_effects) = (self.now(), Vec::new());
-                    self.federation_member
-                        .iter_mut()
-                        .for_each(|member| {
-                            member.submit(now, command.clone(), &mut member_effects)
-                        });
+                    self.federation_member.iter_mut().for_each(|member| {
+                        member.submit(now, command.clone(), &mut member_effects)
+                    });
                     self.apply_member_effects(member_effects);
                 }
             }
@@ -48,7 +46,10 @@
         let sent = sent.and_then(|bytes| queue.try_send(bytes).map_err(|e| e.to_string()));
         if let Err(e) = sent {
             // The connection task ends once the sender of its queue is dropped.
-            log::debug!("{}: connection {connection} is dropped: {e}", self.log_prefix());
+            log::debug!(
+                "{}: connection {connection} is dropped: {e}",
+                self.log_prefix()
+            );
             self.connections.remove(&connection);
         }
     }
@@ -119,9 +120,7 @@
                     OperatorRequest::AddReplica {
                         keeper: replica,
                         at,
-                    } => {
-                        return self.request_replica_incarnation(connection, replica, at)
-                    }
+                    } => return self.request_replica_incarnation(connection, replica, at),
                     OperatorRequest::RemoveReplica { keeper: replica } => {
                         match group.remove_member(replica) {
                             Ok(()) => self.membership_change = Some((connection, replica, None)),
--- a/src/coordination/replica/sites.rs
+++ b/src/coordination/replica/sites.rs
@@ -301,7 +301,9 @@
         order: &FederationRequest,
     ) {
         let now = self.now();
-        let Some(member) = &mut self.federation_member else { return };
+        let Some(member) = &mut self.federation_member else {
+            return;
+        };
         let mut out = Vec::new();
         member.submit_roster_order(now, connection, order, &mut out);
         self.apply_member_effects(out);
@@ -321,7 +323,8 @@
             } => {
                 let response = self.on_site_connected(site, incarnation, term, &mut out);
                 if matches!(response, SiteMessage::Admitted { .. }) {
-                    self.conflicts.remove(&(site, Conflict::SiteIncomingRejected));
+                    self.conflicts
+                        .remove(&(site, Conflict::SiteIncomingRejected));
                     self.sites.incoming.insert(site, (term, connection_guard));
                     self.sites.terms.insert(site, (incarnation, term));
                     // An outgoing connection to the site's member of an earlier term is closed.
@@ -420,7 +423,8 @@
             MemberAdmission::NotYet => {}
             MemberAdmission::Admitted => {
                 self.sites.terms.insert(site, (incarnation, term));
-                self.conflicts.remove(&(site, Conflict::SiteResponderRejected));
+                self.conflicts
+                    .remove(&(site, Conflict::SiteResponderRejected));
                 self.conflicts.remove(&(site, Conflict::RejectedBySite));
             }
         }
@@ -443,10 +447,7 @@
         else {
             return SiteMessage::NotLeader(leader);
         };
-        let (number, own) = (
-            member.view().own_site,
-            member.incarnation(group.record()),
-        );
+        let (number, own) = (member.view().own_site, member.incarnation(group.record()));
         let Some(own) = own.filter(|_| group.holds_leader_lease()) else {
             return SiteMessage::NotLeader(leader);
         };
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -1,6 +1,6 @@
-//! Tests of replicas: the group in a simulated network that loses, duplicates and reorders messages,
-//! with crashes that lose unfinished writes; the log with a fault at each operation of its disk; and
-//! real processes.
+//! Tests of replicas: the group in a simulated network that loses, duplicates and reorders
+//! messages, with crashes that lose unfinished writes; the log with a fault at each operation of
+//! its disk; and real processes.
 //!
 //! Failures of the first two kinds print their seed and are reproducible. `KEEPER_SEEDS=n` runs n
 //! seeds instead of the few of a usual run.
@@ -267,7 +267,11 @@
             };
             for _ in 0..copies {
                 self.sent_count += 1;
-                let delay = 1 + if self.faults_enabled { self.rng.u64(..4) } else { 0 };
+                let delay = 1 + if self.faults_enabled {
+                    self.rng.u64(..4)
+                } else {
+                    0
+                };
                 self.in_flight.insert(
                     (self.now + delay, self.sent_count),
                     (id, message.to, bytes.clone()),
@@ -429,7 +433,10 @@
                 |g| g.add_member(new, &member),
                 |state| state.members.contains_key(&new),
             );
-            net.reconfigure(|g| g.remove_member(old), |state| state.removed.contains(&old));
+            net.reconfigure(
+                |g| g.remove_member(old),
+                |state| state.removed.contains(&old),
+            );
             net.nodes.remove(&old);
         }
         net.settle();
@@ -438,7 +445,8 @@
         assert_eq!(voters, BTreeSet::from([4, 5, 6]), "seed {seed}");
         assert_eq!(group.may_add(1), Err(ProposeError::NumberUsed));
         assert_eq!(group.state().members[&4].at, "127.0.0.1:4");
-        // Another folder under a known number is rejected, and so is a removed or an unknown number.
+        // Another folder under a known number is rejected, and so is a removed or an unknown
+        // number.
         assert_eq!(admit(group.state(), 5, 105), PeerAdmission::Known);
         for (replica, incarnation) in [(5, 7), (1, 101), (9, 109)] {
             assert!(
@@ -473,7 +481,7 @@
         message.set_msg_type(MessageType::MsgHeartbeat);
         group
             .step(2, &message.write_to_bytes().expect("bytes"))
-            .expect("heard");
+            .expect("a valid message");
         group
             .process_ready(&mut Vec::new())
             .map(drop)
@@ -671,7 +679,10 @@
                 Err(SaveError::Retryable(_)) if !disk.is_killed() && step < 59 => continue,
                 Err(_) => break,
             }
-            assert!(disk.total_bytes() <= DISK_BYTES, "{context}: over the limit");
+            assert!(
+                disk.total_bytes() <= DISK_BYTES,
+                "{context}: over the limit"
+            );
             item = history.next(log_store.wants_checkpoint());
         }
     }
@@ -689,14 +700,19 @@
                 saved
                     .as_ref()
                     .map(|b| (b.hard_state, b.index, b.entries.len())),
-                (attempted.hard_state, attempted.index, attempted.entries.len()),
+                (
+                    attempted.hard_state,
+                    attempted.index,
+                    attempted.entries.len()
+                ),
                 stored
                     .as_ref()
                     .map(|b| (b.hard_state, b.index, b.entries.len()))
             ),
         }
         let stored = stored.expect("some");
-        log_store.save(&LogItem::Checkpoint(Box::new(stored.clone())))
+        log_store
+            .save(&LogItem::Checkpoint(Box::new(stored.clone())))
             .expect("room");
         saved = Some(stored);
         image = disk.after_power_cut(|| false);
@@ -756,7 +772,10 @@
 
 #[test]
 fn failed_operation_is_retried_or_ends_the_replica() {
-    run_fault_campaign(&[Fault::Io, Fault::NoSpace, Fault::Short], image_after_power_cut);
+    run_fault_campaign(
+        &[Fault::Io, Fault::NoSpace, Fault::Short],
+        image_after_power_cut,
+    );
 }
 
 #[test]
@@ -764,7 +783,8 @@
     let disk = FaultyDisk::new();
     let (mut log_store, _) = open(&disk);
     let mut history = LogHistory::new(3);
-    log_store.save(&LogItem::Checkpoint(Box::new(history.expected.clone())))
+    log_store
+        .save(&LogItem::Checkpoint(Box::new(history.expected.clone())))
         .expect("room");
     disk.set_quota(Some(disk.total_bytes()));
     // Saves of the usual size succeed, since obsolete items make room.
@@ -810,7 +830,8 @@
     let disk = FaultyDisk::new();
     let (mut log_store, _) = open(&disk);
     let mut history = LogHistory::new(9);
-    log_store.save(&LogItem::Checkpoint(Box::new(history.expected.clone())))
+    log_store
+        .save(&LogItem::Checkpoint(Box::new(history.expected.clone())))
         .expect("room");
     for _ in 0..6 {
         let item = history.next(false);
@@ -910,7 +931,8 @@
     let (log_sender, log_lines) = channel();
     let reader = BufReader::new(child.stderr.take().expect("piped"));
     std::thread::spawn(move || {
-        reader.lines()
+        reader
+            .lines()
             .map_while(Result::ok)
             .try_for_each(|line| log_sender.send(line))
     });
@@ -1100,20 +1122,27 @@
     // A replica loses its folder: when it starts again it is rejected, and it does not begin a
     // group although its file says so.
     let lost_replica = leader(replicas.values().chain([&fourth])).status().replica;
-    let lost_replica = if lost_replica == 4 { names[0] } else { lost_replica };
+    let lost_replica = if lost_replica == 4 {
+        names[0]
+    } else {
+        lost_replica
+    };
     drop(replicas.remove(&lost_replica));
     std::fs::remove_dir_all(site.state_folder(lost_replica)).expect("removed");
     let lost_replica = site.start(lost_replica);
     let (_, other) = replicas.first_key_value().expect("one of the first is left");
     other.wait_for_log("may not vote");
-    assert!(lost_replica.status().voters.is_empty(), "a replica without its folder takes part");
+    assert!(
+        lost_replica.status().voters.is_empty(),
+        "a replica without its folder takes part"
+    );
     let status = leader(replicas.values().chain([&fourth])).status();
     assert_eq!(status.voters, voters, "the voters have changed");
 
     // The replicas end on a signal.
     for replica in replicas.values_mut() {
         let pid = rustix::process::Pid::from_child(&replica.child);
-        rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("told");
+        rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("signal sent");
         assert!(replica.child.wait().expect("ended").success());
     }
 }
@@ -1155,7 +1184,9 @@
     relay.aim(foreign_replica.address.parse().expect("an address"));
     relay.set(RelayFault::default());
     wait_for_fault(current_leader, third, "of another group");
-    current_leader.wait_for_log(&format!("rejects the process that answers as keeper {third}"));
+    current_leader.wait_for_log(&format!(
+        "rejects the process that answers as keeper {third}"
+    ));
     // Then a replica of another site answers there, and then the third replica again.
     drop(foreign_replica);
     std::fs::remove_dir_all(other.state_folder(third)).expect("removed");
@@ -1166,7 +1197,12 @@
     let foreign_replica = other.start(third);
     relay.aim(foreign_replica.address.parse().expect("an address"));
     wait_for_fault(current_leader, third, "a keeper of site \"south\"");
-    relay.aim(replicas[third as usize - 1].address.parse().expect("an address"));
+    relay.aim(
+        replicas[third as usize - 1]
+            .address
+            .parse()
+            .expect("an address"),
+    );
     current_leader.wait_for_status(|s| s.faults.is_empty());
     current_leader.wait_for_log(": is reached");
 }
@@ -1194,7 +1230,10 @@
     for connection in &mut connections {
         let response: ReplicaToAgent =
             framing::read_blocking(connection, MAX_FRAME_BYTES).expect("an answer");
-        assert!(!matches!(response, ReplicaToAgent::NotLeader(_)), "{response:?}");
+        assert!(
+            !matches!(response, ReplicaToAgent::NotLeader(_)),
+            "{response:?}"
+        );
     }
     eprintln!("300 agents in {} ms", started.elapsed().as_millis());
     // Each of these inputs closes its own connection.
@@ -1320,8 +1359,7 @@
 /// Returns the middle one of three runs, by the 99th percentile of its first series.
 fn middle_run(name: &str, run: impl Fn() -> Vec<[f64; 3]>) -> Vec<[f64; 3]> {
     let mut runs: Vec<_> = (0..3).map(|_| run()).collect();
-    runs
-        .iter()
+    runs.iter()
         .for_each(|p| eprintln!("{name}: [median, p99, most] in ms {p:.1?}"));
     runs.sort_by(|a, b| a[0][1].total_cmp(&b[0][1]));
     runs.swap_remove(1)
@@ -1336,7 +1374,8 @@
         let (mut sessions, mut writes) = (Vec::new(), Vec::new());
         for n in 0..1_000 {
             let started = Instant::now();
-            plain_file.write_all(&[n as u8; 200])
+            plain_file
+                .write_all(&[n as u8; 200])
                 .and_then(|()| plain_file.sync_data())
                 .expect("written");
             writes.push(started.elapsed());
