--- a/src/coordination/routing_table/durable_vote.rs
+++ b/src/coordination/routing_table/durable_vote.rs
@@ -1,38 +1,40 @@
-//! What a site's federation member has persisted, as it stands in the site's own record.
+//! The persisted raft state of a site's federation member, kept in the site's own record.
 //!
-//! It owns the fence between members of successive site leaders and the raft state of the last
-//! one. `coordination::record` applies the commands; [`member`](super::member) proposes them and
-//! resumes from what stands here.
+//! This module owns the fence between the members of successive site leaders, and the raft state of
+//! the last one. `coordination::record` applies the commands; [`member`](super::member) proposes
+//! them and resumes from this state.
 //!
-//! Two replicas may both take themselves for the site's leader for a while. The first command of
-//! each is a fence that names its term at the site ([`DurableVote::fence`]); nothing of an earlier
-//! term is appended after it. Invariant: the site votes once in a raft term, and has whatever it
-//! has acknowledged, whichever replica leads it next.
+//! Two replicas may both consider themselves the site's leader for a while. The first command of
+//! each is a fence that names its term at the site ([`DurableVote::fence`]); after it, nothing of
+//! an earlier term is appended. Invariant: the site votes once in a raft term, and whichever
+//! replica leads it next has all that the site acknowledged.
 
 use crate::coordination::raft_log::{Batch, Checkpoint, LogEntry, LogItem};
 use crate::coordination::replicated_state::MAX_COMMAND_BYTES;
 use serde::{Deserialize, Serialize};
 
-/// Entries behind the base after which another base is due, in bytes: as much again as two tables.
+/// Total size of the entries after the base at which a new base is due, in bytes: as much as two
+/// tables.
 const COMPACT_AFTER_BYTES: usize = 32 * 1024;
-/// The same as a number of entries: four minutes of heartbeats.
+/// Number of entries after the base at which a new base is due: four minutes of heartbeats.
 const COMPACT_AFTER_ENTRIES: usize = 256;
-/// Longest piece that fits in a command of the site's log with what surrounds it, in bytes.
+/// Longest item that fits in a command of the site's log together with the data around it, in
+/// bytes.
 pub const MAX_ITEM_BYTES: usize = MAX_COMMAND_BYTES - 1024;
 
 /// The persisted raft state of a site's member, and the term of the site leader that writes it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurableVote {
-    /// Term of the site leader whose member may write: the fence.
+    /// Fence: the term of the site leader whose member may write.
     pub term: u64,
-    /// Number of its last piece that was appended.
+    /// Number of the last item that was appended in this term.
     pub number: u64,
-    /// All that was persisted: the base with the batches behind it.
+    /// The persisted state: the base with the batches after it.
     pub base: Option<Box<Checkpoint>>,
 }
 
 impl DurableVote {
-    /// Lets only the member of this site term write from now on, unless a later one already does.
+    /// Lets only the member of this site term write, unless a later term already does.
     pub fn fence(&mut self, term: u64) {
         if term > self.term {
             self.term = term;
@@ -40,10 +42,9 @@
         }
     }
 
-    /// Appends a piece; pieces of each term are numbered from 1.
+    /// Appends an item; the items of each term are numbered from 1.
     ///
-    /// Void are pieces of other terms, repeated ones, and those that do not follow what stands
-    /// here.
+    /// Items of other terms, repeated items, and items that do not follow the last one are void.
     pub fn put(&mut self, term: u64, number: u64, piece: &LogItem) {
         if term != self.term || number != self.number + 1 {
             return;
@@ -55,8 +56,9 @@
         }
     }
 
-    /// Replaces the base. Another identity has to begin with an empty one; it gives up the earlier
-    /// identity's vote for good, as that cannot come back: it would be drawn anew.
+    /// Replaces the base. The base of another identity has to be an empty one. It discards the
+    /// earlier identity's vote for good, which is safe because that identity cannot return: an
+    /// identity is drawn anew.
     fn replace_base(&mut self, base: &Checkpoint) {
         if let Some(before) = &self.base {
             let is_same_identity = before.identity == base.identity;
@@ -81,7 +83,7 @@
         base.entries = all.entries;
     }
 
-    /// Whether another base should be written.
+    /// Returns whether a new base is due.
     pub fn wants_base(&self) -> bool {
         let Some(base) = &self.base else {
             return false;
--- a/src/coordination/routing_table/federation.rs
+++ b/src/coordination/routing_table/federation.rs
@@ -1,15 +1,16 @@
 //! The replicated state of a federation: its roster of sites and its routing tables. Each site
-//! applies the same commands in the same order and comes to the same record.
+//! applies the same commands in the same order and so arrives at the same record.
 //!
-//! It owns how commands apply and which are void; it proposes none itself. The raft group of the
-//! sites' members ([`member`](super::member)) applies them, and [`cutover`](super::cutover) and
-//! operators' orders propose them.
+//! This module owns how commands apply and which are void; it proposes none itself. The raft group
+//! of the sites' members ([`member`](super::member)) applies them; [`cutover`](super::cutover) and
+//! operators' requests propose them.
 //!
-//! Invariant: a table is decided when the last site of the roster has accepted it, by the command
-//! that says so and by nothing else. No proposal is taken before all sites go by the table that was
-//! decided last: so at no time more than two are in use, and those follow each other.
+//! Invariant: a table is decided by the accept command of the last site on the roster and by
+//! nothing else. No proposal is opened before all sites use the table that was decided last. So at
+//! most two tables are in use at any time, and they are consecutive.
 //!
-//! Like a site's record it reads no clock and has one of its own, which the leading site moves on.
+//! Like a site's record, this state reads no clock. It has a clock of its own, which the leading
+//! site advances.
 
 use crate::coordination::messages::Digest;
 use crate::coordination::replicated_state::{ReplicatedState, SizeLimits, MAX_COMMAND_BYTES};
@@ -17,98 +18,102 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Sites, at the most: each accepts by a command of its own, and five are played in one room.
+/// Largest number of sites on the roster. Each accepts a table by a command of its own; the tests
+/// run up to five on one machine.
 pub const MAX_SITES: usize = 50;
-/// Proposals that are over and still listed.
+/// Largest number of ended proposals in the record.
 pub const MAX_PAST_PROPOSALS: usize = 50;
-/// Numbers of removed sites that are listed one by one; all up to the highest that is forgotten
-/// count as used.
+/// Largest number of removed site numbers that are listed one by one. When the lowest is dropped
+/// from the list, all numbers up to it count as used.
 pub const MAX_REMOVED_SITES: usize = 1_000;
-/// Longest text of a table, in bytes: 200 routes of some 80 bytes. Three of them and what stands
-/// round them fit in one log entry.
+/// Longest text of a table, in bytes: 200 routes of about 80 bytes. Three such texts and the data
+/// around them fit in one log entry.
 pub const MAX_TEXT_BYTES: usize = 16 * 1024;
-/// The leading site grants leases for this time after a committed heartbeat, in milliseconds: two
-/// heartbeats and a slow line.
+/// Time after a committed heartbeat during which the leading site grants leases, in milliseconds:
+/// two heartbeats and the delay of a slow network.
 pub const LEASE_GRANT_WINDOW_MS: u32 = 3_000;
-/// Longest reason for the end of a proposal that is kept, in bytes.
+/// Longest stored reason for the end of a proposal, in bytes.
 const MAX_REASON_BYTES: usize = 1_000;
-/// All reasons that are kept, in bytes: with three tables the record still fits in one entry of a
-/// site's log.
+/// Total size of the stored reasons, in bytes. With three tables, the record still fits in one
+/// entry of a site's log.
 const MAX_REASONS_BYTES: usize = 8 * 1024;
 
-/// A command of the federation's log. Each may be proposed again: what it says already stands then,
-/// or it is void.
+/// A command of the federation's log. Each may be proposed more than once: the repetition has no
+/// effect or is void.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A heartbeat: the site that leads in this term proposed it, and has counted so much time
-    /// since the last one.
+    /// A heartbeat, proposed by the site that leads in this term. It advances the record's clock by
+    /// the time that the leader measured since its last heartbeat.
     Beat {
-        /// Its raft term.
+        /// Raft term of the leading site.
         term: u64,
-        /// Numbers the heartbeats of a term.
+        /// Number of the heartbeat in its term.
         beat: u64,
-        /// Milliseconds on its clock.
+        /// Time since the last heartbeat on the leader's clock, in milliseconds.
         ms: u32,
     },
-    /// A table is proposed. Void while another one is, or before all sites go by the one in force.
+    /// Proposes a table. Void while another proposal is open, or before all sites use the table
+    /// that was decided last.
     Propose {
-        /// The site where it was.
+        /// Name of the site where the table was proposed.
         by: String,
-        /// Names this proposal among those of the site: submitted again, it is not a second one.
+        /// Identifies this proposal among those of the site, so that a repeated submission is not a
+        /// second proposal.
         key: u64,
-        /// Its text.
+        /// Text of the table.
         text: String,
-        /// Its digest.
+        /// Digest of the table.
         digest: Digest,
-        /// It ends if not all have accepted it after so long, in milliseconds of the record's
-        /// clock.
+        /// Time in which all sites have to accept the table, in milliseconds of the record's clock.
+        /// After it, the proposal ends without a decision.
         within_ms: u64,
     },
-    /// A site has checked it, and its record stores it with all its senders. The last one decides.
+    /// A site accepts the proposed table: it has checked the table, and its record and all its
+    /// senders store it. The last acceptance decides.
     Accept {
-        /// The site, by its number.
+        /// Number of the site.
         site: u64,
-        /// The table.
+        /// Number of the table.
         number: u64,
     },
-    /// A site cannot go by it: the proposal ends without a decision.
+    /// A site refuses the proposed table, which ends the proposal without a decision.
     Refuse {
-        /// The site.
+        /// Number of the site.
         site: u64,
-        /// The table.
+        /// Number of the table.
         number: u64,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// An operator ends the proposal without a decision.
+    /// Ends the proposal without a decision, at an operator's request.
     Abort {
-        /// The table.
+        /// Number of the table.
         number: u64,
-        /// Why.
+        /// The reason.
         why: String,
     },
-    /// A site has cut over: all its senders go by the table that was decided.
+    /// A site has cut over: all its senders use the decided table.
     CutOver {
-        /// The site.
+        /// Number of the site.
         site: u64,
-        /// The table.
+        /// Number of the table.
         number: u64,
     },
-    /// A site stands on the roster, under a number that was never used.
+    /// Adds a site to the roster, under a number that was never used.
     Join {
         /// Its number.
         site: u64,
-        /// Its name.
+        /// Name of the site.
         name: String,
     },
-    /// A site is off the roster. A proposal that runs ends.
+    /// Removes a site from the roster. An open proposal ends.
     Off {
-        /// The site.
+        /// Number of the site.
         site: u64,
     },
-    /// The leading site grants leases of this length from now on.
+    /// Sets the length of the leases that the leading site grants.
     Leases {
-        /// In milliseconds.
+        /// Length of a lease, in milliseconds.
         ms: u32,
     },
 }
@@ -116,25 +121,25 @@
 /// A site on the roster.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Site {
-    /// Its name.
+    /// Name of the site.
     pub name: String,
-    /// The table that it goes by, as it said.
+    /// Number of the table that the site reported as in use.
     pub uses: u64,
 }
 
-/// A table.
+/// A routing table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingTable {
-    /// Its number; 0 is the list alone. Numbers grow, and those that ended nowhere are not used
-    /// again.
+    /// Number of the table; 0 means routing by the endpoint list alone. Numbers grow, and that of a
+    /// proposal that ended without a decision is not used again.
     pub number: u64,
-    /// Its digest.
+    /// Digest of the table.
     pub digest: Digest,
-    /// Its text.
+    /// Text of the table.
     pub text: String,
 }
 
-/// Names a proposal: the site where it was made, and its key among those of that site.
+/// Identifies a proposal: the site where it was made, and its key among the proposals of that site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProposalKey {
     /// Name of the site.
@@ -143,39 +148,39 @@
     pub key: u64,
 }
 
-/// A proposal that runs.
+/// An open proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// What is proposed.
+    /// The proposed table.
     pub table: RoutingTable,
-    /// Where it was proposed.
+    /// Site and key of the proposal.
     pub by: ProposalKey,
-    /// Sites that have accepted it.
+    /// Numbers of the sites that have accepted it.
     pub accepted: BTreeSet<u64>,
-    /// When it was proposed, on the record's clock, in milliseconds.
+    /// Time of the proposal, on the record's clock, in milliseconds.
     pub since_ms: u64,
-    /// When it ends without a decision, on the record's clock, in milliseconds.
+    /// Time at which it ends without a decision, on the record's clock, in milliseconds.
     pub until_ms: u64,
 }
 
-/// A proposal that is over.
+/// An ended proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedProposal {
     /// Its number.
     pub number: u64,
-    /// Its digest.
+    /// Digest of the table.
     pub digest: Digest,
-    /// Where it was proposed.
+    /// Site and key of the proposal.
     pub by: ProposalKey,
-    /// How it ended; [`DECIDED`], or why it ended nowhere.
+    /// Outcome: [`DECIDED`], or the reason for its end without a decision.
     pub end: String,
-    /// When it was proposed, on the record's clock, in milliseconds.
+    /// Time of the proposal, on the record's clock, in milliseconds.
     pub since_ms: u64,
-    /// When it ended, on the record's clock, in milliseconds.
+    /// Time of its end, on the record's clock, in milliseconds.
     pub ended_ms: u64,
 }
 
-/// How one ends that all sites have accepted.
+/// Outcome of a proposal that all sites have accepted.
 pub const DECIDED: &str = "decided";
 
 /// The federation's record.
@@ -183,32 +188,33 @@
 pub struct Federation {
     /// Number of the last command that was applied.
     pub version: u64,
-    /// The record's clock: time that the leading sites counted, in milliseconds.
+    /// The record's clock: the time that the leading sites measured, in milliseconds.
     pub clock_ms: u64,
-    /// The roster, by number.
+    /// The roster, by site number.
     pub sites: BTreeMap<u64, Site>,
-    /// Numbers of sites that were removed from it.
+    /// Numbers of sites that were removed from the roster.
     pub off: BTreeSet<u64>,
-    /// All up to this one count as used.
+    /// All site numbers up to this one count as used.
     pub used: u64,
-    /// Length of leases, in milliseconds; 0 before the first one.
+    /// Length of leases, in milliseconds; 0 before it was first set.
     pub lease_ms: u32,
-    /// Until when leases of an earlier length may run, on the record's clock, in milliseconds.
+    /// Latest end of leases that were granted with an earlier length, on the record's clock, in
+    /// milliseconds.
     pub earlier_ms: u64,
     /// The table that was decided last.
     pub table: RoutingTable,
-    /// The one before it, which sites may still go by.
+    /// The table decided before that one, which sites may still use.
     pub before: RoutingTable,
-    /// The last number that was given.
+    /// Number of the table that was proposed last.
     pub given: u64,
-    /// What is proposed.
+    /// The open proposal.
     pub proposal: Option<Proposal>,
-    /// Proposals that are over, the newest last.
+    /// Ended proposals, the newest last.
     pub past: VecDeque<EndedProposal>,
 }
 
 impl Federation {
-    /// Applies the command that stands at this place of the log.
+    /// Applies the command at this index of the log.
     pub fn apply(&mut self, index: u64, command: &Command) {
         self.version = index;
         match command {
@@ -236,7 +242,7 @@
         }
     }
 
-    /// Moves the clock on; a proposal that is late ends.
+    /// Advances the clock, and ends a proposal whose time has run out.
     fn advance_clock(&mut self, ms: u32) {
         self.clock_ms += u64::from(ms);
         let Some(proposal) = &self.proposal else {
@@ -253,8 +259,8 @@
         self.end_proposal(&why);
     }
 
-    /// Void while another proposal runs, before all sites go by the table in force, and where the
-    /// same proposal was made before.
+    /// Opens a proposal. Void while another one is open, before all sites use the table that was
+    /// decided last, and if the same proposal was made before.
     fn propose(&mut self, by: ProposalKey, text: &str, digest: Digest, within_ms: u64) {
         if self.check_proposal(text).is_err() || self.has_seen(&by) {
             return;
@@ -273,7 +279,7 @@
         });
     }
 
-    /// The last acceptance decides the table.
+    /// Records the acceptance of a site; the last one decides the table.
     fn accept(&mut self, site: u64, number: u64) {
         let Some(proposal) = &mut self.proposal else {
             return;
@@ -299,7 +305,8 @@
         }
     }
 
-    /// No site goes back to an earlier table, and none goes by what is not decided.
+    /// Records that a site uses the decided table. Any other number is void: no site returns to an
+    /// earlier table, and none uses a table that is not decided.
     fn cut_over(&mut self, site: u64, number: u64) {
         if number != self.table.number {
             return;
@@ -309,7 +316,8 @@
         }
     }
 
-    /// A proposal that runs ends: it was accepted by others without the site that joins.
+    /// Adds a site to the roster. An open proposal ends, because others accepted it without the
+    /// site that joins.
     fn join(&mut self, number: u64, name: &str) {
         if self.check_join(number, name).is_err() {
             return;
@@ -338,8 +346,8 @@
         self.lease_ms = ms;
     }
 
-    /// What may be left of any lease that was granted before now, in milliseconds, on the clock of
-    /// whichever site begins to lead now.
+    /// Returns the longest time that any lease granted before now may still run, in milliseconds,
+    /// on the clock of the site that starts to lead now.
     pub fn leases_left_ms(&self) -> u64 {
         let current = if self.lease_ms == 0 {
             0
@@ -352,7 +360,8 @@
     /// Checks that a table may be proposed.
     ///
     /// # Errors
-    /// Another one is proposed, or sites do not go by the one in force, or it is too long.
+    /// The text is too long, another proposal is open, or some sites do not use the table that was
+    /// decided last.
     pub fn check_proposal(&self, text: &str) -> Result<(), ProposalRejected> {
         if text.len() > MAX_TEXT_BYTES {
             return Err(ProposalRejected::TooLong(text.len()));
@@ -377,7 +386,7 @@
     /// Checks that a site may join under a number.
     ///
     /// # Errors
-    /// Its number was used, its name is, or there are as many sites as may be.
+    /// The number was used before, the name is in use, or the roster is full.
     pub fn check_join(&self, number: u64, name: &str) -> Result<(), JoinRejected> {
         let was_used = number <= self.used || self.off.contains(&number);
         if was_used || self.sites.contains_key(&number) {
@@ -392,13 +401,13 @@
         Ok(())
     }
 
-    /// Whether this proposal runs or ran.
+    /// Returns whether this proposal is open or has ended.
     pub fn has_seen(&self, by: &ProposalKey) -> bool {
         let runs = self.proposal.as_ref().is_some_and(|p| p.by == *by);
         runs || self.past.iter().any(|p| p.by == *by)
     }
 
-    /// Sites that have not accepted a proposal.
+    /// Returns the sites that have not accepted a proposal.
     pub fn not_accepted_by<'a>(
         &'a self,
         proposal: &'a Proposal,
@@ -409,7 +418,8 @@
             .map(|(_, site)| site)
     }
 
-    /// The text of a table that is in force, was before, or is proposed.
+    /// Returns the table with this number if it is the last decided one, the one before it, or the
+    /// proposed one.
     pub fn text(&self, number: u64) -> Option<&RoutingTable> {
         let all = [
             Some(&self.table),
@@ -421,7 +431,7 @@
             .find(|t| t.number == number && number > 0)
     }
 
-    /// Ends the proposal of this number, if it runs.
+    /// Ends the proposal of the table with this number, if that is the open one.
     fn end_proposal_of(&mut self, number: u64, why: &str) {
         let running = self.proposal.as_ref().map(|p| p.table.number);
         if running == Some(number) {
@@ -429,7 +439,7 @@
         }
     }
 
-    /// Ends the proposal that runs, if one does.
+    /// Ends the open proposal, if there is one.
     fn end_proposal(&mut self, how: &str) {
         let Some(proposal) = self.proposal.take() else {
             return;
@@ -452,10 +462,10 @@
     }
 }
 
-/// Why a table may not be proposed.
+/// Reason why a table may not be proposed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposalRejected {
-    /// It has so many bytes, which are too many.
+    /// The text has this number of bytes, which is too many.
     #[error("{0} bytes; a table has {max} at the most", max = MAX_TEXT_BYTES)]
     TooLong(usize),
     /// Another table is proposed.
@@ -463,37 +473,37 @@
     AnotherRuns {
         /// Its number.
         number: u64,
-        /// Name of the site where it was.
+        /// Name of the site where it was proposed.
         site: String,
     },
-    /// Sites do not go by the table in force yet.
+    /// Some sites do not use the table that was decided last.
     #[error("table {number} is not in use yet at {sites}")]
     NotInUse {
-        /// Number of the table in force.
+        /// Number of the table that was decided last.
         number: u64,
-        /// Names of the sites.
+        /// Names of those sites.
         sites: String,
     },
 }
 
-/// Why a site may not join.
+/// Reason why a site may not join.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JoinRejected {
-    /// Its number is or was another site's.
+    /// The number is or was that of another site.
     #[error("the number {0} was used: a site that joins needs another one")]
     NumberUsed(u64),
-    /// Its name is another site's.
+    /// The name is that of another site.
     #[error("{0} is on the roster")]
     NameTaken(String),
-    /// There are as many sites as may be.
+    /// The roster is full.
     #[error("{max} sites are the most", max = MAX_SITES)]
     Full,
 }
 
 impl ReplicatedState for Federation {
     type Command = Command;
-    // The snapshot has three tables of 16 KiB and some 20 KiB round them; with its entries, and as
-    // any batch, it fits in a command of a site's record.
+    // The snapshot holds three tables of 16 KiB and about 20 KiB of other data. With its entries,
+    // and like any batch, it fits in a command of a site's record.
     const LIMITS: SizeLimits = SizeLimits {
         command: 24 * 1024,
         message: 24 * 1024,
--- a/src/coordination/routing_table/tables.rs
+++ b/src/coordination/routing_table/tables.rs
@@ -1,115 +1,118 @@
-//! What a site's record holds of routing tables: the one in force, the one that is offered, and the
-//! one that was decided.
+//! The routing tables in a site's record: the active one, the offered one, and the decided one that
+//! is not active yet.
 //!
-//! It owns how changes apply; `coordination::record` calls it for each committed change, and
-//! [`cutover`](super::cutover) decides which changes are proposed. Each change is based on a turn
-//! and is void where another one was committed first, as with policies.
+//! This module owns how changes apply; `coordination::record` calls it for each committed change,
+//! and [`cutover`](super::cutover) decides which changes are proposed. Each change names the turn
+//! it is based on and is void if another change was committed first, as with policies.
 //!
-//! The site's lease in its federation ends on the record's own clock. That stands between leaders,
-//! so a leader adds what it knows that nobody counted before it believes what is left.
+//! The end of the site's lease in its federation is given on the record's own clock. That clock
+//! stops while no replica leads, so a new leader subtracts the time during which no leader advanced
+//! it before it relies on the remaining lease.
 
 use crate::coordination::messages::SiteAdmission;
 use crate::coordination::routing_table::federation::RoutingTable;
 use serde::{Deserialize, Serialize};
 
-/// A table that is proposed to the site.
+/// A table that the federation proposes to the site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OfferedTable {
     /// The table.
     pub table: RoutingTable,
-    /// Whether all senders have it; the federation was, or is to be, told so. From then on it may
-    /// be decided at any moment.
+    /// Whether all senders store the table, so that the site accepts it in the federation. Once
+    /// set, the table may be decided at any moment.
     pub accepted: bool,
 }
 
-/// What is in force for the senders of the site.
+/// The table and the admission state that apply to the site's senders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActiveTable {
-    /// Number of the table; 0 for the endpoint list alone.
+    /// Number of the table; 0 means routing by the endpoint list alone.
     pub number: u64,
     /// Whether senders admit new messages.
     pub stance: SiteAdmission,
-    /// The turn that set this.
+    /// Turn of the change that set this state.
     pub turn: u64,
 }
 
 /// A change of the site's routing tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// The federation proposes a table: senders are to check it.
+    /// Offers senders a table that the federation proposes, for them to check.
     Offer {
         /// The table.
         table: RoutingTable,
     },
-    /// All senders of the site have the offered table, or are fenced.
+    /// Accepts the offered table: all senders of the site store it, or are fenced.
     Accept {
-        /// Its number.
+        /// Number of the table.
         number: u64,
     },
-    /// The proposal is over without a decision. Leaves no trace.
+    /// Withdraws the offered table: its proposal ended without a decision. The active table stays
+    /// unchanged.
     Drop {
-        /// Its number.
+        /// Number of the table.
         number: u64,
     },
-    /// The federation has decided on a table. It is one that was accepted here, unless the site has
-    /// joined since.
+    /// Stores a table that the federation has decided. The site accepted it before, unless the site
+    /// joined the roster after the decision.
     Decide {
         /// The table.
         table: RoutingTable,
     },
-    /// Senders admit nothing new, for the moment of a cutover.
+    /// Pauses the admission of new messages on all senders for the cutover.
     Pause,
-    /// They go by the table that was decided from now on.
+    /// Makes the decided table active and ends the pause.
     Commit,
-    /// They go on by the earlier table: these did not answer in time.
+    /// Ends the pause and keeps the earlier table active, because some senders did not respond in
+    /// time.
     RollBack {
-        /// Their names, as far as there is room.
+        /// Names of those senders, as many as fit.
         silent: String,
     },
-    /// The federation counts this site in until then, on this record's clock.
+    /// Records the end of the site's lease in the federation.
     Lease {
-        /// Until when, in milliseconds.
+        /// End of the lease on this record's clock, in milliseconds.
         until_ms: u64,
     },
-    /// The lease is over, and the site admits nothing new.
+    /// Stops the admission of new messages: the site's lease has expired.
     Hold,
-    /// The site hears its federation again and has caught up, or gives the promise up. Void while
-    /// something that was decided waits.
+    /// Resumes the admission of new messages: the site has a lease again and has caught up, or may
+    /// admit messages without a lease. Void while a decided table is not active yet.
     Resume,
 }
 
-/// All that a site's record holds of routing tables.
+/// The routing tables in a site's record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteTables {
-    /// Grows with each change but for leases.
+    /// Number of changes that were applied, except for leases.
     pub turn: u64,
-    /// Log index of the last change.
+    /// Log index of the last change that was applied, except for leases.
     pub at: u64,
-    /// What is in force.
+    /// Number and admission state of the active table.
     pub register: ActiveTable,
-    /// Its text.
+    /// The active table with its text.
     pub table: RoutingTable,
-    /// What is offered.
+    /// The table that is offered to senders.
     pub offered: Option<OfferedTable>,
-    /// What was decided and is not in force yet.
+    /// The decided table that is not active yet.
     pub next: Option<RoutingTable>,
-    /// Pauses for it that were rolled back.
+    /// Number of pauses for the decided table that were rolled back.
     pub tries: u32,
-    /// Whether the pause began while nothing was admitted as the lease was over: rolled back, it is
-    /// so again.
+    /// Whether the pause began while an expired lease stopped admission; a rollback returns to that
+    /// state.
     pub held: bool,
-    /// When the last change was applied, on the record's clock, in milliseconds.
+    /// Time of the last change (except for leases), on the record's clock, in milliseconds.
     pub since_ms: u64,
-    /// When the lease in the federation ends, on the record's clock, in milliseconds.
+    /// End of the site's lease in the federation, on the record's clock, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// A change does not fit what stands, and is void.
+/// Marks a change as void: it does not fit the current state.
 struct Void;
 
 impl SiteTables {
-    /// Applies a change that was based on this turn; void where another one came first, or where it
-    /// does not fit.
+    /// Applies a change that was based on the turn `base`. The change is void if another one was
+    /// committed first, or if it does not fit the current state.
     pub fn apply(&mut self, index: u64, clock_ms: u64, base: u64, change: &Change) {
         if let Change::Lease { until_ms } = change {
             self.lease_ms = self.lease_ms.max(*until_ms);
@@ -122,7 +125,7 @@
         }
     }
 
-    /// A table that the record has the text of.
+    /// Returns the table with this number if the record holds its text.
     pub fn text(&self, number: u64) -> Option<&RoutingTable> {
         let all = [
             Some(&self.table),
@@ -134,7 +137,7 @@
             .find(|t| t.number == number && number > 0)
     }
 
-    /// Number of the newest table that was decided, as far as this record has it.
+    /// Returns the number of the newest decided table in this record.
     pub fn newest_decided(&self) -> u64 {
         match &self.next {
             Some(next) => next.number,
@@ -162,7 +165,8 @@
         self.register.turn = self.turn + 1;
     }
 
-    /// Only a table newer than all before it may be offered, and none while a decided one waits.
+    /// Offers a table. Void unless it is newer than the active and the offered table, and void
+    /// while a decided table is not active yet.
     fn offer(&mut self, table: &RoutingTable) -> Result<(), Void> {
         if let Some(offered) = &self.offered {
             if offered.table.number >= table.number {
@@ -194,9 +198,9 @@
         dropped.map(|_| ()).ok_or(Void)
     }
 
-    /// A table that is decided while another one waits comes to a site that was off the roster
-    /// meanwhile: no site goes by the one that waits any more, so this site holds until it cuts
-    /// over.
+    /// Stores a decided table. If an earlier decided table is not active yet, the site was off the
+    /// roster in the meantime and no other site uses that earlier table any more, so this site
+    /// admits nothing new until it has cut over.
     fn decide(&mut self, table: &RoutingTable) -> Result<(), Void> {
         if table.number <= self.newest_decided() {
             return Err(Void);
@@ -253,7 +257,8 @@
         Ok(())
     }
 
-    /// What was decided meanwhile comes first: the other sites may be beyond what is in force here.
+    /// Resumes admission. Void while a decided table is not active yet, because the other sites may
+    /// have moved past the table that is active here.
     fn resume(&mut self) -> Result<(), Void> {
         if self.register.stance != SiteAdmission::LeaseExpired || self.next.is_some() {
             return Err(Void);
