--- a/src/coordination/routing_table/federation.rs
+++ b/src/coordination/routing_table/federation.rs
@@ -101,7 +101,7 @@
     },
     /// Adds a site to the roster, under a number that was never used.
     Join {
-        /// Its number.
+        /// Number of the site.
         site: u64,
         /// Name of the site.
         name: String,
@@ -166,7 +166,7 @@
 /// An ended proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedProposal {
-    /// Its number.
+    /// Number of the table.
     pub number: u64,
     /// Digest of the table.
     pub digest: Digest,
@@ -471,7 +471,7 @@
     /// Another table is proposed.
     #[error("table {number} is proposed by {site}; only one is at a time")]
     AnotherRuns {
-        /// Its number.
+        /// Number of the table.
         number: u64,
         /// Name of the site where it was proposed.
         site: String,
--- a/src/coordination/routing_table/member/change_log.rs
+++ b/src/coordination/routing_table/member/change_log.rs
@@ -1,18 +1,18 @@
-//! Log lines on what became of proposals and of the roster: each change once, none of what the
-//! record held when the member began.
+//! Log lines about changes of proposals and of the roster. Each change is logged once; nothing that
+//! the record already held when the member started is logged.
 
 use crate::coordination::routing_table::federation::{Federation, DECIDED};
 use crate::coordination::routing_table::member::{FederationMember, Stage};
 use std::collections::BTreeMap;
 
-/// The state of the record that was logged last.
+/// The state of the record at the last call of `log_changes`.
 #[derive(Default)]
 pub(super) struct LoggedState {
-    /// The highest table number that was proposed.
+    /// Highest table number that was proposed.
     proposed: u64,
-    /// The highest one whose proposal is over.
+    /// Highest table number whose proposal has ended.
     ended: u64,
-    /// Names of the sites on the roster.
+    /// Names of the sites on the roster, by number.
     sites: BTreeMap<u64, String>,
 }
 
--- a/src/coordination/routing_table/member/leadership.rs
+++ b/src/coordination/routing_table/member/leadership.rs
@@ -1,7 +1,7 @@
-//! What the leading site does beyond the raft group: heartbeats, leases, upkeep of the roster.
+//! Duties of the leading site beyond the raft group: heartbeats, leases and upkeep of the roster.
 //!
-//! Invariant: a lease is granted only while a majority is certain to have committed a heartbeat of
-//! this term lately, and never to a site that is to be fenced.
+//! Invariant: a lease is granted only while a majority is certain to have recently committed a
+//! heartbeat of this term, and never to a site that is to be fenced.
 
 use crate::coordination::leader::ConnectionId;
 use crate::coordination::raft_group::RaftGroup;
@@ -19,10 +19,10 @@
 
 /// Time between heartbeats, in milliseconds.
 const HEARTBEAT_INTERVAL_MS: u32 = 1_000;
-/// Heartbeats that wait to be committed, at the most: about a minute of them.
+/// Largest number of heartbeats that are not committed yet: about one minute of them.
 const MAX_UNCOMMITTED_HEARTBEATS: usize = 64;
 
-/// A heartbeat that was proposed and is not committed yet.
+/// A proposed heartbeat that is not committed yet.
 struct Heartbeat {
     number: u64,
     proposed_at: Nanos,
@@ -33,19 +33,20 @@
     term: u64,
     uncommitted_heartbeats: VecDeque<Heartbeat>,
     last_heartbeat: u64,
-    /// Up to when the record's clock was moved on.
+    /// Time up to which the record's clock was advanced, in nanoseconds.
     clock_counted_until: Nanos,
-    /// Leases may be granted until then: the last committed heartbeat says so.
+    /// Time until which leases may be granted, as given by the last committed heartbeat.
     grant_until: Nanos,
-    /// Until when the leases run that this leader granted, by site, as it counts them.
+    /// End of the leases that this leader granted, by site, as the leader counts them.
     granted_until: BTreeMap<u64, Nanos>,
-    /// Until when leases may run that earlier leaders granted.
+    /// Latest end of leases that earlier leaders granted.
     earlier_grants_until: Nanos,
-    /// Sites that are granted no lease as they are to be removed, and until when.
+    /// Sites that are granted no lease because they are to be removed, each with the end of that
+    /// restriction.
     pub(super) lease_withheld_until: BTreeMap<u64, Nanos>,
-    /// The change of the roster that is under way; one at a time.
+    /// The roster change in progress; only one at a time.
     pub(super) change: Option<RosterChange>,
-    /// When what the roster lacks was proposed last; 0 for at once.
+    /// Time of the last upkeep of the roster; 0 makes it due at once.
     pub(super) last_upkeep: Nanos,
 }
 
@@ -70,7 +71,7 @@
         self.term
     }
 
-    /// The operator's connection here that waits for the change under way.
+    /// Returns the operator's connection to this replica that waits for the change in progress.
     pub(super) fn local_requester(&self) -> Option<ConnectionId> {
         match self.change.as_ref()?.requester {
             Requester::Local(connection) => Some(connection),
@@ -78,13 +79,14 @@
         }
     }
 
-    /// Until when a site may hold a lease that this or an earlier leader granted.
+    /// Returns the latest end of a lease that this or an earlier leader may have granted to a site.
     pub(super) fn last_grant_of(&self, site: u64) -> Nanos {
         let granted = self.granted_until.get(&site).copied().unwrap_or_default();
         granted.max(self.earlier_grants_until)
     }
 
-    /// The heartbeat that is due. It moves the record's clock on by what this leader counted.
+    /// Returns the heartbeat that is due. It advances the record's clock by the time that this
+    /// leader measured.
     fn next_heartbeat(&mut self, now: Nanos) -> Option<Command> {
         let interval = nanos_of_ms(HEARTBEAT_INTERVAL_MS);
         if self.last_heartbeat != 0 && now < self.clock_counted_until + interval {
@@ -108,7 +110,7 @@
         })
     }
 
-    /// A heartbeat is committed: leases may be granted for a while after it was proposed.
+    /// Handles a committed heartbeat: leases may be granted for a while after it was proposed.
     pub(super) fn on_heartbeat_committed(&mut self, term: u64, number: u64) {
         if term != self.term {
             return;
@@ -123,14 +125,14 @@
         }
     }
 
-    /// Ends a change of the roster that took too long.
+    /// Ends a roster change that took too long.
     fn expire_change(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
         if let Some(change) = self.change.take_if(|change| change.is_overdue(now)) {
             reply(change.requester, Err(RosterChangeError::Timeout), effects);
         }
     }
 
-    /// Ends a change whose new site has the record.
+    /// Completes a roster change once the new site has the record.
     fn finish_join(&mut self, group: &RaftGroup<Federation>, effects: &mut Vec<MemberEffect>) {
         let has_record = |change: &mut RosterChange| match change.step {
             ChangeStep::Replicating { index } => group.has_replicated(change.site, index),
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Commands for what the record lacks: the length of leases, and sites of the group that are
-    /// not on the roster.
+    /// Returns commands for what the record lacks: the length of leases, and sites of the group
+    /// that are not on the roster.
     fn missing_commands(
         &self,
         group: &RaftGroup<Federation>,
@@ -166,8 +168,9 @@
         commands
     }
 
-    /// Name under which a site of the group is to join the roster: that of the order, or of the
-    /// file, for the first sites and one whose order was not carried out to its end.
+    /// Returns the name under which a site of the group is to join the roster: the name in the
+    /// order, or else the name in the settings. The latter is used for the first sites and for a
+    /// site whose order was not completed.
     fn name_to_join<'a>(&'a self, site: u64, settings: &'a MemberSettings) -> Option<&'a String> {
         if let Some(change) = &self.change {
             if change.site == site && matches!(change.step, ChangeStep::Joining) {
@@ -181,13 +184,14 @@
     }
 }
 
-/// The part of a time that the site which grants a lease counts, against clocks that run apart.
+/// Returns the duration that the granting site counts for a lease: 2 % more, to tolerate clocks
+/// that run at different rates.
 pub(super) fn granter_share(time: Nanos) -> Nanos {
     time / 100 * 102
 }
 
 impl FederationMember {
-    /// Does what is due as the leading site.
+    /// Performs the due duties of the leading site; does nothing if this site does not lead.
     pub(super) fn lead(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
         let (Some(leadership), Stage::Participating(group)) =
             (&mut self.leadership, &mut self.stage)
@@ -208,8 +212,8 @@
         }
     }
 
-    /// Proposes what the roster lacks, and to remove members that are off it. What is refused is
-    /// proposed again at the next upkeep.
+    /// Proposes the commands that the roster lacks and the removal of members that are off the
+    /// roster. A rejected proposal is made again at the next upkeep.
     fn propose_upkeep(&mut self) {
         let (Some(leadership), Stage::Participating(group)) = (&self.leadership, &mut self.stage)
         else {
@@ -226,7 +230,7 @@
         }
     }
 
-    /// Another site asks for a lease.
+    /// Handles a lease request of another site.
     pub(super) fn on_lease_request(
         &mut self,
         now: Nanos,
@@ -247,7 +251,7 @@
         });
     }
 
-    /// Grants a site a lease, where that is safe.
+    /// Grants a lease to a site if that is safe.
     pub(super) fn grant_lease(&mut self, now: Nanos, site: u64) -> Option<Grant> {
         let leadership = self.leadership.as_mut()?;
         let Stage::Participating(group) = &self.stage else {
--- a/src/coordination/routing_table/member/lease.rs
+++ b/src/coordination/routing_table/member/lease.rs
@@ -1,4 +1,5 @@
-//! This site's own lease in the federation: asking the leading site for it and counting it.
+//! This site's own lease in the federation: requesting it from the leading site and tracking its
+//! end.
 
 use crate::coordination::routing_table::member::{
     nanos_of_ms, FederationMember, MemberEffect, MemberMessage,
@@ -6,38 +7,38 @@
 use crate::Nanos;
 use std::collections::VecDeque;
 
-/// Time between requests while more than two thirds of the lease are left, in nanoseconds; a third
-/// of the lease where that is shorter.
+/// Time between requests while more than two thirds of the lease are left, in nanoseconds. A third
+/// of the lease is used where that is shorter.
 const REQUEST_INTERVAL: Nanos = 1_000_000_000;
-/// Time between requests when less is left, in nanoseconds.
+/// Time between requests when less of the lease is left, in nanoseconds.
 const URGENT_REQUEST_INTERVAL: Nanos = 250_000_000;
-/// Requests that wait for an answer, and grants that wait for their version, at the most.
+/// Largest number of unanswered requests, and of grants that wait for their version of the record.
 const MAX_PENDING: usize = 16;
 
-/// A request that was not answered yet.
+/// A request that is not answered yet.
 struct PendingRequest {
     id: u64,
     leader: u64,
     sent_at: Nanos,
 }
 
-/// A lease granted by a version of the record that is not here yet.
+/// A grant that does not count yet, because the version of the record it is based on is not here.
 struct UncountedGrant {
     version: u64,
     until: Nanos,
 }
 
-/// A lease that the leading site may grant.
+/// A lease granted by the leading site.
 pub(super) struct Grant {
     pub(super) lease_ms: u32,
-    /// Version of the record by which it is granted.
+    /// Version of the record at the time of the grant.
     pub(super) version: u64,
 }
 
-/// Requests for this site's lease.
+/// State of the requests for this site's lease.
 pub(super) struct LeaseClient {
     last_id: u64,
-    /// When the last request was sent; 0 where the current leader was sent none.
+    /// Time of the last request, in nanoseconds; 0 if the current leader was sent none.
     last_sent_at: Nanos,
     pending: VecDeque<PendingRequest>,
     uncounted: VecDeque<UncountedGrant>,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Another site leads, or another term began: it has not been asked yet.
+    /// Makes a request due at once, after a change of leader or term.
     pub(super) fn forget_last_request(&mut self) {
         self.last_sent_at = 0;
     }
@@ -71,7 +72,7 @@
         self.last_id
     }
 
-    /// Removes the request that a site answers; gives when it was sent.
+    /// Removes the request that a site answers and returns the time at which it was sent.
     fn take_request(&mut self, id: u64, leader: u64) -> Option<Nanos> {
         let answered = |request: &PendingRequest| request.id == id && request.leader == leader;
         let at = self.pending.iter().position(answered)?;
@@ -79,13 +80,14 @@
     }
 }
 
-/// The part of a time that the holder of a lease believes in, against clocks that run apart.
+/// Returns the duration that the holder of a lease counts: 2 % less, to tolerate clocks that run at
+/// different rates.
 fn holder_share(time: Nanos) -> Nanos {
     time / 100 * 98
 }
 
 impl FederationMember {
-    /// Requests a lease when that is due.
+    /// Requests a lease if a request is due.
     pub(super) fn request_lease(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
         let leader = self.view.leader;
         let last = self.lease.last_sent_at;
@@ -116,7 +118,7 @@
         }
     }
 
-    /// The leading site granted a lease.
+    /// Handles a lease grant of the leading site.
     pub(super) fn on_lease_granted(&mut self, from: u64, ask: u64, lease_ms: u32, version: u64) {
         if let Some(sent_at) = self.lease.take_request(ask, from) {
             self.add_grant(sent_at, lease_ms, version);
@@ -134,7 +136,7 @@
         self.count_granted_leases();
     }
 
-    /// Counts the leases that were granted by a version of the record that is here.
+    /// Counts the grants whose version of the record has arrived here.
     pub(super) fn count_granted_leases(&mut self) {
         let version_here = self.view.record.version;
         let lease_until = &mut self.view.lease_until;
--- a/src/coordination/routing_table/member/messages.rs
+++ b/src/coordination/routing_table/member/messages.rs
@@ -1,6 +1,8 @@
-//! Messages between the members of a federation, and what a site may ask the leading one for.
+//! Messages between the members of a federation, and the commands that a site may request from the
+//! leading one.
 //!
-//! They travel as postcard frames: the order of variants and fields is the wire format.
+//! The messages are encoded as postcard frames: the order of variants and fields is the wire
+//! format.
 
 use crate::coordination::messages::FederationRequest;
 use crate::coordination::raft_group::RefusedMessage;
@@ -13,47 +15,47 @@
 pub enum MemberMessage {
     /// A message of the raft group.
     Raft(ByteBuf),
-    /// To the leading site: append this command to the federation's log.
+    /// Asks the leading site to append a command to the federation's log.
     Command(Box<Command>),
-    /// To the leading site: grant the sender a lease. Holds the request's identifier.
+    /// Asks the leading site to grant the sender a lease. Holds the request's identifier.
     LeaseRequest(u64),
-    /// A lease is granted.
+    /// Grants a lease.
     LeaseGranted {
-        /// The request that it answers.
+        /// Identifier of the request that this message answers.
         ask: u64,
-        /// Length from when the request was sent, in milliseconds.
+        /// Length of the lease from the time the request was sent, in milliseconds.
         lease_ms: u32,
-        /// Version of the federation's record by which it was granted. The lease counts once the
-        /// receiver has that version, so whoever has a lease knows what was agreed by then.
+        /// Version of the federation's record at the time of the grant. The lease counts once the
+        /// receiver has that version, so the holder of a lease knows all that was agreed by then.
         version: u64,
     },
-    /// To the leading site: an operator's order on the roster.
+    /// Forwards an operator's roster order to the leading site.
     RosterOrder {
-        /// Identifies the order at the site that sends it.
+        /// Identifier of the order at the site that sends it.
         id: u64,
         /// The order.
         order: FederationRequest,
     },
-    /// Result of an order on the roster.
+    /// Result of a forwarded roster order.
     RosterOrderResult {
-        /// The order.
+        /// Identifier of the order at the site that sent it.
         id: u64,
-        /// Version of the record that has it, or why it was refused, for people. The wire format
-        /// has a plain text here.
+        /// Version of the record that contains the change, or a text for operators that says why
+        /// the order was rejected. The wire format has a plain text here.
         answer: Result<u64, String>,
     },
 }
 
-/// A member sent what no member sends; its connection is to be closed.
+/// Reason why a message of another member is invalid; its connection is to be closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The raft group cannot take the message.
+    /// The raft group rejects the message.
     #[error(transparent)]
     InvalidRaftMessage(#[from] RefusedMessage),
 }
 
-/// Whether a site may ask for this command: it speaks for itself alone, and what only the leader
-/// says nobody else may.
+/// Returns whether a site may request this command. A site may request commands about itself and
+/// the abort of a proposal, but no command that only the leader issues.
 pub(super) fn may_request(command: &Command, from: u64, record: &Federation) -> bool {
     match command {
         Command::Propose { by, .. } => record.sites.get(&from).is_some_and(|s| s.name == *by),
--- a/src/coordination/routing_table/member/mod.rs
+++ b/src/coordination/routing_table/member/mod.rs
@@ -1,42 +1,44 @@
-//! A site's member of the federation's raft group, run by whichever replica leads the site.
+//! A site's member of the federation's raft group, run by the replica that leads the site.
 //!
-//! It owns the member's raft state, its lease, the roster changes of the leading site and the
-//! handshake with other members. It does no I/O and reads no clock: `coordination::replica` tells
-//! it the time, what arrived and what the site's log has applied, and carries out the
-//! [`MemberEffect`]s it returns. What the routing tables say and when a site cuts over is not
-//! decided here but in [`cutover`](super::cutover).
+//! This module owns the member's raft state, its lease, the roster changes of the leading site and
+//! the handshake with other members. It does no I/O and reads no clock: `coordination::replica`
+//! passes in the time, received messages and the applied entries of the site's log, and carries out
+//! the [`MemberEffect`]s it returns. The content of routing tables and the time of a cutover are
+//! decided in [`cutover`](super::cutover).
 //!
 //! # Durable vote and fencing
 //!
-//! What the member has to persist goes into the site's own record
-//! ([`DurableVote`](super::durable_vote::DurableVote)). A new leader of the site begins with a
-//! fence there, resumes from what the record then holds, and sends what relies on a piece only when
-//! the record has that piece. Invariant: nothing of an earlier leader's member is appended after a
-//! later one began, and whatever the earlier one had sent stands in what the later one resumes
-//! from. So the site votes once in a term, as raft requires.
+//! The member persists its state in the site's own record
+//! ([`DurableVote`](super::durable_vote::DurableVote)). A new leader of the site first commits a
+//! fence there and resumes from what the record then holds. It sends a message only after the
+//! record has the item that the message relies on. Invariant: nothing of an earlier leader's member
+//! is appended after a later one has begun, and the state from which the later one resumes contains
+//! whatever the earlier one's messages relied on. So the site votes once in a term, as raft
+//! requires.
 //!
-//! An earlier member may go on sending for a while. As a follower it sends what was persisted. As
-//! the raft leader of a term, the library lets its messages go before they are persisted: entries
-//! that it appends in that term, in which no other member of the site ever leads, as a later one
-//! resumes as a follower and leads in a later term only. Those that take these entries count for
-//! themselves; it does not count itself before they are persisted, which they never are. So what it
-//! commits is committed by a majority of others.
+//! An earlier member may continue to send for a while. As a follower, it sends only what was
+//! persisted. As the raft leader of a term, the library releases its messages before they are
+//! persisted: these contain entries that it appends in that term. No other member of the site ever
+//! leads in the same term, because a later one resumes as a follower and can lead only in a later
+//! term. The members that receive these entries count for themselves; the earlier member does not
+//! count itself before the entries are persisted, which never happens. So whatever it commits is
+//! committed by a majority of the other members.
 //!
 //! # Leases
 //!
-//! They work as the senders' leases ([`leader`](crate::coordination::leader)): the holder counts 98
-//! in 100 of a lease from when it sent the request, the granting leader counts 102 in 100 from when
-//! it answered, and grants only until
+//! Leases work like the senders' leases ([`leader`](crate::coordination::leader)). The holder
+//! counts 98 % of a lease from the time it sent the request; the granting leader counts 102 % from
+//! the time it responded. The leader grants leases only until
 //! [`LEASE_GRANT_WINDOW_MS`](super::federation::LEASE_GRANT_WINDOW_MS) after it proposed the last
-//! heartbeat that was committed. The length of leases is committed before the first one is granted.
-//! A new leader counts from its own start what an earlier one may have granted.
+//! committed heartbeat. The length of leases is committed before the first one is granted. A new
+//! leader assumes that the leases of earlier leaders run from its own start.
 //!
 //! # Modules
 //!
-//! [`settings`] and [`messages`] are what callers hand in; `vote_persistence` fences and persists,
-//! `peers` admits other members, `replication` runs the raft group, `lease` asks for this site's
-//! lease, `roster_orders` forwards operators' orders; `leadership` and `roster_change` are what the
-//! leading site does beyond that.
+//! [`settings`] and [`messages`] define the inputs of callers. `vote_persistence` fences and
+//! persists, `peers` admits other members, `replication` runs the raft group, `lease` requests this
+//! site's lease, and `roster_orders` forwards operators' orders. `leadership` and `roster_change`
+//! are the additional duties of the leading site.
 
 use crate::coordination::bootstrap::Bootstrap;
 use crate::coordination::leader::ConnectionId;
@@ -67,58 +69,58 @@
 pub use pending_roster_change::IncarnationUnknown;
 pub use settings::{MemberSettings, SiteAddress, MAX_ADDRESSES_PER_SITE};
 
-/// A proposal that is not committed within this time is made again, in nanoseconds: ten times what
-/// a slow disk takes.
+/// Time after which an uncommitted proposal is made again, in nanoseconds: ten times the delay of a
+/// slow disk.
 const PROPOSAL_TIMEOUT: Nanos = 1_000_000_000;
 
-/// Something that the caller has to do for the member.
+/// An action that the caller has to carry out for the member.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberEffect {
-    /// Append this to the site's log. It is returned again as long as the site's record does not
-    /// show it.
+    /// Append this command to the site's log. It is returned again until the site's record contains
+    /// it.
     ProposeToSite(record::Command),
-    /// Send this to another site's member. It may be lost.
+    /// Send this message to another site's member. It may be lost.
     Send {
-        /// The other site.
+        /// Number of the other site.
         to: u64,
-        /// What to send.
+        /// The message.
         message: MemberMessage,
     },
-    /// Send a message of the raft group; whether it went is to be told by
-    /// [`FederationMember::on_sent`].
+    /// Send a message of the raft group, and report with [`FederationMember::on_sent`] whether it
+    /// was sent.
     SendRaft {
-        /// The other site.
+        /// Number of the other site.
         to: u64,
-        /// What to send.
+        /// The message.
         message: MemberMessage,
-        /// Whether it has a snapshot.
+        /// Whether the message contains a snapshot.
         has_snapshot: bool,
     },
-    /// Answer an operator.
+    /// Respond to an operator.
     Answer {
         /// The operator's connection.
         connection: ConnectionId,
-        /// The answer.
+        /// The response.
         answer: OperatorResponse,
     },
-    /// Ask a site for its incarnation; answered by [`FederationMember::on_incarnation`].
+    /// Request a site's incarnation; the result goes to [`FederationMember::on_incarnation`].
     RequestIncarnation {
-        /// The site.
+        /// Number of the site.
         site: u64,
-        /// Where its replicas listen.
+        /// Addresses on which its replicas listen.
         addresses: Vec<SocketAddr>,
     },
 }
 
-/// How far the member has come.
+/// Stage of the member's start.
 enum Stage {
     /// The fence is not committed to the site's record yet.
     Fencing,
-    /// The identity is not committed yet, or the federation has not begun.
+    /// The identity is not committed yet, or the federation's first start is not complete.
     Bootstrapping(Box<Bootstrap>),
-    /// It takes part in the raft group.
+    /// The member takes part in the raft group.
     Participating(Box<RaftGroup<Federation>>),
-    /// It cannot go on, and why.
+    /// The member has stopped for good, for this reason.
     Failed(String),
 }
 
@@ -130,19 +132,19 @@
     rng: fastrand::Rng,
     stage: Stage,
     write: vote_persistence::PendingWrite,
-    /// Up to when the raft clock was advanced.
+    /// Time up to which the raft clock was advanced, in nanoseconds.
     ticked_until: Nanos,
-    /// When each other site was heard last.
+    /// Time of the last message or heartbeat of each other site, in nanoseconds.
     last_heard: BTreeMap<u64, Nanos>,
     lease: lease::LeaseClient,
-    /// What this site does as the leading one; nothing where it does not lead.
+    /// State of this site as the leading one; `None` while it does not lead.
     leadership: Option<leadership::Leadership>,
     orders: roster_orders::ForwardedOrders,
     view: FederationView,
     logged: Option<change_log::LoggedState>,
 }
 
-/// Nanoseconds of so many milliseconds.
+/// Converts milliseconds to nanoseconds.
 fn nanos_of_ms(ms: u32) -> Nanos {
     Nanos::from(ms) * 1_000_000
 }
@@ -150,7 +152,7 @@
 impl FederationMember {
     /// Starts the member of the site that this replica leads in `site_term`.
     ///
-    /// It sends nothing before the site's record has its fence.
+    /// The member sends nothing before the site's record has its fence.
     pub fn new(
         settings: MemberSettings,
         site_term: u64,
@@ -186,12 +188,12 @@
         }
     }
 
-    /// The federation, as far as this site knows it.
+    /// Returns this site's view of the federation.
     pub fn view(&self) -> &FederationView {
         &self.view
     }
 
-    /// The raft group, where the site takes part in it.
+    /// Returns the raft group if the site takes part in it.
     pub fn group(&self) -> Option<&RaftGroup<Federation>> {
         match &self.stage {
             Stage::Participating(group) => Some(group),
@@ -199,12 +201,14 @@
         }
     }
 
-    /// The term in which this replica leads its site: the member of a later term supersedes it.
+    /// Returns the term in which this replica leads its site. The member of a later term supersedes
+    /// this one.
     pub fn term(&self) -> u64 {
         self.site_term
     }
 
-    /// The incarnation under which other sites know this one, once the site's record has it.
+    /// Returns the incarnation under which other sites know this one, once the site's record has
+    /// it.
     pub fn incarnation(&self, record: &Record) -> Option<u64> {
         match &self.stage {
             Stage::Bootstrapping(_) | Stage::Participating(_) => {
@@ -215,8 +219,8 @@
         }
     }
 
-    /// Advances time; to be called some ten times a second, and before messages that arrived while
-    /// the replica stood still.
+    /// Advances time. To be called about ten times per second, and before handling messages that
+    /// arrived while the replica was stopped.
     pub fn on_tick(&mut self, now: Nanos, record: &Record, effects: &mut Vec<MemberEffect>) {
         self.repeat_overdue_proposal(now, effects);
         self.advance_raft_clock(now);
@@ -232,7 +236,7 @@
     /// Handles a message of another site's member.
     ///
     /// # Errors
-    /// No member sends this: the connection is to be closed.
+    /// The message is invalid; the connection is to be closed.
     pub fn on_message(
         &mut self,
         now: Nanos,
@@ -267,7 +271,7 @@
         Ok(())
     }
 
-    /// Stops the member: operators that wait are told to ask elsewhere.
+    /// Stops the member. Waiting operators are told that this replica does not lead.
     pub fn shut_down(&mut self, effects: &mut Vec<MemberEffect>) {
         let own_order = self.leadership.take().and_then(|l| l.local_requester());
         let waiting = self.orders.drain_connections().chain(own_order);
@@ -277,7 +281,7 @@
         }));
     }
 
-    /// How this member is called in the log.
+    /// Returns the name of this member in log lines.
     fn log_name(&self) -> String {
         format!("federation {}", self.settings.federation)
     }
@@ -290,7 +294,8 @@
     }
 }
 
-/// What the site knew last of the federation's record: all it knows until the group is heard.
+/// Returns the last persisted version of the federation's record: all that the site knows until the
+/// group has been heard.
 fn last_persisted_record(record: &Record) -> Federation {
     let base = record.durable_vote.base.as_deref();
     let snapshot = base.and_then(|base| GroupState::<Federation>::decode(&base.state).ok());
--- a/src/coordination/routing_table/member/peers.rs
+++ b/src/coordination/routing_table/member/peers.rs
@@ -1,7 +1,8 @@
-//! The other members: the first start of a federation, who may connect, and who is reachable.
+//! The other members: the first start of a federation, the admission of connections, and
+//! reachability.
 //!
-//! Invariant: a member is admitted only under the incarnation that this site's record holds of it,
-//! so a site whose record was lost cannot vote a second time under its old number.
+//! Invariant: a member is admitted only under the incarnation that this site's record holds for it.
+//! So a site whose record was lost cannot vote a second time under its old number.
 
 use crate::coordination::bootstrap::{admit, PeerAdmission};
 use crate::coordination::raft_group::GroupMember;
@@ -13,22 +14,23 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A site counts as reachable for this time after a message or a heartbeat, in nanoseconds.
+/// Time after a message or a heartbeat during which a site counts as reachable, in nanoseconds.
 const REACHABLE_FOR: Nanos = 3_000_000_000;
 
-/// Whether another site's member may speak to this one.
+/// Admission of another site's member on a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberAdmission {
-    /// It may: this site's record knows it.
+    /// Admitted: this site's record contains the other site.
     Admitted,
-    /// Not before this site's record knows it.
+    /// Not admitted until this site's record contains the other site.
     NotYet,
-    /// It may not, and why.
+    /// Rejected for this reason.
     Rejected(String),
 }
 
 impl FederationMember {
-    /// A first start: persists which sites are known, and begins when none is missing.
+    /// Continues a first start: persists which sites are known, and completes the start when none
+    /// is missing.
     pub(super) fn continue_bootstrap(
         &mut self,
         now: Nanos,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Another site's member connected under this incarnation.
+    /// Handles a connection of another site's member that presents this incarnation.
     pub fn admit_peer(
         &mut self,
         now: Nanos,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Why a site is not admitted, for people.
+    /// Returns a text for operators that says why a site is not admitted.
     fn rejection(&self, site: u64) -> String {
         if self.view.record.off.contains(&site) {
             format!("site {site} is off the roster: it may join under another number")
@@ -89,7 +91,8 @@
         }
     }
 
-    /// In a first start the other site waits for being persisted here.
+    /// Returns whether the other site has to wait, during a first start, until this site's record
+    /// has its incarnation.
     fn awaits_persisting(&self, site: u64, incarnation: u64, record: &Record) -> bool {
         let base = record.durable_vote.base.as_ref();
         let is_persisted =
@@ -97,7 +100,8 @@
         matches!(self.stage, Stage::Bootstrapping(_)) && !is_persisted
     }
 
-    /// Another site's member answered that it knows this one, and told its incarnation.
+    /// Handles a response of another site's member that it knows this site, with that site's
+    /// incarnation.
     pub fn on_peer_answer(
         &mut self,
         now: Nanos,
@@ -119,20 +123,20 @@
         self.admit_peer(now, site, incarnation, record, effects)
     }
 
-    /// A heartbeat of a site arrived.
+    /// Handles a heartbeat of another site.
     pub fn on_heartbeat(&mut self, now: Nanos, site: u64) {
         self.last_heard.insert(site, now);
     }
 
-    /// Forgets sites that were not heard for a while.
+    /// Removes sites from the reachable ones that were not heard for a while.
     pub(super) fn expire_reachability(&mut self, now: Nanos) {
         self.last_heard.retain(|_, at| now < *at + REACHABLE_FOR);
         self.view.reachable_sites = self.last_heard.keys().copied().collect();
     }
 
-    /// Sites that this one has to be connected to, and where their replicas listen: the members of
-    /// the group, or before it began those of the file. The file's addresses go before recorded
-    /// ones.
+    /// Returns the sites to which this one has to be connected, with the addresses of their
+    /// replicas. These are the members of the group or, before the federation has begun, the sites
+    /// in the settings. Addresses in the settings take precedence over recorded ones.
     pub fn peer_addresses(&self) -> BTreeMap<u64, Vec<SocketAddr>> {
         let members = self.group().map(|group| &group.state().members);
         let Some(members) = members.filter(|members| !members.is_empty()) else {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// The name of a site: that of the roster, of the file, or its number.
+    /// Returns the name of a site: from the roster, else from the settings, else its number.
     pub fn site_name(&self, site: u64) -> String {
         if let Some(on_roster) = self.view.record.sites.get(&site) {
             return on_roster.name.clone();
@@ -172,7 +176,8 @@
         }
     }
 
-    /// What keeps sites from taking part, as this site knows it: a line for people by site.
+    /// Returns the problems that keep sites from taking part, as far as this site knows: a line for
+    /// operators, with the number of the site.
     pub fn problems(&self) -> Vec<(u64, String)> {
         match &self.stage {
             Stage::Fencing => Vec::new(),
@@ -197,13 +202,14 @@
         }
     }
 
-    /// The same problem of several sites.
+    /// Returns one line per site for a problem that several sites share.
     fn problems_of(&self, sites: &[u64], problem: &str) -> Vec<(u64, String)> {
         let line = |site: &u64| format!("site {}: {problem}", self.site_name(*site));
         sites.iter().map(|site| (*site, line(site))).collect()
     }
 
-    /// How the roster names this site otherwise than its file does.
+    /// Returns differences between the roster and this site's settings: another name, or the site's
+    /// removal.
     fn own_roster_problems(&self) -> Vec<(u64, String)> {
         let own_number = self.settings.site_number;
         let record = &self.view.record;
--- a/src/coordination/routing_table/member/pending_roster_change.rs
+++ b/src/coordination/routing_table/member/pending_roster_change.rs
@@ -1,5 +1,5 @@
-//! A change of the roster while it is under way: who ordered it, what it waits for, why it may fail,
-//! and the answer to whoever ordered it. What carries it out is in `roster_change`.
+//! A roster change in progress: its requester, its current step, its possible errors, and the
+//! response to the requester. `roster_change` carries it out.
 
 use crate::coordination::leader::ConnectionId;
 use crate::coordination::messages::OperatorResponse;
@@ -10,24 +10,24 @@
 };
 use crate::Nanos;
 
-/// A change of the roster that nothing else ends is given up after this time, in nanoseconds.
+/// Time after which a roster change that has not ended is abandoned, in nanoseconds.
 const CHANGE_TIMEOUT: Nanos = 20_000_000_000;
 
-/// Who ordered a change of the roster.
+/// Origin of a roster order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Requester {
     /// An operator on a connection of this replica.
     Local(ConnectionId),
-    /// Another site, for an operator there.
+    /// Another site, on behalf of an operator there.
     Remote {
-        /// The site.
+        /// Number of the other site.
         site: u64,
-        /// Its identifier of the order.
+        /// Identifier of the order at that site.
         id: u64,
     },
 }
 
-/// A change of the roster that is under way.
+/// A roster change in progress.
 pub(super) struct RosterChange {
     pub(super) requester: Requester,
     pub(super) ordered_at: Nanos,
@@ -36,27 +36,27 @@
     pub(super) step: ChangeStep,
 }
 
-/// What the change waits for.
+/// The event for which a roster change waits.
 pub(super) enum ChangeStep {
-    /// The site's incarnation.
+    /// The response with the site's incarnation.
     RequestingIncarnation {
         /// The site's addresses, as the group records them.
         addresses: String,
     },
-    /// The group to add the site.
+    /// The addition of the site to the raft group.
     Adding,
-    /// The command that puts the site on the roster.
+    /// The commit of the command that adds the site to the roster.
     Joining,
-    /// The site to have the log up to this index.
+    /// The replication of the log to the site, up to this index.
     Replicating {
-        /// Where it was put on the roster.
+        /// Log index of the command that added the site to the roster.
         index: u64,
     },
-    /// The command that puts the site off the roster.
+    /// The commit of the command that removes the site from the roster.
     Removing,
 }
 
-/// Why a change of the roster is not carried out.
+/// Reason why a roster change is not carried out.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RosterChangeError {
     #[error("that is not the roster's")]
@@ -100,12 +100,13 @@
     Group(#[from] ProposeError),
 }
 
-/// Why the incarnation of a site that is to join is not known, for people.
+/// Reason, as a text for operators, why the incarnation of a joining site is not known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct IncarnationUnknown(pub String);
 
-/// Tells who ordered a change what came of it: the record's version that has it, or why not.
+/// Reports the result of a roster change to its requester: the version of the record that contains
+/// the change, or the error.
 pub(super) fn reply(
     requester: Requester,
     result: Result<u64, RosterChangeError>,
--- a/src/coordination/routing_table/member/replication.rs
+++ b/src/coordination/routing_table/member/replication.rs
@@ -1,4 +1,4 @@
-//! Running the raft group: ticks, messages, what was committed, and who leads.
+//! Runs the raft group: ticks, messages, committed entries and changes of the leader.
 
 use crate::coordination::raft_group::{GroupEvent, GroupFailure, ELECTION_TICKS};
 use crate::coordination::routing_table::federation::Command;
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 impl FederationMember {
-    /// Advances the raft clock by the ticks that are due.
+    /// Advances the raft clock by the due ticks.
     pub(super) fn advance_raft_clock(&mut self, now: Nanos) {
         let Stage::Participating(group) = &mut self.stage else {
             return;
@@ -22,13 +22,14 @@
         let tick = nanos_of_ms(self.settings.tick_ms);
         let due = (now - self.ticked_until) / tick;
         self.ticked_until += tick * due;
-        // After twice the time of an election, a leader that heard nobody leads no more.
+        // A leader that has heard from no other member for two election timeouts has stepped down,
+        // so further ticks make no difference.
         for _ in 0..due.min(2 * ELECTION_TICKS as u64) {
             group.tick();
         }
     }
 
-    /// Runs the group until nothing more is to be done.
+    /// Runs the group until it is idle.
     pub(super) fn run_group(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
         loop {
             let Stage::Participating(group) = &mut self.stage else {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Persists what the group has to persist next; one piece at a time.
+    /// Persists the next item of the group, one at a time. Returns whether it did.
     fn persist_next_piece(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) -> bool {
         let Stage::Participating(group) = &mut self.stage else {
             return false;
@@ -82,7 +83,7 @@
         true
     }
 
-    /// A raft message was sent, or could not be.
+    /// Handles the result of sending a raft message.
     pub fn on_sent(&mut self, to: u64, has_snapshot: bool, was_sent: bool) {
         let Stage::Participating(group) = &mut self.stage else {
             return;
@@ -151,8 +152,8 @@
         self.lease.forget_last_request();
     }
 
-    /// Takes up leading the federation or gives it up, as the raft group says, and keeps the view
-    /// of the record current.
+    /// Starts or ends leadership of the federation to follow the raft group, and updates the view
+    /// of the record.
     fn update_leadership(&mut self, now: Nanos) {
         let Stage::Participating(group) = &self.stage else {
             return;
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Another site asks for a command.
+    /// Handles a command that another site requests.
     pub(super) fn on_command(
         &mut self,
         now: Nanos,
@@ -191,7 +192,8 @@
         }
     }
 
-    /// Submits a command for the federation's log, here or at the leading site. It may be lost.
+    /// Submits a command to the federation's log, directly or through the leading site. It may be
+    /// lost.
     pub fn submit(&mut self, now: Nanos, command: Command, effects: &mut Vec<MemberEffect>) {
         let leader = self.view.leader;
         let name = self.log_name();
@@ -212,7 +214,8 @@
         }
     }
 
-    /// Asks another site to lead, if this one does. Returns whether it did.
+    /// Asks another site to take over the leadership if this one leads. Returns whether a transfer
+    /// was started.
     pub fn transfer_leadership(&mut self) -> bool {
         match &mut self.stage {
             Stage::Participating(group) if self.leadership.is_some() => {
@@ -223,8 +226,8 @@
     }
 }
 
-/// Why the member cannot go on, for people. Where the record lost what was acknowledged, it says
-/// what to do about it.
+/// Returns a text for operators that says why the member stops. If the record lost acknowledged
+/// data, the text also says how to recover.
 fn reason_to_stop(error: &GroupFailure) -> String {
     match error {
         GroupFailure::LostAcknowledged {
--- a/src/coordination/routing_table/member/roster_change.rs
+++ b/src/coordination/routing_table/member/roster_change.rs
@@ -1,6 +1,6 @@
-//! Changes of the roster that the leading site carries out: a site is removed once it is fenced; a
-//! site that joins is asked for its incarnation, added to the raft group, put on the roster, and
-//! done when it has the record.
+//! Roster changes that the leading site carries out. A site is removed once it is fenced. For a
+//! site that joins, the leading site requests its incarnation, adds it to the raft group and puts
+//! it on the roster; the change is complete when the site has the record.
 
 use crate::coordination::messages::FederationRequest;
 use crate::coordination::raft_group::GroupMember;
@@ -16,17 +16,17 @@
 use crate::Nanos;
 use std::net::SocketAddr;
 
-/// A site that is to be removed is granted no lease for this time after the order, in nanoseconds;
-/// longer where its fence takes longer, by half of this.
+/// Time after a removal order during which the site is granted no lease, in nanoseconds. If fencing
+/// takes longer, half of this value is added to the time of the fence.
 const LEASE_WITHHELD_FOR: Nanos = 60_000_000_000;
 
-/// Whole seconds, rounded up.
+/// Converts a duration to whole seconds, rounded up.
 fn seconds(time: Nanos) -> u64 {
     time.div_ceil(1_000_000_000)
 }
 
 impl Leadership {
-    /// A site is a member of the group now.
+    /// Handles the addition of a site to the group.
     pub(super) fn on_member_added(&mut self, site: u64) {
         if let Some(change) = &mut self.change {
             if change.site == site && matches!(change.step, ChangeStep::Adding) {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// The command that puts a site on the roster is committed; under this name it stands there.
+    /// Handles the commit of the command that adds a site to the roster. `on_roster` is the name
+    /// that the roster now has for the site.
     pub(super) fn on_join_committed(&mut self, index: u64, site: u64, on_roster: Option<&str>) {
         if let Some(change) = &mut self.change {
             if change.site == site && on_roster == Some(change.name.as_str()) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The command that puts a site off the roster is committed.
+    /// Handles the commit of the command that removes a site from the roster.
     pub(super) fn on_removal_committed(
         &mut self,
         index: u64,
@@ -61,7 +62,7 @@
 }
 
 impl FederationMember {
-    /// Carries an order on the roster out, as the leading site.
+    /// Carries out a roster order as the leading site.
     pub(super) fn carry_out_order(
         &mut self,
         now: Nanos,
@@ -81,8 +82,9 @@
         }
     }
 
-    /// Puts a site off the roster once it is fenced: from the first order on it is granted no
-    /// lease, and the order is refused until every lease it may hold is over and its senders' too.
+    /// Removes a site from the roster once it is fenced. From the first order on, the site is
+    /// granted no lease. The order is rejected until every lease that the site may hold has
+    /// expired, and the leases of its senders too.
     fn start_removal(
         &mut self,
         now: Nanos,
@@ -128,8 +130,8 @@
         Ok(())
     }
 
-    /// Lets a site join under a number that was never used. Ordered again, it is answered at once
-    /// where the site is on the roster already.
+    /// Lets a site join under a number that was never used. A repeated order is answered at once if
+    /// the site is already on the roster.
     fn start_join(
         &mut self,
         now: Nanos,
@@ -178,7 +180,7 @@
         Ok(())
     }
 
-    /// A site that is to join was asked for its incarnation.
+    /// Handles the result of requesting the incarnation of a joining site.
     pub fn on_incarnation(
         &mut self,
         now: Nanos,
@@ -223,7 +225,7 @@
     }
 }
 
-/// Reads addresses of a site's replicas.
+/// Parses the addresses of a site's replicas.
 fn parse_addresses(addresses: &[String]) -> Result<Vec<SocketAddr>, RosterChangeError> {
     let is_usable = |at: &SocketAddr| !at.ip().is_unspecified() && at.port() != 0;
     let sockets: Vec<SocketAddr> = addresses.iter().filter_map(|at| at.parse().ok()).collect();
--- a/src/coordination/routing_table/member/roster_orders.rs
+++ b/src/coordination/routing_table/member/roster_orders.rs
@@ -1,5 +1,5 @@
-//! Operators' orders on the roster: carried out here where this site leads, else forwarded to the
-//! site that does.
+//! Operators' roster orders: carried out here if this site leads, otherwise forwarded to the site
+//! that does.
 
 use crate::coordination::leader::ConnectionId;
 use crate::coordination::messages::{FederationRequest, OperatorResponse};
@@ -10,10 +10,10 @@
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// Forwarded orders that wait for an answer, at the most.
+/// Largest number of forwarded orders that wait for a response.
 const MAX_FORWARDED: usize = 100;
-/// A forwarded order waits this long for an answer, in nanoseconds; the answer to the operator says
-/// so in words.
+/// Time that a forwarded order waits for a response, in nanoseconds. The error text for the
+/// operator contains this value.
 const ANSWER_TIMEOUT: Nanos = 5_000_000_000;
 
 struct ForwardedOrder {
@@ -21,7 +21,7 @@
     sent_at: Nanos,
 }
 
-/// Orders that were forwarded to the leading site.
+/// Orders that were forwarded to the leading site and are not answered yet.
 pub(super) struct ForwardedOrders {
     last_id: u64,
     by_id: BTreeMap<u64, ForwardedOrder>,
@@ -45,7 +45,7 @@
         self.last_id
     }
 
-    /// Removes those that wait too long.
+    /// Removes and returns the orders that have waited too long.
     fn take_overdue(&mut self, now: Nanos) -> Vec<ForwardedOrder> {
         let is_overdue = |order: &ForwardedOrder| now >= order.sent_at + ANSWER_TIMEOUT;
         let overdue = self.by_id.iter().filter(|(_, order)| is_overdue(order));
@@ -53,7 +53,7 @@
         ids.iter().filter_map(|id| self.by_id.remove(id)).collect()
     }
 
-    /// Forgets all; gives the connections that wait.
+    /// Removes all orders and returns the connections that wait for them.
     pub(super) fn drain_connections(&mut self) -> impl Iterator<Item = ConnectionId> {
         let all = std::mem::take(&mut self.by_id);
         all.into_values().map(|order| order.connection)
@@ -61,7 +61,7 @@
 }
 
 impl FederationMember {
-    /// An operator's order on the roster.
+    /// Handles an operator's roster order.
     pub fn submit_roster_order(
         &mut self,
         now: Nanos,
@@ -88,7 +88,8 @@
         });
     }
 
-    /// Why an order cannot be forwarded, for people.
+    /// Returns a text for operators that says why an order cannot be forwarded, or `None` if it
+    /// can.
     fn reason_not_to_forward(&self) -> Option<String> {
         if let Stage::Failed(why) = &self.stage {
             return Some(why.clone());
@@ -102,7 +103,7 @@
         None
     }
 
-    /// The leading site answered a forwarded order.
+    /// Handles the leading site's response to a forwarded order.
     pub(super) fn on_order_result(
         &mut self,
         id: u64,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// An operator's connection is closed.
+    /// Removes the orders of an operator's connection that was closed.
     pub fn on_connection_closed(&mut self, connection: ConnectionId) {
         self.orders
             .by_id
--- a/src/coordination/routing_table/member/vote_persistence.rs
+++ b/src/coordination/routing_table/member/vote_persistence.rs
@@ -1,7 +1,7 @@
-//! Fencing earlier members of the site, and persisting the raft state in the site's record.
+//! Fences earlier members of the site and persists the raft state in the site's record.
 //!
-//! Invariant: one piece is in flight at a time, and what relies on it is sent only after the site's
-//! record has it.
+//! Invariant: one item is in flight at a time, and messages that rely on it are sent only after the
+//! site's record has it.
 
 use crate::coordination::bootstrap::Bootstrap;
 use crate::coordination::raft_group::RaftGroup;
@@ -13,17 +13,17 @@
 };
 use crate::Nanos;
 
-/// A proposal that the site's log refused as too much waited is made again after this time, in
-/// nanoseconds.
+/// Time after which a proposal is repeated that the site's log rejected because too many were
+/// pending, in nanoseconds.
 const REFUSED_PROPOSAL_PAUSE: Nanos = 100_000_000;
 
 /// The write to the site's record that is in flight.
 pub(super) struct PendingWrite {
-    /// Number of the last piece of this term.
+    /// Number of the last item of this term.
     number: u64,
-    /// The piece, while the record does not have it.
+    /// The item in flight; `None` once the record has it.
     piece: Option<LogItem>,
-    /// When the last proposal is to be made again.
+    /// Time at which the last proposal is to be repeated, in nanoseconds.
     repeat_at: Nanos,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl FederationMember {
-    /// Proposes the fence or the piece in flight again when that is due.
+    /// Repeats the proposal of the fence or of the item in flight if that is due.
     pub(super) fn repeat_overdue_proposal(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
         let waits = self.write.is_in_flight() || matches!(self.stage, Stage::Fencing);
         if waits && now >= self.write.repeat_at {
@@ -65,19 +65,20 @@
         effects.push(MemberEffect::ProposeToSite(command));
     }
 
-    /// The site's log refused a proposal, as too much waited.
+    /// Handles the rejection of a proposal by the site's log because too many were pending.
     pub fn on_proposal_refused(&mut self, now: Nanos) {
         self.write.repeat_at = self.write.repeat_at.min(now + REFUSED_PROPOSAL_PAUSE);
     }
 
-    /// Persists a piece: the next one in this term.
+    /// Persists an item as the next one in this term.
     pub(super) fn persist(&mut self, now: Nanos, piece: LogItem, effects: &mut Vec<MemberEffect>) {
         self.write.number += 1;
         self.write.piece = Some(piece);
         self.propose_to_site(now, effects);
     }
 
-    /// A command of a member was applied to the site's record, which stands as given.
+    /// Handles a member's command that was applied to the site's record. `record` is the state
+    /// after it.
     pub fn on_applied(
         &mut self,
         now: Nanos,
@@ -104,12 +105,14 @@
         }
     }
 
-    /// Whether a command of this term is this member's and no later member has fenced it off.
+    /// Returns whether a command of this term is this member's and no later member has fenced this
+    /// one off.
     fn owns_record(&self, command_term: u64, record: &Record) -> bool {
         command_term == self.site_term && record.durable_vote.term == self.site_term
     }
 
-    /// The fence is committed: resumes from what the record holds, or begins with a new identity.
+    /// Handles the commit of the fence: resumes from what the record holds, or starts with a new
+    /// identity.
     fn on_fenced(&mut self, now: Nanos, record: &Record, effects: &mut Vec<MemberEffect>) {
         let Some(base) = &record.durable_vote.base else {
             return self.persist_new_identity(now, effects);
@@ -168,7 +171,7 @@
         self.run_group(now, effects);
     }
 
-    /// The record has the piece that was in flight.
+    /// Handles the commit of the item that was in flight.
     fn on_persisted(&mut self, now: Nanos, record: &Record, effects: &mut Vec<MemberEffect>) {
         match &mut self.stage {
             Stage::Fencing => self.resume(now, record, effects),
