--- a/src/coordination/routing_table/cutover/decisions.rs
+++ b/src/coordination/routing_table/cutover/decisions.rs
@@ -1,4 +1,4 @@
-//! Which change of the site's tables comes next.
+//! Chooses the next change of the site's tables.
 
 use crate::coordination::messages::SiteAdmission;
 use crate::coordination::policy_rollout::rollout::APART;
@@ -10,16 +10,19 @@
 use crate::Nanos;
 use std::collections::BTreeSet;
 
-/// Longest pause, in nanoseconds: clients wait 300 ms for admission, and hang up after 400.
+/// Longest pause, in nanoseconds: clients wait 300 ms for admission and close the connection after
+/// 400 ms.
 const MAX_PAUSE: Nanos = 150 * MS;
-/// First time between a pause that was rolled back and the next one, in nanoseconds; it doubles.
+/// Shortest time between a pause that was rolled back and the next one, in nanoseconds. It doubles
+/// with each rollback.
 const MIN_RETRY_BACKOFF: Nanos = SECOND;
-/// Longest time between them, in nanoseconds.
+/// Longest time between a pause that was rolled back and the next one, in nanoseconds.
 const MAX_RETRY_BACKOFF: Nanos = 60 * SECOND;
 
 impl Cutover {
-    /// The next change: a hold goes first, then a pause that runs, then what the federation's
-    /// record says, then a pause for what was decided, or the end of a hold.
+    /// Returns the next change. In order of precedence: a hold, the end of a running pause, what
+    /// the federation's record has and the site's lacks, and a pause for the decided table or the
+    /// end of a hold.
     pub(super) fn next_change(
         &mut self,
         now: Nanos,
@@ -50,8 +53,8 @@
         (is_held && has_caught_up).then_some(Change::Resume)
     }
 
-    /// A site that holds catches up with what this replica's member itself was told, and goes on as
-    /// a site of the roster.
+    /// Returns whether a site that holds may leave the hold: this replica's own member has a
+    /// running lease, so its view is recent, and the site is on the roster.
     fn may_leave_hold(&self, now: Nanos, view: Option<&FederationView>) -> bool {
         view.is_none_or(|view| {
             let is_on_roster = view.own_name().is_some();
@@ -59,8 +62,9 @@
         })
     }
 
-    /// Whether a pause for the table that was decided may begin: all senders have it, those that
-    /// were silent last time answer, the backoff is over, and no policy rollout paused lately.
+    /// Returns whether a pause for the decided table may begin: all senders store it, those that
+    /// were silent in the last pause respond, the backoff has passed, and no policy rollout has
+    /// paused recently.
     fn may_pause(&self, now: Nanos, record: &Record) -> bool {
         let tables = &record.tables;
         let Some(next) = &tables.next else {
@@ -75,7 +79,8 @@
         is_stored && !is_any_silent && is_rested && is_apart
     }
 
-    /// A pause goes on, is committed, or is rolled back.
+    /// Returns the change that commits the pause or rolls it back; `None` while the pause
+    /// continues.
     pub(super) fn end_pause(&mut self, now: Nanos, record: &Record) -> Option<Change> {
         let is_over = now >= self.step.began_at + MAX_PAUSE;
         let waits = self.awaited.as_ref().is_some_and(|a| !a.is_empty());
@@ -105,7 +110,7 @@
         None
     }
 
-    /// What the site's record lacks of the federation's.
+    /// Returns the change that adds what the site's record lacks of the federation's.
     fn catch_up_change(&self, record: &Record, view: &FederationView) -> Option<Change> {
         let tables = &record.tables;
         let federation = &view.record;
@@ -129,14 +134,15 @@
         (proposed.number > newest).then_some(Change::Offer { table })
     }
 
-    /// What becomes of the table that is offered: it is dropped when its proposal is over, and
-    /// accepted when all live senders have it and none refuses it.
+    /// Returns the change for the offered table: it is dropped when its proposal has ended, and
+    /// accepted when all live senders store it and none refuses it.
     fn offered_change(&self, record: &Record, view: &FederationView) -> Option<Change> {
         let offered = record.tables.offered.as_ref()?;
         let number = offered.table.number;
         let proposal = view.record.proposal.as_ref();
         if proposal.is_none_or(|p| p.table.number != number) {
-            // A proposal that an earlier record does not know yet is not over.
+            // A proposal that is missing because the view of the federation's record is older has
+            // not ended.
             let is_over = view.record.given >= number;
             return is_over.then_some(Change::Drop { number });
         }
@@ -147,7 +153,8 @@
     }
 }
 
-/// Time between a pause that was rolled back so many times and the next one.
+/// Returns the time between the rollback of a pause and the next pause, after this number of
+/// rollbacks.
 fn retry_backoff(tries: u32) -> Nanos {
     let doublings = tries.saturating_sub(1).min(10);
     (MIN_RETRY_BACKOFF << doublings).min(MAX_RETRY_BACKOFF)
--- a/src/coordination/routing_table/cutover/lease.rs
+++ b/src/coordination/routing_table/cutover/lease.rs
@@ -1,4 +1,4 @@
-//! The site's lease in its federation, as its leader counts it.
+//! The site's lease in its federation, as the site's leader tracks it.
 
 use crate::coordination::messages::SiteAdmission;
 use crate::coordination::record::Record;
@@ -9,30 +9,31 @@
 use crate::coordination::routing_table::tables::Change;
 use crate::Nanos;
 
-/// The record's clock is up to a heartbeat behind, and its value of the lease takes a moment to be
-/// committed; in nanoseconds.
+/// Error margin of the recorded lease, in nanoseconds: the record's clock is up to one heartbeat
+/// behind, and the recorded end of the lease is committed with a delay.
 pub const CLOCK_LAG: Nanos = SECOND;
-/// A new leader hears within this time how the federation stands, or the site is in none.
+/// Time in which a new leader receives a view of the federation, in nanoseconds; without one, the
+/// site is in no federation.
 const VIEW_TIMEOUT: Nanos = SECOND;
-/// A site that is in no federation any more goes on after this time.
+/// Time after which a site that is no longer in a federation resumes, in nanoseconds.
 const NO_FEDERATION_AFTER: Nanos = 10 * SECOND;
-/// The recorded end of the lease is moved on by no less than this, in milliseconds.
+/// Smallest step by which the recorded end of the lease is moved, in milliseconds.
 const MIN_RECORDED_EXTENSION_MS: u64 = 1_000;
 
-/// What a leader knows of the site's lease.
+/// The site's lease as its leader knows it.
 #[derive(Clone, Debug)]
 pub(super) struct SiteLease {
-    /// Until when the record says that the site is counted in, on this leader's clock; the outer
-    /// value is nothing before it was read.
+    /// End of the lease according to the record, on this leader's clock. The outer value is `None`
+    /// before the record was read, the inner one if the end is not known.
     recorded_until: Option<Option<Nanos>>,
-    /// Until when the member was granted the lease.
+    /// End of the lease that was granted to the member.
     granted_until: Option<Nanos>,
-    /// When its end was proposed to the record last.
+    /// Time at which the end of the lease was last proposed to the record, in nanoseconds.
     recorded_at: Option<Nanos>,
-    /// Whether the site holds beyond its lease; nothing where it is in no federation, as far as is
-    /// known.
+    /// Whether the site admits nothing new after its lease has expired; `None` if the site is in no
+    /// federation, as far as is known.
     holds_after: Option<bool>,
-    /// Whether no sender may hear that messages are admitted, as of the last tick.
+    /// Whether no sender may be told that messages are admitted, as of the last tick.
     is_shut: bool,
 }
 
@@ -49,7 +50,7 @@
 }
 
 impl SiteLease {
-    /// Until when the site may count itself in.
+    /// Returns the end of the site's lease: the recorded or the granted one, whichever is later.
     pub(super) fn until(&self) -> Option<Nanos> {
         self.recorded_until.flatten().max(self.granted_until)
     }
@@ -58,16 +59,16 @@
         self.is_shut
     }
 
-    /// Whether this replica's member itself was granted a lease that runs: then what it knows of
-    /// the federation is no older than that.
+    /// Returns whether this replica's own member was granted a lease that is still running. If so,
+    /// its view of the federation is at least as recent as that grant.
     pub(super) fn is_granted(&self, now: Nanos) -> bool {
         self.granted_until.is_some_and(|until| now < until)
     }
 }
 
 impl Cutover {
-    /// Whether the site may go by a table: its lease runs, or it gives the promise up, or has been
-    /// in no federation for long enough.
+    /// Returns whether the site may use a table: its lease is running, it is configured to continue
+    /// without one, or it has been in no federation for long enough.
     pub(super) fn may_go_by_table(&self, now: Nanos) -> bool {
         let runs = self.lease.until().is_some_and(|until| now < until);
         match self.lease.holds_after {
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Why the site can have no part in its federation, for people: it goes by a table that the
-    /// federation never had.
+    /// Returns a text for operators if the site cannot take part in its federation because it has a
+    /// table that the federation never had.
     pub(super) fn foreign_record(
         &self,
         now: Nanos,
@@ -95,13 +96,13 @@
         ))
     }
 
-    /// Whether senders are to hear of no admission and have no lease renewed: the site has to be
-    /// held, and the record does not say so yet.
+    /// Returns whether senders are to be told of no admission and have no lease renewed: the site
+    /// has to hold, and its record does not say so yet.
     pub fn must_withhold_leases(&self, record: &Record) -> bool {
         self.lease.is_shut && record.tables.register.stance != SiteAdmission::LeaseExpired
     }
 
-    /// Counts the lease, and records what is left of it.
+    /// Updates the lease, and records its end if that is due.
     pub(super) fn update_lease(
         &mut self,
         now: Nanos,
@@ -119,8 +120,8 @@
         self.record_lease(now, record, effects);
     }
 
-    /// What the record says of the lease, as an end on this leader's clock: less the time that
-    /// nobody counted; nothing where that is not known.
+    /// Returns the end of the recorded lease on this leader's clock, reduced by the time during
+    /// which no leader advanced the record's clock; `None` if that time is not known.
     fn read_recorded_lease(&self, record: &Record) -> Option<Nanos> {
         let left_ms = record.tables.lease_ms.saturating_sub(record.clock_ms);
         let left = left_ms.saturating_mul(MS);
@@ -131,22 +132,23 @@
     fn has_to_shut(&self, now: Nanos, record: &Record, view: Option<&FederationView>) -> bool {
         let tables = &record.tables;
         let Some(view) = view else {
-            // A site that was in a federation hears soon how that stands, or is in none any more.
+            // A site that was in a federation either receives a view of it soon or is no longer in
+            // one.
             let was_in_one = tables.lease_ms > 0 || tables.turn > 0;
             return was_in_one && now < self.began_at + VIEW_TIMEOUT;
         };
         if !view.holds_after_lease {
             return false;
         }
-        // Beside the table that was decided last only the one before it may be in use.
+        // Besides the table that was decided last, only the one before it may be in use.
         let number = tables.register.number;
         let federation = &view.record;
         let is_behind = number < federation.table.number && number != federation.before.number;
         is_behind || self.foreign_record(now, record, view).is_some() || !self.may_go_by_table(now)
     }
 
-    /// Records the end of the lease when half of what was recorded has passed, and for no less than
-    /// a second more.
+    /// Records the end of the lease when half of the recorded time has passed, and only if that
+    /// extends it by at least one second.
     fn record_lease(&mut self, now: Nanos, record: &Record, effects: &mut Vec<CutoverEffect>) {
         let recorded_ms = record.tables.lease_ms;
         let left_ms = self.lease.granted_until.unwrap_or(0).saturating_sub(now) / MS;
--- a/src/coordination/routing_table/cutover/mod.rs
+++ b/src/coordination/routing_table/cutover/mod.rs
@@ -1,35 +1,36 @@
 //! A site's cutover from one routing table to the next: which senders the leader waits for, when
-//! the site accepts a proposal, and when it goes over.
+//! the site accepts a proposal, and when it cuts over.
 //!
-//! It owns the decisions of one leader of the site in its time as leader. What outlasts a leader
-//! stands in the site's record ([`tables`](super::tables)) and in the federation's
-//! ([`federation`](super::federation)). What senders reported is lost with the leader, as with
-//! policies. The leader's duties (`coordination::leader`) call it and carry out its
+//! This module owns the decisions of one leader of the site during its term. State that outlasts a
+//! leader is in the site's record ([`tables`](super::tables)) and in the federation's
+//! ([`federation`](super::federation)). Reports of senders are lost with the leader, as with
+//! policies. The leader's duties (`coordination::leader`) call this module and carry out its
 //! [`CutoverEffect`]s; it does no I/O and reads no clock.
 //!
 //! # The lease
 //!
-//! The federation counts the site in for a time. The member that is granted that counts it on its
-//! own clock; a leader that takes over from it has the record's value, which it believes less the
-//! time that it knows nobody counted, and less [`CLOCK_LAG`]. One that never saw a leader believes
-//! nothing of it. Beyond the lease, a site that holds admits nothing, also one that was never
-//! counted in: nobody there knows what the federation goes by, as its folders may be those of a
-//! site that was cut off, or new ones in place of lost ones. Invariant: while the leader knows the
-//! lease to be over, no sender hears from it that messages may be admitted, and none has its own
-//! lease renewed before the record says that nothing is admitted.
+//! The federation grants the site a lease. The member that requested it counts the lease on its own
+//! clock. A leader that takes over has the value in the site's record. From that value it subtracts
+//! the time during which no leader advanced the record's clock, and [`CLOCK_LAG`]. A leader that
+//! never saw another leader does not know that time and does not rely on the recorded lease at all.
+//! Without a lease, a site that is configured to hold admits nothing new, even if it never had a
+//! lease: its replicas do not know which table the federation uses, because their folders may be
+//! those of a site that was cut off, or new ones in place of lost ones. Invariant: while the leader
+//! knows that the lease has expired, it tells no sender that messages may be admitted, and it
+//! renews no sender's lease before the record says that nothing is admitted.
 //!
-//! # Senders that cannot go by what was decided
+//! # Senders that cannot use the decided table
 //!
-//! A sender that refuses a table before the site accepts it ends the proposal. One that does so
-//! later, as it joined later, holds nothing up: it admits nothing, as it has not the table that it
-//! is told to go by. One whose file lets it follow no tables would go on by the list alone, so a
-//! cutover waits until it lapses.
+//! A sender that refuses a table before the site accepts it ends the proposal. A sender that joins
+//! later and refuses the table delays nothing: it admits nothing, because it does not have the
+//! table that it is told to use. A sender whose configuration file does not let it follow tables
+//! would go on by the endpoint list alone, so a cutover waits until that sender's lease expires.
 //!
 //! # Modules
 //!
-//! `lease` counts the site's lease, `decisions` finds the next change of the site's record,
-//! `reports` tells the federation what its record does not show yet, `senders` says who has what
-//! and what is sent to them, `orders` and `status` serve operators.
+//! `lease` tracks the site's lease, `decisions` finds the next change of the site's record,
+//! `reports` submits what the federation's record does not contain yet, `senders` tracks what
+//! senders store and apply and sends them messages, `orders` and `status` serve operators.
 
 use crate::coordination::messages::{AgentTableMessage, SiteAdmission};
 use crate::coordination::record::Record;
@@ -52,41 +53,41 @@
 
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
-/// A change that is not committed to the site's record within this time may be proposed again; a
-/// command that the federation's record does not show is submitted again after it.
+/// Time after which a change that is not committed to the site's record may be proposed again, and
+/// a command that the federation's record does not contain is submitted again.
 const PROPOSAL_TIMEOUT: Nanos = SECOND;
-/// A sender that cannot go by a table that was decided is asked again after this time: what its
-/// list lacks may come.
+/// Time after which a sender that refused a decided table is asked again: its endpoint list may
+/// have changed by then.
 const REFUSAL_RETRY_INTERVAL: Nanos = 10 * SECOND;
 
-/// Something that the leader's duties have to do for the cutover.
+/// An action that the leader has to carry out for the cutover.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CutoverEffect {
     /// Append this change to the site's log.
     ProposeToSite(Change),
-    /// Submit this command for the federation's log. It may be lost; it is returned again as long
-    /// as the federation's record does not show it.
+    /// Submit this command to the federation's log. It may be lost; it is returned again until the
+    /// federation's record contains it.
     ProposeToFederation(Command),
 }
 
-/// The change that was proposed and is not applied yet.
+/// A proposed change that is not applied yet.
 #[derive(Clone, Copy, Debug)]
 struct ProposedChange {
-    /// Turn of the site's tables that it was based on.
+    /// Turn of the site's tables on which the change is based.
     base_turn: u64,
     proposed_at: Nanos,
 }
 
-/// When the state of the site's tables began.
+/// Start of the current state of the site's tables.
 #[derive(Clone, Copy, Debug)]
 struct CurrentStep {
-    /// Log index of the change that began it.
+    /// Log index of the change that led to this state.
     index: u64,
-    /// When this leader saw it begin.
+    /// Time at which this leader saw the state begin, in nanoseconds.
     began_at: Nanos,
 }
 
-/// A command that was submitted for the federation's log.
+/// A command that was submitted to the federation's log.
 #[derive(Clone, Debug)]
 struct SubmittedCommand {
     command: Command,
@@ -96,34 +97,34 @@
 /// Decisions of a site's leader on routing tables.
 #[derive(Clone, Debug)]
 pub struct Cutover {
-    /// When this leader began.
+    /// Time at which this leader started, in nanoseconds.
     began_at: Nanos,
-    /// For how long nobody counted on the record's clock before this leader began; nothing where
-    /// that is not known.
+    /// Time before this leader's start during which no leader advanced the record's clock, in
+    /// nanoseconds; `None` if it is not known.
     uncounted: Option<Nanos>,
     senders: SenderRegistry,
     proposed: Option<ProposedChange>,
     step: CurrentStep,
-    /// Senders that a pause still waits for, as far as is known.
+    /// Senders for which a pause still waits, as far as is known.
     awaited: Option<BTreeSet<String>>,
-    /// Those that the last pause was rolled back for.
+    /// Senders because of which the last pause was rolled back.
     silent: BTreeSet<String>,
     lease: lease::SiteLease,
-    /// The command that was submitted to the federation last.
+    /// The last command that was submitted to the federation.
     submitted: Option<SubmittedCommand>,
-    /// Whether the site admits messages, as of the last change.
+    /// Admission state of the site after the last change.
     stance: SiteAdmission,
-    /// The last table that all senders were seen to go by, for the log.
+    /// Number of the last table that was logged as in use by all senders.
     logged_in_use: u64,
-    /// When a pause of a policy rollout was last seen.
+    /// Time at which a pause of a policy rollout was last seen, in nanoseconds.
     policy_paused_at: Option<Nanos>,
-    /// When senders that refuse what was decided were asked last.
+    /// Time at which senders that refuse a decided table were last asked again, in nanoseconds.
     refusals_asked_at: Nanos,
 }
 
 impl Cutover {
-    /// Starts without any knowledge of senders. `last_leader_seen` is when this replica saw another
-    /// leader, or itself, lead last; nothing where it never did.
+    /// Starts without any knowledge of senders. `last_leader_seen` is the last time at which this
+    /// replica saw a leader, another one or itself; `None` if it never did.
     pub fn new(now: Nanos, last_leader_seen: Option<Nanos>) -> Cutover {
         Cutover {
             began_at: now,
@@ -145,23 +146,24 @@
         }
     }
 
-    /// A sender has a session on a connection of its own, on which it has not said yet whether it
-    /// follows tables.
+    /// Handles a sender's new session on a connection of its own. The sender has not reported on it
+    /// yet whether it follows tables.
     pub fn on_session_opened(&mut self, sender: &str, boot: u64) {
         self.senders.open_session(sender, boot, None);
     }
 
-    /// A sender's load report arrived. One that has not said by now what it has follows no tables.
+    /// Handles a sender's load report. A sender that has not reported its stored tables by then
+    /// follows no tables.
     pub fn on_report(&mut self, sender: &str) {
         self.senders.note_inventory_due(sender);
     }
 
-    /// A sender's session is over.
+    /// Handles the end of a sender's session.
     pub fn on_session_closed(&mut self, sender: &str) {
         self.senders.close_session(sender);
     }
 
-    /// A sender says what it has, checked, or goes by.
+    /// Handles a sender's message about the tables that it stores, checked or applied.
     pub fn on_sender_message(
         &mut self,
         now: Nanos,
@@ -181,7 +183,7 @@
         }
     }
 
-    /// A change of tables was applied, or was void.
+    /// Handles a committed change of the site's tables, whether it was applied or void.
     pub fn on_applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
         let tables = &record.tables;
         self.proposed = self.proposed.filter(|p| p.base_turn >= tables.turn);
@@ -216,7 +218,7 @@
         self.awaited = None;
     }
 
-    /// Advances time, or the federation is known to stand otherwise.
+    /// Advances time; also called when the view of the federation has changed.
     pub fn on_tick(
         &mut self,
         now: Nanos,
@@ -224,7 +226,8 @@
         view: Option<&FederationView>,
         effects: &mut Vec<CutoverEffect>,
     ) {
-        // Whom a pause waits for is counted anew: some may have joined or lapsed.
+        // The senders for which a pause waits are determined again: some may have joined, and
+        // leases of others may have expired.
         self.awaited = None;
         self.stance = record.tables.register.stance;
         if record.policies.zones.values().any(|r| r.paused) {
@@ -237,7 +240,7 @@
         self.report_to_federation(now, record, view, effects);
     }
 
-    /// Proposes the next change of the site's record, one at a time.
+    /// Proposes the next change of the site's record; only one at a time.
     fn propose_change(
         &mut self,
         now: Nanos,
@@ -254,7 +257,8 @@
             return;
         }
         if self.step.index != tables.at {
-            // It began under another leader, who may have waited long.
+            // The step began under another leader and may have lasted long already, so it counts
+            // from this leader's start.
             self.begin_step(tables.at, self.began_at);
         }
         if let Some(change) = next(self) {
--- a/src/coordination/routing_table/cutover/orders.rs
+++ b/src/coordination/routing_table/cutover/orders.rs
@@ -1,4 +1,4 @@
-//! Operators' orders on the federation's table.
+//! Operators' orders about the federation's routing table.
 
 use crate::coordination::messages::FederationRequest;
 use crate::coordination::policy_rollout::document::Fault;
@@ -11,52 +11,52 @@
 use crate::coordination::routing_table::federation_view::FederationView;
 use crate::coordination::sender_registry::format_names;
 
-/// Longest time that a proposal may have, in seconds: a day.
+/// Longest time limit of a proposal, in seconds: one day.
 const MAX_WITHIN_S: u32 = 24 * 3_600;
 
-/// Why an order is rejected.
+/// Reason why an order is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderRejected {
     /// The site is in no federation, as far as is known.
     #[error("this site is in no federation")]
     NoFederation,
-    /// The site has no part in its federation yet, or no more.
+    /// The site is not on the roster of its federation, or is no longer.
     #[error("this site is not on the roster of its federation")]
     NotOnRoster,
-    /// The text is no table: a line for each fault.
+    /// The text is not a valid table: one line for each fault.
     #[error("{0}")]
     InvalidTable(String),
-    /// The proposal's time.
+    /// The time limit of the proposal is out of range.
     #[error("{0} s are not from 1 to {max}", max = MAX_WITHIN_S)]
     InvalidTime(u32),
-    /// The federation takes no proposal now.
+    /// The federation accepts no proposal at present.
     #[error(transparent)]
     Proposal(#[from] ProposalRejected),
     /// These senders follow no tables.
     #[error("{0}: a fleet file without a table [table], so no table is followed there")]
     SendersFollowNone(String),
-    /// Nothing is proposed that could be aborted.
+    /// There is no open proposal to abort.
     #[error("no table is proposed")]
     NothingProposed,
-    /// Another part serves this order.
+    /// Another component serves this order.
     #[error("that is not the office's to do")]
     NotServedHere,
 }
 
-/// What became of an order that was submitted to the federation.
+/// Outcome of an order that was submitted to the federation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// The federation's record does not show it yet.
+    /// The federation's record does not contain its effect yet.
     Pending,
-    /// The record of this version shows it.
+    /// The record of this version contains its effect.
     Done(u64),
-    /// It ended otherwise, for people.
+    /// The order failed, for this reason.
     Failed(String),
 }
 
 impl Cutover {
-    /// The command for the federation's record that an order asks for; nothing where things are so
-    /// already. Who joins or leaves the roster is not decided here.
+    /// Returns the command for the federation's log that carries out an order; `None` if the
+    /// requested state already exists. Orders that change the roster are not served here.
     ///
     /// # Errors
     /// The order is rejected.
@@ -107,8 +107,8 @@
                 &not_following,
             )));
         }
-        // The record's version grows with each heartbeat: no two proposals of this site have one,
-        // and it outlasts this leader.
+        // The version of the site's record grows with each heartbeat and outlasts this leader, so
+        // no two proposals of this site have the same key.
         let key = record.version << 32 | u64::from(crc32fast::hash(&digest));
         Ok(Some(Command::Propose {
             by: by.into(),
@@ -119,7 +119,7 @@
         }))
     }
 
-    /// Whether the federation's record shows what an order asked for.
+    /// Returns whether the federation's record contains the effect of an order.
     pub fn order_outcome(command: &Command, view: &FederationView) -> OrderOutcome {
         let federation = &view.record;
         let is_done = match command {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Whether a proposal that is over ended without a decision.
+/// Returns whether an ended proposal ended without a decision.
 fn is_undecided(past: &EndedProposal) -> bool {
     past.end != DECIDED
 }
@@ -172,7 +172,7 @@
     Ok(Command::Abort { number, why })
 }
 
-/// A line for each fault of a table's text.
+/// Returns one line for each fault of a table's text.
 fn lines_of(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(|f| format!("table: {f}")).collect();
     lines.join("\n")
--- a/src/coordination/routing_table/cutover/reports.rs
+++ b/src/coordination/routing_table/cutover/reports.rs
@@ -1,5 +1,5 @@
-//! What the site tells its federation: that it accepts or refuses a proposal, and that it has cut
-//! over.
+//! Reports of the site to its federation: that it accepts or refuses a proposal, and that it has
+//! cut over.
 
 use crate::coordination::record::Record;
 use crate::coordination::routing_table::cutover::{
@@ -9,7 +9,7 @@
 use crate::coordination::routing_table::federation_view::FederationView;
 use crate::Nanos;
 
-/// What a report says, but for its reason, which may change while the report is the same.
+/// Content of a report without its reason, which may change while the report remains the same.
 #[derive(PartialEq, Eq)]
 enum ReportKind {
     Accept(u64),
@@ -30,8 +30,8 @@
 }
 
 impl Cutover {
-    /// Submits to the federation what its record does not show yet; the same again only after a
-    /// while.
+    /// Submits the report that the federation's record lacks. The same report is submitted again
+    /// only after `PROPOSAL_TIMEOUT`.
     pub(super) fn report_to_federation(
         &mut self,
         now: Nanos,
@@ -57,7 +57,7 @@
         effects.push(CutoverEffect::ProposeToFederation(command));
     }
 
-    /// The report that the federation's record lacks.
+    /// Returns the report that the federation's record lacks.
     fn next_report(&self, now: Nanos, record: &Record, view: &FederationView) -> Option<Command> {
         let site = view.own_site;
         if !view.record.sites.contains_key(&site) {
@@ -83,7 +83,8 @@
         is_unreported.then_some(Command::Accept { site, number })
     }
 
-    /// Reports that the site has cut over, once all live senders go by the table or refuse it.
+    /// Returns the report that the site has cut over, once all live senders use the table or refuse
+    /// it.
     fn cutover_report(&self, record: &Record, view: &FederationView) -> Option<Command> {
         let site = view.own_site;
         let own = view.record.sites.get(&site)?;
--- a/src/coordination/routing_table/cutover/senders.rs
+++ b/src/coordination/routing_table/cutover/senders.rs
@@ -1,4 +1,5 @@
-//! What the site's senders have, refuse and go by, and what is sent to them.
+//! The tables that the site's senders store, refuse and apply, and the messages that are sent to
+//! them.
 
 use crate::coordination::messages::{ReplicaTableMessage, SiteAdmission};
 use crate::coordination::record::{Record, RosterEntry};
@@ -8,7 +9,7 @@
 use crate::Nanos;
 
 impl Cutover {
-    /// A sender has checked a table and persisted it, or refuses it.
+    /// Handles a sender's result of checking a table: it has persisted the table, or refuses it.
     pub(super) fn on_checked(
         &mut self,
         sender: &str,
@@ -30,7 +31,8 @@
         }
     }
 
-    /// A sender goes by a turn. The last one that a pause waits for ends the pause at once.
+    /// Handles a sender's report that it has applied a turn. The last sender for which a pause
+    /// waits ends the pause at once.
     pub(super) fn on_turn_taken(
         &mut self,
         now: Nanos,
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Asks senders again that cannot go by what was decided.
+    /// Asks senders that refuse the active or the decided table again when that is due.
     pub(super) fn ask_refusing_senders_again(&mut self, now: Nanos, record: &Record) {
         let tables = &record.tables;
         let is_due = now >= self.refusals_asked_at + REFUSAL_RETRY_INTERVAL;
@@ -66,8 +68,8 @@
         }
     }
 
-    /// Sends a sender what is due: the turn in force where it has not said that it goes by it, and
-    /// tables that it lacks, while `offers` last.
+    /// Sends a sender the messages that are due: the current turn if the sender has not confirmed
+    /// it, and tables that it lacks. `offers` is the number of tables that may still be sent.
     pub fn send_due_messages(
         &mut self,
         now: Nanos,
@@ -134,13 +136,14 @@
         }
     }
 
-    /// Live senders that have not said that they go by the turn in force.
+    /// Returns the live senders that have not confirmed the current turn.
     pub(super) fn not_on_turn<'a>(&'a self, record: &'a Record) -> Vec<&'a String> {
         let turn = record.tables.register.turn;
         self.senders.unconfirmed(record, |_| true, |_| turn)
     }
 
-    /// Live senders that have not said that they have a table, and do not refuse it.
+    /// Returns the live senders that have not confirmed that they store a table and do not refuse
+    /// it.
     pub(super) fn not_storing<'a>(
         &'a self,
         record: &'a Record,
@@ -152,7 +155,7 @@
         late
     }
 
-    /// Whether all live senders have said that they have a table.
+    /// Returns whether all live senders have confirmed that they store a table.
     pub(super) fn is_stored_by_all(&self, record: &Record, table: &RoutingTable) -> bool {
         let mut live = self.senders.live(record, |_| true);
         live.all(|sender| {
@@ -166,7 +169,7 @@
         known.is_some_and(|sender| sender.refusal(number).is_some())
     }
 
-    /// Live senders that follow no tables.
+    /// Returns the live senders that follow no tables.
     pub(super) fn not_following<'a>(&'a self, record: &'a Record) -> Vec<&'a String> {
         let live = self.senders.live(record, |_| true);
         live.filter(|sender| sender.known.is_some_and(KnownSender::failed_to_report))
@@ -174,7 +177,8 @@
             .collect()
     }
 
-    /// Why live senders cannot go by a table, for people: the first of them.
+    /// Returns a text for operators that says why the first refusing live sender cannot use a
+    /// table.
     pub(super) fn refusal(&self, record: &Record, number: u64) -> Option<String> {
         let mut live = self.senders.live(record, |_| true);
         live.find_map(|LiveSender { name, known, .. }| {
--- a/src/coordination/routing_table/cutover/status.rs
+++ b/src/coordination/routing_table/cutover/status.rs
@@ -1,4 +1,4 @@
-//! How a site and its federation stand, for operators.
+//! Status of a site and its federation, for operators.
 
 use crate::coordination::messages::{
     FederationStatus, PastProposal, ProposalStatus, SiteAdmission, SiteStatus,
@@ -10,19 +10,19 @@
 use crate::coordination::sender_registry::LiveSender;
 use crate::Nanos;
 
-/// Names of senders that are waited for in a status, at the most.
+/// Largest number of awaited senders that a status names.
 const MAX_AWAITED_NAMES: usize = 1_000;
-/// Senders that refuse in a status, at the most.
+/// Largest number of refusing senders in a status.
 const MAX_REFUSALS: usize = 100;
 
-/// What the site waits for, and the senders that it waits for.
+/// The event for which the site waits, and the senders that have not responded.
 struct Awaited<'a> {
     what: String,
     senders: Vec<&'a String>,
 }
 
 impl Cutover {
-    /// How things stand.
+    /// Returns the status of the site and its federation.
     pub fn status(&self, now: Nanos, record: &Record, view: &FederationView) -> FederationStatus {
         let tables = &record.tables;
         let awaited = self.awaited_senders(record);
@@ -73,7 +73,7 @@
         Awaited { what, senders }
     }
 
-    /// Senders that refuse the newest table, and why.
+    /// Returns the senders that refuse the newest table, with their reasons.
     fn refusals(&self, record: &Record) -> Vec<(String, String)> {
         let Some(table) = newest_table(record) else {
             return Vec::new();
@@ -91,7 +91,7 @@
         refusals.take(MAX_REFUSALS).collect()
     }
 
-    /// Proposals that are over, the newest first.
+    /// Returns the ended proposals, the newest first.
     pub fn history(view: &FederationView) -> Vec<PastProposal> {
         let past = view.record.past.iter().rev().map(|p| PastProposal {
             number: p.number,
@@ -103,7 +103,7 @@
         past.collect()
     }
 
-    /// A table that the federation's record has the text of, or the site's.
+    /// Returns the table with this number if the federation's or the site's record holds its text.
     pub fn text<'a>(
         number: u64,
         record: &'a Record,
@@ -114,8 +114,8 @@
     }
 }
 
-/// The newest table that senders are to have: the offered one, the decided one, or the one in
-/// force.
+/// Returns the newest table that senders should store: the offered one, else the decided one, else
+/// the active one.
 fn newest_table(record: &Record) -> Option<&RoutingTable> {
     let tables = &record.tables;
     if let Some(offered) = &tables.offered {
--- a/src/coordination/routing_table/document/destination_range.rs
+++ b/src/coordination/routing_table/document/destination_range.rs
@@ -1,20 +1,20 @@
-//! Destinations as a route names them: one number, or a range as `"100-199"`.
+//! The notation of destinations in a route: one number, or a range such as `"100-199"`.
 
 use serde::de::{Deserializer, Error, Unexpected, Visitor};
 use serde::{Deserialize, Serialize, Serializer};
 use std::fmt;
 
-/// One destination or several that follow each other: the first and the last.
+/// A destination or a range of consecutive destinations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DestinationRange {
     /// The first destination.
     pub first: u16,
-    /// The last one.
+    /// The last destination.
     pub last: u16,
 }
 
 impl DestinationRange {
-    /// Reads a range as `100-199`.
+    /// Parses a range such as `100-199`.
     fn parse(text: &str) -> Option<DestinationRange> {
         let (first, last) = text.split_once('-')?;
         let first: u16 = first.parse().ok()?;
@@ -84,7 +84,7 @@
 #[cfg(feature = "tools")]
 impl schemars::JsonSchema for DestinationRange {
     fn schema_name() -> std::borrow::Cow<'static, str> {
-        // The schema's name of it stays.
+        // The name of this type in the published schema does not change.
         "Dests".into()
     }
 
--- a/src/coordination/routing_table/document/mod.rs
+++ b/src/coordination/routing_table/document/mod.rs
@@ -1,17 +1,18 @@
-//! A routing table as it is written in TOML: sites with their zones, and routes by destination,
-//! class and tenant.
+//! A routing table in TOML: sites with their zones, and routes by destination, class and tenant.
 //!
-//! It owns reading and checking a text, the canonical form and digest by which programs compare
-//! tables, and whether a sender can go by one. It decides nothing about when a table is used. The
-//! agent, the cutover's orders and `raildeal fleet table` call it.
+//! This module parses and validates a text, defines the canonical form and the digest by which
+//! programs compare tables, and checks whether a sender can use a table. It does not decide when a
+//! table is used. The agent, the cutover's orders and `raildeal fleet table` call it.
 //!
-//! **Which route counts** for a message: one that names its destination goes before one for all
-//! destinations, whatever else either says; where that is the same, one that names its class before
-//! one for all classes; where that is the same too, one that names its tenant. Two routes that say
-//! the same number of these, in the same places, and have a message in common, are a fault.
+//! **The route that applies** to a message is the most specific one. A route that names the
+//! message's destination takes precedence over one for all destinations, whatever else they name.
+//! Where both do or neither does, a route that names the class takes precedence over one for all
+//! classes; then a route that names the tenant. It is a fault if two routes name the same ones of
+//! these three properties and match a common message.
 //!
-//! `destination_range` is a setting's form, `parse` reads a text, `validate` finds faults that no
-//! field shows by itself, `sender_check` finds what a sender lacks, and `route` compares routes.
+//! `destination_range` is the format of a setting, `parse` reads a text, `validate` finds faults
+//! that involve several fields, `sender_check` finds what a sender lacks, and `route` compares
+//! routes.
 
 use crate::coordination::messages::Digest;
 use crate::coordination::policy_rollout::document::{differences, Difference};
@@ -30,23 +31,24 @@
 
 pub use destination_range::DestinationRange;
 
-/// Hashed before the canonical form, so that the digest of a table is never that of something else.
+/// Prefix that is hashed before the canonical form, so that the digest of a table never equals that
+/// of another kind of data.
 const DIGEST_PREFIX: &[u8] = b"raildeal table 1\n";
 
-/// A table as it is written.
+/// A routing table.
 #[derive(Clone, Debug, Default, Serialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// All is left to the list. Said by a table without routes, so that an empty file does not say
-    /// it.
+    /// Whether all messages are routed by the endpoint list alone. A table without routes has to
+    /// set this, so that an empty file is not taken for such a table.
     #[garde(skip)]
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub list_alone: bool,
     /// Sites, by name.
     #[garde(length(max = MAX_SITES), dive)]
     pub site: BTreeMap<String, Site>,
-    /// Routes; their order says nothing.
+    /// Routes, in any order.
     #[garde(dive)]
     pub route: Vec<Route>,
 }
@@ -56,40 +58,40 @@
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Site {
-    /// Its zones, as directories name them. A zone belongs to one site.
+    /// Zones of the site, by their names in the directories. A zone belongs to one site.
     #[garde(length(min = 1), inner(length(min = 1)))]
     pub zones: Vec<String>,
 }
 
-/// Where messages go.
-// Field names are the TOML keys: faults name them.
+/// A route: a set of messages, and the zones that serve them.
+// Field names are the TOML keys, and faults name them.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, Validate)]
 #[cfg_attr(feature = "tools", derive(schemars::JsonSchema))]
 #[serde(deny_unknown_fields, default)]
 pub struct Route {
-    /// Destinations, each a number or a range as `"100-199"`; without it, all.
+    /// Destinations, each a number or a range such as `"100-199"`; all if not set.
     #[garde(custom(not_empty_if_named))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dests: Option<Vec<DestinationRange>>,
-    /// Classes, by name; without it, all.
+    /// Classes, by name; all if not set.
     #[garde(custom(not_empty_if_named))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub classes: Option<Vec<String>>,
-    /// Tenants, by their position in the senders' settings; without it, all. Where settings have
-    /// none, all messages are tenant 0's; where they have some, a message that names none is no
-    /// tenant's.
+    /// Tenants, by their position in the senders' settings; all if not set. If the settings list no
+    /// tenants, all messages belong to tenant 0; if they list some, a message that names no tenant
+    /// belongs to none.
     #[garde(custom(not_empty_if_named))]
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenants: Option<Vec<u16>>,
-    /// Nobody serves them: messages are given back at once.
+    /// Whether no zone serves these messages: they are deferred at once.
     #[garde(skip)]
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub nobody: bool,
-    /// Tiers, the first one first: sites or zones, each with its share.
+    /// Tiers in order of preference: sites or zones, each with its share.
     #[garde(length(max = MOST_TIERS), custom(tiers_or_nobody(&self.nobody)), inner(length(min = 1)))]
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tiers: Vec<BTreeMap<String, u32>>,
-    /// The line where it begins.
+    /// Line on which the route begins.
     #[garde(skip)]
     #[serde(skip)]
     line: Option<usize>,
@@ -116,7 +118,7 @@
     }
 }
 
-/// Two tables are the same where they mean the same, wherever their texts say it.
+/// Two tables are equal if they have the same meaning, wherever their texts state it.
 impl PartialEq for Document {
     fn eq(&self, other: &Document) -> bool {
         self.canonical() == other.canonical()
@@ -124,14 +126,14 @@
 }
 
 impl Document {
-    /// The one form of all texts that mean the same: JSON without blanks, fields in the order of
-    /// their declaration, sites by name, routes by what they are for, shares without a common
-    /// factor, nothing that is not set.
+    /// Returns the canonical form, which is the same for all texts with the same meaning: JSON
+    /// without whitespace, fields in the order of their declaration, sites by name, routes by the
+    /// messages they match, shares without a common factor, and no unset fields.
     pub fn canonical(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Digest of the canonical form.
+    /// Returns the digest of the canonical form.
     pub fn digest(&self) -> Digest {
         Sha256::new()
             .chain_update(DIGEST_PREFIX)
@@ -140,13 +142,13 @@
             .into()
     }
 
-    /// What is another in the later one: its name, what it was and what it is, as JSON; nothing
-    /// where it is not set. Routes are named by what they are for.
+    /// Returns the settings that differ in the later table: name, old value and new value, as JSON;
+    /// a value is `None` where it is not set. Routes are named by the messages they match.
     pub fn diff(&self, later: &Document) -> Vec<Difference> {
         differences(&self.settings_as_json(), &later.settings_as_json())
     }
 
-    /// Every setting by its name, with its value as JSON.
+    /// Returns every setting by its name, with its value as JSON.
     fn settings_as_json(&self) -> BTreeMap<String, String> {
         let mut settings = BTreeMap::new();
         for (name, site) in &self.site {
@@ -166,8 +168,8 @@
         settings
     }
 
-    /// Zones that a name in a tier stands for: those of a site, or the zone itself; nothing where
-    /// it is neither.
+    /// Returns the zones that a name in a tier stands for: those of a site, or the zone itself;
+    /// `None` if it is neither.
     fn zones_of<'a>(&'a self, name: &'a str) -> Option<Vec<&'a str>> {
         if let Some(site) = self.site.get(name) {
             return Some(site.zones.iter().map(String::as_str).collect());
@@ -176,8 +178,8 @@
         zones.any(|zone| zone == name).then(|| vec![name])
     }
 
-    /// Its routes for a sender with these classes and so many tenants. A class that the sender does
-    /// not have is nobody's.
+    /// Returns the routes for a sender with these classes and this number of tenants. Classes that
+    /// the sender does not have are left out.
     pub fn routes(&self, classes: &[String], tenants: usize) -> Routes {
         let compiled = self.route.iter().map(|route| self.compile(route, classes));
         Routes::new(classes.len(), tenants, compiled.collect())
@@ -202,7 +204,7 @@
         }
     }
 
-    /// The shares of a tier, each with its zones.
+    /// Returns the shares of a tier, each with its zones.
     fn shares(&self, tier: &BTreeMap<String, u32>) -> Vec<WeightedZones> {
         let mut shares = Vec::new();
         for (name, share) in tier {
@@ -221,7 +223,7 @@
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// The JSON Schema of a table (draft 2020-12).
+/// Returns the JSON Schema of a table (draft 2020-12).
 #[cfg(feature = "tools")]
 pub fn schema() -> schemars::Schema {
     schemars::schema_for!(Document)
--- a/src/coordination/routing_table/document/parse.rs
+++ b/src/coordination/routing_table/document/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a table's text: all faults are found at once, each with its line and setting.
+//! Parses the text of a table and reports all faults at once, each with its line and setting.
 
 use crate::coordination::policy_rollout::document::{Fault, Text};
 use crate::coordination::routing_table::document::validate::is_within;
@@ -7,19 +7,20 @@
 use std::collections::BTreeMap;
 use toml::Value;
 
-/// Largest share: finer than parts in ten thousand nobody can see.
+/// Largest share: differences finer than one ten-thousandth are not observable.
 const MAX_SHARE: u32 = 10_000;
 
 impl Document {
-    /// Reads a text.
+    /// Parses the text of a table.
     ///
     /// # Errors
-    /// All that is wrong with it at once, each with its line and setting.
+    /// All faults of the text, each with its line and setting.
     pub fn parse(text: &str) -> Result<Document, Vec<Fault>> {
         let text = Text::read(text, MAX_TEXT_BYTES)?;
         let mut faults = Vec::new();
         let mut document = Document::read_settings(&text, &mut faults);
-        // What did not read is told, and not once more for what follows from it.
+        // A setting that could not be read is reported once, without the faults that follow from
+        // it.
         let unread = faults.clone();
         let follows = |fault: &Fault| unread.iter().any(|u| is_same_place(u, fault));
         let field_faults = text.judged(&document).into_iter();
@@ -29,7 +30,7 @@
         document.check_presence(&text, &unread, &mut faults);
         faults.sort();
         faults.dedup();
-        // Their order says nothing; it is that of their scopes.
+        // The order of routes has no meaning; they are sorted by scope.
         document.route.sort_by_key(Route::scope);
         if faults.is_empty() {
             Ok(document)
@@ -77,7 +78,8 @@
         }
     }
 
-    /// What means the same becomes the same, but for the order of routes: faults name their places.
+    /// Gives settings with the same meaning the same form. The order of routes is kept because
+    /// faults refer to their positions.
     fn normalize(&mut self) {
         for site in self.site.values_mut() {
             site.zones.sort();
@@ -101,12 +103,13 @@
     }
 }
 
-/// Whether two faults are of one setting, or one of a setting within the other's.
+/// Returns whether two faults concern the same setting, or one concerns a part of the other's
+/// setting.
 fn is_same_place(one: &Fault, other: &Fault) -> bool {
     is_within(&one.setting, &other.setting) || is_within(&other.setting, &one.setting)
 }
 
-/// Sorts ranges and joins those that touch.
+/// Sorts ranges and merges those that overlap or are adjacent.
 fn merge_ranges(mut ranges: Vec<DestinationRange>) -> Vec<DestinationRange> {
     ranges.sort();
     let mut merged: Vec<DestinationRange> = Vec::new();
@@ -138,7 +141,7 @@
     }
 }
 
-/// Reads a route; its tiers share by share, so that each fault has its own line.
+/// Reads a route. Its tiers are read share by share, so that each fault has its own line.
 fn read_route(text: &Text, at: &str, settings: &toml::Table, faults: &mut Vec<Fault>) -> Route {
     let mut rest = settings.clone();
     let tiers = rest.remove("tiers");
--- a/src/coordination/routing_table/document/route.rs
+++ b/src/coordination/routing_table/document/route.rs
@@ -1,9 +1,10 @@
-//! Routes compared with each other: which is more specific, what each is for, and how people are
-//! told of one.
+//! Comparison of routes: which one is more specific, which messages each matches, and how a route
+//! is named in texts for operators.
 
 use crate::coordination::routing_table::document::{DestinationRange, Route};
 
-/// Sorts the more specific route before the less specific one: by what a route leaves open.
+/// Sort key that puts a more specific route before a less specific one, by the properties that a
+/// route leaves open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Specificity {
     all_destinations: bool,
@@ -20,7 +21,8 @@
         }
     }
 
-    /// What it is for, as a key to sort by: no two routes of a table are for the same.
+    /// Returns the messages that the route matches, as a sort key. No two routes of a table have
+    /// the same key.
     pub(super) fn scope(&self) -> impl Ord {
         (
             self.dests.clone(),
@@ -29,7 +31,7 @@
         )
     }
 
-    /// What it is for, in words.
+    /// Returns a description of the messages that the route matches.
     pub(super) fn scope_name(&self) -> String {
         let destinations = match &self.dests {
             Some(ranges) => format!("destinations {}", joined(ranges)),
@@ -40,7 +42,7 @@
         format!("route for {destinations}{classes}{tenants}")
     }
 
-    /// The route, for those who have its text before them.
+    /// Returns a name of the route for readers of the table's text.
     pub(super) fn name_in_text(&self) -> String {
         match self.line {
             Some(line) => format!("its route in line {line}"),
@@ -56,7 +58,8 @@
             && self.tenants.as_ref().is_none_or(|t| t.contains(&tenant))
     }
 
-    /// A message that both routes are for, where neither is more specific, in words.
+    /// Returns a description of a message that both routes match, if neither route is more
+    /// specific.
     pub(super) fn conflict_with(&self, other: &Route) -> Option<String> {
         if self.specificity() != other.specificity() {
             return None;
@@ -89,7 +92,7 @@
     }
 }
 
-/// Several in one line, with blanks between them.
+/// Joins values with spaces.
 fn joined<T: ToString>(all: &[T]) -> String {
     let all: Vec<String> = all.iter().map(T::to_string).collect();
     all.join(" ")
--- a/src/coordination/routing_table/document/sender_check.rs
+++ b/src/coordination/routing_table/document/sender_check.rs
@@ -1,18 +1,19 @@
-//! Whether a sender can go by a table: its classes, its tenants and what its endpoint list offers.
+//! Checks whether a sender can use a table, by its classes, its tenants and its endpoint list.
 
 use crate::coordination::routing_table::document::{Document, Route};
 use crate::delivery::endpoint::ZoneCapacity;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lines of what a sender lacks, at the most: they are sent with its refusal.
+/// Largest number of lines about what a sender lacks; they are sent with its refusal.
 pub(super) const MAX_LACKS: usize = 20;
 
 impl Document {
-    /// All for which a sender cannot go by it, a line each, at most 20: by the names of its
-    /// classes, how many tenants its settings have, and what its directory lists.
+    /// Returns the reasons why a sender cannot use the table, one per line and at most 20. They
+    /// depend on the names of its classes, the number of tenants in its settings, and the endpoints
+    /// that its directory lists.
     ///
-    /// Each destination that is listed has to have a route for each class and tenant, with a zone
-    /// in which it is listed, or has to be served by nobody on purpose.
+    /// Each listed destination needs a route for each class and tenant. That route has to include a
+    /// zone in which the destination is listed, or state with `nobody` that no zone serves it.
     pub fn lacks(
         &self,
         classes: &[String],
@@ -40,8 +41,8 @@
         lacks
     }
 
-    /// What a class lacks at a destination that is listed in these zones: a line for each route
-    /// that does not lead there, and one for want of any.
+    /// Adds what a class lacks at a destination that is listed in these zones: a line for each
+    /// route that leads to none of them, and a line if there is no route.
     fn lacks_at(
         &self,
         dest: u16,
@@ -73,7 +74,8 @@
         }
     }
 
-    /// The route of each tenant, or none: tenants by route.
+    /// Returns the tenants by the route that applies to them; `None` is the key of tenants without
+    /// a route.
     fn tenants_by_route(
         &self,
         dest: u16,
@@ -88,14 +90,14 @@
         by_route
     }
 
-    /// All zones that a route leads to.
+    /// Returns all zones of a route.
     fn zones_of_route<'a>(&'a self, route: &'a Route) -> BTreeSet<&'a str> {
         let names = route.tiers.iter().flat_map(|tier| tier.keys());
         let zones = names.filter_map(|name| self.zones_of(name));
         zones.flatten().collect()
     }
 
-    /// The route that counts for a message.
+    /// Returns the index of the route that applies to a message.
     fn route_for(&self, dest: u16, class: &str, tenant: u16) -> Option<usize> {
         let all = self.route.iter().enumerate();
         let matching = all.filter(|(_, route)| route.is_for(dest, class, tenant));
@@ -104,7 +106,7 @@
     }
 }
 
-/// Classes and tenants that a route names and the sender does not have.
+/// Returns the classes and tenants that a route names and the sender does not have, one per line.
 fn unknown_names(route: &Route, classes: &[String], tenants: usize) -> Vec<String> {
     let mut unknown = Vec::new();
     for name in route.classes.iter().flatten() {
@@ -126,7 +128,7 @@
     unknown
 }
 
-/// Zones in which each destination is listed.
+/// Returns the zones in which each destination is listed.
 fn listed_zones(listed: &[ZoneCapacity]) -> BTreeMap<u16, BTreeSet<&str>> {
     let mut zones_of: BTreeMap<u16, BTreeSet<&str>> = BTreeMap::new();
     for capacity in listed {
@@ -136,7 +138,7 @@
     zones_of
 }
 
-/// Several in one line, with blanks between them.
+/// Joins values with spaces.
 fn joined<T: AsRef<str>>(all: impl Iterator<Item = T>) -> String {
     let mut line = String::new();
     for one in all {
--- a/src/coordination/routing_table/document/tests.rs
+++ b/src/coordination/routing_table/document/tests.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_line_and_setting() {
+fn all_faults_are_reported_at_once_with_line_and_setting() {
     let text = "speed = 3\n[site.north]\nzones = [\"a\", \"a\"]\n[site.south]\nzones = []\n[site.a]\nzones = [\"b\"]\nat = 1\n\
                 [[route]]\ntiers = [{ north = 1, a = 1 }, {}, { east = 0 }]\n\
                 [[route]]\nnobody = true\ntiers = [{ north = 1 }]\n\
@@ -117,7 +117,7 @@
         ("route for destinations 9", true, true),
     ];
     assert_eq!(changed, all);
-    // A digest never changes: senders and keepers of different programs compare it.
+    // The digest must never change: senders and replicas of different versions compare it.
     assert_eq!(
         data_encoding::HEXLOWER.encode(&one.digest()),
         "b6f588e79b099c5571ab1ced61af9c77570e15e2989dcd0d27753f6811815bb3"
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_sender_names_all_for_which_it_cannot_go_by_it() {
+fn a_sender_reports_every_reason_why_it_cannot_use_a_table() {
     let table = Document::parse(GOOD).expect("good");
     let offers = [offer("a", 7), offer("c", 7), offer("c", 100), offer("z", 9)];
     assert_eq!(table.lacks(&classes(), 0, &offers), Vec::<String>::new());
@@ -156,13 +156,13 @@
     assert_eq!(told, lacks);
     let many: Vec<ZoneCapacity> = (10..200).map(|dest| offer("d", dest)).collect();
     assert_eq!(table.lacks(&classes(), 1, &many).len(), MAX_LACKS);
-    // What leaves all to the list lacks nothing anywhere.
+    // A table that routes by the endpoint list alone lacks nothing anywhere.
     let alone = Document::parse("list_alone = true\n").expect("good");
     assert!(alone.lacks(&classes(), 1, &many).is_empty() && alone.routes(&classes(), 1).is_empty());
 }
 
 #[test]
-fn it_is_compiled_for_the_classes_of_a_sender() {
+fn a_table_is_compiled_for_the_classes_of_a_sender() {
     let routes = Document::parse(GOOD).expect("good").routes(&classes(), 1);
     let goes = |dest, class| {
         let message = RouteKey {
--- a/src/coordination/routing_table/document/validate.rs
+++ b/src/coordination/routing_table/document/validate.rs
@@ -1,12 +1,13 @@
-//! Faults of a table that no field shows by itself: zones of two sites, names with two meanings,
-//! tiers that name a zone twice, and routes that are for the same message.
+//! Faults of a table that involve several fields: zones of two sites, names with two meanings,
+//! tiers that name a zone twice, and routes that match the same message.
 
 use crate::coordination::policy_rollout::document::{Fault, Text};
 use crate::coordination::routing_table::document::Document;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Document {
-    /// Finds faults of what was read; `unread` are those of what was not.
+    /// Finds faults in the settings that were read. `unread` are the faults of those that could not
+    /// be read.
     pub(super) fn check_meaning(&self, text: &Text, unread: &[Fault], faults: &mut Vec<Fault>) {
         self.check_sites(text, faults);
         for n in 0..self.route.len() {
@@ -15,7 +16,7 @@
         }
     }
 
-    /// A zone belongs to one site, and no site has the name of another one's zone.
+    /// Checks that a zone belongs to one site, and that no site has the name of another one's zone.
     fn check_sites(&self, text: &Text, faults: &mut Vec<Fault>) {
         let mut site_of_zone: BTreeMap<&str, &str> = BTreeMap::new();
         for (name, site) in &self.site {
@@ -40,7 +41,8 @@
         }
     }
 
-    /// The tiers of a route name sites or their zones, each zone once in a tier.
+    /// Checks that the tiers of a route name sites or their zones, and each zone at most once per
+    /// tier.
     fn check_tiers(&self, n: usize, text: &Text, faults: &mut Vec<Fault>) {
         for (tier, shares) in self.route[n].tiers.iter().enumerate() {
             let mut seen = BTreeSet::new();
@@ -58,7 +60,7 @@
         }
     }
 
-    /// No earlier route is for the same message without one of them being more specific.
+    /// Checks that no earlier route matches the same message with the same specificity.
     fn check_conflict(&self, n: usize, text: &Text, unread: &[Fault], faults: &mut Vec<Fault>) {
         if !is_scope_read(n, unread) {
             return;
@@ -79,7 +81,7 @@
         faults.push(text.fault(&format!("route[{n}]"), problem));
     }
 
-    /// A table has routes, or says that it leaves all to the list.
+    /// Checks that a table either has routes or sets `list_alone`.
     pub(super) fn check_presence(&self, text: &Text, unread: &[Fault], faults: &mut Vec<Fault>) {
         let has_routes = !self.route.is_empty();
         if self.list_alone && has_routes {
@@ -91,7 +93,8 @@
     }
 }
 
-/// Whether all of what a route is for did read; only then its scope counts.
+/// Returns whether all settings that select a route's messages could be read. Only then can the
+/// route be compared with others.
 fn is_scope_read(n: usize, unread: &[Fault]) -> bool {
     let route = format!("route[{n}]");
     let tiers = format!("{route}.tiers");
@@ -100,7 +103,7 @@
     !unread.iter().any(is_of_scope)
 }
 
-/// Whether a setting is this one, or stands in it.
+/// Returns whether a setting is the one called `of` or a part of it.
 pub(super) fn is_within(setting: &str, of: &str) -> bool {
     setting
         .strip_prefix(of)
--- a/src/coordination/routing_table/durable_vote/tests.rs
+++ b/src/coordination/routing_table/durable_vote/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn only_the_last_leader_writes_and_each_piece_counts_once() {
+fn only_the_last_leader_writes_and_each_item_is_applied_once() {
     let mut w = DurableVote::default();
     w.fence(4);
     w.put(4, 1, &LogItem::Checkpoint(Box::new(base(2, 7))));
@@ -36,7 +36,8 @@
             .map(|b| (b.hard_state.vote, b.identity.incarnation)),
         Some((1, 7))
     );
-    // One that was deposed, one that comes too early, and a fence that is late.
+    // An item of a deposed leader, an item that skips a number, and a fence of an earlier term are
+    // void.
     w.fence(6);
     w.fence(5);
     w.put(4, 3, &vote(6, 2));
@@ -51,7 +52,7 @@
             commit: 1
         })
     );
-    // Another identity begins with nothing, or not at all.
+    // The base of another identity is accepted only if it is empty.
     let voted = Checkpoint {
         hard_state: PersistedHardState {
             term: 7,
--- a/src/coordination/routing_table/federation/tests.rs
+++ b/src/coordination/routing_table/federation/tests.rs
@@ -35,12 +35,12 @@
     Command::Accept { site, number }
 }
 
-fn switched(site: u64, number: u64) -> Command {
+fn cut_over(site: u64, number: u64) -> Command {
     Command::CutOver { site, number }
 }
 
 #[test]
-fn the_last_acceptance_decides_and_the_next_proposal_waits_for_all() {
+fn the_last_acceptance_decides_and_the_next_proposal_waits_until_all_sites_cut_over() {
     let mut f = of(3);
     go(
         &mut f,
@@ -57,22 +57,22 @@
         (f.table.number, f.proposal.as_ref().map(|p| p.table.number)),
         (0, Some(1))
     );
-    go(&mut f, &[switched(1, 1), accept(3, 1)]);
+    go(&mut f, &[cut_over(1, 1), accept(3, 1)]);
     assert_eq!(
         (f.table.number, f.sites[&1].uses, f.past[0].end.as_str()),
         (1, 0, DECIDED)
     );
-    go(&mut f, &[switched(1, 1), switched(2, 1), propose(3)]);
+    go(&mut f, &[cut_over(1, 1), cut_over(2, 1), propose(3)]);
     assert!(f.proposal.is_none() && f.check_proposal("").unwrap_err().to_string().contains("s3"));
-    // What was proposed and decided is not proposed again by a word that comes late.
-    go(&mut f, &[switched(3, 1), propose(1)]);
+    // A late copy of a proposal that was already decided does not propose it again.
+    go(&mut f, &[cut_over(3, 1), propose(1)]);
     assert!(f.proposal.is_none());
     go(&mut f, &[propose(4), accept(1, 2)]);
     assert_eq!(f.text(2).map(|t| t.text.as_str()), Some("# 4"));
 }
 
 #[test]
-fn one_refusal_a_deadline_an_abort_or_a_change_of_the_roster_ends_it_nowhere() {
+fn a_refusal_the_deadline_an_abort_or_a_roster_change_ends_a_proposal_undecided() {
     let ends = [
         Command::Refuse {
             site: 2,
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_number_is_used_once_and_a_site_that_joins_goes_by_the_table_before_the_next_one() {
+fn a_site_number_is_used_once_and_a_joining_site_cuts_over_before_the_next_proposal() {
     let mut f = of(2);
     go(
         &mut f,
@@ -146,8 +146,8 @@
             propose(1),
             accept(1, 1),
             accept(2, 1),
-            switched(1, 1),
-            switched(2, 1),
+            cut_over(1, 1),
+            cut_over(2, 1),
         ],
     );
     go(
@@ -172,12 +172,12 @@
         ],
     );
     assert!(f.sites.contains_key(&3) && f.proposal.is_none());
-    go(&mut f, &[switched(3, 1), propose(3)]);
+    go(&mut f, &[cut_over(3, 1), propose(3)]);
     assert!(f.proposal.is_some());
 }
 
 #[test]
-fn tables_are_bounded() {
+fn texts_reasons_and_lists_of_the_record_are_bounded() {
     let mut f = of(1);
     let long = Command::Propose {
         by: "n".into(),
--- a/src/coordination/routing_table/tables/tests.rs
+++ b/src/coordination/routing_table/tables/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_table_is_offered_accepted_decided_and_comes_into_force_once() {
+fn a_table_is_offered_accepted_decided_and_activated_once() {
     let mut t = SiteTables::default();
     let all = [
         Change::Offer { table: table(1) },
@@ -40,12 +40,12 @@
             &table(1)
         )
     );
-    assert_eq!(go(&mut t, &all), 0, "said again, nothing of it counts");
+    assert_eq!(go(&mut t, &all), 0, "repeated changes are void");
     assert!(t.offered.is_none() && t.next.is_none());
 }
 
 #[test]
-fn what_is_dropped_leaves_no_trace_and_what_is_based_on_an_earlier_turn_is_void() {
+fn a_dropped_offer_leaves_no_trace_and_a_change_based_on_an_earlier_turn_is_void() {
     let mut t = SiteTables::default();
     let (offer, accept) = (
         Change::Offer { table: table(2) },
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_pause_is_taken_back_and_a_hold_goes_before_it() {
+fn a_pause_is_rolled_back_and_a_hold_takes_precedence_over_it() {
     let mut t = SiteTables::default();
     let back = Change::RollBack {
         silent: "n1".into(),
@@ -90,9 +90,9 @@
     assert_eq!(
         go(&mut t, &[Change::Commit]),
         0,
-        "senders that are held have said nothing of a pause"
+        "a hold voids the pause: held senders have not confirmed one"
     );
-    // It catches up by a pause of its own before it goes on.
+    // The held site catches up by a pause of its own before it admits messages again.
     assert_eq!(go(&mut t, &[Change::Pause, Change::Commit]), 2);
     assert_eq!(
         (t.register.number, t.register.stance),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_site_that_was_off_the_roster_opens_by_nothing_but_the_newest() {
+fn a_site_that_was_off_the_roster_opens_only_with_the_newest_table() {
     let mut t = SiteTables::default();
     let back = Change::RollBack {
         silent: "n1".into(),
@@ -112,14 +112,15 @@
     assert_eq!(
         go(&mut t, &[Change::Resume, Change::Pause, back.clone()]),
         2,
-        "it waits for what was decided"
+        "resuming is void while a decided table is not active"
     );
     assert_eq!(
         (t.register.stance, t.register.number),
         (SiteAdmission::LeaseExpired, 0),
-        "nobody was open before the pause"
+        "the rollback returns to the hold that preceded the pause"
     );
-    // It joins again while the others are at 7; what it paused for is void with what it was.
+    // The site joins again while the others use table 7; the pause for table 4 is void together
+    // with that table.
     go(&mut t, &[Change::Pause, Change::Decide { table: table(7) }]);
     assert_eq!(
         go(
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn a_lease_only_grows_and_changes_nothing_else() {
+fn the_end_of_a_lease_only_moves_forward_and_changes_nothing_else() {
     let mut t = SiteTables::default();
     t.apply(1, 0, 7, &Change::Lease { until_ms: 500 });
     t.apply(2, 0, 0, &Change::Lease { until_ms: 300 });
