--- a/src/coordination/routing_table/cutover/mod.rs
+++ b/src/coordination/routing_table/cutover/mod.rs
@@ -279,7 +279,7 @@
     match change {
         Change::Offer { table } => log::info!("table {}: offered", table.number),
         Change::Accept { number } => log::info!("table {number}: accepted here"),
-        Change::Drop { number } => log::info!("table {number}: ended nowhere"),
+        Change::Drop { number } => log::info!("table {number}: ended without a decision"),
         Change::Decide { table } => log::info!("table {}: to be switched to", table.number),
         Change::Pause => log::info!("table {next}: paused by turn {turn}"),
         Change::Commit => log::info!("table {number}: in force by turn {turn}"),
--- a/src/coordination/routing_table/cutover/orders.rs
+++ b/src/coordination/routing_table/cutover/orders.rs
@@ -27,7 +27,7 @@
     #[error("{0}")]
     InvalidTable(String),
     /// The time limit of the proposal is out of range.
-    #[error("{0} s are not from 1 to {max}", max = MAX_WITHIN_S)]
+    #[error("the time limit of {0} s is not from 1 to {max}", max = MAX_WITHIN_S)]
     InvalidTime(u32),
     /// The federation accepts no proposal at present.
     #[error(transparent)]
@@ -39,7 +39,7 @@
     #[error("no table is proposed")]
     NothingProposed,
     /// Another component serves this order.
-    #[error("that is not the office's to do")]
+    #[error("this request is served elsewhere")]
     NotServedHere,
 }
 
--- a/src/coordination/routing_table/document/mod.rs
+++ b/src/coordination/routing_table/document/mod.rs
@@ -100,7 +100,7 @@
 fn not_empty_if_named<T>(named: &Option<Vec<T>>, (): &()) -> garde::Result {
     match named {
         Some(named) if named.is_empty() => {
-            Err(garde::Error::new("names none; without it, all are meant"))
+            Err(garde::Error::new("names none; leave it out to match all"))
         }
         _ => Ok(()),
     }
@@ -110,9 +110,9 @@
     nobody: &bool,
 ) -> impl FnOnce(&Vec<BTreeMap<String, u32>>, &()) -> garde::Result + '_ {
     move |tiers, ()| match (nobody, tiers.is_empty()) {
-        (true, false) => Err(garde::Error::new("stand beside nobody = true")),
+        (true, false) => Err(garde::Error::new("cannot stand beside nobody = true")),
         (false, true) => Err(garde::Error::new(
-            "are none; where nobody is to serve, say nobody = true",
+            "are none; set nobody = true if no zone is to serve these messages",
         )),
         _ => Ok(()),
     }
--- a/src/coordination/routing_table/document/parse.rs
+++ b/src/coordination/routing_table/document/parse.rs
@@ -49,7 +49,7 @@
                 ("list_alone", _) => faults.push(text.fault(key, "is neither true nor false")),
                 ("site", _) => faults.push(text.fault(key, "is not a table of sites")),
                 ("route", _) => faults.push(text.fault(key, "is not a list: [[route]]")),
-                _ => faults.push(text.fault(key, "no table may say this")),
+                _ => faults.push(text.fault(key, "unknown setting")),
             }
         }
         document
--- a/src/coordination/routing_table/document/tests.rs
+++ b/src/coordination/routing_table/document/tests.rs
@@ -55,23 +55,23 @@
                 [[route]]\ndests = [\"8-9\"]\ntiers = [{ b = 20000 }]\n";
     let told = faults(text);
     for named in [
-        "line 1: speed: no table may say this",
-        "line 3: site.north.zones: a stands twice",
+        "line 1: speed: unknown setting",
+        "line 3: site.north.zones: a is listed twice",
         "line 5: site.south.zones: length is lower than 1",
         "line 6: site.a: is the name of a zone as well",
         "line 8: site.a.at: unknown field",
-        "line 10: route[0].tiers[0].north: zone a stands twice in this tier",
+        "line 10: route[0].tiers[0].north: zone a is listed twice in this tier",
         "line 10: route[0].tiers[1]: length is lower than 1",
         "line 10: route[0].tiers[2].east: 0 is not from 1 to 10000",
         "line 10: route[0].tiers[2].east: is neither a site nor a zone",
-        "line 13: route[1].tiers[0].north: zone a stands twice",
-        "line 11: route[1]: all messages: route[0] (line 9) is for it as well",
-        "line 13: route[1].tiers: stand beside nobody",
+        "line 13: route[1].tiers[0].north: zone a is listed twice",
+        "line 11: route[1]: all messages: route[0] (line 9) matches it as well",
+        "line 13: route[1].tiers: cannot stand beside nobody",
         "line 15: route[2].dests: invalid value: integer `70000`",
         "line 16: route[2].tiers[0].north: invalid type",
         "line 18: route[3].classes: names none",
         "line 17: route[3].tiers: are none",
-        "line 22: route[5]: destination 8: route[4] (line 19) is for it as well",
+        "line 22: route[5]: destination 8: route[4] (line 19) matches it as well",
         "line 24: route[5].tiers[0].b: 20000 is not from 1 to 10000",
     ] {
         assert!(
@@ -84,7 +84,7 @@
     assert!(faults("route = []\n")[0].contains("list_alone = true"));
     assert_eq!(
         faults(&format!("list_alone = true\n{GOOD}")),
-        ["line 1: list_alone: routes stand beside it"]
+        ["line 1: list_alone: cannot be combined with routes"]
     );
     assert!(faults(&" ".repeat(MAX_TEXT_BYTES + 1))[0].contains("may be"));
 }
--- a/src/coordination/routing_table/document/validate.rs
+++ b/src/coordination/routing_table/document/validate.rs
@@ -24,7 +24,7 @@
             for zone in &site.zones {
                 match site_of_zone.insert(zone, name) {
                     Some(other) if other == name => {
-                        faults.push(text.fault(&at, format!("{zone} stands twice")));
+                        faults.push(text.fault(&at, format!("{zone} is listed twice")));
                     }
                     Some(other) => {
                         faults.push(text.fault(&at, format!("{zone} is a zone of {other}")));
@@ -35,7 +35,7 @@
         }
         for (name, site) in &self.site {
             if site_of_zone.contains_key(name.as_str()) && site.zones != [name.as_str()] {
-                let problem = "is the name of a zone as well, and a tier could mean either";
+                let problem = "is the name of a zone as well, so a tier could mean either";
                 faults.push(text.fault(&format!("site.{name}"), problem));
             }
         }
@@ -53,7 +53,7 @@
                     continue;
                 };
                 if let Some(zone) = zones.into_iter().find(|zone| !seen.insert(*zone)) {
-                    let problem = format!("zone {zone} stands twice in this tier");
+                    let problem = format!("zone {zone} is listed twice in this tier");
                     faults.push(text.fault(&at, problem));
                 }
             }
@@ -77,7 +77,7 @@
             None => String::new(),
         };
         let problem =
-            format!("{message}: route[{m}]{line} is for it as well, and neither is more specific");
+            format!("{message}: route[{m}]{line} matches it as well, and neither is more specific");
         faults.push(text.fault(&format!("route[{n}]"), problem));
     }
 
@@ -85,9 +85,9 @@
     pub(super) fn check_presence(&self, text: &Text, unread: &[Fault], faults: &mut Vec<Fault>) {
         let has_routes = !self.route.is_empty();
         if self.list_alone && has_routes {
-            faults.push(text.fault("list_alone", "routes stand beside it"));
+            faults.push(text.fault("list_alone", "cannot be combined with routes"));
         } else if !self.list_alone && !has_routes && unread.is_empty() {
-            let problem = "has no route; where all is left to the list, say list_alone = true";
+            let problem = "has no route; set list_alone = true to route by the endpoint list alone";
             faults.push(text.fault("", problem));
         }
     }
--- a/src/coordination/routing_table/federation.rs
+++ b/src/coordination/routing_table/federation.rs
@@ -493,10 +493,10 @@
     #[error("the number {0} was used: a site that joins needs another one")]
     NumberUsed(u64),
     /// The name is that of another site.
-    #[error("{0} is on the roster")]
+    #[error("the name {0} is already on the roster")]
     NameTaken(String),
     /// The roster is full.
-    #[error("{max} sites are the most", max = MAX_SITES)]
+    #[error("the roster already has {max} sites, the maximum", max = MAX_SITES)]
     Full,
 }
 
--- a/src/coordination/routing_table/member/peers.rs
+++ b/src/coordination/routing_table/member/peers.rs
@@ -194,7 +194,7 @@
             Stage::Participating(group) => {
                 let mut problems = self.problems_of(
                     &group.voters_without_record(),
-                    "has not got the federation's record yet",
+                    "does not have the federation's record yet",
                 );
                 problems.extend(self.own_roster_problems());
                 problems
@@ -217,7 +217,7 @@
         if let Some(on_roster) = record.sites.get(&own_number) {
             if on_roster.name != self.settings.site_name {
                 let line = format!(
-                    "{}: it knows this site as {}",
+                    "{}: its roster names this site {}",
                     self.log_name(),
                     on_roster.name
                 );
--- a/src/coordination/routing_table/member/pending_roster_change.rs
+++ b/src/coordination/routing_table/member/pending_roster_change.rs
@@ -59,32 +59,32 @@
 /// Reason why a roster change is not carried out.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RosterChangeError {
-    #[error("that is not the roster's")]
+    #[error("this request does not change the roster")]
     NotARosterOrder,
     #[error("this site does not lead the federation")]
     NotLeader,
-    #[error("another change of the roster is not done yet")]
+    #[error("another change of the roster is still in progress")]
     Busy,
-    #[error("the sites did not agree in 20 s; look at the status and say it again")]
+    #[error("the sites did not agree in 20 s; check the status and repeat the order")]
     Timeout,
     #[error("no site {0:?} is on the roster")]
     UnknownSite(String),
-    #[error("the last site cannot go")]
+    #[error("the last site cannot be removed")]
     LastSite,
-    #[error("{0} leads the federation: another site is asked to, order it again there")]
+    #[error("{0} leads the federation and hands over: repeat the order at another site")]
     SiteLeads(String),
     #[error(
-        "{name} is given no lease any more for {withheld_s} s, and is fenced with all its senders \
-         in {fenced_in_s} s: order it again then"
+        "{name} is granted no lease for {withheld_s} s, and is fenced with all its senders in \
+         {fenced_in_s} s: repeat the order then"
     )]
     NotFencedYet {
         name: String,
         withheld_s: u64,
         fenced_in_s: u64,
     },
-    #[error("{0} has joined and has not got the record yet")]
+    #[error("{0} has joined and does not have the record yet")]
     AwaitingRecord(String),
-    #[error("{0:?} is no name")]
+    #[error("{0:?} is not a valid name")]
     InvalidName(String),
     #[error("{0:?}: 1 to {max} addresses with a port are needed", max = MAX_ADDRESSES_PER_SITE)]
     InvalidAddresses(Vec<String>),
--- a/src/coordination/routing_table/member/replication.rs
+++ b/src/coordination/routing_table/member/replication.rs
@@ -63,7 +63,7 @@
                     message: MemberMessage::Raft(ByteBuf::from(bytes)),
                     has_snapshot: message.get_msg_type() == MessageType::MsgSnapshot,
                 }),
-                Err(e) => log::error!("{}: a message to site {to}: {e}", self.log_name()),
+                Err(e) => log::error!("{}: encoding a message to site {to}: {e}", self.log_name()),
             }
         }
     }
@@ -188,7 +188,7 @@
             self.submit(now, command, effects);
         } else {
             let name = self.log_name();
-            log::debug!("{name}: not site {from}'s to say: {command:?}");
+            log::debug!("{name}: site {from} may not request {command:?}");
         }
     }
 
--- a/tests/federation.rs
+++ b/tests/federation.rs
@@ -1,9 +1,9 @@
-//! Sites that agree: whole sites of three keepers each, with the member that each leader has, in a
-//! net that loses, doubles and is late, with leaders killed, frozen or cut off from their site
-//! while they speak on to others; and real processes.
+//! Federations of whole sites with three replicas each, and the member of each site's leader. The
+//! simulated network loses, duplicates and delays messages; leaders are killed, frozen, or cut off
+//! from their site while they still reach others. Other tests run real processes.
 //!
-//! A failure of the first names its seed and repeats; `FEDERATION_SEEDS=n` plays n of them instead
-//! of the few of a usual run.
+//! A failure of the simulation names its seed and can be repeated; `FEDERATION_SEEDS=n` runs n
+//! seeds instead of the default few.
 #![cfg(feature = "fleet")]
 
 use protobuf::Message as _;
@@ -33,7 +33,7 @@
 use std::time::{Duration, Instant};
 
 const SECOND: u64 = 1_000_000_000;
-/// A step of a play, which is a tick of a site's keepers.
+/// Time step of a simulation, which is a tick of a site's replicas, in nanoseconds.
 const STEP: u64 = SECOND / 20;
 const FENCE: u64 = SECOND;
 
@@ -44,12 +44,12 @@
     member: Option<FederationMember>,
     saving: Option<(LogItem, u64)>,
     saves: u32,
-    /// Down, or frozen with all that it has, until then.
+    /// Time until which the replica is down, or frozen with all its state.
     back_at: u64,
     frozen: bool,
-    /// Cut off from its own site until then.
+    /// Time until which it is cut off from its own site.
     alone: u64,
-    /// Ticks that it is behind.
+    /// Time up to which its raft clock was advanced.
     ticked: u64,
 }
 
@@ -76,9 +76,9 @@
     net: BTreeMap<(u64, u64), Packet>,
     sent: u64,
     faults: bool,
-    /// Sites that are cut off from others, until then.
+    /// Sites that are cut off from others, each with the time until which it is.
     cut: BTreeMap<u64, u64>,
-    /// The breach: a piece counts as saved when it is proposed.
+    /// The injected fault: an item counts as persisted as soon as it is proposed.
     early: bool,
     votes: BTreeMap<(u64, u64), u64>,
     leaders: BTreeMap<u64, u64>,
@@ -231,7 +231,7 @@
                 keeper.ticked = now;
             }
             keeper.frozen = false;
-            // Time goes before words.
+            // Time advances before messages are handled.
             let due = (now - keeper.ticked) / STEP;
             keeper.ticked = now;
             let group = keeper.group.as_mut().expect("up");
@@ -289,7 +289,7 @@
                 if self.cut.contains_key(&from) || self.cut.contains_key(&to) {
                     return;
                 }
-                // It comes to any that takes itself for the member.
+                // The message goes to any replica that considers itself the site's leader.
                 let up = |k: &Keeper| k.member.is_some() && now >= k.back_at;
                 let here: Vec<_> = self
                     .keepers
@@ -317,7 +317,7 @@
         }
     }
 
-    /// What lines say when they begin.
+    /// Performs the handshakes of new connections between members.
     fn introduce(&mut self, at: (u64, u64)) {
         let incarnation = |k: &Keeper| k.member.as_ref()?.incarnation(k.group.as_ref()?.record());
         let Some(own) = incarnation(&self.keepers[&at]) else {
@@ -362,7 +362,7 @@
         }
     }
 
-    /// Proposes, accepts and switches, as an office would.
+    /// Proposes, accepts and cuts over, as a site's leader would.
     fn office(&mut self, at: (u64, u64)) {
         let (chance, key) = (self.rng.u32(..40), self.rng.u64(..));
         let Some(member) = &mut self.keepers.get_mut(&at).expect("a keeper").member else {
@@ -404,7 +404,7 @@
         self.work(at);
     }
 
-    /// A person's order, said at each member.
+    /// Submits an operator's order at each member.
     fn order(&mut self, order: &FederationRequest) {
         for at in self.keepers.keys().copied().collect::<Vec<_>>() {
             let keeper = self.keepers.get_mut(&at).expect("a keeper");
@@ -498,7 +498,7 @@
         });
     }
 
-    /// Nobody votes twice in a term, and one site leads in one.
+    /// Asserts that no site votes twice in a term and only one site leads in a term.
     fn observe(&mut self, site: u64, bytes: &[u8]) {
         let mut m = Message::default();
         m.merge_from_bytes(bytes).expect("a message");
@@ -526,7 +526,7 @@
         }
     }
 
-    /// A keeper goes on as its driver would have it.
+    /// Runs a replica as its event loop would.
     fn work(&mut self, at: (u64, u64)) {
         let now = self.now;
         loop {
@@ -593,7 +593,8 @@
         self.look(at);
     }
 
-    /// One record for each version, and no lease beyond what is counted.
+    /// Asserts that all members have the same record for a version, and that a removed site holds
+    /// no lease any more.
     fn look(&mut self, at: (u64, u64)) {
         let Some(member) = &self.keepers[&at].member else {
             return;
@@ -646,7 +647,7 @@
     disk.push(piece);
 }
 
-/// Gives how many tables were decided, under how many leaders, with how many members.
+/// Returns the number of decided tables, of leaders and of members.
 fn play(seed: u64, early: bool) -> (usize, usize, u32) {
     let mut world = World::new(seed);
     world.early = early;
@@ -664,8 +665,7 @@
             _ => {}
         }
     }
-    // Without faults all of that is carried out, and the next table is decided by all that are
-    // there.
+    // Without faults, all orders are carried out, and the remaining sites decide the next table.
     world.faults = false;
     for step in 0..3_000 {
         world.step();
@@ -718,7 +718,7 @@
 }
 
 #[test]
-fn sites_agree_whoever_speaks_for_them_and_one_that_is_off_was_fenced() {
+fn sites_agree_across_changes_of_their_leaders_and_a_removed_site_was_fenced() {
     let (mut decided, mut leaders, mut members) = (0, 0, 0);
     for seed in seeds(6) {
         let (d, l, v) = play(seed, false);
@@ -732,8 +732,8 @@
 }
 
 #[test]
-fn a_member_that_sends_before_the_record_has_it_is_found_out() {
-    // It breaks a promise, or the library sees that what was acknowledged is lost.
+fn a_member_that_sends_before_persisting_is_detected() {
+    // Either an invariant is violated, or the raft library detects that acknowledged data is lost.
     let told = |seed: u64| {
         let panic = std::panic::catch_unwind(|| play(seed, true)).err()?;
         let told = panic.downcast_ref::<String>()?;
@@ -764,7 +764,7 @@
 
 const NAMES: [&str; 3] = ["north", "south", "west"];
 
-/// Three sites of a keeper each.
+/// Three sites with one replica each.
 struct Land {
     folder: tempfile::TempDir,
     ways: Vec<Relay>,
@@ -878,7 +878,7 @@
         }
     }
 
-    /// Orders it until the answer is so, and gives that.
+    /// Repeats an order until the response matches, and returns that response.
     fn until(
         &self,
         order: &FederationRequest,
@@ -912,7 +912,7 @@
     };
     (0..3).for_each(first);
     let (north, south) = (land.start(0), land.start(1));
-    // Nobody begins before all know each other.
+    // No site begins before all know each other.
     north.tells(|s| {
         s.faults
             .iter()
@@ -924,7 +924,7 @@
         up.says("site west joins as 3");
         up.tells(|s| s.faults.is_empty());
     }
-    // An order is carried out wherever it is given.
+    // An order is carried out at whichever site it is given.
     let off = |site: &str| FederationRequest::RemoveSite { site: site.into() };
     for up in [&north, &south, &west] {
         up.until(&off("east"), |a| refused(a, "no site \"east\""));
@@ -949,7 +949,8 @@
     for up in [&north, &south] {
         up.says("site west is off the roster");
     }
-    // Its folder is not one of another number, unless the file says what became of that.
+    // A site's folder is not accepted under another number, unless the file names the former
+    // number.
     land.file(2, "number = 4", &[(0, 1), (1, 2)]);
     land.spawn(2).says("the keeper's file says 4");
     land.file(2, "number = 4\nformerly = 3", &[(0, 1), (1, 2)]);
--- a/tests/model_tables.rs
+++ b/tests/model_tables.rs
@@ -1,6 +1,6 @@
-//! What a federation's record, its sites' records and the leaders of sites do with routing tables,
-//! over the unchanged machines. `agreed` looks at all states of the two records' rules; `sites`
-//! draws orders of events from a seed.
+//! Models of a federation's record, its sites' records and the sites' leaders, with the production
+//! state machines for routing tables. `agreed` explores all states of the rules of the federation's
+//! record; `sites` draws orders of events from a seed.
 #![cfg(feature = "fleet")]
 
 #[path = "common/printed.rs"]
--- a/tests/model_tables/agreed.rs
+++ b/tests/model_tables/agreed.rs
@@ -1,9 +1,9 @@
-//! The federation's record alone, with every site saying whatever it honestly could, at any time
-//! and again: all states of three sites.
+//! Explores all states of the federation's record with three sites, each of which sends any message
+//! that a correct site could send, at any time and repeatedly.
 //!
-//! A site is what its record would be: the table that it goes by, what it knows to be decided, and
-//! whether it is held. It is taken off the roster only while it is held, and joins again under
-//! another number.
+//! A site is modelled by the contents of its record: the table it uses, the table it knows to be
+//! decided, and whether it is held. It is removed from the roster only while it is held, and joins
+//! again under another number.
 
 use raildeal::coordination::routing_table::federation::{Command, Federation};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -11,32 +11,32 @@
 
 const SITES: usize = 3;
 
-/// A fault that is put in, to see that the model finds it.
+/// A fault that is injected to see that the model detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// It is decided without one acceptance.
+    /// A table is decided although one acceptance is missing.
     OneShort,
-    /// A proposal is taken before all go by the table in force.
+    /// A proposal is opened before all sites use the table that was decided last.
     Early,
-    /// What is over is taken back though it was decided.
+    /// An ended proposal is rolled back although it was decided.
     Forgets,
-    /// A site that joins again goes on by what it went by.
+    /// A site that joins again continues with its earlier table.
     GoesOnOld,
-    /// A site is taken off before it is held.
+    /// A site is removed before it is held.
     OffUnheld,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Site {
-    /// Its number on the roster, and how often it joined.
+    /// Number of times the site joined again, which gives its number on the roster.
     lives: u64,
     on: bool,
-    /// It has accepted what is proposed; the word may be on its way.
+    /// Whether it has accepted the proposed table; the message may still be in transit.
     said: bool,
-    /// What it knows to be decided.
+    /// Number of the table that it knows to be decided.
     knows: u64,
-    /// What it goes by.
+    /// Number of the table that it uses.
     uses: u64,
     held: bool,
 }
@@ -45,7 +45,7 @@
 struct State {
     record: Federation,
     sites: [Site; SITES],
-    /// Tables that were decided, in this order.
+    /// Decided tables, in the order of their decisions.
     decided: Vec<u64>,
     offs: u8,
     wrong: Vec<&'static str>,
@@ -63,13 +63,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Action {
     Propose,
-    /// A site accepts; its word arrives.
+    /// A site accepts; then its message arrives.
     Accepts(usize),
     Arrives(usize),
     Refuses(usize),
     Abort,
     Deadline,
-    /// A site hears what is decided; goes by it; its word of that arrives.
+    /// A site learns what is decided; then uses it; then its report arrives.
     Learns(usize),
     Goes(usize),
     Switched(usize),
@@ -141,7 +141,7 @@
             }
             _ => {}
         }
-        // Only how long ago something was matters.
+        // Only durations matter, so times are normalized to merge states.
         after.clock_ms = 0;
         after
             .proposal
@@ -167,7 +167,7 @@
         }
     }
 
-    /// What must hold at any time.
+    /// Checks the invariants that hold at any time.
     fn look(&self, s: &mut State) {
         let place = |number: u64| s.decided.iter().position(|n| *n == number);
         let mut open: Vec<Option<usize>> = s
@@ -197,7 +197,7 @@
                 s.wrong.push("a number that was used");
             }
         }
-        // What comes late, is doubled, or comes from one that is off, is void.
+        // Late and duplicated messages, and those of removed sites, are void.
         let given = s.record.given;
         let runs = s.record.proposal.as_ref().map(|p| p.table.number);
         let mut late: Vec<Command> = (1..=given).map(propose).collect();
@@ -291,7 +291,7 @@
             if site.knows > site.uses {
                 actions.push(Action::Goes(at));
             }
-            // Said again it is void, as is looked at in each state.
+            // A repeated report is void, which is checked in each state.
             if s.record
                 .sites
                 .get(&number(at, site.lives))
@@ -368,8 +368,8 @@
                 self.apply(&mut s, &off);
             }
             Action::Join(at) => {
-                // It is counted in by who has heard that it joined, and so of what was decided
-                // then.
+                // The site gets a lease only from a site that knows of its joining, and so knows
+                // what was decided by then.
                 s.sites[at].lives += 1;
                 s.sites[at].on = true;
                 let lives = s.sites[at].lives;
@@ -410,7 +410,7 @@
     .checker()
     .threads(2);
     if fault != Fault::None {
-        // What is put in lies deep, and one way to it is enough.
+        // An injected fault shows only at depth, and one path to it is enough.
         let checker = builder
             .finish_when(HasDiscoveries::AnyFailures)
             .spawn_dfs()
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn nobody_goes_by_what_not_all_accepted_and_no_more_than_two_are_in_use() {
+fn no_site_uses_a_table_that_not_all_accepted_and_at_most_two_are_in_use() {
     let all: &[(u64, u8)] = match std::env::var("MODEL_STATES") {
         Ok(_) => &[(2, 0), (1, 1), (2, 1), (3, 1)],
         Err(_) => &[(2, 0), (1, 1)],
--- a/tests/model_tables/sites.rs
+++ b/tests/model_tables/sites.rs
@@ -1,8 +1,8 @@
-//! Orders, drawn from a seed, of what can happen between a federation, two sites with a leader each
-//! (of which one is deposed and goes on), and two senders a site, over the unchanged machines:
-//! [`Cutover`], [`Record`] and [`Federation`]. Agreed logs stand for the keepers and for the sites'
-//! consensus. Senders' leases are counted in steps: a sender that is not renewed by the leader that
-//! is in office loses its lease.
+//! Draws from a seed the order of events between a federation, two sites with a leader each (one of
+//! which is deposed and continues to run), and two senders per site, with the production state
+//! machines [`Cutover`], [`Record`] and [`Federation`]. Plain agreed logs replace the replicas' and
+//! the sites' consensus. Senders' leases are counted in steps: a sender that the current leader
+//! does not renew loses its lease.
 
 use super::printed;
 use raildeal::coordination::messages::{
@@ -19,37 +19,37 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Time goes on by this: longer than a pause.
+/// Time step, in milliseconds: longer than a pause.
 const STEP: u64 = 500;
 const SITES: usize = 2;
 const SENDERS: usize = 2;
-/// The federation counts a site in for so long.
+/// Length of a site's lease, in milliseconds.
 const LEASE: u64 = 4 * STEP;
-/// A sender that is not renewed loses its lease after so many steps.
+/// Number of steps after which a sender that is not renewed loses its lease.
 const LAPSES: u8 = 3;
-/// Beyond the site's lease: a leader sees that it is over and holds, or its senders' leases end. A
-/// leader that dies meanwhile adds as much again.
+/// Time after the site's lease by which it is fenced, in milliseconds: a leader sees the expiry and
+/// holds, or the senders' leases end. A leader that dies in the meantime adds the same time again.
 const FENCE: u64 = 2 * (LAPSES as u64 + 2) * STEP;
 
-/// A fault that is put in, to see that the model finds it.
+/// A fault that is injected to see that the model detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// A site goes over without its senders' word.
+    /// A site cuts over without its senders' confirmations.
     Hasty,
-    /// A site accepts without its senders' word.
+    /// A site accepts without its senders' confirmations.
     Accepts,
-    /// A site goes over to what it has accepted before that is decided.
+    /// A site cuts over to an accepted table before it is decided.
     Undecided,
-    /// It is decided without one acceptance.
+    /// A table is decided although one acceptance is missing.
     OneShort,
-    /// Senders obey words of earlier turns.
+    /// Senders apply messages of earlier turns.
     ObeysEarlier,
-    /// Nobody holds.
+    /// No site holds after its lease.
     NoHold,
-    /// A deposed leader goes on renewing leases, and hears of no hold.
+    /// A deposed leader continues to renew leases, and learns of no hold.
     DeposedRenews,
-    /// Sites do not say that they went over.
+    /// Sites do not report that they have cut over.
     Silent,
 }
 
@@ -59,8 +59,8 @@
     cutover: Cutover,
     record: Record,
     proposed: Vec<Command>,
-    /// The federation as far as its voice has heard, and until when that knows the site to be
-    /// counted in.
+    /// Number of commands of the federation's log that its member has received, the resulting
+    /// record, and the end of the site's lease.
     heard: usize,
     federation: Arc<Federation>,
     lease: Option<u64>,
@@ -70,10 +70,11 @@
 #[derive(Clone, Debug, Default)]
 struct Sender {
     boot: u64,
-    /// The leader that it speaks to, by term, and the name of the line; nobody is 0.
+    /// The leader to which it is connected, by term, and the number of the connection; 0 means
+    /// none.
     line: (u64, u64),
     lease: bool,
-    /// Steps without a leader that renews.
+    /// Number of steps without a renewal.
     alone: u8,
     heard: Option<(u64, SiteAdmission)>,
     turn: u64,
@@ -86,15 +87,15 @@
     log: Vec<Command>,
     leaders: Vec<Leader>,
     senders: [Sender; SENDERS],
-    /// When a leader was in office last.
+    /// Time at which a leader last led.
     led: u64,
-    /// The federation counts it in until then, as far as anybody was told.
+    /// Latest end of the site's lease that any leader was granted.
     counted: u64,
-    /// Words to senders: which, the line, and what.
+    /// Messages to senders: the sender, the connection and the message.
     words: Vec<(usize, (u64, u64), ReplicaTableMessage)>,
 }
 
-/// What still may go wrong.
+/// Number of faults of each kind that may still happen.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Left {
     dies: u8,
@@ -105,7 +106,7 @@
     refusals: u8,
     offs: u8,
     cuts: u8,
-    /// Returns of a sender to a deposed leader.
+    /// Number of times a sender may return to a deposed leader.
     backs: u8,
 }
 
@@ -114,23 +115,23 @@
     now: u64,
     federation: Federation,
     log: Vec<federation::Command>,
-    /// Words to it.
+    /// Messages to the federation.
     words: Vec<federation::Command>,
     sites: [Site; SITES],
     lines: u64,
     left: Left,
     proposals: u64,
-    /// A site that is cut off from the others.
+    /// The site that is cut off from the others, if any.
     cut: Option<usize>,
     decided: Vec<u64>,
-    /// Whether all was well in the end, without further faults.
+    /// Whether the expected final state was reached once no further faults happened.
     settled: Option<bool>,
     wrong: Vec<&'static str>,
 }
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        // What the logs say stands in the records.
+        // The content of the logs is already in the records.
         let sites: Vec<_> = self
             .sites
             .iter()
@@ -168,21 +169,23 @@
     Later,
     Commit(usize),
     Dies(usize),
-    /// Another leader is elected, and has in its log what the last one proposed, or not.
+    /// Another leader is elected; the flag says whether its log has the last leader's proposals.
     Elect(usize, bool),
-    /// A word arrives: the answer arrives as well, or is lost; the word stays to arrive once more.
+    /// A message arrives; the flags say whether the response is lost and whether the message stays
+    /// to arrive once more.
     Arrives(usize, usize, bool, bool),
     Lost(usize, usize),
     Refuses(usize, usize),
     /// A sender opens a session with a leader.
     Opens(usize, usize, usize),
     Restarts(usize, usize),
-    /// A word to the federation is agreed on; once more later.
+    /// A command to the federation is committed; the flag says whether it stays to be committed
+    /// once more.
     Agreed(usize, bool),
     LostThere(usize),
-    /// A leader's voice hears what was agreed, all or the next.
+    /// A leader's member receives the committed commands: all, or only the next.
     Hears(usize, usize, bool),
-    /// The federation counts a site in, and this leader's voice is told.
+    /// The federation grants a site's lease, and this leader's member receives it.
     Counts(usize, usize),
     Propose,
     Abort,
@@ -190,7 +193,7 @@
     Heals,
     Off(usize),
     Join(usize),
-    /// Without further faults.
+    /// Runs to the end without further faults.
     Settle,
 }
 
@@ -217,7 +220,7 @@
         (stance == SiteAdmission::Open && has).then_some(number)
     }
 
-    /// What must hold at any time.
+    /// Checks the invariants that hold at any time.
     fn look(&self, s: &mut State) {
         let mut all: Vec<u64> = Vec::new();
         for at in 0..SITES {
@@ -276,7 +279,7 @@
         }
     }
 
-    /// What a leader has to say to a sender.
+    /// Sends a sender the messages that are due from a leader.
     fn say(&self, s: &mut State, at: usize, which: usize, n: usize) {
         let now = s.now * MS;
         let site = &mut s.sites[at];
@@ -302,7 +305,7 @@
             match out {
                 CutoverEffect::ProposeToSite(change) => {
                     if let Change::Accept { number } = &change {
-                        // One that joins before the record has it finds itself asked again.
+                        // A sender that joins before the record has the acceptance is asked again.
                         let live = |n: usize| {
                             let member = leader.record.roster.get(&name(n));
                             member.is_some_and(|m| m.live && m.boot == site.senders[n].boot)
@@ -321,7 +324,7 @@
                         base,
                         change: Box::new(change),
                     };
-                    // One that is deposed brings nothing into the record.
+                    // A deposed leader commits nothing to the record.
                     if leads && !leader.proposed.contains(&command) {
                         leader.proposed.push(command);
                     }
@@ -394,13 +397,13 @@
         let (now, led) = (s.now, s.sites[at].led);
         let mut record = Record::default();
         let site = &mut s.sites[at];
-        // The first beat of a term counts the time in which nobody led.
+        // The first heartbeat of a term counts the time without a leader.
         let term = site.leaders.last().map_or(0, |l| l.term) + 1;
         for (index, command) in site.log.iter().enumerate() {
             record.apply(index as u64 + 1, command);
         }
         site.led = now;
-        // It may have heard less than the last one.
+        // Its member may know less of the federation than that of the last leader.
         let joined = s
             .log
             .iter()
@@ -501,7 +504,7 @@
         self.say(s, at, which, n);
     }
 
-    /// A word arrives at its sender, which answers where the answer is not lost.
+    /// Delivers a message to its sender, which responds unless the response is lost.
     fn arrives(
         &self,
         s: &mut State,
@@ -615,7 +618,8 @@
         }
     }
 
-    /// Time passes: beats are counted, leases renewed or not, lapses found.
+    /// Advances time by one step: heartbeats are committed, leases are renewed or not, and expired
+    /// senders are found.
     fn later(&self, s: &mut State) {
         s.now += STEP;
         for at in 0..SITES {
@@ -636,7 +640,7 @@
             let site = &mut s.sites[at];
             let leader = &site.leaders[last];
             let (term, dead) = (leader.term, leader.dead);
-            // A leader renews nothing while its site is to be held and the record does not say so
+            // A leader renews no lease while its site has to hold and the record does not say so
             // yet.
             let renews = !dead
                 && (!leader.cutover.must_withhold_leases(&leader.record)
@@ -701,7 +705,7 @@
         }
     }
 
-    /// Whether all sites go by what was decided, and all senders with them.
+    /// Returns whether all sites on the roster, and all their senders, use the decided table.
     fn is_well(&self, s: &State) -> bool {
         let number = s.federation.table.number;
         s.federation.proposal.is_none()
@@ -712,7 +716,7 @@
             })
     }
 
-    /// What happens where nothing goes wrong any more.
+    /// Runs without further faults until the final state is reached or the steps are used up.
     fn settle(&self, s: &mut State) {
         s.cut = None;
         for _ in 0..300 {
@@ -841,7 +845,7 @@
         }
         match s.cut {
             None if s.left.cuts > 0 => actions.extend((0..SITES).map(Action::Cut)),
-            // Most often longer than all leases are.
+            // The cut mostly lasts longer than all leases.
             Some(at) if s.now > s.sites[at].counted + FENCE || s.left.lost == 0 => {
                 actions.push(Action::Heals)
             }
@@ -851,7 +855,7 @@
             let (site, last) = (&s.sites[at], self.last(s, at));
             let dead = site.leaders[last].dead;
             if !dead && !site.leaders[last].proposed.is_empty() {
-                // More often than what goes wrong.
+                // Repeated, so that it is drawn more often than a fault.
                 actions.extend([Action::Commit(at); 4]);
             }
             if !dead && s.left.dies > 0 {
@@ -886,9 +890,8 @@
                 if site.senders[n].line.0 < site.leaders[last].term && !dead {
                     actions.push(Action::Opens(at, n, last));
                 }
-                // It finds its way back to one that is deposed and does not know it. It finds its
-                // way back to one that is deposed and does not know it, and that says something
-                // else.
+                // The sender returns to a deposed leader that does not know that it is deposed, and
+                // whose record is older.
                 let deposed = last.checked_sub(1).map(|last| &site.leaders[last]);
                 let stands = |l: &Leader| l.record.tables.register.turn;
                 let back = |l: &Leader| {
@@ -986,7 +989,7 @@
                 }
             }
             Action::Lost(at, w) => {
-                // A word is lost with its line.
+                // A lost message breaks its connection.
                 s.left.lost -= 1;
                 let (n, line, _) = s.sites[at].words.remove(w);
                 self.breaks(&mut s, at, n, line);
@@ -1121,7 +1124,7 @@
     Some(format!("{wrong:?}"))
 }
 
-/// States that are looked at, at the most; in CI.
+/// Largest number of states that are explored in CI.
 const MOST: usize = 15_000;
 
 fn most() -> usize {
@@ -1131,8 +1134,8 @@
         .unwrap_or(MOST)
 }
 
-/// Two proposals; leaders that are deposed and go on, lost and doubled words, a refusal or a
-/// person's word, a restart.
+/// Two proposals, with deposed leaders that continue to run, lost and duplicated messages, a
+/// refusal or an operator's abort, and a restart.
 fn calm(fault: Fault) -> Sites {
     let left = Left {
         elections: 1,
@@ -1151,8 +1154,8 @@
     }
 }
 
-/// A site is cut off beyond its lease, its leaders die, and it may be taken off the roster and join
-/// again.
+/// A site is cut off for longer than its lease, its leaders die, and it may be removed from the
+/// roster and join again.
 fn cut(fault: Fault) -> Sites {
     let left = Left {
         dies: 1,
@@ -1171,7 +1174,7 @@
 }
 
 #[test]
-fn sites_go_over_with_the_word_of_all() {
+fn sites_cut_over_only_with_the_confirmation_of_all() {
     assert_eq!(check("proposals", calm(Fault::None), most()), None);
     for (fault, what) in [
         (Fault::Hasty, "a change without"),
@@ -1206,7 +1209,7 @@
 }
 
 #[test]
-fn nothing_is_taken_on_beyond_the_lease() {
+fn nothing_is_admitted_after_the_lease() {
     assert_eq!(check("cut off", cut(Fault::None), most()), None);
     for (fault, what) in [
         (Fault::NoHold, "beyond the lease"),
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -1,6 +1,6 @@
-//! One site of a federation: its leaders' machine, its record and three senders' agents, over lost,
-//! doubled and late words, clocks that run apart, restarts, and a federation that is not heard for
-//! longer than its lease.
+//! One site of a federation: the state machines of its leaders, its record, and the agents of three
+//! senders, with lost, duplicated and delayed messages, clocks that run at different rates,
+//! restarts, and a federation that is unreachable for longer than the site's lease.
 #![cfg(feature = "fleet")]
 
 mod common;
@@ -25,11 +25,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A sender's lease, and the site's.
+/// Length of a sender's lease, in milliseconds, and of the site's, in nanoseconds.
 const LEASE_MS: u32 = 1_500;
 const SITE_LEASE: Nanos = 5 * SEC;
-/// Behind the site's lease those of its senders may still run, and what a leader needs to see it
-/// and agree on it.
+/// Time after the site's lease in which its senders' leases may still run, and a leader sees the
+/// expiry and commits the hold, in nanoseconds.
 const FENCE: Nanos = 2_200 * MS;
 
 struct Nothing;
@@ -44,18 +44,19 @@
     }
 }
 
-/// What is done wrong on purpose.
+/// A fault that is injected to see that the test detects it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum Fault {
     #[default]
     None,
-    /// A pause is followed by the change without anybody's word.
+    /// The change is committed right after the pause, without the senders' confirmations.
     CommitUnheard,
-    /// The site accepts what its senders have not written down.
+    /// The site accepts a table that its senders have not stored.
     AcceptUnstored,
-    /// The site takes on beyond its lease.
+    /// The site admits messages after its lease has expired.
     NoHold,
-    /// A leader believes what the record says of the lease, whenever nobody counted.
+    /// A leader relies on the recorded lease without subtracting the time during which no leader
+    /// advanced the record's clock.
     AllCounted,
 }
 
@@ -76,7 +77,7 @@
     ))
 }
 
-/// A clock that began at this true time, and runs so many parts in 10,000 wrong.
+/// A clock that started at this true time, with a rate error in parts per 10,000.
 #[derive(Clone, Copy)]
 struct Clock {
     began: Nanos,
@@ -98,12 +99,14 @@
     entrance: AdmissionRequirement,
     stored: BTreeMap<u64, Digest>,
     last: u64,
-    /// When its last word on each direction of its line arrives, and whether the line has lost one.
+    /// Arrival time of its last message in each direction of its connection, and whether the
+    /// connection has lost one.
     arrives: [Nanos; 2],
     broken: bool,
-    /// What it cannot go by.
+    /// Numbers of the tables that it refuses.
     refused: BTreeSet<u64>,
-    /// When what it said last arrives: a first word and what it has come together.
+    /// Arrival times of its last session request; the list of stored tables arrives together with
+    /// it.
     opened: Vec<Nanos>,
 }
 
@@ -120,7 +123,7 @@
     }
 }
 
-/// What a leader holds of a sender, in true time.
+/// A leader's state of a sender, in true time.
 #[derive(Clone, Copy, Default)]
 struct Session {
     boot: u64,
@@ -139,9 +142,9 @@
 struct World {
     dice: fastrand::Rng,
     fault: Fault,
-    /// Words of a line come in the order in which they were said, or are lost with all that come
-    /// after: as they do over sockets. Only then is anything said of what is beyond the site's
-    /// lease.
+    /// Whether messages of a connection arrive in the order in which they were sent, or are lost
+    /// with all that follow, as with sockets. Admission after the site's lease is checked only in
+    /// this mode.
     fifo: bool,
     bad: bool,
     now: Nanos,
@@ -153,19 +156,20 @@
     record: Record,
     index: u64,
     pending: Vec<(Nanos, record::Command)>,
-    /// Senders that lived when a change was proposed on a turn, with their process.
+    /// Live senders, with their process, at the proposal of a change, by turn.
     lived: BTreeMap<u64, Vec<(usize, u64)>>,
-    /// Nobody leads until then.
+    /// The leader, or the time until which there is none.
     leader: Result<Leader, Nanos>,
-    /// When the last beat came, in true time.
+    /// Time of the last heartbeat, in true time.
     led: Nanos,
     federation: Federation,
     words: Vec<(Nanos, federation::Command)>,
-    /// What the site has heard of it, its number there, and until when it is counted in.
+    /// The federation's record as the site knows it, the site's number in it, and the end of its
+    /// lease.
     heard: Arc<Federation>,
     me: u64,
     counted_in: Nanos,
-    /// The site is cut off until then.
+    /// Time until which the site is cut off from the federation.
     cut: Nanos,
     key: u64,
     switched: u32,
@@ -235,7 +239,7 @@
         }
     }
 
-    /// When the copies of a word arrive; none, where it is lost.
+    /// Returns the arrival times of the copies of a message; none if it is lost.
     fn arrivals(&mut self, n: usize, way: usize) -> Vec<Nanos> {
         if !self.bad {
             self.senders[n].arrives[way] = self.now + MS;
@@ -328,7 +332,7 @@
         }
     }
 
-    /// The longest that a lease of a sender may be believed, from now on.
+    /// Returns the latest end of a sender's lease that is renewed now.
     fn counted(&self) -> Nanos {
         self.now + Nanos::from(LEASE_MS) * MS * 102 / 101
     }
@@ -447,12 +451,12 @@
         }
     }
 
-    /// A sender, as the record has it, if it lives.
+    /// Returns the record's entry of a sender if the sender is live.
     fn member(&self, n: usize) -> Option<&record::RosterEntry> {
         self.record.roster.get(&format!("n{n}")).filter(|m| m.live)
     }
 
-    /// A command of the site's record.
+    /// Applies a command to the site's record.
     fn apply(&mut self, command: record::Command) {
         self.index += 1;
         let before = self.record.tables.turn;
@@ -484,8 +488,8 @@
         (0..3).for_each(|n| self.tell(n));
     }
 
-    /// All that lived when this was proposed, and do still, have a table or refuse it. Who came
-    /// since finds the record as it stands.
+    /// Asserts that all senders that were live at the proposal, and still are, store a table or
+    /// refuse it. Senders that joined since start from the current record.
     fn all_have(&self, base: u64, number: u64) {
         for (n, boot) in &self.lived[&base] {
             let sender = &self.senders[*n];
@@ -495,7 +499,7 @@
         }
     }
 
-    /// The federation goes on, with the site where it can, and without it where that is fenced.
+    /// Advances the federation, with the site if possible, and without it while it is fenced.
     fn federate(&mut self) {
         use federation::Command;
         let (words, later) = std::mem::take(&mut self.words)
@@ -564,7 +568,7 @@
         if self.bad && self.now > self.cut && self.dice.u32(..1_200) == 0 {
             self.cut = self.now + self.dice.u64(100..12_000) * MS;
         }
-        // The voice hears the record and that the site is counted in.
+        // The site's member receives the record and a lease.
         let heard = self.now % (50 * MS) == 0 && (!self.bad || self.dice.u8(..3) == 0);
         if let Ok(leader) = self.leader.as_mut().map_err(|_| ()) {
             if heard && self.now > self.cut && self.federation.sites.contains_key(&self.me) {
@@ -575,7 +579,7 @@
         }
     }
 
-    /// Who leads, and what it does as time passes.
+    /// Elects and ends leaders, and advances the current one.
     fn lead(&mut self) {
         let turn = self.now % (20 * MS) == 0;
         if let Err(until) = &self.leader {
@@ -598,7 +602,7 @@
                 counted: at,
                 lease: None,
             });
-            // All leases of the record count from now on.
+            // The new leader counts all leases in the record from now on.
             let until = self.counted() + SEC;
             for n in 0..3 {
                 let m = self.record.roster.get(&format!("n{n}"));
@@ -616,7 +620,7 @@
         if self.bad && self.dice.u32(..1_500) == 0 {
             let gap = if self.dice.u8(..4) == 0 { 7_000 } else { 2_000 };
             self.leader = Err(self.now + self.dice.u64(1..gap) * MS);
-            // What it proposed last came in still, or is lost.
+            // What the last leader proposed is still committed, or is lost.
             let pending = std::mem::take(&mut self.pending);
             for (_, command) in pending {
                 if self.dice.bool() {
@@ -724,7 +728,7 @@
             let (mut out, sender) = (Vec::new(), &mut self.senders[n]);
             let now = sender.clock.at(self.now);
             let needs = sender.machine.needed_documents(DocumentKind::Table);
-            // Three are kept, as on a sender's shelf.
+            // Three tables are kept, as in a sender's document store.
             let oldest = sender
                 .stored
                 .keys()
@@ -753,7 +757,7 @@
             self.act(n, out);
         }
         for n in 0..3 {
-            // One that stands still now and then looks at nothing meanwhile.
+            // A sender that is stopped at times misses ticks.
             if self.bad && self.dice.u8(..4) == 0 {
                 continue;
             }
@@ -791,8 +795,7 @@
 }
 
 #[test]
-fn a_site_goes_over_whole_or_not_at_all_and_takes_nothing_on_that_its_federation_does_not_count_on()
-{
+fn a_site_cuts_over_as_a_whole_and_admits_nothing_that_its_federation_does_not_expect() {
     let (mut switched, mut taken_back, mut held, mut off, mut open) = (0, 0, 0, 0, 0);
     for seed in 0..100 {
         let mut world = World::new(seed, Fault::None);
@@ -835,7 +838,7 @@
 }
 
 #[test]
-fn each_fault_that_is_put_in_is_found() {
+fn each_injected_fault_is_detected() {
     let said = |fault: Fault, seed: u64| {
         let played = std::panic::catch_unwind(|| World::new(seed, fault).play(8_000));
         played
@@ -854,15 +857,15 @@
     }
 }
 
-/// A leader whose commands come into its record at once, and a federation whose other site agrees
-/// to all.
+/// A leader whose commands are applied at once, and a federation whose other site accepts
+/// everything.
 struct Site {
     duties: LeaderDuties,
     record: Record,
     index: u64,
     now: Nanos,
     federation: Federation,
-    /// Whether the other site is heard, and this one counted in.
+    /// Whether the other site is reachable and this one has a lease.
     linked: bool,
     lease: Option<Nanos>,
     said: Vec<(u64, ReplicaToAgent)>,
@@ -922,7 +925,7 @@
         }
     }
 
-    /// So much time passes, in steps of 50 ms.
+    /// Advances time by `time`, in steps of 50 ms.
     fn pass(&mut self, time: Nanos) {
         for _ in 0..time / (50 * MS) {
             self.now += 50 * MS;
@@ -964,7 +967,7 @@
     fn hear(&mut self, line: u64, words: &[AgentToReplica]) -> Vec<ReplicaToAgent> {
         let mut out = Vec::new();
         self.said.clear();
-        // What comes together comes before the record has anything of it.
+        // Messages that arrive together are handled before the record has any of their effects.
         words.iter().for_each(|w| {
             self.duties
                 .on_agent_message(self.now, line, w, &self.record, &mut out)
@@ -986,8 +989,8 @@
         self.carry_out(out);
     }
 
-    /// Time passes while the senders on these lines report, write all down that they are offered,
-    /// and go by all that they hear.
+    /// Advances time while the senders on these connections report, store every table they are
+    /// offered, and apply every turn they receive.
     fn serve(&mut self, lines: &[u64], time: Nanos) {
         for _ in 0..time / (50 * MS) {
             self.said.clear();
@@ -1057,7 +1060,7 @@
 }
 
 #[test]
-fn the_office_brings_a_table_from_a_persons_word_into_use_and_holds_beyond_the_lease() {
+fn a_leader_brings_a_proposed_table_into_use_and_holds_after_the_lease() {
     let mut site = Site::new();
     let said = site.hear(1, &[opens("n1"), has(&[])]);
     assert_eq!(rules(&said), [(0, SiteAdmission::Open)], "{said:?}");
@@ -1085,7 +1088,8 @@
     let register = site.record.tables.register;
     assert_eq!((register.number, register.stance), (1, SiteAdmission::Open));
     assert_eq!(site.federation.sites[&1].uses, 1);
-    // One whose file lets it follow no tables ends a proposal by its name, wherever that was made.
+    // A sender whose configuration file does not let it follow tables ends a proposal by any site,
+    // and the reason names the sender.
     site.hear(2, &[opens("n2")]);
     site.hear(2, &[tell(1)]);
     site.order(propose);
@@ -1108,8 +1112,8 @@
         "{end}"
     );
     site.hear(2, &[AgentToReplica::CloseSession]);
-    // Nobody is heard for longer than the lease: nothing is taken on, and nobody hears otherwise,
-    // also from the next leader.
+    // The federation is unreachable for longer than the lease: nothing is admitted, and no sender
+    // is told otherwise, not even by the next leader.
     site.linked = false;
     site.serve(&[1], 7 * SEC);
     assert_eq!(
@@ -1131,8 +1135,8 @@
     site.linked = true;
     site.serve(&[1], 2 * SEC);
     assert_eq!(site.record.tables.register.stance, SiteAdmission::Open);
-    // A leader that does not know for how long nobody led believes nothing of the lease in the
-    // record: no sender hears of an open door.
+    // A leader that does not know how long there was no leader does not rely on the recorded lease:
+    // no sender is told that messages are admitted.
     (site.linked, site.lease) = (false, None);
     site.duties = LeaderDuties::new(LeaderRules::default(), 2, site.now, &site.record)
         .with_last_leader_seen(site.now, None);
@@ -1148,7 +1152,7 @@
     let mut out = Vec::new();
     site.duties
         .on_federation_state(site.now, Some(known), &site.record, &mut out);
-    // The word to hold is not in the record yet.
+    // The change to hold is not in the record yet.
     let mut held = Vec::new();
     std::mem::swap(&mut held, &mut out);
     let said = site.hear(3, &[opens("n3"), has(&[])]);
