--- a/tests/federation.rs
+++ b/tests/federation.rs
@@ -48,7 +48,7 @@
     back_at: u64,
     frozen: bool,
     /// Time until which it is cut off from its own site.
-    alone: u64,
+    isolated_until: u64,
     /// Time up to which its raft clock was advanced.
     ticked: u64,
 }
@@ -68,22 +68,22 @@
     },
 }
 
-struct World {
+struct FederationSimulation {
     seed: u64,
     rng: fastrand::Rng,
     now: u64,
     keepers: BTreeMap<(u64, u64), Keeper>,
     net: BTreeMap<(u64, u64), Packet>,
-    sent: u64,
+    packets_sent: u64,
     faults: bool,
     /// Sites that are cut off from others, each with the time until which it is.
-    cut: BTreeMap<u64, u64>,
+    cut_off_until: BTreeMap<u64, u64>,
     /// The injected fault: an item counts as persisted as soon as it is proposed.
-    early: bool,
+    persists_early: bool,
     votes: BTreeMap<(u64, u64), u64>,
     leaders: BTreeMap<u64, u64>,
     records: BTreeMap<u64, Arc<Federation>>,
-    believed: BTreeMap<u64, u64>,
+    lease_until_seen: BTreeMap<u64, u64>,
     off: BTreeMap<u64, u64>,
     members: u32,
     answers: Vec<OperatorResponse>,
@@ -109,8 +109,8 @@
     }
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl FederationSimulation {
+    fn new(seed: u64) -> FederationSimulation {
         let mut keepers = BTreeMap::new();
         for site in 1..=4 {
             for me in 1..=3 {
@@ -138,20 +138,20 @@
                 );
             }
         }
-        World {
+        FederationSimulation {
             seed,
             rng: fastrand::Rng::with_seed(seed),
             now: SECOND,
             keepers,
             net: BTreeMap::new(),
-            sent: 0,
+            packets_sent: 0,
             faults: true,
-            cut: BTreeMap::new(),
-            early: false,
+            cut_off_until: BTreeMap::new(),
+            persists_early: false,
             votes: BTreeMap::new(),
             leaders: BTreeMap::new(),
             records: BTreeMap::new(),
-            believed: BTreeMap::new(),
+            lease_until_seen: BTreeMap::new(),
             off: BTreeMap::new(),
             members: 0,
             answers: Vec::new(),
@@ -165,14 +165,14 @@
             1
         };
         for _ in 0..copies {
-            self.sent += 1;
+            self.packets_sent += 1;
             let late = if self.faults {
                 self.rng.u64(..5) * STEP
             } else {
                 0
             };
             self.net
-                .insert((self.now + STEP + late, self.sent), packet());
+                .insert((self.now + STEP + late, self.packets_sent), packet());
         }
     }
 
@@ -198,8 +198,8 @@
                     (None, None, until, false);
             }
             1 => (keeper.back_at, keeper.frozen) = (until, keeper.group.is_some()),
-            2 | 3 => keeper.alone = until,
-            4 => drop(self.cut.insert(site, until)),
+            2 | 3 => keeper.isolated_until = until,
+            4 => drop(self.cut_off_until.insert(site, until)),
             _ => {}
         }
     }
@@ -209,11 +209,11 @@
         if self.faults {
             self.harm();
         } else {
-            self.cut.clear();
-            self.keepers.values_mut().for_each(|k| k.alone = 0);
+            self.cut_off_until.clear();
+            self.keepers.values_mut().for_each(|k| k.isolated_until = 0);
         }
         let now = self.now;
-        self.cut.retain(|_, until| now < *until);
+        self.cut_off_until.retain(|_, until| now < *until);
         while let Some(first) = self.net.first_entry().filter(|e| e.key().0 <= now) {
             let packet = first.remove();
             self.deliver(packet);
@@ -252,10 +252,10 @@
                     .for_each(|site| member.on_heartbeat(now, site));
                 member.on_tick(now, group.record(), &mut out);
             }
-            self.carry(at, out);
-            self.work(at);
-            self.introduce(at);
-            self.office(at);
+            self.carry_out(at, out);
+            self.run_replica(at);
+            self.connect_members(at);
+            self.run_cutover(at);
         }
     }
 
@@ -268,8 +268,8 @@
                 to,
                 bytes,
             } => {
-                let apart = self.keepers[&(site, from)].alone > now
-                    || self.keepers[&(site, to)].alone > now;
+                let apart = self.keepers[&(site, from)].isolated_until > now
+                    || self.keepers[&(site, to)].isolated_until > now;
                 let keeper = self.keepers.get_mut(&(site, to)).expect("a keeper");
                 if let Some(group) = keeper
                     .group
@@ -277,7 +277,7 @@
                     .filter(|_| !apart && now >= keeper.back_at)
                 {
                     group.step(from, &bytes).expect("a message of the group");
-                    self.work((site, to));
+                    self.run_replica((site, to));
                 }
             }
             Packet::Word {
@@ -286,7 +286,7 @@
                 to,
                 word,
             } => {
-                if self.cut.contains_key(&from) || self.cut.contains_key(&to) {
+                if self.cut_off_until.contains_key(&from) || self.cut_off_until.contains_key(&to) {
                     return;
                 }
                 // The message goes to any replica that considers itself the site's leader.
@@ -311,19 +311,19 @@
                         .on_message(now, from, word, &mut out)
                         .expect("a member's word");
                 }
-                self.carry(at, out);
-                self.work(at);
+                self.carry_out(at, out);
+                self.run_replica(at);
             }
         }
     }
 
     /// Performs the handshakes of new connections between members.
-    fn introduce(&mut self, at: (u64, u64)) {
+    fn connect_members(&mut self, at: (u64, u64)) {
         let incarnation = |k: &Keeper| k.member.as_ref()?.incarnation(k.group.as_ref()?.record());
         let Some(own) = incarnation(&self.keepers[&at]) else {
             return;
         };
-        if self.cut.contains_key(&at.0) || self.rng.u32(..10) > 0 {
+        if self.cut_off_until.contains_key(&at.0) || self.rng.u32(..10) > 0 {
             return;
         }
         let now = self.now;
@@ -331,7 +331,7 @@
         let others = self
             .keepers
             .iter()
-            .filter(|(o, k)| o.0 != at.0 && up(k) && !self.cut.contains_key(&o.0));
+            .filter(|(o, k)| o.0 != at.0 && up(k) && !self.cut_off_until.contains_key(&o.0));
         let others: Vec<_> = others
             .filter_map(|(o, k)| Some((*o, incarnation(k)?)))
             .collect();
@@ -348,7 +348,7 @@
                 };
                 let mut out = Vec::new();
                 let came = does(member, group, &mut out);
-                self.carry(at, out);
+                self.carry_out(at, out);
                 came
             };
             if said(other, &|member, group, out| {
@@ -363,7 +363,7 @@
     }
 
     /// Proposes, accepts and cuts over, as a site's leader would.
-    fn office(&mut self, at: (u64, u64)) {
+    fn run_cutover(&mut self, at: (u64, u64)) {
         let (chance, key) = (self.rng.u32(..40), self.rng.u64(..));
         let Some(member) = &mut self.keepers.get_mut(&at).expect("a keeper").member else {
             return;
@@ -400,8 +400,8 @@
             }
             _ => {}
         }
-        self.carry(at, out);
-        self.work(at);
+        self.carry_out(at, out);
+        self.run_replica(at);
     }
 
     /// Submits an operator's order at each member.
@@ -412,13 +412,13 @@
             if let Some(member) = keeper.member.as_mut().filter(|_| up) {
                 let mut out = Vec::new();
                 member.submit_roster_order(self.now, 1, order, &mut out);
-                self.carry(at, out);
-                self.work(at);
+                self.carry_out(at, out);
+                self.run_replica(at);
             }
         }
     }
 
-    fn carry(&mut self, at: (u64, u64), out: Vec<MemberEffect>) {
+    fn carry_out(&mut self, at: (u64, u64), out: Vec<MemberEffect>) {
         let now = self.now;
         for what in out {
             let keeper = self.keepers.get_mut(&at).expect("a keeper");
@@ -429,7 +429,7 @@
                 MemberEffect::ProposeToSite(command) => {
                     if group.propose(&command).is_err() {
                         member.on_proposal_refused(now);
-                    } else if self.early
+                    } else if self.persists_early
                         && matches!(
                             command,
                             Command::PersistMemberLog {
@@ -442,7 +442,7 @@
                         record.apply(record.version, &command);
                         let mut out = Vec::new();
                         member.on_applied(now, &command, &record, &mut out);
-                        self.carry(at, out);
+                        self.carry_out(at, out);
                     }
                 }
                 MemberEffect::Send { to, message } => self.say(at, to, &message),
@@ -475,7 +475,7 @@
                         met.ok_or_else(|| IncarnationUnknown("nobody speaks".into())),
                         &mut out,
                     );
-                    self.carry(at, out);
+                    self.carry_out(at, out);
                 }
             }
         }
@@ -527,7 +527,7 @@
     }
 
     /// Runs a replica as its event loop would.
-    fn work(&mut self, at: (u64, u64)) {
+    fn run_replica(&mut self, at: (u64, u64)) {
         let now = self.now;
         loop {
             let wait = if self.faults {
@@ -585,17 +585,17 @@
                     group.report_snapshot_sent(to);
                 }
             }
-            self.carry(at, out);
+            self.carry_out(at, out);
             if idle {
                 break;
             }
         }
-        self.look(at);
+        self.check_invariants(at);
     }
 
     /// Asserts that all members have the same record for a version, and that a removed site holds
     /// no lease any more.
-    fn look(&mut self, at: (u64, u64)) {
+    fn check_invariants(&mut self, at: (u64, u64)) {
         let Some(member) = &self.keepers[&at].member else {
             return;
         };
@@ -609,10 +609,10 @@
             "seed {}: two records of one version",
             self.seed
         );
-        let believed = self.believed.entry(at.0).or_default();
-        *believed = (*believed).max(known.lease_until.unwrap_or_default());
+        let lease_until_seen = self.lease_until_seen.entry(at.0).or_default();
+        *lease_until_seen = (*lease_until_seen).max(known.lease_until.unwrap_or_default());
         for site in &known.record.off {
-            let end = self.believed.get(site).copied().unwrap_or_default();
+            let end = self.lease_until_seen.get(site).copied().unwrap_or_default();
             let since = *self.off.entry(*site).or_insert(self.now);
             assert!(
                 end + FENCE <= since,
@@ -648,9 +648,9 @@
 }
 
 /// Returns the number of decided tables, of leaders and of members.
-fn play(seed: u64, early: bool) -> (usize, usize, u32) {
-    let mut world = World::new(seed);
-    world.early = early;
+fn simulate(seed: u64, persists_early: bool) -> (usize, usize, u32) {
+    let mut world = FederationSimulation::new(seed);
+    world.persists_early = persists_early;
     let off = FederationRequest::RemoveSite { site: "s3".into() };
     let join = FederationRequest::AddSite {
         site: "s4".into(),
@@ -721,7 +721,7 @@
 fn sites_agree_across_changes_of_their_leaders_and_a_removed_site_was_fenced() {
     let (mut decided, mut leaders, mut members) = (0, 0, 0);
     for seed in seeds(6) {
-        let (d, l, v) = play(seed, false);
+        let (d, l, v) = simulate(seed, false);
         (decided, leaders, members) = (decided + d, leaders + l, members + v);
     }
     eprintln!("{decided} tables decided under {leaders} leaders, by {members} members");
@@ -735,7 +735,7 @@
 fn a_member_that_sends_before_persisting_is_detected() {
     // Either an invariant is violated, or the raft library detects that acknowledged data is lost.
     let told = |seed: u64| {
-        let panic = std::panic::catch_unwind(|| play(seed, true)).err()?;
+        let panic = std::panic::catch_unwind(|| simulate(seed, true)).err()?;
         let told = panic.downcast_ref::<String>()?;
         ["votes twice", "two lead", "two records", "is lost"]
             .into_iter()
@@ -748,14 +748,14 @@
 
 // ---- Real processes.
 
-struct Up {
+struct RunningSite {
     child: Child,
     lines: Receiver<String>,
     site: &'static str,
     at: String,
 }
 
-impl Drop for Up {
+impl Drop for RunningSite {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -765,20 +765,20 @@
 const NAMES: [&str; 3] = ["north", "south", "west"];
 
 /// Three sites with one replica each.
-struct Land {
+struct FederationProcesses {
     folder: tempfile::TempDir,
-    ways: Vec<Relay>,
+    relays: Vec<Relay>,
 }
 
-impl Land {
-    fn new() -> Land {
-        let ways = NAMES
+impl FederationProcesses {
+    fn new() -> FederationProcesses {
+        let relays = NAMES
             .iter()
             .map(|_| Relay::open().expect("a port"))
             .collect();
-        Land {
+        FederationProcesses {
             folder: tempfile::tempdir().expect("a folder"),
-            ways,
+            relays,
         }
     }
 
@@ -790,7 +790,7 @@
             self.folder.path().join(site)
         );
         for (other, number) in others {
-            let (name, at) = (NAMES[*other], self.ways[*other].address);
+            let (name, at) = (NAMES[*other], self.relays[*other].address);
             text += &format!(
                 "[[federation.site]]\nnumber = {number}\nname = \"{name}\"\nat = [\"{at}\"]\n"
             );
@@ -800,7 +800,7 @@
         path
     }
 
-    fn spawn(&self, n: usize) -> Up {
+    fn spawn(&self, n: usize) -> RunningSite {
         let mut child = Process::new(env!("CARGO_BIN_EXE_raildeal"))
             .arg("keeper")
             .arg(self.folder.path().join(format!("{}.toml", NAMES[n])))
@@ -815,7 +815,7 @@
                 .map_while(Result::ok)
                 .try_for_each(|line| tell.send(line))
         });
-        Up {
+        RunningSite {
             child,
             lines,
             site: NAMES[n],
@@ -823,7 +823,7 @@
         }
     }
 
-    fn start(&self, n: usize) -> Up {
+    fn start(&self, n: usize) -> RunningSite {
         let mut up = self.spawn(n);
         up.at = up
             .says(": listens at ")
@@ -831,12 +831,12 @@
             .next()
             .expect("an address")
             .into();
-        self.ways[n].aim(up.at.parse().expect("an address"));
+        self.relays[n].aim(up.at.parse().expect("an address"));
         up
     }
 }
 
-impl Up {
+impl RunningSite {
     fn says(&self, what: &str) -> String {
         let until = Instant::now() + Duration::from_secs(120);
         let mut said = Vec::new();
@@ -902,7 +902,7 @@
 
 #[test]
 fn three_processes_are_a_federation_that_one_leaves_and_joins_again() {
-    let land = Land::new();
+    let land = FederationProcesses::new();
     let first = |n: usize| {
         let others: Vec<_> = (0..3)
             .filter(|o| *o != n)
@@ -930,7 +930,7 @@
         up.until(&off("east"), |a| refused(a, "no site \"east\""));
     }
     let join = |number| {
-        let at = vec![land.ways[2].address.to_string()];
+        let at = vec![land.relays[2].address.to_string()];
         FederationRequest::AddSite {
             site: "west".into(),
             number,
--- a/tests/model_tables/agreed.rs
+++ b/tests/model_tables/agreed.rs
@@ -16,26 +16,26 @@
 enum Fault {
     None,
     /// A table is decided although one acceptance is missing.
-    OneShort,
+    OneAcceptanceShort,
     /// A proposal is opened before all sites use the table that was decided last.
-    Early,
+    ProposalTooEarly,
     /// An ended proposal is rolled back although it was decided.
-    Forgets,
+    AbortsDecided,
     /// A site that joins again continues with its earlier table.
-    GoesOnOld,
+    KeepsOldTable,
     /// A site is removed before it is held.
-    OffUnheld,
+    RemovedUnheld,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Site {
     /// Number of times the site joined again, which gives its number on the roster.
-    lives: u64,
-    on: bool,
+    joins: u64,
+    on_roster: bool,
     /// Whether it has accepted the proposed table; the message may still be in transit.
-    said: bool,
+    accepted_proposal: bool,
     /// Number of the table that it knows to be decided.
-    knows: u64,
+    known_decided: u64,
     /// Number of the table that it uses.
     uses: u64,
     held: bool,
@@ -47,7 +47,7 @@
     sites: [Site; SITES],
     /// Decided tables, in the order of their decisions.
     decided: Vec<u64>,
-    offs: u8,
+    removals: u8,
     wrong: Vec<&'static str>,
 }
 
@@ -56,7 +56,7 @@
         postcard::to_allocvec(&self.record)
             .expect("it is written")
             .hash(to);
-        (&self.sites, &self.decided, self.offs, &self.wrong).hash(to);
+        (&self.sites, &self.decided, self.removals, &self.wrong).hash(to);
     }
 }
 
@@ -71,10 +71,10 @@
     Deadline,
     /// A site learns what is decided; then uses it; then its report arrives.
     Learns(usize),
-    Goes(usize),
-    Switched(usize),
+    Uses(usize),
+    CutOverReported(usize),
     Held(usize),
-    GoesOn(usize),
+    Resumes(usize),
     Off(usize),
     Join(usize),
 }
@@ -82,11 +82,11 @@
 struct Agreed {
     fault: Fault,
     proposals: u64,
-    offs: u8,
+    removals: u8,
 }
 
-fn number(site: usize, lives: u64) -> u64 {
-    1 + site as u64 + lives * SITES as u64
+fn number(site: usize, joins: u64) -> u64 {
+    1 + site as u64 + joins * SITES as u64
 }
 
 fn propose(key: u64) -> Command {
@@ -99,9 +99,9 @@
     }
 }
 
-fn join(site: usize, lives: u64) -> Command {
+fn join(site: usize, joins: u64) -> Command {
     Command::Join {
-        site: number(site, lives),
+        site: number(site, joins),
         name: format!("s{site}"),
     }
 }
@@ -110,7 +110,7 @@
     fn apply(&self, s: &mut State, command: &Command) {
         let before = s.record.clone();
         match (self.fault, command) {
-            (Fault::OneShort, Command::Accept { site: says, .. }) => {
+            (Fault::OneAcceptanceShort, Command::Accept { site: says, .. }) => {
                 let missing = before.proposal.as_ref().and_then(|p| {
                     let mut missing = before
                         .sites
@@ -125,7 +125,7 @@
                     p.accepted.insert(site);
                 }
             }
-            (Fault::Early, Command::Propose { .. }) => {
+            (Fault::ProposalTooEarly, Command::Propose { .. }) => {
                 let now = s.record.table.number;
                 s.record.sites.values_mut().for_each(|site| site.uses = now);
             }
@@ -134,7 +134,7 @@
         s.record.apply(0, command);
         let after = &mut s.record;
         match (self.fault, command) {
-            (Fault::Forgets, Command::Abort { number, .. })
+            (Fault::AbortsDecided, Command::Abort { number, .. })
                 if *number > 0 && *number == after.table.number =>
             {
                 after.table = after.before.clone();
@@ -155,7 +155,7 @@
             s.decided.pop();
         }
         if after.table.number > before.table.number {
-            if s.sites.iter().any(|site| site.on && !site.said) {
+            if s.sites.iter().any(|site| site.on_roster && !site.accepted_proposal) {
                 s.wrong.push("decided without the word of all");
             }
             s.decided.push(after.table.number);
@@ -163,26 +163,26 @@
         if before.proposal.as_ref().map(|p| p.table.number)
             != after.proposal.as_ref().map(|p| p.table.number)
         {
-            s.sites.iter_mut().for_each(|site| site.said = false);
+            s.sites.iter_mut().for_each(|site| site.accepted_proposal = false);
         }
     }
 
     /// Checks the invariants that hold at any time.
-    fn look(&self, s: &mut State) {
-        let place = |number: u64| s.decided.iter().position(|n| *n == number);
+    fn check_invariants(&self, s: &mut State) {
+        let decision_index = |number: u64| s.decided.iter().position(|n| *n == number);
         let mut open: Vec<Option<usize>> = s
             .sites
             .iter()
             .filter(|site| !site.held)
-            .map(|site| place(site.uses))
+            .map(|site| decision_index(site.uses))
             .collect();
         open.sort();
         open.dedup();
-        let follow =
+        let are_consecutive =
             matches!(open[..], [] | [_]) || matches!(open[..], [Some(a), Some(b)] if b == a + 1);
         if open.contains(&None) {
             s.wrong.push("a table that was not decided");
-        } else if !follow {
+        } else if !are_consecutive {
             s.wrong.push("tables in use that do not follow each other");
         }
         if let Some(p) = &s.record.proposal {
@@ -200,21 +200,21 @@
         // Late and duplicated messages, and those of removed sites, are void.
         let given = s.record.given;
         let runs = s.record.proposal.as_ref().map(|p| p.table.number);
-        let mut late: Vec<Command> = (1..=given).map(propose).collect();
+        let mut late_commands: Vec<Command> = (1..=given).map(propose).collect();
         for n in (1..=given).filter(|n| Some(*n) != runs) {
-            late.push(Command::Abort {
+            late_commands.push(Command::Abort {
                 number: n,
                 why: "late".into(),
             });
             for site in 1..=number(SITES - 1, 2) {
-                late.push(Command::Accept { site, number: n });
-                late.push(Command::Refuse {
+                late_commands.push(Command::Accept { site, number: n });
+                late_commands.push(Command::Refuse {
                     site,
                     number: n,
                     why: "late".into(),
                 });
                 if n != s.record.table.number {
-                    late.push(Command::CutOver { site, number: n });
+                    late_commands.push(Command::CutOver { site, number: n });
                 }
             }
         }
@@ -222,22 +222,22 @@
             .sites
             .iter()
             .enumerate()
-            .filter(|(_, site)| site.lives > 0)
+            .filter(|(_, site)| site.joins > 0)
         {
-            let site = number(at, site.lives - 1);
-            late.extend(runs.map(|number| Command::Accept { site, number }));
-            late.extend(runs.map(|number| Command::Refuse {
+            let site = number(at, site.joins - 1);
+            late_commands.extend(runs.map(|number| Command::Accept { site, number }));
+            late_commands.extend(runs.map(|number| Command::Refuse {
                 site,
                 number,
                 why: "off".into(),
             }));
-            late.push(join(at, s.sites[at].lives - 1));
+            late_commands.push(join(at, s.sites[at].joins - 1));
         }
-        if self.fault == Fault::Forgets {
+        if self.fault == Fault::AbortsDecided {
             return;
         }
         let mut record = s.record.clone();
-        late.iter().for_each(|command| record.apply(0, command));
+        late_commands.iter().for_each(|command| record.apply(0, command));
         if record != s.record {
             s.wrong.push("a late word that counts");
         }
@@ -253,11 +253,11 @@
             record: Federation::default(),
             sites: Default::default(),
             decided: vec![0],
-            offs: self.offs,
+            removals: self.removals,
             wrong: Vec::new(),
         };
         for at in 0..SITES {
-            s.sites[at].on = true;
+            s.sites[at].on_roster = true;
             s.record.apply(0, &join(at, 0));
         }
         vec![s]
@@ -269,42 +269,42 @@
         }
         if s.record.proposal.is_some() {
             actions.extend([Action::Abort, Action::Deadline]);
-        } else if self.fault == Fault::Forgets {
+        } else if self.fault == Fault::AbortsDecided {
             actions.push(Action::Abort);
         }
         for (at, site) in s.sites.iter().enumerate() {
-            if !site.on {
+            if !site.on_roster {
                 actions.push(Action::Join(at));
                 continue;
             }
             if s.record.proposal.is_some() {
                 actions.push(Action::Refuses(at));
-                actions.push(if site.said {
+                actions.push(if site.accepted_proposal {
                     Action::Arrives(at)
                 } else {
                     Action::Accepts(at)
                 });
             }
-            if site.knows != s.record.table.number {
+            if site.known_decided != s.record.table.number {
                 actions.push(Action::Learns(at));
             }
-            if site.knows > site.uses {
-                actions.push(Action::Goes(at));
+            if site.known_decided > site.uses {
+                actions.push(Action::Uses(at));
             }
             // A repeated report is void, which is checked in each state.
             if s.record
                 .sites
-                .get(&number(at, site.lives))
+                .get(&number(at, site.joins))
                 .is_some_and(|known| known.uses != site.uses)
             {
-                actions.push(Action::Switched(at));
+                actions.push(Action::CutOverReported(at));
             }
             if !site.held {
                 actions.push(Action::Held(at));
-            } else if site.uses == site.knows || self.fault == Fault::GoesOnOld {
-                actions.push(Action::GoesOn(at));
+            } else if site.uses == site.known_decided || self.fault == Fault::KeepsOldTable {
+                actions.push(Action::Resumes(at));
             }
-            if s.offs > 0 && (site.held || self.fault == Fault::OffUnheld) {
+            if s.removals > 0 && (site.held || self.fault == Fault::RemovedUnheld) {
                 actions.push(Action::Off(at));
             }
         }
@@ -312,11 +312,11 @@
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut s = last.clone();
-        let of = |s: &State, at: usize| number(at, s.sites[at].lives);
+        let of = |s: &State, at: usize| number(at, s.sites[at].joins);
         let runs = s.record.proposal.as_ref().map(|p| p.table.number);
         match action {
             Action::Propose => self.apply(&mut s, &propose(last.record.given + 1)),
-            Action::Accepts(at) => s.sites[at].said = true,
+            Action::Accepts(at) => s.sites[at].accepted_proposal = true,
             Action::Arrives(at) => {
                 let accept = Command::Accept {
                     site: of(&s, at),
@@ -350,9 +350,9 @@
                     ms: 1,
                 },
             ),
-            Action::Learns(at) => s.sites[at].knows = s.record.table.number,
-            Action::Goes(at) => s.sites[at].uses = s.sites[at].knows,
-            Action::Switched(at) => {
+            Action::Learns(at) => s.sites[at].known_decided = s.record.table.number,
+            Action::Uses(at) => s.sites[at].uses = s.sites[at].known_decided,
+            Action::CutOverReported(at) => {
                 let switched = Command::CutOver {
                     site: of(&s, at),
                     number: s.sites[at].uses,
@@ -360,25 +360,25 @@
                 self.apply(&mut s, &switched);
             }
             Action::Held(at) => s.sites[at].held = true,
-            Action::GoesOn(at) => s.sites[at].held = false,
+            Action::Resumes(at) => s.sites[at].held = false,
             Action::Off(at) => {
-                s.offs -= 1;
+                s.removals -= 1;
                 let off = Command::Off { site: of(&s, at) };
-                s.sites[at].on = false;
+                s.sites[at].on_roster = false;
                 self.apply(&mut s, &off);
             }
             Action::Join(at) => {
                 // The site gets a lease only from a site that knows of its joining, and so knows
                 // what was decided by then.
-                s.sites[at].lives += 1;
-                s.sites[at].on = true;
-                let lives = s.sites[at].lives;
-                self.apply(&mut s, &join(at, lives));
-                s.sites[at].said = false;
-                s.sites[at].knows = s.record.table.number;
+                s.sites[at].joins += 1;
+                s.sites[at].on_roster = true;
+                let joins = s.sites[at].joins;
+                self.apply(&mut s, &join(at, joins));
+                s.sites[at].accepted_proposal = false;
+                s.sites[at].known_decided = s.record.table.number;
             }
         }
-        self.look(&mut s);
+        self.check_invariants(&mut s);
         Some(s)
     }
 
@@ -393,19 +393,19 @@
                 |_, s: &State| {
                     s.sites
                         .iter()
-                        .any(|site| site.lives > 0 && !site.held && site.uses > 0)
+                        .any(|site| site.joins > 0 && !site.held && site.uses > 0)
                 },
             ),
         ]
     }
 }
 
-fn check(fault: Fault, proposals: u64, offs: u8) -> Option<String> {
-    let begun = std::time::Instant::now();
+fn check(fault: Fault, proposals: u64, removals: u8) -> Option<String> {
+    let started = std::time::Instant::now();
     let builder = Agreed {
         fault,
         proposals,
-        offs,
+        removals,
     }
     .checker()
     .threads(2);
@@ -418,7 +418,7 @@
         println!(
             "{fault:?}: {} states, {:?}",
             checker.unique_state_count(),
-            begun.elapsed()
+            started.elapsed()
         );
         let wrong = checker
             .discovery("nothing goes wrong")?
@@ -430,15 +430,15 @@
     let checker = builder.spawn_bfs().join();
     let (states, depth) = (checker.unique_state_count(), checker.max_depth());
     println!(
-        "{proposals} proposals, {offs} off: {states} states, depth {depth}, {:?}",
-        begun.elapsed()
+        "{proposals} proposals, {removals} off: {states} states, depth {depth}, {:?}",
+        started.elapsed()
     );
     let Some(path) = checker.discovery("nothing goes wrong") else {
         let reached = checker.discovery("all that may be are decided").is_some();
         let joined = checker
             .discovery("one that joined again goes by the newest")
             .is_some();
-        assert!(reached && joined == (offs > 0), "{reached} {joined}");
+        assert!(reached && joined == (removals > 0), "{reached} {joined}");
         return None;
     };
     let wrong = path.last_state().wrong.clone();
@@ -452,17 +452,17 @@
         Ok(_) => &[(2, 0), (1, 1), (2, 1), (3, 1)],
         Err(_) => &[(2, 0), (1, 1)],
     };
-    for (proposals, offs) in all {
-        assert_eq!(check(Fault::None, *proposals, *offs), None);
+    for (proposals, removals) in all {
+        assert_eq!(check(Fault::None, *proposals, *removals), None);
     }
-    for (fault, what, proposals, offs) in [
-        (Fault::OneShort, "decided without", 1, 0),
-        (Fault::Early, "follow", 2, 0),
-        (Fault::Forgets, "not decided", 1, 0),
-        (Fault::GoesOnOld, "follow", 2, 1),
-        (Fault::OffUnheld, "follow", 2, 1),
+    for (fault, what, proposals, removals) in [
+        (Fault::OneAcceptanceShort, "decided without", 1, 0),
+        (Fault::ProposalTooEarly, "follow", 2, 0),
+        (Fault::AbortsDecided, "not decided", 1, 0),
+        (Fault::KeepsOldTable, "follow", 2, 1),
+        (Fault::RemovedUnheld, "follow", 2, 1),
     ] {
-        let found = check(fault, proposals, offs);
+        let found = check(fault, proposals, removals);
         assert!(
             found.as_ref().is_some_and(|f| f.contains(what)),
             "{fault:?}: {found:?}"
--- a/tests/model_tables/sites.rs
+++ b/tests/model_tables/sites.rs
@@ -26,19 +26,19 @@
 /// Length of a site's lease, in milliseconds.
 const LEASE: u64 = 4 * STEP;
 /// Number of steps after which a sender that is not renewed loses its lease.
-const LAPSES: u8 = 3;
+const EXPIRY_STEPS: u8 = 3;
 /// Time after the site's lease by which it is fenced, in milliseconds: a leader sees the expiry and
 /// holds, or the senders' leases end. A leader that dies in the meantime adds the same time again.
-const FENCE: u64 = 2 * (LAPSES as u64 + 2) * STEP;
+const FENCE: u64 = 2 * (EXPIRY_STEPS as u64 + 2) * STEP;
 
 /// A fault that is injected to see that the model detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
     /// A site cuts over without its senders' confirmations.
-    Hasty,
+    CommitsUnconfirmed,
     /// A site accepts without its senders' confirmations.
-    Accepts,
+    AcceptsUnconfirmed,
     /// A site cuts over to an accepted table before it is decided.
     Undecided,
     /// A table is decided although one acceptance is missing.
@@ -50,7 +50,7 @@
     /// A deposed leader continues to renew leases, and learns of no hold.
     DeposedRenews,
     /// Sites do not report that they have cut over.
-    Silent,
+    NeverReports,
 }
 
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
     line: (u64, u64),
     lease: bool,
     /// Number of steps without a renewal.
-    alone: u8,
+    steps_without_renewal: u8,
     heard: Option<(u64, SiteAdmission)>,
     turn: u64,
     stored: BTreeMap<u64, Digest>,
@@ -88,26 +88,26 @@
     leaders: Vec<Leader>,
     senders: [Sender; SENDERS],
     /// Time at which a leader last led.
-    led: u64,
+    last_led_at: u64,
     /// Latest end of the site's lease that any leader was granted.
-    counted: u64,
+    latest_lease_end: u64,
     /// Messages to senders: the sender, the connection and the message.
-    words: Vec<(usize, (u64, u64), ReplicaTableMessage)>,
+    messages: Vec<(usize, (u64, u64), ReplicaTableMessage)>,
 }
 
 /// Number of faults of each kind that may still happen.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Left {
-    dies: u8,
+struct RemainingFaults {
+    deaths: u8,
     elections: u8,
     lost: u8,
-    doubled: u8,
+    duplicated: u8,
     restarts: u8,
     refusals: u8,
-    offs: u8,
-    cuts: u8,
+    removals: u8,
+    cut_offs: u8,
     /// Number of times a sender may return to a deposed leader.
-    backs: u8,
+    returns_to_deposed: u8,
 }
 
 #[derive(Clone, Debug)]
@@ -116,10 +116,10 @@
     federation: Federation,
     log: Vec<federation::Command>,
     /// Messages to the federation.
-    words: Vec<federation::Command>,
+    messages: Vec<federation::Command>,
     sites: [Site; SITES],
     lines: u64,
-    left: Left,
+    left: RemainingFaults,
     proposals: u64,
     /// The site that is cut off from the others, if any.
     cut: Option<usize>,
@@ -141,13 +141,13 @@
                     .iter()
                     .map(|l| (&l.cutover, &l.record.tables, &l.proposed, l.heard, l.lease))
                     .collect();
-                (leaders, &s.senders, &s.words, s.counted)
+                (leaders, &s.senders, &s.messages, s.latest_lease_end)
             })
             .collect();
         let all = (
             self.now,
             self.log.len(),
-            &self.words,
+            &self.messages,
             sites,
             self.left,
             self.cut,
@@ -199,7 +199,7 @@
 
 struct Sites {
     fault: Fault,
-    left: Left,
+    left: RemainingFaults,
     proposals: u64,
     until: u64,
 }
@@ -213,7 +213,7 @@
         s.sites[at].leaders.len() - 1
     }
 
-    fn taking(&self, s: &State, at: usize, n: usize) -> Option<u64> {
+    fn admitted_table(&self, s: &State, at: usize, n: usize) -> Option<u64> {
         let sender = &s.sites[at].senders[n];
         let (number, stance) = sender.heard.filter(|_| sender.lease)?;
         let has = number == 0 || sender.stored.contains_key(&number);
@@ -221,17 +221,19 @@
     }
 
     /// Checks the invariants that hold at any time.
-    fn look(&self, s: &mut State) {
+    fn check_invariants(&self, s: &mut State) {
         let mut all: Vec<u64> = Vec::new();
         for at in 0..SITES {
-            let taking: Vec<u64> = (0..SENDERS).filter_map(|n| self.taking(s, at, n)).collect();
-            if taking.windows(2).any(|w| w[0] != w[1]) {
+            let tables: Vec<u64> = (0..SENDERS)
+                .filter_map(|n| self.admitted_table(s, at, n))
+                .collect();
+            if tables.windows(2).any(|w| w[0] != w[1]) {
                 s.wrong.push("two tables in a site");
             }
-            if !taking.is_empty() && s.now > s.sites[at].counted + FENCE {
+            if !tables.is_empty() && s.now > s.sites[at].latest_lease_end + FENCE {
                 s.wrong.push("taken on beyond the lease");
             }
-            all.extend(taking);
+            all.extend(tables);
         }
         all.sort();
         all.dedup();
@@ -247,7 +249,7 @@
         }
     }
 
-    fn agree(&self, s: &mut State, command: federation::Command) {
+    fn commit_to_federation(&self, s: &mut State, command: federation::Command) {
         let before = s.federation.clone();
         let record = &mut s.federation;
         if let (Fault::OneShort, federation::Command::Accept { site, .. }, Some(p)) =
@@ -287,12 +289,12 @@
         if line.0 != leader.term || leader.dead {
             return;
         }
-        let words = &mut site.words;
+        let messages = &mut site.messages;
         leader
             .cutover
-            .send_due_messages(now, &name(n), &leader.record, &mut 10, &mut |word| {
-                if !words.contains(&(n, line, word.clone())) {
-                    words.push((n, line, word));
+            .send_due_messages(now, &name(n), &leader.record, &mut 10, &mut |message| {
+                if !messages.contains(&(n, line, message.clone())) {
+                    messages.push((n, line, message));
                 }
             });
     }
@@ -330,10 +332,10 @@
                     }
                 }
                 CutoverEffect::ProposeToFederation(command) => {
-                    let silent = self.fault == Fault::Silent
+                    let silent = self.fault == Fault::NeverReports
                         && matches!(command, federation::Command::CutOver { .. });
-                    if !silent && s.cut != Some(at) && !s.words.contains(&command) {
-                        s.words.push(command);
+                    if !silent && s.cut != Some(at) && !s.messages.contains(&command) {
+                        s.messages.push(command);
                     }
                 }
             }
@@ -369,8 +371,10 @@
             .on_tick(now, &leader.record, Some(&known), &mut out);
         let tables = &leader.record.tables;
         let fault = match self.fault {
-            Fault::Hasty if tables.register.stance == SiteAdmission::Paused => Some(Change::Commit),
-            Fault::Accepts => {
+            Fault::CommitsUnconfirmed if tables.register.stance == SiteAdmission::Paused => {
+                Some(Change::Commit)
+            }
+            Fault::AcceptsUnconfirmed => {
                 tables
                     .offered
                     .as_ref()
@@ -393,8 +397,8 @@
         (0..SENDERS).for_each(|n| self.say(s, at, which, n));
     }
 
-    fn lead(&self, s: &mut State, at: usize) {
-        let (now, led) = (s.now, s.sites[at].led);
+    fn elect(&self, s: &mut State, at: usize) {
+        let (now, last_led_at) = (s.now, s.sites[at].last_led_at);
         let mut record = Record::default();
         let site = &mut s.sites[at];
         // The first heartbeat of a term counts the time without a leader.
@@ -402,7 +406,7 @@
         for (index, command) in site.log.iter().enumerate() {
             record.apply(index as u64 + 1, command);
         }
-        site.led = now;
+        site.last_led_at = now;
         // Its member may know less of the federation than that of the last leader.
         let joined = s
             .log
@@ -416,7 +420,7 @@
             .for_each(|(index, c)| federation.apply(index as u64 + 1, c));
         site.leaders.push(Leader {
             term,
-            cutover: Cutover::new(now * MS, Some(led * MS)),
+            cutover: Cutover::new(now * MS, Some(last_led_at * MS)),
             record,
             proposed: Vec::new(),
             heard: joined,
@@ -432,7 +436,7 @@
             Command::AdvanceClock {
                 term,
                 beat: 1,
-                ms: (now - led) as u32,
+                ms: (now - last_led_at) as u32,
             },
         );
     }
@@ -452,7 +456,10 @@
         }
         if after.register.number != before.register.number {
             let number = after.register.number;
-            if (0..SENDERS).any(|n| self.taking(s, at, n).is_some_and(|uses| uses != number)) {
+            if (0..SENDERS).any(|n| {
+                self.admitted_table(s, at, n)
+                    .is_some_and(|uses| uses != number)
+            }) {
                 s.wrong.push("a change without the word of all");
             }
             if !s.decided.contains(&number) {
@@ -469,7 +476,7 @@
                     .find(|n| name(*n) == *sender)
                     .expect("a sender");
                 if s.sites[at].senders[n].boot == *boot && s.sites[at].senders[n].line.0 == term {
-                    self.meets(s, at, which, n);
+                    self.open_session(s, at, which, n);
                 }
             }
             Command::ExpireSender { sender, .. } => {
@@ -480,7 +487,7 @@
         (0..SENDERS).for_each(|n| self.say(s, at, which, n));
     }
 
-    fn meets(&self, s: &mut State, at: usize, which: usize, n: usize) {
+    fn open_session(&self, s: &mut State, at: usize, which: usize, n: usize) {
         let now = s.now * MS;
         let site = &mut s.sites[at];
         let (leader, sender) = (&mut site.leaders[which], &mut site.senders[n]);
@@ -495,7 +502,7 @@
         if !sender.lease {
             (sender.lease, sender.heard) = (true, None);
         }
-        sender.alone = 0;
+        sender.steps_without_renewal = 0;
         let mut out = Vec::new();
         leader
             .cutover
@@ -509,19 +516,19 @@
         &self,
         s: &mut State,
         at: usize,
-        word: (usize, (u64, u64), ReplicaTableMessage),
+        message: (usize, (u64, u64), ReplicaTableMessage),
         lost: bool,
         refuses: bool,
     ) {
         let now = s.now * MS;
-        let (n, line, word) = word;
+        let (n, line, message) = message;
         let site = &mut s.sites[at];
         let sender = &mut site.senders[n];
         if sender.line != line {
             return;
         }
         let mut answers = Vec::new();
-        match word {
+        match message {
             ReplicaTableMessage::OfferTable { number, digest, .. } => {
                 if !refuses {
                     sender.stored.insert(number, digest);
@@ -585,7 +592,7 @@
         (0..SENDERS).for_each(|n| self.say(s, at, which, n));
     }
 
-    fn breaks(&self, s: &mut State, at: usize, n: usize, line: (u64, u64)) {
+    fn break_connection(&self, s: &mut State, at: usize, n: usize, line: (u64, u64)) {
         let sender = &mut s.sites[at].senders[n];
         if sender.line == line {
             sender.line = (0, 0);
@@ -608,7 +615,7 @@
         let ends =
             |c: &Command| matches!(c, Command::ExpireSender { sender, .. } if *sender == name(n));
         if live && !leader.proposed.iter().any(ends) {
-            self.meets(s, at, which, n);
+            self.open_session(s, at, which, n);
         } else {
             leader.proposed.push(Command::AddSender {
                 sender: name(n),
@@ -620,7 +627,7 @@
 
     /// Advances time by one step: heartbeats are committed, leases are renewed or not, and expired
     /// senders are found.
-    fn later(&self, s: &mut State) {
+    fn advance(&self, s: &mut State) {
         s.now += STEP;
         for at in 0..SITES {
             let last = self.last(s, at);
@@ -635,7 +642,7 @@
                         ms: STEP as u32,
                     },
                 );
-                s.sites[at].led = s.now;
+                s.sites[at].last_led_at = s.now;
             }
             let site = &mut s.sites[at];
             let leader = &site.leaders[last];
@@ -649,12 +656,12 @@
             for sender in &mut site.senders {
                 let on = sender.line.0 == term && renews
                     || deposed && sender.line.0 != 0 && sender.line.0 < term;
-                sender.alone = if on {
+                sender.steps_without_renewal = if on {
                     0
                 } else {
-                    sender.alone.saturating_add(1)
+                    sender.steps_without_renewal.saturating_add(1)
                 };
-                if sender.lease && sender.alone >= LAPSES {
+                if sender.lease && sender.steps_without_renewal >= EXPIRY_STEPS {
                     (sender.lease, sender.heard, sender.line) = (false, None, (0, 0));
                 }
             }
@@ -679,7 +686,7 @@
         }
     }
 
-    fn hears(&self, s: &mut State, at: usize, which: usize, all: bool) {
+    fn receive_commands(&self, s: &mut State, at: usize, which: usize, all: bool) {
         let to = if all {
             s.log.len()
         } else {
@@ -694,25 +701,25 @@
         self.tick(s, at, which);
     }
 
-    fn counts(&self, s: &mut State, at: usize, which: usize) {
+    fn grant_site_lease(&self, s: &mut State, at: usize, which: usize) {
         let until = s.now + LEASE;
         let site = &mut s.sites[at];
         let number = site.number;
         if site.leaders[which].federation.sites.contains_key(&number) {
-            site.counted = site.counted.max(until);
+            site.latest_lease_end = site.latest_lease_end.max(until);
             site.leaders[which].lease = Some(until);
             self.tick(s, at, which);
         }
     }
 
     /// Returns whether all sites on the roster, and all their senders, use the decided table.
-    fn is_well(&self, s: &State) -> bool {
+    fn is_settled(&self, s: &State) -> bool {
         let number = s.federation.table.number;
         s.federation.proposal.is_none()
             && s.federation.sites.values().all(|site| site.uses == number)
             && (0..SITES).all(|at| {
                 !s.federation.sites.contains_key(&s.sites[at].number)
-                    || (0..SENDERS).all(|n| self.taking(s, at, n) == Some(number))
+                    || (0..SENDERS).all(|n| self.admitted_table(s, at, n) == Some(number))
             })
     }
 
@@ -722,11 +729,11 @@
         for _ in 0..300 {
             for at in 0..SITES {
                 if s.sites[at].leaders[self.last(s, at)].dead {
-                    self.lead(s, at);
+                    self.elect(s, at);
                 }
                 let last = self.last(s, at);
-                self.hears(s, at, last, true);
-                self.counts(s, at, last);
+                self.receive_commands(s, at, last, true);
+                self.grant_site_lease(s, at, last);
                 for n in 0..SENDERS {
                     let term = s.sites[at].leaders[last].term;
                     if s.sites[at].senders[n].line.0 != term {
@@ -734,10 +741,10 @@
                     }
                 }
                 for _ in 0..10 {
-                    let words = std::mem::take(&mut s.sites[at].words);
-                    words
+                    let messages = std::mem::take(&mut s.sites[at].messages);
+                    messages
                         .into_iter()
-                        .for_each(|word| self.arrives(s, at, word, false, false));
+                        .for_each(|message| self.arrives(s, at, message, false, false));
                     let last = self.last(s, at);
                     let proposed = std::mem::take(&mut s.sites[at].leaders[last].proposed);
                     proposed
@@ -745,16 +752,16 @@
                         .for_each(|command| self.commit(s, at, command));
                 }
             }
-            std::mem::take(&mut s.words)
+            std::mem::take(&mut s.messages)
                 .into_iter()
-                .for_each(|command| self.agree(s, command));
-            self.look(s);
-            if self.is_well(s) {
+                .for_each(|command| self.commit_to_federation(s, command));
+            self.check_invariants(s);
+            if self.is_settled(s) {
                 s.settled = Some(true);
                 return;
             }
             let ms = STEP as u32;
-            self.agree(
+            self.commit_to_federation(
                 s,
                 federation::Command::Beat {
                     term: 1,
@@ -762,7 +769,7 @@
                     ms,
                 },
             );
-            self.later(s);
+            self.advance(s);
         }
         s.settled = Some(false);
         s.wrong.push("it never ends");
@@ -780,15 +787,15 @@
             log: Vec::new(),
             leaders: Vec::new(),
             senders: Default::default(),
-            led: now,
-            counted: now,
-            words: Vec::new(),
+            last_led_at: now,
+            latest_lease_end: now,
+            messages: Vec::new(),
         };
         let mut s = State {
             now,
             federation: Federation::default(),
             log: Vec::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
             sites: [site(1), site(2)],
             lines: 0,
             left: self.left,
@@ -799,7 +806,7 @@
             wrong: Vec::new(),
         };
         for at in 0..SITES {
-            self.agree(
+            self.commit_to_federation(
                 &mut s,
                 federation::Command::Join {
                     site: at as u64 + 1,
@@ -812,7 +819,7 @@
                 .senders
                 .iter_mut()
                 .for_each(|sender| sender.boot = 1);
-            self.lead(&mut s, at);
+            self.elect(&mut s, at);
         }
         self.settle(&mut s);
         s.settled = None;
@@ -834,9 +841,9 @@
         if s.federation.proposal.is_some() && s.left.refusals > 0 {
             actions.push(Action::Abort);
         }
-        for at in 0..s.words.len() {
+        for at in 0..s.messages.len() {
             actions.extend([Action::Agreed(at, false); 4]);
-            if s.left.doubled > 0 {
+            if s.left.duplicated > 0 {
                 actions.push(Action::Agreed(at, true));
             }
             if s.left.lost > 0 {
@@ -844,9 +851,9 @@
             }
         }
         match s.cut {
-            None if s.left.cuts > 0 => actions.extend((0..SITES).map(Action::Cut)),
+            None if s.left.cut_offs > 0 => actions.extend((0..SITES).map(Action::Cut)),
             // The cut mostly lasts longer than all leases.
-            Some(at) if s.now > s.sites[at].counted + FENCE || s.left.lost == 0 => {
+            Some(at) if s.now > s.sites[at].latest_lease_end + FENCE || s.left.lost == 0 => {
                 actions.push(Action::Heals)
             }
             _ => {}
@@ -858,7 +865,7 @@
                 // Repeated, so that it is drawn more often than a fault.
                 actions.extend([Action::Commit(at); 4]);
             }
-            if !dead && s.left.dies > 0 {
+            if !dead && s.left.deaths > 0 {
                 actions.push(Action::Dies(at));
             }
             if dead {
@@ -866,10 +873,10 @@
             } else if s.left.elections > 0 {
                 actions.extend([Action::Elect(at, true), Action::Elect(at, false)]);
             }
-            for w in 0..site.words.len() {
-                if site.words[..w]
+            for w in 0..site.messages.len() {
+                if site.messages[..w]
                     .iter()
-                    .any(|earlier| earlier.1 == site.words[w].1)
+                    .any(|earlier| earlier.1 == site.messages[w].1)
                 {
                     continue;
                 }
@@ -877,11 +884,11 @@
                 if s.left.lost > 0 {
                     actions.extend([Action::Arrives(at, w, true, false), Action::Lost(at, w)]);
                 }
-                if s.left.doubled > 0 {
+                if s.left.duplicated > 0 {
                     actions.push(Action::Arrives(at, w, false, true));
                 }
                 if s.left.refusals > 0
-                    && matches!(site.words[w].2, ReplicaTableMessage::OfferTable { .. })
+                    && matches!(site.messages[w].2, ReplicaTableMessage::OfferTable { .. })
                 {
                     actions.push(Action::Refuses(at, w));
                 }
@@ -899,7 +906,10 @@
                         && site.senders[n].line.0 > l.term
                         && stands(l) < stands(&site.leaders[last])
                 };
-                if s.left.backs > 0 && site.senders[n].lease && deposed.is_some_and(back) {
+                if s.left.returns_to_deposed > 0
+                    && site.senders[n].lease
+                    && deposed.is_some_and(back)
+                {
                     actions.push(Action::Opens(at, n, last - 1));
                 }
                 if s.left.restarts > 0 {
@@ -921,7 +931,7 @@
                 }
             }
             let on = s.federation.sites.contains_key(&site.number);
-            if on && s.left.offs > 0 && s.now > site.counted + FENCE {
+            if on && s.left.removals > 0 && s.now > site.latest_lease_end + FENCE {
                 actions.push(Action::Off(at));
             }
             if !on {
@@ -935,7 +945,7 @@
         match action {
             Action::Later => {
                 let ms = STEP as u32;
-                self.agree(
+                self.commit_to_federation(
                     &mut s,
                     federation::Command::Beat {
                         term: 1,
@@ -943,7 +953,7 @@
                         ms,
                     },
                 );
-                self.later(&mut s);
+                self.advance(&mut s);
             }
             Action::Commit(at) => {
                 let which = self.last(&s, at);
@@ -951,7 +961,7 @@
                 self.commit(&mut s, at, command);
             }
             Action::Dies(at) => {
-                s.left.dies -= 1;
+                s.left.deaths -= 1;
                 let which = self.last(&s, at);
                 s.sites[at].leaders[which].dead = true;
             }
@@ -963,44 +973,44 @@
                 let left = std::mem::take(&mut s.sites[at].leaders[which].proposed);
                 if inherits {
                     let deposed = s.sites[at].leaders[which].clone();
-                    let words = s.sites[at].words.clone();
+                    let messages = s.sites[at].messages.clone();
                     left.into_iter()
                         .for_each(|command| self.commit(&mut s, at, command));
                     s.sites[at].leaders[which] = Leader {
                         proposed: Vec::new(),
                         ..deposed
                     };
-                    s.sites[at].words = words;
+                    s.sites[at].messages = messages;
                 }
-                self.lead(&mut s, at);
+                self.elect(&mut s, at);
             }
-            Action::Arrives(at, w, lost, doubled) => {
-                let word = s.sites[at].words[w].clone();
-                if doubled {
-                    s.left.doubled -= 1;
+            Action::Arrives(at, w, lost, duplicated) => {
+                let message = s.sites[at].messages[w].clone();
+                if duplicated {
+                    s.left.duplicated -= 1;
                 } else {
-                    s.sites[at].words.remove(w);
+                    s.sites[at].messages.remove(w);
                 }
                 s.left.lost -= u8::from(lost);
-                let (n, line) = (word.0, word.1);
-                self.arrives(&mut s, at, word, lost, false);
+                let (n, line) = (message.0, message.1);
+                self.arrives(&mut s, at, message, lost, false);
                 if lost {
-                    self.breaks(&mut s, at, n, line);
+                    self.break_connection(&mut s, at, n, line);
                 }
             }
             Action::Lost(at, w) => {
                 // A lost message breaks its connection.
                 s.left.lost -= 1;
-                let (n, line, _) = s.sites[at].words.remove(w);
-                self.breaks(&mut s, at, n, line);
+                let (n, line, _) = s.sites[at].messages.remove(w);
+                self.break_connection(&mut s, at, n, line);
             }
             Action::Refuses(at, w) => {
                 s.left.refusals -= 1;
-                let word = s.sites[at].words.remove(w);
-                self.arrives(&mut s, at, word, false, true);
+                let message = s.sites[at].messages.remove(w);
+                self.arrives(&mut s, at, message, false, true);
             }
             Action::Opens(at, n, which) => {
-                s.left.backs -= u8::from(which != self.last(&s, at));
+                s.left.returns_to_deposed -= u8::from(which != self.last(&s, at));
                 self.opens(&mut s, at, n, which);
             }
             Action::Restarts(at, n) => {
@@ -1013,25 +1023,25 @@
                     ..Sender::default()
                 };
             }
-            Action::Agreed(w, doubled) => {
-                let command = s.words[w].clone();
-                if doubled {
-                    s.left.doubled -= 1;
+            Action::Agreed(w, duplicated) => {
+                let command = s.messages[w].clone();
+                if duplicated {
+                    s.left.duplicated -= 1;
                 } else {
-                    s.words.remove(w);
+                    s.messages.remove(w);
                 }
-                self.agree(&mut s, command);
+                self.commit_to_federation(&mut s, command);
             }
             Action::LostThere(w) => {
                 s.left.lost -= 1;
-                s.words.remove(w);
+                s.messages.remove(w);
             }
-            Action::Hears(at, which, all) => self.hears(&mut s, at, which, all),
-            Action::Counts(at, which) => self.counts(&mut s, at, which),
+            Action::Hears(at, which, all) => self.receive_commands(&mut s, at, which, all),
+            Action::Counts(at, which) => self.grant_site_lease(&mut s, at, which),
             Action::Propose => {
                 s.proposals -= 1;
                 let key = s.proposals + 1;
-                self.agree(
+                self.commit_to_federation(
                     &mut s,
                     federation::Command::Propose {
                         by: "s0".into(),
@@ -1045,7 +1055,7 @@
             Action::Abort => {
                 s.left.refusals -= 1;
                 let number = s.federation.proposal.as_ref()?.table.number;
-                self.agree(
+                self.commit_to_federation(
                     &mut s,
                     federation::Command::Abort {
                         number,
@@ -1054,20 +1064,20 @@
                 );
             }
             Action::Cut(at) => {
-                s.left.cuts -= 1;
+                s.left.cut_offs -= 1;
                 s.cut = Some(at);
             }
             Action::Heals => s.cut = None,
             Action::Off(at) => {
-                s.left.offs -= 1;
+                s.left.removals -= 1;
                 let site = s.sites[at].number;
-                self.agree(&mut s, federation::Command::Off { site });
+                self.commit_to_federation(&mut s, federation::Command::Off { site });
             }
             Action::Join(at) => {
                 let site = s.sites[at].number + 10;
                 s.sites[at].number = site;
                 s.sites[at].leaders.iter_mut().for_each(|l| l.lease = None);
-                self.agree(
+                self.commit_to_federation(
                     &mut s,
                     federation::Command::Join {
                         site,
@@ -1077,7 +1087,7 @@
             }
             Action::Settle => self.settle(&mut s),
         }
-        self.look(&mut s);
+        self.check_invariants(&mut s);
         Some(s)
     }
 
@@ -1091,13 +1101,13 @@
     }
 
     fn within_boundary(&self, s: &State) -> bool {
-        s.words.len() <= 8 && s.sites.iter().all(|site| site.words.len() <= 8)
+        s.messages.len() <= 8 && s.sites.iter().all(|site| site.messages.len() <= 8)
     }
 }
 
-fn check(what: &str, model: Sites, most: usize) -> Option<String> {
+fn check(what: &str, model: Sites, max_states: usize) -> Option<String> {
     let (fault, begun) = (model.fault, std::time::Instant::now());
-    let builder = model.checker().target_state_count(most);
+    let builder = model.checker().target_state_count(max_states);
     let builder = match fault {
         Fault::None => builder,
         _ => builder.finish_when(HasDiscoveries::AnyFailures),
@@ -1125,26 +1135,26 @@
 }
 
 /// Largest number of states that are explored in CI.
-const MOST: usize = 15_000;
+const MAX_STATES: usize = 15_000;
 
-fn most() -> usize {
+fn max_states() -> usize {
     std::env::var("MODEL_STATES")
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(MOST)
+        .unwrap_or(MAX_STATES)
 }
 
 /// Two proposals, with deposed leaders that continue to run, lost and duplicated messages, a
 /// refusal or an operator's abort, and a restart.
 fn calm(fault: Fault) -> Sites {
-    let left = Left {
+    let left = RemainingFaults {
         elections: 1,
         lost: 2,
-        doubled: 1,
+        duplicated: 1,
         restarts: 1,
         refusals: 1,
-        backs: 1,
-        ..Left::default()
+        returns_to_deposed: 1,
+        ..RemainingFaults::default()
     };
     Sites {
         fault,
@@ -1157,13 +1167,13 @@
 /// A site is cut off for longer than its lease, its leaders die, and it may be removed from the
 /// roster and join again.
 fn cut(fault: Fault) -> Sites {
-    let left = Left {
-        dies: 1,
+    let left = RemainingFaults {
+        deaths: 1,
         elections: 1,
         lost: 1,
-        cuts: 1,
-        offs: 1,
-        ..Left::default()
+        cut_offs: 1,
+        removals: 1,
+        ..RemainingFaults::default()
     };
     Sites {
         fault,
@@ -1175,20 +1185,20 @@
 
 #[test]
 fn sites_cut_over_only_with_the_confirmation_of_all() {
-    assert_eq!(check("proposals", calm(Fault::None), most()), None);
+    assert_eq!(check("proposals", calm(Fault::None), max_states()), None);
     for (fault, what) in [
-        (Fault::Hasty, "a change without"),
-        (Fault::Accepts, "accepted without"),
+        (Fault::CommitsUnconfirmed, "a change without"),
+        (Fault::AcceptsUnconfirmed, "accepted without"),
         (Fault::Undecided, "decided"),
         (Fault::OneShort, "decided without"),
         (Fault::ObeysEarlier, "two tables"),
-        (Fault::Silent, "never ends"),
+        (Fault::NeverReports, "never ends"),
     ] {
         let left = match fault {
-            Fault::ObeysEarlier => Left {
+            Fault::ObeysEarlier => RemainingFaults {
                 elections: 1,
-                backs: 2,
-                ..Left::default()
+                returns_to_deposed: 2,
+                ..RemainingFaults::default()
             },
             _ => calm(fault).left,
         };
@@ -1199,7 +1209,7 @@
                 proposals: 3,
                 ..calm(fault)
             },
-            10 * MOST,
+            10 * MAX_STATES,
         );
         assert!(
             found.as_ref().is_some_and(|f| f.contains(what)),
@@ -1210,12 +1220,12 @@
 
 #[test]
 fn nothing_is_admitted_after_the_lease() {
-    assert_eq!(check("cut off", cut(Fault::None), most()), None);
+    assert_eq!(check("cut off", cut(Fault::None), max_states()), None);
     for (fault, what) in [
         (Fault::NoHold, "beyond the lease"),
         (Fault::DeposedRenews, ""),
     ] {
-        let found = check("cut off", cut(fault), 10 * MOST);
+        let found = check("cut off", cut(fault), 10 * MAX_STATES);
         assert!(
             found.as_ref().is_some_and(|f| f.contains(what)),
             "{fault:?}: {found:?}"
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -32,9 +32,9 @@
 /// expiry and commits the hold, in nanoseconds.
 const FENCE: Nanos = 2_200 * MS;
 
-struct Nothing;
+struct NoDemand;
 
-impl AttemptDemand for Nothing {
+impl AttemptDemand for NoDemand {
     fn waiting_messages(&self, _: u16) -> u32 {
         0
     }
@@ -81,13 +81,13 @@
 #[derive(Clone, Copy)]
 struct Clock {
     began: Nanos,
-    off: i64,
+    rate_error: i64,
 }
 
 impl Clock {
     fn at(&self, now: Nanos) -> Nanos {
         let passed = (now - self.began) as i64;
-        (passed + passed / 10_000 * self.off) as Nanos
+        (passed + passed / 10_000 * self.rate_error) as Nanos
     }
 }
 
@@ -96,7 +96,7 @@
     boot: u64,
     clock: Clock,
     line: u64,
-    entrance: AdmissionRequirement,
+    admission_state: AdmissionRequirement,
     stored: BTreeMap<u64, Digest>,
     last: u64,
     /// Arrival time of its last message in each direction of its connection, and whether the
@@ -111,8 +111,8 @@
 }
 
 impl Sender {
-    fn takes_on(&self, now: Nanos) -> Option<u64> {
-        match self.entrance {
+    fn admitted_table(&self, now: Nanos) -> Option<u64> {
+        match self.admission_state {
             AdmissionRequirement::Open {
                 table: Some(number),
                 until,
@@ -139,59 +139,59 @@
     lease: Option<Nanos>,
 }
 
-struct World {
-    dice: fastrand::Rng,
+struct SiteSimulation {
+    rng: fastrand::Rng,
     fault: Fault,
     /// Whether messages of a connection arrive in the order in which they were sent, or are lost
     /// with all that follow, as with sockets. Admission after the site's lease is checked only in
     /// this mode.
     fifo: bool,
-    bad: bool,
+    faulty: bool,
     now: Nanos,
     senders: Vec<Sender>,
     sessions: Vec<Session>,
-    to_keeper: Vec<(Nanos, usize, u64, AgentToReplica)>,
+    to_leader: Vec<(Nanos, usize, u64, AgentToReplica)>,
     to_agent: Vec<(Nanos, usize, u64, ReplicaToAgent)>,
     checks: Vec<(Nanos, usize, u64, Digest, bool)>,
     record: Record,
     index: u64,
     pending: Vec<(Nanos, record::Command)>,
     /// Live senders, with their process, at the proposal of a change, by turn.
-    lived: BTreeMap<u64, Vec<(usize, u64)>>,
+    live_at_proposal: BTreeMap<u64, Vec<(usize, u64)>>,
     /// The leader, or the time until which there is none.
     leader: Result<Leader, Nanos>,
     /// Time of the last heartbeat, in true time.
-    led: Nanos,
+    clock_advanced_at: Nanos,
     federation: Federation,
-    words: Vec<(Nanos, federation::Command)>,
+    messages: Vec<(Nanos, federation::Command)>,
     /// The federation's record as the site knows it, the site's number in it, and the end of its
     /// lease.
     heard: Arc<Federation>,
-    me: u64,
-    counted_in: Nanos,
+    own_number: u64,
+    site_lease_end: Nanos,
     /// Time until which the site is cut off from the federation.
-    cut: Nanos,
+    cut_off_until: Nanos,
     key: u64,
-    switched: u32,
-    taken_back: u32,
+    cutovers: u32,
+    rolled_back: u32,
     held: u32,
-    off: u32,
+    removals: u32,
 }
 
-impl World {
-    fn new(seed: u64, fault: Fault) -> World {
-        let mut dice = fastrand::Rng::with_seed(seed);
+impl SiteSimulation {
+    fn new(seed: u64, fault: Fault) -> SiteSimulation {
+        let mut rng = fastrand::Rng::with_seed(seed);
         let senders = (0..3).map(|n| {
-            let boot = dice.u64(1..);
+            let boot = rng.u64(1..);
             Sender {
                 machine: machine(n, boot, BTreeMap::new(), 0),
                 boot,
                 clock: Clock {
                     began: SEC,
-                    off: [-99, 0, 99][n],
+                    rate_error: [-99, 0, 99][n],
                 },
                 line: 0,
-                entrance: AdmissionRequirement::Fenced,
+                admission_state: AdmissionRequirement::Fenced,
                 stored: BTreeMap::new(),
                 last: 0,
                 arrives: [0; 2],
@@ -208,53 +208,53 @@
             };
             federation.apply(index as u64 + 1, &join);
         }
-        World {
+        SiteSimulation {
             senders: senders.collect(),
-            dice,
+            rng,
             fault,
             fifo: seed % 2 == 0,
-            bad: true,
+            faulty: true,
             now: SEC,
             sessions: vec![Session::default(); 3],
-            to_keeper: Vec::new(),
+            to_leader: Vec::new(),
             to_agent: Vec::new(),
             checks: Vec::new(),
             record: Record::default(),
             index: 0,
             pending: Vec::new(),
-            lived: BTreeMap::new(),
+            live_at_proposal: BTreeMap::new(),
             leader: Err(SEC),
-            led: SEC,
+            clock_advanced_at: SEC,
             heard: Arc::new(federation.clone()),
             federation,
-            words: Vec::new(),
-            me: 1,
-            counted_in: 0,
-            cut: 0,
+            messages: Vec::new(),
+            own_number: 1,
+            site_lease_end: 0,
+            cut_off_until: 0,
             key: 0,
-            switched: 0,
-            taken_back: 0,
+            cutovers: 0,
+            rolled_back: 0,
             held: 0,
-            off: 0,
+            removals: 0,
         }
     }
 
     /// Returns the arrival times of the copies of a message; none if it is lost.
     fn arrivals(&mut self, n: usize, way: usize) -> Vec<Nanos> {
-        if !self.bad {
+        if !self.faulty {
             self.senders[n].arrives[way] = self.now + MS;
             return vec![self.now + MS];
         }
-        let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.dice.usize(..8)];
-        let most = if self.dice.u8(..10) == 0 { 3_000 } else { 30 };
-        let late = self.now + self.dice.u64(1..most) * MS;
+        let copies = [0, 1, 1, 1, 1, 1, 1, 2][self.rng.usize(..8)];
+        let most = if self.rng.u8(..10) == 0 { 3_000 } else { 30 };
+        let late = self.now + self.rng.u64(1..most) * MS;
         if !self.fifo {
             return (0..copies)
-                .map(|_| self.now + self.dice.u64(1..most) * MS)
+                .map(|_| self.now + self.rng.u64(1..most) * MS)
                 .collect();
         }
         let sender = &mut self.senders[n];
-        sender.broken |= self.dice.u8(..50) == 0;
+        sender.broken |= self.rng.u8(..50) == 0;
         sender.arrives[way] = sender.arrives[way].max(late);
         if sender.broken {
             return Vec::new();
@@ -262,14 +262,14 @@
         vec![sender.arrives[way]; copies.max(1)]
     }
 
-    fn say(&mut self, n: usize, word: ReplicaToAgent) {
+    fn send_to_sender(&mut self, n: usize, message: ReplicaToAgent) {
         let line = self.sessions[n].line;
         for at in self.arrivals(n, 0) {
-            self.to_agent.push((at, n, line, word.clone()));
+            self.to_agent.push((at, n, line, message.clone()));
         }
     }
 
-    fn act(&mut self, n: usize, out: Vec<SessionEffect>) {
+    fn run_session_effects(&mut self, n: usize, out: Vec<SessionEffect>) {
         for out in out {
             match out {
                 SessionEffect::Connect {
@@ -279,19 +279,19 @@
                     (sender.line, sender.broken, sender.arrives) = (line, false, [now; 2]);
                 }
                 SessionEffect::Disconnect => self.senders[n].line = 0,
-                SessionEffect::Send(word) => {
+                SessionEffect::Send(message) => {
                     let line = self.senders[n].line;
-                    let at = match word {
+                    let at = match message {
                         AgentToReplica::RoutingTable(AgentTableMessage::StoredTables(_)) => {
                             self.senders[n].opened.clone()
                         }
                         _ => self.arrivals(n, 1),
                     };
-                    if let AgentToReplica::OpenSession { .. } = word {
+                    if let AgentToReplica::OpenSession { .. } = message {
                         self.senders[n].opened.clone_from(&at);
                     }
-                    self.to_keeper
-                        .extend(at.into_iter().map(|at| (at, n, line, word.clone())));
+                    self.to_leader
+                        .extend(at.into_iter().map(|at| (at, n, line, message.clone())));
                 }
                 SessionEffect::CheckDocument {
                     kind,
@@ -300,23 +300,23 @@
                     ..
                 } => {
                     assert_eq!(kind, DocumentKind::Table);
-                    let at = self.now + self.dice.u64(1..300) * MS;
+                    let at = self.now + self.rng.u64(1..300) * MS;
                     let runs = self
                         .record
                         .tables
                         .offered
                         .as_ref()
                         .is_some_and(|o| !o.accepted);
-                    let fits = !self.bad || !runs || self.dice.u8(..40) > 0;
+                    let fits = !self.faulty || !runs || self.rng.u8(..40) > 0;
                     self.checks.push((at, n, number, digest, fits));
                 }
-                SessionEffect::SetAdmission(entrance) => {
+                SessionEffect::SetAdmission(admission_state) => {
                     let sender = &mut self.senders[n];
-                    sender.entrance = entrance;
+                    sender.admission_state = admission_state;
                     if let AdmissionRequirement::Open {
                         table: Some(number),
                         ..
-                    } = entrance
+                    } = admission_state
                     {
                         assert!(
                             number == 0 || sender.stored.contains_key(&number),
@@ -337,13 +337,13 @@
         self.now + Nanos::from(LEASE_MS) * MS * 102 / 101
     }
 
-    fn keeper_hears(&mut self, n: usize, line: u64, word: AgentToReplica) {
+    fn deliver_to_leader(&mut self, n: usize, line: u64, message: AgentToReplica) {
         let (now, sender) = (self.now, format!("n{n}"));
         let Ok(leader) = &mut self.leader else { return };
         let session = &mut self.sessions[n];
         let own =
             session.until > now && session.line == line && session.boot == self.senders[n].boot;
-        match word {
+        match message {
             AgentToReplica::OpenSession { boot, .. } => {
                 if boot != self.senders[n].boot || line < session.line && boot == session.boot {
                     return;
@@ -367,7 +367,7 @@
                     });
                 }
                 self.sessions[n].until = self.counted().max(self.sessions[n].until);
-                self.say(
+                self.send_to_sender(
                     n,
                     ReplicaToAgent::LeaseRenewed {
                         report: 0,
@@ -378,7 +378,7 @@
             AgentToReplica::Report { report, .. } if own => {
                 leader.cutover.on_report(&sender);
                 self.sessions[n].until = self.sessions[n].until.max(self.counted());
-                self.say(
+                self.send_to_sender(
                     n,
                     ReplicaToAgent::LeaseRenewed {
                         report,
@@ -390,42 +390,42 @@
                 self.to_agent
                     .push((now + MS, n, line, ReplicaToAgent::UnknownSession))
             }
-            AgentToReplica::RoutingTable(word) if own => {
+            AgentToReplica::RoutingTable(message) if own => {
                 let (at, mut out) = (leader.clock.at(now), Vec::new());
                 leader
                     .cutover
-                    .on_sender_message(at, &sender, &word, &self.record, &mut out);
+                    .on_sender_message(at, &sender, &message, &self.record, &mut out);
                 self.carry_out(out);
-                self.tell(n);
+                self.send_due_messages_to(n);
             }
             _ => {}
         }
     }
 
-    fn tell(&mut self, n: usize) {
+    fn send_due_messages_to(&mut self, n: usize) {
         let Ok(leader) = &mut self.leader else { return };
         if self.sessions[n].until <= self.now {
             return;
         }
         let (at, mut said) = (leader.clock.at(self.now), Vec::new());
-        let (mut offers, say) = (MAX_OFFERS_PER_ROUND, &mut |word| said.push(word));
+        let (mut offers, send) = (MAX_OFFERS_PER_ROUND, &mut |message| said.push(message));
         leader
             .cutover
-            .send_due_messages(at, &format!("n{n}"), &self.record, &mut offers, say);
+            .send_due_messages(at, &format!("n{n}"), &self.record, &mut offers, send);
         said.into_iter()
-            .for_each(|word| self.say(n, ReplicaToAgent::RoutingTable(word)));
+            .for_each(|message| self.send_to_sender(n, ReplicaToAgent::RoutingTable(message)));
     }
 
     fn carry_out(&mut self, out: Vec<cutover::CutoverEffect>) {
         for out in out {
-            let soon = self.now + self.dice.u64(1..20) * MS;
+            let soon = self.now + self.rng.u64(1..20) * MS;
             match out {
                 cutover::CutoverEffect::ProposeToSite(change) => {
                     let base = self.record.tables.turn;
                     let live = |n: &usize| Some((*n, self.member(*n)?.boot));
                     let live: Vec<_> = (0..3).filter_map(|n| live(&n)).collect();
-                    self.lived.insert(base, live.clone());
-                    self.lived.insert(base + 1, live);
+                    self.live_at_proposal.insert(base, live.clone());
+                    self.live_at_proposal.insert(base + 1, live);
                     let then = match (&change, self.fault) {
                         (Change::Pause, Fault::CommitUnheard) => Some(Change::Commit),
                         (Change::Offer { table }, Fault::AcceptUnstored) => Some(Change::Accept {
@@ -442,9 +442,10 @@
                         .extend(then.map(|change| (soon + MS, table(base + 1, change))));
                 }
                 cutover::CutoverEffect::ProposeToFederation(command) => {
-                    let lost = self.cut > self.now || self.bad && self.dice.u8(..5) == 0;
+                    let lost =
+                        self.cut_off_until > self.now || self.faulty && self.rng.u8(..5) == 0;
                     if !lost {
-                        self.words.push((soon, command));
+                        self.messages.push((soon, command));
                     }
                 }
             }
@@ -462,7 +463,7 @@
         let before = self.record.tables.turn;
         self.record.apply(self.index, &command);
         if let record::Command::AdvanceClock { .. } = command {
-            self.led = self.now;
+            self.clock_advanced_at = self.now;
         }
         let record::Command::ChangeTables { change, .. } = &command else {
             return;
@@ -476,22 +477,22 @@
             return;
         }
         match **change {
-            Change::Accept { number } => self.all_have(before, number),
+            Change::Accept { number } => self.assert_all_store(before, number),
             Change::Commit => {
-                self.switched += 1;
-                self.all_have(before, self.record.tables.register.number);
+                self.cutovers += 1;
+                self.assert_all_store(before, self.record.tables.register.number);
             }
-            Change::RollBack { .. } => self.taken_back += 1,
+            Change::RollBack { .. } => self.rolled_back += 1,
             Change::Hold => self.held += 1,
             _ => {}
         }
-        (0..3).for_each(|n| self.tell(n));
+        (0..3).for_each(|n| self.send_due_messages_to(n));
     }
 
     /// Asserts that all senders that were live at the proposal, and still are, store a table or
     /// refuse it. Senders that joined since start from the current record.
-    fn all_have(&self, base: u64, number: u64) {
-        for (n, boot) in &self.lived[&base] {
+    fn assert_all_store(&self, base: u64, number: u64) {
+        for (n, boot) in &self.live_at_proposal[&base] {
             let sender = &self.senders[*n];
             let counts = sender.boot == *boot && self.member(*n).is_some_and(|m| m.boot == *boot);
             let has = sender.stored.contains_key(&number) || sender.refused.contains(&number);
@@ -500,14 +501,14 @@
     }
 
     /// Advances the federation, with the site if possible, and without it while it is fenced.
-    fn federate(&mut self) {
+    fn step_federation(&mut self) {
         use federation::Command;
-        let (words, later) = std::mem::take(&mut self.words)
+        let (messages, later) = std::mem::take(&mut self.messages)
             .into_iter()
             .partition(|w| w.0 <= self.now);
-        self.words = later;
-        let words: Vec<(Nanos, Command)> = words;
-        let mut commands: Vec<Command> = words.into_iter().map(|w| w.1).collect();
+        self.messages = later;
+        let messages: Vec<(Nanos, Command)> = messages;
+        let mut commands: Vec<Command> = messages.into_iter().map(|w| w.1).collect();
         if self.now % (100 * MS) == 0 {
             commands.push(Command::Beat {
                 term: 1,
@@ -515,10 +516,10 @@
                 ms: 100,
             });
             let federation = &self.federation;
-            let quiet = !self.bad && federation.table.number == 0;
-            if (self.bad || quiet)
+            let quiet = !self.faulty && federation.table.number == 0;
+            if (self.faulty || quiet)
                 && federation.check_proposal("").is_ok()
-                && self.dice.u8(..5) == 0
+                && self.rng.u8(..5) == 0
             {
                 self.key += 1;
                 let (by, key, text) = ("s2".into(), self.key, format!("# {}", self.key));
@@ -532,7 +533,7 @@
                 });
             }
             if let Some(p) = federation.proposal.as_ref().map(|p| p.table.number) {
-                commands.push(match self.bad && self.dice.u8(..200) == 0 {
+                commands.push(match self.faulty && self.rng.u8(..200) == 0 {
                     true => Command::Abort {
                         number: p,
                         why: "a word".into(),
@@ -544,19 +545,21 @@
                 site: 2,
                 number: federation.table.number,
             });
-            let gone = self.now > self.counted_in + FENCE;
+            let gone = self.now > self.site_lease_end + FENCE;
             if self.fifo
                 && gone
-                && federation.sites.contains_key(&self.me)
-                && self.dice.u8(..5) == 0
+                && federation.sites.contains_key(&self.own_number)
+                && self.rng.u8(..5) == 0
             {
-                self.off += 1;
-                commands.push(Command::Off { site: self.me });
+                self.removals += 1;
+                commands.push(Command::Off {
+                    site: self.own_number,
+                });
             }
-            if self.now > self.cut && !federation.sites.contains_key(&self.me) {
-                self.me += 10;
+            if self.now > self.cut_off_until && !federation.sites.contains_key(&self.own_number) {
+                self.own_number += 10;
                 commands.push(Command::Join {
-                    site: self.me,
+                    site: self.own_number,
                     name: "s1".into(),
                 });
             }
@@ -565,14 +568,17 @@
             let version = self.federation.version + 1;
             self.federation.apply(version, &command);
         }
-        if self.bad && self.now > self.cut && self.dice.u32(..1_200) == 0 {
-            self.cut = self.now + self.dice.u64(100..12_000) * MS;
+        if self.faulty && self.now > self.cut_off_until && self.rng.u32(..1_200) == 0 {
+            self.cut_off_until = self.now + self.rng.u64(100..12_000) * MS;
         }
         // The site's member receives the record and a lease.
-        let heard = self.now % (50 * MS) == 0 && (!self.bad || self.dice.u8(..3) == 0);
+        let heard = self.now % (50 * MS) == 0 && (!self.faulty || self.rng.u8(..3) == 0);
         if let Ok(leader) = self.leader.as_mut().map_err(|_| ()) {
-            if heard && self.now > self.cut && self.federation.sites.contains_key(&self.me) {
-                self.counted_in = self.counted_in.max(self.now + SITE_LEASE * 102 / 100);
+            if heard
+                && self.now > self.cut_off_until
+                && self.federation.sites.contains_key(&self.own_number)
+            {
+                self.site_lease_end = self.site_lease_end.max(self.now + SITE_LEASE * 102 / 100);
                 leader.lease = Some(leader.clock.at(self.now) + SITE_LEASE * 98 / 100);
                 self.heard = Arc::new(self.federation.clone());
             }
@@ -580,7 +586,7 @@
     }
 
     /// Elects and ends leaders, and advances the current one.
-    fn lead(&mut self) {
+    fn step_leader(&mut self) {
         let turn = self.now % (20 * MS) == 0;
         if let Err(until) = &self.leader {
             if self.now < *until {
@@ -588,16 +594,16 @@
             }
             let clock = Clock {
                 began: 0,
-                off: self.dice.i64(-99..=99),
+                rate_error: self.rng.i64(-99..=99),
             };
             let at = clock.at(self.now);
-            let saw = self.dice.u8(..10) > 0;
-            let led = match self.fault {
+            let saw = self.rng.u8(..10) > 0;
+            let clock_advanced_at = match self.fault {
                 Fault::AllCounted => Some(at),
-                _ => saw.then(|| clock.at(self.led)),
+                _ => saw.then(|| clock.at(self.clock_advanced_at)),
             };
             self.leader = Ok(Leader {
-                cutover: Cutover::new(at, led),
+                cutover: Cutover::new(at, clock_advanced_at),
                 clock,
                 counted: at,
                 lease: None,
@@ -617,13 +623,13 @@
                 self.senders[n].machine.on_connection_lost(at, line);
             }
         }
-        if self.bad && self.dice.u32(..1_500) == 0 {
-            let gap = if self.dice.u8(..4) == 0 { 7_000 } else { 2_000 };
-            self.leader = Err(self.now + self.dice.u64(1..gap) * MS);
+        if self.faulty && self.rng.u32(..1_500) == 0 {
+            let gap = if self.rng.u8(..4) == 0 { 7_000 } else { 2_000 };
+            self.leader = Err(self.now + self.rng.u64(1..gap) * MS);
             // What the last leader proposed is still committed, or is lost.
             let pending = std::mem::take(&mut self.pending);
             for (_, command) in pending {
-                if self.dice.bool() {
+                if self.rng.bool() {
                     self.apply(command);
                 }
             }
@@ -665,7 +671,7 @@
         if turn {
             let known = FederationView {
                 name: "f".into(),
-                own_site: self.me,
+                own_site: self.own_number,
                 record: self.heard.clone(),
                 leader: 2,
                 reachable_sites: BTreeSet::new(),
@@ -677,7 +683,7 @@
                 .cutover
                 .on_tick(at, &self.record, Some(&known), &mut out);
             self.carry_out(out);
-            (0..3).for_each(|n| self.tell(n));
+            (0..3).for_each(|n| self.send_due_messages_to(n));
         }
     }
 
@@ -685,40 +691,40 @@
         self.now += 5 * MS;
         for n in 0..3 {
             let at = self.senders[n].clock.at(self.now);
-            if self.bad && self.dice.u32(..500) == 0 {
+            if self.faulty && self.rng.u32(..500) == 0 {
                 let line = self.senders[n].line;
                 self.senders[n].machine.on_connection_lost(at, line);
             }
-            if self.bad && self.dice.u32(..3_000) == 0 {
+            if self.faulty && self.rng.u32(..3_000) == 0 {
                 let sender = &mut self.senders[n];
                 sender.boot += 1;
                 sender.machine = machine(n, sender.boot, sender.stored.clone(), sender.last);
-                (sender.clock.began, sender.entrance, sender.line) =
+                (sender.clock.began, sender.admission_state, sender.line) =
                     (self.now, AdmissionRequirement::Fenced, 0);
                 self.to_agent.retain(|w| w.1 != n);
                 self.checks.retain(|c| c.1 != n);
             }
         }
         let due = |now, at: &Nanos| *at <= now;
-        let (mut words, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.to_keeper)
+        let (mut messages, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.to_leader)
             .into_iter()
             .partition(|w| due(self.now, &w.0));
-        self.to_keeper = later;
-        words.sort_by_key(|w| w.0);
-        words
+        self.to_leader = later;
+        messages.sort_by_key(|w| w.0);
+        messages
             .into_iter()
-            .for_each(|(_, n, line, word)| self.keeper_hears(n, line, word));
-        let (mut words, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.to_agent)
+            .for_each(|(_, n, line, message)| self.deliver_to_leader(n, line, message));
+        let (mut messages, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.to_agent)
             .into_iter()
             .partition(|w| due(self.now, &w.0));
         self.to_agent = later;
-        words.sort_by_key(|w| w.0);
-        for (_, n, line, word) in words {
+        messages.sort_by_key(|w| w.0);
+        for (_, n, line, message) in messages {
             let (mut out, now) = (Vec::new(), self.senders[n].clock.at(self.now));
             self.senders[n]
                 .machine
-                .on_message(now, line, word, &mut out);
-            self.act(n, out);
+                .on_message(now, line, message, &mut out);
+            self.run_session_effects(n, out);
         }
         let (checks, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.checks)
             .into_iter()
@@ -754,64 +760,67 @@
             sender
                 .machine
                 .on_document_checked(now, DocumentKind::Table, number, result, &mut out);
-            self.act(n, out);
+            self.run_session_effects(n, out);
         }
         for n in 0..3 {
             // A sender that is stopped at times misses ticks.
-            if self.bad && self.dice.u8(..4) == 0 {
+            if self.faulty && self.rng.u8(..4) == 0 {
                 continue;
             }
             let (mut out, now) = (Vec::new(), self.senders[n].clock.at(self.now));
-            self.senders[n].machine.on_tick(now, &Nothing, &mut out);
-            self.act(n, out);
+            self.senders[n].machine.on_tick(now, &NoDemand, &mut out);
+            self.run_session_effects(n, out);
         }
-        self.federate();
-        self.lead();
-        let taking: BTreeSet<u64> = self
+        self.step_federation();
+        self.step_leader();
+        let admitting: BTreeSet<u64> = self
             .senders
             .iter()
-            .filter_map(|s| s.takes_on(self.now))
+            .filter_map(|s| s.admitted_table(self.now))
             .collect();
         let register = self.record.tables.register;
-        assert!(taking.len() <= 1, "tables {taking:?} at once, {register:?}");
+        assert!(admitting.len() <= 1, "tables {admitting:?} at once, {register:?}");
         if self.fifo {
             let (table, before) = (self.federation.table.number, self.federation.before.number);
-            let beyond = self.now > self.counted_in + FENCE;
+            let beyond = self.now > self.site_lease_end + FENCE;
             assert!(
-                !beyond || taking.is_empty(),
-                "taken on beyond the lease: {taking:?}, {register:?}"
+                !beyond || admitting.is_empty(),
+                "taken on beyond the lease: {admitting:?}, {register:?}"
             );
-            let of = taking.iter().all(|t| [table, before].contains(t));
+            let of = admitting.iter().all(|t| [table, before].contains(t));
             assert!(
                 of,
-                "by {taking:?} while the federation goes by {before} and {table}, {register:?}"
+                "by {admitting:?} while the federation goes by {before} and {table}, {register:?}"
             );
         }
     }
 
-    fn play(&mut self, steps: u32) {
+    fn run(&mut self, steps: u32) {
         (0..steps).for_each(|_| self.step());
     }
 }
 
 #[test]
 fn a_site_cuts_over_as_a_whole_and_admits_nothing_that_its_federation_does_not_expect() {
-    let (mut switched, mut taken_back, mut held, mut off, mut open) = (0, 0, 0, 0, 0);
+    let (mut cutovers, mut rolled_back, mut held, mut removals, mut open) = (0, 0, 0, 0, 0);
     for seed in 0..100 {
-        let mut world = World::new(seed, Fault::None);
+        let mut world = SiteSimulation::new(seed, Fault::None);
         for _ in 0..8_000 {
             world.step();
             open += world
                 .senders
                 .iter()
-                .filter(|s| s.takes_on(world.now).is_some())
+                .filter(|s| s.admitted_table(world.now).is_some())
                 .count();
         }
-        (world.bad, world.cut) = (false, 0);
+        (world.faulty, world.cut_off_until) = (false, 0);
         let end = world.now + 120 * SEC;
-        let done = |w: &World| {
+        let done = |w: &SiteSimulation| {
             let table = w.federation.table.number;
-            let all = w.senders.iter().all(|s| s.takes_on(w.now) == Some(table));
+            let all = w
+                .senders
+                .iter()
+                .all(|s| s.admitted_table(w.now) == Some(table));
             all && w.federation.proposal.is_none()
                 && w.federation.sites.values().all(|s| s.uses == table)
         };
@@ -824,23 +833,23 @@
                 world.federation
             );
         }
-        switched += world.switched;
-        (taken_back, held, off) = (
-            taken_back + world.taken_back,
+        cutovers += world.cutovers;
+        (rolled_back, held, removals) = (
+            rolled_back + world.rolled_back,
             held + world.held,
-            off + world.off,
+            removals + world.removals,
         );
     }
     println!(
-        "{switched} switches, {taken_back} taken back, {held} holds, {off} times off, open in {open} steps"
+        "{cutovers} switches, {rolled_back} taken back, {held} holds, {removals} times off, open in {open} steps"
     );
-    assert!(switched > 100 && taken_back > 20 && held > 100 && off > 20 && open > 300_000);
+    assert!(cutovers > 100 && rolled_back > 20 && held > 100 && removals > 20 && open > 300_000);
 }
 
 #[test]
 fn each_injected_fault_is_detected() {
     let said = |fault: Fault, seed: u64| {
-        let played = std::panic::catch_unwind(|| World::new(seed, fault).play(8_000));
+        let played = std::panic::catch_unwind(|| SiteSimulation::new(seed, fault).run(8_000));
         played
             .err()
             .and_then(|e| e.downcast_ref::<String>().cloned())
@@ -913,8 +922,8 @@
                     self.duties
                         .on_applied(self.now, self.index, &command, &self.record, &mut more);
                 }
-                leader::Effect::Send(line, word) => self.said.push((line, word)),
-                leader::Effect::Reply(_, word) => self.answers.push(word),
+                leader::Effect::Send(line, message) => self.said.push((line, message)),
+                leader::Effect::Reply(_, message) => self.answers.push(message),
                 leader::Effect::ProposeToFederation(command) if self.linked => {
                     let version = self.federation.version + 1;
                     self.federation.apply(version, &command);
@@ -964,25 +973,25 @@
         }
     }
 
-    fn hear(&mut self, line: u64, words: &[AgentToReplica]) -> Vec<ReplicaToAgent> {
+    fn hear(&mut self, line: u64, messages: &[AgentToReplica]) -> Vec<ReplicaToAgent> {
         let mut out = Vec::new();
         self.said.clear();
         // Messages that arrive together are handled before the record has any of their effects.
-        words.iter().for_each(|w| {
+        messages.iter().for_each(|w| {
             self.duties
                 .on_agent_message(self.now, line, w, &self.record, &mut out)
         });
         self.carry_out(out);
-        self.said.iter().map(|(_, word)| word.clone()).collect()
+        self.said.iter().map(|(_, m)| m.clone()).collect()
     }
 
-    fn order(&mut self, word: FederationRequest) {
+    fn order(&mut self, message: FederationRequest) {
         let mut out = Vec::new();
         self.answers.clear();
         self.duties.on_operator_request(
             self.now,
             99,
-            &OperatorRequest::Federation(word),
+            &OperatorRequest::Federation(message),
             &self.record,
             &mut out,
         );
@@ -995,11 +1004,11 @@
         for _ in 0..time / (50 * MS) {
             self.said.clear();
             self.pass(50 * MS);
-            for (line, word) in std::mem::take(&mut self.said) {
-                let ReplicaToAgent::RoutingTable(word) = word else {
+            for (line, message) in std::mem::take(&mut self.said) {
+                let ReplicaToAgent::RoutingTable(message) = message else {
                     continue;
                 };
-                let answer = match word {
+                let answer = match message {
                     _ if !lines.contains(&line) => continue,
                     ReplicaTableMessage::OfferTable { number, .. } => {
                         AgentTableMessage::TableChecked {
@@ -1017,12 +1026,12 @@
             }
             lines
                 .iter()
-                .for_each(|line| _ = self.hear(*line, &[tell(self.now / MS)]));
+                .for_each(|line| _ = self.hear(*line, &[load_report(self.now / MS)]));
         }
     }
 }
 
-fn opens(sender: &str) -> AgentToReplica {
+fn open_session(sender: &str) -> AgentToReplica {
     AgentToReplica::OpenSession {
         sender: sender.into(),
         boot: 7,
@@ -1032,7 +1041,7 @@
     }
 }
 
-fn tell(report: u64) -> AgentToReplica {
+fn load_report(report: u64) -> AgentToReplica {
     AgentToReplica::Report {
         report,
         record_version: 0,
@@ -1048,7 +1057,7 @@
 }
 
 fn rules(said: &[ReplicaToAgent]) -> Vec<(u64, SiteAdmission)> {
-    let rule = |word: &ReplicaToAgent| match word {
+    let rule = |message: &ReplicaToAgent| match message {
         ReplicaToAgent::RoutingTable(ReplicaTableMessage::ApplyTable {
             number,
             admission: stance,
@@ -1062,7 +1071,7 @@
 #[test]
 fn a_leader_brings_a_proposed_table_into_use_and_holds_after_the_lease() {
     let mut site = Site::new();
-    let said = site.hear(1, &[opens("n1"), has(&[])]);
+    let said = site.hear(1, &[open_session("n1"), has(&[])]);
     assert_eq!(rules(&said), [(0, SiteAdmission::Open)], "{said:?}");
     assert!(
         !said.contains(&ReplicaToAgent::UnknownSession),
@@ -1090,8 +1099,8 @@
     assert_eq!(site.federation.sites[&1].uses, 1);
     // A sender whose configuration file does not let it follow tables ends a proposal by any site,
     // and the reason names the sender.
-    site.hear(2, &[opens("n2")]);
-    site.hear(2, &[tell(1)]);
+    site.hear(2, &[open_session("n2")]);
+    site.hear(2, &[load_report(1)]);
     site.order(propose);
     assert!(
         matches!(&site.answers[..], [OperatorResponse::Rejected(why)] if why.contains("n2") && why.contains("[table]"))
@@ -1120,12 +1129,12 @@
         site.record.tables.register.stance,
         SiteAdmission::LeaseExpired
     );
-    let sees = |site: &mut Site| {
+    let status_after = |site: &mut Site| {
         site.serve(&[1], SEC);
         site.order(FederationRequest::Status);
         site.answers.pop()
     };
-    let Some(OperatorResponse::FederationStatus(status)) = sees(&mut site) else {
+    let Some(OperatorResponse::FederationStatus(status)) = status_after(&mut site) else {
         panic!("no status")
     };
     assert_eq!(
@@ -1155,7 +1164,7 @@
     // The change to hold is not in the record yet.
     let mut held = Vec::new();
     std::mem::swap(&mut held, &mut out);
-    let said = site.hear(3, &[opens("n3"), has(&[])]);
+    let said = site.hear(3, &[open_session("n3"), has(&[])]);
     assert_eq!(rules(&said), [], "{said:?}");
     assert!(
         !said
@@ -1165,6 +1174,6 @@
     );
     site.said.clear();
     site.carry_out(held);
-    let said: Vec<ReplicaToAgent> = site.said.iter().map(|(_, word)| word.clone()).collect();
+    let said: Vec<ReplicaToAgent> = site.said.iter().map(|(_, m)| m.clone()).collect();
     assert_eq!(rules(&said), [(1, SiteAdmission::LeaseExpired)], "{said:?}");
 }
