--- a/src/coordination/routing_table/member/pending_roster_change.rs
+++ b/src/coordination/routing_table/member/pending_roster_change.rs
@@ -65,13 +65,13 @@
     NotLeader,
     #[error("another change of the roster is still in progress")]
     Busy,
-    #[error("the sites did not agree in 20 s; check the status and repeat the order")]
+    #[error("the sites did not agree within 20 s; check the status and repeat the order")]
     Timeout,
     #[error("no site {0:?} is on the roster")]
     UnknownSite(String),
     #[error("the last site cannot be removed")]
     LastSite,
-    #[error("{0} leads the federation and hands over: repeat the order at another site")]
+    #[error("{0} leads the federation: another site was asked to take over, repeat the order there")]
     SiteLeads(String),
     #[error(
         "{name} is granted no lease for {withheld_s} s, and is fenced with all its senders in \
