--- a/src/coordination/routing_table/cutover/decisions.rs
+++ b/src/coordination/routing_table/cutover/decisions.rs
@@ -53,8 +53,9 @@
         (is_held && has_caught_up).then_some(Change::Resume)
     }
 
-    /// Returns whether a site that holds may leave the hold: this replica's own member has a
-    /// running lease, so its view is recent, and the site is on the roster.
+    /// Returns whether a site that holds may leave the hold. A site that is configured to hold has
+    /// to be on the roster, and this replica's own member needs a running lease, so that its view
+    /// is recent.
     fn may_leave_hold(&self, now: Nanos, view: Option<&FederationView>) -> bool {
         view.is_none_or(|view| {
             let is_on_roster = view.own_name().is_some();
--- a/src/coordination/routing_table/cutover/mod.rs
+++ b/src/coordination/routing_table/cutover/mod.rs
@@ -12,7 +12,7 @@
 //! The federation grants the site a lease. The member that requested it counts the lease on its own
 //! clock. A leader that takes over has the value in the site's record. From that value it subtracts
 //! the time during which no leader advanced the record's clock, and [`CLOCK_LAG`]. A leader that
-//! never saw another leader does not know that time and does not rely on the recorded lease at all.
+//! never saw any leader does not know that time and does not rely on the recorded lease at all.
 //! Without a lease, a site that is configured to hold admits nothing new, even if it never had a
 //! lease: its replicas do not know which table the federation uses, because their folders may be
 //! those of a site that was cut off, or new ones in place of lost ones. Invariant: while the leader
--- a/src/coordination/routing_table/member/mod.rs
+++ b/src/coordination/routing_table/member/mod.rs
@@ -271,7 +271,7 @@
         Ok(())
     }
 
-    /// Stops the member. Waiting operators are told that this replica does not lead.
+    /// Stops the member. Waiting operators get the response that this replica does not lead.
     pub fn shut_down(&mut self, effects: &mut Vec<MemberEffect>) {
         let own_order = self.leadership.take().and_then(|l| l.local_requester());
         let waiting = self.orders.drain_connections().chain(own_order);
--- a/src/coordination/routing_table/member/pending_roster_change.rs
+++ b/src/coordination/routing_table/member/pending_roster_change.rs
@@ -71,7 +71,9 @@
     UnknownSite(String),
     #[error("the last site cannot be removed")]
     LastSite,
-    #[error("{0} leads the federation: another site was asked to take over, repeat the order there")]
+    #[error(
+        "{0} leads the federation: another site was asked to take over, repeat the order there"
+    )]
     SiteLeads(String),
     #[error(
         "{name} is granted no lease for {withheld_s} s, and is fenced with all its senders in \
--- a/src/coordination/routing_table/member/roster_orders.rs
+++ b/src/coordination/routing_table/member/roster_orders.rs
@@ -121,7 +121,7 @@
     pub(super) fn expire_forwarded_orders(&mut self, now: Nanos, effects: &mut Vec<MemberEffect>) {
         for order in self.orders.take_overdue(now) {
             let why =
-                "the site that leads did not answer within 5 s; check the status and repeat the order";
+                "the site that leads did not answer in 5 s; check the status and repeat the order";
             effects.push(MemberEffect::Answer {
                 connection: order.connection,
                 answer: OperatorResponse::Rejected(why.into()),
