--- a/tests/model_tables/sites.rs
+++ b/tests/model_tables/sites.rs
@@ -1,8 +1,8 @@
-//! Orders, drawn from a seed, of what can happen between a federation, two sites with a leader each
-//! (of which one is deposed and goes on), and two senders a site, over the unchanged machines:
-//! [`Cutover`], [`Record`] and [`Federation`]. Agreed logs stand for the keepers and for the sites'
-//! consensus. Senders' leases are counted in steps: a sender that is not renewed by the leader that
-//! is in office loses its lease.
+//! Draws from a seed the order of events between a federation, two sites with a leader each (one of
+//! which is deposed and continues to run), and two senders per site, with the production state
+//! machines [`Cutover`], [`Record`] and [`Federation`]. Plain agreed logs replace the replicas' and
+//! the sites' consensus. Senders' leases are counted in steps: a sender that the current leader
+//! does not renew loses its lease.
 
 use super::printed;
 use raildeal::coordination::messages::{
@@ -19,38 +19,38 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Time goes on by this: longer than a pause.
+/// Time step, in milliseconds: longer than a pause.
 const STEP: u64 = 500;
 const SITES: usize = 2;
 const SENDERS: usize = 2;
-/// The federation counts a site in for so long.
+/// Length of a site's lease, in milliseconds.
 const LEASE: u64 = 4 * STEP;
-/// A sender that is not renewed loses its lease after so many steps.
-const LAPSES: u8 = 3;
-/// Beyond the site's lease: a leader sees that it is over and holds, or its senders' leases end. A
-/// leader that dies meanwhile adds as much again.
-const FENCE: u64 = 2 * (LAPSES as u64 + 2) * STEP;
+/// Number of steps after which a sender that is not renewed loses its lease.
+const EXPIRY_STEPS: u8 = 3;
+/// Time after the site's lease by which it is fenced, in milliseconds: a leader sees the expiry and
+/// holds, or the senders' leases end. A leader that dies in the meantime adds the same time again.
+const FENCE: u64 = 2 * (EXPIRY_STEPS as u64 + 2) * STEP;
 
-/// A fault that is put in, to see that the model finds it.
+/// A fault that is injected to see that the model detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// A site goes over without its senders' word.
-    Hasty,
-    /// A site accepts without its senders' word.
-    Accepts,
-    /// A site goes over to what it has accepted before that is decided.
+    /// A site cuts over without its senders' confirmations.
+    CommitsUnconfirmed,
+    /// A site accepts without its senders' confirmations.
+    AcceptsUnconfirmed,
+    /// A site cuts over to an accepted table before it is decided.
     Undecided,
-    /// It is decided without one acceptance.
+    /// A table is decided although one acceptance is missing.
     OneShort,
-    /// Senders obey words of earlier turns.
+    /// Senders apply messages of earlier turns.
     ObeysEarlier,
-    /// Nobody holds.
+    /// No site holds after its lease.
     NoHold,
-    /// A deposed leader goes on renewing leases, and hears of no hold.
+    /// A deposed leader continues to renew leases, and learns of no hold.
     DeposedRenews,
-    /// Sites do not say that they went over.
-    Silent,
+    /// Sites do not report that they have cut over.
+    NeverReports,
 }
 
 #[derive(Clone, Debug)]
@@ -59,8 +59,8 @@
     cutover: Cutover,
     record: Record,
     proposed: Vec<Command>,
-    /// The federation as far as its voice has heard, and until when that knows the site to be
-    /// counted in.
+    /// Number of commands of the federation's log that its member has received, the resulting
+    /// record, and the end of the site's lease.
     heard: usize,
     federation: Arc<Federation>,
     lease: Option<u64>,
@@ -70,11 +70,12 @@
 #[derive(Clone, Debug, Default)]
 struct Sender {
     boot: u64,
-    /// The leader that it speaks to, by term, and the name of the line; nobody is 0.
+    /// The leader to which it is connected, by term, and the number of the connection; 0 means
+    /// none.
     line: (u64, u64),
     lease: bool,
-    /// Steps without a leader that renews.
-    alone: u8,
+    /// Number of steps without a renewal.
+    steps_without_renewal: u8,
     heard: Option<(u64, SiteAdmission)>,
     turn: u64,
     stored: BTreeMap<u64, Digest>,
@@ -86,27 +87,27 @@
     log: Vec<Command>,
     leaders: Vec<Leader>,
     senders: [Sender; SENDERS],
-    /// When a leader was in office last.
-    led: u64,
-    /// The federation counts it in until then, as far as anybody was told.
-    counted: u64,
-    /// Words to senders: which, the line, and what.
-    words: Vec<(usize, (u64, u64), ReplicaTableMessage)>,
+    /// Time at which a leader last led.
+    last_led_at: u64,
+    /// Latest end of the site's lease that any leader was granted.
+    latest_lease_end: u64,
+    /// Messages to senders: the sender, the connection and the message.
+    messages: Vec<(usize, (u64, u64), ReplicaTableMessage)>,
 }
 
-/// What still may go wrong.
+/// Number of faults of each kind that may still happen.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Left {
-    dies: u8,
+struct RemainingFaults {
+    deaths: u8,
     elections: u8,
     lost: u8,
-    doubled: u8,
+    duplicated: u8,
     restarts: u8,
     refusals: u8,
-    offs: u8,
-    cuts: u8,
-    /// Returns of a sender to a deposed leader.
-    backs: u8,
+    removals: u8,
+    cut_offs: u8,
+    /// Number of times a sender may return to a deposed leader.
+    returns_to_deposed: u8,
 }
 
 #[derive(Clone, Debug)]
@@ -114,23 +115,23 @@
     now: u64,
     federation: Federation,
     log: Vec<federation::Command>,
-    /// Words to it.
-    words: Vec<federation::Command>,
+    /// Messages to the federation.
+    messages: Vec<federation::Command>,
     sites: [Site; SITES],
     lines: u64,
-    left: Left,
+    left: RemainingFaults,
     proposals: u64,
-    /// A site that is cut off from the others.
+    /// The site that is cut off from the others, if any.
     cut: Option<usize>,
     decided: Vec<u64>,
-    /// Whether all was well in the end, without further faults.
+    /// Whether the expected final state was reached once no further faults happened.
     settled: Option<bool>,
     wrong: Vec<&'static str>,
 }
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        // What the logs say stands in the records.
+        // The content of the logs is already in the records.
         let sites: Vec<_> = self
             .sites
             .iter()
@@ -140,13 +141,13 @@
                     .iter()
                     .map(|l| (&l.cutover, &l.record.tables, &l.proposed, l.heard, l.lease))
                     .collect();
-                (leaders, &s.senders, &s.words, s.counted)
+                (leaders, &s.senders, &s.messages, s.latest_lease_end)
             })
             .collect();
         let all = (
             self.now,
             self.log.len(),
-            &self.words,
+            &self.messages,
             sites,
             self.left,
             self.cut,
@@ -168,21 +169,23 @@
     Later,
     Commit(usize),
     Dies(usize),
-    /// Another leader is elected, and has in its log what the last one proposed, or not.
+    /// Another leader is elected; the flag says whether its log has the last leader's proposals.
     Elect(usize, bool),
-    /// A word arrives: the answer arrives as well, or is lost; the word stays to arrive once more.
+    /// A message arrives; the flags say whether the response is lost and whether the message stays
+    /// to arrive once more.
     Arrives(usize, usize, bool, bool),
     Lost(usize, usize),
     Refuses(usize, usize),
     /// A sender opens a session with a leader.
     Opens(usize, usize, usize),
     Restarts(usize, usize),
-    /// A word to the federation is agreed on; once more later.
+    /// A command to the federation is committed; the flag says whether it stays to be committed
+    /// once more.
     Agreed(usize, bool),
     LostThere(usize),
-    /// A leader's voice hears what was agreed, all or the next.
+    /// A leader's member receives the committed commands: all, or only the next.
     Hears(usize, usize, bool),
-    /// The federation counts a site in, and this leader's voice is told.
+    /// The federation grants a site's lease, and this leader's member receives it.
     Counts(usize, usize),
     Propose,
     Abort,
@@ -190,13 +193,13 @@
     Heals,
     Off(usize),
     Join(usize),
-    /// Without further faults.
+    /// Runs to the end without further faults.
     Settle,
 }
 
 struct Sites {
     fault: Fault,
-    left: Left,
+    left: RemainingFaults,
     proposals: u64,
     until: u64,
 }
@@ -210,25 +213,27 @@
         s.sites[at].leaders.len() - 1
     }
 
-    fn taking(&self, s: &State, at: usize, n: usize) -> Option<u64> {
+    fn admitted_table(&self, s: &State, at: usize, n: usize) -> Option<u64> {
         let sender = &s.sites[at].senders[n];
         let (number, stance) = sender.heard.filter(|_| sender.lease)?;
         let has = number == 0 || sender.stored.contains_key(&number);
         (stance == SiteAdmission::Open && has).then_some(number)
     }
 
-    /// What must hold at any time.
-    fn look(&self, s: &mut State) {
+    /// Checks the invariants that hold at any time.
+    fn check_invariants(&self, s: &mut State) {
         let mut all: Vec<u64> = Vec::new();
         for at in 0..SITES {
-            let taking: Vec<u64> = (0..SENDERS).filter_map(|n| self.taking(s, at, n)).collect();
-            if taking.windows(2).any(|w| w[0] != w[1]) {
+            let tables: Vec<u64> = (0..SENDERS)
+                .filter_map(|n| self.admitted_table(s, at, n))
+                .collect();
+            if tables.windows(2).any(|w| w[0] != w[1]) {
                 s.wrong.push("two tables in a site");
             }
-            if !taking.is_empty() && s.now > s.sites[at].counted + FENCE {
+            if !tables.is_empty() && s.now > s.sites[at].latest_lease_end + FENCE {
                 s.wrong.push("taken on beyond the lease");
             }
-            all.extend(taking);
+            all.extend(tables);
         }
         all.sort();
         all.dedup();
@@ -244,7 +249,7 @@
         }
     }
 
-    fn agree(&self, s: &mut State, command: federation::Command) {
+    fn commit_to_federation(&self, s: &mut State, command: federation::Command) {
         let before = s.federation.clone();
         let record = &mut s.federation;
         if let (Fault::OneShort, federation::Command::Accept { site, .. }, Some(p)) =
@@ -276,7 +281,7 @@
         }
     }
 
-    /// What a leader has to say to a sender.
+    /// Sends a sender the messages that are due from a leader.
     fn say(&self, s: &mut State, at: usize, which: usize, n: usize) {
         let now = s.now * MS;
         let site = &mut s.sites[at];
@@ -284,12 +289,12 @@
         if line.0 != leader.term || leader.dead {
             return;
         }
-        let words = &mut site.words;
+        let messages = &mut site.messages;
         leader
             .cutover
-            .send_due_messages(now, &name(n), &leader.record, &mut 10, &mut |word| {
-                if !words.contains(&(n, line, word.clone())) {
-                    words.push((n, line, word));
+            .send_due_messages(now, &name(n), &leader.record, &mut 10, &mut |message| {
+                if !messages.contains(&(n, line, message.clone())) {
+                    messages.push((n, line, message));
                 }
             });
     }
@@ -302,7 +307,7 @@
             match out {
                 CutoverEffect::ProposeToSite(change) => {
                     if let Change::Accept { number } = &change {
-                        // One that joins before the record has it finds itself asked again.
+                        // A sender that joins before the record has the acceptance is asked again.
                         let live = |n: usize| {
                             let member = leader.record.roster.get(&name(n));
                             member.is_some_and(|m| m.live && m.boot == site.senders[n].boot)
@@ -321,16 +326,16 @@
                         base,
                         change: Box::new(change),
                     };
-                    // One that is deposed brings nothing into the record.
+                    // A deposed leader commits nothing to the record.
                     if leads && !leader.proposed.contains(&command) {
                         leader.proposed.push(command);
                     }
                 }
                 CutoverEffect::ProposeToFederation(command) => {
-                    let silent = self.fault == Fault::Silent
+                    let silent = self.fault == Fault::NeverReports
                         && matches!(command, federation::Command::CutOver { .. });
-                    if !silent && s.cut != Some(at) && !s.words.contains(&command) {
-                        s.words.push(command);
+                    if !silent && s.cut != Some(at) && !s.messages.contains(&command) {
+                        s.messages.push(command);
                     }
                 }
             }
@@ -366,8 +371,10 @@
             .on_tick(now, &leader.record, Some(&known), &mut out);
         let tables = &leader.record.tables;
         let fault = match self.fault {
-            Fault::Hasty if tables.register.stance == SiteAdmission::Paused => Some(Change::Commit),
-            Fault::Accepts => {
+            Fault::CommitsUnconfirmed if tables.register.stance == SiteAdmission::Paused => {
+                Some(Change::Commit)
+            }
+            Fault::AcceptsUnconfirmed => {
                 tables
                     .offered
                     .as_ref()
@@ -390,17 +397,17 @@
         (0..SENDERS).for_each(|n| self.say(s, at, which, n));
     }
 
-    fn lead(&self, s: &mut State, at: usize) {
-        let (now, led) = (s.now, s.sites[at].led);
+    fn elect(&self, s: &mut State, at: usize) {
+        let (now, last_led_at) = (s.now, s.sites[at].last_led_at);
         let mut record = Record::default();
         let site = &mut s.sites[at];
-        // The first beat of a term counts the time in which nobody led.
+        // The first heartbeat of a term counts the time without a leader.
         let term = site.leaders.last().map_or(0, |l| l.term) + 1;
         for (index, command) in site.log.iter().enumerate() {
             record.apply(index as u64 + 1, command);
         }
-        site.led = now;
-        // It may have heard less than the last one.
+        site.last_led_at = now;
+        // Its member may know less of the federation than that of the last leader.
         let joined = s
             .log
             .iter()
@@ -413,7 +420,7 @@
             .for_each(|(index, c)| federation.apply(index as u64 + 1, c));
         site.leaders.push(Leader {
             term,
-            cutover: Cutover::new(now * MS, Some(led * MS)),
+            cutover: Cutover::new(now * MS, Some(last_led_at * MS)),
             record,
             proposed: Vec::new(),
             heard: joined,
@@ -429,7 +436,7 @@
             Command::AdvanceClock {
                 term,
                 beat: 1,
-                ms: (now - led) as u32,
+                ms: (now - last_led_at) as u32,
             },
         );
     }
@@ -449,7 +456,10 @@
         }
         if after.register.number != before.register.number {
             let number = after.register.number;
-            if (0..SENDERS).any(|n| self.taking(s, at, n).is_some_and(|uses| uses != number)) {
+            if (0..SENDERS).any(|n| {
+                self.admitted_table(s, at, n)
+                    .is_some_and(|uses| uses != number)
+            }) {
                 s.wrong.push("a change without the word of all");
             }
             if !s.decided.contains(&number) {
@@ -466,7 +476,7 @@
                     .find(|n| name(*n) == *sender)
                     .expect("a sender");
                 if s.sites[at].senders[n].boot == *boot && s.sites[at].senders[n].line.0 == term {
-                    self.meets(s, at, which, n);
+                    self.open_session(s, at, which, n);
                 }
             }
             Command::ExpireSender { sender, .. } => {
@@ -477,7 +487,7 @@
         (0..SENDERS).for_each(|n| self.say(s, at, which, n));
     }
 
-    fn meets(&self, s: &mut State, at: usize, which: usize, n: usize) {
+    fn open_session(&self, s: &mut State, at: usize, which: usize, n: usize) {
         let now = s.now * MS;
         let site = &mut s.sites[at];
         let (leader, sender) = (&mut site.leaders[which], &mut site.senders[n]);
@@ -492,7 +502,7 @@
         if !sender.lease {
             (sender.lease, sender.heard) = (true, None);
         }
-        sender.alone = 0;
+        sender.steps_without_renewal = 0;
         let mut out = Vec::new();
         leader
             .cutover
@@ -501,24 +511,24 @@
         self.say(s, at, which, n);
     }
 
-    /// A word arrives at its sender, which answers where the answer is not lost.
+    /// Delivers a message to its sender, which responds unless the response is lost.
     fn arrives(
         &self,
         s: &mut State,
         at: usize,
-        word: (usize, (u64, u64), ReplicaTableMessage),
+        message: (usize, (u64, u64), ReplicaTableMessage),
         lost: bool,
         refuses: bool,
     ) {
         let now = s.now * MS;
-        let (n, line, word) = word;
+        let (n, line, message) = message;
         let site = &mut s.sites[at];
         let sender = &mut site.senders[n];
         if sender.line != line {
             return;
         }
         let mut answers = Vec::new();
-        match word {
+        match message {
             ReplicaTableMessage::OfferTable { number, digest, .. } => {
                 if !refuses {
                     sender.stored.insert(number, digest);
@@ -582,7 +592,7 @@
         (0..SENDERS).for_each(|n| self.say(s, at, which, n));
     }
 
-    fn breaks(&self, s: &mut State, at: usize, n: usize, line: (u64, u64)) {
+    fn break_connection(&self, s: &mut State, at: usize, n: usize, line: (u64, u64)) {
         let sender = &mut s.sites[at].senders[n];
         if sender.line == line {
             sender.line = (0, 0);
@@ -605,7 +615,7 @@
         let ends =
             |c: &Command| matches!(c, Command::ExpireSender { sender, .. } if *sender == name(n));
         if live && !leader.proposed.iter().any(ends) {
-            self.meets(s, at, which, n);
+            self.open_session(s, at, which, n);
         } else {
             leader.proposed.push(Command::AddSender {
                 sender: name(n),
@@ -615,8 +625,9 @@
         }
     }
 
-    /// Time passes: beats are counted, leases renewed or not, lapses found.
-    fn later(&self, s: &mut State) {
+    /// Advances time by one step: heartbeats are committed, leases are renewed or not, and expired
+    /// senders are found.
+    fn advance(&self, s: &mut State) {
         s.now += STEP;
         for at in 0..SITES {
             let last = self.last(s, at);
@@ -631,12 +642,12 @@
                         ms: STEP as u32,
                     },
                 );
-                s.sites[at].led = s.now;
+                s.sites[at].last_led_at = s.now;
             }
             let site = &mut s.sites[at];
             let leader = &site.leaders[last];
             let (term, dead) = (leader.term, leader.dead);
-            // A leader renews nothing while its site is to be held and the record does not say so
+            // A leader renews no lease while its site has to hold and the record does not say so
             // yet.
             let renews = !dead
                 && (!leader.cutover.must_withhold_leases(&leader.record)
@@ -645,12 +656,12 @@
             for sender in &mut site.senders {
                 let on = sender.line.0 == term && renews
                     || deposed && sender.line.0 != 0 && sender.line.0 < term;
-                sender.alone = if on {
+                sender.steps_without_renewal = if on {
                     0
                 } else {
-                    sender.alone.saturating_add(1)
+                    sender.steps_without_renewal.saturating_add(1)
                 };
-                if sender.lease && sender.alone >= LAPSES {
+                if sender.lease && sender.steps_without_renewal >= EXPIRY_STEPS {
                     (sender.lease, sender.heard, sender.line) = (false, None, (0, 0));
                 }
             }
@@ -675,7 +686,7 @@
         }
     }
 
-    fn hears(&self, s: &mut State, at: usize, which: usize, all: bool) {
+    fn receive_commands(&self, s: &mut State, at: usize, which: usize, all: bool) {
         let to = if all {
             s.log.len()
         } else {
@@ -690,39 +701,39 @@
         self.tick(s, at, which);
     }
 
-    fn counts(&self, s: &mut State, at: usize, which: usize) {
+    fn grant_site_lease(&self, s: &mut State, at: usize, which: usize) {
         let until = s.now + LEASE;
         let site = &mut s.sites[at];
         let number = site.number;
         if site.leaders[which].federation.sites.contains_key(&number) {
-            site.counted = site.counted.max(until);
+            site.latest_lease_end = site.latest_lease_end.max(until);
             site.leaders[which].lease = Some(until);
             self.tick(s, at, which);
         }
     }
 
-    /// Whether all sites go by what was decided, and all senders with them.
-    fn is_well(&self, s: &State) -> bool {
+    /// Returns whether all sites on the roster, and all their senders, use the decided table.
+    fn is_settled(&self, s: &State) -> bool {
         let number = s.federation.table.number;
         s.federation.proposal.is_none()
             && s.federation.sites.values().all(|site| site.uses == number)
             && (0..SITES).all(|at| {
                 !s.federation.sites.contains_key(&s.sites[at].number)
-                    || (0..SENDERS).all(|n| self.taking(s, at, n) == Some(number))
+                    || (0..SENDERS).all(|n| self.admitted_table(s, at, n) == Some(number))
             })
     }
 
-    /// What happens where nothing goes wrong any more.
+    /// Runs without further faults until the final state is reached or the steps are used up.
     fn settle(&self, s: &mut State) {
         s.cut = None;
         for _ in 0..300 {
             for at in 0..SITES {
                 if s.sites[at].leaders[self.last(s, at)].dead {
-                    self.lead(s, at);
+                    self.elect(s, at);
                 }
                 let last = self.last(s, at);
-                self.hears(s, at, last, true);
-                self.counts(s, at, last);
+                self.receive_commands(s, at, last, true);
+                self.grant_site_lease(s, at, last);
                 for n in 0..SENDERS {
                     let term = s.sites[at].leaders[last].term;
                     if s.sites[at].senders[n].line.0 != term {
@@ -730,10 +741,10 @@
                     }
                 }
                 for _ in 0..10 {
-                    let words = std::mem::take(&mut s.sites[at].words);
-                    words
+                    let messages = std::mem::take(&mut s.sites[at].messages);
+                    messages
                         .into_iter()
-                        .for_each(|word| self.arrives(s, at, word, false, false));
+                        .for_each(|message| self.arrives(s, at, message, false, false));
                     let last = self.last(s, at);
                     let proposed = std::mem::take(&mut s.sites[at].leaders[last].proposed);
                     proposed
@@ -741,16 +752,16 @@
                         .for_each(|command| self.commit(s, at, command));
                 }
             }
-            std::mem::take(&mut s.words)
+            std::mem::take(&mut s.messages)
                 .into_iter()
-                .for_each(|command| self.agree(s, command));
-            self.look(s);
-            if self.is_well(s) {
+                .for_each(|command| self.commit_to_federation(s, command));
+            self.check_invariants(s);
+            if self.is_settled(s) {
                 s.settled = Some(true);
                 return;
             }
             let ms = STEP as u32;
-            self.agree(
+            self.commit_to_federation(
                 s,
                 federation::Command::Beat {
                     term: 1,
@@ -758,7 +769,7 @@
                     ms,
                 },
             );
-            self.later(s);
+            self.advance(s);
         }
         s.settled = Some(false);
         s.wrong.push("it never ends");
@@ -776,15 +787,15 @@
             log: Vec::new(),
             leaders: Vec::new(),
             senders: Default::default(),
-            led: now,
-            counted: now,
-            words: Vec::new(),
+            last_led_at: now,
+            latest_lease_end: now,
+            messages: Vec::new(),
         };
         let mut s = State {
             now,
             federation: Federation::default(),
             log: Vec::new(),
-            words: Vec::new(),
+            messages: Vec::new(),
             sites: [site(1), site(2)],
             lines: 0,
             left: self.left,
@@ -795,7 +806,7 @@
             wrong: Vec::new(),
         };
         for at in 0..SITES {
-            self.agree(
+            self.commit_to_federation(
                 &mut s,
                 federation::Command::Join {
                     site: at as u64 + 1,
@@ -808,7 +819,7 @@
                 .senders
                 .iter_mut()
                 .for_each(|sender| sender.boot = 1);
-            self.lead(&mut s, at);
+            self.elect(&mut s, at);
         }
         self.settle(&mut s);
         s.settled = None;
@@ -830,9 +841,9 @@
         if s.federation.proposal.is_some() && s.left.refusals > 0 {
             actions.push(Action::Abort);
         }
-        for at in 0..s.words.len() {
+        for at in 0..s.messages.len() {
             actions.extend([Action::Agreed(at, false); 4]);
-            if s.left.doubled > 0 {
+            if s.left.duplicated > 0 {
                 actions.push(Action::Agreed(at, true));
             }
             if s.left.lost > 0 {
@@ -840,9 +851,9 @@
             }
         }
         match s.cut {
-            None if s.left.cuts > 0 => actions.extend((0..SITES).map(Action::Cut)),
-            // Most often longer than all leases are.
-            Some(at) if s.now > s.sites[at].counted + FENCE || s.left.lost == 0 => {
+            None if s.left.cut_offs > 0 => actions.extend((0..SITES).map(Action::Cut)),
+            // The cut mostly lasts longer than all leases.
+            Some(at) if s.now > s.sites[at].latest_lease_end + FENCE || s.left.lost == 0 => {
                 actions.push(Action::Heals)
             }
             _ => {}
@@ -851,10 +862,10 @@
             let (site, last) = (&s.sites[at], self.last(s, at));
             let dead = site.leaders[last].dead;
             if !dead && !site.leaders[last].proposed.is_empty() {
-                // More often than what goes wrong.
+                // Repeated, so that it is drawn more often than a fault.
                 actions.extend([Action::Commit(at); 4]);
             }
-            if !dead && s.left.dies > 0 {
+            if !dead && s.left.deaths > 0 {
                 actions.push(Action::Dies(at));
             }
             if dead {
@@ -862,10 +873,10 @@
             } else if s.left.elections > 0 {
                 actions.extend([Action::Elect(at, true), Action::Elect(at, false)]);
             }
-            for w in 0..site.words.len() {
-                if site.words[..w]
+            for w in 0..site.messages.len() {
+                if site.messages[..w]
                     .iter()
-                    .any(|earlier| earlier.1 == site.words[w].1)
+                    .any(|earlier| earlier.1 == site.messages[w].1)
                 {
                     continue;
                 }
@@ -873,11 +884,11 @@
                 if s.left.lost > 0 {
                     actions.extend([Action::Arrives(at, w, true, false), Action::Lost(at, w)]);
                 }
-                if s.left.doubled > 0 {
+                if s.left.duplicated > 0 {
                     actions.push(Action::Arrives(at, w, false, true));
                 }
                 if s.left.refusals > 0
-                    && matches!(site.words[w].2, ReplicaTableMessage::OfferTable { .. })
+                    && matches!(site.messages[w].2, ReplicaTableMessage::OfferTable { .. })
                 {
                     actions.push(Action::Refuses(at, w));
                 }
@@ -886,9 +897,8 @@
                 if site.senders[n].line.0 < site.leaders[last].term && !dead {
                     actions.push(Action::Opens(at, n, last));
                 }
-                // It finds its way back to one that is deposed and does not know it. It finds its
-                // way back to one that is deposed and does not know it, and that says something
-                // else.
+                // The sender returns to a deposed leader that does not know that it is deposed, and
+                // whose record is older.
                 let deposed = last.checked_sub(1).map(|last| &site.leaders[last]);
                 let stands = |l: &Leader| l.record.tables.register.turn;
                 let back = |l: &Leader| {
@@ -896,7 +906,10 @@
                         && site.senders[n].line.0 > l.term
                         && stands(l) < stands(&site.leaders[last])
                 };
-                if s.left.backs > 0 && site.senders[n].lease && deposed.is_some_and(back) {
+                if s.left.returns_to_deposed > 0
+                    && site.senders[n].lease
+                    && deposed.is_some_and(back)
+                {
                     actions.push(Action::Opens(at, n, last - 1));
                 }
                 if s.left.restarts > 0 {
@@ -918,7 +931,7 @@
                 }
             }
             let on = s.federation.sites.contains_key(&site.number);
-            if on && s.left.offs > 0 && s.now > site.counted + FENCE {
+            if on && s.left.removals > 0 && s.now > site.latest_lease_end + FENCE {
                 actions.push(Action::Off(at));
             }
             if !on {
@@ -932,7 +945,7 @@
         match action {
             Action::Later => {
                 let ms = STEP as u32;
-                self.agree(
+                self.commit_to_federation(
                     &mut s,
                     federation::Command::Beat {
                         term: 1,
@@ -940,7 +953,7 @@
                         ms,
                     },
                 );
-                self.later(&mut s);
+                self.advance(&mut s);
             }
             Action::Commit(at) => {
                 let which = self.last(&s, at);
@@ -948,7 +961,7 @@
                 self.commit(&mut s, at, command);
             }
             Action::Dies(at) => {
-                s.left.dies -= 1;
+                s.left.deaths -= 1;
                 let which = self.last(&s, at);
                 s.sites[at].leaders[which].dead = true;
             }
@@ -960,44 +973,44 @@
                 let left = std::mem::take(&mut s.sites[at].leaders[which].proposed);
                 if inherits {
                     let deposed = s.sites[at].leaders[which].clone();
-                    let words = s.sites[at].words.clone();
+                    let messages = s.sites[at].messages.clone();
                     left.into_iter()
                         .for_each(|command| self.commit(&mut s, at, command));
                     s.sites[at].leaders[which] = Leader {
                         proposed: Vec::new(),
                         ..deposed
                     };
-                    s.sites[at].words = words;
+                    s.sites[at].messages = messages;
                 }
-                self.lead(&mut s, at);
+                self.elect(&mut s, at);
             }
-            Action::Arrives(at, w, lost, doubled) => {
-                let word = s.sites[at].words[w].clone();
-                if doubled {
-                    s.left.doubled -= 1;
+            Action::Arrives(at, w, lost, duplicated) => {
+                let message = s.sites[at].messages[w].clone();
+                if duplicated {
+                    s.left.duplicated -= 1;
                 } else {
-                    s.sites[at].words.remove(w);
+                    s.sites[at].messages.remove(w);
                 }
                 s.left.lost -= u8::from(lost);
-                let (n, line) = (word.0, word.1);
-                self.arrives(&mut s, at, word, lost, false);
+                let (n, line) = (message.0, message.1);
+                self.arrives(&mut s, at, message, lost, false);
                 if lost {
-                    self.breaks(&mut s, at, n, line);
+                    self.break_connection(&mut s, at, n, line);
                 }
             }
             Action::Lost(at, w) => {
-                // A word is lost with its line.
+                // A lost message breaks its connection.
                 s.left.lost -= 1;
-                let (n, line, _) = s.sites[at].words.remove(w);
-                self.breaks(&mut s, at, n, line);
+                let (n, line, _) = s.sites[at].messages.remove(w);
+                self.break_connection(&mut s, at, n, line);
             }
             Action::Refuses(at, w) => {
                 s.left.refusals -= 1;
-                let word = s.sites[at].words.remove(w);
-                self.arrives(&mut s, at, word, false, true);
+                let message = s.sites[at].messages.remove(w);
+                self.arrives(&mut s, at, message, false, true);
             }
             Action::Opens(at, n, which) => {
-                s.left.backs -= u8::from(which != self.last(&s, at));
+                s.left.returns_to_deposed -= u8::from(which != self.last(&s, at));
                 self.opens(&mut s, at, n, which);
             }
             Action::Restarts(at, n) => {
@@ -1010,25 +1023,25 @@
                     ..Sender::default()
                 };
             }
-            Action::Agreed(w, doubled) => {
-                let command = s.words[w].clone();
-                if doubled {
-                    s.left.doubled -= 1;
+            Action::Agreed(w, duplicated) => {
+                let command = s.messages[w].clone();
+                if duplicated {
+                    s.left.duplicated -= 1;
                 } else {
-                    s.words.remove(w);
+                    s.messages.remove(w);
                 }
-                self.agree(&mut s, command);
+                self.commit_to_federation(&mut s, command);
             }
             Action::LostThere(w) => {
                 s.left.lost -= 1;
-                s.words.remove(w);
+                s.messages.remove(w);
             }
-            Action::Hears(at, which, all) => self.hears(&mut s, at, which, all),
-            Action::Counts(at, which) => self.counts(&mut s, at, which),
+            Action::Hears(at, which, all) => self.receive_commands(&mut s, at, which, all),
+            Action::Counts(at, which) => self.grant_site_lease(&mut s, at, which),
             Action::Propose => {
                 s.proposals -= 1;
                 let key = s.proposals + 1;
-                self.agree(
+                self.commit_to_federation(
                     &mut s,
                     federation::Command::Propose {
                         by: "s0".into(),
@@ -1042,7 +1055,7 @@
             Action::Abort => {
                 s.left.refusals -= 1;
                 let number = s.federation.proposal.as_ref()?.table.number;
-                self.agree(
+                self.commit_to_federation(
                     &mut s,
                     federation::Command::Abort {
                         number,
@@ -1051,20 +1064,20 @@
                 );
             }
             Action::Cut(at) => {
-                s.left.cuts -= 1;
+                s.left.cut_offs -= 1;
                 s.cut = Some(at);
             }
             Action::Heals => s.cut = None,
             Action::Off(at) => {
-                s.left.offs -= 1;
+                s.left.removals -= 1;
                 let site = s.sites[at].number;
-                self.agree(&mut s, federation::Command::Off { site });
+                self.commit_to_federation(&mut s, federation::Command::Off { site });
             }
             Action::Join(at) => {
                 let site = s.sites[at].number + 10;
                 s.sites[at].number = site;
                 s.sites[at].leaders.iter_mut().for_each(|l| l.lease = None);
-                self.agree(
+                self.commit_to_federation(
                     &mut s,
                     federation::Command::Join {
                         site,
@@ -1074,7 +1087,7 @@
             }
             Action::Settle => self.settle(&mut s),
         }
-        self.look(&mut s);
+        self.check_invariants(&mut s);
         Some(s)
     }
 
@@ -1088,13 +1101,13 @@
     }
 
     fn within_boundary(&self, s: &State) -> bool {
-        s.words.len() <= 8 && s.sites.iter().all(|site| site.words.len() <= 8)
+        s.messages.len() <= 8 && s.sites.iter().all(|site| site.messages.len() <= 8)
     }
 }
 
-fn check(what: &str, model: Sites, most: usize) -> Option<String> {
+fn check(what: &str, model: Sites, max_states: usize) -> Option<String> {
     let (fault, begun) = (model.fault, std::time::Instant::now());
-    let builder = model.checker().target_state_count(most);
+    let builder = model.checker().target_state_count(max_states);
     let builder = match fault {
         Fault::None => builder,
         _ => builder.finish_when(HasDiscoveries::AnyFailures),
@@ -1121,27 +1134,27 @@
     Some(format!("{wrong:?}"))
 }
 
-/// States that are looked at, at the most; in CI.
-const MOST: usize = 15_000;
+/// Largest number of states that are explored in CI.
+const MAX_STATES: usize = 15_000;
 
-fn most() -> usize {
+fn max_states() -> usize {
     std::env::var("MODEL_STATES")
         .ok()
         .and_then(|n| n.parse().ok())
-        .unwrap_or(MOST)
+        .unwrap_or(MAX_STATES)
 }
 
-/// Two proposals; leaders that are deposed and go on, lost and doubled words, a refusal or a
-/// person's word, a restart.
+/// Two proposals, with deposed leaders that continue to run, lost and duplicated messages, a
+/// refusal or an operator's abort, and a restart.
 fn calm(fault: Fault) -> Sites {
-    let left = Left {
+    let left = RemainingFaults {
         elections: 1,
         lost: 2,
-        doubled: 1,
+        duplicated: 1,
         restarts: 1,
         refusals: 1,
-        backs: 1,
-        ..Left::default()
+        returns_to_deposed: 1,
+        ..RemainingFaults::default()
     };
     Sites {
         fault,
@@ -1151,16 +1164,16 @@
     }
 }
 
-/// A site is cut off beyond its lease, its leaders die, and it may be taken off the roster and join
-/// again.
+/// A site is cut off for longer than its lease, its leaders die, and it may be removed from the
+/// roster and join again.
 fn cut(fault: Fault) -> Sites {
-    let left = Left {
-        dies: 1,
+    let left = RemainingFaults {
+        deaths: 1,
         elections: 1,
         lost: 1,
-        cuts: 1,
-        offs: 1,
-        ..Left::default()
+        cut_offs: 1,
+        removals: 1,
+        ..RemainingFaults::default()
     };
     Sites {
         fault,
@@ -1171,21 +1184,21 @@
 }
 
 #[test]
-fn sites_go_over_with_the_word_of_all() {
-    assert_eq!(check("proposals", calm(Fault::None), most()), None);
+fn sites_cut_over_only_with_the_confirmation_of_all() {
+    assert_eq!(check("proposals", calm(Fault::None), max_states()), None);
     for (fault, what) in [
-        (Fault::Hasty, "a change without"),
-        (Fault::Accepts, "accepted without"),
+        (Fault::CommitsUnconfirmed, "a change without"),
+        (Fault::AcceptsUnconfirmed, "accepted without"),
         (Fault::Undecided, "decided"),
         (Fault::OneShort, "decided without"),
         (Fault::ObeysEarlier, "two tables"),
-        (Fault::Silent, "never ends"),
+        (Fault::NeverReports, "never ends"),
     ] {
         let left = match fault {
-            Fault::ObeysEarlier => Left {
+            Fault::ObeysEarlier => RemainingFaults {
                 elections: 1,
-                backs: 2,
-                ..Left::default()
+                returns_to_deposed: 2,
+                ..RemainingFaults::default()
             },
             _ => calm(fault).left,
         };
@@ -1196,7 +1209,7 @@
                 proposals: 3,
                 ..calm(fault)
             },
-            10 * MOST,
+            10 * MAX_STATES,
         );
         assert!(
             found.as_ref().is_some_and(|f| f.contains(what)),
@@ -1206,13 +1219,13 @@
 }
 
 #[test]
-fn nothing_is_taken_on_beyond_the_lease() {
-    assert_eq!(check("cut off", cut(Fault::None), most()), None);
+fn nothing_is_admitted_after_the_lease() {
+    assert_eq!(check("cut off", cut(Fault::None), max_states()), None);
     for (fault, what) in [
         (Fault::NoHold, "beyond the lease"),
         (Fault::DeposedRenews, ""),
     ] {
-        let found = check("cut off", cut(fault), 10 * MOST);
+        let found = check("cut off", cut(fault), 10 * MAX_STATES);
         assert!(
             found.as_ref().is_some_and(|f| f.contains(what)),
             "{fault:?}: {found:?}"
