--- a/src/delivery/endpoint.rs
+++ b/src/delivery/endpoint.rs
@@ -1,8 +1,8 @@
 //! Types that describe listed endpoints: entries of the list, and their form inside this process.
 //!
 //! The module owns no state. Readers of an endpoint list create an [`EndpointListUpdate`], and
-//! [`super::endpoint_directory`] creates [`Endpoint`]s from it. [`super::evacuation`], endpoint
-//! clients and the agent read those.
+//! [`super::endpoint_directory`] creates [`Endpoint`]s from it, which [`super::evacuation`],
+//! endpoint clients and the agent read.
 
 use crate::{Condition, DestinationId, EndpointAddress, Listing};
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 /// One entry of an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// Unique id of the endpoint; a machine that replaces it has a different one.
+    /// Unique id of the endpoint; a machine that replaces it has a different id.
     pub uid: String,
     /// Address that the endpoint listens at.
     pub address: SocketAddr,
@@ -29,7 +29,7 @@
 /// One update of the endpoint list, as received from its source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListUpdate {
-    /// Revision of the list that this update leads to.
+    /// Revision of the list after this update.
     pub revision: u64,
     /// Whether this is the complete list; an endpoint that is not in it has been removed.
     pub complete: bool,
@@ -46,7 +46,7 @@
     pub entry: EndpointEntry,
     /// Number of its zone in the endpoint directory.
     pub zone: u16,
-    /// Its kind, as a position in the settings.
+    /// Its kind, as a position in the settings' list of kinds.
     pub kind: u16,
 }
 
--- a/src/delivery/script_hook/tests.rs
+++ b/src/delivery/script_hook/tests.rs
@@ -24,10 +24,10 @@
         ingress("fn ingress(m) { if m.dest == 7 && m.size > 200 { #{ reject_ms: 500 } } }"),
         HookDecision::Reject(Duration::from_millis(500))
     );
-    let noted = "fn ingress(m) { \
-                 #{ notes: #{ origin_id: m.class + \"/\" + m.dest, left: m.left_ms } } }";
+    let script = "fn ingress(m) { \
+                  #{ notes: #{ origin_id: m.class + \"/\" + m.dest, left: m.left_ms } } }";
     let notes = [("left", "16000"), ("origin-id", "event/7")].map(|(k, v)| (k.into(), v.into()));
-    assert_eq!(ingress(noted), HookDecision::Pass(notes.into()));
+    assert_eq!(ingress(script), HookDecision::Pass(notes.into()));
 }
 
 #[test]
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_script_that_does_not_compile_or_defines_no_entry_point_is_an_error() {
-    for (script, words) in [
+    for (script, expected_text) in [
         ("fn ingress(m) {", "line 1"),
         ("fn ingress(m) { import \"x\" as y; }", "import"),
         ("fn ingress(m) { eval(\"1\") }", "eval"),
@@ -69,14 +69,14 @@
             .expect("an error")
             .to_string();
         assert!(
-            error.contains(words) && error.lines().count() == 1,
+            error.contains(expected_text) && error.lines().count() == 1,
             "{error}"
         );
     }
 }
 
 #[test]
-fn a_final_answer_is_seen_and_cannot_be_changed() {
+fn a_script_sees_the_final_answer_and_cannot_change_it() {
     let script =
         "fn final_answer(m, a) { a.status = \"delivered\"; if a.again_ms != 500 { throw a; } }";
     let hook = ScriptHook::compile(script).expect("compiles");
--- a/src/delivery/timer_wheel.rs
+++ b/src/delivery/timer_wheel.rs
@@ -1,6 +1,6 @@
 //! Timer wheel with coarse ticks, which is used for every timed wait of a sender.
 //!
-//! The wheel owns all sleeps of the process's one thread and the task that wakes them
+//! The wheel owns all sleeps of the process's only thread and the task that wakes them
 //! ([`TimerWheel::run`]). A sleep ends at the first tick at or after its time, never before.
 
 use crate::delivery::signal::Signal;
@@ -32,7 +32,7 @@
     ring: Vec<Vec<Sleeper>>,
     /// Last tick whose sleepers were woken.
     last_tick: u64,
-    /// Tick that the running task waits for; `None` while there are no sleepers.
+    /// Tick that [`TimerWheel::run`] waits for; `None` while there are no sleepers.
     next_stop: Option<u64>,
     last_key: u64,
 }
@@ -100,7 +100,7 @@
 pub struct TimerWheel {
     started_at: Instant,
     slots: RefCell<Slots>,
-    /// Set when a new sleep ends before the tick that the running task waits for.
+    /// Set when a new sleep ends before the tick that [`TimerWheel::run`] waits for.
     sooner_stop: Signal,
 }
 
@@ -205,8 +205,9 @@
     }
 }
 
-/// Returns the time from the start of the wheel to a tick. `Duration` can only be multiplied by a
-/// 32-bit number, which the ticks would exceed after 250 days.
+/// Returns the time from the start of the wheel to a tick. It is computed in nanoseconds because
+/// `Duration` can only be multiplied by a 32-bit number, and tick numbers exceed 32 bits after 250
+/// days.
 fn tick_offset(tick: u64) -> Duration {
     Duration::from_nanos(TICK.as_nanos() as u64 * tick)
 }
--- a/src/dispatch/deadline.rs
+++ b/src/dispatch/deadline.rs
@@ -3,25 +3,25 @@
 //! Decides: until when an attempt may start, how long it may last, and whether a delivery that
 //! close to the deadline can be relied on. Inputs: the message's deadline and the time. Callers:
 //! the dispatcher for the first decision, the embedding program for the others, as only that
-//! program has a response path to its clients that takes time.
+//! program sends responses to clients, which takes time.
 //!
 //! Sender and client measure a message's time by their own clocks and from different starting
 //! points, and each may be delayed between reading its clock and writing. The sender therefore ends
-//! a message some time before the client does, and a message whose result falls between gets two
-//! answers rather than none.
+//! a message some time before the client does, and a message whose result arrives between these two
+//! moments gets two answers rather than none.
 
 use crate::dispatch::api::Nanos;
 use crate::dispatch::statistics::MS;
 
-/// Least time left with which an attempt may start, in nanoseconds: with less it would hardly get
-/// an answer.
+/// Time left, in nanoseconds, above which an attempt may start: with less it would hardly get an
+/// answer.
 pub const LEAST_TIME_TO_BEGIN: Nanos = 250 * MS;
-/// Time between the latest end of an attempt and its message's deadline, in nanoseconds: the
-/// longest delay of a process between reading its clock and writing, so that the final answer is
-/// still sent in time.
+/// Time between the latest end of an attempt and its message's deadline, in nanoseconds. It
+/// covers the longest delay of a process between reading its clock and writing, so that the final
+/// answer is still sent in time.
 pub const FINAL_ANSWER_MARGIN: Nanos = 150 * MS;
-/// Time left below which the client's time may already have passed, in nanoseconds: a client that
-/// waits longer for the response to its request has given the message up.
+/// Time left by the sender's clock, in nanoseconds, below which none may be left by the client's:
+/// a client that waits longer than this for the response to its request has given the message up.
 pub const CROSSING_MARGIN: Nanos = 400 * MS;
 
 /// Whether an attempt that starts at `start` still gives its message a chance of delivery.
@@ -34,8 +34,8 @@
     time_left.saturating_sub(FINAL_ANSWER_MARGIN)
 }
 
-/// Whether a delivery that is known with `time_left` may have come too late by the client's clock:
-/// then the client must still get a final answer.
+/// Whether a delivery that the sender learns of with `time_left` may have come too late by the
+/// client's clock; if so, the client must still get a final answer.
 pub fn may_cross_the_end(time_left: Nanos) -> bool {
     time_left < CROSSING_MARGIN
 }
--- a/src/dispatch/dispatcher/attempt_results.rs
+++ b/src/dispatch/dispatcher/attempt_results.rs
@@ -10,14 +10,14 @@
 use crate::dispatch::stale_connections::Connection;
 use crate::dispatch::statistics::{from_secs, to_secs, MS};
 
-/// Level of suspicion that a kind of destination is out of connections from which on connections
-/// are closed after each call, in failed connects.
+/// Level, in failed connects, of the suspicion that endpoints of a kind are out of connections:
+/// from this level on, connections to that kind are closed after each call.
 const CLOSE_CONNECTIONS_SHORTAGE: f64 = 1.0;
 /// Largest level of that suspicion, so that it decays within a minute.
 const MAX_CONNECTION_SHORTAGE: f64 = 8.0;
 /// Delay before a message's next attempt after an error, in seconds; it doubles with each attempt.
 const RETRY_DELAY_SECONDS: f64 = 0.1;
-/// Largest number of attempts with which that delay still doubles.
+/// Number of attempts after which that delay no longer doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
 
 /// The limit in a load report.
@@ -62,15 +62,15 @@
             controller.retry_after_until = controller.retry_after_until.max(now + wait);
         }
         self.drop_endpoint_if_unused(call.endpoint);
-        let run = SentAttempt {
+        let sent_attempt = SentAttempt {
             sent_at: call.sent_at,
             zone: attempt.zone,
         };
-        self.record_attempt_result(now, id.message, outcome, run);
+        self.record_attempt_result(now, id.message, outcome, sent_attempt);
     }
 
-    /// Releases the next message of an ordering key, after a pause where this attempt may still
-    /// run.
+    /// Releases an ordering key for its next message; if the attempt that ended may still take
+    /// effect, only after a pause.
     fn release_key(
         &mut self,
         now: Nanos,
@@ -107,7 +107,7 @@
         now: Nanos,
         id: MessageId,
         outcome: Outcome,
-        run: SentAttempt,
+        sent_attempt: SentAttempt,
     ) {
         let jitter = self.random.draw();
         let Some(pending) = self.pending.get_mut(&id) else {
@@ -115,15 +115,15 @@
         };
         pending.in_flight = false;
         if may_still_run(outcome) || outcome == Outcome::Error {
-            pending.may_have_run.get_or_insert(run);
+            pending.may_have_run.get_or_insert(sent_attempt);
         }
         pending.was_rejected |=
             matches!(outcome, Outcome::Rejected { .. } | Outcome::ConnectFailed);
-        let waits = matches!(
+        let needs_delay = matches!(
             outcome,
             Outcome::Error | Outcome::Reset | Outcome::NotSent | Outcome::ConnectFailed
         );
-        if waits {
+        if needs_delay {
             let doublings = pending.attempts.min(MAX_RETRY_DOUBLINGS);
             let seconds = RETRY_DELAY_SECONDS * f64::from(1u32 << doublings) * (0.5 + jitter);
             pending.not_before = now + from_secs(seconds);
@@ -375,10 +375,10 @@
         ));
     }
 
-    /// Ejects the siblings of an ejected endpoint that have not answered since its failures began,
-    /// as most outages affect all endpoints of a destination: they need a trial as well. Where
-    /// there are routes, only siblings in the same zone are ejected: a zone of a later rank is
-    /// seldom called, so that its silence says nothing.
+    /// Ejects the siblings of an ejected endpoint that have not answered since its failures began:
+    /// most outages affect all endpoints of a destination, so these siblings need a trial as well.
+    /// Where there are routes, only siblings in the same zone are ejected: a zone of a later rank
+    /// is seldom called, so that its silence says nothing.
     fn eject_silent_siblings(&mut self, now: Nanos, dest: DestinationId, address: EndpointAddress) {
         let endpoint = &self.endpoints[&address];
         let failing_since = endpoint.failing_since;
--- a/src/dispatch/rate_quota/tests.rs
+++ b/src/dispatch/rate_quota/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 use crate::dispatch::statistics::{Random, MS, SEC};
 
-/// Time that a message has left.
-const TIME: Nanos = 12 * SEC;
+/// Longest time that a message can wait.
+const LONGEST_WAIT: Nanos = 12 * SEC;
 
 fn quota(listed_rate: f64, senders: u32) -> Option<RateQuota> {
-    RateQuota::for_sender(listed_rate, senders, TIME)
+    RateQuota::for_sender(listed_rate, senders, LONGEST_WAIT)
 }
 
 #[test]
 fn a_sender_whose_turn_comes_within_the_time_of_a_message_waits_for_its_turn() {
-    let ahead = |listed, senders| quota(listed, senders).map(RateQuota::burst_allowance);
-    assert_eq!((ahead(5.0, 59), ahead(5.0, 61)), (Some(0.0), Some(1.0)));
-    assert_eq!((ahead(5.0, 3), ahead(5.0, u32::MAX)), (None, Some(1.0)));
+    let burst = |listed, senders| quota(listed, senders).map(RateQuota::burst_allowance);
+    assert_eq!((burst(5.0, 59), burst(5.0, 61)), (Some(0.0), Some(1.0)));
+    assert_eq!((burst(5.0, 3), burst(5.0, u32::MAX)), (None, Some(1.0)));
     let one = quota(5.0, 300).expect("a quota of many senders");
     assert!((to_secs(one.turn_interval()) - 60.0).abs() < 1e-6);
 }
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn one_of_many_senders_assumes_a_recovery_halfway_since_the_last_failure() {
+fn one_of_many_senders_assumes_a_recovery_halfway_through_the_time_since_the_last_failure() {
     assert_eq!(
         (unobserved_recovery(6.0, 100), unobserved_recovery(6.0, 3)),
         (3.0, 0.0)
@@ -54,29 +54,29 @@
 
 #[test]
 fn a_sender_with_more_traffic_gets_a_larger_quota_and_repeated_messages_do_not_count() {
-    let seen = |first: u64, again: u64, senders| {
+    let multiplier = |first_every_ms: u64, repeat_every_ms: u64, senders| {
         let mut traffic = TrafficShare::new(0);
         traffic.set_listed_rates([60.0, 40.0, f64::NAN].into_iter());
         for i in 1..=40 * SEC / MS {
             let at = i * MS;
-            if i % first == 0 {
+            if i % first_every_ms == 0 {
                 traffic.record_arrival(at, 12 * SEC, 12 * SEC);
             }
-            if i % again == 0 {
+            if i % repeat_every_ms == 0 {
                 traffic.record_arrival(at, 9 * SEC, 12 * SEC);
             }
         }
         traffic.quota_multiplier(40 * SEC, senders)
     };
-    // One message per second is the equal part of 100 per second among 100 senders.
-    assert_eq!(seen(2_000, 50, 100), 1.0);
+    // Of 100 messages per second in all, the equal part of each of 100 senders is one per second.
+    assert_eq!(multiplier(2_000, 50, 100), 1.0);
     assert!(
-        (2.8..3.6).contains(&seen(250, 2_000, 100)),
+        (2.8..3.6).contains(&multiplier(250, 2_000, 100)),
         "{}",
-        seen(250, 2_000, 100)
+        multiplier(250, 2_000, 100)
     );
     assert_eq!(
-        (seen(20, 2_000, 100), seen(20, 2_000, 3)),
+        (multiplier(20, 2_000, 100), multiplier(20, 2_000, 3)),
         (MAX_QUOTA_MULTIPLIER, 1.0)
     );
     assert_eq!(
