--- a/src/coordination/bootstrap.rs
+++ b/src/coordination/bootstrap.rs
@@ -1,4 +1,5 @@
-//! First start of a site: the replicas learn each other's folders before one of them votes.
+//! First start of a site: the replicas learn the incarnations of each other's folders before any of
+//! them votes.
 //!
 //! [`super::raft_group`] explains why a vote belongs to a folder. This module owns the state of a
 //! replica that does not take part yet ([`Bootstrap`]), and the check of whether another replica's
@@ -17,13 +18,13 @@
 pub enum PeerAdmission {
     /// They may be accepted: its folder is known already.
     Known,
-    /// They may be accepted once its folder, which was unknown before, is stored.
+    /// They may be accepted once the incarnation of its folder, unknown before, is stored.
     New,
     /// They are rejected for this reason.
     Rejected(String),
 }
 
-/// A replica that does not take part yet.
+/// The state of a replica that does not take part in its group yet.
 pub struct Bootstrap {
     checkpoint: Checkpoint,
     peers: BTreeSet<u64>,
@@ -32,7 +33,7 @@
 }
 
 impl Bootstrap {
-    /// Returns the first checkpoint of an empty folder of one of a site's first replicas.
+    /// Returns the checkpoint to write into the empty folder of one of a site's first replicas.
     pub fn first_checkpoint(
         identity: ReplicaIdentity,
         peers: impl Iterator<Item = u64>,
@@ -50,7 +51,8 @@
         Checkpoint::new(identity, 1, voters.into_iter().collect(), state)
     }
 
-    /// Returns the first checkpoint of an empty folder where the group exists already.
+    /// Returns the checkpoint to write into the empty folder of a replica that joins an existing
+    /// group.
     pub fn joining_checkpoint(identity: ReplicaIdentity) -> Checkpoint {
         Bootstrap::joining_checkpoint_of::<Record>(identity)
     }
@@ -76,13 +78,13 @@
         }
     }
 
-    /// Returns the checkpoint as it has to be written.
+    /// Returns the current checkpoint, which the caller has to write.
     pub fn checkpoint(&self) -> &Checkpoint {
         &self.checkpoint
     }
 
-    /// Records the incarnation of a peer's folder. A number keeps the first folder that is known
-    /// for it.
+    /// Records the incarnation of a peer's folder. Once one is recorded for a replica number, any
+    /// other is rejected.
     pub fn learn_incarnation(&mut self, replica: u64, incarnation: u64) -> PeerAdmission {
         if !self.peers.contains(&replica) {
             return PeerAdmission::Rejected(format!(
@@ -91,7 +93,7 @@
         }
         match self.checkpoint.known_incarnations.get(&replica) {
             Some(known) if *known == incarnation => PeerAdmission::Known,
-            Some(_) => PeerAdmission::Rejected(another_folder(replica)),
+            Some(_) => PeerAdmission::Rejected(another_folder_reason(replica)),
             None => {
                 let known = &mut self.checkpoint.known_incarnations;
                 known.insert(replica, incarnation);
@@ -110,8 +112,8 @@
     /// Returns the peers that have not completed the exchange of incarnations.
     pub fn missing(&self) -> Vec<u64> {
         let known = &self.checkpoint.known_incarnations;
-        let is_met = |id: &u64| self.known_to.contains(id) && known.contains_key(id);
-        let missing = self.peers.iter().filter(|id| !is_met(id));
+        let is_complete = |id: &u64| self.known_to.contains(id) && known.contains_key(id);
+        let missing = self.peers.iter().filter(|id| !is_complete(id));
         missing.copied().collect()
     }
 
@@ -156,7 +158,7 @@
 ) -> PeerAdmission {
     match state.members.get(&replica) {
         Some(member) if member.incarnation == incarnation => PeerAdmission::Known,
-        Some(_) => PeerAdmission::Rejected(another_folder(replica)),
+        Some(_) => PeerAdmission::Rejected(another_folder_reason(replica)),
         // A replica that joins knows no members yet, and has no state to lose.
         None if state.members.is_empty() => PeerAdmission::Known,
         None if state.removed.contains(&replica) => {
@@ -168,7 +170,7 @@
     }
 }
 
-fn another_folder(replica: u64) -> String {
+fn another_folder_reason(replica: u64) -> String {
     format!(
         "keeper {replica} has another folder than before, or is of another group, and may not \
          vote: if its folder is lost, remove it and add one under another number"
--- a/src/coordination/leader/rules.rs
+++ b/src/coordination/leader/rules.rs
@@ -14,11 +14,11 @@
 pub struct LeaderRules {
     /// Time for which a sender's session lasts without a message from the sender.
     pub lease_ms: u32,
-    /// Time between two heartbeats, by which a leader proves that it still leads.
+    /// Time between two heartbeats. A leader proves by its heartbeats that it still leads.
     #[serde(rename = "beat_ms")]
     pub heartbeat_interval_ms: u32,
-    /// Time for which a leader renews leases after it proposed a heartbeat that was applied: two
-    /// heartbeat intervals and a write to a slow disk.
+    /// Time for which an applied heartbeat permits the leader to renew leases, from when the
+    /// heartbeat was proposed: two heartbeat intervals and a write to a slow disk.
     #[serde(rename = "sure_ms")]
     pub heartbeat_valid_ms: u32,
     /// Maximum number of senders with a session.
@@ -41,8 +41,8 @@
 }
 
 impl LeaderRules {
-    /// Returns an error text for every setting that is out of its range, named by its key; empty if
-    /// all are valid.
+    /// Returns one error text for each setting that is out of its range; the text names the setting
+    /// by its key. Empty if all are valid.
     pub fn faults(&self) -> Vec<String> {
         let LeaderRules {
             lease_ms,
--- a/src/coordination/leader/rules/tests.rs
+++ b/src/coordination/leader/rules/tests.rs
@@ -1,6 +1,6 @@
 use crate::coordination::leader::LeaderRules;
 
-/// Guards against a renamed field that changes the key of existing configuration files.
+/// A field may be renamed here, but its key in existing configuration files must not change.
 #[test]
 fn every_settings_key_keeps_its_spelling_and_its_field() {
     let file = "
--- a/src/coordination/policy_rollout/health/estimate.rs
+++ b/src/coordination/policy_rollout/health/estimate.rs
@@ -1,21 +1,21 @@
-//! An observed share, and the bounds that hold for it.
+//! The share of messages with a bad end, as observed, and bounds of the true share.
 
 use crate::coordination::policy_rollout::health::counts::{MessageCounts, ShareKind};
 
-/// Weight, in messages, by which the difference of two groups before a change is shrunk towards
-/// zero, as a few messages say little about it.
+/// Number of messages at the expected share that are added before two shares are compared. They
+/// shrink the difference towards zero, as a few messages say little about it.
 const SHRINKAGE_MESSAGES: f64 = 2.0;
-/// Bisection steps for a bound: thirty are finer than the share of one message in any number of
-/// them.
+/// Bisection steps for a bound: after thirty, the error is smaller than the share of one message
+/// among any realistic number of messages.
 const BISECTIONS: u32 = 30;
 
-/// A share, and the number of independent messages that it is worth.
+/// The observed share of messages with a bad end, and how much information it rests on.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ShareEstimate {
     pub(super) bad: f64,
     pub(super) total: f64,
-    /// Number of independent messages that carry as much information: less than `total`, because
-    /// messages end in bursts.
+    /// Number of independent messages that carry as much information as the `total` observed ones:
+    /// less than `total`, because messages end in bursts.
     pub(super) effective_total: f64,
 }
 
@@ -39,7 +39,7 @@
     }
 
     /// Returns by how much the share exceeds another one, plus one standard error: a difference of
-    /// that size is expected later as well. Returns 0 where one of them has no message.
+    /// that size is expected later as well. Returns 0 where either side has no message.
     pub(super) fn excess_over(&self, other: &ShareEstimate) -> f64 {
         if self.total == 0.0 || other.total == 0.0 {
             return 0.0;
@@ -47,24 +47,26 @@
         let expected = other.share();
         let dispersion = self.total / self.effective_total;
         let weight = self.total + SHRINKAGE_MESSAGES;
-        let share = (self.bad + SHRINKAGE_MESSAGES * expected) / weight;
-        let spread = share.max(expected);
-        let standard_error = (spread * (1.0 - spread) * dispersion / weight).sqrt();
-        (share - expected + standard_error).max(0.0)
+        let shrunk_share = (self.bad + SHRINKAGE_MESSAGES * expected) / weight;
+        let larger_share = shrunk_share.max(expected);
+        let standard_error = (larger_share * (1.0 - larger_share) * dispersion / weight).sqrt();
+        (shrunk_share - expected + standard_error).max(0.0)
     }
 
-    /// Returns the lower bound of the true share, with an error of `exp(-certainty)`.
+    /// Returns a lower bound of the true share; the probability that it is wrong is at most
+    /// `exp(-certainty)`.
     pub(super) fn lower_bound(&self, certainty: f64) -> f64 {
         self.bound_towards(0.0, certainty)
     }
 
-    /// Returns the upper bound of the true share, with an error of `exp(-certainty)`.
+    /// Returns an upper bound of the true share; the probability that it is wrong is at most
+    /// `exp(-certainty)`.
     pub(super) fn upper_bound(&self, certainty: f64) -> f64 {
         self.bound_towards(1.0, certainty)
     }
 
-    /// Returns the Chernoff bound on the side of `end`: the first share that the observed one rules
-    /// out.
+    /// Returns the Chernoff bound on the side of `end`: from the observed share towards `end`, the
+    /// first true share that the observation rules out.
     fn bound_towards(&self, end: f64, certainty: f64) -> f64 {
         let observed = self.share();
         if self.effective_total <= 0.0 {
@@ -84,7 +86,7 @@
     }
 }
 
-/// Returns how strongly each message speaks against a true share, given the observed one: the
+/// Returns the evidence per message against a supposed true share, given the observed one: the
 /// relative entropy of two Bernoulli distributions.
 fn relative_entropy(observed: f64, true_share: f64) -> f64 {
     let term = |p: f64, q: f64| {
--- a/src/coordination/zones/rules/tests.rs
+++ b/src/coordination/zones/rules/tests.rs
@@ -20,7 +20,8 @@
     );
 }
 
-/// Every key with the spelling of existing configuration files.
+/// Every key in the spelling of existing configuration files. Each has a value of its own, so that
+/// a key that sets another key's field is noticed.
 const ALL_KEYS: &str = "
     windows_ms = [300, 900]
     fail_share = 0.51
--- a/src/delivery/journal/inspect.rs
+++ b/src/delivery/journal/inspect.rs
@@ -20,8 +20,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Maximum number of repeated reads of a folder that a process writes to, where part of it could
-/// not be read.
+/// Maximum number of times that a folder in use is read again because part of it could not be read.
 const READ_RETRIES: usize = 5;
 /// Delay between two reads.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -37,14 +36,14 @@
     /// Size of the file, in bytes.
     #[serde(rename = "size")]
     pub size_bytes: u64,
-    /// Bytes of frames.
+    /// Bytes that the frames occupy.
     #[serde(rename = "used")]
     pub used_bytes: u64,
     /// Frames written.
     pub frames: u64,
     /// Messages whose last `Put` is in this segment.
     pub messages: u64,
-    /// Bytes of the last `Put` frames.
+    /// Bytes of the last `Put` frames of these messages.
     #[serde(rename = "live")]
     pub live_bytes: u64,
 }
@@ -122,10 +121,10 @@
     /// Leftovers of partly failed writes that did not prevent reading.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub anomalies: Vec<String>,
-    /// Bytes of an incomplete frame at the end.
+    /// Bytes of an incomplete frame at the end of the newest segment.
     #[serde(rename = "torn")]
     pub torn_bytes: u64,
-    /// Messages of which events may be lost.
+    /// Number of messages some of whose events may be lost.
     #[serde(rename = "doubted")]
     pub messages_in_doubt: usize,
     /// Duration of the inspection, in milliseconds.
@@ -166,9 +165,10 @@
         None => Vec::new(),
     };
     let disk = Folder::read_only(folder);
+    // A legacy file stands for segment 0; without one, the log begins with segment 1.
     let oldest_sequence = u64::from(legacy.is_none());
     let recovered = recover::scan(&disk, oldest_sequence, &mut replay)?;
-    forget_copied(&legacy_items, &recovered, &mut replay);
+    forget_ended_legacy(&legacy_items, &recovered, &mut replay);
     damage.extend(recovered.damage.iter().map(ToString::to_string));
     let segments = summarize_segments(&recovered);
     let wall_clock = WallClock::at(PersistentClock::open(folder, 0).now_unix_ms());
@@ -206,14 +206,18 @@
     };
     let cut = bytes.len() - legacy.valid_bytes;
     if cut > 0 {
-        damage.push(format!("{name}: {cut} bytes at its end are part of an incomplete entry"));
+        damage.push(format!(
+            "{name}: {cut} bytes at its end are part of an incomplete entry"
+        ));
     }
     replay.add_legacy(legacy.open)
 }
 
-/// Removes the messages of a [`legacy_v1`] file that the log does not have, once the log begins
-/// after that file: those messages have ended.
-fn forget_copied(legacy_items: &[u64], recovered: &RecoveredLog, replay: &mut JournalReplay) {
+/// Removes the messages of a [`legacy_v1`] file that have ended.
+///
+/// Such a file stands for segment 0. Once the oldest segment that counts is a later one, a message
+/// of the file that is not in the log has ended.
+fn forget_ended_legacy(legacy_items: &[u64], recovered: &RecoveredLog, replay: &mut JournalReplay) {
     if recovered.oldest_sequence == 0 {
         return;
     }
--- a/src/delivery/journal/open_record.rs
+++ b/src/delivery/journal/open_record.rs
@@ -11,10 +11,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Maximum number of reads of a body: cleaning may move the body between the lookup and the read.
+/// Maximum number of tries to read a body: a try fails if cleaning moves the body between the
+/// lookup and the read.
 const MAX_BODY_READS: usize = 4;
 
-/// The first attempt of a message that may have run at an endpoint.
+/// Of the attempts of one message, the first that may have run at an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedRun {
     /// Name of the attempt's zone; empty where it is unknown.
@@ -57,7 +58,7 @@
     /// # Errors
     /// The body cannot be read.
     pub async fn load_envelope(&self) -> io::Result<Rc<Envelope>> {
-        let mut failed = io::ErrorKind::NotFound.into();
+        let mut last_error = io::ErrorKind::NotFound.into();
         for _ in 0..MAX_BODY_READS {
             let envelope = self.envelope();
             if envelope.stored_body_bytes == 0 {
@@ -71,15 +72,16 @@
                     return Ok(Rc::new(whole));
                 }
                 // Cleaning may have moved the body; the next read looks it up again.
-                Err(e) => failed = e,
+                Err(e) => last_error = e,
             }
         }
-        Err(failed)
+        Err(last_error)
     }
 
     /// Reads the record from the store, on the worker thread.
     ///
-    /// The outer error is permanent; the inner one concerns only the place that was read.
+    /// The outer error is permanent. The inner one concerns only the place that was read: if
+    /// cleaning has moved the record, another read can succeed.
     async fn read_stored(&self) -> io::Result<io::Result<MessageRecord>> {
         let reader = self.reader().ok_or(io::ErrorKind::NotFound)?;
         let data = match &self.journal.worker {
@@ -104,7 +106,8 @@
         })
     }
 
-    /// Returns the time that the message has left now, by the expiry that an earlier process wrote.
+    /// Returns the time from now until the message expires. The expiry is that in the record, which
+    /// an earlier process wrote.
     pub fn time_left(&self) -> Duration {
         self.with_entry(|entry| {
             let record = &entry.record;
@@ -113,7 +116,8 @@
         })
     }
 
-    /// Waits until all that was written of the message has the journal's [`super::Durability`].
+    /// Waits until everything written about the message so far is as durable as the journal's
+    /// [`super::Durability`] requires.
     ///
     /// # Errors
     /// A sync failed during the wait: written data may be lost.
@@ -121,7 +125,7 @@
         self.journal.durable().await
     }
 
-    /// Whether written data has to be synced before it counts.
+    /// Whether written data has to be synced before it counts as durable.
     pub fn requires_sync(&self) -> bool {
         self.journal.options.requires_sync()
     }
