--- a/src/agent/call_statistics/tests.rs
+++ b/src/agent/call_statistics/tests.rs
@@ -85,5 +85,9 @@
         (MAX_GROUPS, MAX_GROUPS as u32)
     );
     statistics.record_outcome("b", 1, Outcome::Delivered, SEC);
-    assert_eq!(statistics.take_counts(0).len(), 1, "the table has space again");
+    assert_eq!(
+        statistics.take_counts(0).len(),
+        1,
+        "the table has space again"
+    );
 }
--- a/src/agent/connection.rs
+++ b/src/agent/connection.rs
@@ -53,7 +53,8 @@
         let incoming = self.incoming_sender.clone();
         let wheel = self.parts.delivery.wheel.clone();
         let task = async move {
-            let ended = run_connection(address, handshake, connection, outgoing, &incoming, &wheel).await;
+            let ended =
+                run_connection(address, handshake, connection, outgoing, &incoming, &wheel).await;
             let lost = ended.err().unwrap_or(FrameError::Closed);
             let event = ConnectionEvent {
                 connection,
--- a/src/coordination/config/validate.rs
+++ b/src/coordination/config/validate.rs
@@ -130,7 +130,11 @@
     faults.require_key(
         file.peers.len() < MAX_REPLICAS,
         "peer",
-        format!("{} entries, at most {} are allowed", file.peers.len(), MAX_REPLICAS - 1),
+        format!(
+            "{} entries, at most {} are allowed",
+            file.peers.len(),
+            MAX_REPLICAS - 1
+        ),
     );
     faults.require_key(
         !file.agents.is_empty(),
@@ -194,7 +198,10 @@
     faults.require_key(
         federation.sites.len() <= max_sites,
         "site",
-        format!("{} entries, at most {max_sites} are allowed", federation.sites.len()),
+        format!(
+            "{} entries, at most {max_sites} are allowed",
+            federation.sites.len()
+        ),
     );
 }
 
--- a/src/coordination/framing/tests.rs
+++ b/src/coordination/framing/tests.rs
@@ -23,7 +23,10 @@
     assert_eq!(read, hello());
     for torn in 1..whole.len() {
         let result = read_blocking::<Handshake>(&mut &whole[..torn], MAX_FRAME_BYTES);
-        assert!(matches!(result, Err(FrameError::Io(_))), "{torn}: {result:?}");
+        assert!(
+            matches!(result, Err(FrameError::Io(_))),
+            "{torn}: {result:?}"
+        );
     }
     assert!(matches!(
         read_blocking::<Handshake>(&mut &[][..], MAX_FRAME_BYTES),
--- a/src/coordination/policy_rollout/plan.rs
+++ b/src/coordination/policy_rollout/plan.rs
@@ -182,7 +182,10 @@
     /// All faults of the text at once, each with its line and setting.
     pub fn parse(text: &str) -> Result<Plan, Vec<Fault>> {
         let mut source = Text::read(text, MAX_TEXT_BYTES)?;
-        let (stages, health) = (source.values.remove("stage"), source.values.remove("health"));
+        let (stages, health) = (
+            source.values.remove("stage"),
+            source.values.remove("health"),
+        );
         let mut faults = Vec::new();
         let mut plan: Plan = source.fields("", &source.values, &mut faults);
         match stages {
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -162,7 +162,9 @@
     /// Updates the state after a change of policies was applied to the record.
     pub fn applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
         let policies = &record.policies;
-        self.pending_decision = self.pending_decision.filter(|(base, _)| *base >= policies.turn);
+        self.pending_decision = self
+            .pending_decision
+            .filter(|(base, _)| *base >= policies.turn);
         if policies.at != index {
             return;
         }
--- a/src/coordination/raft_group/error.rs
+++ b/src/coordination/raft_group/error.rs
@@ -58,7 +58,9 @@
     #[error("the last keeper cannot be removed")]
     LastReplica,
     /// The replica leads; another one has been asked to take over.
-    #[error("this keeper leads: another one has been asked to take over, repeat the command there")]
+    #[error(
+        "this keeper leads: another one has been asked to take over, repeat the command there"
+    )]
     LeadershipTransferring,
     /// Too much is proposed at once, or a command is too long.
     #[error("too many proposals are pending, or the command is too long")]
--- a/src/coordination/replica/conflicts.rs
+++ b/src/coordination/replica/conflicts.rs
@@ -83,7 +83,10 @@
         for (replica, link) in &self.outgoing {
             let reason = link.state.reason.borrow();
             if !link.state.up.get() && !reason.is_empty() {
-                faults.push((*replica, format!("not reached at {}: {reason}", link.address)));
+                faults.push((
+                    *replica,
+                    format!("not reached at {}: {reason}", link.address),
+                ));
             }
         }
         let (missing, what) = match &self.stage {
--- a/src/coordination/replica/event_loop.rs
+++ b/src/coordination/replica/event_loop.rs
@@ -244,7 +244,10 @@
             }
         }
         let command_text = format!("{command:?}");
-        let kind = command_text.split([' ', '(', '{']).next().unwrap_or_default();
+        let kind = command_text
+            .split([' ', '(', '{'])
+            .next()
+            .unwrap_or_default();
         let checksum = crc32fast::hash(command_text.as_bytes());
         log::debug!(
             "{}: applied {index} {kind} {checksum:08x}",
--- a/src/coordination/replica/formation.rs
+++ b/src/coordination/replica/formation.rs
@@ -54,8 +54,10 @@
         let Stage::Bootstrapping(bootstrap) = &self.stage else {
             return Ok(());
         };
-        self.save_now(LogItem::Checkpoint(Box::new(bootstrap.checkpoint().clone())))
-            .await
+        self.save_now(LogItem::Checkpoint(Box::new(
+            bootstrap.checkpoint().clone(),
+        )))
+        .await
     }
 
     /// Joins the group once all replicas know each other.
--- a/src/coordination/replica/site_links.rs
+++ b/src/coordination/replica/site_links.rs
@@ -171,7 +171,11 @@
     with_timeout(
         &context.wheel,
         WRITE_TIMEOUT,
-        framing::write(&mut stream, &SiteMessage::Rejected(what), MAX_SITE_FRAME_BYTES),
+        framing::write(
+            &mut stream,
+            &SiteMessage::Rejected(what),
+            MAX_SITE_FRAME_BYTES,
+        ),
     )
     .await?;
     Err(FrameError::Io(std::io::ErrorKind::PermissionDenied.into()))
--- a/src/coordination/replica/sites.rs
+++ b/src/coordination/replica/sites.rs
@@ -96,10 +96,8 @@
             configured.extend(configured_addresses.values().flatten().copied());
         }
         configured.extend(peer_addresses.values().flatten().copied());
-        *self.sites.allowed.borrow_mut() = configured
-            .iter()
-            .map(|at| at.ip().to_canonical())
-            .collect();
+        *self.sites.allowed.borrow_mut() =
+            configured.iter().map(|at| at.ip().to_canonical()).collect();
         let Some(own_site) = own_site else { return };
         self.sites
             .outgoing
@@ -145,7 +143,8 @@
         };
         for (site, link) in &self.sites.outgoing {
             if link.state.connection.up.get()
-                && link.state
+                && link
+                    .state
                     .last_heartbeat
                     .get()
                     .is_some_and(|at| at.elapsed() < HEARTBEAT_TIMEOUT)
@@ -244,9 +243,11 @@
     /// Requests the incarnation of a site that is to be added, from each of its replicas in turn
     /// until one answers that leads it.
     fn request_site_incarnation(&mut self, site: u64, addresses: Vec<SocketAddr>) {
-        let (Some(settings), Some(member), Stage::InGroup(group)) =
-            (&self.config.federation, &self.federation_member, &self.stage)
-        else {
+        let (Some(settings), Some(member), Stage::InGroup(group)) = (
+            &self.config.federation,
+            &self.federation_member,
+            &self.stage,
+        ) else {
             return;
         };
         let Some(incarnation) = member.incarnation(group.record()) else {
@@ -288,7 +289,10 @@
             }
             let _ = context
                 .inbox
-                .send(Event::Site(SiteEvent::IncarnationReceived { site, incarnation }))
+                .send(Event::Site(SiteEvent::IncarnationReceived {
+                    site,
+                    incarnation,
+                }))
                 .await;
         };
         self.executor.spawn(request).detach();
@@ -510,7 +514,10 @@
             let reason = link.state.connection.reason.borrow();
             if !link.state.connection.up.get() && !reason.is_empty() {
                 let (name, at) = (member.site_name(*site), &link.addresses);
-                faults.push((*site, format!("site {name}: not reached at {at:?}: {reason}")));
+                faults.push((
+                    *site,
+                    format!("site {name}: not reached at {at:?}: {reason}"),
+                ));
             }
         }
         faults
--- a/src/coordination/replica/start.rs
+++ b/src/coordination/replica/start.rs
@@ -146,10 +146,8 @@
     executor.spawn(async move { wheel.run().await }).detach();
     replica.connect_replicas();
     replica.connect_sites();
-    let (allowed_peers, allowed_sites) = (
-        replica.allowed_peers.clone(),
-        replica.sites.allowed.clone(),
-    );
+    let (allowed_peers, allowed_sites) =
+        (replica.allowed_peers.clone(), replica.sites.allowed.clone());
     let acceptor = Acceptor {
         context: replica.context.clone(),
         config: replica.config.clone(),
--- a/src/delivery/journal/group_sync.rs
+++ b/src/delivery/journal/group_sync.rs
@@ -57,7 +57,9 @@
                 Err(e) => return log::error!("store: {e}"),
             };
             if let Err(e) = self.finish_sync(result, pending) {
-                log::error!("store: sync: {e}; the data that it covered is written again elsewhere");
+                log::error!(
+                    "store: sync: {e}; the data that it covered is written again elsewhere"
+                );
                 async_io::Timer::after(WRITE_RETRY_DELAY).await;
             }
             self.sync.finished.notify(usize::MAX);
--- a/src/delivery/journal/persistent_clock.rs
+++ b/src/delivery/journal/persistent_clock.rs
@@ -152,7 +152,9 @@
             .filter(|unix_ms| *unix_ms >= newest_unix_ms);
         if let Some(unix_ms) = continued {
             let step_ms = now.wall_unix_ms.abs_diff(unix_ms);
-            log::debug!("state: the clock continues from its note, {step_ms} ms apart from the wall clock");
+            log::debug!(
+                "state: the clock continues from its note, {step_ms} ms apart from the wall clock"
+            );
             return PersistentClock::at(unix_ms);
         }
         PersistentClock::at(now.wall_unix_ms)
--- a/src/delivery/message/accept.rs
+++ b/src/delivery/message/accept.rs
@@ -176,7 +176,11 @@
 async fn answer_duplicate(id: &str, duplicate: Duplicate, reply: Box<dyn ClientReply>) {
     match duplicate {
         Duplicate::OtherMessage => {
-            log_step!(debug, id, "not accepted: another message with this id is held");
+            log_step!(
+                debug,
+                id,
+                "not accepted: another message with this id is held"
+            );
             reply.failed().await;
         }
         Duplicate::SameMessage => {
--- a/src/delivery/message/deliver.rs
+++ b/src/delivery/message/deliver.rs
@@ -61,6 +61,11 @@
 
 fn close_without_answer(message: MessageInDelivery) {
     let (id, destination) = (&message.envelope.id, message.envelope.dest);
-    log_step!(debug, id, "{}{destination} closed without a final answer", step::DECIDED);
+    log_step!(
+        debug,
+        id,
+        "{}{destination} closed without a final answer",
+        step::DECIDED
+    );
     let _ = message.record.close();
 }
--- a/tests/agent.rs
+++ b/tests/agent.rs
@@ -288,10 +288,9 @@
                 self.started_attempts += 1;
                 // The attempt belongs to a grant that is still valid for the replica.
                 let epoch = self.view.zones[0].epoch;
-                let open = self
-                    .granted
-                    .iter_mut()
-                    .find(|((e, _), (n, expires_at))| *e >= epoch - 1 && *n > 0 && self.now < *expires_at);
+                let open = self.granted.iter_mut().find(|((e, _), (n, expires_at))| {
+                    *e >= epoch - 1 && *n > 0 && self.now < *expires_at
+                });
                 open.expect("no grant is left").1 .0 -= 1;
             }
             if let Some(epoch) = reservation {
@@ -402,7 +401,10 @@
             })
         };
         let ordered = latest_evacuations(&out).expect("orders");
-        assert_eq!((ordered.len(), ordered[0].epoch, ordered[0].until), (1, 1, None));
+        assert_eq!(
+            (ordered.len(), ordered[0].epoch, ordered[0].until),
+            (1, 1, None)
+        );
         let expiry = SEC + 2_940 * MS;
         agent.on_tick(expiry, &FixedDemand, &mut out);
         let standalone = latest_evacuations(&out).expect("orders");
@@ -523,7 +525,10 @@
         log_after_view(7, vec![order(3, false)]).is_empty(),
         "an outdated order"
     );
-    assert_eq!(log_after_view(8, vec![]), ["zone a in use again by epoch 4"]);
+    assert_eq!(
+        log_after_view(8, vec![]),
+        ["zone a in use again by epoch 4"]
+    );
 }
 
 fn list(
@@ -630,7 +635,10 @@
     // use again once the list has no other route.
     module.apply_change(d.apply(&list(2, false, &[("a4", "a", 1, Ready)])));
     assert_eq!(
-        (module.ready(&d, "a", 1), module.apply_change(d.expire_due())),
+        (
+            module.ready(&d, "a", 1),
+            module.apply_change(d.expire_due())
+        ),
         (0, 0)
     );
     module.apply_change(d.apply(&list(3, false, &[("b1", "b", 1, Draining)])));
@@ -650,7 +658,11 @@
     // A lease makes the zone usable for its attempts, which are counted as they start.
     let until = Instant::now() + Duration::from_secs(60);
     d.grant_lease("a", 1, 6, AttemptLease { attempts: 9, until });
-    assert_eq!(module.apply_change(d.expire_due()), 0, "a lease under another order");
+    assert_eq!(
+        module.apply_change(d.expire_due()),
+        0,
+        "a lease under another order"
+    );
     d.grant_lease("a", 1, 7, AttemptLease { attempts: 2, until });
     module.apply_change(d.expire_due());
     assert_eq!((module.ready(&d, "a", 1), module.admitted(&d)), (1, 3));
@@ -670,7 +682,11 @@
         .flatten()
         .for_each(|n| d.release_reservation(&a1, n));
     module.apply_change(d.expire_due());
-    assert_eq!(module.ready(&d, "a", 1), 1, "the second attempt never started");
+    assert_eq!(
+        module.ready(&d, "a", 1),
+        1,
+        "the second attempt never started"
+    );
     assert!(
         d.start_attempt(&a1) && !d.start_attempt(&a1),
         "and then the lease is used up"
@@ -754,8 +770,14 @@
     let overrides = || Event::ListOverrides(vec![common::ready(1, 1)]);
     assert!(of(false, overrides()), "an evacuation answers no poll");
     assert!(of(true, overrides()), "nor is it a watch event");
-    assert!(!of(true, changes()), "a change of the list is a watch event");
-    assert!(of(false, changes()), "an answer counts from the time of its poll");
+    assert!(
+        !of(true, changes()),
+        "a change of the list is a watch event"
+    );
+    assert!(
+        of(false, changes()),
+        "an answer counts from the time of its poll"
+    );
 }
 
 #[test]
@@ -841,8 +863,9 @@
         Arc::<Record>::default(),
     );
     let call_duration = Duration::from_millis(20);
-    let target =
-        |uid: &str, zone: &str, dest, record: &Arc<Record>| target(uid, zone, dest, call_duration, record);
+    let target = |uid: &str, zone: &str, dest, record: &Arc<Record>| {
+        target(uid, zone, dest, call_duration, record)
+    };
     let targets = vec![
         target("a1", "a", 0, &zone_a),
         target("a2", "a", 0, &zone_a),
@@ -940,7 +963,11 @@
     send_messages(40, 0);
     let calls_after_order = counter.join().expect("counted");
     assert!(ordered_at.elapsed() > Duration::from_secs(1));
-    assert_eq!(calls(&zone_a), calls_after_order, "calls into an evacuated zone");
+    assert_eq!(
+        calls(&zone_a),
+        calls_after_order,
+        "calls into an evacuated zone"
+    );
     send_messages(3, 1);
     wait("the last route", || calls(&only) == 3);
     assert!(is_logged(lines[0]));
@@ -952,7 +979,10 @@
     send_messages(120, 0);
     wait("all granted", || keeper.told().budget == 0);
     let returned_calls = calls(&zone_a) - calls_before_return;
-    assert!((1..=5).contains(&returned_calls), "{returned_calls} calls with 5 leased attempts");
+    assert!(
+        (1..=5).contains(&returned_calls),
+        "{returned_calls} calls with 5 leased attempts"
+    );
     send_messages(20, 0);
     assert!(calls(&zone_a) - calls_before_return <= 5);
     assert!(is_logged(lines[1]));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -99,7 +99,8 @@
             };
             *self.attempts.entry((dispatcher, id)).or_insert(0) += 1;
             let simulated = self.endpoints.get_mut(&endpoint).expect("listed");
-            let (accepted, rejected) = (simulated.accepted.last_mut(), simulated.rejected.last_mut());
+            let (accepted, rejected) =
+                (simulated.accepted.last_mut(), simulated.rejected.last_mut());
             let (end, outcome) = if simulated.down {
                 (self.now + STEP, Outcome::ConnectFailed)
             } else if simulated.remaining > 0 {
@@ -138,8 +139,10 @@
                 arrived += 1;
                 self.arrive((self.sender_of)(self.next, self.senders.len()));
             }
-            while let Some((&(at, dispatcher, id), &outcome)) =
-                self.in_flight.first_key_value().filter(|(k, _)| k.0 <= self.now)
+            while let Some((&(at, dispatcher, id), &outcome)) = self
+                .in_flight
+                .first_key_value()
+                .filter(|(k, _)| k.0 <= self.now)
             {
                 self.in_flight.remove(&(at, dispatcher, id));
                 let finished = outcome == Outcome::Delivered;
@@ -163,8 +166,10 @@
             }
         }
         for r in self.endpoints.values_mut() {
-            r.remaining =
-                (r.limit / 2).max(r.limit.saturating_sub(*r.rejected.last().expect("a window")));
+            r.remaining = (r.limit / 2).max(
+                r.limit
+                    .saturating_sub(*r.rejected.last().expect("a window")),
+            );
             r.accepted.push(0);
             r.rejected.push(0);
         }
@@ -230,8 +235,9 @@
     for _ in 0..6 {
         fleet.window(25.0);
     }
-    let last =
-        |of: fn(&SimulatedEndpoint) -> &Vec<u32>| -> u32 { fleet.endpoints.values().map(|r| of(r)[6]).sum() };
+    let last = |of: fn(&SimulatedEndpoint) -> &Vec<u32>| -> u32 {
+        fleet.endpoints.values().map(|r| of(r)[6]).sum()
+    };
     assert!(
         last(|r| &r.rejected) < 10,
         "still rejected 10 s later: {}",
@@ -389,7 +395,10 @@
             ((totals.last_answer_ms - down * 1_000) as f64) < most * ideal,
             "{senders} {ask} {down}: {totals:?}"
         );
-        assert!(totals.polls <= 3 * senders, "{senders} {ask} {down}: {totals:?}");
+        assert!(
+            totals.polls <= 3 * senders,
+            "{senders} {ask} {down}: {totals:?}"
+        );
     }
 }
 
@@ -406,7 +415,11 @@
 /// that its first poll is late (12 s or more) or early (less than 9 s). Until the time
 /// `fails_until`, each poll fails after `fails_after`. Returns the seconds in which the sender made
 /// calls, the second of the first successful poll, and the times at which polls failed.
-fn calls_of_one_sender(polls_late: bool, fails_until: Nanos, fails_after: Nanos) -> (Vec<u32>, u32, Vec<Nanos>) {
+fn calls_of_one_sender(
+    polls_late: bool,
+    fails_until: Nanos,
+    fails_after: Nanos,
+) -> (Vec<u32>, u32, Vec<Nanos>) {
     let polling = Settings {
         senders: 300,
         poll_list: true,
@@ -475,7 +488,10 @@
     // not be trusted in between.
     for fails_until in [5, 10, 30] {
         let (called, first_answer, _) = calls_of_one_sender(true, fails_until * SEC, QUEUE_TIMEOUT);
-        assert!((0..6).all(|s| called.contains(&s)), "{fails_until}: {called:?}");
+        assert!(
+            (0..6).all(|s| called.contains(&s)),
+            "{fails_until}: {called:?}"
+        );
         assert!(
             (6..12).all(|s| !called.contains(&s)),
             "{fails_until}: {called:?}"
@@ -488,8 +504,12 @@
     // A sender that polls earlier finds the directory down. No sender has received a change by
     // then, so it trusts the list for another six seconds.
     for fails_until in [12, 20] {
-        let (called, first_answer, failed_polls) = calls_of_one_sender(false, fails_until * SEC, UNREACHABLE_AFTER);
-        assert!((0..6).all(|s| called.contains(&s)), "{fails_until}: {called:?}");
+        let (called, first_answer, failed_polls) =
+            calls_of_one_sender(false, fails_until * SEC, UNREACHABLE_AFTER);
+        assert!(
+            (0..6).all(|s| called.contains(&s)),
+            "{fails_until}: {called:?}"
+        );
         let counts_later = |s: u32| {
             let from = |at: &Nanos| Nanos::from(s + 1) * SEC > at + UNREACHABLE_AFTER;
             let to = |at: &Nanos| Nanos::from(s) * SEC < at + 6 * SEC;
@@ -511,8 +531,12 @@
     // A poll that failed in the directory's queue shows that the directory could be reached. Other
     // senders may have received changes, so the sender makes no calls until a poll succeeds.
     for fails_until in [12, 20] {
-        let (called, first_answer, _) = calls_of_one_sender(false, fails_until * SEC, QUEUE_TIMEOUT);
-        assert!((0..6).all(|s| called.contains(&s)), "{fails_until}: {called:?}");
+        let (called, first_answer, _) =
+            calls_of_one_sender(false, fails_until * SEC, QUEUE_TIMEOUT);
+        assert!(
+            (0..6).all(|s| called.contains(&s)),
+            "{fails_until}: {called:?}"
+        );
         assert!(
             first_answer > 12 && (12..first_answer).all(|s| !called.contains(&s)),
             "{fails_until} {first_answer}: {called:?}"
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -310,7 +310,10 @@
         .iter()
         .map(|r| (r.envelope().id.clone(), r.first_possible_run().is_some()))
         .collect();
-    assert_eq!(recovered, [("a".to_string(), true), ("c".to_string(), false)]);
+    assert_eq!(
+        recovered,
+        [("a".to_string(), true), ("c".to_string(), false)]
+    );
 }
 
 #[test]
@@ -425,7 +428,11 @@
     };
     check(&records);
     drop((journal, records));
-    check(&Journal::open(folder.path(), journal_options).expect("opened").1);
+    check(
+        &Journal::open(folder.path(), journal_options)
+            .expect("opened")
+            .1,
+    );
 }
 
 #[test]
--- a/tests/keeper.rs
+++ b/tests/keeper.rs
@@ -314,7 +314,11 @@
             .filter_map(|n| n.1.group.as_ref())
             .collect();
         assert_eq!(groups.len(), voters.len());
-        let newest = groups.iter().map(|g| g.applied_index()).min().expect("some");
+        let newest = groups
+            .iter()
+            .map(|g| g.applied_index())
+            .min()
+            .expect("some");
         assert!(
             newest >= last_acknowledged,
             "seed {}: {last_acknowledged} was acknowledged, {newest} is applied",
@@ -412,8 +416,8 @@
 #[test]
 fn replicas_that_lose_completed_writes_are_detected() {
     // The Raft library panics when it detects that an entry is lost.
-    let found = (0..40)
-        .find(|seed| std::panic::catch_unwind(|| run_simulation(*seed, 3, true)).is_err());
+    let found =
+        (0..40).find(|seed| std::panic::catch_unwind(|| run_simulation(*seed, 3, true)).is_err());
     assert!(found.is_some(), "no seed detected a lost write");
 }
 
@@ -549,7 +553,11 @@
         (vec![3], None)
     );
     bootstrap.note_known_to(3);
-    assert_eq!(bootstrap.missing(), vec![3], "the incarnation of replica 3 is not known yet");
+    assert_eq!(
+        bootstrap.missing(),
+        vec![3],
+        "the incarnation of replica 3 is not known yet"
+    );
     // Replica 2 connects with another incarnation than the known one.
     assert!(matches!(
         bootstrap.learn_incarnation(2, 7),
@@ -822,7 +830,9 @@
     // The disk has room again.
     disk.set_quota(None);
     std::thread::sleep(Duration::from_millis(700));
-    log_store.save(&large_batch(saved_count + 1)).expect("room again");
+    log_store
+        .save(&large_batch(saved_count + 1))
+        .expect("room again");
 }
 
 #[test]
@@ -1130,7 +1140,9 @@
     drop(replicas.remove(&lost_replica));
     std::fs::remove_dir_all(site.state_folder(lost_replica)).expect("removed");
     let lost_replica = site.start(lost_replica);
-    let (_, other) = replicas.first_key_value().expect("one of the first is left");
+    let (_, other) = replicas
+        .first_key_value()
+        .expect("one of the first is left");
     other.wait_for_log("may not vote");
     assert!(
         lost_replica.status().voters.is_empty(),
@@ -1214,9 +1226,8 @@
     let replica = site.start(1);
     replica.wait_for_log("keeper 1 of north: leads in term");
     let started = Instant::now();
-    let mut connections: Vec<TcpStream> = (0..300)
-        .map(|_| replica.connect(PeerRole::Agent))
-        .collect();
+    let mut connections: Vec<TcpStream> =
+        (0..300).map(|_| replica.connect(PeerRole::Agent)).collect();
     for (n, connection) in connections.iter_mut().enumerate() {
         let open = AgentToReplica::OpenSession {
             sender: format!("n{n}"),
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -287,9 +287,10 @@
             };
             let here: Vec<usize> = (0..3).filter(|n| ZONES[*n] == zone).collect();
             if ended
-                || here
-                    .iter()
-                    .any(|n| self.accepting(s, *n).is_some_and(|number| number != is.number))
+                || here.iter().any(|n| {
+                    self.accepting(s, *n)
+                        .is_some_and(|number| number != is.number)
+                })
             {
                 s.violations.push("a change without all confirmations");
             }
@@ -297,7 +298,8 @@
                 .iter()
                 .any(|n| live(*n) && !s.senders[*n].stored.contains(&is.number))
             {
-                s.violations.push("a change before all senders had stored it");
+                s.violations
+                    .push("a change before all senders had stored it");
             }
         }
         let leader = &mut s.leaders[at];
@@ -648,9 +650,10 @@
                 .any(|c| matches!(c, Command::ChangePolicies { change, .. } if what(change)))
         }
         if self.back {
-            properties.push(Property::<Self>::sometimes("the rollback completes", |_, s: &State| {
-                s.leaders.iter().any(|l| l.record.policies.past.len() > 1)
-            }));
+            properties.push(Property::<Self>::sometimes(
+                "the rollback completes",
+                |_, s: &State| s.leaders.iter().any(|l| l.record.policies.past.len() > 1),
+            ));
         } else if self.faults_left[5] > 0 {
             properties.push(Property::<Self>::sometimes(
                 "a rejection ends the rollout",
@@ -766,7 +769,11 @@
         check("change, restarts", change(Fault::None, 0, 1), max_states()),
         None
     );
-    let found = check("back, restarts", back(Fault::AcceptsUninformed, 1), max_states());
+    let found = check(
+        "back, restarts",
+        back(Fault::AcceptsUninformed, 1),
+        max_states(),
+    );
     assert!(found.is_some(), "{found:?}");
 }
 
--- a/tests/model_tables/agreed.rs
+++ b/tests/model_tables/agreed.rs
@@ -155,7 +155,10 @@
             s.decided.pop();
         }
         if after.table.number > before.table.number {
-            if s.sites.iter().any(|site| site.on_roster && !site.accepted_proposal) {
+            if s.sites
+                .iter()
+                .any(|site| site.on_roster && !site.accepted_proposal)
+            {
                 s.wrong.push("decided without the word of all");
             }
             s.decided.push(after.table.number);
@@ -163,7 +166,9 @@
         if before.proposal.as_ref().map(|p| p.table.number)
             != after.proposal.as_ref().map(|p| p.table.number)
         {
-            s.sites.iter_mut().for_each(|site| site.accepted_proposal = false);
+            s.sites
+                .iter_mut()
+                .for_each(|site| site.accepted_proposal = false);
         }
     }
 
@@ -237,7 +242,9 @@
             return;
         }
         let mut record = s.record.clone();
-        late_commands.iter().for_each(|command| record.apply(0, command));
+        late_commands
+            .iter()
+            .for_each(|command| record.apply(0, command));
         if record != s.record {
             s.wrong.push("a late word that counts");
         }
--- a/tests/model_zones.rs
+++ b/tests/model_zones.rs
@@ -511,9 +511,13 @@
                 for _ in 0..1 + u8::from(doubled) {
                     let (now, mut out) = (self.clock(&s, at), Vec::new());
                     let leader = &mut s.leaders[at];
-                    leader
-                        .duties
-                        .on_agent_message(now, n as u64, &message, &leader.record, &mut out);
+                    leader.duties.on_agent_message(
+                        now,
+                        n as u64,
+                        &message,
+                        &leader.record,
+                        &mut out,
+                    );
                     self.handle_effects(&mut s, at, out);
                 }
                 self.tick(&mut s, at);
@@ -542,9 +546,13 @@
                     };
                     let (now, mut out) = (self.clock(&s, at), Vec::new());
                     let leader = &mut s.leaders[at];
-                    leader
-                        .duties
-                        .on_agent_message(now, n as u64, &message, &leader.record, &mut out);
+                    leader.duties.on_agent_message(
+                        now,
+                        n as u64,
+                        &message,
+                        &leader.record,
+                        &mut out,
+                    );
                     self.handle_effects(&mut s, at, out);
                 }
             }
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -124,8 +124,8 @@
                     rate: LISTED_RATE,
                     ..common::line(0, d, 2, Condition::Ready)
                 });
-                let limit =
-                    (f64::from(LISTED_RATE) * self.limit * WINDOW as f64 / SEC as f64).round() as u32;
+                let limit = (f64::from(LISTED_RATE) * self.limit * WINDOW as f64 / SEC as f64)
+                    .round() as u32;
                 endpoints.insert(
                     (endpoint.addr, endpoint.port),
                     SimulatedEndpoint {
@@ -163,7 +163,8 @@
             let first = now == start;
             let mut count = if first { self.held * self.senders } else { 0 };
             while next_arrival <= now && next_arrival < end {
-                next_arrival += (-(1.0 - draw(&mut seed)).ln() / self.traffic * SEC as f64) as Nanos;
+                next_arrival +=
+                    (-(1.0 - draw(&mut seed)).ln() / self.traffic * SEC as f64) as Nanos;
                 count += 1;
             }
             for i in 0..count {
@@ -285,8 +286,14 @@
             ..Simulation::default()
         }
         .run();
-        assert!(totals.delivered_share() >= 0.95, "{senders} {seed}: {totals:?}");
-        assert!(totals.rejected_share() < 0.03, "{senders} {seed}: {totals:?}");
+        assert!(
+            totals.delivered_share() >= 0.95,
+            "{senders} {seed}: {totals:?}"
+        );
+        assert!(
+            totals.rejected_share() < 0.03,
+            "{senders} {seed}: {totals:?}"
+        );
     }
 }
 
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -214,7 +214,9 @@
     let log = sender.log();
     assert!(!log.said("hook: ended under 12"));
     assert!(!sender.hand_in("new", 0, Duration::from_secs(16), &heard));
-    wait("the end of the pending message", || log.said("hook: ended under 12"));
+    wait("the end of the pending message", || {
+        log.said("hook: ended under 12")
+    });
     // It continues with the record's policy once a keeper answers again.
     keeper.told().away = false;
     wait("an accepted message", || {
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -189,14 +189,18 @@
     fn carry_out(&mut self, n: usize, out: Vec<SessionEffect>) {
         for out in out {
             match out {
-                SessionEffect::Connect {
-                    connection, ..
-                } => self.senders[n].connection = connection,
+                SessionEffect::Connect { connection, .. } => {
+                    self.senders[n].connection = connection
+                }
                 SessionEffect::Disconnect => self.senders[n].connection = 0,
                 SessionEffect::Send(message) => {
                     if let AgentToReplica::PolicyApplied { turn } = message {
                         let sender = &mut self.senders[n];
-                        assert!(turn >= sender.last_reply_turn, "turn {turn} after {}", sender.last_reply_turn);
+                        assert!(
+                            turn >= sender.last_reply_turn,
+                            "turn {turn} after {}",
+                            sender.last_reply_turn
+                        );
                         sender.last_reply_turn = turn;
                     }
                     let connection = self.senders[n].connection;
@@ -312,7 +316,9 @@
 
     fn set_rule(&mut self, number: u64, paused: bool) {
         self.rule = (self.rule.0 + 1, number, paused);
-        self.live_senders().into_iter().for_each(|n| self.send_rule(n));
+        self.live_senders()
+            .into_iter()
+            .for_each(|n| self.send_rule(n));
     }
 
     /// Advances the record: to the next policy with the replies of all live senders, or back.
@@ -353,7 +359,11 @@
                 }
             }
             Change::Offered(number) => {
-                if !live.is_empty() && live.iter().all(|n| self.stored_documents[*n].contains(&number)) {
+                if !live.is_empty()
+                    && live
+                        .iter()
+                        .all(|n| self.stored_documents[*n].contains(&number))
+                {
                     self.set_rule(self.rule.1, true);
                     self.change = Change::Paused(number, self.now + PAUSE_TIMEOUT);
                 }
@@ -391,8 +401,12 @@
                     sender.stored.clone(),
                     sender.last,
                 );
-                (sender.clock_start, sender.admission, sender.connection, sender.last_reply_turn) =
-                    (self.now, AdmissionRequirement::Fenced, 0, 0);
+                (
+                    sender.clock_start,
+                    sender.admission,
+                    sender.connection,
+                    sender.last_reply_turn,
+                ) = (self.now, AdmissionRequirement::Fenced, 0, 0);
                 self.to_agent.retain(|w| w.1 != n);
                 self.checks.retain(|c| c.1 != n);
             }
@@ -616,7 +630,11 @@
         receive_rule(5, 3, true),
         (vec![AdmissionRequirement::Paused], vec![5])
     );
-    assert_eq!(receive_rule(4, 3, false), (vec![], vec![]), "an earlier turn");
+    assert_eq!(
+        receive_rule(4, 3, false),
+        (vec![], vec![]),
+        "an earlier turn"
+    );
     assert_eq!(
         receive_rule(5, 3, false),
         (vec![], vec![5]),
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -226,7 +226,10 @@
             "{n}"
         );
     }
-    assert!(exceeds_limit(max_calls_per_window(100.0) as usize + 1, 100.0));
+    assert!(exceeds_limit(
+        max_calls_per_window(100.0) as usize + 1,
+        100.0
+    ));
 }
 
 /// Duration of a delivered call, and of a failed connect.
--- a/tests/tables.rs
+++ b/tests/tables.rs
@@ -779,7 +779,10 @@
             .filter_map(|s| s.admitted_table(self.now))
             .collect();
         let register = self.record.tables.register;
-        assert!(admitting.len() <= 1, "tables {admitting:?} at once, {register:?}");
+        assert!(
+            admitting.len() <= 1,
+            "tables {admitting:?} at once, {register:?}"
+        );
         if self.fifo {
             let (table, before) = (self.federation.table.number, self.federation.before.number);
             let beyond = self.now > self.site_lease_end + FENCE;
