--- a/simulator/tests/policy.rs
+++ b/simulator/tests/policy.rs
@@ -55,7 +55,10 @@
             );
             let policies = &played.record.policies;
             assert_eq!(
-                (policies.given, count(&played, |c| *c == Change::Commit)),
+                (
+                    policies.last_number,
+                    count(&played, |c| *c == Change::Commit)
+                ),
                 (1, 3),
                 "{stage} {step:?}"
             );
--- a/src/agent/document_store/validation.rs
+++ b/src/agent/document_store/validation.rs
@@ -22,7 +22,7 @@
     const FOLDER: &'static str = "policies";
     const NAME: &'static str = "policy";
     const MAX_DOCUMENTS: usize = policies::MAX_POLICIES;
-    const MAX_TEXT_BYTES: usize = policy::MOST_TEXT;
+    const MAX_TEXT_BYTES: usize = policy::MAX_TEXT_BYTES;
     type ValidationContext = PolicyValidationContext;
     type Validated = Policy;
 
@@ -142,7 +142,7 @@
             return Err(DocumentError::DigestMismatch);
         }
         let (settings, admission) = document
-            .lay_over(&self.settings, &self.classes, &self.admission)
+            .merge_into(&self.settings, &self.classes, &self.admission)
             .map_err(faults)?;
         let mut exceeded = self.exceeded_bounds(&settings);
         let hook = match compile_hook(&document) {
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -38,7 +38,7 @@
 
 use crate::coordination::messages::{OperatorRequest, OperatorResponse, ReplicaToAgent};
 use crate::coordination::policy_rollout::register::Change;
-use crate::coordination::policy_rollout::rollout::Roll;
+use crate::coordination::policy_rollout::rollout::RolloutController;
 use crate::coordination::record::{Command, Record};
 use crate::coordination::routing_table::cutover::Cutover;
 use crate::coordination::routing_table::federation;
@@ -150,7 +150,7 @@
     pending_zone_orders: VecDeque<PendingZoneOrder>,
     pending_policy_orders: Vec<PendingPolicyOrder>,
     pending_table_orders: Vec<PendingTableOrder>,
-    roll: Roll,
+    roll: RolloutController,
     cutover: Cutover,
     /// The federation as this replica sees it; `None` if the site is not a member of one.
     federation_view: Option<FederationView>,
@@ -179,7 +179,7 @@
             pending_zone_orders: VecDeque::new(),
             pending_policy_orders: Vec::new(),
             pending_table_orders: Vec::new(),
-            roll: Roll::new(now, Some(now)),
+            roll: RolloutController::new(now, Some(now)),
             cutover: Cutover::new(now, Some(now)),
             federation_view: None,
             evidence: Evidence::new(rules.zones.clone()),
@@ -204,7 +204,7 @@
     /// The time since then is added to the record's clock by the first heartbeat, as no other
     /// leader counts it.
     pub fn with_last_leader_seen(mut self, now: Nanos, at: Option<Nanos>) -> LeaderDuties {
-        self.roll = Roll::new(now, at);
+        self.roll = RolloutController::new(now, at);
         self.cutover = Cutover::new(now, at);
         self.heartbeats.count_since(now, at);
         self
--- a/src/coordination/leader/agent_messages.rs
+++ b/src/coordination/leader/agent_messages.rs
@@ -167,7 +167,8 @@
             .get(&connection)
             .and_then(|sender| record.roster.get(sender));
         if let Some(member) = member {
-            self.roll.hear(now, &member.zone, report.outcomes, record);
+            self.roll
+                .record_outcomes(now, &member.zone, report.outcomes, record);
         }
     }
 
@@ -181,7 +182,7 @@
         effects: &mut Vec<Effect>,
     ) {
         match self.sender_on(connection) {
-            Some(sender) => self.roll.stored(&sender, number, refused, record),
+            Some(sender) => self.roll.record_check(&sender, number, refused, record),
             None => effects.push(Effect::Send(connection, ReplicaToAgent::UnknownSession)),
         }
     }
@@ -199,7 +200,7 @@
             effects.push(Effect::Send(connection, ReplicaToAgent::UnknownSession));
             return;
         };
-        if let Some(change) = self.roll.rules(now, &sender, turn, record) {
+        if let Some(change) = self.roll.record_applied(now, &sender, turn, record) {
             effects.push(propose_policy_change(record, change));
         }
     }
--- a/src/coordination/leader/announce.rs
+++ b/src/coordination/leader/announce.rs
@@ -109,7 +109,7 @@
         };
         let send = &mut |message| effects.push(Effect::Send(connection, message));
         self.roll
-            .say(now, sender, &member.zone, record, offers, send);
+            .announce(now, sender, &member.zone, record, offers, send);
     }
 
     /// Sends a sender the messages on routing tables that are due; `offers` is the number of texts
--- a/src/coordination/leader/orders.rs
+++ b/src/coordination/leader/orders.rs
@@ -13,7 +13,7 @@
     FederationRequest, OperatorRequest, OperatorResponse, RequestedZoneState,
 };
 use crate::coordination::policy_rollout::register::Change;
-use crate::coordination::policy_rollout::rollout::Roll;
+use crate::coordination::policy_rollout::rollout::RolloutController;
 use crate::coordination::record::{Command, Phase, Record, ZoneOverride};
 use crate::coordination::routing_table::cutover::Cutover;
 use crate::Nanos;
@@ -69,7 +69,7 @@
                 OperatorResponse::PolicyStatus(Box::new(self.roll.status(now, record)))
             }
             OperatorRequest::PolicyHistory => {
-                OperatorResponse::PolicyHistory(Roll::history(record))
+                OperatorResponse::PolicyHistory(RolloutController::history(record))
             }
             OperatorRequest::PolicyText { number } => policy_text(*number, record),
             OperatorRequest::AddReplica { .. } | OperatorRequest::RemoveReplica { .. } => {
@@ -166,7 +166,7 @@
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
-        let answer = match self.roll.order(request, record) {
+        let answer = match self.roll.handle_request(request, record) {
             Err(why) => OperatorResponse::Rejected(why),
             Ok(None) => OperatorResponse::Done(record.version),
             Ok(Some(_)) if self.pending_policy_orders.len() >= MAX_PENDING_ORDERS => {
@@ -289,7 +289,7 @@
         record: &Record,
         effects: &mut Vec<Effect>,
     ) {
-        self.roll.applied(now, index, change, record);
+        self.roll.on_change_applied(now, index, change, record);
         let was_applied = record.policies.at == index;
         let turn = record.policies.turn;
         let (overtaken, waiting): (Vec<_>, Vec<_>) =
--- a/src/coordination/leader/sessions.rs
+++ b/src/coordination/leader/sessions.rs
@@ -119,7 +119,7 @@
         self.sender_names.remove(&session.id);
         self.evidence.remove_reporter(session.id);
         self.endpoint_lists.remove_sender(session.id);
-        self.roll.part(sender);
+        self.roll.close_session(sender);
         self.cutover.on_session_closed(sender);
     }
 
@@ -226,7 +226,7 @@
         }
         self.connections.insert(connection, sender.to_string());
         self.roll
-            .meet(sender, request.boot, request.stored_policies);
+            .open_session(sender, request.boot, request.stored_policies);
         self.cutover.on_session_opened(sender, request.boot);
         // The sender gets the active policies before its lease is renewed.
         self.announce_policies(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
@@ -343,7 +343,8 @@
         }
         self.connections.insert(connection, sender.to_string());
         let stored_policies = joining.stored_policies.as_deref();
-        self.roll.meet(sender, joining.boot, stored_policies);
+        self.roll
+            .open_session(sender, joining.boot, stored_policies);
         self.cutover.on_session_opened(sender, joining.boot);
         self.announce_policies(now, sender, record, &mut { MAX_OFFERS_PER_ROUND }, effects);
         if let Some(tables) = joining.stored_tables {
--- a/src/coordination/policy_rollout/document.rs
+++ b/src/coordination/policy_rollout/document.rs
@@ -22,7 +22,7 @@
 /// Longest policy, in bytes of its text. A policy has to fit into a command of the record (64 KiB)
 /// together with its plan, and a snapshot of 1 MiB has to hold eight of them together with ten
 /// thousand senders.
-pub const MOST_TEXT: usize = 32 * 1024;
+pub const MAX_TEXT_BYTES: usize = 32 * 1024;
 /// Most classes that a policy may name: four times as many as any simulated site has.
 const MAX_CLASSES: usize = 64;
 /// Longest time that a class may set, in milliseconds: a day.
@@ -249,7 +249,7 @@
     /// # Errors
     /// All faults of the text at once, each with its line and setting.
     pub fn parse(text: &str) -> Result<Document, Vec<Fault>> {
-        let table = Text::read(text, MOST_TEXT)?;
+        let table = Text::read(text, MAX_TEXT_BYTES)?;
         let mut faults = Vec::new();
         let mut document = Document {
             lines: table.lines.clone(),
@@ -372,7 +372,7 @@
     ///
     /// # Errors
     /// All reasons why this sender cannot apply the policy.
-    pub fn lay_over(
+    pub fn merge_into(
         &self,
         own: &Settings,
         classes: &[String],
@@ -394,7 +394,7 @@
             let at = classes.iter().position(|class| class == name);
             match at.and_then(|at| settings.classes.get_mut(at)) {
                 Some(class) => {
-                    terms.lay_over(class);
+                    terms.merge_into(class);
                     if class.latency_objective > class.deadline {
                         let (latency_objective, deadline) =
                             (class.latency_objective / MS, class.deadline / MS);
@@ -441,7 +441,7 @@
 }
 
 impl ClassTerms {
-    fn lay_over(&self, class: &mut Class) {
+    fn merge_into(&self, class: &mut Class) {
         let ms = |set: Option<u64>, own| set.map_or(own, |ms| ms * MS);
         class.latency_objective = ms(self.promise_ms, class.latency_objective);
         class.deadline = ms(self.deadline_ms, class.deadline);
--- a/src/coordination/policy_rollout/document/tests.rs
+++ b/src/coordination/policy_rollout/document/tests.rs
@@ -70,7 +70,7 @@
         torn.iter().any(|f| f.line == Some(1)) && torn.iter().any(|f| f.line == Some(2)),
         "{torn:?}"
     );
-    let long = format!("hook = \"{}\"", "x".repeat(MOST_TEXT));
+    let long = format!("hook = \"{}\"", "x".repeat(MAX_TEXT_BYTES));
     assert!(Document::parse(&long).expect_err("long")[0]
         .problem
         .contains("may be"));
@@ -117,7 +117,9 @@
         per_address: Some(7),
         ..Door::default()
     };
-    let (settings, door) = policy.lay_over(&own, &classes, &own_door).expect("usable");
+    let (settings, door) = policy
+        .merge_into(&own, &classes, &own_door)
+        .expect("usable");
     assert_eq!(
         (
             settings.max_in_flight_calls,
@@ -137,7 +139,7 @@
         (Some(7), 2, 0.5)
     );
     let (same, _) = Document::default()
-        .lay_over(&own, &classes, &own_door)
+        .merge_into(&own, &classes, &own_door)
         .expect("nothing changes");
     assert_eq!(format!("{same:?}"), format!("{own:?}"));
 }
@@ -148,7 +150,7 @@
     let text = "[class.quick]\ndeadline_ms = 1000\n[class.odd]\npoints = 2.0\n[door]\nreserve = 3\nclass_room = { rare = 0.5 }\n";
     let policy = Document::parse(text).expect("good as such");
     let faults = policy
-        .lay_over(&own, &classes, &Door::default())
+        .merge_into(&own, &classes, &Door::default())
         .expect_err("not here");
     let reported: Vec<String> = faults.iter().map(Fault::to_string).collect();
     for named in [
@@ -168,7 +170,7 @@
         ..own
     };
     let faults = Document::default()
-        .lay_over(&none, &classes, &Door::default())
+        .merge_into(&none, &classes, &Door::default())
         .expect_err("no slots");
     assert_eq!(faults[0].setting, "limits.slots");
 }
--- a/src/coordination/policy_rollout/register.rs
+++ b/src/coordination/policy_rollout/register.rs
@@ -33,7 +33,7 @@
 
 /// A stored policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Text {
+pub struct StoredPolicy {
     /// Digest of the policy.
     pub digest: Digest,
     /// Text of the policy.
@@ -110,7 +110,7 @@
 
 /// A rollout that has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Past {
+pub struct EndedRollout {
     /// Number of its policy.
     pub number: u64,
     /// Number of the policy that it rolled back; 0 for none.
@@ -182,15 +182,15 @@
     /// Register of each zone.
     pub zones: BTreeMap<String, Register>,
     /// Highest policy number that was assigned.
-    pub given: u64,
+    pub last_number: u64,
     /// Stored policies by number.
-    pub texts: BTreeMap<u64, Text>,
+    pub texts: BTreeMap<u64, StoredPolicy>,
     /// Rollout in progress.
     pub rollout: Option<Rollout>,
     /// Last rollout that was completed and can still be rolled back.
     pub last: Option<Rollout>,
     /// Rollouts that have ended, the newest last.
-    pub past: VecDeque<Past>,
+    pub past: VecDeque<EndedRollout>,
 }
 
 impl Policies {
@@ -248,11 +248,11 @@
                 if self.rollout.is_some() || plan.stage.is_empty() {
                     return None;
                 }
-                self.given += 1;
-                let number = self.given;
+                self.last_number += 1;
+                let number = self.last_number;
                 self.texts.insert(
                     number,
-                    Text {
+                    StoredPolicy {
                         digest: *digest,
                         text: text.clone(),
                     },
@@ -391,14 +391,14 @@
         for zone in plan.zones() {
             let before = r.from.get(zone).copied().unwrap_or_default();
             let text = self.texts.get(&before).cloned().filter(|_| before != 0);
-            let text = text.unwrap_or(Text {
+            let text = text.unwrap_or(StoredPolicy {
                 digest: *own,
                 text: String::new(),
             });
             let number = *numbers.entry(text.digest).or_insert_with(|| {
-                self.given += 1;
-                self.texts.insert(self.given, text);
-                self.given
+                self.last_number += 1;
+                self.texts.insert(self.last_number, text);
+                self.last_number
             });
             to.insert(zone.clone(), number);
         }
@@ -423,7 +423,7 @@
         if self.past.len() >= MAX_PAST_ROLLOUTS {
             self.past.pop_front();
         }
-        self.past.push_back(Past {
+        self.past.push_back(EndedRollout {
             number: r.number,
             back_of: r.back_of,
             digest: self.digest(r.number).unwrap_or_default(),
--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -33,7 +33,7 @@
 const PAUSE_RETRY_DELAYS: (Nanos, Nanos) = (SECOND, 60 * SECOND);
 /// Least time between a pause for a routing table and the pause of a stage, so that waiting
 /// messages are accepted in between.
-pub(crate) const APART: Nanos = SECOND / 2;
+pub(crate) const MIN_PAUSE_GAP: Nanos = SECOND / 2;
 /// Number of revoked pauses of a stage after which the rollout halts.
 const MAX_REVOKED_PAUSES: u32 = 10;
 /// Time for which senders have to be missing from a stage before that counts: a sender that
@@ -45,7 +45,7 @@
 
 /// State of the policy rollouts that a leader runs.
 #[derive(Clone, Debug)]
-pub struct Roll {
+pub struct RolloutController {
     begun: Nanos,
     registry: SenderRegistry,
     health: RolloutHealth,
@@ -71,11 +71,11 @@
     table_paused_at: Option<Nanos>,
 }
 
-impl Roll {
+impl RolloutController {
     /// Creates the state of a new leader. `led` is when this replica last saw a leader, another one
     /// or itself; `None` where it never did.
-    pub fn new(now: Nanos, led: Option<Nanos>) -> Roll {
-        Roll {
+    pub fn new(now: Nanos, led: Option<Nanos>) -> RolloutController {
+        RolloutController {
             begun: now,
             registry: SenderRegistry::default(),
             health: RolloutHealth::default(),
@@ -94,17 +94,23 @@
 
     /// Records that a sender opened a session, with the policies that it has stored. On a new
     /// connection it has confirmed nothing yet.
-    pub fn meet(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
+    pub fn open_session(&mut self, sender: &str, boot: u64, stored: Option<&[(u64, Digest)]>) {
         self.registry.open_session(sender, boot, stored);
     }
 
     /// Records that a sender's session was closed.
-    pub fn part(&mut self, sender: &str) {
+    pub fn close_session(&mut self, sender: &str) {
         self.registry.close_session(sender);
     }
 
     /// Records that a sender has checked a policy.
-    pub fn stored(&mut self, sender: &str, number: u64, refused: Option<&str>, record: &Record) {
+    pub fn record_check(
+        &mut self,
+        sender: &str,
+        number: u64,
+        refused: Option<&str>,
+        record: &Record,
+    ) {
         let Some(digest) = record.policies.digest(number) else {
             return;
         };
@@ -123,7 +129,7 @@
 
     /// Records that a sender applies a turn. If it was the last one that a pause waited for, the
     /// next decision is made immediately.
-    pub fn rules(
+    pub fn record_applied(
         &mut self,
         now: Nanos,
         sender: &str,
@@ -142,7 +148,7 @@
     }
 
     /// Records the message outcomes that a sender reports.
-    pub fn hear(
+    pub fn record_outcomes(
         &mut self,
         now: Nanos,
         zone: &str,
@@ -160,7 +166,7 @@
     }
 
     /// Updates the state after a change of policies was applied to the record.
-    pub fn applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
+    pub fn on_change_applied(&mut self, now: Nanos, index: u64, change: &Change, record: &Record) {
         let policies = &record.policies;
         self.pending_decision = self
             .pending_decision
@@ -241,7 +247,7 @@
 
     /// Sends a sender what it lacks: its register, where it has not confirmed that turn, and
     /// policies that it has not stored.
-    pub fn say(
+    pub fn announce(
         &mut self,
         now: Nanos,
         sender: &str,
@@ -355,7 +361,7 @@
 
     /// Returns what the stage lacks, once it has been lacking for [`MISSING_GRACE`].
     fn missing_for_long(&mut self, now: Nanos, record: &Record, r: &Rollout) -> Option<String> {
-        let lack = match Roll::zone_without_senders(record, r.zones()) {
+        let lack = match RolloutController::zone_without_senders(record, r.zones()) {
             Some(zone) => Some(format!("zone {zone}: none of its senders holds a lease")),
             None if r.step == Step::Soaking && r.back_of == 0 => {
                 let own = record
@@ -474,8 +480,10 @@
                 let rested = r.tries == 0 || passed >= first.min(PAUSE_RETRY_DELAYS.1);
                 let watch = Nanos::from(r.plan.watch_s) * SECOND;
                 let watched = r.back_of != 0 || now >= self.observed_since + watch;
-                let empty = Roll::zone_without_senders(record, r.zones()).is_some();
-                let apart = self.table_paused_at.is_none_or(|at| now >= at + APART);
+                let empty = RolloutController::zone_without_senders(record, r.zones()).is_some();
+                let apart = self
+                    .table_paused_at
+                    .is_none_or(|at| now >= at + MIN_PAUSE_GAP);
                 (!silent && rested && watched && !empty && apart).then_some(Change::Pause)
             }
             Step::Paused => {
@@ -507,7 +515,11 @@
                 if let Some(why) = self.missing_for_long(now, record, r) {
                     return halt(why);
                 }
-                let done = |roll: &Roll| roll.without_confirmation(record, r.zones()).is_empty();
+                let done = |controller: &RolloutController| {
+                    controller
+                        .without_confirmation(record, r.zones())
+                        .is_empty()
+                };
                 if r.back_of != 0 {
                     // A policy that ran there before is not judged again.
                     return done(self).then_some(Change::Next);
@@ -549,7 +561,7 @@
     ///
     /// # Errors
     /// The reason why the request is rejected.
-    pub fn order(
+    pub fn handle_request(
         &self,
         request: &OperatorRequest,
         record: &Record,
@@ -761,7 +773,7 @@
     }
 }
 
-fn past(p: &super::register::Past) -> messages::PastRollout {
+fn past(p: &super::register::EndedRollout) -> messages::PastRollout {
     messages::PastRollout {
         number: p.number,
         back_of: p.back_of,
--- a/src/coordination/routing_table/cutover/decisions.rs
+++ b/src/coordination/routing_table/cutover/decisions.rs
@@ -1,7 +1,7 @@
 //! Chooses the next change of the site's tables.
 
 use crate::coordination::messages::SiteAdmission;
-use crate::coordination::policy_rollout::rollout::APART;
+use crate::coordination::policy_rollout::rollout::MIN_PAUSE_GAP;
 use crate::coordination::record::Record;
 use crate::coordination::routing_table::cutover::{Cutover, MS, SECOND};
 use crate::coordination::routing_table::federation_view::FederationView;
@@ -76,7 +76,9 @@
         let is_any_silent = self.not_on_turn(record).into_iter().any(silent);
         let is_rested =
             tables.tries == 0 || now >= self.step.began_at + retry_backoff(tables.tries);
-        let is_apart = self.policy_paused_at.is_none_or(|at| now >= at + APART);
+        let is_apart = self
+            .policy_paused_at
+            .is_none_or(|at| now >= at + MIN_PAUSE_GAP);
         is_stored && !is_any_silent && is_rested && is_apart
     }
 
--- a/tests/model_policy.rs
+++ b/tests/model_policy.rs
@@ -12,7 +12,7 @@
 use raildeal::coordination::policy_rollout::document::Document;
 use raildeal::coordination::policy_rollout::plan::Plan;
 use raildeal::coordination::policy_rollout::register::{Change, Step};
-use raildeal::coordination::policy_rollout::rollout::Roll;
+use raildeal::coordination::policy_rollout::rollout::RolloutController;
 use raildeal::coordination::record::{Command, Record};
 use stateright::{Checker, Model, Property, UniformChooser};
 use std::collections::BTreeSet;
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 struct Leader {
     term: u64,
-    roll: Roll,
+    roll: RolloutController,
     record: Record,
     proposed: Vec<Command>,
 }
@@ -198,7 +198,7 @@
         }
         let (now, mut offers) = (s.now * MS, 10);
         let messages = &mut s.messages;
-        leader.roll.say(
+        leader.roll.announce(
             now,
             &name(n),
             ZONES[n],
@@ -247,7 +247,7 @@
         for (index, command) in s.log.iter().enumerate() {
             self.apply(&mut record, index as u64 + 1, command);
         }
-        let roll = Roll::new(s.now * MS, Some(s.now * MS));
+        let roll = RolloutController::new(s.now * MS, Some(s.now * MS));
         s.leaders.push(Leader {
             term,
             roll,
@@ -305,7 +305,7 @@
         let leader = &mut s.leaders[at];
         match &command {
             Command::ChangePolicies { change, .. } => {
-                leader.roll.applied(now, index, change, &record)
+                leader.roll.on_change_applied(now, index, change, &record)
             }
             Command::AddSender { sender, boot, .. } => {
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
@@ -315,7 +315,7 @@
                 }
             }
             Command::ExpireSender { sender, .. } => {
-                leader.roll.part(sender);
+                leader.roll.close_session(sender);
                 let n = (0..3).find(|n| name(*n) == *sender).expect("a sender");
                 if s.senders[n].connection.0 == leader.term {
                     s.senders[n].connection = (0, 0);
@@ -336,7 +336,9 @@
             .iter()
             .filter_map(|number| Some((*number, policies.digest(*number)?)));
         let stored: Vec<_> = has.collect();
-        leader.roll.meet(&name(n), s.senders[n].boot, Some(&stored));
+        leader
+            .roll
+            .open_session(&name(n), s.senders[n].boot, Some(&stored));
         if !s.senders[n].lease {
             (s.senders[n].lease, s.senders[n].received) = (true, None);
         }
@@ -367,7 +369,9 @@
                 if let Some(at) = at.filter(|_| !lost) {
                     let leader = &mut s.leaders[at];
                     let why = refuses.then_some("no");
-                    leader.roll.stored(&name(n), *number, why, &leader.record);
+                    leader
+                        .roll
+                        .record_check(&name(n), *number, why, &leader.record);
                 }
                 let (received, turn) = (sender.received, sender.turn);
                 rules = received
@@ -394,7 +398,7 @@
             let leader = &mut s.leaders[at];
             let change = leader
                 .roll
-                .rules(s.now * MS, &name(n), turn, &leader.record);
+                .record_applied(s.now * MS, &name(n), turn, &leader.record);
             self.propose(s, at, change);
         }
     }
--- a/tests/pins/replica_log.rs
+++ b/tests/pins/replica_log.rs
@@ -6,7 +6,7 @@
 use raft::eraftpb::EntryType;
 use raildeal::coordination::messages::{RequestedZoneState, SiteAdmission};
 use raildeal::coordination::policy_rollout::register::{
-    Past as PastRollout, Policies, Register as PolicyRegister, Rollout, Step, Text,
+    EndedRollout, Policies, Register as PolicyRegister, Rollout, Step, StoredPolicy,
 };
 use raildeal::coordination::raft_group::{GroupMember as Replica, GroupState};
 use raildeal::coordination::raft_log::{Checkpoint, LogItem, RaftLogStore};
@@ -144,7 +144,7 @@
         paused: true,
         turn: 6,
     };
-    let text = Text {
+    let text = StoredPolicy {
         digest: DIGEST,
         text: "policy".into(),
     };
@@ -163,7 +163,7 @@
         begun_ms: 6_000,
         since_ms: 7_000,
     };
-    let past = PastRollout {
+    let past = EndedRollout {
         number: 4,
         back_of: 3,
         digest: DIGEST,
@@ -177,7 +177,7 @@
         turn: 6,
         at: 28,
         zones: BTreeMap::from([("a".into(), register)]),
-        given: 5,
+        last_number: 5,
         texts: BTreeMap::from([(4, text)]),
         rollout: Some(rollout(Step::Soaking, Some("slow".into()))),
         last: Some(rollout(Step::Paused, None)),
