--- a/src/coordination/raft_log/store.rs
+++ b/src/coordination/raft_log/store.rs
@@ -50,7 +50,7 @@
     )]
     Damaged(String),
     /// The folder belongs to another replica.
-    #[error("the folder belongs to keeper {0} of site {1:?}")]
+    #[error("the folder is that of keeper {0} of site {1:?}")]
     ForeignFolder(u64, String),
     /// The folder's capacity is too small; its segments have this many bytes.
     #[error(
--- a/src/delivery/message/final_answer.rs
+++ b/src/delivery/message/final_answer.rs
@@ -76,12 +76,12 @@
     pub(super) async fn send(&self, envelope: &Envelope, record: OpenRecord, answer: FinalAnswer) {
         let id = &envelope.id;
         let Some(frontend) = self.frontends.get(&envelope.frontend) else {
-            // The record stays open, so that the answer is sent once the frontend is configured
+            // The record stays open, so that the answer is sent once the frontend is set up
             // again.
             log_step!(
                 error,
                 id,
-                "its frontend is no longer configured; final answer {:?} is not sent",
+                "its frontend is no longer set up; final answer {:?} is not sent",
                 answer.verdict
             );
             return;
--- a/src/delivery/message/mod.rs
+++ b/src/delivery/message/mod.rs
@@ -315,7 +315,8 @@
     }
 }
 
-/// Returns the name of a message's class, or an empty text if the class is no longer configured.
+/// Returns the name of a message's class, or an empty text if the settings no longer
+/// have the class.
 fn class_name<'a>(class_names: &'a [String], envelope: &Envelope) -> &'a str {
     class_names
         .get(usize::from(envelope.class))
--- a/src/delivery/policies.rs
+++ b/src/delivery/policies.rs
@@ -235,7 +235,8 @@
     /// Returns the dispatcher's index of a class of this policy.
     pub fn class(&self, class: u16) -> u16 {
         let class_count = self.policy.classes.len();
-        // A message that an earlier process accepted may have a class that is no longer configured.
+        // A message that an earlier process accepted may have a class that the settings no
+        // longer have.
         let class = usize::from(class).min(class_count.saturating_sub(1));
         u16::try_from(self.place * class_count + class).unwrap_or(u16::MAX)
     }
