--- a/src/coordination/policy_rollout/rollout.rs
+++ b/src/coordination/policy_rollout/rollout.rs
@@ -623,7 +623,7 @@
             let (what, halted) = (r.number, if r.halted.is_some() { ", halted" } else { "" });
             let stage = r.stage + 1;
             return Err(format!(
-                "policy {what} is being rolled out (stage {stage} of {}{halted}); only one rollout may run at a time: check its status, or roll it back",
+                "policy {what} is rolled out (stage {stage} of {}{halted}); only one rollout may run at a time: check its status, or roll it back",
                 r.plan.stage.len()
             ));
         }
